--- /dev/null
+++ b/internal/consensus/golden_test.go
@@ -0,0 +1,124 @@
+package consensus
+
+import (
+	"bytes"
+	"encoding/binary"
+	"fmt"
+	"maps"
+	"os"
+	"path/filepath"
+	"testing"
+
+	bolt "go.etcd.io/bbolt"
+	"go.etcd.io/raft/v3/raftpb"
+	"google.golang.org/protobuf/proto"
+
+	"snowquay/internal/core/share"
+	"snowquay/internal/golden"
+)
+
+const goldenMark = 0x0102030405060708
+
+func goldenSaved(t *testing.T) Saved {
+	t.Helper()
+	command, err := share.Command{Kind: share.Drain, Server: "127.0.1.2:8080", On: true, ID: 101, Told: 2000.5}.Encode()
+	if err != nil {
+		t.Fatal(err)
+	}
+	state, err := (&share.State{Epoch: 3}).Snapshot()
+	if err != nil {
+		t.Fatal(err)
+	}
+	return Saved{
+		Hard: &raftpb.HardState{Term: new(uint64(4)), Vote: new(uint64(2)), Commit: new(uint64(12))},
+		Snapshot: &raftpb.Snapshot{Data: state, Metadata: &raftpb.SnapshotMetadata{ConfState: &raftpb.ConfState{Voters: []uint64{1, 2, 3}},
+			Index: new(uint64(11)), Term: new(uint64(3))}},
+		Entries: []*raftpb.Entry{{Term: new(uint64(4)), Index: new(uint64(12)), Data: command}, {Term: new(uint64(4)), Index: new(uint64(13)), Data: command}},
+	}
+}
+
+func TestStoredLog(t *testing.T) {
+	fill := func(path string) {
+		f, err := OpenFile(path, 1)
+		if err != nil {
+			t.Fatal(err)
+		}
+		if err := f.Save(goldenSaved(t)); err != nil {
+			t.Fatal(err)
+		}
+		if err := f.Pin(2, 0x22); err != nil {
+			t.Fatal(err)
+		}
+		// The mark of a new file is drawn by chance.
+		if err := f.db.Update(func(tx *bolt.Tx) error {
+			return tx.Bucket(oneBucket).Put(markKey, binary.BigEndian.AppendUint64(nil, goldenMark))
+		}); err != nil {
+			t.Fatal(err)
+		}
+		if err := f.Close(); err != nil {
+			t.Fatal(err)
+		}
+	}
+	fresh := filepath.Join(t.TempDir(), "fresh.db")
+	fill(fresh)
+	if _, err := os.Stat("testdata/golden/raft.db"); err != nil {
+		b, err := os.ReadFile(fresh)
+		if err != nil {
+			t.Fatal(err)
+		}
+		golden.Bytes(t, "raft.db", b)
+	}
+	golden.Bytes(t, "raft.txt", dump(t, fresh))
+
+	path := filepath.Join(t.TempDir(), "raft.db")
+	if err := os.WriteFile(path, golden.Read(t, "raft.db"), 0o600); err != nil {
+		t.Fatal(err)
+	}
+	f, err := OpenFile(path, 1)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer func() {
+		if err := f.Close(); err != nil {
+			t.Error(err)
+		}
+	}()
+	got, err := f.Load()
+	if err != nil {
+		t.Fatal(err)
+	}
+	want := goldenSaved(t)
+	if !proto.Equal(got.Hard, want.Hard) || !proto.Equal(got.Snapshot, want.Snapshot) || len(got.Entries) != len(want.Entries) {
+		t.Errorf("%+v, want %+v", got, want)
+	}
+	for i, e := range got.Entries {
+		if !proto.Equal(e, want.Entries[i]) {
+			t.Errorf("entry %d: %+v", i, e)
+		}
+	}
+	if f.Mark() != goldenMark || !maps.Equal(f.Pins(), map[ID]uint64{2: 0x22}) {
+		t.Errorf("mark %x, pins %v", f.Mark(), f.Pins())
+	}
+}
+
+// dump is the content of a store as text, by bucket and key.
+func dump(t *testing.T, path string) []byte {
+	t.Helper()
+	db, err := bolt.Open(path, 0o600, &bolt.Options{ReadOnly: true})
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer db.Close()
+	var text bytes.Buffer
+	if err := db.View(func(tx *bolt.Tx) error {
+		return tx.ForEach(func(name []byte, b *bolt.Bucket) error {
+			return b.ForEach(func(k, v []byte) error {
+				_, err := fmt.Fprintf(&text, "%s/%q %x\n", name, k, v)
+				return err
+			})
+		})
+	}); err != nil {
+		t.Fatal(err)
+	}
+	return text.Bytes()
+}
--- /dev/null
+++ b/internal/core/follow/golden_test.go
@@ -0,0 +1,35 @@
+package follow
+
+import (
+	"testing"
+
+	"snowquay/internal/core/pick"
+	"snowquay/internal/golden"
+)
+
+func TestStoredTables(t *testing.T) {
+	empty := func() *Tables {
+		return New([]string{"search", "book"}, func(int) pick.Table { return pick.NewEven(1) })
+	}
+	held := empty()
+	held.at, held.lead = 1000.5, 7
+	pick.Replace(held.by[0], []pick.Line{{Server: "127.0.1.2:8080", Weight: 1.5}, {Server: "127.0.1.3:8080", Weight: 2}})
+	pick.Replace(held.by[1], []pick.Line{{Server: "127.0.1.2:8080", Weight: 0.25}})
+	b, err := held.Save()
+	if err != nil {
+		t.Fatal(err)
+	}
+	golden.Bytes(t, "tables.json", b)
+	restored := empty()
+	if err := restored.Restore(1001, golden.Read(t, "tables.json")); err != nil {
+		t.Fatal(err)
+	}
+	if restored.at != held.at || restored.lead != held.lead {
+		t.Errorf("restored as of %v with lead %d", restored.at, restored.lead)
+	}
+	again, err := restored.Save()
+	if err != nil {
+		t.Fatal(err)
+	}
+	golden.Bytes(t, "tables.json", again)
+}
--- /dev/null
+++ b/internal/core/tenancy/golden_test.go
@@ -0,0 +1,61 @@
+package tenancy
+
+import (
+	"reflect"
+	"testing"
+
+	"snowquay/internal/golden"
+)
+
+func goldenNeeds() Needs { return Needs{Memory: 1 << 20, Lines: 250.5, Connections: 40, Work: 0.125} }
+
+func goldenDirectory() Directory {
+	return Directory{
+		Version: 7, Given: 3,
+		Tenants: map[Name]*Tenant{
+			"one": {Name: "one", Incarnation: 1, Version: 5, Settings: []byte("<coordinator/>"), Weight: 2, Needs: goldenNeeds(), Made: 1000, Changed: 1500.5},
+			"two": {Name: "two", Incarnation: 3, Version: 7, Settings: []byte("<coordinator />"), Weight: 0.5, Needs: goldenNeeds(), Made: 1600, Changed: 1600},
+		},
+		Resting: map[Name]float64{"three": 1550.25},
+		Done:    []Outcome{{ID: 11, Print: 12, Code: 3, Detail: "it is at version 4, not 3", Version: 4, Incarnation: 2}, {ID: 13, Print: 14, Version: 7, Incarnation: 3}},
+	}
+}
+
+func TestStoredTenantAndOutcome(t *testing.T) {
+	d := goldenDirectory()
+	golden.JSON(t, "tenant.json", *d.Tenants["one"])
+	golden.JSON(t, "outcome.json", d.Done[0])
+}
+
+func TestStoredCommand(t *testing.T) {
+	golden.JSON(t, "command.json", Command{Kind: Change, Name: "one", If: 4, Settings: []byte("<coordinator/>"), Weight: 2, Needs: goldenNeeds(),
+		At: 1500.5, ID: 13, Print: 14})
+}
+
+func TestStoredDirectory(t *testing.T) {
+	d := goldenDirectory()
+	b, err := d.Snapshot()
+	if err != nil {
+		t.Fatal(err)
+	}
+	golden.Bytes(t, "directory.json", b)
+	var restored Directory
+	if err := restored.Restore(golden.Read(t, "directory.json")); err != nil {
+		t.Fatal(err)
+	}
+	if !reflect.DeepEqual(restored, d) {
+		t.Errorf("restored %+v, want %+v", restored, d)
+	}
+}
+
+// The outcomes of calls are stored by these numbers.
+func TestStoredErrorNumbers(t *testing.T) {
+	for code, want := range []error{nil, ErrExists, ErrUnknown, ErrStale, ErrRests, ErrKey, ErrCommand, ErrRoom} {
+		if errs[code] != want {
+			t.Errorf("%d stands for %v, want %v", code, errs[code], want)
+		}
+	}
+	if Create != 1 || Change != 2 || Remove != 3 {
+		t.Error("the numbers of commands have changed")
+	}
+}
--- /dev/null
+++ b/internal/golden/golden.go
@@ -0,0 +1,105 @@
+// Package golden compares what tests encode with files that an earlier version of the program wrote. Such a file stands for data
+// that is stored, or spoken on a wire, somewhere: it is never written anew to make a test pass.
+package golden
+
+import (
+	"bytes"
+	"encoding/json"
+	"errors"
+	"flag"
+	"os"
+	"path/filepath"
+	"reflect"
+	"testing"
+)
+
+var create = flag.Bool("golden.create", false, "write golden files that are missing; those that exist are never changed")
+
+// Read returns the content of the golden file testdata/golden/NAME.
+func Read(t *testing.T, name string) []byte {
+	t.Helper()
+	b, err := os.ReadFile(path(name))
+	if err != nil {
+		t.Fatal(err)
+	}
+	return b
+}
+
+// Bytes fails the test unless the golden file NAME holds exactly these bytes.
+func Bytes(t *testing.T, name string, got []byte) {
+	t.Helper()
+	if err := createMissing(name, got); err != nil {
+		t.Fatal(err)
+	}
+	if want := Read(t, name); !bytes.Equal(got, want) {
+		t.Errorf("%s: encoded as\n%s\nwant\n%s", name, got, want)
+	}
+}
+
+// JSON fails the test unless value is encoded as the golden file NAME, and that file is decoded as value. Every exported field of
+// value has to be set, so that none is left out of the comparison.
+func JSON[T any](t *testing.T, name string, value T) {
+	t.Helper()
+	Filled(t, name, value)
+	b, err := json.Marshal(value)
+	if err != nil {
+		t.Fatal(err)
+	}
+	Bytes(t, name, b)
+	var decoded T
+	if err := json.Unmarshal(Read(t, name), &decoded); err != nil {
+		t.Fatal(err)
+	}
+	if !reflect.DeepEqual(decoded, value) {
+		t.Errorf("%s: decoded as\n%+v\nwant\n%+v", name, decoded, value)
+	}
+}
+
+// Filled fails the test where an exported field in value, at any depth, has the zero value of its type.
+func Filled(t *testing.T, name string, value any) {
+	t.Helper()
+	filled(t, name, reflect.ValueOf(value))
+}
+
+func filled(t *testing.T, where string, v reflect.Value) {
+	t.Helper()
+	switch v.Kind() {
+	case reflect.Pointer, reflect.Interface:
+		if v.IsNil() {
+			t.Errorf("%s is not set", where)
+			return
+		}
+		filled(t, where, v.Elem())
+	case reflect.Struct:
+		for i := range v.NumField() {
+			f := v.Type().Field(i)
+			if !f.IsExported() || f.Tag.Get("json") == "-" {
+				continue
+			}
+			if v.Field(i).IsZero() {
+				t.Errorf("%s.%s is not set", where, f.Name)
+			}
+			filled(t, where+"."+f.Name, v.Field(i))
+		}
+	case reflect.Slice, reflect.Array:
+		for i := range v.Len() {
+			filled(t, where+"[]", v.Index(i))
+		}
+	case reflect.Map:
+		for _, k := range v.MapKeys() {
+			filled(t, where+"[]", v.MapIndex(k))
+		}
+	}
+}
+
+func createMissing(name string, b []byte) error {
+	if _, err := os.Stat(path(name)); !errors.Is(err, os.ErrNotExist) || !*create {
+		return err
+	}
+	if err := os.MkdirAll(filepath.Dir(path(name)), 0o755); err != nil {
+		return err
+	}
+	return os.WriteFile(path(name), b, 0o644)
+}
+
+func path(name string) string { return filepath.Join("testdata", "golden", name) }
--- /dev/null
+++ b/internal/keep/golden_test.go
@@ -0,0 +1,171 @@
+package keep
+
+import (
+	"bytes"
+	"encoding/json"
+	"fmt"
+	"os"
+	"path/filepath"
+	"reflect"
+	"testing"
+
+	bolt "go.etcd.io/bbolt"
+
+	"snowquay/choice"
+	"snowquay/internal/core/roll"
+	"snowquay/internal/core/tenancy"
+	"snowquay/internal/golden"
+)
+
+func goldenRecords() []roll.Record {
+	return []roll.Record{
+		{Place: roll.Place{Server: "127.0.1.2:8080", Zone: 1, Kind: 2, Pod: 3, Weight: 1.5, Standing: true}, Phase: choice.Terminating,
+			Started: 1000.25, Told: 2000.5, Drained: true},
+		{Place: roll.Place{Server: "127.0.1.3:8080", Weight: 1}},
+	}
+}
+
+// copied is a copy of a golden file that a test may write to; where the file is missing it is made by fill.
+func copied(t *testing.T, name string, fill func(path string)) string {
+	t.Helper()
+	path := filepath.Join(t.TempDir(), name)
+	if _, err := os.Stat(filepath.Join("testdata", "golden", name)); err != nil {
+		fill(path)
+		b, err := os.ReadFile(path)
+		if err != nil {
+			t.Fatal(err)
+		}
+		golden.Bytes(t, name, b)
+	}
+	if err := os.WriteFile(path, golden.Read(t, name), 0o600); err != nil {
+		t.Fatal(err)
+	}
+	return path
+}
+
+// dump is the content of a store as text, by bucket and key.
+func dump(t *testing.T, path string) []byte {
+	t.Helper()
+	db, err := bolt.Open(path, 0o600, &bolt.Options{ReadOnly: true})
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer db.Close()
+	var text bytes.Buffer
+	var walk func(where string, b *bolt.Bucket) error
+	walk = func(where string, b *bolt.Bucket) error {
+		return b.ForEach(func(k, v []byte) error {
+			if v == nil {
+				return walk(fmt.Sprintf("%s/%q", where, k), b.Bucket(k))
+			}
+			_, err := fmt.Fprintf(&text, "%s/%q %s\n", where, k, v)
+			return err
+		})
+	}
+	if err := db.View(func(tx *bolt.Tx) error {
+		return tx.ForEach(func(name []byte, b *bolt.Bucket) error { return walk(string(name), b) })
+	}); err != nil {
+		t.Fatal(err)
+	}
+	return text.Bytes()
+}
+
+func TestStoredServers(t *testing.T) {
+	fill := func(path string) {
+		s, err := Open(path)
+		if err != nil {
+			t.Fatal(err)
+		}
+		if err := s.Keep(goldenRecords()); err != nil {
+			t.Fatal(err)
+		}
+		if err := s.Close(); err != nil {
+			t.Fatal(err)
+		}
+	}
+	path := copied(t, "servers.db", fill)
+	s, err := Open(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	records, err := s.Load()
+	if err != nil || !reflect.DeepEqual(records, goldenRecords()) {
+		t.Errorf("%+v, %v", records, err)
+	}
+	if err := s.Close(); err != nil {
+		t.Fatal(err)
+	}
+	fresh := filepath.Join(t.TempDir(), "fresh.db")
+	fill(fresh)
+	golden.Bytes(t, "servers.txt", dump(t, fresh))
+}
+
+func goldenTenant(version tenancy.Version) tenancy.Command {
+	return tenancy.Command{Kind: tenancy.Create, Name: "one", Settings: []byte("<coordinator/>"), Weight: 2,
+		Needs: tenancy.Needs{Memory: 1 << 20, Lines: 250.5, Connections: 40, Work: 0.125}, At: 1500.5, ID: 13 + uint64(version), Print: 14}
+}
+
+func TestStoredTenants(t *testing.T) {
+	var want []byte
+	change := func(h *Hosted, d *tenancy.Directory, c tenancy.Command) {
+		over := d.Tenants[c.Name]
+		if o := d.Apply(c); o.Err() != nil {
+			t.Fatal(o.Err())
+		}
+		gone := tenancy.Incarnation(0)
+		if c.Kind == tenancy.Remove {
+			gone = over.Incarnation
+		}
+		if err := h.Save(d, c.Name, gone); err != nil {
+			t.Fatal(err)
+		}
+	}
+	fill := func(path string) {
+		h, err := OpenHosted(path)
+		if err != nil {
+			t.Fatal(err)
+		}
+		d := tenancy.Directory{Room: tenancy.UsualRoom}
+		first := goldenTenant(0)
+		first.Name = "two"
+		change(h, &d, first)
+		change(h, &d, goldenTenant(1))
+		change(h, &d, tenancy.Command{Kind: tenancy.Remove, Name: "two", At: 1600.5, ID: 99, Print: 15})
+		if err := h.Roll(d.Tenants["one"].Incarnation).Keep(goldenRecords()); err != nil {
+			t.Fatal(err)
+		}
+		if want, err = d.Snapshot(); err != nil {
+			t.Fatal(err)
+		}
+		if err := h.Close(); err != nil {
+			t.Fatal(err)
+		}
+	}
+	fresh := filepath.Join(t.TempDir(), "fresh.db")
+	fill(fresh)
+	golden.Bytes(t, "tenants.txt", dump(t, fresh))
+	golden.Bytes(t, "tenants-directory.json", want)
+	path := copied(t, "tenants.db", fill)
+	h, err := OpenHosted(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer func() {
+		if err := h.Close(); err != nil {
+			t.Error(err)
+		}
+	}()
+	d, err := h.Directory()
+	if err != nil {
+		t.Fatal(err)
+	}
+	b, err := json.Marshal(&d)
+	if err != nil {
+		t.Fatal(err)
+	}
+	golden.Bytes(t, "tenants-directory.json", b)
+	records, err := h.Roll(d.Tenants["one"].Incarnation).Load()
+	if err != nil || !reflect.DeepEqual(records, goldenRecords()) {
+		t.Errorf("%+v, %v", records, err)
+	}
+}
--- /dev/null
+++ b/internal/lab/golden_test.go
@@ -0,0 +1,54 @@
+package lab
+
+import (
+	"encoding/json"
+	"reflect"
+	"testing"
+
+	"github.com/HdrHistogram/hdrhistogram-go"
+
+	"snowquay/internal/golden"
+)
+
+func TestStoredRecord(t *testing.T) {
+	record := Record{Experiment: "cold", Fleet: "small", Case: "roll", Arm: "new", Seed: 4, Version: "0123456789ab", Print: "f00d", Servers: 6, Relays: 8,
+		Seconds: 60, Service: 0.9, Worst: 0.5, WorstClass: 0.25,
+		Classes: []ClassRecord{{Class: "search", Asked: 100, Answered: 90, InTime: 80, P50: 0.01, P90: 0.02, P99: 0.03, P999: 0.04,
+			Times: []hdrhistogram.Bar{{From: 10, To: 11, Count: 7}}}},
+		Rules:  []RuleRecord{{Rule: 3, Kept: true, Figure: "0.5 s", Reasons: []string{"late"}}},
+		Held50: 0.1, Held99: 0.2, Drained: 0.3, Led50: 0.4, LedMost: 0.5, Messages: 11, Lines: 12, Fulls: 13, PeakQueue: 14, Events: 15,
+		Troubles: []string{"crash"}}
+	golden.JSON(t, "record.json", record)
+	b, err := json.MarshalIndent(&record, "", " ")
+	if err != nil {
+		t.Fatal(err)
+	}
+	golden.Bytes(t, "record-indented.json", b)
+}
+
+// A folder of an experiment that an earlier version played is read, and names its cells alike.
+func TestStoredFolder(t *testing.T) {
+	folder, experiment, err := Read("testdata/golden/folder")
+	if err != nil {
+		t.Fatal(err)
+	}
+	records, err := folder.Records(experiment)
+	if err != nil {
+		t.Fatal(err)
+	}
+	cells := Cells(experiment)
+	if len(cells) == 0 || len(records) != len(cells) {
+		t.Fatalf("%d records of %d cells", len(records), len(cells))
+	}
+	for _, c := range cells {
+		r := records[c.Name()]
+		again, err := json.MarshalIndent(r, "", " ")
+		if err != nil {
+			t.Fatal(err)
+		}
+		golden.Bytes(t, "folder/runs/"+c.Name()+".json", append(again, '\n'))
+		if r.Service == 0 || len(r.Rules) == 0 || reflect.DeepEqual(*r, Record{}) {
+			t.Errorf("%s: %+v", c.Name(), r)
+		}
+	}
+}
--- a/internal/run/graphite_test.go
+++ b/internal/run/graphite_test.go
@@ -2,13 +2,16 @@
 
 import (
 	"fmt"
+	"maps"
 	"net/netip"
+	"slices"
 	"strings"
 	"testing"
 
 	"snowquay/internal/core/spool"
 	"snowquay/internal/core/tenancy"
 	"snowquay/internal/feed/graphite"
+	"snowquay/internal/golden"
 	"snowquay/internal/keep"
 	"snowquay/internal/rehearse"
 	"snowquay/internal/run"
@@ -42,6 +45,14 @@
 
 const joined = "sq.test.tenants.t000.fleet.joined"
 
+// Dashboards of users go by these paths.
+func TestGraphitePathsOnTheWire(t *testing.T) {
+	s, _, r := watched(t, func(*graphite.Setup) {})
+	s.from(0, setBalancer("t000/relay-0"), register("t000/relay-0"))
+	s.run(60)
+	golden.Bytes(t, "graphite-paths.txt", []byte(strings.Join(slices.Sorted(maps.Keys(r.Values)), "\n")+"\n"))
+}
+
 // The receiver is down for an hour: nothing is lost where there is room, and with a tenth of the room the whole hour is there, coarser.
 func TestAReceiverThatIsDownForAnHour(t *testing.T) {
 	for _, room := range []int{1 << 17, 2000} {
--- a/internal/service/graphite_test.go
+++ b/internal/service/graphite_test.go
@@ -9,6 +9,7 @@
 	"testing"
 	"time"
 
+	"snowquay/internal/golden"
 	"snowquay/internal/settings"
 	"snowquay/internal/wire/graphite"
 )
@@ -64,4 +65,5 @@
 	if text := get(t, "http://127.0.0.1:15863/metrics"); !strings.Contains(text, "snowquay_graphite_samples_total") {
 		t.Error(text)
 	}
+	golden.Bytes(t, "metrics-graphite.txt", metricNames(get(t, "http://127.0.0.1:15863/metrics")))
 }
--- a/internal/service/group_test.go
+++ b/internal/service/group_test.go
@@ -12,6 +12,7 @@
 	"time"
 
 	"snowquay/internal/core/share"
+	"snowquay/internal/golden"
 	"snowquay/internal/settings"
 	"snowquay/internal/wire/sasp"
 )
@@ -140,6 +141,7 @@
 	if !strings.Contains(get(t, "http://127.0.0.1:15231/metrics"), "snowquay_group_drains 1") {
 		t.Error("the metrics do not tell")
 	}
+	golden.Bytes(t, "metrics-group.txt", metricNames(get(t, "http://127.0.0.1:15231/metrics")))
 	if err := GroupRemove(all[1].c.Group, 2, 20*time.Second); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/service/host_test.go
+++ b/internal/service/host_test.go
@@ -17,6 +17,7 @@
 	"time"
 
 	"snowquay/internal/core/change"
+	"snowquay/internal/golden"
 	"snowquay/internal/settings"
 	"snowquay/internal/wire/sasp"
 )
@@ -244,6 +245,7 @@
 	if text := get(t, "http://127.0.0.1:15854/metrics"); !strings.Contains(text, `snowquay_tenant_relays_joined{tenant="one"} `) || !strings.Contains(text, "snowquay_host_tenants 2") {
 		t.Error(text)
 	}
+	golden.Bytes(t, "metrics-host.txt", metricNames(get(t, "http://127.0.0.1:15854/metrics")))
 	h.end()
 	h = startHost(t, store)
 	eventually(t, "the drain is forgotten", func() bool {
--- a/internal/service/proxy_test.go
+++ b/internal/service/proxy_test.go
@@ -20,6 +20,7 @@
 	"testing"
 	"time"
 
+	"snowquay/internal/golden"
 	"snowquay/internal/settings"
 )
 
@@ -100,6 +101,7 @@
 		return strings.Contains(figures, "snowquay_relays_holding 1") && !strings.Contains(figures, "snowquay_measurements_total 0") &&
 			strings.Contains(figures, "snowquay_measurements_garbled_total 0")
 	})
+	golden.Bytes(t, "metrics-proxy.txt", metricNames(get(t, "http://127.0.0.1:15815/metrics")))
 	stop <- os.Interrupt
 	if err := <-done; err != nil {
 		t.Error(err)
--- a/internal/service/service_test.go
+++ b/internal/service/service_test.go
@@ -4,14 +4,17 @@
 	"encoding/json"
 	"io"
 	"log/slog"
+	"maps"
 	"net"
 	"net/http"
 	"os"
 	"path/filepath"
+	"slices"
 	"strings"
 	"testing"
 	"time"
 
+	"snowquay/internal/golden"
 	"snowquay/internal/settings"
 	"snowquay/internal/wire/sasp"
 )
@@ -30,6 +33,17 @@
 	return string(b)
 }
 
+// metricNames are the names, types and help texts in what a server of figures answers, without the runtime's own.
+func metricNames(figures string) []byte {
+	var names []byte
+	for line := range strings.Lines(figures) {
+		if strings.HasPrefix(line, "# ") && strings.Contains(line, " snowquay_") {
+			names = append(names, line...)
+		}
+	}
+	return names
+}
+
 // The example's coordinator runs, serves a relay, tells its figures and why it gave an order, and ends on a signal.
 func TestServe(t *testing.T) {
 	text, err := os.ReadFile("../../docs/example.xml")
@@ -70,6 +84,7 @@
 			t.Fatal(figures)
 		}
 	}
+	golden.Bytes(t, "metrics-coordinator.txt", metricNames(get(t, "http://127.0.0.1:14872/metrics")))
 	var orders []map[string]any
 	if err := json.Unmarshal([]byte(get(t, "http://127.0.0.1:14872/orders?relay=relay-1")), &orders); err != nil {
 		t.Fatal(err)
@@ -77,6 +92,7 @@
 	if len(orders) != 1 || orders[0]["held"] != true || orders[0]["facts.streams"] != 1.0 || orders[0]["trace"] == "" {
 		t.Errorf("%v", orders)
 	}
+	golden.Bytes(t, "order-keys.txt", []byte(strings.Join(slices.Sorted(maps.Keys(orders[0])), "\n")+"\n"))
 	if other := get(t, "http://127.0.0.1:14872/orders?relay=x"); strings.TrimSpace(other) != "[]" {
 		t.Errorf("orders of nobody: %s", other)
 	}
--- /dev/null
+++ b/internal/wire/delta/golden_test.go
@@ -0,0 +1,30 @@
+package delta
+
+import (
+	"reflect"
+	"testing"
+
+	"snowquay/internal/golden"
+)
+
+func TestTablesOnTheWire(t *testing.T) {
+	level, comeBack := 0.75, 1.5
+	tables := Tables{Epoch: "00000000000000a1", Version: 12, From: 11, AskWithin: 30, Lead: 4, Classes: []Class{{Class: "search", Full: true,
+		Lines: []Line{{Server: "127.0.1.2:8080", Weight: 1.5, Drains: true}}, Level: &level, Again: "proof", ComeBack: &comeBack}}}
+	golden.JSON(t, "tables.json", tables)
+	for name, media := range map[string]string{"tables.json": JSON, "tables.cbor": CBOR} {
+		b, err := Append(nil, media, &tables)
+		if err != nil {
+			t.Fatal(err)
+		}
+		golden.Bytes(t, name, b)
+		var decoded Tables
+		if err := Decode(golden.Read(t, name), media, &decoded); err != nil || !reflect.DeepEqual(decoded, tables) {
+			t.Errorf("%s: %+v, %v", name, decoded, err)
+		}
+	}
+}
+
+func TestProblemOnTheWire(t *testing.T) {
+	golden.JSON(t, "problem.json", Trouble{Type: "urn:x", Title: "Conflict", Status: 409, Detail: "why", RetryAfter: 2.5})
+}
--- /dev/null
+++ b/internal/wire/peer/golden_test.go
@@ -0,0 +1,29 @@
+package peer
+
+import (
+	"reflect"
+	"testing"
+
+	"snowquay/internal/golden"
+)
+
+func TestFrameOnTheWire(t *testing.T) {
+	key := []byte("a key of the group")
+	frame := Frame{From: 1, To: 2, Mark: 0x0102030405060708, Commit: 99, Kind: Command, Message: []byte(`{"kind":6}`)}
+	golden.Filled(t, "frame", frame)
+	golden.Bytes(t, "frame.bin", Append(nil, key, frame))
+	text := golden.Read(t, "frame.bin")
+	got, n, err := Next(text, key)
+	if err != nil || n != len(text) || !reflect.DeepEqual(got, frame) {
+		t.Errorf("%+v, %d bytes, %v", got, n, err)
+	}
+}
+
+// Frames carry these numbers.
+func TestKindsOnTheWire(t *testing.T) {
+	for i, kind := range []Kind{Consensus, Command, Ask, Tell, Refusal, Hello} {
+		if kind != Kind(i+1) {
+			t.Errorf("kind %d has the number %d", i+1, kind)
+		}
+	}
+}
--- /dev/null
+++ b/internal/wire/rpc/golden_test.go
@@ -0,0 +1,25 @@
+package rpc
+
+import (
+	"slices"
+	"testing"
+
+	"snowquay/internal/golden"
+)
+
+// The calls of one round: weights, bindings, admission and the request for acknowledgements.
+func TestCallsOfARoundOnTheWire(t *testing.T) {
+	names := Names{"lookup", "order"}
+	orders := [][]byte{
+		AppendShare(nil, 1, "s-5be2a07c", 1.5),
+		AppendShare(nil, 1, "s-00000001", 0),
+		names.AppendAdmit(nil, 1, 2, 0.75, 1),
+		names.AppendAdmit(nil, 1, 0, 1e6, 3),
+		names.AppendBind(nil, 17, 1, 3),
+		AppendMark(nil, 905, false),
+	}
+	b := AppendWatch(nil, 1)
+	b = AppendApply(b, 2, slices.Concat(orders[0], []byte(","), orders[1], []byte(","), orders[2]))
+	b = AppendApply(b, 3, slices.Concat(orders[3], []byte(","), orders[4], []byte(","), orders[5]))
+	golden.Bytes(t, "round.jsonl", b)
+}
