--- a/internal/core/pick/pick.go
+++ b/internal/core/pick/pick.go
@@ -12,8 +12,8 @@
 
 // Line of a table.
 type Line struct {
-	Server choice.Server
-	Weight float64 // above 0
+	Server choice.Server `json:"Server"`
+	Weight float64       `json:"Weight"` // above 0
 }
 
 // Table chooses. Set with a weight of 0 takes a line away.
--- a/internal/core/roll/roll.go
+++ b/internal/core/roll/roll.go
@@ -31,21 +31,21 @@
 
 // Place is what the settings say of a server.
 type Place struct {
-	Server   choice.Server
-	Zone     choice.Zone
-	Kind     choice.Kind
-	Pod      choice.Pod
-	Weight   float64
-	Standing bool // in service without registering
+	Server   choice.Server `json:"Server"`
+	Zone     choice.Zone   `json:"Zone"`
+	Kind     choice.Kind   `json:"Kind"`
+	Pod      choice.Pod    `json:"Pod"`
+	Weight   float64       `json:"Weight"`
+	Standing bool          `json:"Standing"` // in service without registering
 }
 
 // Record is what has to outlive the coordinator of one server.
 type Record struct {
 	Place
-	Phase   choice.Phase
-	Started float64 // clock time; 0: long ago
-	Told    float64 // when it was heard that it drains or is gone; 0: it serves
-	Drained bool    // somebody ordered the drain; a registration does not undo it
+	Phase   choice.Phase `json:"Phase"`
+	Started float64      `json:"Started"` // clock time; 0: long ago
+	Told    float64      `json:"Told"`    // when it was heard that it drains or is gone; 0: it serves
+	Drained bool         `json:"Drained"` // somebody ordered the drain; a registration does not undo it
 }
 
 type member struct {
--- a/internal/keep/hosted.go
+++ b/internal/keep/hosted.go
@@ -24,9 +24,9 @@
 
 // head is what a directory has besides tenants and outcomes.
 type head struct {
-	Version tenancy.Version
-	Given   tenancy.Incarnation
-	Resting map[tenancy.Name]float64
+	Version tenancy.Version          `json:"Version"`
+	Given   tenancy.Incarnation      `json:"Given"`
+	Resting map[tenancy.Name]float64 `json:"Resting"`
 }
 
 // Hosted is the file of a host of many tenants: the directory, a record a tenant, and the roll of each. Use OpenHosted.
--- a/internal/lab/lab.go
+++ b/internal/lab/lab.go
@@ -63,40 +63,53 @@
 
 // ClassRecord is what became of a class's queries. Times are seconds.
 type ClassRecord struct {
-	Class                   string
-	Asked, Answered, InTime float64
-	P50, P90, P99, P999     float64
-	Times                   []hdrhistogram.Bar // how many answers took how many microseconds
+	Class    string             `json:"Class"`
+	Asked    float64            `json:"Asked"`
+	Answered float64            `json:"Answered"`
+	InTime   float64            `json:"InTime"`
+	P50      float64            `json:"P50"`
+	P90      float64            `json:"P90"`
+	P99      float64            `json:"P99"`
+	P999     float64            `json:"P999"`
+	Times    []hdrhistogram.Bar `json:"Times"` // how many answers took how many microseconds
 }
 
 // RuleRecord is the verdict on a rule.
 type RuleRecord struct {
-	Rule    int
-	Kept    bool
-	Figure  string
-	Reasons []string `json:",omitempty"`
+	Rule    int      `json:"Rule"`
+	Kept    bool     `json:"Kept"`
+	Figure  string   `json:"Figure"`
+	Reasons []string `json:"Reasons,omitempty"`
 }
 
 // Record is what one play came to. The same cell has the same bytes with the same build.
 type Record struct {
-	Experiment, Fleet, Case, Arm string
-	Seed                         uint64
-	Version                      string // of the build
-	Print                        string // of the experiment
-	Servers, Relays              int
-	Seconds                      float64
-	Service                      float64 // benefit answered within the goal time over the benefit asked for
-	Worst                        float64 // of the worst ten seconds
-	WorstClass                   float64
-	Classes                      []ClassRecord
-	Rules                        []RuleRecord
-	Held50, Held99               float64 // seconds from a decision until a relay was known to hold it
-	Drained                      float64 // seconds from a drain until the last query after it
-	Led50, LedMost               float64 // seconds from a coordinator's death until all relays were led again
-	Messages, Lines, Fulls       int
-	PeakQueue                    float64
-	Events                       int
-	Troubles                     []string
+	Experiment string        `json:"Experiment"`
+	Fleet      string        `json:"Fleet"`
+	Case       string        `json:"Case"`
+	Arm        string        `json:"Arm"`
+	Seed       uint64        `json:"Seed"`
+	Version    string        `json:"Version"` // of the build
+	Print      string        `json:"Print"`   // of the experiment
+	Servers    int           `json:"Servers"`
+	Relays     int           `json:"Relays"`
+	Seconds    float64       `json:"Seconds"`
+	Service    float64       `json:"Service"` // benefit answered within the goal time over the benefit asked for
+	Worst      float64       `json:"Worst"`   // of the worst ten seconds
+	WorstClass float64       `json:"WorstClass"`
+	Classes    []ClassRecord `json:"Classes"`
+	Rules      []RuleRecord  `json:"Rules"`
+	Held50     float64       `json:"Held50"`  // seconds from a decision until a relay was known to hold it
+	Held99     float64       `json:"Held99"`  // seconds from a decision until a relay was known to hold it
+	Drained    float64       `json:"Drained"` // seconds from a drain until the last query after it
+	Led50      float64       `json:"Led50"`   // seconds from a coordinator's death until all relays were led again
+	LedMost    float64       `json:"LedMost"` // seconds from a coordinator's death until all relays were led again
+	Messages   int           `json:"Messages"`
+	Lines      int           `json:"Lines"`
+	Fulls      int           `json:"Fulls"`
+	PeakQueue  float64       `json:"PeakQueue"`
+	Events     int           `json:"Events"`
+	Troubles   []string      `json:"Troubles"`
 }
 
 // Broken are the rules that were.
