--- a/internal/consensus/group.go
+++ b/internal/consensus/group.go
@@ -5,7 +5,7 @@
 	"slices"
 
 	"snowquay/choice"
-	"snowquay/internal/core/roll"
+	"snowquay/internal/core/registry"
 	"snowquay/internal/core/share"
 	"snowquay/internal/core/tenancy"
 )
@@ -35,7 +35,7 @@
 	// Drained: a drain was agreed on, or its end.
 	Drained(now float64, c share.Command)
 	// Learnt: records of servers were agreed on, ours among them.
-	Learnt(now float64, records []roll.Record)
+	Learnt(now float64, records []registry.Record)
 	// Settled: drains that were told here are kept, or refused.
 	Settled(now float64, kept, refused []share.Ticket)
 }
@@ -202,7 +202,7 @@
 func (g *Group) Seated() bool { return g.State.Seats[g.number] == g.seat }
 
 // Keep makes records outlive this coordinator. They count when they are committed: Kept tells.
-func (g *Group) Keep(now float64, records []roll.Record) {
+func (g *Group) Keep(now float64, records []registry.Record) {
 	for batch := range slices.Chunk(records, keepAtOnce) {
 		g.Propose(now, share.Command{Kind: share.Keep, Records: batch})
 	}
@@ -262,7 +262,7 @@
 }
 
 // Kept tells whether records are agreed on, as they were handed to Keep or with an earlier time of a drain.
-func (g *Group) Kept(records []roll.Record) bool {
+func (g *Group) Kept(records []registry.Record) bool {
 	for _, r := range records {
 		k, ok := g.State.Records[r.Server]
 		if !ok || k.Phase != r.Phase || k.Started != r.Started || k.Drained != r.Drained {
--- a/internal/consensus/group_test.go
+++ b/internal/consensus/group_test.go
@@ -14,7 +14,7 @@
 	bolt "go.etcd.io/bbolt"
 
 	"snowquay/choice"
-	"snowquay/internal/core/roll"
+	"snowquay/internal/core/registry"
 	"snowquay/internal/core/share"
 )
 
@@ -55,7 +55,7 @@
 func (p *peer) Settled(_ float64, kept, refused []share.Ticket) {
 	p.kept, p.refused = append(p.kept, kept...), append(p.refused, refused...)
 }
-func (p *peer) Learnt(float64, []roll.Record) {}
+func (p *peer) Learnt(float64, []registry.Record) {}
 func (p *peer) seat() share.Seat {
 	return share.Seat{Peer: p.name(), Address: netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, byte(p.id)}), 7000)}
 }
@@ -271,7 +271,7 @@
 	if w.unled > 0 {
 		t.Fatal("proxies are led by nobody at the start")
 	}
-	drain := []roll.Record{{Place: roll.Place{Server: "a"}, Phase: choice.Terminating, Told: 77, Drained: true}}
+	drain := []registry.Record{{Place: registry.Place{Server: "a"}, Phase: choice.Terminating, Told: 77, Drained: true}}
 	w.peers[2].group.Keep(w.peers[2].clock(), drain)
 	w.run(0.5)
 	lead := w.peers[1].group.Node.Leader()
--- a/internal/consensus/measure_test.go
+++ b/internal/consensus/measure_test.go
@@ -9,7 +9,7 @@
 	"google.golang.org/protobuf/proto"
 
 	"snowquay/choice"
-	"snowquay/internal/core/roll"
+	"snowquay/internal/core/registry"
 	"snowquay/internal/core/share"
 )
 
@@ -33,9 +33,9 @@
 	return c.Disk.Save(s)
 }
 
-func records(n int) (all []roll.Record) {
+func records(n int) (all []registry.Record) {
 	for i := range n {
-		all = append(all, roll.Record{Place: roll.Place{Server: choice.Server(fmt.Sprintf("10.1.%d.%d:8080", i/250, i%250)), Weight: 1,
+		all = append(all, registry.Record{Place: registry.Place{Server: choice.Server(fmt.Sprintf("10.1.%d.%d:8080", i/250, i%250)), Weight: 1,
 			Pod: choice.Pod(i / 10)}, Phase: choice.InService, Started: 1.7e9 + float64(i)})
 	}
 	return all
--- a/internal/core/fleet/fleet.go
+++ b/internal/core/fleet/fleet.go
@@ -17,7 +17,7 @@
 	"snowquay/choice"
 	"snowquay/internal/core/channel"
 	"snowquay/internal/core/measure"
-	"snowquay/internal/core/roll"
+	"snowquay/internal/core/registry"
 	"snowquay/internal/core/tables"
 )
 
@@ -116,7 +116,7 @@
 
 // Keeper keeps records for the next life. What it returns without an error is durable.
 type Keeper interface {
-	Keep([]roll.Record) error
+	Keep([]registry.Record) error
 }
 
 // Fleet is one coordinator's state. Use New.
@@ -126,7 +126,7 @@
 	may     func(now float64, uid string) bool // nil: all relays are ours
 	lead    func() uint64
 	sent    func(now float64, uid string)
-	Roll    *roll.Roll
+	Roll    *registry.Roll
 	Book    *measure.Book
 	keeper  Keeper
 
@@ -187,12 +187,12 @@
 
 // New makes a coordinator. records are those of its former life, none if there was none. The error says what of the
 // site cannot be taken.
-func New(now float64, site Site, records []roll.Record, keeper Keeper) (*Fleet, error) {
+func New(now float64, site Site, records []registry.Record, keeper Keeper) (*Fleet, error) {
 	if len(site.Classes) == 0 || len(site.Classes) > 64 || len(site.Names) != len(site.Classes) {
 		return nil, fmt.Errorf("%d classes with %d names; 1 to 64 are possible", len(site.Classes), len(site.Names))
 	}
 	f := &Fleet{site: site, keeper: keeper, first: true, began: now, ranAt: math.Inf(-1), closed: now,
-		Roll:    roll.New(site.Limits.HoldServer, site.Limits.Servers, site.Without[GuardCold]),
+		Roll:    registry.New(site.Limits.HoldServer, site.Limits.Servers, site.Without[GuardCold]),
 		Book:    measure.New(site.Limits.Series),
 		proxies: map[choice.Proxy]*Proxy{}, byUID: map[string]*Proxy{}, listed: map[string]Relay{},
 		tables: map[choice.Table]*wanted{}, out: channel.New(site.Channel, site.Without[GuardPace])}
--- a/internal/core/fleet/fleet_test.go
+++ b/internal/core/fleet/fleet_test.go
@@ -7,7 +7,7 @@
 
 	"snowquay/choice"
 	"snowquay/internal/core/measure"
-	"snowquay/internal/core/roll"
+	"snowquay/internal/core/registry"
 )
 
 func site(servers, relays int) Site {
@@ -21,7 +21,7 @@
 		Reporting: choice.Reporting{Period: 0.5}, Limits: UsualLimits}
 	s.Limits.KnowRelay = 5
 	for i := range servers {
-		s.Servers = append(s.Servers, roll.Place{Server: name(i), Zone: choice.Zone(i % 3), Weight: 1, Standing: true})
+		s.Servers = append(s.Servers, registry.Place{Server: name(i), Zone: choice.Zone(i % 3), Weight: 1, Standing: true})
 	}
 	for i := range relays {
 		s.Relays = append(s.Relays, Relay{UID: fmt.Sprint("r", i), Zone: choice.Zone(i % 3), Usual: 10})
@@ -109,7 +109,7 @@
 
 type failing struct{ calls int }
 
-func (k *failing) Keep([]roll.Record) error { k.calls++; return errors.New("disk full") }
+func (k *failing) Keep([]registry.Record) error { k.calls++; return errors.New("disk full") }
 
 // A drain that can't be kept goes out all the same, and the failure is counted.
 func TestADrainDoesNotWaitForABrokenDisk(t *testing.T) {
--- a/internal/core/fleet/revise.go
+++ b/internal/core/fleet/revise.go
@@ -6,7 +6,7 @@
 	"slices"
 
 	"snowquay/choice"
-	"snowquay/internal/core/roll"
+	"snowquay/internal/core/registry"
 )
 
 // Revision is what becomes of a fleet by other settings: whether they can be taken while it runs, and who loses by them.
@@ -46,7 +46,7 @@
 			return r
 		}
 	}
-	r.Added, r.Moved, r.Removed = differ(old.Servers, next.Servers, func(p roll.Place) choice.Server { return p.Server })
+	r.Added, r.Moved, r.Removed = differ(old.Servers, next.Servers, func(p registry.Place) choice.Server { return p.Server })
 	var elsewhere, gone []string
 	r.Welcomed, elsewhere, gone = differ(old.Relays, next.Relays, func(x Relay) string { return x.UID })
 	r.Sent = slices.Sorted(slices.Values(append(elsewhere, gone...)))
@@ -93,7 +93,7 @@
 		return r, fmt.Errorf("%s can't be changed while the coordinator runs", r.Anew)
 	}
 	if have := f.Roll.Len(); have+len(r.Added) > f.site.Limits.Servers+len(r.Removed) {
-		return r, fmt.Errorf("%w: %d servers are kept, %d come", roll.ErrFull, have, len(r.Added))
+		return r, fmt.Errorf("%w: %d servers are kept, %d come", registry.ErrFull, have, len(r.Added))
 	}
 	for _, s := range r.Removed {
 		f.Roll.Unplace(now, s)
--- a/internal/core/fleet/revise_test.go
+++ b/internal/core/fleet/revise_test.go
@@ -10,7 +10,7 @@
 
 	"snowquay/choice"
 	"snowquay/internal/core/measure"
-	"snowquay/internal/core/roll"
+	"snowquay/internal/core/registry"
 )
 
 // Whatever is decided, a table that proxies use is not left without any line to an open, warm server; servers that drain are.
@@ -61,7 +61,7 @@
 	next := site(4, 4)
 	next.Dataplane.Proxies = 3
 	next.Servers = slices.Delete(next.Servers, 1, 2)
-	next.Servers = append(next.Servers, roll.Place{Server: name(9), Zone: 1, Weight: 1, Standing: true})
+	next.Servers = append(next.Servers, registry.Place{Server: name(9), Zone: 1, Weight: 1, Standing: true})
 	next.Servers[0].Zone = 2
 	next.Relays = slices.Delete(next.Relays, 0, 1)
 	gone := &door{f: f}
@@ -98,7 +98,7 @@
 	crowd.Dataplane.Proxies = 3
 	crowd.Limits.Servers = 6
 	crowd.Relays = next.Relays
-	if _, err := f.Revise(now, crowd); !errors.Is(err, roll.ErrFull) || f.Joined() != 2 {
+	if _, err := f.Revise(now, crowd); !errors.Is(err, registry.ErrFull) || f.Joined() != 2 {
 		t.Error(err)
 	}
 }
--- a/internal/core/fleet/site.go
+++ b/internal/core/fleet/site.go
@@ -2,7 +2,7 @@
 
 import (
 	"snowquay/choice"
-	"snowquay/internal/core/roll"
+	"snowquay/internal/core/registry"
 )
 
 // Guard names a defence that tests may leave out, to see that the rule it is for is then broken.
@@ -47,7 +47,7 @@
 	Relays     []Relay
 	Strangers  bool        // relays that are not listed may join
 	StrangerIn choice.Zone // the zone that they are held to be in
-	Servers    []roll.Place
+	Servers    []registry.Place
 	Dataplane  choice.Dataplane
 	Channel    choice.Channel
 	Guarantees choice.Guarantees
--- a/internal/core/longpoll/longpoll_test.go
+++ b/internal/core/longpoll/longpoll_test.go
@@ -11,7 +11,7 @@
 
 	"snowquay/choice"
 	"snowquay/internal/core/fleet"
-	"snowquay/internal/core/roll"
+	"snowquay/internal/core/registry"
 	"snowquay/internal/seeded"
 )
 
@@ -112,7 +112,7 @@
 		x.Without[g] = true
 	}
 	for i := range 6 {
-		x.Servers = append(x.Servers, roll.Place{Server: server(i), Weight: 1, Standing: true})
+		x.Servers = append(x.Servers, registry.Place{Server: server(i), Weight: 1, Standing: true})
 	}
 	return x
 }
--- a/internal/core/roll/roll.go
+++ b/internal/core/registry/roll.go
@@ -1,10 +1,10 @@
-// Package roll keeps the servers that a coordinator knows: where they stand, whether they run, drain or are gone, and
+// Package registry keeps the servers that a coordinator knows: where they stand, whether they run, drain or are gone, and
 // when they last started. It is pure: time and facts in, entries for the decision module and records to keep out.
 //
 // A server is present while it is standing (listed for good by the settings) or registered. What is registered by a
 // connection that broke stays for a while, since a broken connection is no word that a process ended. Clock times are
 // well above 0, as the seconds since 1970 are.
-package roll
+package registry
 
 import (
 	"cmp"
--- a/internal/core/roll/roll_test.go
+++ b/internal/core/registry/roll_test.go
@@ -1,4 +1,4 @@
-package roll
+package registry
 
 import (
 	"errors"
--- a/internal/core/session/session_test.go
+++ b/internal/core/session/session_test.go
@@ -12,7 +12,7 @@
 	"snowquay/choice"
 	"snowquay/internal/core/fleet"
 	"snowquay/internal/core/measure"
-	"snowquay/internal/core/roll"
+	"snowquay/internal/core/registry"
 	"snowquay/internal/seeded"
 	"snowquay/internal/wire/sasp"
 )
@@ -84,7 +84,7 @@
 		s.Without[g] = true
 	}
 	for i := range usualServers {
-		s.Servers = append(s.Servers, roll.Place{Server: choice.Server(address(i).String()), Zone: choice.Zone(i % 2), Weight: 1,
+		s.Servers = append(s.Servers, registry.Place{Server: choice.Server(address(i).String()), Zone: choice.Zone(i % 2), Weight: 1,
 			Standing: i < 4})
 	}
 	for i := range 500 {
--- a/internal/core/share/golden_test.go
+++ b/internal/core/share/golden_test.go
@@ -7,13 +7,13 @@
 	"testing"
 
 	"snowquay/choice"
-	"snowquay/internal/core/roll"
+	"snowquay/internal/core/registry"
 	"snowquay/internal/core/tenancy"
 	"snowquay/internal/golden"
 )
 
-func goldenRecord() roll.Record {
-	return roll.Record{Place: roll.Place{Server: "127.0.1.2:8080", Zone: 1, Kind: 2, Pod: 3, Weight: 1.5, Standing: true},
+func goldenRecord() registry.Record {
+	return registry.Record{Place: registry.Place{Server: "127.0.1.2:8080", Zone: 1, Kind: 2, Pod: 3, Weight: 1.5, Standing: true},
 		Phase: choice.Terminating, Started: 1000.25, Told: 2000.5, Drained: true}
 }
 
@@ -27,7 +27,7 @@
 		Epoch: 5,
 		Members: map[Peer]Member{"c1": {Weight: 1, Renewal: 20, Life: 77, Alive: true, Seen: 5, Knows: 9},
 			"c2": {Weight: 0.5, Renewal: 30, Life: 78, Alive: true, Seen: 4, Knows: 8}},
-		Records: map[choice.Server]roll.Record{"127.0.1.2:8080": goldenRecord()},
+		Records: map[choice.Server]registry.Record{"127.0.1.2:8080": goldenRecord()},
 		Drains:  map[choice.Server]float64{"127.0.1.2:8080": 2000.5},
 		Past:    []View{view},
 		Orders:  9,
@@ -44,7 +44,7 @@
 }
 
 func TestStoredCommand(t *testing.T) {
-	command := Command{Kind: Tenants, Peer: "c1", Weight: 1.5, Renewal: 20, Life: 77, Seen: 5, Records: []roll.Record{goldenRecord()},
+	command := Command{Kind: Tenants, Peer: "c1", Weight: 1.5, Renewal: 20, Life: 77, Seen: 5, Records: []registry.Record{goldenRecord()},
 		Server: "127.0.1.2:8080", On: true, ID: 101, Told: 2000.5, Knows: 9, UIDs: []string{"relay-9"}, Number: 2,
 		Address: netip.MustParseAddrPort("127.0.0.2:7002"),
 		Tenant: &tenancy.Command{Kind: tenancy.Change, Name: "one", If: 4, Settings: []byte("<coordinator/>"), Weight: 2, Needs: goldenNeeds(),
--- a/internal/core/share/share.go
+++ b/internal/core/share/share.go
@@ -19,7 +19,7 @@
 	"github.com/cespare/xxhash/v2"
 
 	"snowquay/choice"
-	"snowquay/internal/core/roll"
+	"snowquay/internal/core/registry"
 	"snowquay/internal/core/tenancy"
 )
 
@@ -46,22 +46,22 @@
 
 // Command changes the state. It is proposed by one coordinator and applied by all.
 type Command struct {
-	Kind    Kind             `json:"kind"`
-	Peer    Peer             `json:"peer,omitempty"`
-	Weight  float64          `json:"weight,omitempty"`  // of a peer's part
-	Renewal uint64           `json:"renewal,omitempty"` // of Renew: its number, growing; of Expire: the newest that was seen
-	Life    uint64           `json:"life,omitempty"`    // of Renew: its proposer's process; a renewal of a former one lets nobody order
-	Seen    Epoch            `json:"seen,omitempty"`    // of Renew: the epoch that its proposer goes by
-	Records []roll.Record    `json:"records,omitempty"`
-	Server  choice.Server    `json:"server,omitempty"` // of Drain
-	On      bool             `json:"on,omitempty"`
-	ID      uint64           `json:"id,omitempty"`     // of Drain: it counts once, however often it is proposed
-	Told    float64          `json:"told,omitempty"`   // wall clock time
-	Knows   uint64           `json:"knows,omitempty"`  // of Renew: drains, and ends of them, that its proposer has applied
-	UIDs    []string         `json:"uids,omitempty"`   // of Claim
-	Number  Number           `json:"number,omitempty"` // of Sit and Unseat
-	Address netip.AddrPort   `json:"address,omitzero"` // of Sit
-	Tenant  *tenancy.Command `json:"tenant,omitempty"` // of Tenants
+	Kind    Kind              `json:"kind"`
+	Peer    Peer              `json:"peer,omitempty"`
+	Weight  float64           `json:"weight,omitempty"`  // of a peer's part
+	Renewal uint64            `json:"renewal,omitempty"` // of Renew: its number, growing; of Expire: the newest that was seen
+	Life    uint64            `json:"life,omitempty"`    // of Renew: its proposer's process; a renewal of a former one lets nobody order
+	Seen    Epoch             `json:"seen,omitempty"`    // of Renew: the epoch that its proposer goes by
+	Records []registry.Record `json:"records,omitempty"`
+	Server  choice.Server     `json:"server,omitempty"` // of Drain
+	On      bool              `json:"on,omitempty"`
+	ID      uint64            `json:"id,omitempty"`     // of Drain: it counts once, however often it is proposed
+	Told    float64           `json:"told,omitempty"`   // wall clock time
+	Knows   uint64            `json:"knows,omitempty"`  // of Renew: drains, and ends of them, that its proposer has applied
+	UIDs    []string          `json:"uids,omitempty"`   // of Claim
+	Number  Number            `json:"number,omitempty"` // of Sit and Unseat
+	Address netip.AddrPort    `json:"address,omitzero"` // of Sit
+	Tenant  *tenancy.Command  `json:"tenant,omitempty"` // of Tenants
 }
 
 // ErrCommand says that a command makes no sense; it changes nothing, anywhere.
@@ -87,15 +87,15 @@
 
 // State is agreed on. The zero value is that of a new group.
 type State struct {
-	Epoch   Epoch                         `json:"epoch"`
-	Members map[Peer]Member               `json:"members"`
-	Records map[choice.Server]roll.Record `json:"records"`
-	Drains  map[choice.Server]float64     `json:"drains"` // ordered, and when that was told
-	Past    []View                        `json:"past"`   // epochs by which a living peer may still go, oldest first
-	Orders  uint64                        `json:"orders"` // drains, ends of them and changes of tenants that were ever agreed on
-	Seats   map[Number]Seat               `json:"seats"`
-	Claims  map[string]Held               `json:"claims,omitempty"` // never changed in place: past views share it
-	memo    map[string]Peer               // holders in the epoch memoOf, that were worked out: nothing else moves them
+	Epoch   Epoch                             `json:"epoch"`
+	Members map[Peer]Member                   `json:"members"`
+	Records map[choice.Server]registry.Record `json:"records"`
+	Drains  map[choice.Server]float64         `json:"drains"` // ordered, and when that was told
+	Past    []View                            `json:"past"`   // epochs by which a living peer may still go, oldest first
+	Orders  uint64                            `json:"orders"` // drains, ends of them and changes of tenants that were ever agreed on
+	Seats   map[Number]Seat                   `json:"seats"`
+	Claims  map[string]Held                   `json:"claims,omitempty"` // never changed in place: past views share it
+	memo    map[string]Peer                   // holders in the epoch memoOf, that were worked out: nothing else moves them
 	memoOf  Epoch
 	living  map[Peer]float64 // in that epoch
 	Done    []uint64         `json:"done"` // the latest orders by their ID, oldest first
@@ -154,7 +154,7 @@
 				return false, fmt.Errorf("%w: over %d records", ErrCommand, mostRecords)
 			}
 			if s.Records == nil {
-				s.Records = map[choice.Server]roll.Record{}
+				s.Records = map[choice.Server]registry.Record{}
 			}
 			s.Records[r.Server] = merge(s.Records[r.Server], r)
 		}
@@ -238,7 +238,7 @@
 // over forgets what was agreed on of a tenant that is removed.
 func (s *State) over(life tenancy.Incarnation) {
 	of := Scope(life)
-	maps.DeleteFunc(s.Records, func(v choice.Server, _ roll.Record) bool { return strings.HasPrefix(string(v), of) })
+	maps.DeleteFunc(s.Records, func(v choice.Server, _ registry.Record) bool { return strings.HasPrefix(string(v), of) })
 	maps.DeleteFunc(s.Drains, func(v choice.Server, _ float64) bool { return strings.HasPrefix(string(v), of) })
 }
 
@@ -280,7 +280,7 @@
 }
 
 // merge keeps the earliest time at which a drain was told while it lasts: a takeover must not start its grace anew.
-func merge(old, r roll.Record) roll.Record {
+func merge(old, r registry.Record) registry.Record {
 	if old.Phase != choice.InService && r.Phase == old.Phase && old.Told > 0 {
 		r.Told = min(r.Told, old.Told)
 	}
@@ -352,7 +352,7 @@
 
 // News are the records in which something is new to all: a server that nobody knew, another phase or place, a drain, a start
 // at another time. Each coordinator hears every server itself; without this all would say the same again and again.
-func (s *State) News(records []roll.Record) (news []roll.Record) {
+func (s *State) News(records []registry.Record) (news []registry.Record) {
 	for _, r := range records {
 		k, ok := s.Records[r.Server]
 		if !ok || k.Place != r.Place || k.Phase != r.Phase || k.Drained != r.Drained || math.Abs(k.Started-r.Started) > sameStart {
@@ -363,12 +363,12 @@
 }
 
 // Kept are the records, by server.
-func (s *State) Kept() []roll.Record {
-	all := make([]roll.Record, 0, len(s.Records))
+func (s *State) Kept() []registry.Record {
+	all := make([]registry.Record, 0, len(s.Records))
 	for _, r := range s.Records {
 		all = append(all, r)
 	}
-	slices.SortFunc(all, func(a, b roll.Record) int { return cmp.Compare(a.Server, b.Server) })
+	slices.SortFunc(all, func(a, b registry.Record) int { return cmp.Compare(a.Server, b.Server) })
 	return all
 }
 
--- a/internal/core/share/share_test.go
+++ b/internal/core/share/share_test.go
@@ -8,7 +8,7 @@
 	"testing"
 
 	"snowquay/choice"
-	"snowquay/internal/core/roll"
+	"snowquay/internal/core/registry"
 )
 
 func group(t testing.TB, weights ...float64) *State {
@@ -83,17 +83,17 @@
 
 func TestADrainKeepsItsTime(t *testing.T) {
 	s := group(t, 1)
-	r := roll.Record{Place: roll.Place{Server: "a"}, Phase: choice.Terminating, Told: 100, Drained: true}
-	s.Apply(Command{Kind: Keep, Records: []roll.Record{r}})
+	r := registry.Record{Place: registry.Place{Server: "a"}, Phase: choice.Terminating, Told: 100, Drained: true}
+	s.Apply(Command{Kind: Keep, Records: []registry.Record{r}})
 	r.Told = 107 // a successor heard of it later
-	s.Apply(Command{Kind: Keep, Records: []roll.Record{r}})
+	s.Apply(Command{Kind: Keep, Records: []registry.Record{r}})
 	if got := s.Kept()[0].Told; got != 100 {
 		t.Errorf("told at %v", got)
 	}
 	r.Phase, r.Told, r.Drained = choice.InService, 0, false
-	s.Apply(Command{Kind: Keep, Records: []roll.Record{r}})
+	s.Apply(Command{Kind: Keep, Records: []registry.Record{r}})
 	r.Phase, r.Told = choice.Terminating, 200
-	s.Apply(Command{Kind: Keep, Records: []roll.Record{r}})
+	s.Apply(Command{Kind: Keep, Records: []registry.Record{r}})
 	if got := s.Kept()[0].Told; got != 200 {
 		t.Errorf("a new drain is told at %v", got)
 	}
--- a/internal/front/loop/loop_test.go
+++ b/internal/front/loop/loop_test.go
@@ -12,7 +12,7 @@
 
 	"snowquay/choice"
 	"snowquay/internal/core/fleet"
-	"snowquay/internal/core/roll"
+	"snowquay/internal/core/registry"
 	"snowquay/internal/core/session"
 	"snowquay/internal/run"
 	"snowquay/internal/run/world"
@@ -28,7 +28,7 @@
 		Reporting:  choice.Reporting{Period: 0.5}, Limits: fleet.UsualLimits}
 	for i := range servers {
 		a := netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, byte(i >> 8), byte(i)}), 80)
-		s.Servers = append(s.Servers, roll.Place{Server: choice.Server(a.String()), Weight: 1, Standing: true})
+		s.Servers = append(s.Servers, registry.Place{Server: choice.Server(a.String()), Weight: 1, Standing: true})
 	}
 	return run.Setup{Site: s, Limits: session.UsualLimits, Policy: session.Policy{FleetUID: "fleet"}}
 }
--- a/internal/front/poll/poll_test.go
+++ b/internal/front/poll/poll_test.go
@@ -24,7 +24,7 @@
 	"snowquay/choice"
 	"snowquay/internal/core/fleet"
 	"snowquay/internal/core/longpoll"
-	"snowquay/internal/core/roll"
+	"snowquay/internal/core/registry"
 	"snowquay/internal/core/session"
 	"snowquay/internal/front/loop"
 	"snowquay/internal/front/poll"
@@ -41,7 +41,7 @@
 		Guarantees: choice.Guarantees{DrainWithin: 30, BareWithin: 2, ColdShare: 0.2, ColdFor: 10, FallMultiple: 3, FallWithin: 2},
 		Reporting:  choice.Reporting{Period: 0.5}, Limits: fleet.UsualLimits, Without: map[fleet.Guard]bool{}}
 	for i := range servers {
-		s.Servers = append(s.Servers, roll.Place{Server: server(i), Weight: 1, Standing: true})
+		s.Servers = append(s.Servers, registry.Place{Server: server(i), Weight: 1, Standing: true})
 	}
 	limits := longpoll.UsualLimits
 	limits.Joins, limits.Burst = 1e6, 1e6
--- a/internal/keep/golden_test.go
+++ b/internal/keep/golden_test.go
@@ -12,16 +12,16 @@
 	bolt "go.etcd.io/bbolt"
 
 	"snowquay/choice"
-	"snowquay/internal/core/roll"
+	"snowquay/internal/core/registry"
 	"snowquay/internal/core/tenancy"
 	"snowquay/internal/golden"
 )
 
-func goldenRecords() []roll.Record {
-	return []roll.Record{
-		{Place: roll.Place{Server: "127.0.1.2:8080", Zone: 1, Kind: 2, Pod: 3, Weight: 1.5, Standing: true}, Phase: choice.Terminating,
+func goldenRecords() []registry.Record {
+	return []registry.Record{
+		{Place: registry.Place{Server: "127.0.1.2:8080", Zone: 1, Kind: 2, Pod: 3, Weight: 1.5, Standing: true}, Phase: choice.Terminating,
 			Started: 1000.25, Told: 2000.5, Drained: true},
-		{Place: roll.Place{Server: "127.0.1.3:8080", Weight: 1}},
+		{Place: registry.Place{Server: "127.0.1.3:8080", Weight: 1}},
 	}
 }
 
--- a/internal/keep/hosted.go
+++ b/internal/keep/hosted.go
@@ -10,7 +10,7 @@
 	bolt "go.etcd.io/bbolt"
 	bolterrors "go.etcd.io/bbolt/errors"
 
-	"snowquay/internal/core/roll"
+	"snowquay/internal/core/registry"
 	"snowquay/internal/core/tenancy"
 	"snowquay/internal/run"
 )
@@ -196,7 +196,7 @@
 
 // Keep of run.Store. A drain, and the end of one, are durable when it returns. All else, such as starts and registrations, waits for
 // the next flush, so that a thousand tenants that start at once do not write a thousand times: what of it is lost is heard again.
-func (r *tenantRoll) Keep(records []roll.Record) error {
+func (r *tenantRoll) Keep(records []registry.Record) error {
 	at, drains := r.h.waiting[r.life], r.h.drains[r.life]
 	if at == nil {
 		at = map[string][]byte{}
@@ -229,7 +229,7 @@
 }
 
 // Load of run.Store.
-func (r *tenantRoll) Load() (records []roll.Record, err error) {
+func (r *tenantRoll) Load() (records []registry.Record, err error) {
 	if err := r.h.Flush(); err != nil {
 		return nil, err
 	}
@@ -240,7 +240,7 @@
 			return nil
 		}
 		return b.ForEach(func(k, v []byte) error {
-			var x roll.Record
+			var x registry.Record
 			if err := json.Unmarshal(v, &x); err != nil {
 				return fmt.Errorf("server %s: %w", k, err)
 			}
--- a/internal/keep/keep.go
+++ b/internal/keep/keep.go
@@ -9,7 +9,7 @@
 
 	bolt "go.etcd.io/bbolt"
 
-	"snowquay/internal/core/roll"
+	"snowquay/internal/core/registry"
 )
 
 const (
@@ -64,7 +64,7 @@
 }
 
 // Keep writes records and returns when they are durable.
-func (s *Store) Keep(records []roll.Record) error {
+func (s *Store) Keep(records []registry.Record) error {
 	return s.db.Update(func(tx *bolt.Tx) error {
 		b := tx.Bucket(bucket)
 		for _, r := range records {
@@ -81,10 +81,10 @@
 }
 
 // Load reads all records, by server.
-func (s *Store) Load() (records []roll.Record, err error) {
+func (s *Store) Load() (records []registry.Record, err error) {
 	err = s.db.View(func(tx *bolt.Tx) error {
 		return tx.Bucket(bucket).ForEach(func(k, v []byte) error {
-			var r roll.Record
+			var r registry.Record
 			if err := json.Unmarshal(v, &r); err != nil {
 				return fmt.Errorf("server %s: %w", k, err)
 			}
@@ -100,17 +100,17 @@
 
 // Memory is a store that outlives a coordinator but not the process.
 type Memory struct {
-	records map[string]roll.Record
+	records map[string]registry.Record
 	Fails   error // what Keep returns instead of keeping
 }
 
 // Keep of run.Store.
-func (m *Memory) Keep(records []roll.Record) error {
+func (m *Memory) Keep(records []registry.Record) error {
 	if m.Fails != nil {
 		return m.Fails
 	}
 	if m.records == nil {
-		m.records = map[string]roll.Record{}
+		m.records = map[string]registry.Record{}
 	}
 	for _, r := range records {
 		m.records[string(r.Server)] = r
@@ -119,7 +119,7 @@
 }
 
 // Load of run.Store.
-func (m *Memory) Load() (records []roll.Record, err error) {
+func (m *Memory) Load() (records []registry.Record, err error) {
 	for _, r := range m.records {
 		records = append(records, r)
 	}
--- a/internal/keep/keep_test.go
+++ b/internal/keep/keep_test.go
@@ -9,11 +9,11 @@
 	bolt "go.etcd.io/bbolt"
 
 	"snowquay/choice"
-	"snowquay/internal/core/roll"
+	"snowquay/internal/core/registry"
 )
 
-func record(s string, told float64) roll.Record {
-	return roll.Record{Place: roll.Place{Server: choice.Server(s), Zone: 2, Weight: 1.5}, Phase: choice.Terminating, Told: told}
+func record(s string, told float64) registry.Record {
+	return registry.Record{Place: registry.Place{Server: choice.Server(s), Zone: 2, Weight: 1.5}, Phase: choice.Terminating, Told: told}
 }
 
 func TestRecordsOutliveTheProcess(t *testing.T) {
@@ -30,7 +30,7 @@
 		if err != nil || len(got) != min(life, 1) || life > 0 && got[0] != record("a", float64(life-1)) {
 			t.Errorf("life %d: %+v, %v", life, got, err)
 		}
-		if err := errors.Join(s.Keep([]roll.Record{record("a", float64(life))}), s.Close()); err != nil {
+		if err := errors.Join(s.Keep([]registry.Record{record("a", float64(life))}), s.Close()); err != nil {
 			t.Fatal(err)
 		}
 	}
--- a/internal/rehearse/draw.go
+++ b/internal/rehearse/draw.go
@@ -7,7 +7,7 @@
 
 	"snowquay/choice"
 	"snowquay/internal/core/fleet"
-	"snowquay/internal/core/roll"
+	"snowquay/internal/core/registry"
 	"snowquay/internal/settings"
 )
 
@@ -90,7 +90,7 @@
 	zones := len(site.Zones)
 	for i := range servers {
 		a := netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 1, byte(i / 250), byte(1 + i%250)}), enlargedPort)
-		site.Servers = append(site.Servers, roll.Place{Server: choice.Server(a.String()), Weight: 1,
+		site.Servers = append(site.Servers, registry.Place{Server: choice.Server(a.String()), Weight: 1,
 			Zone: choice.Zone(i / podSize % zones), Pod: choice.Pod(i / podSize)})
 	}
 	for i := range relays {
--- a/internal/run/adopt_test.go
+++ b/internal/run/adopt_test.go
@@ -7,7 +7,7 @@
 	"snowquay/choice"
 	"snowquay/internal/consensus"
 	"snowquay/internal/core/fleet"
-	"snowquay/internal/core/roll"
+	"snowquay/internal/core/registry"
 	"snowquay/internal/core/session"
 	"snowquay/internal/core/share"
 	"snowquay/internal/run"
@@ -66,22 +66,22 @@
 
 func TestWhatIsNewsToAll(t *testing.T) {
 	s := &share.State{}
-	r := roll.Record{Place: roll.Place{Server: "a", Weight: 1}, Phase: choice.InService, Started: 100}
-	if len(s.News([]roll.Record{r})) != 1 {
+	r := registry.Record{Place: registry.Place{Server: "a", Weight: 1}, Phase: choice.InService, Started: 100}
+	if len(s.News([]registry.Record{r})) != 1 {
 		t.Error("a new server is no news")
 	}
-	if _, err := s.Apply(share.Command{Kind: share.Keep, Records: []roll.Record{r}}); err != nil {
+	if _, err := s.Apply(share.Command{Kind: share.Keep, Records: []registry.Record{r}}); err != nil {
 		t.Fatal(err)
 	}
 	later := r
 	later.Started = 101
-	if len(s.News([]roll.Record{r, later})) != 0 {
+	if len(s.News([]registry.Record{r, later})) != 0 {
 		t.Error("what another coordinator heard a second later is news")
 	}
-	for _, change := range []func(*roll.Record){func(r *roll.Record) { r.Started = 110 }, func(r *roll.Record) { r.Drained = true },
-		func(r *roll.Record) { r.Phase = choice.Gone }, func(r *roll.Record) { r.Weight = 2 }} {
+	for _, change := range []func(*registry.Record){func(r *registry.Record) { r.Started = 110 }, func(r *registry.Record) { r.Drained = true },
+		func(r *registry.Record) { r.Phase = choice.Gone }, func(r *registry.Record) { r.Weight = 2 }} {
 		x := r
-		if change(&x); len(s.News([]roll.Record{x})) != 1 {
+		if change(&x); len(s.News([]registry.Record{x})) != 1 {
 			t.Errorf("%+v is no news", x)
 		}
 	}
--- a/internal/run/coordinator.go
+++ b/internal/run/coordinator.go
@@ -12,7 +12,7 @@
 	"snowquay/internal/consensus"
 	"snowquay/internal/core/fleet"
 	"snowquay/internal/core/longpoll"
-	"snowquay/internal/core/roll"
+	"snowquay/internal/core/registry"
 	"snowquay/internal/core/session"
 	"snowquay/internal/core/share"
 	"snowquay/internal/feed/collect"
@@ -65,15 +65,15 @@
 	// Drains are those that were agreed on, and when they were told. It must not be changed.
 	Drains() map[choice.Server]float64
 	// Kept are the records of servers that are agreed on, by server.
-	Kept() []roll.Record
+	Kept() []registry.Record
 	// Keep proposes what is new of records.
-	Keep(now float64, records []roll.Record)
+	Keep(now float64, records []registry.Record)
 }
 
 // Store keeps the records that outlive a coordinator.
 type Store interface {
 	fleet.Keeper
-	Load() ([]roll.Record, error)
+	Load() ([]registry.Record, error)
 }
 
 // both keeps records on our own disk and with the group. A round does not wait for the group: each coordinator hears every
@@ -84,7 +84,7 @@
 }
 
 // Keep of fleet.Keeper.
-func (b *both) Keep(records []roll.Record) error {
+func (b *both) Keep(records []registry.Record) error {
 	if p := b.c.peers; p.Ready() {
 		p.Keep(b.c.now, records)
 	}
@@ -117,7 +117,7 @@
 // New makes a coordinator; it does nothing until Start. store may be nil: nothing outlives it then.
 func New(now float64, setup Setup, store Store) (*Coordinator, error) {
 	c := &Coordinator{setup: setup, store: store}
-	var records []roll.Record
+	var records []registry.Record
 	var keeper fleet.Keeper
 	if store != nil {
 		var err error
@@ -354,7 +354,7 @@
 }
 
 // learnt takes what another coordinator has heard of servers' starts.
-func (c *Coordinator) learnt(_ float64, records []roll.Record) {
+func (c *Coordinator) learnt(_ float64, records []registry.Record) {
 	for _, r := range records {
 		if r.Phase != choice.Gone {
 			c.Fleet.Roll.Younger(r.Server, r.Started)
@@ -418,7 +418,7 @@
 			if _, known := c.Fleet.Roll.Find(r.Server); known || r.Phase == choice.Gone {
 				continue
 			}
-			if err := c.Fleet.Roll.Restore(now, []roll.Record{r}); err != nil {
+			if err := c.Fleet.Roll.Restore(now, []registry.Record{r}); err != nil {
 				c.Say("server not taken from the group", "server", r.Server, "error", err)
 			}
 		}
--- a/internal/run/member.go
+++ b/internal/run/member.go
@@ -9,7 +9,7 @@
 
 	"snowquay/choice"
 	"snowquay/internal/consensus"
-	"snowquay/internal/core/roll"
+	"snowquay/internal/core/registry"
 	"snowquay/internal/core/share"
 	"snowquay/internal/core/tenancy"
 	"snowquay/internal/run/world"
@@ -37,7 +37,7 @@
 	leaving   bool
 	OnFail    func(error) // nil: nobody is told
 	OnDrain   func(now float64, c share.Command)
-	OnLearnt  func(now float64, records []roll.Record)
+	OnLearnt  func(now float64, records []registry.Record)
 	OnSettled func(now float64, kept, refused []share.Ticket)
 	OnTenant  func(now float64, n tenancy.Name, told share.Ticket, o tenancy.Outcome) // nil: it hosts nobody
 }
@@ -208,7 +208,7 @@
 }
 
 // Learnt of consensus.Messenger.
-func (m *Member) Learnt(now float64, records []roll.Record) {
+func (m *Member) Learnt(now float64, records []registry.Record) {
 	if m.OnLearnt != nil {
 		m.OnLearnt(now, records)
 	}
@@ -310,10 +310,10 @@
 func (m *Member) Drains() map[choice.Server]float64 { return m.Group.State.Drains }
 
 // Kept of Peers.
-func (m *Member) Kept() []roll.Record { return m.Group.State.Kept() }
+func (m *Member) Kept() []registry.Record { return m.Group.State.Kept() }
 
 // Keep of Peers: a round does not wait for the group.
-func (m *Member) Keep(now float64, records []roll.Record) {
+func (m *Member) Keep(now float64, records []registry.Record) {
 	if news := m.Group.State.News(records); len(news) > 0 {
 		m.Group.Keep(now, news)
 	}
--- a/internal/run/scope.go
+++ b/internal/run/scope.go
@@ -6,7 +6,7 @@
 
 	"snowquay/choice"
 	"snowquay/internal/consensus"
-	"snowquay/internal/core/roll"
+	"snowquay/internal/core/registry"
 	"snowquay/internal/core/share"
 	"snowquay/internal/core/tenancy"
 )
@@ -56,7 +56,7 @@
 }
 
 // Kept of Peers.
-func (s *scope) Kept() (records []roll.Record) {
+func (s *scope) Kept() (records []registry.Record) {
 	for _, r := range s.h.member.Kept() {
 		if life, own, ok := share.Scoped(r.Server); ok && life == s.life {
 			r.Server = own
@@ -67,8 +67,8 @@
 }
 
 // Keep of Peers.
-func (s *scope) Keep(now float64, records []roll.Record) {
-	all := make([]roll.Record, len(records))
+func (s *scope) Keep(now float64, records []registry.Record) {
+	all := make([]registry.Record, len(records))
 	for i, r := range records {
 		r.Server = choice.Server(s.prefix) + r.Server
 		all[i] = r
@@ -124,12 +124,12 @@
 }
 
 // onLearnt takes what another host has heard of servers' starts.
-func (h *Host) onLearnt(now float64, records []roll.Record) {
+func (h *Host) onLearnt(now float64, records []registry.Record) {
 	for _, r := range records {
 		life, own, ok := share.Scoped(r.Server)
 		if x := h.lives[life]; ok && x != nil && x.Program != nil {
 			r.Server = own
-			x.Program.learnt(now, []roll.Record{r})
+			x.Program.learnt(now, []registry.Record{r})
 		}
 	}
 }
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -20,8 +20,8 @@
 	"snowquay/internal/core/change"
 	"snowquay/internal/core/fleet"
 	"snowquay/internal/core/longpoll"
+	"snowquay/internal/core/registry"
 	"snowquay/internal/core/rights"
-	"snowquay/internal/core/roll"
 	"snowquay/internal/core/session"
 	"snowquay/internal/core/share"
 	"snowquay/internal/core/spool"
@@ -437,7 +437,7 @@
 			r.wrong(k, "%s is listed already, in line %d", s, line)
 		}
 		seen[s] = k.line
-		c.Site.Servers = append(c.Site.Servers, roll.Place{Server: s, Zone: r.zone(k, "zone"), Kind: choice.Kind(k.int("kind")),
+		c.Site.Servers = append(c.Site.Servers, registry.Place{Server: s, Zone: r.zone(k, "zone"), Kind: choice.Kind(k.int("kind")),
 			Pod: choice.Pod(k.int("pod")), Weight: k.number("weight"), Standing: k.bool("standing")})
 	}
 }
@@ -556,7 +556,7 @@
 	most("relay", &t.Relay, len(d.Coordinator.Site.Relays))
 	if n.attrs["pod"] != "" {
 		t.Pod = n.int("pod")
-		if !slices.ContainsFunc(d.Coordinator.Site.Servers, func(p roll.Place) bool { return int(p.Pod) == t.Pod }) {
+		if !slices.ContainsFunc(d.Coordinator.Site.Servers, func(p registry.Place) bool { return int(p.Pod) == t.Pod }) {
 			r.wrong(n, "no server is of pod %d", t.Pod)
 		}
 	}
