--- a/internal/core/session/session.go
+++ b/internal/core/session/session.go
@@ -96,7 +96,7 @@
 	servers  map[choice.Server]int // registered on it by members, and how often
 }
 
-type balancer struct {
+type loadBalancer struct {
 	uid      string
 	uidBytes []byte
 	conn     *conn // nil: it is not connected
@@ -145,8 +145,8 @@
 	limits    Limits
 	policy    Policy
 	conns     map[Conn]*conn
-	balancers map[string]*balancer
-	byProxy   map[choice.Proxy]*balancer
+	balancers map[string]*loadBalancer
+	byProxy   map[choice.Proxy]*loadBalancer
 	buffered  int
 	checked   float64
 	rolled    int // version of the roll that untrusting relays were told by
@@ -164,7 +164,7 @@
 // New makes a desk.
 func New(f *fleet.Fleet, out Out, limits Limits, policy Policy) *Desk {
 	return &Desk{fleet: f, out: out, limits: limits, policy: policy, conns: map[Conn]*conn{},
-		balancers: map[string]*balancer{}, byProxy: map[choice.Proxy]*balancer{},
+		balancers: map[string]*loadBalancer{}, byProxy: map[choice.Proxy]*loadBalancer{},
 		waiting: map[uint64]*told{}, names: map[sasp.Address]choice.Server{}, rows: map[choice.Server]sasp.Address{}}
 }
 
@@ -221,19 +221,19 @@
 	delete(d.balancers, c.uid)
 }
 
-func (d *Desk) drop(now float64, b *balancer, g *group) {
+func (d *Desk) drop(now float64, b *loadBalancer, g *group) {
 	for _, s := range g.order {
 		d.unvouch(now, b, g.members[s], s)
 	}
 }
 
-func (d *Desk) unvouch(now float64, b *balancer, r *registration, s choice.Server) {
+func (d *Desk) unvouch(now float64, b *loadBalancer, r *registration, s choice.Server) {
 	if r.balancer && d.policy.Vouching {
 		_ = d.fleet.Roll.Vouch(now, s, d.zone(b), -1) // it is on the roll, so there is room
 	}
 }
 
-func (d *Desk) zone(b *balancer) choice.Zone {
+func (d *Desk) zone(b *loadBalancer) choice.Zone {
 	if b.proxy != nil {
 		return b.proxy.Zone
 	}
@@ -367,12 +367,12 @@
 }
 
 // joined are the balancers with a proxy, by its number.
-func (d *Desk) joined() []*balancer {
-	all := make([]*balancer, 0, len(d.byProxy))
+func (d *Desk) joined() []*loadBalancer {
+	all := make([]*loadBalancer, 0, len(d.byProxy))
 	for _, b := range d.byProxy {
 		all = append(all, b)
 	}
-	slices.SortFunc(all, func(a, b *balancer) int { return int(a.proxy.ID) - int(b.proxy.ID) })
+	slices.SortFunc(all, func(a, b *loadBalancer) int { return int(a.proxy.ID) - int(b.proxy.ID) })
 	return all
 }
 
@@ -413,7 +413,7 @@
 // render adds a group to a message, and says how many rows it has. Rows that bring queries come before those that
 // take them away, so that no state on the way through a message lacks a line. A relay that wants unchanged members left
 // out gets what changed, the others the whole group.
-func (d *Desk) render(now float64, m *sasp.Message, b *balancer, g *group, whole bool) int {
+func (d *Desk) render(now float64, m *sasp.Message, b *loadBalancer, g *group, whole bool) int {
 	lines, full, ok := d.fleet.Delta(b.proxy, g.class)
 	if !ok {
 		return 0
--- a/internal/core/session/speak.go
+++ b/internal/core/session/speak.go
@@ -65,7 +65,7 @@
 // claim makes a connection the balancer's of that UID. A newer connection takes over, since a relay that dials again
 // may be heard before its old connection is known to be broken; not more often than once in Takeover seconds, so that
 // two relays with one UID cannot throw each other out all the time.
-func (d *Desk) claim(now float64, c *conn, uid []byte) (*balancer, sasp.Code) {
+func (d *Desk) claim(now float64, c *conn, uid []byte) (*loadBalancer, sasp.Code) {
 	switch {
 	case len(uid) == 0:
 		return nil, sasp.InvalidBalancer
@@ -85,14 +85,14 @@
 		d.Counts.Takeovers++
 		d.close(now, b.conn, "another connection has its UID")
 	}
-	b = &balancer{uid: string(uid), uidBytes: bytes.Clone(uid), conn: c, groups: map[string]*group{}, claimed: now}
+	b = &loadBalancer{uid: string(uid), uidBytes: bytes.Clone(uid), conn: c, groups: map[string]*group{}, claimed: now}
 	c.role, c.uid = balancerRole, b.uid
 	d.balancers[b.uid] = b
 	return b, sasp.OK
 }
 
 // join lets the fleet know of a balancer that has its first group.
-func (d *Desk) join(now float64, b *balancer) sasp.Code {
+func (d *Desk) join(now float64, b *loadBalancer) sasp.Code {
 	if b.proxy != nil {
 		return sasp.OK
 	}
@@ -158,7 +158,7 @@
 }
 
 // speaker says whose groups a message may touch: the connection's balancer, or nil for a member.
-func (d *Desk) speaker(now float64, c *conn, m *sasp.Message) (*balancer, sasp.Code) {
+func (d *Desk) speaker(now float64, c *conn, m *sasp.Message) (*loadBalancer, sasp.Code) {
 	if len(m.Groups) == 0 && m.LB == sasp.FromBalancer && c.role == balancerRole {
 		return d.balancers[c.uid], sasp.OK
 	}
@@ -262,7 +262,7 @@
 	return sasp.OK
 }
 
-func (b *balancer) group(name string, class choice.Class) *group {
+func (b *loadBalancer) group(name string, class choice.Class) *group {
 	g := b.groups[name]
 	if g == nil {
 		g = &group{name: name, nameBytes: []byte(name), class: class, members: map[choice.Server]*registration{}}
@@ -283,7 +283,7 @@
 	return x
 }
 
-func (d *Desk) addMembers(now float64, b *balancer, m *sasp.Message, g sasp.Group) sasp.Code {
+func (d *Desk) addMembers(now float64, b *loadBalancer, m *sasp.Message, g sasp.Group) sasp.Code {
 	class, _ := d.fleet.Class(string(g.Name))
 	to := b.group(string(g.Name), class)
 	for _, r := range m.Rows[g.From:g.To] {
@@ -482,7 +482,7 @@
 }
 
 // setOwn takes a balancer's states of its members.
-func (d *Desk) setOwn(now float64, b *balancer, m *sasp.Message) sasp.Code {
+func (d *Desk) setOwn(now float64, b *loadBalancer, m *sasp.Message) sasp.Code {
 	for _, g := range m.Groups {
 		old := b.groups[string(g.Name)]
 		if old == nil {
@@ -543,7 +543,7 @@
 	return false
 }
 
-func (d *Desk) mayAsk(c *conn, b *balancer, m *sasp.Message) sasp.Code {
+func (d *Desk) mayAsk(c *conn, b *loadBalancer, m *sasp.Message) sasp.Code {
 	if code := d.twice(m); code != sasp.OK {
 		return code
 	}
--- a/internal/front/platform/platform_test.go
+++ b/internal/front/platform/platform_test.go
@@ -25,12 +25,12 @@
 func TestMain(m *testing.M) { seeded.Main(m) }
 
 var (
-	self      = netip.MustParseAddrPort("10.0.0.4:8000")
-	hub       = netip.MustParseAddrPort("10.2.0.2:6400")
-	discovery = netip.MustParseAddrPort("10.2.0.1:8500")
-	otherHub  = netip.MustParseAddrPort("10.2.0.4:6401")
-	otherList = netip.MustParseAddrPort("10.2.0.3:8501")
-	outside   = netip.MustParseAddrPort("10.9.0.1:1")
+	self             = netip.MustParseAddrPort("10.0.0.4:8000")
+	hub              = netip.MustParseAddrPort("10.2.0.2:6400")
+	discoveryAddress = netip.MustParseAddrPort("10.2.0.1:8500")
+	otherHub         = netip.MustParseAddrPort("10.2.0.4:6401")
+	otherList        = netip.MustParseAddrPort("10.2.0.3:8501")
+	outside          = netip.MustParseAddrPort("10.9.0.1:1")
 )
 
 const settings = `{"balancers":1,"discovery":"pushed","zones":["a","b"],"host-types":["m"],"family-info":{"data-plane-size":9,
@@ -327,12 +327,12 @@
 	s := &scene{net: sim.New(seed, 1000), desk: newDesk(), agent: &agent{}, caller: newDialler(), host: map[string]*sim.Host{}}
 	known := &registry.List{Full: true, Servers: servers}
 	s.agent.list = *known
-	s.program = New(Place{Discovery: discovery, Hub: hub, Sockets: sockets, Known: known, Seed: 7, Deployment: d},
+	s.program = New(Place{Discovery: discoveryAddress, Hub: hub, Sockets: sockets, Known: known, Seed: 7, Deployment: d},
 		slog.New(slog.NewTextHandler(io.Discard, nil)))
 	for name, x := range map[string]struct {
 		at netip.AddrPort
 		p  world.Program
-	}{"relay": {hub, s.desk}, "discovery": {discovery, s.agent}, "caller": {outside, s.caller}} {
+	}{"relay": {hub, s.desk}, "discovery": {discoveryAddress, s.agent}, "caller": {outside, s.caller}} {
 		s.host[name] = s.net.Add(x.at.Addr(), 0, false)
 		s.host[name].Start(x.p)
 	}
@@ -516,7 +516,7 @@
 	if send == nil {
 		t.Fatal("no call came")
 	}
-	s.program.Move(s.net.Now(), discovery, otherHub)
+	s.program.Move(s.net.Now(), discoveryAddress, otherHub)
 	for at := s.net.Now(); len(desk.watch) < 2 && at < 1003.2; at += 0.001 {
 		s.net.Run(at)
 	}
@@ -540,7 +540,7 @@
 		desk := newDesk()
 		desk.joined, desk.lines = s.desk.joined, s.desk.lines
 		s.net.Add(otherHub.Addr(), 0, false).Start(desk)
-		s.program.Move(s.net.Now(), discovery, otherHub)
+		s.program.Move(s.net.Now(), discoveryAddress, otherHub)
 		if s.net.Run(1006); len(desk.watch) != 2 || len(desk.bound) > 0 {
 			t.Errorf("%.2f s after a second: %d new links, %d proxies bound anew", after, len(desk.watch), len(desk.bound))
 		}
@@ -705,9 +705,9 @@
 	}
 	d.FamilyInfo.ClassOwnZone = []bool{true}
 	s := &scene{net: sim.New(1, 1000), desk: newDesk(), agent: &agent{mute: true}, caller: newDialler(), host: map[string]*sim.Host{}}
-	s.program = New(Place{Discovery: discovery, Hub: hub, Sockets: 256, Seed: 7, Deployment: d}, slog.New(slog.NewTextHandler(io.Discard, nil)))
+	s.program = New(Place{Discovery: discoveryAddress, Hub: hub, Sockets: 256, Seed: 7, Deployment: d}, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	s.net.Add(hub.Addr(), 0, false).Start(s.desk)
-	s.net.Add(discovery.Addr(), 0, false).Start(s.agent)
+	s.net.Add(discoveryAddress.Addr(), 0, false).Start(s.agent)
 	s.net.Add(self.Addr(), 0, false).Start(s.program)
 	for p := range 6 {
 		s.desk.join(p, []string{"a", "b"}[p%2])
--- a/internal/platform/crossing_test.go
+++ b/internal/platform/crossing_test.go
@@ -115,7 +115,7 @@
 
 // More callers wait at once than there are descriptors: the oldest that say nothing make room for those who do.
 func TestARushBeyondTheDescriptorsIsSurvived(t *testing.T) {
-	l := live(t, 256, discovery(t), relay(t))
+	l := live(t, 256, serveDiscovery(t), relay(t))
 	l.rush(t, 1000)
 	within(t, "after a rush nobody is answered", l.answers)
 	select {
@@ -127,7 +127,7 @@
 
 // With fewer descriptors than it can do with it ends and says why, so that it is started anew; it does not stay without an ear.
 func TestAProgramThatCannotBeDialledEnds(t *testing.T) {
-	l := live(t, 24, discovery(t), relay(t))
+	l := live(t, 24, serveDiscovery(t), relay(t))
 	l.rush(t, 100)
 	select {
 	case err := <-l.ended:
@@ -150,7 +150,7 @@
 		}
 		return `{"id":1,"result":true}` + "\n" + `{"method":"attach","params":{"sidecar":1,"az":"a","share":2,"standing":true}}` + "\n"
 	})
-	l := live(t, 256, discovery(t), deaf)
+	l := live(t, 256, serveDiscovery(t), deaf)
 	within(t, "no call is out", func() bool { return deaf.saw("relay.apply") })
 	half, err := net.Dial("tcp", l.listen)
 	if err != nil {
@@ -207,7 +207,7 @@
 // SIGKILL while callers are connected and a call is out, and a new start at the same address: it is ready at once, and orders all
 // that the relay may not have.
 func TestANewStartAfterAKill(t *testing.T) {
-	disc, hub := discovery(t), relay(t)
+	disc, hub := serveDiscovery(t), relay(t)
 	l := live(t, 256, disc, hub)
 	within(t, "no proxy was bound", func() bool { return hub.saw(`"do":"bind","sidecar":1`) })
 	l.rush(t, 50)
@@ -253,7 +253,7 @@
 // Guards against memory that grows by answers that nobody reads: a collector that asks for signs of life for ever and reads none is cut
 // off, and the others are served.
 func TestACollectorThatReadsNothingIsCutOff(t *testing.T) {
-	disc, hub := discovery(t), relay(t)
+	disc, hub := serveDiscovery(t), relay(t)
 	l := live(t, 256, disc, hub)
 	c, err := net.Dial("tcp", l.listen)
 	if err != nil {
--- a/internal/platform/platform_test.go
+++ b/internal/platform/platform_test.go
@@ -88,7 +88,7 @@
 	})
 }
 
-func discovery(t *testing.T) *party {
+func serveDiscovery(t *testing.T) *party {
 	var whole bool // what was asked for last; one connection at a time
 	return serve(t, func(line string) string {
 		if strings.HasPrefix(line, "GET ") {
@@ -116,7 +116,7 @@
 
 // As tried by a new user: the built program with a configuration, a new one by SIGHUP, a wrong one, SIGTERM.
 func TestTheProgramFromStartToEnd(t *testing.T) {
-	disc, hub, disc2, hub2 := discovery(t), relay(t), discovery(t), relay(t)
+	disc, hub, disc2, hub2 := serveDiscovery(t), relay(t), serveDiscovery(t), relay(t)
 	l := live(t, 256, disc, hub)
 	within(t, "no proxy was bound", func() bool { return hub.saw(`"do":"bind","sidecar":1`) })
 	within(t, "discovery is not watched", func() bool { return disc.saw("stream=1&index=1") })
--- a/internal/run/host_test.go
+++ b/internal/run/host_test.go
@@ -137,7 +137,7 @@
 // one publishes what was confirmed, and answers the repeated call in the same way.
 func TestHostKilledBetween(t *testing.T) {
 	for _, file := range []bool{false, true} {
-		var store run.HostStore = &keep.HostedMemory{}
+		var disk run.HostStore = &keep.HostedMemory{}
 		open := func() {}
 		if file {
 			path := filepath.Join(t.TempDir(), "tenants.db")
@@ -146,11 +146,11 @@
 				if err != nil {
 					t.Fatal(err)
 				}
-				store = f
+				disk = f
 			}
 			open()
 		}
-		s := newSite(t, store)
+		s := newSite(t, disk)
 		text := texts(2)
 		first, err := s.order(tenancy.Create, "t000", text[0], 7)
 		if err != nil {
@@ -158,12 +158,12 @@
 		}
 		restart := func() {
 			s.place.Kill()
-			if f, ok := store.(*keep.Hosted); ok {
+			if f, ok := disk.(*keep.Hosted); ok {
 				if err := f.Close(); err != nil {
 					t.Fatal(err)
 				}
 				open()
-				s.store = store
+				s.store = disk
 			}
 			s.start()
 		}
@@ -194,7 +194,7 @@
 		if len(k.rows) == 0 || weight != 0 {
 			t.Errorf("the drain is forgotten: %d rows, weight %d", len(k.rows), weight)
 		}
-		if f, ok := store.(*keep.Hosted); ok {
+		if f, ok := disk.(*keep.Hosted); ok {
 			if err := f.Close(); err != nil {
 				t.Fatal(err)
 			}
--- a/internal/service/service.go
+++ b/internal/service/service.go
@@ -37,14 +37,14 @@
 
 // Serve runs a coordinator until something comes on stop.
 func Serve(c *settings.Coordinator, log *slog.Logger, stop <-chan os.Signal) (err error) {
-	var store run.Store
+	var records run.Store
 	if c.Store != "" {
 		var s *keep.Store
 		if s, err = keep.Open(c.Store); err != nil {
 			return err
 		}
 		defer func() { err = errors.Join(err, s.Close()) }()
-		store = s
+		records = s
 	}
 	part, err := openGroup(c.Group, c.GroupStore)
 	if err != nil {
@@ -55,7 +55,7 @@
 	watch := newWatch(keptSpans)
 	c.Log, c.OnOrder = log, watch.order
 	clock := loop.Clock()
-	program, err := run.New(clock(), c.Setup, store)
+	program, err := run.New(clock(), c.Setup, records)
 	if err != nil {
 		return err
 	}
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -114,7 +114,7 @@
 	if err != nil {
 		return nil, named(name, err)
 	}
-	c, err := coordinator(root, without)
+	c, err := parseCoordinatorNode(root, without)
 	return c, named(name, err)
 }
 
@@ -207,7 +207,7 @@
 	return z
 }
 
-func coordinator(root *node, without []fleet.Guard) (*Coordinator, error) {
+func parseCoordinatorNode(root *node, without []fleet.Guard) (*Coordinator, error) {
 	r := &reader{zones: map[string]choice.Zone{}}
 	c := r.basis(root, without)
 	l := root.one("listen")
@@ -493,7 +493,7 @@
 }
 
 func day(root *node, without []fleet.Guard) (*Day, error) {
-	c, err := coordinator(root.one("coordinator"), without)
+	c, err := parseCoordinatorNode(root.one("coordinator"), without)
 	if err != nil {
 		return nil, err
 	}
