--- a/choice/account.go
+++ b/balancer/account.go
@@ -1,6 +1,6 @@
 // Bookkeeping without tuned values: what proxies hold, what they were sent, and what they have acknowledged.
 
-package choice
+package balancer
 
 import (
 	"cmp"
--- a/choice/admission.go
+++ b/balancer/admission.go
@@ -1,6 +1,6 @@
 // Admission rates: what the fleet lets in while it is pressed, and when proxies may retry.
 
-package choice
+package balancer
 
 import (
 	"cmp"
--- a/choice/channel.go
+++ b/balancer/channel.go
@@ -1,6 +1,6 @@
 // Pacing of updates: how much of the channel, and how many messages, each kind of update may use.
 
-package choice
+package balancer
 
 import (
 	"math"
--- a/choice/choice_test.go
+++ b/balancer/choice_test.go
@@ -1,4 +1,4 @@
-package choice
+package balancer
 
 import (
 	"math"
--- a/choice/coordinator.go
+++ b/balancer/coordinator.go
@@ -1,7 +1,7 @@
-// Package choice decides which servers the proxies use, and how much of each. New makes one coordinator's
+// Package balancer decides which servers the proxies use, and how much of each. New makes one coordinator's
 // Manager; Round is then called once a round with all that came in, and writes the decisions into a Writer.
 // The types of both are in interface.go; docs/design.md tells what the mechanism is and where it is from.
-package choice
+package balancer
 
 import (
 	"cmp"
--- a/choice/estimates.go
+++ b/balancer/estimates.go
@@ -1,6 +1,6 @@
 // Estimates from reports: the rate at which each server answers, and what comes to each proxy.
 
-package choice
+package balancer
 
 import (
 	"math"
--- a/choice/groups.go
+++ b/balancer/groups.go
@@ -1,6 +1,6 @@
 // Proxy groups, and the weight table that each one wants.
 
-package choice
+package balancer
 
 import (
 	"cmp"
--- a/choice/health.go
+++ b/balancer/health.go
@@ -1,6 +1,6 @@
 // Server health: what each server bears, its warm-up, and the registry that discovery tells.
 
-package choice
+package balancer
 
 import (
 	"cmp"
--- a/choice/interface.go
+++ b/balancer/interface.go
@@ -1,4 +1,4 @@
-package choice
+package balancer
 
 // Each kind of id is a type of its own. Ids carry no meaning beyond identity.
 type (
--- a/choice/limits_test.go
+++ b/balancer/limits_test.go
@@ -1,4 +1,4 @@
-package choice_test
+package balancer_test
 
 import (
 	"fmt"
@@ -6,14 +6,14 @@
 
 	"pgregory.net/rapid"
 
-	"snowquay/choice"
+	"snowquay/balancer"
 )
 
 // day is a deployment and what happens in it: a release in steps, coordinators nearby that restart, a channel that slows down.
 type day struct {
 	coordinators, proxies, servers int // proxies of this coordinator
 	zones                          int
-	channel                        choice.Channel
+	channel                        balancer.Channel
 	grace                          float64
 	pace                           float64 // of the channel's promise, while it is slow
 	slowFrom, slowUntil            float64
@@ -29,28 +29,28 @@
 
 const start = 100.0 // clock time at which a day begins
 
-func (d day) coordinator() *choice.Manager {
-	return choice.New(d.seed,
-		[]choice.QueryClass{{Benefit: 3, GoalTime: 1.2, ClientTimeout: 4}, {Benefit: 2, GoalTime: 1.5, ClientTimeout: 5}},
-		choice.Dataplane{Proxies: d.proxies * d.coordinators, Coordinators: d.coordinators, StandingTable: 6, EjectAfter: 8,
-			UsualRepeats: choice.AfterProof, LeastConnections: 318, Levels: choice.LevelFraction},
+func (d day) coordinator() *balancer.Manager {
+	return balancer.New(d.seed,
+		[]balancer.QueryClass{{Benefit: 3, GoalTime: 1.2, ClientTimeout: 4}, {Benefit: 2, GoalTime: 1.5, ClientTimeout: 5}},
+		balancer.Dataplane{Proxies: d.proxies * d.coordinators, Coordinators: d.coordinators, StandingTable: 6, EjectAfter: 8,
+			UsualRepeats: balancer.AfterProof, LeastConnections: 318, Levels: balancer.LevelFraction},
 		d.channel,
-		choice.Guarantees{DrainWithin: d.grace, BareWithin: 7.6, ColdShare: 0.16, ColdFor: 18, FallMultiple: 2.5, FallWithin: 1.5,
+		balancer.Guarantees{DrainWithin: d.grace, BareWithin: 7.6, ColdShare: 0.16, ColdFor: 18, FallMultiple: 2.5, FallWithin: 1.5,
 			AskWithin: 10},
-		choice.Reporting{Period: 0.5, LinesPerSecond: 120}, choice.Probing{}, choice.Discovery{})
+		balancer.Reporting{Period: 0.5, LinesPerSecond: 120}, balancer.Probing{}, balancer.Discovery{})
 }
 
-func serverName(i int) choice.Server { return choice.Server(fmt.Sprintf("s-%04d", i)) }
+func serverName(i int) balancer.Server { return balancer.Server(fmt.Sprintf("s-%04d", i)) }
 
-func (d day) entry(i int) choice.Entry {
-	return choice.Entry{Server: serverName(i), Zone: choice.Zone(i % d.zones), Weight: 1}
+func (d day) entry(i int) balancer.Entry {
+	return balancer.Entry{Server: serverName(i), Zone: balancer.Zone(i % d.zones), Weight: 1}
 }
 
 // play plays a day and returns the relay with what the referee has seen.
 func (d day) play() *relay {
 	r := newRelay(d.channel, 2, d.grace, d.seed)
 	r.lossOf = d.lossOf
-	r.watch = choice.Proxy(d.watch)
+	r.watch = balancer.Proxy(d.watch)
 	r.pace = func(at float64) float64 {
 		if at >= start+d.slowFrom && at < start+d.slowUntil {
 			return d.pace
@@ -59,16 +59,16 @@
 	}
 	r.now = start
 	m := d.coordinator()
-	news := choice.News{Lists: []choice.List{{Scope: choice.Cached}}}
-	var listed []choice.Server
+	news := balancer.News{Lists: []balancer.List{{Scope: balancer.Cached}}}
+	var listed []balancer.Server
 	for i := range d.servers {
 		news.Lists[0].Entries = append(news.Lists[0].Entries, d.entry(i))
 		listed = append(listed, serverName(i))
 	}
 	joining := func(from, n int) {
 		for i := from; i < from+n; i++ {
-			r.join(choice.Proxy(i), listed)
-			news.Streams = append(news.Streams, choice.Stream{Proxy: choice.Proxy(i), Joined: true, Zone: choice.Zone(i % d.zones), Usual: 5})
+			r.join(balancer.Proxy(i), listed)
+			news.Streams = append(news.Streams, balancer.Stream{Proxy: balancer.Proxy(i), Joined: true, Zone: balancer.Zone(i % d.zones), Usual: 5})
 		}
 	}
 	joining(0, d.proxies)
@@ -88,9 +88,9 @@
 		if leaveAt > 0 && at >= leaveAt {
 			leaveAt = 0
 			for i := range d.joiners {
-				p := choice.Proxy(d.proxies + (joined-1)*d.joiners + i)
+				p := balancer.Proxy(d.proxies + (joined-1)*d.joiners + i)
 				r.leave(p)
-				news.Streams = append(news.Streams, choice.Stream{Proxy: p})
+				news.Streams = append(news.Streams, balancer.Stream{Proxy: p})
 			}
 		}
 		if at >= reportAt {
@@ -99,15 +99,15 @@
 		}
 		m.Round(at, news, r)
 		r.write()
-		news = choice.News{}
+		news = balancer.News{}
 	}
 	return r
 }
 
 // release replaces a part of the servers: new ones are listed, old ones drain.
-func (d day) release(r *relay, news *choice.News, step int, at float64) {
+func (d day) release(r *relay, news *balancer.News, step int, at float64) {
 	each := d.servers / (2 * d.steps)
-	list := choice.List{Scope: choice.Changes}
+	list := balancer.List{Scope: balancer.Changes}
 	slowed := 1.0
 	if at < start+d.slowUntil {
 		slowed = 1 / d.pace
@@ -117,7 +117,7 @@
 		e.Started = at
 		list.Entries = append(list.Entries, e)
 		e = d.entry(i * 7919 % d.servers) // a prime: they stand anywhere among the others
-		e.Phase = choice.Terminating
+		e.Phase = balancer.Terminating
 		list.Entries = append(list.Entries, e)
 		r.drain(e.Server, slowed)
 	}
@@ -125,16 +125,16 @@
 }
 
 // report says what proxies met at a part of the servers, whose answers take different times, and what came to a part of the proxies.
-func (d day) report(r *relay, news *choice.News) {
+func (d day) report(r *relay, news *balancer.News) {
 	for range 60 {
 		i := r.random.IntN(d.servers * 3 / 2)
-		news.Traffic = append(news.Traffic, choice.Traffic{Server: serverName(i), Zone: choice.Zone(i % d.zones), Tries: 12,
+		news.Traffic = append(news.Traffic, balancer.Traffic{Server: serverName(i), Zone: balancer.Zone(i % d.zones), Tries: 12,
 			Latency: 0.1 + 0.4*r.random.Float64(), Interval: 1})
 	}
 	for range min(60, len(r.order)) {
 		p := r.order[r.random.IntN(len(r.order))]
 		for c := range 2 {
-			news.Demand = append(news.Demand, choice.Demand{Proxy: p.id, Class: choice.Class(c), Queries: 3 * r.random.Float64(), Interval: 1})
+			news.Demand = append(news.Demand, balancer.Demand{Proxy: p.id, Class: balancer.Class(c), Queries: 3 * r.random.Float64(), Interval: 1})
 		}
 	}
 }
@@ -143,7 +143,7 @@
 // limit is half a minute of its pace.
 func customer() day {
 	return day{coordinators: 5, proxies: 441, servers: 200, zones: 3, grace: 35.3, seconds: 40, pace: 1, seed: 1,
-		channel: choice.Channel{LinesPerSecond: 2500, MessageLines: 10, MostWaiting: 84100, MeanWay: 0.374, LongestWay: 0.935,
+		channel: balancer.Channel{LinesPerSecond: 2500, MessageLines: 10, MostWaiting: 84100, MeanWay: 0.374, LongestWay: 0.935,
 			MostMessages: 30, MessageWindow: 10},
 		steps: 5, stepEvery: 2.1, releaseAt: 8, joinAt: []float64{9, 15, 21}, joiners: 120}
 }
--- a/choice/publish.go
+++ b/balancer/publish.go
@@ -1,6 +1,6 @@
 // Publishing: which differences to the tables that proxies hold go out in a round.
 
-package choice
+package balancer
 
 import (
 	"cmp"
--- a/choice/regulator.go
+++ b/balancer/regulator.go
@@ -1,6 +1,6 @@
 // The regulator: the intake of each server, from its work in process against a common target.
 
-package choice
+package balancer
 
 import "math"
 
--- a/choice/relay_test.go
+++ b/balancer/relay_test.go
@@ -1,16 +1,16 @@
-package choice_test
+package balancer_test
 
 import (
 	"fmt"
 	"math/rand/v2"
 
-	"snowquay/choice"
+	"snowquay/balancer"
 )
 
 // relay is the channel between a coordinator and its proxies in virtual time, with the proxies behind it. It carries messages one
 // after the other at its own pace, and is the referee of the rules on the channel: it knows nothing of the module's account.
 type relay struct {
-	channel  choice.Channel
+	channel  balancer.Channel
 	classes  int
 	grace    float64                  // seconds in which no proxy may use a server that drains any more
 	pace     func(at float64) float64 // of the promised lines a second
@@ -20,66 +20,66 @@
 	credit   float64 // lines that the channel may carry now
 	waiting  float64
 	queue    []*message
-	tables   map[choice.Table]map[choice.Server]bool
-	levels   map[choice.Table]map[choice.Class]bool
-	users    map[choice.Table][]*endpoint
-	proxies  map[choice.Proxy]*endpoint
-	order    []*endpoint               // in the order of joining
-	draining map[choice.Server]float64 // when that was told
-	overdue  map[choice.Server]float64 // until when a proxy may have it in a table
+	tables   map[balancer.Table]map[balancer.Server]bool
+	levels   map[balancer.Table]map[balancer.Class]bool
+	users    map[balancer.Table][]*endpoint
+	proxies  map[balancer.Proxy]*endpoint
+	order    []*endpoint                 // in the order of joining
+	draining map[balancer.Server]float64 // when that was told
+	overdue  map[balancer.Server]float64 // until when a proxy may have it in a table
 	acks     []ack
-	round    map[choice.Proxy]*message // of the round that is being written
+	round    map[balancer.Proxy]*message // of the round that is being written
 	written  []*message
-	mark     choice.Mark
+	mark     balancer.Mark
 
 	mostWaiting  float64
 	mostMessages int
 	broken       string // a limit that was not kept
 	late         string // a drain that was
 	notes        []string
-	watch        choice.Proxy
+	watch        balancer.Proxy
 }
 
 // endpoint is a proxy.
 type endpoint struct {
-	id     choice.Proxy
+	id     balancer.Proxy
 	joined float64
-	bound  map[choice.Class]choice.Table // as the relay holds it
-	using  map[choice.Class]choice.Table // as the proxy itself does
-	held   map[choice.Table]map[choice.Server]bool
+	bound  map[balancer.Class]balancer.Table // as the relay holds it
+	using  map[balancer.Class]balancer.Table // as the proxy itself does
+	held   map[balancer.Table]map[balancer.Server]bool
 	sent   []float64 // when messages were written to it
 	last   float64   // when the last of them arrives
 }
 
 type change struct {
-	table   choice.Table
-	server  choice.Server
+	table   balancer.Table
+	server  balancer.Server
 	present bool
-	bind    choice.Classes
-	whole   []choice.Server // of a table that the proxy is bound to
+	bind    balancer.Classes
+	whole   []balancer.Server // of a table that the proxy is bound to
 }
 
 type message struct {
 	to        *endpoint
 	remaining float64
 	changes   []change
-	mark      choice.Mark
+	mark      balancer.Mark
 	issued    float64
 }
 
 type ack struct {
 	at    float64
 	after func() // what the message does to the proxy, once it has arrived
-	news  choice.Applied
+	news  balancer.Applied
 	heard bool // it is answered
 }
 
-func newRelay(channel choice.Channel, classes int, grace float64, seed uint64) *relay {
+func newRelay(channel balancer.Channel, classes int, grace float64, seed uint64) *relay {
 	return &relay{channel: channel, classes: classes, grace: grace, pace: func(float64) float64 { return 1 },
-		random: rand.New(rand.NewPCG(seed, 1)), tables: map[choice.Table]map[choice.Server]bool{},
-		levels: map[choice.Table]map[choice.Class]bool{}, users: map[choice.Table][]*endpoint{},
-		proxies: map[choice.Proxy]*endpoint{}, draining: map[choice.Server]float64{},
-		overdue: map[choice.Server]float64{}, round: map[choice.Proxy]*message{}}
+		random: rand.New(rand.NewPCG(seed, 1)), tables: map[balancer.Table]map[balancer.Server]bool{},
+		levels: map[balancer.Table]map[balancer.Class]bool{}, users: map[balancer.Table][]*endpoint{},
+		proxies: map[balancer.Proxy]*endpoint{}, draining: map[balancer.Server]float64{},
+		overdue: map[balancer.Server]float64{}, round: map[balancer.Proxy]*message{}}
 }
 
 func (r *relay) fail(format string, args ...any) {
@@ -89,21 +89,21 @@
 }
 
 // join has a proxy dial the coordinator. It goes on by the servers that another one gave it.
-func (r *relay) join(id choice.Proxy, holds []choice.Server) {
-	p := &endpoint{id: id, joined: r.now, bound: map[choice.Class]choice.Table{}, using: map[choice.Class]choice.Table{},
-		held: map[choice.Table]map[choice.Server]bool{0: {}}}
+func (r *relay) join(id balancer.Proxy, holds []balancer.Server) {
+	p := &endpoint{id: id, joined: r.now, bound: map[balancer.Class]balancer.Table{}, using: map[balancer.Class]balancer.Table{},
+		held: map[balancer.Table]map[balancer.Server]bool{0: {}}}
 	for _, s := range holds {
 		p.held[0][s] = true
 	}
 	for c := range r.classes {
-		p.using[choice.Class(c)] = 0
+		p.using[balancer.Class(c)] = 0
 	}
 	r.proxies[id] = p
 	r.order = append(r.order, p)
 }
 
 // leave breaks a proxy's stream: what waits for it is lost.
-func (r *relay) leave(id choice.Proxy) {
+func (r *relay) leave(id balancer.Proxy) {
 	p := r.proxies[id]
 	delete(r.proxies, id)
 	r.order = without(r.order, p)
@@ -123,7 +123,7 @@
 
 // drain notes that the coordinator is told of a server that is not to be used any more. slowed is by how much longer the rules
 // give, the channel being slow.
-func (r *relay) drain(s choice.Server, slowed float64) {
+func (r *relay) drain(s balancer.Server, slowed float64) {
 	r.draining[s] = r.now
 	r.overdue[s] = r.grace * slowed
 }
@@ -139,7 +139,7 @@
 	return m
 }
 
-func (r *relay) toUsers(t choice.Table, c change) {
+func (r *relay) toUsers(t balancer.Table, c change) {
 	for _, p := range r.users[t] {
 		m := r.to(p)
 		m.remaining++
@@ -147,10 +147,10 @@
 	}
 }
 
-// Weigh of choice.Writer.
-func (r *relay) Weigh(t choice.Table, s choice.Server, weight float64) {
+// Weigh of balancer.Writer.
+func (r *relay) Weigh(t balancer.Table, s balancer.Server, weight float64) {
 	if r.tables[t] == nil {
-		r.tables[t] = map[choice.Server]bool{}
+		r.tables[t] = map[balancer.Server]bool{}
 	}
 	if r.tables[t][s] = true; weight == 0 {
 		delete(r.tables[t], s)
@@ -158,20 +158,20 @@
 	r.toUsers(t, change{table: t, server: s, present: weight > 0})
 }
 
-// Bind of choice.Writer.
-func (r *relay) Bind(id choice.Proxy, t choice.Table, classes choice.Classes) {
+// Bind of balancer.Writer.
+func (r *relay) Bind(id balancer.Proxy, t balancer.Table, classes balancer.Classes) {
 	p := r.proxies[id]
 	if p == nil {
 		r.fail("proxy %d is bound and has not joined", id)
 		return
 	}
-	whole := make([]choice.Server, 0, len(r.tables[t]))
+	whole := make([]balancer.Server, 0, len(r.tables[t]))
 	for s := range r.tables[t] {
 		whole = append(whole, s)
 	}
 	for c := range r.classes {
 		if classes == 0 || classes>>c&1 == 1 {
-			p.bound[choice.Class(c)] = t
+			p.bound[balancer.Class(c)] = t
 		}
 	}
 	m := r.to(p)
@@ -180,32 +180,32 @@
 	r.users[t] = append(without(r.users[t], p), p)
 }
 
-// Admit of choice.Writer.
-func (r *relay) Admit(t choice.Table, classes choice.Classes, _ float64, _ choice.Repeats) {
+// Admit of balancer.Writer.
+func (r *relay) Admit(t balancer.Table, classes balancer.Classes, _ float64, _ balancer.Repeats) {
 	for c := range r.classes {
 		if classes == 0 || classes>>c&1 == 1 {
 			if r.levels[t] == nil {
-				r.levels[t] = map[choice.Class]bool{}
+				r.levels[t] = map[balancer.Class]bool{}
 			}
-			r.levels[t][choice.Class(c)] = true
+			r.levels[t][balancer.Class(c)] = true
 		}
 	}
 	r.toUsers(t, change{})
 }
 
-// Mark of choice.Writer.
-func (r *relay) Mark(m choice.Mark) { r.mark = m }
+// Mark of balancer.Writer.
+func (r *relay) Mark(m balancer.Mark) { r.mark = m }
 
-// Probe of choice.Writer.
-func (r *relay) Probe(choice.Server) {}
+// Probe of balancer.Writer.
+func (r *relay) Probe(balancer.Server) {}
 
-// Watch of choice.Writer.
+// Watch of balancer.Writer.
 func (r *relay) Watch() {}
 
-// Wake of choice.Writer.
-func (r *relay) Wake(float64, choice.Timer) {}
+// Wake of balancer.Writer.
+func (r *relay) Wake(float64, balancer.Timer) {}
 
-// Note of choice.Writer.
+// Note of balancer.Writer.
 func (r *relay) Note(string) {}
 
 // write puts the round's messages into the channel and counts both limits.
@@ -238,7 +238,7 @@
 }
 
 // advance carries messages until a time, and gives what has been acknowledged by then.
-func (r *relay) advance(until float64) (applied []choice.Applied) {
+func (r *relay) advance(until float64) (applied []balancer.Applied) {
 	r.credit += (until - r.now) * r.channel.LinesPerSecond * r.pace(r.now)
 	r.now = until
 	for len(r.queue) > 0 && r.credit > 0 {
@@ -292,7 +292,7 @@
 	if m.mark != 0 {
 		back := at + 0.01
 		r.acks = append(r.acks, ack{at: back, heard: r.random.Float64() >= r.lossOf,
-			news: choice.Applied{Proxy: m.to.id, Mark: m.mark, Took: at - m.issued}})
+			news: balancer.Applied{Proxy: m.to.id, Mark: m.mark, Took: at - m.issued}})
 	}
 }
 
@@ -300,7 +300,7 @@
 	p := m.to
 	for _, c := range m.changes {
 		if c.whole != nil {
-			p.held[c.table] = map[choice.Server]bool{}
+			p.held[c.table] = map[balancer.Server]bool{}
 			for _, s := range c.whole {
 				p.held[c.table][s] = true
 			}
@@ -338,7 +338,7 @@
 	}
 }
 
-func (p *endpoint) uses(s choice.Server) bool {
+func (p *endpoint) uses(s balancer.Server) bool {
 	for _, t := range p.using {
 		if p.held[t][s] {
 			return true
--- a/choice/state.go
+++ b/balancer/state.go
@@ -1,6 +1,6 @@
 // The state of one coordinator: types without tuned values, and sums over them.
 
-package choice
+package balancer
 
 import (
 	"slices"
--- a/internal/consensus/change_test.go
+++ b/internal/consensus/change_test.go
@@ -5,7 +5,7 @@
 	"fmt"
 	"testing"
 
-	"snowquay/choice"
+	"snowquay/balancer"
 	"snowquay/internal/core/registry"
 	"snowquay/internal/core/share"
 )
@@ -214,7 +214,7 @@
 	late := w.members[2]
 	w.cut[[2]ID{w.members[0], late}], w.cut[[2]ID{w.members[1], late}] = true, true
 	for i := range 300 { // it misses more than the log keeps, so it needs a snapshot
-		w.peers[w.members[0]].group.Keep(w.peers[w.members[0]].clock(), []registry.Record{{Place: registry.Place{Server: choice.Server(fmt.Sprint(i))}}})
+		w.peers[w.members[0]].group.Keep(w.peers[w.members[0]].clock(), []registry.Record{{Place: registry.Place{Server: balancer.Server(fmt.Sprint(i))}}})
 		w.run(0.02)
 	}
 	clear(w.cut)
--- a/internal/consensus/group.go
+++ b/internal/consensus/group.go
@@ -4,7 +4,7 @@
 	"errors"
 	"slices"
 
-	"snowquay/choice"
+	"snowquay/balancer"
 	"snowquay/internal/core/registry"
 	"snowquay/internal/core/share"
 	"snowquay/internal/core/tenancy"
@@ -210,7 +210,7 @@
 }
 
 // Drain makes a drain, or its end, known to all. Settled tells when it is; ok is false where too many wait.
-func (g *Group) Drain(now float64, server choice.Server, on bool) (ticket share.Ticket, ok bool) {
+func (g *Group) Drain(now float64, server balancer.Server, on bool) (ticket share.Ticket, ok bool) {
 	return g.Tell(now, share.Command{Kind: share.Drain, Server: server, On: on})
 }
 
--- a/internal/consensus/history_test.go
+++ b/internal/consensus/history_test.go
@@ -7,7 +7,7 @@
 
 	"github.com/anishathalye/porcupine"
 
-	"snowquay/choice"
+	"snowquay/balancer"
 	"snowquay/internal/core/share"
 )
 
@@ -43,7 +43,7 @@
 
 // drainOp is a drain told by a client (read is false), or what a coordinator that holds its lease knows of it.
 type drainOp struct {
-	server choice.Server
+	server balancer.Server
 	read   bool
 }
 
@@ -51,7 +51,7 @@
 // servers and none ends.
 var drains = porcupine.Model{
 	Partition: func(h []porcupine.Operation) (parts [][]porcupine.Operation) {
-		by := map[choice.Server]int{}
+		by := map[balancer.Server]int{}
 		for _, o := range h {
 			s := o.Input.(drainOp).server
 			i, ok := by[s]
@@ -97,7 +97,7 @@
 }
 
 type telling struct {
-	server choice.Server
+	server balancer.Server
 	peer   *peer
 	group  *Group
 	ticket share.Ticket
@@ -146,11 +146,11 @@
 	if h.chance.Float64() < 0.02 {
 		p := h.peers[h.members[h.chance.IntN(len(h.members))]]
 		if p.group != nil && p.paused <= h.now {
-			x := &telling{server: choice.Server(fmt.Sprint("s", len(h.told))), peer: p, group: p.group, call: h.now}
+			x := &telling{server: balancer.Server(fmt.Sprint("s", len(h.told))), peer: p, group: p.group, call: h.now}
 			if h.unreplicated {
 				x.kept = h.now
 				if p.group.State.Drains == nil {
-					p.group.State.Drains = map[choice.Server]float64{}
+					p.group.State.Drains = map[balancer.Server]float64{}
 				}
 				p.group.State.Drains[x.server] = h.now
 			} else {
--- a/internal/core/admit/admit.go
+++ b/internal/core/admit/admit.go
@@ -5,7 +5,7 @@
 import (
 	"errors"
 
-	"snowquay/choice"
+	"snowquay/balancer"
 )
 
 var (
@@ -36,11 +36,11 @@
 
 // Door lets queries in. Use New.
 type Door struct {
-	kind   choice.LevelKind
+	kind   balancer.LevelKind
 	limits Limits
 	gates  []gate
 	inside int
-	at     map[choice.Server]int
+	at     map[balancer.Server]int
 	Counts Counts
 }
 
@@ -48,11 +48,11 @@
 type Counts struct{ In, Levels, Busy int }
 
 // New makes a door for so many classes, all open.
-func New(kind choice.LevelKind, classes int, limits Limits) *Door {
-	d := &Door{kind: kind, limits: limits, gates: make([]gate, classes), at: map[choice.Server]int{}}
+func New(kind balancer.LevelKind, classes int, limits Limits) *Door {
+	d := &Door{kind: kind, limits: limits, gates: make([]gate, classes), at: map[balancer.Server]int{}}
 	for i := range d.gates {
 		d.gates[i].level = 1
-		if kind == choice.LevelRate {
+		if kind == balancer.LevelRate {
 			d.gates[i].level = -1 // until one is ordered
 		}
 	}
@@ -60,7 +60,7 @@
 }
 
 // Level takes an order for a class: what part or rate is let in, and after how many seconds the others may come back.
-func (d *Door) Level(now float64, c choice.Class, level, back float64) {
+func (d *Door) Level(now float64, c balancer.Class, level, back float64) {
 	g := &d.gates[c]
 	if g.level < 0 {
 		g.tokens, g.tokensAt = level*rateBurst, now
@@ -70,20 +70,20 @@
 
 // Enter asks for a query. With an error it is refused, and back is when its client may come again, in seconds; else Leave must
 // follow. A fraction is let in evenly: of ten queries at a level of 0.3 the same three, not three by chance.
-func (d *Door) Enter(now float64, c choice.Class) (back float64, err error) {
+func (d *Door) Enter(now float64, c balancer.Class) (back float64, err error) {
 	if d.inside >= d.limits.Queries {
 		d.Counts.Busy++
 		return 1, ErrBusy
 	}
 	g := &d.gates[c]
 	switch {
-	case d.kind == choice.LevelFraction && g.level < 1:
+	case d.kind == balancer.LevelFraction && g.level < 1:
 		if g.credit += g.level; g.credit < 1 {
 			d.Counts.Levels++
 			return g.back, ErrLevel
 		}
 		g.credit--
-	case d.kind == choice.LevelRate && g.level >= 0:
+	case d.kind == balancer.LevelRate && g.level >= 0:
 		g.tokens = min(max(1, g.level*rateBurst), g.tokens+(now-g.tokensAt)*g.level)
 		if g.tokensAt = now; g.tokens < 1 {
 			d.Counts.Levels++
@@ -103,17 +103,17 @@
 func (d *Door) Inside() int { return d.inside }
 
 // Room tells whether a server may have one more.
-func (d *Door) Room(s choice.Server) bool { return d.at[s] < d.limits.ByServer }
+func (d *Door) Room(s balancer.Server) bool { return d.at[s] < d.limits.ByServer }
 
 // Begin and End count what is under way at a server.
-func (d *Door) Begin(s choice.Server) { d.at[s]++ }
+func (d *Door) Begin(s balancer.Server) { d.at[s]++ }
 
 // End of Begin.
-func (d *Door) End(s choice.Server) {
+func (d *Door) End(s balancer.Server) {
 	if d.at[s]--; d.at[s] <= 0 {
 		delete(d.at, s)
 	}
 }
 
 // At is the number of queries under way at a server.
-func (d *Door) At(s choice.Server) int { return d.at[s] }
+func (d *Door) At(s balancer.Server) int { return d.at[s] }
--- a/internal/core/avoid/avoid.go
+++ b/internal/core/avoid/avoid.go
@@ -1,7 +1,7 @@
 // Package avoid keeps away from servers that fail, for a while. It is pure.
 package avoid
 
-import "snowquay/choice"
+import "snowquay/balancer"
 
 // Terms of avoiding.
 type Terms struct {
@@ -24,18 +24,18 @@
 // List is what a proxy knows of its servers. Use New.
 type List struct {
 	terms Terms
-	by    map[choice.Server]*state
+	by    map[balancer.Server]*state
 	Count int // how often one was avoided
 }
 
 // New makes an empty list.
-func New(t Terms) *List { return &List{terms: t, by: map[choice.Server]*state{}} }
+func New(t Terms) *List { return &List{terms: t, by: map[balancer.Server]*state{}} }
 
 // Answered notes an answer: the server is well.
-func (l *List) Answered(s choice.Server) { delete(l.by, s) }
+func (l *List) Answered(s balancer.Server) { delete(l.by, s) }
 
 // Failed notes a failure. It reports whether the server is avoided from now on.
-func (l *List) Failed(now float64, s choice.Server) bool {
+func (l *List) Failed(now float64, s balancer.Server) bool {
 	x := l.by[s]
 	if x == nil {
 		if l.terms.After == 0 || len(l.by) >= mostServers {
@@ -56,10 +56,10 @@
 
 // Avoids tells whether a server is to be left alone now. It is advice: where all that are left are avoided, one of them is
 // taken all the same.
-func (l *List) Avoids(now float64, s choice.Server) bool {
+func (l *List) Avoids(now float64, s balancer.Server) bool {
 	x := l.by[s]
 	return x != nil && now < x.until
 }
 
 // Forget a server that has no line any more.
-func (l *List) Forget(s choice.Server) { delete(l.by, s) }
+func (l *List) Forget(s balancer.Server) { delete(l.by, s) }
--- a/internal/core/channel/channel.go
+++ b/internal/core/channel/channel.go
@@ -7,7 +7,7 @@
 	"container/heap"
 	"math"
 
-	"snowquay/choice"
+	"snowquay/balancer"
 )
 
 // burstFor is how many seconds of lines may leave at once after a pause: a round's worth, so that what little there
@@ -23,7 +23,7 @@
 )
 
 type waiter struct {
-	proxy       choice.Proxy
+	proxy       balancer.Proxy
 	turn        Turn
 	lines       float64
 	prev, next  *waiter
@@ -63,9 +63,9 @@
 
 // Queue of the proxies that wait for a message. Use New.
 type Queue struct {
-	limits  choice.Channel
+	limits  balancer.Channel
 	unpaced bool
-	waiters map[choice.Proxy]*waiter
+	waiters map[balancer.Proxy]*waiter
 	lists   [2]list // by turn
 	later   heldBack
 	lines   float64 // that wait, heads included
@@ -75,13 +75,13 @@
 }
 
 // New makes a queue for a channel. unpaced leaves the pace out, for tests of that guard.
-func New(c choice.Channel, unpaced bool) *Queue {
-	return &Queue{limits: c, unpaced: unpaced, waiters: map[choice.Proxy]*waiter{}}
+func New(c balancer.Channel, unpaced bool) *Queue {
+	return &Queue{limits: c, unpaced: unpaced, waiters: map[balancer.Proxy]*waiter{}}
 }
 
 // Add says that a proxy waits for some more lines. A proxy that waits already keeps its place, and moves up if the
 // turn is more urgent.
-func (q *Queue) Add(now float64, p choice.Proxy, lines float64, turn Turn) {
+func (q *Queue) Add(now float64, p balancer.Proxy, lines float64, turn Turn) {
 	w := q.waiters[p]
 	if w == nil {
 		w = &waiter{proxy: p, index: -1}
@@ -123,7 +123,7 @@
 }
 
 // Hold says that a proxy can't take a message now; it keeps what it waits for.
-func (q *Queue) Hold(p choice.Proxy) {
+func (q *Queue) Hold(p balancer.Proxy) {
 	w := q.waiters[p]
 	if w == nil {
 		w = &waiter{proxy: p, index: -1}
@@ -135,7 +135,7 @@
 }
 
 // Free ends a Hold.
-func (q *Queue) Free(now float64, p choice.Proxy) {
+func (q *Queue) Free(now float64, p balancer.Proxy) {
 	if w := q.waiters[p]; w != nil {
 		w.held = false
 		q.place(now, w)
@@ -143,7 +143,7 @@
 }
 
 // Leave forgets a proxy, its messages among them: a proxy that comes back counts from its joining.
-func (q *Queue) Leave(p choice.Proxy) {
+func (q *Queue) Leave(p balancer.Proxy) {
 	w := q.waiters[p]
 	if w == nil {
 		return
@@ -153,7 +153,7 @@
 }
 
 // Drop says that a proxy needs no message after all; its earlier ones still count.
-func (q *Queue) Drop(p choice.Proxy) {
+func (q *Queue) Drop(p balancer.Proxy) {
 	if w := q.waiters[p]; w != nil {
 		q.unqueue(w)
 	}
@@ -184,7 +184,7 @@
 
 // Next is the proxy whose turn it is, urgent ones first, else in the order in which they came to wait. ok is false
 // while the pace allows none, or nobody waits. The caller sends and says Sent, or says Hold or Leave.
-func (q *Queue) Next(now float64) (p choice.Proxy, ok bool) {
+func (q *Queue) Next(now float64) (p balancer.Proxy, ok bool) {
 	for len(q.later) > 0 && q.later[0].until <= now {
 		w := heap.Pop(&q.later).(*waiter)
 		q.place(now, w)
@@ -201,7 +201,7 @@
 }
 
 // Sent says that a proxy got its message of so many lines, whether it waited or asked for it.
-func (q *Queue) Sent(now float64, p choice.Proxy, lines float64) {
+func (q *Queue) Sent(now float64, p balancer.Proxy, lines float64) {
 	q.refill(now)
 	w := q.waiters[p]
 	if w == nil {
@@ -219,7 +219,7 @@
 }
 
 // Left is how many messages the limit lets a proxy have before its oldest ones no longer count.
-func (q *Queue) Left(p choice.Proxy) int {
+func (q *Queue) Left(p balancer.Proxy) int {
 	if w := q.waiters[p]; w != nil && q.limits.MostMessages > 0 {
 		n := 0
 		for _, at := range w.sent {
@@ -233,19 +233,19 @@
 }
 
 // Urgent tells whether an urgent message waits for a proxy.
-func (q *Queue) Urgent(p choice.Proxy) bool {
+func (q *Queue) Urgent(p balancer.Proxy) bool {
 	w := q.waiters[p]
 	return w != nil && w.lines > 0 && w.turn == Urgent
 }
 
 // Waits tells whether a proxy waits for lines.
-func (q *Queue) Waits(p choice.Proxy) bool {
+func (q *Queue) Waits(p balancer.Proxy) bool {
 	w := q.waiters[p]
 	return w != nil && w.lines > 0
 }
 
 // Lines that wait for a proxy.
-func (q *Queue) Lines(p choice.Proxy) float64 {
+func (q *Queue) Lines(p balancer.Proxy) float64 {
 	if w := q.waiters[p]; w != nil {
 		return w.lines
 	}
--- a/internal/core/channel/channel_test.go
+++ b/internal/core/channel/channel_test.go
@@ -6,15 +6,15 @@
 
 	"pgregory.net/rapid"
 
-	"snowquay/choice"
+	"snowquay/balancer"
 	"snowquay/internal/seeded"
 )
 
 func TestMain(m *testing.M) { seeded.Main(m) }
 
-var limits = choice.Channel{LinesPerSecond: 100, MessageLines: 3, MostWaiting: 1000, MostMessages: 3, MessageWindow: 10}
+var limits = balancer.Channel{LinesPerSecond: 100, MessageLines: 3, MostWaiting: 1000, MostMessages: 3, MessageWindow: 10}
 
-func drain(q *Queue, now float64, lines float64) (got []choice.Proxy) {
+func drain(q *Queue, now float64, lines float64) (got []balancer.Proxy) {
 	for {
 		p, ok := q.Next(now)
 		if !ok {
@@ -31,7 +31,7 @@
 	q.Add(1, 2, 2, Ordinary)
 	q.Add(1, 3, 2, Urgent)
 	q.Add(1, 2, 2, Urgent) // it moves up
-	var order []choice.Proxy
+	var order []balancer.Proxy
 	for now := 1.0; now < 2; now += 0.1 {
 		order = append(order, drain(q, now, 2)...)
 	}
@@ -89,9 +89,9 @@
 		q, now := New(l, false), 10.0
 		type sending struct{ at, lines float64 }
 		var sent []sending
-		waits := map[choice.Proxy]float64{}
+		waits := map[balancer.Proxy]float64{}
 		for range rapid.IntRange(1, 80).Draw(rt, "steps") {
-			p := choice.Proxy(rapid.IntRange(0, 5).Draw(rt, "proxy"))
+			p := balancer.Proxy(rapid.IntRange(0, 5).Draw(rt, "proxy"))
 			switch rapid.IntRange(0, 5).Draw(rt, "what") {
 			case 0, 1:
 				n := float64(rapid.IntRange(1, 9).Draw(rt, "lines"))
--- a/internal/core/fleet/figures.go
+++ b/internal/core/fleet/figures.go
@@ -3,7 +3,7 @@
 import (
 	"slices"
 
-	"snowquay/choice"
+	"snowquay/balancer"
 	"snowquay/internal/core/measure"
 )
 
@@ -19,14 +19,14 @@
 
 // sums are what proxies reported since the start.
 type sums struct {
-	servers map[choice.Server]*measure.Totals
+	servers map[balancer.Server]*measure.Totals
 	classes []measure.Totals
 }
 
 // count takes what is handed to the module of a period.
-func (f *Fleet) count(traffic []choice.Traffic, demand []choice.Demand) {
+func (f *Fleet) count(traffic []balancer.Traffic, demand []balancer.Demand) {
 	if f.sums.servers == nil {
-		f.sums = sums{map[choice.Server]*measure.Totals{}, make([]measure.Totals, len(f.site.Classes))}
+		f.sums = sums{map[balancer.Server]*measure.Totals{}, make([]measure.Totals, len(f.site.Classes))}
 	}
 	for _, t := range traffic {
 		s := f.sums.servers[t.Server]
@@ -83,9 +83,9 @@
 		phase, _ := f.Roll.Phase(s)
 		serves, drains, cold := 0.0, 0.0, 0.0
 		switch phase {
-		case choice.InService:
+		case balancer.InService:
 			serves = 1
-		case choice.Terminating:
+		case balancer.Terminating:
 			drains = 1
 		}
 		if f.Roll.Cold(now, s, f.site.Guarantees.ColdFor) {
--- a/internal/core/fleet/fleet.go
+++ b/internal/core/fleet/fleet.go
@@ -14,7 +14,7 @@
 	"math"
 	"slices"
 
-	"snowquay/choice"
+	"snowquay/balancer"
 	"snowquay/internal/core/channel"
 	"snowquay/internal/core/measure"
 	"snowquay/internal/core/registry"
@@ -36,7 +36,7 @@
 
 // Hold is what a proxy has of one class's table.
 type Hold struct {
-	Table choice.Table
+	Table balancer.Table
 	Bound bool           // the module has bound the proxy to it
 	Full  bool           // it must get the whole table: nothing that it holds is known
 	Stale bool           // it may hold lines of another table
@@ -46,9 +46,9 @@
 
 // Proxy is a relay that is joined, or was.
 type Proxy struct {
-	ID     choice.Proxy
+	ID     balancer.Proxy
 	UID    string
-	Zone   choice.Zone
+	Zone   balancer.Zone
 	Usual  float64
 	Joined bool
 	Pulls  bool // it asks for its weights, nothing is sent to it unasked
@@ -72,7 +72,7 @@
 	offset  float64              // least difference of our clock and a report's
 	taken   [keptTaken]delivered // of the latest messages, a ring
 	told    int
-	defies  choice.Server // it was caught sending to it
+	defies  balancer.Server // it was caught sending to it
 }
 
 // keptTaken is how many messages of a proxy are remembered: at one a second, longer than any grace.
@@ -91,13 +91,13 @@
 }
 
 type mark struct {
-	mark  choice.Mark
+	mark  balancer.Mark
 	given float64
 }
 
 // Order tells of one message where it came from and what became of it.
 type Order struct {
-	Proxy                            choice.Proxy
+	Proxy                            balancer.Proxy
 	UID                              string
 	Round                            uint64 // of the newest decision in it
 	Lists, Streams, Traffic, Demands int    // facts of that round
@@ -122,7 +122,7 @@
 // Fleet is one coordinator's state. Use New.
 type Fleet struct {
 	site    Site
-	manager *choice.Manager
+	manager *balancer.Manager
 	may     func(now float64, uid string) bool // nil: all relays are ours
 	lead    func() uint64
 	sent    func(now float64, uid string)
@@ -130,17 +130,17 @@
 	Book    *measure.Book
 	keeper  Keeper
 
-	proxies map[choice.Proxy]*Proxy
+	proxies map[balancer.Proxy]*Proxy
 	byUID   map[string]*Proxy
 	listed  map[string]Relay
 	joined  int
-	next    choice.Proxy
-	free    []choice.Proxy // numbers of forgotten proxies
+	next    balancer.Proxy
+	free    []balancer.Proxy // numbers of forgotten proxies
 
-	tables map[choice.Table]*wanted
+	tables map[balancer.Table]*wanted
 	out    *channel.Queue
 
-	news    choice.News
+	news    balancer.News
 	wakeAt  float64
 	ranAt   float64
 	closed  float64 // when reports were last handed over
@@ -156,14 +156,14 @@
 }
 
 type line struct {
-	server choice.Server
+	server balancer.Server
 	weight float64
 }
 
 type wanted struct {
 	tables.Table
-	number  choice.Table
-	users   map[choice.Proxy]int // bound classes
+	number  balancer.Table
+	users   map[balancer.Proxy]int // bound classes
 	touched bool
 	urgent  bool
 	took    []line         // of servers in service and warm, that this round took away
@@ -194,10 +194,10 @@
 	f := &Fleet{site: site, keeper: keeper, first: true, began: now, ranAt: math.Inf(-1), closed: now,
 		Roll:    registry.New(site.Limits.HoldServer, site.Limits.Servers, site.Without[GuardCold]),
 		Book:    measure.New(site.Limits.Series),
-		proxies: map[choice.Proxy]*Proxy{}, byUID: map[string]*Proxy{}, listed: map[string]Relay{},
-		tables: map[choice.Table]*wanted{}, out: channel.New(site.Channel, site.Without[GuardPace])}
-	f.manager = choice.New(site.Seed, site.Classes, site.Dataplane, site.inTables(), site.Guarantees, site.Reporting,
-		choice.Probing{}, choice.Discovery{Weights: choice.WeightsNominal})
+		proxies: map[balancer.Proxy]*Proxy{}, byUID: map[string]*Proxy{}, listed: map[string]Relay{},
+		tables: map[balancer.Table]*wanted{}, out: channel.New(site.Channel, site.Without[GuardPace])}
+	f.manager = balancer.New(site.Seed, site.Classes, site.Dataplane, site.inTables(), site.Guarantees, site.Reporting,
+		balancer.Probing{}, balancer.Discovery{Weights: balancer.WeightsNominal})
 	if !site.Without[GuardMemory] && len(records) > 0 {
 		f.known = true
 		if err := f.Roll.Restore(now, records); err != nil {
@@ -219,7 +219,7 @@
 // inTables is the channel in lines of tables, as the module counts them: classes that may go to the same zones share a table, of which
 // a proxy is sent each line once for each of them. Guards against a queue that is twice as long as the module believes, or ten times
 // where ten classes share a table; the cost is a slower pace where other classes have tables of their own.
-func (s *Site) inTables() choice.Channel {
+func (s *Site) inTables() balancer.Channel {
 	c, most := s.Channel, 1
 	if s.Without[GuardLines] || s.Without[GuardPace] {
 		return c
@@ -243,9 +243,9 @@
 func (f *Fleet) Site() *Site { return &f.site }
 
 // Class is the number of a class by its name.
-func (f *Fleet) Class(name string) (choice.Class, bool) {
+func (f *Fleet) Class(name string) (balancer.Class, bool) {
 	i := slices.Index(f.site.Names, name)
-	return choice.Class(i), i >= 0
+	return balancer.Class(i), i >= 0
 }
 
 // Relay finds a relay that is joined or still known.
@@ -333,7 +333,7 @@
 	p.front, p.Pulls, p.Levels = front, false, false
 	p.Joined, p.offset, p.defies, p.taken = true, math.Inf(1), "", [keptTaken]delivered{}
 	f.joined++
-	f.news.Streams = append(f.news.Streams, choice.Stream{Proxy: p.ID, Joined: true, Zone: p.Zone, Usual: p.Usual,
+	f.news.Streams = append(f.news.Streams, balancer.Stream{Proxy: p.ID, Joined: true, Zone: p.Zone, Usual: p.Usual,
 		Fresh: fresh})
 	return p, nil
 }
@@ -383,7 +383,7 @@
 		*h = Hold{}
 	}
 	f.out.Leave(p.ID)
-	f.news.Streams = append(f.news.Streams, choice.Stream{Proxy: p.ID})
+	f.news.Streams = append(f.news.Streams, balancer.Stream{Proxy: p.ID})
 }
 
 func (f *Fleet) unbind(p *Proxy, h *Hold) {
@@ -412,7 +412,7 @@
 
 // Measured takes a relay's totals at a server. Nothing is decided by a report that names somebody unknown, or by one
 // of a relay that is not joined.
-func (f *Fleet) Measured(now, at float64, uid string, s choice.Server, t measure.Totals) {
+func (f *Fleet) Measured(now, at float64, uid string, s balancer.Server, t measure.Totals) {
 	p := f.byUID[uid]
 	if p == nil || !p.Joined {
 		f.Counts.UnknownRelay++
@@ -433,8 +433,8 @@
 // was sent, and its host had, before then that the server takes none. The kernel's word that bytes have arrived says
 // nothing of a program that does not read them; what it does shows. Its clock is set against ours by the fastest of
 // its reports, so that late ones accuse nobody.
-func (f *Fleet) obeys(p *Proxy, s choice.Server, since float64) {
-	if phase, _ := f.Roll.Phase(s); phase == choice.InService {
+func (f *Fleet) obeys(p *Proxy, s balancer.Server, since float64) {
+	if phase, _ := f.Roll.Phase(s); phase == balancer.InService {
 		return
 	}
 	decided := 0.0 // when the last of its tables lost the line
@@ -467,7 +467,7 @@
 }
 
 // Uptime takes a server's seconds since its start.
-func (f *Fleet) Uptime(now float64, s choice.Server, up float64) {
+func (f *Fleet) Uptime(now float64, s balancer.Server, up float64) {
 	if _, ok := f.Roll.Find(s); !ok {
 		f.Counts.UnknownServer++
 		return
@@ -486,14 +486,14 @@
 	if f.Roll.Waits() {
 		f.Persist()
 		entries, whole := f.Roll.Changes()
-		scope := choice.Changes
+		scope := balancer.Changes
 		if f.first { // what the settings list as standing, and what a former life kept
-			scope = choice.Cached
+			scope = balancer.Cached
 		} else if whole {
-			scope = choice.Whole
+			scope = balancer.Whole
 		}
 		if len(entries) > 0 || f.first {
-			f.news.Lists = append(f.news.Lists, choice.List{Scope: scope, Entries: entries})
+			f.news.Lists = append(f.news.Lists, balancer.List{Scope: scope, Entries: entries})
 		}
 		f.first = false
 	}
@@ -517,7 +517,7 @@
 	f.counts = Order{Round: f.round, Lists: len(n.Lists), Streams: len(n.Streams), Traffic: len(n.Traffic),
 		Demands: len(n.Demand), Decided: now}
 	f.manager.Round(now, *n, &Writing{f: f, now: now})
-	f.news = choice.News{}
+	f.news = balancer.News{}
 	f.spread(now)
 	return true
 }
@@ -554,7 +554,7 @@
 		if w.urgent {
 			turn, w.drained = channel.Urgent, w.Version()
 		}
-		users := make([]choice.Proxy, 0, len(w.users))
+		users := make([]balancer.Proxy, 0, len(w.users))
 		for id := range w.users {
 			users = append(users, id)
 		}
@@ -590,7 +590,7 @@
 	}
 	for l := range w.Since(0) {
 		phase, _ := f.Roll.Phase(l.Server)
-		if l.Weight > 0 && phase == choice.InService && !f.Roll.Cold(now, l.Server, f.site.Guarantees.ColdFor) {
+		if l.Weight > 0 && phase == balancer.InService && !f.Roll.Cold(now, l.Server, f.site.Guarantees.ColdFor) {
 			return
 		}
 	}
@@ -623,21 +623,21 @@
 func (f *Fleet) SetPulls(now float64, p *Proxy, pulls bool) {
 	if p.Pulls = pulls; !pulls {
 		for c := range p.Holds {
-			f.Refresh(now, p, choice.Class(c), 1)
+			f.Refresh(now, p, balancer.Class(c), 1)
 		}
 	}
 }
 
-// Writing takes the decisions of one round; it is the choice.Writer of a Fleet.
+// Writing takes the decisions of one round; it is the balancer.Writer of a Fleet.
 type Writing struct {
 	f   *Fleet
 	now float64
 }
 
-func (w *Writing) table(t choice.Table) *wanted {
+func (w *Writing) table(t balancer.Table) *wanted {
 	x := w.f.tables[t]
 	if x == nil {
-		x = &wanted{number: t, users: map[choice.Proxy]int{}}
+		x = &wanted{number: t, users: map[balancer.Proxy]int{}}
 		w.f.tables[t] = x
 	}
 	return x
@@ -651,17 +651,17 @@
 }
 
 // Weigh sets a line of a table.
-func (w *Writing) Weigh(t choice.Table, s choice.Server, weight float64) {
+func (w *Writing) Weigh(t balancer.Table, s balancer.Server, weight float64) {
 	x, before := w.table(t), w.table(t).Weight(s)
 	if !x.Set(w.now, s, weight) {
 		return
 	}
 	phase, _ := w.f.Roll.Phase(s)
 	cold := w.f.Roll.Cold(w.now, s, w.f.site.Guarantees.ColdFor)
-	if weight == 0 && phase == choice.InService && !cold {
+	if weight == 0 && phase == balancer.InService && !cold {
 		x.took = append(x.took, line{s, before})
 	}
-	if weight == 0 && phase != choice.InService || cold && weight < urgentCold*before {
+	if weight == 0 && phase != balancer.InService || cold && weight < urgentCold*before {
 		x.urgent = true
 	}
 	x.lines++
@@ -669,7 +669,7 @@
 }
 
 // Bind puts a proxy on a table for some classes; it is due the whole of it.
-func (w *Writing) Bind(id choice.Proxy, t choice.Table, classes choice.Classes) {
+func (w *Writing) Bind(id balancer.Proxy, t balancer.Table, classes balancer.Classes) {
 	p, x := w.f.proxies[id], w.table(t)
 	if p == nil || !p.Joined {
 		return
@@ -695,11 +695,11 @@
 }
 
 // Admit orders levels and repeats.
-func (w *Writing) Admit(t choice.Table, classes choice.Classes, level float64, again choice.Repeats) {
+func (w *Writing) Admit(t balancer.Table, classes balancer.Classes, level float64, again balancer.Repeats) {
 	x := w.table(t)
 	for c := range w.f.site.Classes {
 		if classes == 0 || classes>>c&1 == 1 {
-			if x.SetLevel(choice.Class(c), level, again) {
+			if x.SetLevel(balancer.Class(c), level, again) {
 				w.f.Counts.Unsaid++
 				x.levels++
 				w.touch(x)
@@ -709,7 +709,7 @@
 }
 
 // Mark rides on the messages to all that this round concerns.
-func (w *Writing) Mark(m choice.Mark) {
+func (w *Writing) Mark(m balancer.Mark) {
 	for _, x := range w.f.touched {
 		for id := range x.users {
 			w.mark(w.f.proxies[id], m)
@@ -722,7 +722,7 @@
 	}
 }
 
-func (w *Writing) mark(p *Proxy, m choice.Mark) {
+func (w *Writing) mark(p *Proxy, m balancer.Mark) {
 	if n := len(p.marks); n > 0 && p.marks[n-1].mark == m {
 		return
 	}
@@ -730,13 +730,13 @@
 }
 
 // Probe is never called: the module is told that probes are not allowed.
-func (w *Writing) Probe(choice.Server) { w.f.Counts.Probes++ }
+func (w *Writing) Probe(balancer.Server) { w.f.Counts.Probes++ }
 
 // Watch is never called: the roll tells its changes unasked.
 func (w *Writing) Watch() {}
 
 // Wake asks for another round.
-func (w *Writing) Wake(after float64, _ choice.Timer) { w.f.wakeAt = w.now + after }
+func (w *Writing) Wake(after float64, _ balancer.Timer) { w.f.wakeAt = w.now + after }
 
 // Note counts what the module remarks.
 func (w *Writing) Note(string) { w.f.Counts.Notes++ }
--- a/internal/core/fleet/fleet_test.go
+++ b/internal/core/fleet/fleet_test.go
@@ -5,31 +5,31 @@
 	"fmt"
 	"testing"
 
-	"snowquay/choice"
+	"snowquay/balancer"
 	"snowquay/internal/core/measure"
 	"snowquay/internal/core/registry"
 )
 
 func site(servers, relays int) Site {
 	s := Site{Seed: 1, Names: []string{"search", "introduce"}, Zones: []string{"a", "b", "c"},
-		Classes: []choice.QueryClass{{Benefit: 1, GoalTime: 1, ClientTimeout: 3},
-			{Benefit: 3, GoalTime: 1, ClientTimeout: 3, Effect: choice.Guarded, Window: 5}},
-		Dataplane: choice.Dataplane{Proxies: relays, Coordinators: 1, StandingTable: 5, UsualRepeats: choice.AfterProof},
-		Channel:   choice.Channel{LinesPerSecond: 20000, MessageLines: 3, MostWaiting: 30000, MeanWay: 0.05, LongestWay: 0.2},
-		Guarantees: choice.Guarantees{DrainWithin: 3, BareWithin: 2, ColdShare: 0.2, ColdFor: 10, FallMultiple: 3,
+		Classes: []balancer.QueryClass{{Benefit: 1, GoalTime: 1, ClientTimeout: 3},
+			{Benefit: 3, GoalTime: 1, ClientTimeout: 3, Effect: balancer.Guarded, Window: 5}},
+		Dataplane: balancer.Dataplane{Proxies: relays, Coordinators: 1, StandingTable: 5, UsualRepeats: balancer.AfterProof},
+		Channel:   balancer.Channel{LinesPerSecond: 20000, MessageLines: 3, MostWaiting: 30000, MeanWay: 0.05, LongestWay: 0.2},
+		Guarantees: balancer.Guarantees{DrainWithin: 3, BareWithin: 2, ColdShare: 0.2, ColdFor: 10, FallMultiple: 3,
 			FallWithin: 2},
-		Reporting: choice.Reporting{Period: 0.5}, Limits: UsualLimits}
+		Reporting: balancer.Reporting{Period: 0.5}, Limits: UsualLimits}
 	s.Limits.KnowRelay = 5
 	for i := range servers {
-		s.Servers = append(s.Servers, registry.Place{Server: name(i), Zone: choice.Zone(i % 3), Weight: 1, Standing: true})
+		s.Servers = append(s.Servers, registry.Place{Server: name(i), Zone: balancer.Zone(i % 3), Weight: 1, Standing: true})
 	}
 	for i := range relays {
-		s.Relays = append(s.Relays, Relay{UID: fmt.Sprint("r", i), Zone: choice.Zone(i % 3), Usual: 10})
+		s.Relays = append(s.Relays, Relay{UID: fmt.Sprint("r", i), Zone: balancer.Zone(i % 3), Usual: 10})
 	}
 	return s
 }
 
-func name(i int) choice.Server { return choice.Server(fmt.Sprintf("10.0.%d.%d:80", i>>8, i&255)) }
+func name(i int) balancer.Server { return balancer.Server(fmt.Sprintf("10.0.%d.%d:80", i>>8, i&255)) }
 
 func running(t testing.TB, servers, relays int) (*Fleet, float64) {
 	f, err := New(1000, site(servers, relays), nil, nil)
@@ -63,7 +63,7 @@
 		messages++
 		n := 0
 		for c := range p.Holds {
-			if lines, _, ok := f.Delta(p, choice.Class(c)); ok {
+			if lines, _, ok := f.Delta(p, balancer.Class(c)); ok {
 				for range lines {
 					n++
 				}
--- a/internal/core/fleet/out.go
+++ b/internal/core/fleet/out.go
@@ -4,7 +4,7 @@
 	"iter"
 	"strings"
 
-	"snowquay/choice"
+	"snowquay/balancer"
 	"snowquay/internal/core/channel"
 	"snowquay/internal/core/tables"
 )
@@ -77,7 +77,7 @@
 	for c := range p.Holds {
 		h := &p.Holds[c]
 		if h.Sent, h.Known = versions[c], versions[c]; h.Bound && h.Sent == 0 && !h.Full {
-			f.Refresh(now, p, choice.Class(c), float64(f.tables[h.Table].Len()))
+			f.Refresh(now, p, balancer.Class(c), float64(f.tables[h.Table].Len()))
 		}
 	}
 	turn := channel.Ordinary
@@ -90,7 +90,7 @@
 }
 
 // LevelsSince are the levels of a class that changed after what the proxy was sent; all of them if full.
-func (f *Fleet) LevelsSince(p *Proxy, c choice.Class, full bool) (changed []tables.Level) {
+func (f *Fleet) LevelsSince(p *Proxy, c balancer.Class, full bool) (changed []tables.Level) {
 	h := &p.Holds[c]
 	if !h.Bound {
 		return nil
@@ -135,7 +135,7 @@
 
 // Delta is what a proxy must be told of a class to hold the newest table: all lines if full (those without weight are
 // then left out), else those that changed, newest first. ok is false if the module has not bound it yet.
-func (f *Fleet) Delta(p *Proxy, c choice.Class) (lines iter.Seq[*tables.Line], full, ok bool) {
+func (f *Fleet) Delta(p *Proxy, c balancer.Class) (lines iter.Seq[*tables.Line], full, ok bool) {
 	h := &p.Holds[c]
 	if !h.Bound {
 		return nil, false, false
@@ -150,16 +150,16 @@
 // Lapsed tells whether a proxy may hold lines that no delta and no registration names: it has them from a table that
 // it is no longer on, or from so long ago that their removal is forgotten. It must be told that every server without
 // a line has none.
-func (f *Fleet) Lapsed(p *Proxy, c choice.Class) bool {
+func (f *Fleet) Lapsed(p *Proxy, c balancer.Class) bool {
 	h := &p.Holds[c]
 	return h.Stale || h.Bound && h.Sent > 0 && !f.tables[h.Table].Reaches(h.Sent)
 }
 
 // Told tells whether a proxy was sent anything of a class since it joined.
-func (f *Fleet) Told(p *Proxy, c choice.Class) bool { return p.Holds[c].Sent > 0 }
+func (f *Fleet) Told(p *Proxy, c balancer.Class) bool { return p.Holds[c].Sent > 0 }
 
 // Whole is a class's whole table, as Delta with full, whatever the proxy holds.
-func (f *Fleet) Whole(p *Proxy, c choice.Class) (lines iter.Seq[*tables.Line], ok bool) {
+func (f *Fleet) Whole(p *Proxy, c balancer.Class) (lines iter.Seq[*tables.Line], ok bool) {
 	if h := &p.Holds[c]; h.Bound {
 		return f.tables[h.Table].Since(0), true
 	}
@@ -167,7 +167,7 @@
 }
 
 // Weight that the module wants for a proxy's class at a server; 0: no line.
-func (f *Fleet) Weight(p *Proxy, c choice.Class, s choice.Server) float64 {
+func (f *Fleet) Weight(p *Proxy, c balancer.Class, s balancer.Server) float64 {
 	if h := &p.Holds[c]; h.Bound {
 		return f.tables[h.Table].Weight(s)
 	}
@@ -175,7 +175,7 @@
 }
 
 // Lines is the number of lines of a class's table.
-func (f *Fleet) Lines(p *Proxy, c choice.Class) int {
+func (f *Fleet) Lines(p *Proxy, c balancer.Class) int {
 	if h := &p.Holds[c]; h.Bound {
 		return f.tables[h.Table].Len()
 	}
@@ -184,7 +184,7 @@
 
 // Refresh makes a class due in full, for a proxy whose holding changed by its own doing: it registered members, or a
 // group. lines is what that will cost.
-func (f *Fleet) Refresh(now float64, p *Proxy, c choice.Class, lines float64) {
+func (f *Fleet) Refresh(now float64, p *Proxy, c balancer.Class, lines float64) {
 	h := &p.Holds[c]
 	if f.site.Without[GuardRejoin] && h.Sent > 0 {
 		return
@@ -253,7 +253,7 @@
 		p.told = (p.told + 1) % keptTaken
 	}
 	for _, m := range p.riding {
-		f.news.Applied = append(f.news.Applied, choice.Applied{Proxy: p.ID, Mark: m.mark, Took: now - m.given})
+		f.news.Applied = append(f.news.Applied, balancer.Applied{Proxy: p.ID, Mark: m.mark, Took: now - m.given})
 	}
 	if f.done(p, now); p.away {
 		p.away = false
--- a/internal/core/fleet/preview.go
+++ b/internal/core/fleet/preview.go
@@ -4,7 +4,7 @@
 	"cmp"
 	"slices"
 
-	"snowquay/choice"
+	"snowquay/balancer"
 	"snowquay/internal/core/guard"
 	"snowquay/internal/core/tables"
 )
@@ -12,22 +12,22 @@
 // Preview looks at what would follow if some servers were drained now: why that must not be, none if it may. Each proxy may
 // hold the table that it has, or the one without them; where capacities are stated, what is left must bear the queries also once
 // they are gone. loseZone asks that any one zone could be lost besides.
-func (f *Fleet) Preview(now float64, drain []choice.Server, loseZone bool) []guard.Reason {
-	s := f.guarded(now, drain, choice.Terminating, loseZone)
+func (f *Fleet) Preview(now float64, drain []balancer.Server, loseZone bool) []guard.Reason {
+	s := f.guarded(now, drain, balancer.Terminating, loseZone)
 	reasons := s.Check()
 	if len(reasons) == 0 && len(f.site.Pools) > 0 {
-		reasons = f.guarded(now, drain, choice.Gone, loseZone).Check()
+		reasons = f.guarded(now, drain, balancer.Gone, loseZone).Check()
 	}
 	return reasons
 }
 
 // guarded is the site as the guard sees it, with some servers in another phase.
-func (f *Fleet) guarded(now float64, drain []choice.Server, phase choice.Phase, loseZone bool) *guard.Site {
-	s := &guard.Site{Servers: map[choice.Server]guard.Server{}, ColdShare: f.site.Guarantees.ColdShare, LoseZone: loseZone}
+func (f *Fleet) guarded(now float64, drain []balancer.Server, phase balancer.Phase, loseZone bool) *guard.Site {
+	s := &guard.Site{Servers: map[balancer.Server]guard.Server{}, ColdShare: f.site.Guarantees.ColdShare, LoseZone: loseZone}
 	for _, name := range f.Roll.Servers() {
 		rec, _ := f.Roll.Find(name)
 		v := guard.Server{Zone: rec.Zone, Phase: rec.Phase, Cold: f.Roll.Cold(now, name, f.site.Guarantees.ColdFor)}
-		if v.Phase == choice.InService && slices.Contains(drain, name) {
+		if v.Phase == balancer.InService && slices.Contains(drain, name) {
 			v.Phase = phase
 		}
 		if x := f.site.Pools[name]; x.Capacity > 0 {
@@ -44,22 +44,22 @@
 			}
 			w := f.tables[h.Table]
 			if next[w] == nil {
-				next[w], held[w] = &guard.Table{Lines: map[choice.Server]float64{}}, &guard.Table{Lines: map[choice.Server]float64{}}
+				next[w], held[w] = &guard.Table{Lines: map[balancer.Server]float64{}}, &guard.Table{Lines: map[balancer.Server]float64{}}
 				for l := range w.Since(0) {
 					if l.Weight == 0 {
 						continue
 					}
 					held[w].Lines[l.Server] = l.Weight
-					if s.Servers[l.Server].Phase == choice.InService {
+					if s.Servers[l.Server].Phase == balancer.InService {
 						next[w].Lines[l.Server] = l.Weight
 					}
 				}
 			}
 			states := []*guard.Table{next[w]}
-			if phase != choice.Gone { // by then all have followed
+			if phase != balancer.Gone { // by then all have followed
 				states = append(states, held[w])
 			}
-			s.Proxies = append(s.Proxies, guard.Proxy{UID: p.UID, Class: choice.Class(c),
+			s.Proxies = append(s.Proxies, guard.Proxy{UID: p.UID, Class: balancer.Class(c),
 				Demand: p.Usual / float64(len(f.site.Classes)), States: states})
 		}
 	}
@@ -77,7 +77,7 @@
 
 // Draining is how far a drain has got.
 type Draining struct {
-	Phase   choice.Phase
+	Phase   balancer.Phase
 	Told    float64  // clock time; 0: it serves
 	Joined  int      // proxies that are joined
 	Holding int      // of them, known to hold tables without it
@@ -87,11 +87,11 @@
 const mostWaiting = 20 // UIDs that an answer names
 
 // Drain tells how far a drain has got: Holding reaches Joined when no proxy that we lead sends to it any more.
-func (f *Fleet) Drain(s choice.Server) (d Draining, ok bool) {
+func (f *Fleet) Drain(s balancer.Server) (d Draining, ok bool) {
 	if _, ok = f.Roll.Find(s); !ok {
 		return d, false
 	}
-	if d.Phase, d.Told = f.Roll.Phase(s); d.Phase == choice.InService {
+	if d.Phase, d.Told = f.Roll.Phase(s); d.Phase == balancer.InService {
 		d.Told = 0
 	}
 	for _, p := range f.sorted() {
@@ -109,7 +109,7 @@
 }
 
 // without tells whether a proxy is known to hold no line to a server in any class that it is bound to.
-func (f *Fleet) without(p *Proxy, s choice.Server) bool {
+func (f *Fleet) without(p *Proxy, s balancer.Server) bool {
 	for c := range p.Holds {
 		h := &p.Holds[c]
 		if !h.Bound || h.Full || h.Known == 0 {
@@ -124,7 +124,7 @@
 }
 
 // changed is the version in which a server's line last changed; 0: it has none, and none is remembered.
-func (w *wanted) changed(s choice.Server) (v tables.Version) {
+func (w *wanted) changed(s balancer.Server) (v tables.Version) {
 	for l := range w.Since(0) {
 		if l.Server == s {
 			return l.Changed
--- a/internal/core/fleet/revise.go
+++ b/internal/core/fleet/revise.go
@@ -5,17 +5,17 @@
 	"fmt"
 	"slices"
 
-	"snowquay/choice"
+	"snowquay/balancer"
 	"snowquay/internal/core/registry"
 )
 
 // Revision is what becomes of a fleet by other settings: whether they can be taken while it runs, and who loses by them.
 type Revision struct {
-	Anew     string          // why the coordinator has to start anew for it; empty: it need not
-	Removed  []choice.Server // that are not listed any more
-	Added    []choice.Server
-	Moved    []choice.Server // whose place or weight is another
-	Sent     []string        // UIDs of relays that are not listed any more, or stand elsewhere
+	Anew     string            // why the coordinator has to start anew for it; empty: it need not
+	Removed  []balancer.Server // that are not listed any more
+	Added    []balancer.Server
+	Moved    []balancer.Server // whose place or weight is another
+	Sent     []string          // UIDs of relays that are not listed any more, or stand elsewhere
 	Welcomed []string
 }
 
@@ -46,7 +46,7 @@
 			return r
 		}
 	}
-	r.Added, r.Moved, r.Removed = differ(old.Servers, next.Servers, func(p registry.Place) choice.Server { return p.Server })
+	r.Added, r.Moved, r.Removed = differ(old.Servers, next.Servers, func(p registry.Place) balancer.Server { return p.Server })
 	var elsewhere, gone []string
 	r.Welcomed, elsewhere, gone = differ(old.Relays, next.Relays, func(x Relay) string { return x.UID })
 	r.Sent = slices.Sorted(slices.Values(append(elsewhere, gone...)))
@@ -76,7 +76,7 @@
 	return added, moved, removed
 }
 
-func sameClass(a, b choice.QueryClass) bool {
+func sameClass(a, b balancer.QueryClass) bool {
 	if !slices.Equal(a.OnlyZones, b.OnlyZones) {
 		return false
 	}
@@ -144,7 +144,7 @@
 // Stands is how far a joined proxy is.
 type Stands struct {
 	UID    string
-	Zone   choice.Zone
+	Zone   balancer.Zone
 	Asks   bool // by the long-poll API
 	Newest bool // it is known to hold the newest tables of all classes
 	Urgent bool // a drain waits for it, or is on its way
--- a/internal/core/fleet/revise_test.go
+++ b/internal/core/fleet/revise_test.go
@@ -8,7 +8,7 @@
 	"strings"
 	"testing"
 
-	"snowquay/choice"
+	"snowquay/balancer"
 	"snowquay/internal/core/measure"
 	"snowquay/internal/core/registry"
 )
@@ -18,7 +18,7 @@
 	for _, without := range []bool{false, true} {
 		f, now := running(t, 4, 3)
 		f.site.Without = map[Guard]bool{GuardTable: without}
-		take := func(servers ...choice.Server) {
+		take := func(servers ...balancer.Server) {
 			w := &Writing{f: f, now: now}
 			for number := range f.tables {
 				for _, s := range servers {
@@ -67,8 +67,8 @@
 	gone := &door{f: f}
 	f.Relay("r0").front = gone
 	r, err := f.Revise(now, next)
-	if err != nil || !slices.Equal(r.Removed, []choice.Server{name(1)}) || !slices.Equal(r.Added, []choice.Server{name(9)}) ||
-		!slices.Equal(r.Moved, []choice.Server{name(0)}) || !slices.Equal(r.Sent, []string{"r0"}) || !slices.Equal(r.Welcomed, []string{"r3"}) {
+	if err != nil || !slices.Equal(r.Removed, []balancer.Server{name(1)}) || !slices.Equal(r.Added, []balancer.Server{name(9)}) ||
+		!slices.Equal(r.Moved, []balancer.Server{name(0)}) || !slices.Equal(r.Sent, []string{"r0"}) || !slices.Equal(r.Welcomed, []string{"r3"}) {
 		t.Fatalf("%+v, %v", r, err)
 	}
 	if gone.displaced != 1 || f.Listed("r0") || !f.Listed("r3") || f.Joined() != 2 {
--- a/internal/core/fleet/site.go
+++ b/internal/core/fleet/site.go
@@ -1,7 +1,7 @@
 package fleet
 
 import (
-	"snowquay/choice"
+	"snowquay/balancer"
 	"snowquay/internal/core/registry"
 )
 
@@ -28,7 +28,7 @@
 // Relay is what the settings say of a proxy.
 type Relay struct {
 	UID   string
-	Zone  choice.Zone
+	Zone  balancer.Zone
 	Usual float64 // queries a second
 }
 
@@ -42,20 +42,20 @@
 type Site struct {
 	Seed       uint64
 	Names      []string // of the classes, in the order of Classes
-	Classes    []choice.QueryClass
+	Classes    []balancer.QueryClass
 	Zones      []string
 	Relays     []Relay
-	Strangers  bool        // relays that are not listed may join
-	StrangerIn choice.Zone // the zone that they are held to be in
+	Strangers  bool          // relays that are not listed may join
+	StrangerIn balancer.Zone // the zone that they are held to be in
 	Servers    []registry.Place
-	Dataplane  choice.Dataplane
-	Channel    choice.Channel
-	Guarantees choice.Guarantees
-	Reporting  choice.Reporting
-	Repeats    []choice.Repeats // by class: how relays repeat, as their settings say
+	Dataplane  balancer.Dataplane
+	Channel    balancer.Channel
+	Guarantees balancer.Guarantees
+	Reporting  balancer.Reporting
+	Repeats    []balancer.Repeats // by class: how relays repeat, as their settings say
 	Limits     Limits
 	Prefix     string // of the UIDs of all relays that may join; empty: any
-	Pools      map[choice.Server]Pooled
+	Pools      map[balancer.Server]Pooled
 	Without    map[Guard]bool
 }
 
@@ -92,9 +92,9 @@
 // SafeRepeats is how a class may be repeated at most, whatever the settings wish. Guards against an effect that
 // happens twice: a repeat after any failure may follow a try that ran. It does harm to nobody but those who wait for a
 // repeat that is not safe.
-func SafeRepeats(q choice.QueryClass, wish choice.Repeats, without map[Guard]bool) choice.Repeats {
-	if q.Effect == choice.Free || without[GuardRepeats] {
+func SafeRepeats(q balancer.QueryClass, wish balancer.Repeats, without map[Guard]bool) balancer.Repeats {
+	if q.Effect == balancer.Free || without[GuardRepeats] {
 		return wish
 	}
-	return min(wish, choice.AfterProof)
+	return min(wish, balancer.AfterProof)
 }
--- a/internal/core/follow/follow.go
+++ b/internal/core/follow/follow.go
@@ -8,7 +8,7 @@
 	"fmt"
 	"math"
 
-	"snowquay/choice"
+	"snowquay/balancer"
 	"snowquay/internal/core/pick"
 	"snowquay/internal/wire/delta"
 	"snowquay/internal/wire/sasp"
@@ -32,10 +32,10 @@
 
 // Order for a class that is not of lines.
 type Order struct {
-	Class    choice.Class
+	Class    balancer.Class
 	Level    float64 // below 0: as before
 	ComeBack float64
-	Way      choice.Repeats
+	Way      balancer.Repeats
 	Ways     bool // Way is said
 }
 
@@ -47,7 +47,7 @@
 	version uint64
 	lead    uint64
 	at      float64 // when they were last known to be the newest
-	gone    map[choice.Server]float64
+	gone    map[balancer.Server]float64
 	Counts  Counts
 }
 
@@ -56,7 +56,7 @@
 
 // New makes empty tables for classes of these names; make gives each its way of picking.
 func New(names []string, make func(class int) pick.Table) *Tables {
-	t := &Tables{names: names, gone: map[choice.Server]float64{}}
+	t := &Tables{names: names, gone: map[balancer.Server]float64{}}
 	for i := range names {
 		t.by = append(t.by, make(i))
 	}
@@ -64,13 +64,13 @@
 }
 
 // Of is a class's table.
-func (t *Tables) Of(c choice.Class) pick.Table { return t.by[c] }
+func (t *Tables) Of(c balancer.Class) pick.Table { return t.by[c] }
 
 // Class by its name.
-func (t *Tables) Class(name string) (choice.Class, bool) {
+func (t *Tables) Class(name string) (balancer.Class, bool) {
 	for i, n := range t.names {
 		if n == name {
-			return choice.Class(i), true
+			return balancer.Class(i), true
 		}
 	}
 	return 0, false
@@ -89,7 +89,7 @@
 func (t *Tables) Fresh(now float64) { t.at = now }
 
 // Any tells whether a server has a line in any class.
-func (t *Tables) Any(s choice.Server) bool {
+func (t *Tables) Any(s balancer.Server) bool {
 	for _, x := range t.by {
 		if x.Weight(s) > 0 {
 			return true
@@ -100,7 +100,7 @@
 
 // Apply takes an answer of the long-poll API, whole or not at all. left are the servers that have no line any more in any
 // class: their kept connections are to be closed, and what is in progress there ends within the grace.
-func (t *Tables) Apply(now float64, a *delta.Tables) (orders []Order, left []choice.Server, err error) {
+func (t *Tables) Apply(now float64, a *delta.Tables) (orders []Order, left []balancer.Server, err error) {
 	switch {
 	case a.Stale(t.lead):
 		t.Counts.Old++
@@ -120,7 +120,7 @@
 			return nil, nil, fmt.Errorf("%w: %d lines in class %q", ErrClass, n, c.Class)
 		}
 	}
-	touched := map[choice.Server]bool{}
+	touched := map[balancer.Server]bool{}
 	for _, c := range a.Classes {
 		k, _ := t.Class(c.Class)
 		x := t.by[k]
@@ -131,14 +131,14 @@
 			var lines []pick.Line
 			for _, l := range c.Lines {
 				if l.Weight > 0 {
-					lines = append(lines, pick.Line{Server: choice.Server(l.Server), Weight: l.Weight})
+					lines = append(lines, pick.Line{Server: balancer.Server(l.Server), Weight: l.Weight})
 				}
 			}
 			pick.Replace(x, lines)
 		} else {
 			for _, l := range c.Lines {
-				touched[choice.Server(l.Server)] = true
-				x.Set(choice.Server(l.Server), l.Weight)
+				touched[balancer.Server(l.Server)] = true
+				x.Set(balancer.Server(l.Server), l.Weight)
 			}
 		}
 		o := Order{Class: k, Level: -1}
@@ -158,11 +158,11 @@
 	return orders, t.left(now, touched), nil
 }
 
-var ways = map[string]choice.Repeats{"none": choice.NoRepeat, "proof": choice.AfterProof, "failure": choice.AfterFailure,
-	"twice": choice.TwiceOnFailure}
+var ways = map[string]balancer.Repeats{"none": balancer.NoRepeat, "proof": balancer.AfterProof, "failure": balancer.AfterFailure,
+	"twice": balancer.TwiceOnFailure}
 
 // Rows takes a class's rows as SASP sends them: each row is a line, set or taken away.
-func (t *Tables) Rows(now float64, class string, rows []sasp.Row, name func(sasp.Address) choice.Server) ([]choice.Server, error) {
+func (t *Tables) Rows(now float64, class string, rows []sasp.Row, name func(sasp.Address) balancer.Server) ([]balancer.Server, error) {
 	k, ok := t.Class(class)
 	if !ok {
 		t.Counts.Wrong++
@@ -172,7 +172,7 @@
 		t.Counts.Wrong++
 		return nil, fmt.Errorf("%w: %d lines in class %q", ErrClass, len(rows), class)
 	}
-	touched := map[choice.Server]bool{}
+	touched := map[balancer.Server]bool{}
 	for _, r := range rows {
 		s, w := name(r.Address), float64(r.Weight)
 		if r.Flags&sasp.Quiesce != 0 {
@@ -186,7 +186,7 @@
 	return t.left(now, touched), nil
 }
 
-func (t *Tables) left(now float64, touched map[choice.Server]bool) (left []choice.Server) {
+func (t *Tables) left(now float64, touched map[balancer.Server]bool) (left []balancer.Server) {
 	for s := range touched {
 		if t.Any(s) {
 			delete(t.gone, s)
@@ -196,7 +196,7 @@
 		}
 	}
 	if len(t.gone) > mostLines { // servers that came and went; only those in progress matter, and they end within the grace
-		t.gone = map[choice.Server]float64{}
+		t.gone = map[balancer.Server]float64{}
 	}
 	return left
 }
--- a/internal/core/forward/forward.go
+++ b/internal/core/forward/forward.go
@@ -7,7 +7,7 @@
 	"maps"
 	"slices"
 
-	"snowquay/choice"
+	"snowquay/balancer"
 	"snowquay/internal/core/admit"
 	"snowquay/internal/core/avoid"
 	"snowquay/internal/core/follow"
@@ -25,7 +25,7 @@
 
 // Ask is what is known of a query when it comes.
 type Ask struct {
-	Class choice.Class
+	Class balancer.Class
 	Key   string // by which servers know a repeat; empty: none
 	Print uint64 // a hash of what is asked, to tell whether a key was used for something else
 }
@@ -45,7 +45,7 @@
 	Kind   Kind
 	Query  Query
 	Try    Try
-	Server choice.Server
+	Server balancer.Server
 	Why    error
 	Back   float64 // seconds after which the client may come again
 }
@@ -71,21 +71,21 @@
 
 // Setup of a proxy.
 type Setup struct {
-	Classes []choice.QueryClass
+	Classes []balancer.QueryClass
 	Names   []string
-	Ways    []choice.Repeats // by class, until a coordinator orders otherwise
-	Levels  choice.LevelKind
+	Ways    []balancer.Repeats // by class, until a coordinator orders otherwise
+	Levels  balancer.LevelKind
 	Limits  admit.Limits
 	Avoid   avoid.Terms
 	Budget  repeat.Budget
 	Hedge   float64 // seconds after which a query that is safe to repeat is tried once more beside the first try; 0: never
-	Places  map[choice.Server]repeat.Place
+	Places  map[balancer.Server]repeat.Place
 	Make    func(class int) pick.Table
 }
 
 type try struct {
 	number Try
-	server choice.Server
+	server balancer.Server
 	sent   float64
 }
 
@@ -120,7 +120,7 @@
 	Tables  *follow.Tables
 	Door    *admit.Door
 	Avoid   *avoid.List
-	ways    []choice.Repeats
+	ways    []balancer.Repeats
 	budgets []repeat.Budget
 	queries map[Query]*query
 	tries   map[Try]*query
@@ -130,7 +130,7 @@
 	looks   *wheel.Wheel[*query]
 	keys    map[string]*keyed
 	order   []string // keys, oldest first
-	served  map[choice.Server]*measure.Totals
+	served  map[balancer.Server]*measure.Totals
 	demand  []measure.Totals
 	orders  []Order
 	Counts  Counts
@@ -139,9 +139,9 @@
 // New makes a proxy without a table.
 func New(now float64, s Setup) *Proxy {
 	p := &Proxy{setup: s, Tables: follow.New(s.Names, s.Make), Door: admit.New(s.Levels, len(s.Names), s.Limits),
-		Avoid: avoid.New(s.Avoid), ways: append([]choice.Repeats(nil), s.Ways...), queries: map[Query]*query{}, tries: map[Try]*query{},
+		Avoid: avoid.New(s.Avoid), ways: append([]balancer.Repeats(nil), s.Ways...), queries: map[Query]*query{}, tries: map[Try]*query{},
 		wheel: wheel.New[*query](now, tick), looks: wheel.New[*query](now, tick), keys: map[string]*keyed{},
-		served: map[choice.Server]*measure.Totals{}, demand: make([]measure.Totals, len(s.Names))}
+		served: map[balancer.Server]*measure.Totals{}, demand: make([]measure.Totals, len(s.Names))}
 	for range s.Names {
 		p.budgets = append(p.budgets, s.Budget)
 	}
@@ -162,9 +162,9 @@
 
 // safe is how a class is repeated at most, whatever was ordered: a proxy that knows its classes does not follow an order that
 // could make an effect happen twice.
-func safe(q choice.QueryClass, wish choice.Repeats) choice.Repeats {
-	if q.Effect == choice.SingleShot {
-		return min(wish, choice.AfterProof)
+func safe(q balancer.QueryClass, wish balancer.Repeats) balancer.Repeats {
+	if q.Effect == balancer.SingleShot {
+		return min(wish, balancer.AfterProof)
 	}
 	return wish
 }
@@ -212,8 +212,8 @@
 }
 
 // key looks whether a key is known: for the same query, whose client repeats it, or for another one, which is refused.
-func (p *Proxy) key(now float64, a Ask, class choice.QueryClass) (*keyed, error) {
-	if a.Key == "" || class.Effect == choice.Free {
+func (p *Proxy) key(now float64, a Ask, class balancer.QueryClass) (*keyed, error) {
+	if a.Key == "" || class.Effect == balancer.Free {
 		return nil, nil
 	}
 	k := p.keys[a.Key]
@@ -235,7 +235,7 @@
 	return k, nil
 }
 
-func (p *Proxy) place(s choice.Server) repeat.Place {
+func (p *Proxy) place(s balancer.Server) repeat.Place {
 	if at, ok := p.setup.Places[s]; ok {
 		return at
 	}
@@ -246,8 +246,8 @@
 // left do; so are those that the query has been at, unless it is safe there.
 func (p *Proxy) send(now float64, q *query) bool {
 	t := p.Tables.Of(q.ask.Class)
-	may := func(avoid, again bool) func(choice.Server) bool {
-		return func(s choice.Server) bool {
+	may := func(avoid, again bool) func(balancer.Server) bool {
+		return func(s balancer.Server) bool {
 			return p.Door.Room(s) && (avoid || !p.Avoid.Avoids(now, s)) && (again || !q.repeat.Tried(s)) && q.repeat.At(p.place(s))
 		}
 	}
@@ -279,7 +279,7 @@
 	return true
 }
 
-func (p *Proxy) met(s choice.Server) *measure.Totals {
+func (p *Proxy) met(s balancer.Server) *measure.Totals {
 	m := p.served[s]
 	if m == nil {
 		if len(p.served) >= mostSeen {
@@ -352,7 +352,7 @@
 
 // remember notes under a query's key where it may have run, for its client's own repeats.
 func (p *Proxy) remember(q *query, x *try) {
-	if k := p.keys[q.ask.Key]; k != nil && q.ask.Key != "" && !k.ran && q.repeat.Class.Effect != choice.Free {
+	if k := p.keys[q.ask.Key]; k != nil && q.ask.Key != "" && !k.ran && q.repeat.Class.Effect != balancer.Free {
 		k.ran, k.first, k.at = true, p.place(x.server), x.sent
 	}
 }
@@ -428,7 +428,7 @@
 
 // hedges tells whether a query is to be tried beside its first try, once that has taken long.
 func (p *Proxy) hedges(q *query) bool {
-	return p.setup.Hedge > hedgeMin && !q.hedged && q.repeat.Class.Effect == choice.Free
+	return p.setup.Hedge > hedgeMin && !q.hedged && q.repeat.Class.Effect == balancer.Free
 }
 
 // slow looks at a query whose newest try has taken long: longer than a hedge waits, or than its goal time. In the second case
@@ -453,7 +453,7 @@
 }
 
 // Retire forgets servers that have no line any more, where nothing is under way.
-func (p *Proxy) Retire(servers []choice.Server) {
+func (p *Proxy) Retire(servers []balancer.Server) {
 	for _, s := range servers {
 		p.Avoid.Forget(s)
 	}
@@ -472,11 +472,11 @@
 func (p *Proxy) Under() int { return len(p.queries) }
 
 // Reports are the totals since the start, by server and by class, for measurements.
-func (p *Proxy) Reports(server func(choice.Server, measure.Totals), class func(choice.Class, measure.Totals)) {
+func (p *Proxy) Reports(server func(balancer.Server, measure.Totals), class func(balancer.Class, measure.Totals)) {
 	for _, s := range slices.Sorted(maps.Keys(p.served)) {
 		server(s, *p.served[s])
 	}
 	for c, t := range p.demand {
-		class(choice.Class(c), t)
+		class(balancer.Class(c), t)
 	}
 }
--- a/internal/core/forward/forward_test.go
+++ b/internal/core/forward/forward_test.go
@@ -8,7 +8,7 @@
 
 	"pgregory.net/rapid"
 
-	"snowquay/choice"
+	"snowquay/balancer"
 	"snowquay/internal/core/admit"
 	"snowquay/internal/core/avoid"
 	"snowquay/internal/core/measure"
@@ -21,23 +21,23 @@
 func TestMain(m *testing.M) { seeded.Main(m) }
 
 const (
-	free = choice.Class(iota)
+	free = balancer.Class(iota)
 	guarded
 	single
 )
 
-func server(i int) choice.Server { return choice.Server(fmt.Sprintf("10.0.0.%d:80", i)) }
+func server(i int) balancer.Server { return balancer.Server(fmt.Sprintf("10.0.0.%d:80", i)) }
 
 func setup(servers int) Setup {
-	s := Setup{Names: []string{"free", "guarded", "single"}, Ways: []choice.Repeats{choice.AfterFailure, choice.AfterFailure, choice.AfterFailure},
-		Classes: []choice.QueryClass{{GoalTime: 1, ClientTimeout: 5}, {GoalTime: 1, ClientTimeout: 5, Effect: choice.Guarded,
-			Group: choice.SamePod, Window: 4}, {GoalTime: 1, ClientTimeout: 5, Effect: choice.SingleShot}},
+	s := Setup{Names: []string{"free", "guarded", "single"}, Ways: []balancer.Repeats{balancer.AfterFailure, balancer.AfterFailure, balancer.AfterFailure},
+		Classes: []balancer.QueryClass{{GoalTime: 1, ClientTimeout: 5}, {GoalTime: 1, ClientTimeout: 5, Effect: balancer.Guarded,
+			Group: balancer.SamePod, Window: 4}, {GoalTime: 1, ClientTimeout: 5, Effect: balancer.SingleShot}},
 		Limits: admit.Limits{Queries: 100, ByServer: 20}, Avoid: avoid.Terms{After: 3, For: 4, Most: 30},
-		Budget: repeat.Budget{Part: 0.2, Burst: 10}, Places: map[choice.Server]repeat.Place{},
+		Budget: repeat.Budget{Part: 0.2, Burst: 10}, Places: map[balancer.Server]repeat.Place{},
 		Make: func(c int) pick.Table { return pick.NewEven(uint64(c)) }}
-	s.Levels = choice.LevelFraction
+	s.Levels = balancer.LevelFraction
 	for i := range servers {
-		s.Places[server(i)] = repeat.Place{Server: server(i), Zone: choice.Zone(i % 2), Pod: choice.Pod(i / 2)}
+		s.Places[server(i)] = repeat.Place{Server: server(i), Zone: balancer.Zone(i % 2), Pod: balancer.Pod(i / 2)}
 	}
 	return s
 }
@@ -252,7 +252,7 @@
 // A server that fails is avoided for a while, never the last one, even if all of them fail.
 func TestFailingServersAreAvoided(t *testing.T) {
 	p := open(t, 3, nil)
-	hits := map[choice.Server]int{}
+	hits := map[balancer.Server]int{}
 	for i := range 300 {
 		now := 1000 + float64(i)*0.01
 		_, o := p.Ask(now, Ask{Class: single})
@@ -272,7 +272,7 @@
 		p.Failed(now, only(t, o, Send).Try, repeat.MayHaveRun)
 	}
 	reported := 0.0
-	p.Reports(func(_ choice.Server, m measure.Totals) { reported += m.Lost }, func(choice.Class, measure.Totals) {})
+	p.Reports(func(_ balancer.Server, m measure.Totals) { reported += m.Lost }, func(balancer.Class, measure.Totals) {})
 	if reported < 100 {
 		t.Errorf("%v failures are reported", reported)
 	}
@@ -328,12 +328,12 @@
 		now, version := 1000.0, uint64(1)
 		type flying struct {
 			q     Query
-			class choice.Class
-			at    choice.Server
+			class balancer.Class
+			at    balancer.Server
 			sent  float64
 		}
 		tries, ends, ran := map[Try]flying{}, map[Query]int{}, map[Query][]flying{}
-		class, has := map[Query]choice.Class{}, map[choice.Server]bool{}
+		class, has := map[Query]balancer.Class{}, map[balancer.Server]bool{}
 		for i := range 6 {
 			has[server(i)] = true
 		}
@@ -370,7 +370,7 @@
 			f := tries[any]
 			switch rapid.IntRange(0, 7).Draw(r, "event") {
 			case 0, 1, 2:
-				c := choice.Class(rapid.IntRange(0, 2).Draw(r, "class"))
+				c := balancer.Class(rapid.IntRange(0, 2).Draw(r, "class"))
 				class[p.nextQ+1] = c
 				key := ""
 				if c == guarded {
@@ -432,7 +432,7 @@
 }
 
 func TestRates(t *testing.T) {
-	d := admit.New(choice.LevelRate, 1, admit.UsualLimits)
+	d := admit.New(balancer.LevelRate, 1, admit.UsualLimits)
 	d.Level(1000, 0, 50, 1)
 	in := 0
 	for i := range 1000 { // 100 a second
--- a/internal/core/guard/guard.go
+++ b/internal/core/guard/guard.go
@@ -14,33 +14,33 @@
 	"math"
 	"slices"
 
-	"snowquay/choice"
+	"snowquay/balancer"
 )
 
 // Server as the guard sees it.
 type Server struct {
-	Zone     choice.Zone
+	Zone     balancer.Zone
 	Pool     string // whose stated capacity it adds to; empty: none
-	Phase    choice.Phase
+	Phase    balancer.Phase
 	Cold     bool
 	Capacity float64 // queries a second when it is warm; 0: none is stated
 }
 
 // Table is what proxies pick by for one class: weights above 0. Proxies that share one share the pointer: it is looked at
 // once.
-type Table struct{ Lines map[choice.Server]float64 }
+type Table struct{ Lines map[balancer.Server]float64 }
 
 // Proxy is one proxy's class.
 type Proxy struct {
 	UID    string
-	Class  choice.Class
+	Class  balancer.Class
 	Demand float64  // queries a second
 	States []*Table // it may hold any of these: what is proposed, what it was known to hold, what is on its way
 }
 
 // Site is all that is looked at together.
 type Site struct {
-	Servers   map[choice.Server]Server
+	Servers   map[balancer.Server]Server
 	Proxies   []Proxy
 	ColdShare float64 // of its capacity, that a cold server can take
 	LoseZone  bool    // each zone is to be missing once
@@ -61,12 +61,12 @@
 type Reason struct {
 	Harm   Harm
 	UID    string // of Bare, Drained and Unknown
-	Class  choice.Class
-	Server choice.Server // of Drained and Unknown
-	Pool   string        // of Loaded
-	Lost   choice.Zone   // the zone that is lost; -1: none
-	Load   float64       // of Loaded: queries a second at worst
-	Room   float64       // and what it can take
+	Class  balancer.Class
+	Server balancer.Server // of Drained and Unknown
+	Pool   string          // of Loaded
+	Lost   balancer.Zone   // the zone that is lost; -1: none
+	Load   float64         // of Loaded: queries a second at worst
+	Room   float64         // and what it can take
 }
 
 func (r Reason) String() string {
@@ -89,7 +89,7 @@
 func (r Reason) order() int { return int(r.Harm) }
 
 // NoZone is lost.
-const NoZone = choice.Zone(-1)
+const NoZone = balancer.Zone(-1)
 
 // Check is why the first states of all proxies, which are those that are proposed, must not be published; none if they may.
 // Reasons are in an order that is the same in every run, the worst first.
@@ -118,7 +118,7 @@
 		switch {
 		case !known || !(w > 0) || math.IsInf(w, 0):
 			reasons = append(reasons, Reason{Harm: Unknown, UID: p.UID, Class: p.Class, Server: name, Lost: NoZone})
-		case v.Phase != choice.InService:
+		case v.Phase != balancer.InService:
 			reasons = append(reasons, Reason{Harm: Drained, UID: p.UID, Class: p.Class, Server: name, Lost: NoZone})
 		}
 	}
@@ -127,9 +127,9 @@
 
 // worlds looks at the site as it is, and with each zone lost.
 func (s *Site) worlds() (reasons []Reason) {
-	lost := []choice.Zone{NoZone}
+	lost := []balancer.Zone{NoZone}
 	if s.LoseZone {
-		zones := map[choice.Zone]bool{}
+		zones := map[balancer.Zone]bool{}
 		for _, v := range s.Servers {
 			zones[v.Zone] = true
 		}
@@ -146,7 +146,7 @@
 // world is the site with one zone lost, or none.
 type world struct {
 	site *Site
-	lost choice.Zone
+	lost balancer.Zone
 	seen map[*Table]*view
 }
 
@@ -157,9 +157,9 @@
 }
 
 // open tells whether a server may take a query at all: proxies leave alone what does not answer, and go on to others.
-func (w *world) open(name choice.Server) (Server, bool) {
+func (w *world) open(name balancer.Server) (Server, bool) {
 	v, ok := w.site.Servers[name]
-	return v, ok && v.Phase != choice.Gone && v.Zone != w.lost
+	return v, ok && v.Phase != balancer.Gone && v.Zone != w.lost
 }
 
 // view of a table, worked out once.
@@ -175,7 +175,7 @@
 	for _, name := range names {
 		if v, ok := w.open(name); ok {
 			sum += t.Lines[name]
-			x.well = x.well || v.Phase == choice.InService && !v.Cold && t.Lines[name] > 0
+			x.well = x.well || v.Phase == balancer.InService && !v.Cold && t.Lines[name] > 0
 		}
 	}
 	for _, name := range names {
--- a/internal/core/guard/guard_test.go
+++ b/internal/core/guard/guard_test.go
@@ -9,7 +9,7 @@
 
 	"pgregory.net/rapid"
 
-	"snowquay/choice"
+	"snowquay/balancer"
 	"snowquay/internal/seeded"
 )
 
@@ -21,7 +21,7 @@
 	seeded.Main(m)
 }
 
-func name(i int) choice.Server { return choice.Server(fmt.Sprint("s", i)) }
+func name(i int) balancer.Server { return balancer.Server(fmt.Sprint("s", i)) }
 
 // brute judges a site by playing through every combination of proxies' states, in every world.
 func brute(s *Site) (harms map[Harm]bool) {
@@ -30,7 +30,7 @@
 		for n, w := range p.States[0].Lines {
 			if v, ok := s.Servers[n]; !ok || w <= 0 {
 				harms[Unknown] = true
-			} else if v.Phase != choice.InService {
+			} else if v.Phase != balancer.InService {
 				harms[Drained] = true
 			}
 		}
@@ -38,7 +38,7 @@
 	if len(harms) > 0 {
 		return harms
 	}
-	worlds := []choice.Zone{-1}
+	worlds := []balancer.Zone{-1}
 	if s.LoseZone {
 		worlds = append(worlds, 0, 1, 2)
 	}
@@ -54,7 +54,7 @@
 				if v.Cold {
 					c *= s.ColdShare
 				}
-				if v.Phase == choice.Gone || v.Zone == lost {
+				if v.Phase == balancer.Gone || v.Zone == lost {
 					c = 0
 				}
 				room[v.Pool] += c
@@ -62,16 +62,16 @@
 			for i, p := range s.Proxies {
 				t, sum, well := p.States[picks[i]], 0.0, false
 				for n, w := range t.Lines {
-					if v, ok := s.Servers[n]; ok && v.Phase != choice.Gone && v.Zone != lost {
+					if v, ok := s.Servers[n]; ok && v.Phase != balancer.Gone && v.Zone != lost {
 						sum += w
-						well = well || v.Phase == choice.InService && !v.Cold
+						well = well || v.Phase == balancer.InService && !v.Cold
 					}
 				}
 				if !well {
 					harms[Bare] = true
 				}
 				for n, w := range t.Lines {
-					if v, ok := s.Servers[n]; ok && v.Phase != choice.Gone && v.Zone != lost {
+					if v, ok := s.Servers[n]; ok && v.Phase != balancer.Gone && v.Zone != lost {
 						load[v.Pool] += p.Demand * w / sum
 					}
 				}
@@ -96,7 +96,7 @@
 	}
 }
 
-func values(m map[choice.Server]Server) func(func(Server) bool) {
+func values(m map[balancer.Server]Server) func(func(Server) bool) {
 	return func(yield func(Server) bool) {
 		for _, v := range m {
 			if !yield(v) {
@@ -112,22 +112,22 @@
 	counts := map[Harm]int{}
 	harmless := 0
 	rapid.Check(t, func(r *rapid.T) {
-		s := &Site{Servers: map[choice.Server]Server{}, ColdShare: 0.25, LoseZone: rapid.Bool().Draw(r, "lose")}
+		s := &Site{Servers: map[balancer.Server]Server{}, ColdShare: 0.25, LoseZone: rapid.Bool().Draw(r, "lose")}
 		n := rapid.IntRange(2, 6).Draw(r, "servers")
 		for i := range n {
-			s.Servers[name(i)] = Server{Zone: choice.Zone(i % 3), Pool: []string{"a", "b", ""}[rapid.IntRange(0, 2).Draw(r, "pool")],
-				Phase: []choice.Phase{choice.InService, choice.InService, choice.InService, choice.InService, choice.Terminating, choice.Gone}[rapid.IntRange(0, 5).Draw(r, "phase")],
+			s.Servers[name(i)] = Server{Zone: balancer.Zone(i % 3), Pool: []string{"a", "b", ""}[rapid.IntRange(0, 2).Draw(r, "pool")],
+				Phase: []balancer.Phase{balancer.InService, balancer.InService, balancer.InService, balancer.InService, balancer.Terminating, balancer.Gone}[rapid.IntRange(0, 5).Draw(r, "phase")],
 				Cold:  rapid.IntRange(0, 4).Draw(r, "cold") == 0, Capacity: float64(rapid.IntRange(0, 200).Draw(r, "capacity"))}
 		}
 		for i := range rapid.IntRange(1, 4).Draw(r, "proxies") {
 			p := Proxy{UID: fmt.Sprint("p", i), Demand: float64(rapid.IntRange(0, 20).Draw(r, "demand"))}
 			for k := range rapid.IntRange(1, 3).Draw(r, "states") {
-				table := &Table{map[choice.Server]float64{}}
+				table := &Table{map[balancer.Server]float64{}}
 				for v := range n + 1 {
 					if v == n && rapid.IntRange(0, 40).Draw(r, "unknown") > 0 {
 						continue
 					}
-					ok := s.Servers[name(v)].Phase == choice.InService || k > 0 || rapid.IntRange(0, 9).Draw(r, "wrong") == 0
+					ok := s.Servers[name(v)].Phase == balancer.InService || k > 0 || rapid.IntRange(0, 9).Draw(r, "wrong") == 0
 					if w := rapid.IntRange(-1, 5).Draw(r, "weight"); w > 0 && ok {
 						table.Lines[name(v)] = float64(w)
 					}
@@ -163,9 +163,9 @@
 
 // A preview of what a change would do: the reasons name what is wrong, the worst first.
 func TestReasons(t *testing.T) {
-	s := &Site{Servers: map[choice.Server]Server{"a": {Zone: 0, Pool: "x", Capacity: 10}, "b": {Zone: 1, Pool: "x", Capacity: 10},
+	s := &Site{Servers: map[balancer.Server]Server{"a": {Zone: 0, Pool: "x", Capacity: 10}, "b": {Zone: 1, Pool: "x", Capacity: 10},
 		"c": {Zone: 1, Pool: "y", Capacity: 5, Cold: true}}, ColdShare: 0.2}
-	s.Proxies = []Proxy{{UID: "p", Demand: 12, States: []*Table{{map[choice.Server]float64{"a": 1, "b": 1}}, {map[choice.Server]float64{"a": 1, "c": 1}}}}}
+	s.Proxies = []Proxy{{UID: "p", Demand: 12, States: []*Table{{map[balancer.Server]float64{"a": 1, "b": 1}}, {map[balancer.Server]float64{"a": 1, "c": 1}}}}}
 	r := s.Check() // while it holds its old table it sends six a second to a cold server that can take one
 	if len(r) != 1 || r[0].Harm != Loaded || r[0].Pool != "y" || r[0].Load != 6 || r[0].Room != 1 {
 		t.Fatalf("%v", r)
@@ -178,7 +178,7 @@
 	if r := s.Check(); len(r) != 2 || r[0].Harm != Loaded || r[0].Lost != 0 || r[1].Lost != 1 {
 		t.Fatalf("%v", r)
 	}
-	s.Servers["a"] = Server{Zone: 0, Pool: "x", Capacity: 10, Phase: choice.Terminating}
+	s.Servers["a"] = Server{Zone: 0, Pool: "x", Capacity: 10, Phase: balancer.Terminating}
 	if r := s.Check(); len(r) != 1 || r[0].Harm != Drained || !strings.Contains(r[0].String(), "takes none") {
 		t.Fatalf("%v", r)
 	}
@@ -187,10 +187,10 @@
 func BenchmarkCheck(b *testing.B) {
 	for _, n := range []int{10, 100, 460} {
 		b.Run(fmt.Sprint(n, "-proxies-300-servers"), func(b *testing.B) {
-			s := &Site{Servers: map[choice.Server]Server{}, ColdShare: 0.2, LoseZone: true}
-			table := &Table{map[choice.Server]float64{}}
+			s := &Site{Servers: map[balancer.Server]Server{}, ColdShare: 0.2, LoseZone: true}
+			table := &Table{map[balancer.Server]float64{}}
 			for i := range 300 {
-				s.Servers[name(i)] = Server{Zone: choice.Zone(i % 3), Pool: fmt.Sprint(i % 5), Capacity: 100}
+				s.Servers[name(i)] = Server{Zone: balancer.Zone(i % 3), Pool: fmt.Sprint(i % 5), Capacity: 100}
 				table.Lines[name(i)] = 1
 			}
 			for i := range n {
--- a/internal/core/longpoll/longpoll.go
+++ b/internal/core/longpoll/longpoll.go
@@ -12,7 +12,7 @@
 	"iter"
 	"slices"
 
-	"snowquay/choice"
+	"snowquay/balancer"
 	"snowquay/internal/core/fleet"
 	"snowquay/internal/core/tables"
 	"snowquay/internal/core/wheel"
@@ -32,19 +32,19 @@
 
 // Line of a class in an answer. A weight of 0 takes the line away.
 type Line struct {
-	Server choice.Server
+	Server balancer.Server
 	Weight float64
 	Drains bool // it has no line because it drains
 }
 
 // Class is what an answer says of one query class.
 type Class struct {
-	Class    choice.Class
+	Class    balancer.Class
 	Full     bool // these are all lines: what the proxy holds besides is to be dropped
 	Lines    []Line
 	Leveled  bool // level and again are said
 	Level    float64
-	Again    choice.Repeats
+	Again    balancer.Repeats
 	ComeBack float64 // seconds after which a client that was refused may come again
 }
 
@@ -120,7 +120,7 @@
 type sentState struct {
 	version uint64
 	of      []tables.Version // by class
-	bound   []choice.Table
+	bound   []balancer.Table
 }
 
 type client struct {
@@ -153,7 +153,7 @@
 	epoch    uint64
 	version  uint64 // newest that was given to any proxy
 	clients  map[string]*client
-	byProxy  map[choice.Proxy]*client
+	byProxy  map[balancer.Proxy]*client
 	byWaiter map[Waiter]*client
 	wheel    *wheel.Wheel[*client]
 	underWay int
@@ -169,7 +169,7 @@
 // New makes a counter for a life that began at a clock time. epoch must differ from those of former lives and not be 0.
 func New(now float64, epoch uint64, f *fleet.Fleet, out Out, limits Limits) *Counter {
 	return &Counter{fleet: f, out: out, limits: limits, epoch: epoch, clients: map[string]*client{},
-		byProxy: map[choice.Proxy]*client{}, byWaiter: map[Waiter]*client{}, wheel: wheel.New[*client](now, tick),
+		byProxy: map[balancer.Proxy]*client{}, byWaiter: map[Waiter]*client{}, wheel: wheel.New[*client](now, tick),
 		joins: limits.Burst, joinsAt: now, chance: f.Site().Seed*2 + 1, trusting: f.Site().Without[fleet.GuardVersions]}
 }
 
@@ -290,7 +290,7 @@
 }
 
 // hold says to the fleet what the proxy holds of the tables that it is bound to.
-func (c *Counter) hold(now float64, x *client, of []tables.Version, bound []choice.Table) {
+func (c *Counter) hold(now float64, x *client, of []tables.Version, bound []balancer.Table) {
 	versions := make([]tables.Version, len(x.proxy.Holds))
 	for i := range of {
 		if h := &x.proxy.Holds[i]; h.Bound && bound[i] == h.Table {
@@ -391,7 +391,7 @@
 	a.From = 0
 	a.Classes = a.Classes[:0]
 	for i := range x.proxy.Holds {
-		class := choice.Class(i)
+		class := balancer.Class(i)
 		changed, full, ok := c.fleet.Delta(x.proxy, class)
 		if !ok {
 			continue
@@ -409,7 +409,7 @@
 				continue
 			}
 			phase, _ := c.fleet.Roll.Phase(l.Server)
-			said.Lines = append(said.Lines, Line{l.Server, l.Weight, l.Weight == 0 && phase == choice.Terminating})
+			said.Lines = append(said.Lines, Line{l.Server, l.Weight, l.Weight == 0 && phase == balancer.Terminating})
 		}
 		// Lines that bring queries come before those that take them away, for whoever applies them one by one.
 		slices.SortStableFunc(said.Lines, func(a, b Line) int { return sign(b.Weight) - sign(a.Weight) })
--- a/internal/core/longpoll/longpoll_test.go
+++ b/internal/core/longpoll/longpoll_test.go
@@ -9,7 +9,7 @@
 	"github.com/anishathalye/porcupine"
 	"pgregory.net/rapid"
 
-	"snowquay/choice"
+	"snowquay/balancer"
 	"snowquay/internal/core/fleet"
 	"snowquay/internal/core/registry"
 	"snowquay/internal/seeded"
@@ -38,7 +38,7 @@
 type holding struct {
 	epoch, version uint64
 	lines          map[string]float64 // class and server
-	levels         map[choice.Class]float64
+	levels         map[balancer.Class]float64
 	waits          bool
 	answers, full  int
 	latest         *Answer
@@ -100,13 +100,13 @@
 
 func site(proxies int, without ...fleet.Guard) fleet.Site {
 	x := fleet.Site{Seed: 3, Names: []string{"search", "introduce"}, Zones: []string{"a"}, Strangers: true,
-		Classes: []choice.QueryClass{{Benefit: 1, GoalTime: 1, ClientTimeout: 3},
-			{Benefit: 3, GoalTime: 1, ClientTimeout: 3, Effect: choice.SingleShot}},
-		Dataplane: choice.Dataplane{Proxies: proxies, Coordinators: 1, UsualRepeats: choice.AfterProof,
-			Levels: choice.LevelFraction},
-		Channel: choice.Channel{LinesPerSecond: 2000, MessageLines: 3, MostWaiting: 4000, MeanWay: 0.01, LongestWay: 0.2},
-		Guarantees: choice.Guarantees{DrainWithin: 3, BareWithin: 2, ColdShare: 0.2, ColdFor: 10, FallMultiple: 3,
-			FallWithin: 2}, Reporting: choice.Reporting{Period: 0.5}, Limits: fleet.UsualLimits,
+		Classes: []balancer.QueryClass{{Benefit: 1, GoalTime: 1, ClientTimeout: 3},
+			{Benefit: 3, GoalTime: 1, ClientTimeout: 3, Effect: balancer.SingleShot}},
+		Dataplane: balancer.Dataplane{Proxies: proxies, Coordinators: 1, UsualRepeats: balancer.AfterProof,
+			Levels: balancer.LevelFraction},
+		Channel: balancer.Channel{LinesPerSecond: 2000, MessageLines: 3, MostWaiting: 4000, MeanWay: 0.01, LongestWay: 0.2},
+		Guarantees: balancer.Guarantees{DrainWithin: 3, BareWithin: 2, ColdShare: 0.2, ColdFor: 10, FallMultiple: 3,
+			FallWithin: 2}, Reporting: balancer.Reporting{Period: 0.5}, Limits: fleet.UsualLimits,
 		Without: map[fleet.Guard]bool{}}
 	for _, g := range without {
 		x.Without[g] = true
@@ -117,7 +117,7 @@
 	return x
 }
 
-func server(i int) choice.Server { return choice.Server(fmt.Sprintf("10.0.0.%d:80", i)) }
+func server(i int) balancer.Server { return balancer.Server(fmt.Sprintf("10.0.0.%d:80", i)) }
 
 func open(t testing.TB, x fleet.Site, limits Limits) *shop {
 	s := &shop{t: t, now: 1000, of: map[Waiter]string{}, by: map[Waiter]*holding{}, holds: map[string]*holding{}, refused: map[string][]Refusal{},
@@ -141,7 +141,7 @@
 
 func (s *shop) hold(uid string) *holding {
 	if s.holds[uid] == nil {
-		s.holds[uid] = &holding{lines: map[string]float64{}, levels: map[choice.Class]float64{}}
+		s.holds[uid] = &holding{lines: map[string]float64{}, levels: map[balancer.Class]float64{}}
 	}
 	return s.holds[uid]
 }
@@ -178,7 +178,7 @@
 func (s *shop) check(uid string) string {
 	h, p := s.holds[uid], s.fleet.Relay(uid)
 	n := 0
-	for c := range choice.Class(2) {
+	for c := range balancer.Class(2) {
 		for i := range 6 {
 			want := s.fleet.Weight(p, c, server(i))
 			if got := h.lines[fmt.Sprint(c, " ", server(i))]; got != want {
--- a/internal/core/measure/measure.go
+++ b/internal/core/measure/measure.go
@@ -8,7 +8,7 @@
 	"math"
 	"slices"
 
-	"snowquay/choice"
+	"snowquay/balancer"
 )
 
 const (
@@ -25,9 +25,9 @@
 }
 
 type key struct {
-	proxy  choice.Proxy
-	server choice.Server // empty: of a class
-	class  choice.Class
+	proxy  balancer.Proxy
+	server balancer.Server // empty: of a class
+	class  balancer.Class
 }
 
 type series struct {
@@ -53,8 +53,8 @@
 }
 
 type sumKey struct {
-	server choice.Server
-	zone   choice.Zone
+	server balancer.Server
+	zone   balancer.Zone
 }
 
 type sum struct {
@@ -70,7 +70,7 @@
 
 // Traffic takes a relay's totals at a server; at is the relay's clock when it counted, in seconds. It returns how many
 // tries are new, and since when by that clock.
-func (b *Book) Traffic(now, at float64, p choice.Proxy, zone choice.Zone, s choice.Server, t Totals) (tries,
+func (b *Book) Traffic(now, at float64, p balancer.Proxy, zone balancer.Zone, s balancer.Server, t Totals) (tries,
 	since float64) {
 	d, covers, ok := b.since(now, at, key{proxy: p, server: s}, t)
 	if ok && d.Tries > 0 {
@@ -84,7 +84,7 @@
 }
 
 // Demand takes a relay's totals of a class.
-func (b *Book) Demand(now, at float64, p choice.Proxy, c choice.Class, t Totals) {
+func (b *Book) Demand(now, at float64, p balancer.Proxy, c balancer.Class, t Totals) {
 	k := key{proxy: p, class: c}
 	if d, covers, ok := b.since(now, at, k, t); ok {
 		if b.demand[k] == nil {
@@ -151,7 +151,7 @@
 }
 
 // Leave forgets a proxy's series: its number may go to another.
-func (b *Book) Leave(p choice.Proxy) {
+func (b *Book) Leave(p balancer.Proxy) {
 	for k := range b.series {
 		if k.proxy == p {
 			delete(b.series, k)
@@ -171,9 +171,9 @@
 
 // Close hands out all that has come in since the last time, in a fixed order. The interval of a sum is the mean of
 // what its parts cover, by their tries: relays that lost a report cover more than the others.
-func (b *Book) Close() (traffic []choice.Traffic, demand []choice.Demand) {
+func (b *Book) Close() (traffic []balancer.Traffic, demand []balancer.Demand) {
 	for k, s := range b.traffic {
-		t := choice.Traffic{Server: k.server, Zone: k.zone, Tries: s.Tries, Lost: s.Lost,
+		t := balancer.Traffic{Server: k.server, Zone: k.zone, Tries: s.Tries, Lost: s.Lost,
 			Interval: s.weighted / max(s.Tries, 1e-9)}
 		if good := s.Tries - s.Lost; good > 0 {
 			t.Latency = s.Seconds / good
@@ -182,14 +182,14 @@
 		delete(b.traffic, k)
 	}
 	for k, s := range b.demand {
-		demand = append(demand, choice.Demand{Proxy: k.proxy, Class: k.class, Queries: s.Tries, Lost: s.Lost,
+		demand = append(demand, balancer.Demand{Proxy: k.proxy, Class: k.class, Queries: s.Tries, Lost: s.Lost,
 			Interval: s.covers})
 		delete(b.demand, k)
 	}
-	slices.SortFunc(traffic, func(a, b choice.Traffic) int {
+	slices.SortFunc(traffic, func(a, b balancer.Traffic) int {
 		return cmp.Or(cmp.Compare(a.Server, b.Server), cmp.Compare(a.Zone, b.Zone))
 	})
-	slices.SortFunc(demand, func(a, b choice.Demand) int {
+	slices.SortFunc(demand, func(a, b balancer.Demand) int {
 		return cmp.Or(cmp.Compare(a.Proxy, b.Proxy), cmp.Compare(a.Class, b.Class))
 	})
 	return traffic, demand
--- a/internal/core/measure/measure_test.go
+++ b/internal/core/measure/measure_test.go
@@ -4,7 +4,7 @@
 	"math"
 	"testing"
 
-	"snowquay/choice"
+	"snowquay/balancer"
 )
 
 func TestOnlyDifferencesInOrderCount(t *testing.T) {
@@ -18,7 +18,7 @@
 	report(100.7, 50.2, 1005, 11, 302) // overtaken
 	report(101.5, 51.5, 1030, 12, 310) // one in between was lost
 	traffic, _ := b.Close()
-	want := choice.Traffic{Server: "a", Zone: 2, Tries: 30, Lost: 2, Latency: 10.0 / 28, Interval: (10*0.5 + 20*1) / 30}
+	want := balancer.Traffic{Server: "a", Zone: 2, Tries: 30, Lost: 2, Latency: 10.0 / 28, Interval: (10*0.5 + 20*1) / 30}
 	if len(traffic) != 1 || traffic[0].Tries != want.Tries || traffic[0].Lost != want.Lost ||
 		math.Abs(traffic[0].Latency-want.Latency) > 1e-9 || math.Abs(traffic[0].Interval-want.Interval) > 1e-9 {
 		t.Errorf("%+v, want %+v", traffic, want)
@@ -45,7 +45,7 @@
 
 func TestSeriesAreBounded(t *testing.T) {
 	b := New(3)
-	for p := range choice.Proxy(5) {
+	for p := range balancer.Proxy(5) {
 		b.Demand(100, 100, p, 0, Totals{Tries: 1})
 	}
 	if b.Len() != 3 || b.Rejected.Full != 2 {
--- a/internal/core/pick/pick.go
+++ b/internal/core/pick/pick.go
@@ -7,28 +7,28 @@
 	"math"
 	"slices"
 
-	"snowquay/choice"
+	"snowquay/balancer"
 )
 
 // Line of a table.
 type Line struct {
-	Server choice.Server `json:"Server"`
-	Weight float64       `json:"Weight"` // above 0
+	Server balancer.Server `json:"Server"`
+	Weight float64         `json:"Weight"` // above 0
 }
 
 // Table chooses. Set with a weight of 0 takes a line away.
 type Table interface {
-	Set(s choice.Server, weight float64)
-	Weight(s choice.Server) float64
+	Set(s balancer.Server, weight float64)
+	Weight(s balancer.Server) float64
 	Len() int
 	Lines() []Line // by server
 	// Pick a server that may be taken; nil: all may. ok is false if none may.
-	Pick(may func(choice.Server) bool) (s choice.Server, ok bool)
+	Pick(may func(balancer.Server) bool) (s balancer.Server, ok bool)
 }
 
 // Replace makes a table hold these lines and no others. Lines that stay keep their place in the rotation.
 func Replace(t Table, lines []Line) {
-	keep := make(map[choice.Server]bool, len(lines))
+	keep := make(map[balancer.Server]bool, len(lines))
 	for _, l := range lines {
 		keep[l.Server] = true
 		t.Set(l.Server, l.Weight)
@@ -50,7 +50,7 @@
 }
 
 type entry struct {
-	server choice.Server
+	server balancer.Server
 	weight float64
 	due    float64 // when it is its turn, in picks over weight
 	at     int     // in the heap
@@ -59,7 +59,7 @@
 // Even picks in turns: each line is due again after a stretch that is its weight's inverse, and the one that is due first is
 // taken. Within any stretch of picks a line gets its part, give or take one. Use NewEven.
 type Even struct {
-	by     map[choice.Server]*entry
+	by     map[balancer.Server]*entry
 	heap   []*entry
 	clock  float64
 	chance chance
@@ -68,12 +68,12 @@
 
 // NewEven makes an empty table; seed spreads the first turns.
 func NewEven(seed uint64) *Even {
-	return &Even{by: map[choice.Server]*entry{}, chance: chance(seed*2 + 1)}
+	return &Even{by: map[balancer.Server]*entry{}, chance: chance(seed*2 + 1)}
 }
 
 // Set of Table. A new line starts anywhere within its stretch, and a changed one keeps its share of the stretch that is
 // left. Guards against all proxies that are told of a line at once sending their next query there.
-func (e *Even) Set(s choice.Server, weight float64) {
+func (e *Even) Set(s balancer.Server, weight float64) {
 	x := e.by[s]
 	switch {
 	case !(weight > 0) || math.IsInf(weight, 0):
@@ -102,7 +102,7 @@
 }
 
 // Weight of Table.
-func (e *Even) Weight(s choice.Server) float64 {
+func (e *Even) Weight(s balancer.Server) float64 {
 	if x := e.by[s]; x != nil {
 		return x.weight
 	}
@@ -124,7 +124,7 @@
 
 // Pick of Table. Lines that may not be taken keep their turn, but no more than one: once they may again, they do not get all
 // at once what they missed.
-func (e *Even) Pick(may func(choice.Server) bool) (choice.Server, bool) {
+func (e *Even) Pick(may func(balancer.Server) bool) (balancer.Server, bool) {
 	if len(e.heap) == 0 {
 		return "", false
 	}
@@ -209,7 +209,7 @@
 
 // Random picks by chance, each line as likely as its weight, from a tree of sums. Use NewRandom.
 type Random struct {
-	at     map[choice.Server]int
+	at     map[balancer.Server]int
 	lines  []Line
 	sums   []float64 // Fenwick tree over the weights, from 1
 	total  float64
@@ -219,7 +219,7 @@
 
 // NewRandom makes an empty table.
 func NewRandom(seed uint64) *Random {
-	return &Random{at: map[choice.Server]int{}, sums: make([]float64, 1), chance: chance(seed*2 + 1)}
+	return &Random{at: map[balancer.Server]int{}, sums: make([]float64, 1), chance: chance(seed*2 + 1)}
 }
 
 const rebuildAfter = 1 << 16 // changes, after which sums are added up anew: rounding must not add up
@@ -246,7 +246,7 @@
 }
 
 // Set of Table.
-func (r *Random) Set(s choice.Server, weight float64) {
+func (r *Random) Set(s balancer.Server, weight float64) {
 	if !(weight > 0) || math.IsInf(weight, 0) {
 		weight = 0
 	}
@@ -281,7 +281,7 @@
 }
 
 // Weight of Table.
-func (r *Random) Weight(s choice.Server) float64 {
+func (r *Random) Weight(s balancer.Server) float64 {
 	if i, ok := r.at[s]; ok {
 		return r.lines[i].Weight
 	}
@@ -313,7 +313,7 @@
 }
 
 // Pick of Table. Where few lines may be taken, all are looked at, so that those that may are as likely as their weights.
-func (r *Random) Pick(may func(choice.Server) bool) (choice.Server, bool) {
+func (r *Random) Pick(may func(balancer.Server) bool) (balancer.Server, bool) {
 	if len(r.lines) == 0 {
 		return "", false
 	}
@@ -331,7 +331,7 @@
 	if sum == 0 {
 		return "", false
 	}
-	left, last := r.chance.float()*sum, choice.Server("")
+	left, last := r.chance.float()*sum, balancer.Server("")
 	for _, l := range r.lines {
 		if may(l.Server) {
 			if last = l.Server; left < l.Weight {
--- a/internal/core/pick/pick_test.go
+++ b/internal/core/pick/pick_test.go
@@ -7,13 +7,13 @@
 
 	"pgregory.net/rapid"
 
-	"snowquay/choice"
+	"snowquay/balancer"
 	"snowquay/internal/seeded"
 )
 
 func TestMain(m *testing.M) { seeded.Main(m) }
 
-func name(i int) choice.Server { return choice.Server(fmt.Sprint("s", i)) }
+func name(i int) balancer.Server { return balancer.Server(fmt.Sprint("s", i)) }
 
 // plain is the rotation that scans all lines: what Even is measured against.
 type plain struct {
@@ -21,7 +21,7 @@
 	credit []float64
 }
 
-func (p *plain) pick() choice.Server {
+func (p *plain) pick() balancer.Server {
 	sum, best := 0.0, 0
 	for i, l := range p.lines {
 		sum += l.Weight
@@ -39,7 +39,7 @@
 	for kind, make := range map[string]func() Table{"even": func() Table { return NewEven(3) }, "random": func() Table { return NewRandom(3) }} {
 		t.Run(kind, func(t *testing.T) {
 			rapid.Check(t, func(r *rapid.T) {
-				table, want := make(), map[choice.Server]float64{}
+				table, want := make(), map[balancer.Server]float64{}
 				for range rapid.IntRange(1, 30).Draw(r, "changes") {
 					s := name(rapid.IntRange(0, 12).Draw(r, "server"))
 					w := float64(rapid.IntRange(0, 9).Draw(r, "weight"))
@@ -61,7 +61,7 @@
 						r.Fatalf("%s has %v, want %v", s, table.Weight(s), w)
 					}
 				}
-				if _, ok := table.Pick(func(choice.Server) bool { return false }); ok {
+				if _, ok := table.Pick(func(balancer.Server) bool { return false }); ok {
 					r.Fatal("it picks what may not be taken")
 				}
 				if len(want) == 0 {
@@ -71,7 +71,7 @@
 					return
 				}
 				const n = 2000
-				got := map[choice.Server]float64{}
+				got := map[balancer.Server]float64{}
 				for range n {
 					s, _ := table.Pick(nil)
 					got[s]++
@@ -99,7 +99,7 @@
 		e.Set(name(i), 1)
 	}
 	for range 500 {
-		e.Pick(func(s choice.Server) bool { return s != name(3) })
+		e.Pick(func(s balancer.Server) bool { return s != name(3) })
 	}
 	in := 0
 	for range 10 {
@@ -150,9 +150,9 @@
 		for i := range 200 {
 			table.Set(name(i), 1+float64(i%2)*2)
 		}
-		got := map[choice.Server]int{}
+		got := map[balancer.Server]int{}
 		for range 4000 {
-			s, ok := table.Pick(func(s choice.Server) bool { return s == name(50) || s == name(51) })
+			s, ok := table.Pick(func(s balancer.Server) bool { return s == name(50) || s == name(51) })
 			if !ok {
 				t.Fatal(kind, ": none is found")
 			}
--- a/internal/core/pure/policy_test.go
+++ b/internal/core/pure/policy_test.go
@@ -46,14 +46,14 @@
 		t.Errorf("the policy files have %d lines, %d at most", total, mostPolicyLines)
 	}
 	others := map[string]bool{"interface.go": true, "state.go": true, "account.go": true} // types without tuned values
-	files, err := filepath.Glob(root + "choice/*.go")
+	files, err := filepath.Glob(root + "balancer/*.go")
 	if err != nil || len(files) == 0 {
-		t.Fatal("no files in choice/", err)
+		t.Fatal("no files in balancer/", err)
 	}
 	for _, file := range files {
 		name := filepath.Base(file)
 		if !policy[name] && !others[name] && !strings.HasSuffix(name, "_test.go") {
-			t.Errorf("choice/%s is not listed under policy", name)
+			t.Errorf("balancer/%s is not listed under policy", name)
 		}
 	}
 }
--- a/internal/core/pure/pure_test.go
+++ b/internal/core/pure/pure_test.go
@@ -20,7 +20,7 @@
 func impurities(file *ast.File) (found []string) {
 	for _, i := range file.Imports {
 		path, _ := strconv.Unquote(i.Path.Value)
-		own := path == "snowquay/choice" || strings.HasPrefix(path, "snowquay/internal/core/") ||
+		own := path == "snowquay/balancer" || strings.HasPrefix(path, "snowquay/internal/core/") ||
 			strings.HasPrefix(path, "snowquay/internal/wire/")
 		if !own && !slices.Contains(allowed, path) {
 			found = append(found, "imports "+path)
@@ -40,7 +40,7 @@
 
 func TestWhatDecidesIsPure(t *testing.T) {
 	looked := 0
-	for _, root := range []string{"../../../choice", "..", "../../wire"} {
+	for _, root := range []string{"../../../balancer", "..", "../../wire"} {
 		err := filepath.WalkDir(root, func(path string, d fs.DirEntry, err error) error {
 			if err != nil || d.IsDir() || !strings.HasSuffix(path, ".go") || strings.HasSuffix(path, "_test.go") {
 				return err
--- a/internal/core/registry/roll.go
+++ b/internal/core/registry/roll.go
@@ -14,7 +14,7 @@
 	"math"
 	"slices"
 
-	"snowquay/choice"
+	"snowquay/balancer"
 )
 
 const (
@@ -31,21 +31,21 @@
 
 // Place is what the settings say of a server.
 type Place struct {
-	Server   choice.Server `json:"Server"`
-	Zone     choice.Zone   `json:"Zone"`
-	Kind     choice.Kind   `json:"Kind"`
-	Pod      choice.Pod    `json:"Pod"`
-	Weight   float64       `json:"Weight"`
-	Standing bool          `json:"Standing"` // in service without registering
+	Server   balancer.Server `json:"Server"`
+	Zone     balancer.Zone   `json:"Zone"`
+	Kind     balancer.Kind   `json:"Kind"`
+	Pod      balancer.Pod    `json:"Pod"`
+	Weight   float64         `json:"Weight"`
+	Standing bool            `json:"Standing"` // in service without registering
 }
 
 // Record is what has to outlive the coordinator of one server.
 type Record struct {
 	Place
-	Phase   choice.Phase `json:"Phase"`
-	Started float64      `json:"Started"` // clock time; 0: long ago
-	Told    float64      `json:"Told"`    // when it was heard that it drains or is gone; 0: it serves
-	Drained bool         `json:"Drained"` // somebody ordered the drain; a registration does not undo it
+	Phase   balancer.Phase `json:"Phase"`
+	Started float64        `json:"Started"` // clock time; 0: long ago
+	Told    float64        `json:"Told"`    // when it was heard that it drains or is gone; 0: it serves
+	Drained bool           `json:"Drained"` // somebody ordered the drain; a registration does not undo it
 }
 
 type member struct {
@@ -63,7 +63,7 @@
 
 // Roll is the list. Use New.
 type Roll struct {
-	members map[choice.Server]*member
+	members map[balancer.Server]*member
 	changed []*member // since the last Changes
 	hold    float64
 	most    int
@@ -76,12 +76,12 @@
 // New makes an empty roll. hold is how long, in seconds, a server stays when the connection that registered it breaks;
 // most bounds the servers. ageless leaves out the guard of cold servers, for tests of the guard.
 func New(hold float64, most int, ageless bool) *Roll {
-	return &Roll{members: map[choice.Server]*member{}, hold: hold, most: most, ageless: ageless, whole: true}
+	return &Roll{members: map[balancer.Server]*member{}, hold: hold, most: most, ageless: ageless, whole: true}
 }
 
-func (r *Roll) get(s choice.Server) *member { return r.members[s] }
+func (r *Roll) get(s balancer.Server) *member { return r.members[s] }
 
-func (r *Roll) add(now float64, s choice.Server) (*member, error) {
+func (r *Roll) add(now float64, s balancer.Server) (*member, error) {
 	if m := r.members[s]; m != nil {
 		return m, nil
 	}
@@ -91,7 +91,7 @@
 	if len(r.members) >= r.most {
 		return nil, fmt.Errorf("%w: %d servers", ErrFull, r.most)
 	}
-	m := &member{Record: Record{Place: Place{Server: s, Weight: 1}, Phase: choice.Gone}}
+	m := &member{Record: Record{Place: Place{Server: s, Weight: 1}, Phase: balancer.Gone}}
 	r.members[s] = m
 	return m, nil
 }
@@ -99,7 +99,7 @@
 // forget makes room: servers that are gone for long and that no settings list.
 func (r *Roll) forget(now float64) {
 	for s, m := range r.members {
-		if !m.listed && m.Phase == choice.Gone && now-m.Told > forgetsAfter {
+		if !m.listed && m.Phase == balancer.Gone && now-m.Told > forgetsAfter {
 			delete(r.members, s)
 			r.changed = slices.DeleteFunc(r.changed, func(o *member) bool { return o == m })
 		}
@@ -121,18 +121,18 @@
 // settle works out a member's phase after a fact. A drain outlives a broken connection: whoever comes again may be the
 // same process, behind a cut that has healed.
 func (r *Roll) settle(now float64, m *member) {
-	phase := choice.InService
+	phase := balancer.InService
 	switch {
 	case !m.present():
-		phase = choice.Gone
+		phase = balancer.Gone
 	case m.Drained:
-		phase = choice.Terminating
+		phase = balancer.Terminating
 	}
 	if phase == m.Phase {
 		return
 	}
 	r.version++
-	if m.Phase = phase; phase == choice.InService {
+	if m.Phase = phase; phase == balancer.InService {
 		m.Told = 0
 	} else if m.Told == 0 {
 		m.Told = now
@@ -149,7 +149,7 @@
 			return err
 		}
 		m.Record = rec
-		if m.removed = rec.Phase == choice.Gone; !m.removed {
+		if m.removed = rec.Phase == balancer.Gone; !m.removed {
 			m.restored, m.lostAt = true, now
 		}
 		r.touch(m)
@@ -174,7 +174,7 @@
 
 // Unplace says that the settings do not list s any more: it is gone, whatever connection it has. It may come back by registering,
 // where the settings let servers do so that they do not list.
-func (r *Roll) Unplace(now float64, s choice.Server) {
+func (r *Roll) Unplace(now float64, s balancer.Server) {
 	m := r.get(s)
 	if m == nil {
 		return
@@ -189,7 +189,7 @@
 // taken for servers that the settings do not list. A process that was gone, or whose connection broke, has started anew
 // as far as anybody can tell, and is cold from now on; its uptime may correct that. Guards against a cold server that
 // is taken for a warm one; it does harm where connections break without a restart and no uptime is reported.
-func (r *Roll) Register(now float64, s choice.Server, zone choice.Zone) error {
+func (r *Roll) Register(now float64, s balancer.Server, zone balancer.Zone) error {
 	m, err := r.add(now, s)
 	if err != nil {
 		return err
@@ -210,7 +210,7 @@
 
 // Vouch says that one balancer more (n = 1) or less (n = -1) has s among its members, where the site believes them.
 // A server that nobody knew starts now, as with Register.
-func (r *Roll) Vouch(now float64, s choice.Server, zone choice.Zone, n int) error {
+func (r *Roll) Vouch(now float64, s balancer.Server, zone balancer.Zone, n int) error {
 	m, err := r.add(now, s)
 	if err != nil {
 		return err
@@ -229,7 +229,7 @@
 }
 
 // Deregister says that the process at s is going away for good; a drain of it ends with it.
-func (r *Roll) Deregister(now float64, s choice.Server) {
+func (r *Roll) Deregister(now float64, s balancer.Server) {
 	if m := r.get(s); m != nil {
 		if m.Drained {
 			m.Drained = false
@@ -242,9 +242,9 @@
 
 // Quiesce orders a drain of s, or ends it. It reports whether s is known and present, or else whether a drain of it was
 // ended.
-func (r *Roll) Quiesce(now float64, s choice.Server, on bool) bool {
+func (r *Roll) Quiesce(now float64, s balancer.Server, on bool) bool {
 	m := r.get(s)
-	if m == nil || m.Phase == choice.Gone && !m.Drained {
+	if m == nil || m.Phase == balancer.Gone && !m.Drained {
 		return false
 	}
 	if m.Drained != on {
@@ -256,7 +256,7 @@
 }
 
 // Lost says that the connection which registered s broke. It stays for the hold.
-func (r *Roll) Lost(now float64, s choice.Server) {
+func (r *Roll) Lost(now float64, s balancer.Server) {
 	if m := r.get(s); m != nil && m.registered && m.lostAt == 0 {
 		m.lostAt = now
 	}
@@ -265,7 +265,7 @@
 // Uptime takes seconds since the start of the process at s, from a measurement. It moves the start of a registered
 // server only: a report alone brings nobody into service. A report that falls is of a new process; one that says the
 // process is older than was thought warms it. Frozen or garbled ones change nothing.
-func (r *Roll) Uptime(now float64, s choice.Server, up float64) {
+func (r *Roll) Uptime(now float64, s balancer.Server, up float64) {
 	m := r.get(s)
 	if m == nil || !m.registered && m.vouched == 0 || r.ageless || !(up >= 0) || up > longestRun || up == m.uptime {
 		return
@@ -280,7 +280,7 @@
 // Younger says that another coordinator has heard that s started later than we think. Guards against a cold server that is
 // taken for a warm one by a coordinator that it has not dialled again yet; it does harm where clocks of coordinators are
 // apart by more than the slack, until the server's next report of its uptime.
-func (r *Roll) Younger(s choice.Server, started float64) {
+func (r *Roll) Younger(s balancer.Server, started float64) {
 	if m := r.get(s); m != nil && m.present() && !r.ageless && started > m.Started+youngMeans {
 		m.Started = started
 		r.touch(m)
@@ -298,7 +298,7 @@
 }
 
 // Changes is what the module has not been told yet, by address, and whether it is the whole list.
-func (r *Roll) Changes() (entries []choice.Entry, whole bool) {
+func (r *Roll) Changes() (entries []balancer.Entry, whole bool) {
 	whole, r.whole = r.whole, false
 	tell := r.changed
 	if whole {
@@ -311,15 +311,15 @@
 		m.touched = false
 	}
 	for _, m := range tell {
-		if m.Phase == choice.Gone && !m.told {
+		if m.Phase == balancer.Gone && !m.told {
 			continue // never told of, so not to be taken back
 		}
-		m.told = m.Phase != choice.Gone
-		entries = append(entries, choice.Entry{Server: m.Server, Zone: m.Zone, Kind: m.Kind, Pod: m.Pod,
+		m.told = m.Phase != balancer.Gone
+		entries = append(entries, balancer.Entry{Server: m.Server, Zone: m.Zone, Kind: m.Kind, Pod: m.Pod,
 			Weight: m.Weight, Phase: m.Phase, Started: m.Started})
 	}
 	r.changed = r.changed[:0]
-	slices.SortFunc(entries, func(a, b choice.Entry) int { return cmp.Compare(a.Server, b.Server) })
+	slices.SortFunc(entries, func(a, b balancer.Entry) int { return cmp.Compare(a.Server, b.Server) })
 	return entries, whole
 }
 
@@ -340,15 +340,15 @@
 func (r *Roll) Kept() { r.unkept = false }
 
 // Phase of a server, Gone where it is unknown, and when it was told of its drain or end.
-func (r *Roll) Phase(s choice.Server) (choice.Phase, float64) {
+func (r *Roll) Phase(s balancer.Server) (balancer.Phase, float64) {
 	if m := r.get(s); m != nil {
 		return m.Phase, m.Told
 	}
-	return choice.Gone, math.Inf(-1)
+	return balancer.Gone, math.Inf(-1)
 }
 
 // Find is the record of a server.
-func (r *Roll) Find(s choice.Server) (Record, bool) {
+func (r *Roll) Find(s balancer.Server) (Record, bool) {
 	if m := r.get(s); m != nil && !m.removed {
 		return m.Record, true
 	}
@@ -359,8 +359,8 @@
 func (r *Roll) Version() int { return r.version }
 
 // Servers are all that are kept, by address.
-func (r *Roll) Servers() []choice.Server {
-	all := make([]choice.Server, 0, len(r.members))
+func (r *Roll) Servers() []balancer.Server {
+	all := make([]balancer.Server, 0, len(r.members))
 	for s, m := range r.members {
 		if !m.removed {
 			all = append(all, s)
@@ -371,12 +371,12 @@
 }
 
 // Ever are all that are remembered, by address, also those that nobody lists any more: a proxy may still hold a line to them.
-func (r *Roll) Ever() []choice.Server {
+func (r *Roll) Ever() []balancer.Server {
 	return slices.Sorted(maps.Keys(r.members))
 }
 
 // Drained are the servers with a drain that somebody ordered, by address.
-func (r *Roll) Drained() (all []choice.Server) {
+func (r *Roll) Drained() (all []balancer.Server) {
 	for s, m := range r.members {
 		if m.Drained {
 			all = append(all, s)
@@ -387,13 +387,13 @@
 }
 
 // Registered tells whether the process at s has a connection that stands.
-func (r *Roll) Registered(s choice.Server) bool {
+func (r *Roll) Registered(s balancer.Server) bool {
 	m := r.get(s)
 	return m != nil && m.registered && m.lostAt == 0
 }
 
 // Cold tells whether a server in service started less than coldFor ago.
-func (r *Roll) Cold(now float64, s choice.Server, coldFor float64) bool {
+func (r *Roll) Cold(now float64, s balancer.Server, coldFor float64) bool {
 	m := r.get(s)
 	return m != nil && m.Started > 0 && now-m.Started < coldFor
 }
--- a/internal/core/registry/roll_test.go
+++ b/internal/core/registry/roll_test.go
@@ -5,10 +5,10 @@
 	"fmt"
 	"testing"
 
-	"snowquay/choice"
+	"snowquay/balancer"
 )
 
-func phase(t *testing.T, r *Roll, s choice.Server, want choice.Phase) {
+func phase(t *testing.T, r *Roll, s balancer.Server, want balancer.Phase) {
 	t.Helper()
 	if got, _ := r.Phase(s); got != want {
 		t.Errorf("%s is in phase %d, want %d", s, got, want)
@@ -20,9 +20,9 @@
 	r.Register(100, "a", 1)
 	r.Lost(110, "a")
 	r.Tick(112)
-	phase(t, r, "a", choice.InService)
+	phase(t, r, "a", balancer.InService)
 	r.Tick(112.5)
-	phase(t, r, "a", choice.Gone)
+	phase(t, r, "a", balancer.Gone)
 	if _, told := r.Phase("a"); told != 112.5 {
 		t.Errorf("told at %v", told)
 	}
@@ -78,34 +78,34 @@
 		t.Fatal(err)
 	}
 	r.Register(131, "a", 0) // its process says nothing of the drain
-	phase(t, r, "a", choice.Terminating)
+	phase(t, r, "a", balancer.Terminating)
 	if rec, _ := r.Find("a"); rec.Told != 120 || rec.Started != 100 {
 		t.Errorf("restored as %+v", rec)
 	}
 	r.Tick(133) // b was not heard of again
-	phase(t, r, "b", choice.Gone)
+	phase(t, r, "b", balancer.Gone)
 	r.Lost(140, "a") // a cut
 	r.Tick(143)
-	phase(t, r, "a", choice.Gone)
+	phase(t, r, "a", balancer.Gone)
 	r.Register(150, "a", 0) // it has healed
-	phase(t, r, "a", choice.Terminating)
+	phase(t, r, "a", balancer.Terminating)
 	r.Lost(160, "a")
 	r.Tick(163)
 	if !r.Quiesce(164, "a", false) || r.Quiesce(165, "a", false) { // the drain is ended while it is away, once
 		t.Error("a drain can't be ended while the server is away")
 	}
 	r.Register(170, "a", 0)
-	phase(t, r, "a", choice.InService)
+	phase(t, r, "a", balancer.InService)
 	r.Quiesce(171, "a", true)
 	r.Deregister(172, "a") // it goes for good
 	r.Register(173, "a", 0)
-	phase(t, r, "a", choice.InService)
+	phase(t, r, "a", balancer.InService)
 }
 
 func TestTheRollIsBounded(t *testing.T) {
 	r := New(1, 3, false)
 	for i := range 5 {
-		s := choice.Server(fmt.Sprint(i))
+		s := balancer.Server(fmt.Sprint(i))
 		if err := r.Register(100, s, 0); (err != nil) != (i >= 3) || err != nil && !errors.Is(err, ErrFull) {
 			t.Errorf("server %d: %v", i, err)
 		}
@@ -121,9 +121,9 @@
 	r.Vouch(100, "a", 2, 1)
 	r.Vouch(101, "a", 2, 1)
 	r.Vouch(102, "a", 2, -1)
-	phase(t, r, "a", choice.InService)
+	phase(t, r, "a", balancer.InService)
 	r.Vouch(103, "a", 2, -1)
-	phase(t, r, "a", choice.Gone)
+	phase(t, r, "a", balancer.Gone)
 }
 
 func TestWhatTheModuleIsTold(t *testing.T) {
@@ -139,7 +139,7 @@
 		t.Errorf("%+v, whole %t", e, whole)
 	}
 	for i := range tellAtMost + 1 {
-		r.Register(102, choice.Server(fmt.Sprint(i)), 0)
+		r.Register(102, balancer.Server(fmt.Sprint(i)), 0)
 	}
 	if e, whole = r.Changes(); len(e) != tellAtMost+3 || !whole {
 		t.Errorf("%d entries, whole %t", len(e), whole)
--- a/internal/core/repeat/repeat.go
+++ b/internal/core/repeat/repeat.go
@@ -2,7 +2,7 @@
 // known of the tries so far, and within a budget. It is pure.
 package repeat
 
-import "snowquay/choice"
+import "snowquay/balancer"
 
 // Outcome of a try that brought no answer.
 type Outcome int
@@ -14,22 +14,22 @@
 
 // Place of a server.
 type Place struct {
-	Server choice.Server
-	Zone   choice.Zone
-	Pod    choice.Pod
+	Server balancer.Server
+	Zone   balancer.Zone
+	Pod    balancer.Pod
 }
 
 // Query is what is known of a query's tries.
 type Query struct {
-	Class   choice.QueryClass
-	Way     choice.Repeats // that the coordinator orders, or the settings
-	Until   float64        // clock time at which its client gives it up
-	Keyed   bool           // it carries a key by which servers know a repeat
-	Tries   int            // so far
-	Ran     bool           // one of them may have run
-	First   Place          // the first that may have run
-	FirstAt float64        // when that one was sent
-	tried   [keptTried]choice.Server
+	Class   balancer.QueryClass
+	Way     balancer.Repeats // that the coordinator orders, or the settings
+	Until   float64          // clock time at which its client gives it up
+	Keyed   bool             // it carries a key by which servers know a repeat
+	Tries   int              // so far
+	Ran     bool             // one of them may have run
+	First   Place            // the first that may have run
+	FirstAt float64          // when that one was sent
+	tried   [keptTried]balancer.Server
 }
 
 const (
@@ -38,7 +38,7 @@
 )
 
 // Sent notes a try.
-func (q *Query) Sent(s choice.Server) {
+func (q *Query) Sent(s balancer.Server) {
 	q.tried[q.Tries%keptTried] = s
 	q.Tries++
 }
@@ -51,7 +51,7 @@
 }
 
 // Tried tells whether a server had the query already.
-func (q *Query) Tried(s choice.Server) bool {
+func (q *Query) Tried(s balancer.Server) bool {
 	for i := range min(q.Tries, keptTried) {
 		if q.tried[i] == s {
 			return true
@@ -67,21 +67,21 @@
 func (q *Query) May(now float64, last Outcome) bool {
 	most := 1
 	switch q.Way {
-	case choice.NoRepeat:
+	case balancer.NoRepeat:
 		return false
-	case choice.TwiceOnFailure:
+	case balancer.TwiceOnFailure:
 		most = 2
 	}
-	if q.Tries > most || q.Until-now < leastLeft || last == MayHaveRun && q.Way == choice.AfterProof {
+	if q.Tries > most || q.Until-now < leastLeft || last == MayHaveRun && q.Way == balancer.AfterProof {
 		return false
 	}
 	if !q.Ran {
 		return true
 	}
 	switch q.Class.Effect {
-	case choice.Free:
+	case balancer.Free:
 		return true
-	case choice.Guarded:
+	case balancer.Guarded:
 		return q.Keyed && now < q.FirstAt+q.Class.Window
 	}
 	return false
@@ -89,16 +89,16 @@
 
 // At tells whether a repeat may go to a server.
 func (q *Query) At(p Place) bool {
-	if q.Class.Effect == choice.Free || !q.Ran {
+	if q.Class.Effect == balancer.Free || !q.Ran {
 		return true
 	}
-	if q.Class.Effect == choice.SingleShot {
+	if q.Class.Effect == balancer.SingleShot {
 		return false
 	}
 	switch q.Class.Group {
-	case choice.SameZone:
+	case balancer.SameZone:
 		return p.Zone == q.First.Zone
-	case choice.SamePod:
+	case balancer.SamePod:
 		return p.Pod == q.First.Pod
 	}
 	return true
--- a/internal/core/session/session.go
+++ b/internal/core/session/session.go
@@ -9,7 +9,7 @@
 	"net/netip"
 	"slices"
 
-	"snowquay/choice"
+	"snowquay/balancer"
 	"snowquay/internal/core/fleet"
 	"snowquay/internal/wire/sasp"
 )
@@ -23,7 +23,7 @@
 	Close(Conn)
 	// Drain takes a drain that a member or its agent ordered, or its end. With a ticket it is not to be acted on here and its
 	// teller waits until Settled says what became of it; without, it is in force. ok is false if it can't be taken.
-	Drain(now float64, s choice.Server, on bool) (ticket uint64, ok bool)
+	Drain(now float64, s balancer.Server, on bool) (ticket uint64, ok bool)
 	// Say logs an event with pairs of names and values.
 	Say(event string, pairs ...any)
 }
@@ -93,7 +93,7 @@
 	awayEnd  uint64 // where the proxy's message on its way ends
 	tokens   float64
 	tokensAt float64
-	servers  map[choice.Server]int // registered on it by members, and how often
+	servers  map[balancer.Server]int // registered on it by members, and how often
 }
 
 type loadBalancer struct {
@@ -111,9 +111,9 @@
 type group struct {
 	name      string
 	nameBytes []byte
-	class     choice.Class
-	members   map[choice.Server]*registration
-	order     []choice.Server // as registered, so that messages are the same in every run
+	class     balancer.Class
+	members   map[balancer.Server]*registration
+	order     []balancer.Server // as registered, so that messages are the same in every run
 }
 
 type registration struct {
@@ -146,7 +146,7 @@
 	policy    Policy
 	conns     map[Conn]*conn
 	balancers map[string]*loadBalancer
-	byProxy   map[choice.Proxy]*loadBalancer
+	byProxy   map[balancer.Proxy]*loadBalancer
 	buffered  int
 	checked   float64
 	rolled    int // version of the roll that untrusting relays were told by
@@ -156,16 +156,16 @@
 	waiting   map[uint64]*told // tellers of drains that wait, by ticket
 	bytes     []byte
 	zeros     []sasp.Row
-	names     map[sasp.Address]choice.Server
-	rows      map[choice.Server]sasp.Address
+	names     map[sasp.Address]balancer.Server
+	rows      map[balancer.Server]sasp.Address
 	Counts    Counts
 }
 
 // New makes a desk.
 func New(f *fleet.Fleet, out Out, limits Limits, policy Policy) *Desk {
 	return &Desk{fleet: f, out: out, limits: limits, policy: policy, conns: map[Conn]*conn{},
-		balancers: map[string]*loadBalancer{}, byProxy: map[choice.Proxy]*loadBalancer{},
-		waiting: map[uint64]*told{}, names: map[sasp.Address]choice.Server{}, rows: map[choice.Server]sasp.Address{}}
+		balancers: map[string]*loadBalancer{}, byProxy: map[balancer.Proxy]*loadBalancer{},
+		waiting: map[uint64]*told{}, names: map[sasp.Address]balancer.Server{}, rows: map[balancer.Server]sasp.Address{}}
 }
 
 // Revise takes other limits and another policy from now on; what stands is not undone by it.
@@ -227,13 +227,13 @@
 	}
 }
 
-func (d *Desk) unvouch(now float64, b *loadBalancer, r *registration, s choice.Server) {
+func (d *Desk) unvouch(now float64, b *loadBalancer, r *registration, s balancer.Server) {
 	if r.balancer && d.policy.Vouching {
 		_ = d.fleet.Roll.Vouch(now, s, d.zone(b), -1) // it is on the roll, so there is room
 	}
 }
 
-func (d *Desk) zone(b *loadBalancer) choice.Zone {
+func (d *Desk) zone(b *loadBalancer) balancer.Zone {
 	if b.proxy != nil {
 		return b.proxy.Zone
 	}
@@ -307,7 +307,7 @@
 }
 
 // server is the module's name of an address. Names are kept for those on the roll.
-func (d *Desk) server(a sasp.Address) choice.Server {
+func (d *Desk) server(a sasp.Address) balancer.Server {
 	if s, ok := d.names[a]; ok {
 		return s
 	}
@@ -319,15 +319,15 @@
 }
 
 // Name of a server by its address: the address and port, with the protocol before it where that is not TCP.
-func Name(a sasp.Address) choice.Server {
+func Name(a sasp.Address) balancer.Server {
 	if a.Protocol == 6 {
-		return choice.Server(a.AddrPort().String())
+		return balancer.Server(a.AddrPort().String())
 	}
-	return choice.Server(fmt.Sprintf("%d/%s", a.Protocol, a.AddrPort()))
+	return balancer.Server(fmt.Sprintf("%d/%s", a.Protocol, a.AddrPort()))
 }
 
 // address of a server on the roll; ok is false for one that the settings name in a way that SASP can't say.
-func (d *Desk) address(s choice.Server) (sasp.Address, bool) {
+func (d *Desk) address(s balancer.Server) (sasp.Address, bool) {
 	if a, ok := d.rows[s]; ok {
 		return a, true
 	}
@@ -435,7 +435,7 @@
 	}
 	from := len(m.Rows)
 	d.zeros = d.zeros[:0]
-	add := func(s choice.Server, r *registration, weight float64) {
+	add := func(s balancer.Server, r *registration, weight float64) {
 		a, ok := d.address(s)
 		if !ok {
 			return
@@ -485,7 +485,7 @@
 func (d *Desk) fallback(m *sasp.Message) {
 	kept := d.zeros[:0]
 	for _, r := range d.zeros {
-		if phase, _ := d.fleet.Roll.Phase(d.server(r.Address)); phase == choice.InService && r.Flags&sasp.Quiesce == 0 {
+		if phase, _ := d.fleet.Roll.Phase(d.server(r.Address)); phase == balancer.InService && r.Flags&sasp.Quiesce == 0 {
 			r.Weight = uint16(floorWeight * weightScale)
 			m.Rows = append(m.Rows, r)
 		} else {
@@ -495,7 +495,7 @@
 	d.zeros = kept
 }
 
-func (d *Desk) row(s choice.Server, a sasp.Address, r *registration, weight float64) sasp.Row {
+func (d *Desk) row(s balancer.Server, a sasp.Address, r *registration, weight float64) sasp.Row {
 	row := sasp.Row{Address: a, Weight: uint16(min(math.Round(weight*weightScale), math.MaxUint16))}
 	if weight > 0 {
 		row.Weight = max(row.Weight, 1)
@@ -504,10 +504,10 @@
 	if d.fleet.Roll.Registered(s) {
 		row.Flags |= sasp.Contact
 	}
-	if phase == choice.InService {
+	if phase == balancer.InService {
 		row.Flags |= sasp.Confident
 	}
-	if phase == choice.Terminating && weight == 0 {
+	if phase == balancer.Terminating && weight == 0 {
 		row.Flags |= sasp.Quiesce
 	}
 	if r != nil {
--- a/internal/core/session/session_test.go
+++ b/internal/core/session/session_test.go
@@ -9,7 +9,7 @@
 
 	"pgregory.net/rapid"
 
-	"snowquay/choice"
+	"snowquay/balancer"
 	"snowquay/internal/core/fleet"
 	"snowquay/internal/core/measure"
 	"snowquay/internal/core/registry"
@@ -63,7 +63,7 @@
 
 func (p *peers) Close(c Conn) { p.ended[c] = true }
 
-func (p *peers) Drain(float64, choice.Server, bool) (uint64, bool) { return 0, true }
+func (p *peers) Drain(float64, balancer.Server, bool) (uint64, bool) { return 0, true }
 
 func (p *peers) Say(event string, pairs ...any) {
 	p.log = append(p.log, event+" "+fmt.Sprint(pairs...))
@@ -73,18 +73,18 @@
 
 func testSite(without ...fleet.Guard) fleet.Site {
 	s := fleet.Site{Seed: 1, Names: []string{"search", "introduce"}, Zones: []string{"a", "b"}, Strangers: true,
-		Classes: []choice.QueryClass{{Benefit: 1, GoalTime: 1, ClientTimeout: 3},
-			{Benefit: 3, GoalTime: 1, ClientTimeout: 3, Effect: choice.Guarded, Group: choice.SamePod, Window: 5}},
-		Dataplane: choice.Dataplane{Proxies: 8, Coordinators: 1, StandingTable: 4, UsualRepeats: choice.AfterProof},
-		Channel: choice.Channel{LinesPerSecond: 2000, MessageLines: 3, MostWaiting: 4000, MeanWay: 0.01, LongestWay: 0.2,
+		Classes: []balancer.QueryClass{{Benefit: 1, GoalTime: 1, ClientTimeout: 3},
+			{Benefit: 3, GoalTime: 1, ClientTimeout: 3, Effect: balancer.Guarded, Group: balancer.SamePod, Window: 5}},
+		Dataplane: balancer.Dataplane{Proxies: 8, Coordinators: 1, StandingTable: 4, UsualRepeats: balancer.AfterProof},
+		Channel: balancer.Channel{LinesPerSecond: 2000, MessageLines: 3, MostWaiting: 4000, MeanWay: 0.01, LongestWay: 0.2,
 			MostMessages: 40, MessageWindow: 10},
-		Guarantees: choice.Guarantees{DrainWithin: 3, BareWithin: 2, ColdShare: 0.2, ColdFor: 10, FallMultiple: 3, FallWithin: 2},
-		Reporting:  choice.Reporting{Period: 0.5}, Limits: fleet.UsualLimits, Without: map[fleet.Guard]bool{}}
+		Guarantees: balancer.Guarantees{DrainWithin: 3, BareWithin: 2, ColdShare: 0.2, ColdFor: 10, FallMultiple: 3, FallWithin: 2},
+		Reporting:  balancer.Reporting{Period: 0.5}, Limits: fleet.UsualLimits, Without: map[fleet.Guard]bool{}}
 	for _, g := range without {
 		s.Without[g] = true
 	}
 	for i := range usualServers {
-		s.Servers = append(s.Servers, registry.Place{Server: choice.Server(address(i).String()), Zone: choice.Zone(i % 2), Weight: 1,
+		s.Servers = append(s.Servers, registry.Place{Server: balancer.Server(address(i).String()), Zone: balancer.Zone(i % 2), Weight: 1,
 			Standing: i < 4})
 	}
 	for i := range 500 {
@@ -322,7 +322,7 @@
 	}
 	p.pass(1.5)
 	p.stuck[first] = true // it breaks in the middle of an update, unnoticed
-	p.desk.fleet.Roll.Quiesce(p.now, choice.Server(address(1).String()), true)
+	p.desk.fleet.Roll.Quiesce(p.now, balancer.Server(address(1).String()), true)
 	p.pass(0.2)
 	third := p.relay("r1", wants, 0, 1, 2)
 	p.pass(1)
@@ -366,7 +366,7 @@
 	before, sent := p.pushes, p.sent[c]
 	p.stuck[c] = true
 	for i := range 100 {
-		s := choice.Server(address(1 + i%3).String())
+		s := balancer.Server(address(1 + i%3).String())
 		p.fleet.Roll.Quiesce(p.now, s, i/3%2 == 0)
 		p.pass(0.1)
 	}
@@ -383,7 +383,7 @@
 	}
 	p.stuck[c] = false
 	pushes := p.pushes
-	p.fleet.Roll.Quiesce(p.now, choice.Server(address(2).String()), true)
+	p.fleet.Roll.Quiesce(p.now, balancer.Server(address(2).String()), true)
 	if p.pass(0.5); p.pushes-pushes > 3 {
 		t.Errorf("%d messages to catch up", p.pushes-pushes)
 	}
@@ -425,7 +425,7 @@
 		most, last := 0.0, p.lines
 		for i := range 125 {
 			if p.pass(0.04); i == 10 {
-				p.fleet.Roll.Quiesce(p.now, choice.Server(address(1).String()), true)
+				p.fleet.Roll.Quiesce(p.now, balancer.Server(address(1).String()), true)
 			}
 			most, last = max(most, p.lines-last), p.lines
 		}
@@ -519,7 +519,7 @@
 		t.Errorf("it is to ask again after %d s", reply.Interval)
 	}
 	p.pass(0.2)
-	p.fleet.Roll.Quiesce(p.now, choice.Server(address(1).String()), true)
+	p.fleet.Roll.Quiesce(p.now, balancer.Server(address(1).String()), true)
 	if p.pass(1.5); p.ended[c] {
 		t.Errorf("cut off before it should ask: %q", p.log)
 	}
@@ -534,7 +534,7 @@
 		p := usual(t)
 		c := p.relay("r1", wants, 0, 1)
 		p.pass(1)
-		s, tries := choice.Server(address(1).String()), 0.0
+		s, tries := balancer.Server(address(1).String()), 0.0
 		report := func(clock float64) {
 			tries += 5
 			p.fleet.Measured(p.now, clock, "r1", s, measure.Totals{Tries: tries})
@@ -598,11 +598,11 @@
 					}
 				}
 			case 4:
-				p.fleet.Roll.Quiesce(p.now, choice.Server(address(s).String()), rapid.Bool().Draw(rt, "on"))
+				p.fleet.Roll.Quiesce(p.now, balancer.Server(address(s).String()), rapid.Bool().Draw(rt, "on"))
 			case 5:
-				_ = p.fleet.Roll.Register(p.now, choice.Server(address(4+s%2).String()), 0)
+				_ = p.fleet.Roll.Register(p.now, balancer.Server(address(4+s%2).String()), 0)
 			case 6:
-				p.fleet.Roll.Deregister(p.now, choice.Server(address(4+s%2).String()))
+				p.fleet.Roll.Deregister(p.now, balancer.Server(address(4+s%2).String()))
 			case 7:
 				if c, ok := alive(i); ok {
 					p.stuck[c] = !p.stuck[c]
@@ -622,7 +622,7 @@
 			for _, g := range b.order {
 				has := false
 				for s := range usualServers {
-					server := choice.Server(address(s).String())
+					server := balancer.Server(address(s).String())
 					want := p.desk.row(server, sasp.AddressOf(address(s)), g.members[server], p.fleet.Weight(b.proxy, g.class, server))
 					_, knows := g.members[server]
 					trusts := flags[i]&sasp.Trust != 0
--- a/internal/core/session/speak.go
+++ b/internal/core/session/speak.go
@@ -5,7 +5,7 @@
 	"errors"
 	"math"
 
-	"snowquay/choice"
+	"snowquay/balancer"
 	"snowquay/internal/core/fleet"
 	"snowquay/internal/wire/sasp"
 )
@@ -262,17 +262,17 @@
 	return sasp.OK
 }
 
-func (b *loadBalancer) group(name string, class choice.Class) *group {
+func (b *loadBalancer) group(name string, class balancer.Class) *group {
 	g := b.groups[name]
 	if g == nil {
-		g = &group{name: name, nameBytes: []byte(name), class: class, members: map[choice.Server]*registration{}}
+		g = &group{name: name, nameBytes: []byte(name), class: class, members: map[balancer.Server]*registration{}}
 		b.groups[name] = g
 		b.order = append(b.order, g)
 	}
 	return g
 }
 
-func (g *group) add(s choice.Server, r sasp.Row) *registration {
+func (g *group) add(s balancer.Server, r sasp.Row) *registration {
 	x := g.members[s]
 	if x == nil {
 		x = &registration{address: r.Address}
@@ -309,7 +309,7 @@
 		}
 	}
 	if c.servers == nil {
-		c.servers = map[choice.Server]int{}
+		c.servers = map[balancer.Server]int{}
 	}
 	c.servers[s]++
 	if b := d.balancers[string(g.UID)]; b != nil {
@@ -332,7 +332,7 @@
 func (d *Desk) present(m *sasp.Message, drained bool) bool {
 	for _, r := range m.Rows {
 		rec, ok := d.fleet.Roll.Find(d.server(r.Address))
-		if !ok || rec.Phase == choice.Gone && !(drained && rec.Drained) {
+		if !ok || rec.Phase == balancer.Gone && !(drained && rec.Drained) {
 			return false
 		}
 	}
--- a/internal/core/share/golden_test.go
+++ b/internal/core/share/golden_test.go
@@ -6,7 +6,7 @@
 	"reflect"
 	"testing"
 
-	"snowquay/choice"
+	"snowquay/balancer"
 	"snowquay/internal/core/registry"
 	"snowquay/internal/core/tenancy"
 	"snowquay/internal/golden"
@@ -14,7 +14,7 @@
 
 func goldenRecord() registry.Record {
 	return registry.Record{Place: registry.Place{Server: "127.0.1.2:8080", Zone: 1, Kind: 2, Pod: 3, Weight: 1.5, Standing: true},
-		Phase: choice.Terminating, Started: 1000.25, Told: 2000.5, Drained: true}
+		Phase: balancer.Terminating, Started: 1000.25, Told: 2000.5, Drained: true}
 }
 
 func goldenNeeds() tenancy.Needs {
@@ -27,8 +27,8 @@
 		Epoch: 5,
 		Members: map[Peer]Member{"c1": {Weight: 1, Renewal: 20, Life: 77, Alive: true, Seen: 5, Knows: 9},
 			"c2": {Weight: 0.5, Renewal: 30, Life: 78, Alive: true, Seen: 4, Knows: 8}},
-		Records: map[choice.Server]registry.Record{"127.0.1.2:8080": goldenRecord()},
-		Drains:  map[choice.Server]float64{"127.0.1.2:8080": 2000.5},
+		Records: map[balancer.Server]registry.Record{"127.0.1.2:8080": goldenRecord()},
+		Drains:  map[balancer.Server]float64{"127.0.1.2:8080": 2000.5},
 		Past:    []View{view},
 		Orders:  9,
 		Seats: map[Number]Seat{1: {Peer: "c1", Address: netip.MustParseAddrPort("127.0.0.1:7001"), Gone: true},
--- a/internal/core/share/share.go
+++ b/internal/core/share/share.go
@@ -18,7 +18,7 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"snowquay/choice"
+	"snowquay/balancer"
 	"snowquay/internal/core/registry"
 	"snowquay/internal/core/tenancy"
 )
@@ -53,7 +53,7 @@
 	Life    uint64            `json:"life,omitempty"`    // of Renew: its proposer's process; a renewal of a former one lets nobody order
 	Seen    Epoch             `json:"seen,omitempty"`    // of Renew: the epoch that its proposer goes by
 	Records []registry.Record `json:"records,omitempty"`
-	Server  choice.Server     `json:"server,omitempty"` // of Drain
+	Server  balancer.Server   `json:"server,omitempty"` // of Drain
 	On      bool              `json:"on,omitempty"`
 	ID      uint64            `json:"id,omitempty"`     // of Drain: it counts once, however often it is proposed
 	Told    float64           `json:"told,omitempty"`   // wall clock time
@@ -87,15 +87,15 @@
 
 // State is agreed on. The zero value is that of a new group.
 type State struct {
-	Epoch   Epoch                             `json:"epoch"`
-	Members map[Peer]Member                   `json:"members"`
-	Records map[choice.Server]registry.Record `json:"records"`
-	Drains  map[choice.Server]float64         `json:"drains"` // ordered, and when that was told
-	Past    []View                            `json:"past"`   // epochs by which a living peer may still go, oldest first
-	Orders  uint64                            `json:"orders"` // drains, ends of them and changes of tenants that were ever agreed on
-	Seats   map[Number]Seat                   `json:"seats"`
-	Claims  map[string]Held                   `json:"claims,omitempty"` // never changed in place: past views share it
-	memo    map[string]Peer                   // holders in the epoch memoOf, that were worked out: nothing else moves them
+	Epoch   Epoch                               `json:"epoch"`
+	Members map[Peer]Member                     `json:"members"`
+	Records map[balancer.Server]registry.Record `json:"records"`
+	Drains  map[balancer.Server]float64         `json:"drains"` // ordered, and when that was told
+	Past    []View                              `json:"past"`   // epochs by which a living peer may still go, oldest first
+	Orders  uint64                              `json:"orders"` // drains, ends of them and changes of tenants that were ever agreed on
+	Seats   map[Number]Seat                     `json:"seats"`
+	Claims  map[string]Held                     `json:"claims,omitempty"` // never changed in place: past views share it
+	memo    map[string]Peer                     // holders in the epoch memoOf, that were worked out: nothing else moves them
 	memoOf  Epoch
 	living  map[Peer]float64 // in that epoch
 	Done    []uint64         `json:"done"` // the latest orders by their ID, oldest first
@@ -154,7 +154,7 @@
 				return false, fmt.Errorf("%w: over %d records", ErrCommand, mostRecords)
 			}
 			if s.Records == nil {
-				s.Records = map[choice.Server]registry.Record{}
+				s.Records = map[balancer.Server]registry.Record{}
 			}
 			s.Records[r.Server] = merge(s.Records[r.Server], r)
 		}
@@ -171,7 +171,7 @@
 		case !c.On:
 			delete(s.Drains, c.Server)
 		case s.Drains == nil:
-			s.Drains = map[choice.Server]float64{c.Server: c.Told}
+			s.Drains = map[balancer.Server]float64{c.Server: c.Told}
 		case !drains || c.Told < told: // its grace does not start anew
 			s.Drains[c.Server] = c.Told
 		}
@@ -229,17 +229,17 @@
 func Scope(life tenancy.Incarnation) string { return strconv.FormatUint(uint64(life), 10) + "|" }
 
 // Scoped takes a server of a tenant apart; ok is false for one of a coordinator that hosts nobody.
-func Scoped(s choice.Server) (life tenancy.Incarnation, own choice.Server, ok bool) {
+func Scoped(s balancer.Server) (life tenancy.Incarnation, own balancer.Server, ok bool) {
 	head, rest, found := strings.Cut(string(s), "|")
 	n, err := strconv.ParseUint(head, 10, 64)
-	return tenancy.Incarnation(n), choice.Server(rest), found && err == nil
+	return tenancy.Incarnation(n), balancer.Server(rest), found && err == nil
 }
 
 // over forgets what was agreed on of a tenant that is removed.
 func (s *State) over(life tenancy.Incarnation) {
 	of := Scope(life)
-	maps.DeleteFunc(s.Records, func(v choice.Server, _ registry.Record) bool { return strings.HasPrefix(string(v), of) })
-	maps.DeleteFunc(s.Drains, func(v choice.Server, _ float64) bool { return strings.HasPrefix(string(v), of) })
+	maps.DeleteFunc(s.Records, func(v balancer.Server, _ registry.Record) bool { return strings.HasPrefix(string(v), of) })
+	maps.DeleteFunc(s.Drains, func(v balancer.Server, _ float64) bool { return strings.HasPrefix(string(v), of) })
 }
 
 // forget drops the views by which no living peer goes any more.
@@ -281,7 +281,7 @@
 
 // merge keeps the earliest time at which a drain was told while it lasts: a takeover must not start its grace anew.
 func merge(old, r registry.Record) registry.Record {
-	if old.Phase != choice.InService && r.Phase == old.Phase && old.Told > 0 {
+	if old.Phase != balancer.InService && r.Phase == old.Phase && old.Told > 0 {
 		r.Told = min(r.Told, old.Told)
 	}
 	return r
--- a/internal/core/station/calls.go
+++ b/internal/core/station/calls.go
@@ -1,10 +1,10 @@
 // Package station is what a coordinator on the platform knows of its proxies, its servers and its relay: who is joined, what the
-// relay was told and what it answered, whom to trust when two sources disagree. It is pure, and decides nothing that choice/
+// relay was told and what it answered, whom to trust when two sources disagree. It is pure, and decides nothing that balancer/
 // decides.
 package station
 
 import (
-	"snowquay/choice"
+	"snowquay/balancer"
 	"snowquay/internal/wire/rpc"
 )
 
@@ -16,10 +16,10 @@
 // about is what an order sets; a newer one about the same makes an older one that still waits pointless.
 type about struct {
 	does    byte
-	table   choice.Table
-	classes choice.Classes
-	server  choice.Server
-	proxy   choice.Proxy
+	table   balancer.Table
+	classes balancer.Classes
+	server  balancer.Server
+	proxy   balancer.Proxy
 }
 
 const (
@@ -46,7 +46,7 @@
 )
 
 // Calls are the orders on their way to the relay: one call at a time is out, what is decided meanwhile waits as the newest state
-// of all that is ordered, not as a queue, so it can't grow beyond tables, servers and proxies. It is the choice.Writer's back.
+// of all that is ordered, not as a queue, so it can't grow beyond tables, servers and proxies. It is the balancer.Writer's back.
 type Calls struct {
 	names   rpc.Names
 	waiting []order
@@ -55,7 +55,7 @@
 	id      uint64
 	flying  bool
 	tried   int // times in a row that a call was taken for malformed
-	resent  choice.Resent
+	resent  balancer.Resent
 
 	Dropped uint64 // orders that the relay could not use, or that it took for malformed
 	Again   uint64 // calls that went again though they may have been carried out
@@ -90,31 +90,31 @@
 	c.waiting = kept
 }
 
-// Weigh of choice.Writer.
-func (c *Calls) Weigh(t choice.Table, s choice.Server, weight float64) {
+// Weigh of balancer.Writer.
+func (c *Calls) Weigh(t balancer.Table, s balancer.Server, weight float64) {
 	c.put(about{does: weighs, table: t, server: s}, rpc.AppendShare(nil, int(t), string(s), weight))
 }
 
-// Bind of choice.Writer.
-func (c *Calls) Bind(p choice.Proxy, t choice.Table, classes choice.Classes) {
+// Bind of balancer.Writer.
+func (c *Calls) Bind(p balancer.Proxy, t balancer.Table, classes balancer.Classes) {
 	c.put(about{does: binds, proxy: p, classes: classes}, c.names.AppendBind(nil, int(p), int(t), uint64(classes)))
 }
 
-// Admit of choice.Writer.
-func (c *Calls) Admit(t choice.Table, classes choice.Classes, level float64, again choice.Repeats) {
+// Admit of balancer.Writer.
+func (c *Calls) Admit(t balancer.Table, classes balancer.Classes, level float64, again balancer.Repeats) {
 	c.put(about{does: admits, table: t, classes: classes}, c.names.AppendAdmit(nil, int(t), uint64(classes), level, int(again)))
 }
 
-// Mark of choice.Writer. Who answers is whom the call concerns. A call carries one mark; where orders of several rounds wait for it,
+// Mark of balancer.Writer. Who answers is whom the call concerns. A call carries one mark; where orders of several rounds wait for it,
 // the oldest: that all before it has left the channel is true of whoever answers, of a newer one it would not be.
-func (c *Calls) Mark(m choice.Mark) {
+func (c *Calls) Mark(m balancer.Mark) {
 	if _, waits := c.at[about{does: marks}]; !waits {
 		c.put(about{does: marks}, rpc.AppendMark(nil, int64(m), false))
 	}
 }
 
 // Left drops what waits for a proxy that has left: the relay could not use it.
-func (c *Calls) Left(p choice.Proxy) {
+func (c *Calls) Left(p balancer.Proxy) {
 	for i, o := range c.waiting {
 		if o.text != nil && o.about.does == binds && o.about.proxy == p {
 			c.waiting[i].text = nil
@@ -281,8 +281,8 @@
 }
 
 // Resent is what goes again though it may have been carried out, since the last time that this was asked.
-func (c *Calls) Resent() choice.Resent {
+func (c *Calls) Resent() balancer.Resent {
 	r := c.resent
-	c.resent = choice.Resent{}
+	c.resent = balancer.Resent{}
 	return r
 }
--- a/internal/core/station/roster.go
+++ b/internal/core/station/roster.go
@@ -5,7 +5,7 @@
 	"maps"
 	"slices"
 
-	"snowquay/choice"
+	"snowquay/balancer"
 )
 
 const (
@@ -18,14 +18,14 @@
 
 // joining is a proxy that is joined, as a link told it.
 type joining struct {
-	stream choice.Stream
+	stream balancer.Stream
 	at     float64
 	listed bool // it was joined before the link was made
 }
 
 // Source is what one link to the relay says of who is joined.
 type Source struct {
-	joined  map[choice.Proxy]joining
+	joined  map[balancer.Proxy]joining
 	listing bool
 	since   float64
 	heard   float64
@@ -33,7 +33,7 @@
 
 // NewSource is a link that has just been told to give its news.
 func NewSource(now float64) *Source {
-	return &Source{joined: map[choice.Proxy]joining{}, listing: true, since: now, heard: now}
+	return &Source{joined: map[balancer.Proxy]joining{}, listing: true, since: now, heard: now}
 }
 
 // Whole tells whether the list of those who were joined is over, and the link is heard of.
@@ -43,29 +43,29 @@
 // time, and nobody has to be told anything again; if there was none, whoever is joined may have left and come back meanwhile, and
 // joins anew.
 type Roster struct {
-	joined map[choice.Proxy]joining
+	joined map[balancer.Proxy]joining
 	from   *Source
 	until  float64 // up to when news were heard
 }
 
 // NewRoster makes an empty one.
 func NewRoster() *Roster {
-	return &Roster{joined: map[choice.Proxy]joining{}}
+	return &Roster{joined: map[balancer.Proxy]joining{}}
 }
 
 // Joined is how many are.
 func (r *Roster) Joined() int { return len(r.joined) }
 
 // Streams are all that are.
-func (r *Roster) Streams() (list []choice.Stream) {
-	for _, p := range slices.SortedFunc(maps.Keys(r.joined), cmp.Compare[choice.Proxy]) {
+func (r *Roster) Streams() (list []balancer.Stream) {
+	for _, p := range slices.SortedFunc(maps.Keys(r.joined), cmp.Compare[balancer.Proxy]) {
 		list = append(list, r.joined[p].stream)
 	}
 	return list
 }
 
 // Has tells whether a proxy is joined.
-func (r *Roster) Has(p choice.Proxy) bool { _, ok := r.joined[p]; return ok }
+func (r *Roster) Has(p balancer.Proxy) bool { _, ok := r.joined[p]; return ok }
 
 // Heard says that a link has said something.
 func (r *Roster) Heard(now float64, x *Source) {
@@ -83,14 +83,14 @@
 }
 
 // Follow goes by another link from now on.
-func (r *Roster) Follow(now float64, x *Source, news *choice.News) {
+func (r *Roster) Follow(now float64, x *Source, news *balancer.News) {
 	if r.from = x; !x.listing {
 		r.settle(now, news)
 	}
 }
 
 // Attach says that by a link a proxy is joined. One that was joined joins anew: what it holds is not known.
-func (r *Roster) Attach(now float64, x *Source, s choice.Stream, news *choice.News) {
+func (r *Roster) Attach(now float64, x *Source, s balancer.Stream, news *balancer.News) {
 	s.Joined = true
 	j := joining{s, now, x.listing}
 	x.joined[s.Proxy] = j
@@ -100,34 +100,34 @@
 }
 
 // Detach says that by a link a proxy has left.
-func (r *Roster) Detach(x *Source, p choice.Proxy, news *choice.News) {
+func (r *Roster) Detach(x *Source, p balancer.Proxy, news *balancer.News) {
 	delete(x.joined, p)
 	if r.from == x {
 		r.leave(p, news)
 	}
 }
 
-func (r *Roster) join(j joining, news *choice.News) {
+func (r *Roster) join(j joining, news *balancer.News) {
 	r.joined[j.stream.Proxy] = j
 	news.Streams = append(news.Streams, j.stream)
 }
 
-func (r *Roster) leave(p choice.Proxy, news *choice.News) {
+func (r *Roster) leave(p balancer.Proxy, news *balancer.News) {
 	if r.Has(p) {
 		delete(r.joined, p)
-		news.Streams = append(news.Streams, choice.Stream{Proxy: p})
+		news.Streams = append(news.Streams, balancer.Stream{Proxy: p})
 	}
 }
 
 // Due ends a link's list when its time is over.
-func (r *Roster) Due(now float64, x *Source, news *choice.News) {
+func (r *Roster) Due(now float64, x *Source, news *balancer.News) {
 	if x.listing && now-x.since >= listFor {
 		r.Ends(now, x, news)
 	}
 }
 
 // Ends is the end of a link's list.
-func (r *Roster) Ends(now float64, x *Source, news *choice.News) {
+func (r *Roster) Ends(now float64, x *Source, news *balancer.News) {
 	if x.listing {
 		if x.listing = false; r.from == x {
 			r.settle(now, news)
@@ -136,16 +136,16 @@
 }
 
 // settle makes the roster what its link says. Those who are absent have left while nobody told.
-func (r *Roster) settle(now float64, news *choice.News) {
+func (r *Roster) settle(now float64, news *balancer.News) {
 	x := r.from
 	gap := x.since-r.until > gapMost
 	r.until = now
-	for _, p := range slices.SortedFunc(maps.Keys(r.joined), cmp.Compare[choice.Proxy]) {
+	for _, p := range slices.SortedFunc(maps.Keys(r.joined), cmp.Compare[balancer.Proxy]) {
 		if _, ok := x.joined[p]; !ok {
 			r.leave(p, news)
 		}
 	}
-	for _, p := range slices.SortedFunc(maps.Keys(x.joined), cmp.Compare[choice.Proxy]) {
+	for _, p := range slices.SortedFunc(maps.Keys(x.joined), cmp.Compare[balancer.Proxy]) {
 		j, known := x.joined[p], r.joined[p]
 		again := gap && known.at < x.since || !j.listed && j.at > known.at+apartBy || j.listed && j.stream.Fresh && !known.stream.Fresh
 		if !r.Has(p) || again {
--- a/internal/core/station/servers.go
+++ b/internal/core/station/servers.go
@@ -4,14 +4,14 @@
 	"net/netip"
 	"slices"
 
-	"snowquay/choice"
+	"snowquay/balancer"
 	"snowquay/internal/wire/registry"
 )
 
 // Servers are those that discovery has listed and not taken back, and where they are probed.
 type Servers struct {
 	zones, kinds []string
-	listed       map[choice.Server]listed
+	listed       map[balancer.Server]listed
 	version      int64
 	whole        int64 // version up to which all was read
 	owed         bool  // something after it was not
@@ -23,12 +23,12 @@
 // listed is a server as it was last told.
 type listed struct {
 	addr  netip.AddrPort
-	entry choice.Entry
+	entry balancer.Entry
 }
 
 // NewServers makes an empty list. Zones and kinds go by name on the wire, and by place in the module.
 func NewServers(zones, kinds []string) *Servers {
-	return &Servers{zones: zones, kinds: kinds, listed: map[choice.Server]listed{}, version: -1, whole: -1}
+	return &Servers{zones: zones, kinds: kinds, listed: map[balancer.Server]listed{}, version: -1, whole: -1}
 }
 
 // Version is that up to which all lists were read whole.
@@ -44,10 +44,10 @@
 func (s *Servers) Owed() bool { return s.owed }
 
 // Listed tells whether a server is, and Addr where it listens.
-func (s *Servers) Listed(id choice.Server) bool { _, ok := s.listed[id]; return ok }
+func (s *Servers) Listed(id balancer.Server) bool { _, ok := s.listed[id]; return ok }
 
 // Addr of a server; not valid where it is not listed, or its address can't be read.
-func (s *Servers) Addr(id choice.Server) netip.AddrPort { return s.listed[id].addr }
+func (s *Servers) Addr(id balancer.Server) netip.AddrPort { return s.listed[id].addr }
 
 // Told tells whether any server has ever been listed.
 func (s *Servers) Told() bool { return s.told }
@@ -56,19 +56,19 @@
 func (s *Servers) Len() int { return len(s.listed) }
 
 // Cached takes the list as it was last held.
-func (s *Servers) Cached(l *registry.List, news *choice.News) {
-	s.take(l, choice.Cached, news)
+func (s *Servers) Cached(l *registry.List, news *balancer.News) {
+	s.take(l, balancer.Cached, news)
 	s.whole, s.owed = s.version, false
 }
 
 // Take takes what discovery tells. A link's word that is older than what is known changes nothing, unless it is the whole list
 // and the first that the link says: discovery may have begun anew. Where an entry can't be used the rest counts, and what it told
 // is owed; the first word of a new link makes that good. Take tells whether nothing is.
-func (s *Servers) Take(l *registry.List, first bool, news *choice.News) bool {
+func (s *Servers) Take(l *registry.List, first bool, news *balancer.News) bool {
 	if first && l.Version >= s.version || l.Version > s.version || l.Full && (first || l.Version == s.version) {
-		scope := choice.Changes
+		scope := balancer.Changes
 		if l.Full {
-			scope = choice.Whole
+			scope = balancer.Whole
 		}
 		ok := s.take(l, scope, news)
 		if s.owed = !ok || s.owed && !first && !l.Full; !s.owed {
@@ -78,27 +78,27 @@
 	return !s.owed
 }
 
-func (s *Servers) take(l *registry.List, scope choice.Scope, news *choice.News) (ok bool) {
+func (s *Servers) take(l *registry.List, scope balancer.Scope, news *balancer.News) (ok bool) {
 	s.version = l.Version
-	list, former, spoilt := choice.List{Scope: scope}, s.listed, s.Spoilt
+	list, former, spoilt := balancer.List{Scope: scope}, s.listed, s.Spoilt
 	s.Spoilt += uint64(l.Spoilt)
-	if scope == choice.Whole && l.Spoilt > 0 { // nobody is gone for being in an entry that can't be read
-		list.Scope, scope = choice.Changes, choice.Changes
+	if scope == balancer.Whole && l.Spoilt > 0 { // nobody is gone for being in an entry that can't be read
+		list.Scope, scope = balancer.Changes, balancer.Changes
 	}
-	if scope != choice.Changes {
-		s.listed = map[choice.Server]listed{}
+	if scope != balancer.Changes {
+		s.listed = map[balancer.Server]listed{}
 	}
 	for _, e := range l.Servers {
 		x, good := s.entry(e)
 		old, known := former[x.Server]
 		switch {
-		case good && x.Phase == choice.Gone:
+		case good && x.Phase == balancer.Gone:
 			delete(s.listed, x.Server)
 		case good:
 			addr, _ := netip.ParseAddrPort(e.Addr) // one that can't be read is not probed
 			s.listed[x.Server] = listed{addr, x}
 		case known: // that it drains counts whatever else it says, and for the rest it is as it was
-			if s.Spoilt++; x.Phase == choice.Terminating {
+			if s.Spoilt++; x.Phase == balancer.Terminating {
 				old.entry.Phase = x.Phase
 			}
 			s.listed[x.Server], x = old, old.entry
@@ -113,20 +113,20 @@
 	return s.Spoilt == spoilt
 }
 
-func (s *Servers) entry(e registry.Server) (choice.Entry, bool) {
-	x := choice.Entry{Server: choice.Server(e.ID), Pod: choice.Pod(e.Cell), Weight: e.Weight, Started: e.Started / 1000}
+func (s *Servers) entry(e registry.Server) (balancer.Entry, bool) {
+	x := balancer.Entry{Server: balancer.Server(e.ID), Pod: balancer.Pod(e.Cell), Weight: e.Weight, Started: e.Started / 1000}
 	switch e.State {
 	case registry.Ready:
-		x.Phase = choice.InService
+		x.Phase = balancer.InService
 	case registry.Draining:
-		x.Phase = choice.Terminating
+		x.Phase = balancer.Terminating
 	case registry.Gone:
-		x.Phase = choice.Gone
+		x.Phase = balancer.Gone
 		return x, e.ID != "" // its other fields tell nothing
 	default:
 		return x, false
 	}
-	x.Zone = choice.Zone(slices.Index(s.zones, e.Zone))
-	x.Kind = choice.Kind(max(slices.Index(s.kinds, e.Kind), 0)) // a kind that nobody told of is as any
+	x.Zone = balancer.Zone(slices.Index(s.zones, e.Zone))
+	x.Kind = balancer.Kind(max(slices.Index(s.kinds, e.Kind), 0)) // a kind that nobody told of is as any
 	return x, e.ID != "" && !e.Bad && x.Zone >= 0 && e.Weight >= 0 && e.Started >= 0
 }
--- a/internal/core/station/station_test.go
+++ b/internal/core/station/station_test.go
@@ -9,7 +9,7 @@
 
 	"pgregory.net/rapid"
 
-	"snowquay/choice"
+	"snowquay/balancer"
 	"snowquay/internal/seeded"
 	"snowquay/internal/wire/registry"
 	"snowquay/internal/wire/rpc"
@@ -61,7 +61,7 @@
 			for range rapid.IntRange(1, 5).Draw(t, "orders") {
 				g, h := rapid.IntRange(1, 3).Draw(t, "table"), fmt.Sprint("s-", rapid.IntRange(0, 9).Draw(t, "server"))
 				v := float64(rapid.IntRange(0, 255).Draw(t, "weight"))
-				c.Weigh(choice.Table(g), choice.Server(h), v)
+				c.Weigh(balancer.Table(g), balancer.Server(h), v)
 				want[fmt.Sprint(g, h)] = v
 			}
 		}
@@ -179,9 +179,9 @@
 		tables := 3000 / servers
 		for table := range tables {
 			for i := range servers {
-				c.Weigh(choice.Table(table), choice.Server(fmt.Sprintf("s-%08d", i)), 128.125)
+				c.Weigh(balancer.Table(table), balancer.Server(fmt.Sprintf("s-%08d", i)), 128.125)
 			}
-			c.Admit(choice.Table(table), 1, 0.5, choice.NoRepeat)
+			c.Admit(balancer.Table(table), 1, 0.5, balancer.NoRepeat)
 		}
 		c.Mark(5)
 		calls := map[float64]map[uint64]bool{}
@@ -204,7 +204,7 @@
 		}
 		told := c.Resent().Tables
 		for g, ids := range calls {
-			if len(ids) > 1 && (servers < 900 || !slices.Contains(told, choice.Table(g))) {
+			if len(ids) > 1 && (servers < 900 || !slices.Contains(told, balancer.Table(g))) {
 				t.Errorf("%d servers: table %.0f goes with %d calls; told of %v", servers, g, len(ids), told)
 			}
 		}
@@ -215,7 +215,7 @@
 	c := NewCalls(rpc.Names{"a"})
 	c.Weigh(1, "x", 1)
 	c.Weigh(2, "x", 1)
-	c.Admit(3, 1, 0.5, choice.NoRepeat)
+	c.Admit(3, 1, 0.5, balancer.NoRepeat)
 	c.Bind(7, 1, 0)
 	c.Bind(8, 1, 0)
 	c.Mark(3)
@@ -224,7 +224,7 @@
 	c.Bind(8, 2, 0)
 	c.Broken()
 	c.Broken() // nothing is out
-	if r := c.Resent(); !slices.Equal(r.Tables, []choice.Table{1, 3}) || !slices.Equal(r.Proxies, []choice.Proxy{7}) {
+	if r := c.Resent(); !slices.Equal(r.Tables, []balancer.Table{1, 3}) || !slices.Equal(r.Proxies, []balancer.Proxy{7}) {
 		t.Errorf("%+v", r)
 	}
 	if r := c.Resent(); len(r.Tables)+len(r.Proxies) > 0 {
@@ -256,17 +256,17 @@
 // silence everybody is.
 func TestAReplacedLinkLeavesNoGapWhereItStood(t *testing.T) {
 	for silent, anew := range map[float64]int{0.1: 0, 0.9: 0, 1.2: 0, 1.4: 1, 3: 1} {
-		r, news := NewRoster(), &choice.News{}
+		r, news := NewRoster(), &balancer.News{}
 		old := NewSource(10)
 		r.Follow(10, old, news)
-		r.Attach(10, old, choice.Stream{Proxy: 1, Zone: 0}, news)
+		r.Attach(10, old, balancer.Stream{Proxy: 1, Zone: 0}, news)
 		r.Ends(10.1, old, news)
 		r.Heard(20, old)
 		at, next := 20+silent, NewSource(20+silent)
-		*news = choice.News{}
+		*news = balancer.News{}
 		r.Stood(at, old)
 		r.Follow(at, next, news)
-		r.Attach(at, next, choice.Stream{Proxy: 1, Zone: 0}, news)
+		r.Attach(at, next, balancer.Stream{Proxy: 1, Zone: 0}, news)
 		if r.Ends(at+0.1, next, news); len(news.Streams) != anew {
 			t.Errorf("after %.1f s without a word %d joined anew, want %d", silent, len(news.Streams), anew)
 		}
@@ -275,7 +275,7 @@
 
 // What an unusable entry told is asked for again: the version does not go on. A drain counts whatever else the entry says.
 func TestAListThatIsNotWholeIsOwed(t *testing.T) {
-	s, news := NewServers([]string{"a"}, nil), &choice.News{}
+	s, news := NewServers([]string{"a"}, nil), &balancer.News{}
 	entry := func(id, state string) registry.Server {
 		return registry.Server{ID: id, Addr: "127.0.0.1:1", Zone: "a", State: state, Weight: 1}
 	}
@@ -284,19 +284,19 @@
 	}
 	drains, strange := entry("x", "draining"), entry("z", "ready")
 	drains.Weight, strange.Zone = -1, "nowhere"
-	*news = choice.News{}
+	*news = balancer.News{}
 	if s.Take(&registry.List{Version: 5, Servers: []registry.Server{drains, strange}}, false, news) || s.Version() != 4 || s.Newest() != 5 || s.Spoilt != 2 {
 		t.Errorf("version %d, %d spoilt", s.Version(), s.Spoilt)
 	}
-	if l := news.Lists[0]; len(l.Entries) != 1 || l.Entries[0].Server != "x" || l.Entries[0].Phase != choice.Terminating || l.Entries[0].Weight != 1 {
+	if l := news.Lists[0]; len(l.Entries) != 1 || l.Entries[0].Server != "x" || l.Entries[0].Phase != balancer.Terminating || l.Entries[0].Weight != 1 {
 		t.Errorf("%+v", l)
 	}
 	if s.Take(&registry.List{Version: 6, Servers: []registry.Server{entry("y", "ready")}}, false, news) || s.Version() != 4 {
 		t.Errorf("a good list makes good what the one before owes: version %d", s.Version())
 	}
-	*news = choice.News{}
+	*news = balancer.News{}
 	whole := &registry.List{Version: 6, Full: true, Servers: []registry.Server{entry("x", "draining")}, Spoilt: 1} // perhaps y's
-	if s.Take(whole, false, news) || !s.Listed("y") || news.Lists[0].Scope != choice.Changes {
+	if s.Take(whole, false, news) || !s.Listed("y") || news.Lists[0].Scope != balancer.Changes {
 		t.Errorf("y is listed: %v; %+v", s.Listed("y"), news.Lists)
 	}
 	if whole.Spoilt = 0; !s.Take(whole, false, news) || s.Listed("y") || s.Version() != 6 {
@@ -311,8 +311,8 @@
 func TestWhatWaitsIsTheNewestStateAndNotAQueue(t *testing.T) {
 	c := NewCalls(nil)
 	for i := range 10_000 {
-		c.Weigh(1, choice.Server(fmt.Sprint("s-", i%20)), float64(i))
-		c.Mark(choice.Mark(i))
+		c.Weigh(1, balancer.Server(fmt.Sprint("s-", i%20)), float64(i))
+		c.Mark(balancer.Mark(i))
 	}
 	if c.Waiting() != 21 || len(c.waiting) > 200 {
 		t.Errorf("%d orders wait, %d are kept", c.Waiting(), len(c.waiting))
@@ -336,21 +336,21 @@
 	}
 }
 
-func said(news *choice.News) (s string) {
+func said(news *balancer.News) (s string) {
 	for _, x := range news.Streams {
 		s += map[bool]string{true: "+", false: "-"}[x.Joined] + fmt.Sprint(x.Proxy)
 	}
-	*news = choice.News{}
+	*news = balancer.News{}
 	return s
 }
 
 func TestAnotherLinkThatListenedTakesOverAndNobodyJoinsAnew(t *testing.T) {
-	r, news := NewRoster(), &choice.News{}
+	r, news := NewRoster(), &balancer.News{}
 	main, second := NewSource(0), NewSource(0)
 	r.Follow(0, main, news)
 	for _, x := range []*Source{main, second} {
 		for p := range 3 {
-			r.Attach(0.1, x, choice.Stream{Proxy: choice.Proxy(p), Fresh: true}, news)
+			r.Attach(0.1, x, balancer.Stream{Proxy: balancer.Proxy(p), Fresh: true}, news)
 		}
 		r.Heard(1, x)
 		r.Ends(1, x, news)
@@ -361,8 +361,8 @@
 	// Main falls silent; meanwhile 0 leaves, 1 leaves and comes back, 3 comes.
 	r.Detach(second, 0, news)
 	r.Detach(second, 1, news)
-	r.Attach(2.5, second, choice.Stream{Proxy: 1}, news)
-	r.Attach(2.6, second, choice.Stream{Proxy: 3}, news)
+	r.Attach(2.5, second, balancer.Stream{Proxy: 1}, news)
+	r.Attach(2.6, second, balancer.Stream{Proxy: 3}, news)
 	r.Heard(2.6, second)
 	if said(news) != "" || !second.Whole(2.7) || second.Whole(9) {
 		t.Fatal("the second link was followed before its time")
@@ -374,19 +374,19 @@
 
 func TestANewLinkAfterAGapMakesAllJoinAnew(t *testing.T) {
 	for _, gap := range []float64{0.01, 5} {
-		r, news := NewRoster(), &choice.News{}
+		r, news := NewRoster(), &balancer.News{}
 		x := NewSource(0)
 		r.Follow(0, x, news)
 		for p := range 3 {
-			r.Attach(0, x, choice.Stream{Proxy: choice.Proxy(p)}, news)
+			r.Attach(0, x, balancer.Stream{Proxy: balancer.Proxy(p)}, news)
 		}
 		r.Ends(1, x, news)
 		r.Heard(8, x)
 		said(news)
 		y := NewSource(8 + gap)
 		r.Follow(8+gap, y, news)
-		r.Attach(8+gap, y, choice.Stream{Proxy: 1}, news)
-		r.Attach(8+gap, y, choice.Stream{Proxy: 2}, news)
+		r.Attach(8+gap, y, balancer.Stream{Proxy: 1}, news)
+		r.Attach(8+gap, y, balancer.Stream{Proxy: 2}, news)
 		if got := said(news); got != "" {
 			t.Errorf("after %g s the list is not over, and %s", gap, got)
 		}
@@ -398,7 +398,7 @@
 }
 
 func TestListsThatAreOlderChangeNothing(t *testing.T) {
-	s, news := NewServers([]string{"z"}, nil), &choice.News{}
+	s, news := NewServers([]string{"z"}, nil), &balancer.News{}
 	list := func(version int64, full bool, state string, ids ...string) *registry.List {
 		l := &registry.List{Version: version, Full: full}
 		for _, id := range ids {
@@ -417,7 +417,7 @@
 		t.Error("an old list was taken")
 	}
 	s.Take(list(1, true, "ready", "a"), true, news) // discovery has begun anew
-	if !s.Listed("a") || s.Listed("b") || news.Lists[2].Scope != choice.Whole {
+	if !s.Listed("a") || s.Listed("b") || news.Lists[2].Scope != balancer.Whole {
 		t.Error("the whole list of a new link was not taken")
 	}
 	spoilt := list(2, false, "strange", "x")
--- a/internal/core/tables/tables.go
+++ b/internal/core/tables/tables.go
@@ -5,7 +5,7 @@
 import (
 	"iter"
 
-	"snowquay/choice"
+	"snowquay/balancer"
 )
 
 // mostRemoved is how many removed lines a table remembers beyond its live ones; who holds an older version than
@@ -17,7 +17,7 @@
 
 // Line of a table. A weight of 0 means that it was removed.
 type Line struct {
-	Server       choice.Server
+	Server       balancer.Server
 	Weight       float64
 	Changed      Version
 	At           float64 // clock time of that change
@@ -26,15 +26,15 @@
 
 // Level is what a table orders of one class besides lines.
 type Level struct {
-	Class   choice.Class
+	Class   balancer.Class
 	Level   float64
-	Again   choice.Repeats
+	Again   balancer.Repeats
 	Changed Version
 }
 
 // Table of one number. The zero value is an empty one.
 type Table struct {
-	lines   map[choice.Server]*Line
+	lines   map[balancer.Server]*Line
 	newest  *Line
 	oldest  *Line
 	version Version
@@ -44,14 +44,14 @@
 }
 
 // Set gives a line a weight at a clock time; 0 removes it. It reports whether that is a change.
-func (t *Table) Set(now float64, s choice.Server, weight float64) bool {
+func (t *Table) Set(now float64, s balancer.Server, weight float64) bool {
 	l := t.lines[s]
 	if l == nil && weight == 0 || l != nil && l.Weight == weight {
 		return false
 	}
 	if l == nil {
 		if t.lines == nil {
-			t.lines = map[choice.Server]*Line{}
+			t.lines = map[balancer.Server]*Line{}
 		}
 		l = &Line{Server: s}
 		t.lines[s] = l
@@ -104,7 +104,7 @@
 }
 
 // SetLevel orders a level and a way of repeating for a class. It reports whether that is a change.
-func (t *Table) SetLevel(c choice.Class, level float64, again choice.Repeats) bool {
+func (t *Table) SetLevel(c balancer.Class, level float64, again balancer.Repeats) bool {
 	for i := range t.levels {
 		if l := &t.levels[i]; l.Class == c {
 			if l.Level == level && l.Again == again {
@@ -130,7 +130,7 @@
 func (t *Table) Reaches(v Version) bool { return v >= t.since && v <= t.version }
 
 // Removed is when a server's line was removed; ok is false where it has one, or none is remembered.
-func (t *Table) Removed(s choice.Server) (at float64, ok bool) {
+func (t *Table) Removed(s balancer.Server) (at float64, ok bool) {
 	if l := t.lines[s]; l != nil && l.Weight == 0 {
 		return l.At, true
 	}
@@ -138,7 +138,7 @@
 }
 
 // Weight of a server, 0 where it has no line.
-func (t *Table) Weight(s choice.Server) float64 {
+func (t *Table) Weight(s balancer.Server) float64 {
 	if l := t.lines[s]; l != nil {
 		return l.Weight
 	}
--- a/internal/core/tables/tables_test.go
+++ b/internal/core/tables/tables_test.go
@@ -6,7 +6,7 @@
 
 	"pgregory.net/rapid"
 
-	"snowquay/choice"
+	"snowquay/balancer"
 	"snowquay/internal/seeded"
 )
 
@@ -16,14 +16,14 @@
 func TestSinceBringsUpToDate(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		var table Table
-		plain := map[choice.Server]float64{}
+		plain := map[balancer.Server]float64{}
 		type copy struct {
 			at    Version
-			lines map[choice.Server]float64
+			lines map[balancer.Server]float64
 		}
 		var copies []copy
 		for range rapid.IntRange(0, 300).Draw(rt, "steps") {
-			s := choice.Server(fmt.Sprint(rapid.IntRange(0, 120).Draw(rt, "server")))
+			s := balancer.Server(fmt.Sprint(rapid.IntRange(0, 120).Draw(rt, "server")))
 			w := rapid.SampledFrom([]float64{0, 0, 1, 2}).Draw(rt, "weight")
 			if changed := table.Set(1, s, w); changed != (plain[s] != w) {
 				rt.Fatalf("setting %s from %v to %v is a change: %t", s, plain[s], w, changed)
@@ -32,7 +32,7 @@
 				delete(plain, s)
 			}
 			if rapid.IntRange(0, 9).Draw(rt, "copy") == 0 {
-				c := copy{table.Version(), map[choice.Server]float64{}}
+				c := copy{table.Version(), map[balancer.Server]float64{}}
 				for s, w := range plain {
 					c.lines[s] = w
 				}
@@ -42,11 +42,11 @@
 		if table.Len() != len(plain) || len(table.lines) > table.Len()+mostRemoved {
 			rt.Fatalf("%d lines of %d are kept, %d are live", len(table.lines), len(plain), table.Len())
 		}
-		for _, c := range append(copies, copy{0, map[choice.Server]float64{}}) {
+		for _, c := range append(copies, copy{0, map[balancer.Server]float64{}}) {
 			if !table.Reaches(c.at) {
 				continue
 			}
-			seen, last := map[choice.Server]bool{}, table.Version()+1
+			seen, last := map[balancer.Server]bool{}, table.Version()+1
 			for l := range table.Since(c.at) {
 				if seen[l.Server] || l.Changed >= last {
 					rt.Fatalf("%s twice, or out of order", l.Server)
@@ -68,7 +68,7 @@
 
 func full(n int) (t Table) {
 	for i := range n {
-		t.Set(1, choice.Server(fmt.Sprint(i)), 1)
+		t.Set(1, balancer.Server(fmt.Sprint(i)), 1)
 	}
 	return t
 }
--- a/internal/deployment/deployment.go
+++ b/internal/deployment/deployment.go
@@ -7,7 +7,7 @@
 	"errors"
 	"fmt"
 
-	"snowquay/choice"
+	"snowquay/balancer"
 )
 
 // Deployment is the settings object. Keys that are not named here decide nothing.
@@ -75,17 +75,17 @@
 }
 
 var (
-	effects = map[string]choice.Effect{"free": choice.Free, "guarded": choice.Guarded,
-		"single_shot": choice.SingleShot}
-	groups = map[string]choice.Group{"all": choice.EveryServer, "zone": choice.SameZone,
-		"cell": choice.SamePod}
-	levels = map[string]choice.LevelKind{"silent": choice.LevelsIgnored, "fraction": choice.LevelFraction,
-		"per_second": choice.LevelRate}
-	figures = map[string]choice.LoadFigure{"rif": choice.InProgress, "q": choice.Waiting,
-		"busy": choice.Busy, "lat_ms": choice.ServiceTime, "rate": choice.AnsweredRate,
-		"fail_rate": choice.ErrorRate}
-	sources = map[string]choice.WeightSource{"silent": choice.WeightsSilent,
-		"nominal": choice.WeightsNominal, "rough": choice.WeightsRough, "live": choice.WeightsLive}
+	effects = map[string]balancer.Effect{"free": balancer.Free, "guarded": balancer.Guarded,
+		"single_shot": balancer.SingleShot}
+	groups = map[string]balancer.Group{"all": balancer.EveryServer, "zone": balancer.SameZone,
+		"cell": balancer.SamePod}
+	levels = map[string]balancer.LevelKind{"silent": balancer.LevelsIgnored, "fraction": balancer.LevelFraction,
+		"per_second": balancer.LevelRate}
+	figures = map[string]balancer.LoadFigure{"rif": balancer.InProgress, "q": balancer.Waiting,
+		"busy": balancer.Busy, "lat_ms": balancer.ServiceTime, "rate": balancer.AnsweredRate,
+		"fail_rate": balancer.ErrorRate}
+	sources = map[string]balancer.WeightSource{"silent": balancer.WeightsSilent,
+		"nominal": balancer.WeightsNominal, "rough": balancer.WeightsRough, "live": balancer.WeightsLive}
 )
 
 // Read reads a settings object.
@@ -109,7 +109,7 @@
 }
 
 // Figures are those of a load report, in its order.
-func (d *Deployment) Figures() (list []choice.LoadFigure) {
+func (d *Deployment) Figures() (list []balancer.LoadFigure) {
 	for _, n := range d.Report.Names {
 		list = append(list, figures[n])
 	}
@@ -117,33 +117,33 @@
 }
 
 // Coordinator makes the one of this deployment that the settings were given to.
-func (d *Deployment) Coordinator(seed uint64) *choice.Manager {
+func (d *Deployment) Coordinator(seed uint64) *balancer.Manager {
 	f, g := d.FamilyInfo, d.Guarantees
-	classes := make([]choice.QueryClass, 0, len(d.Grades))
+	classes := make([]balancer.QueryClass, 0, len(d.Grades))
 	for k, c := range d.Grades {
-		q := choice.QueryClass{Benefit: c.Points, LateBenefit: c.LateWorth, GoalTime: c.Aim,
+		q := balancer.QueryClass{Benefit: c.Points, LateBenefit: c.LateWorth, GoalTime: c.Aim,
 			GoalStretch: c.AimStretch, ClientTimeout: c.Deadline, Effect: effects[c.Effect], Group: groups[c.Group],
 			Window: c.Window, OwnZone: k < len(f.ClassOwnZone) && f.ClassOwnZone[k],
 			Writes: k < len(f.ClassWrites) && f.ClassWrites[k]}
 		for _, z := range c.OnlyZones {
-			q.OnlyZones = append(q.OnlyZones, choice.Zone(z))
+			q.OnlyZones = append(q.OnlyZones, balancer.Zone(z))
 		}
 		classes = append(classes, q)
 	}
-	reporting := choice.Reporting{Period: f.Period, LinesPerSecond: f.ReportsPerS,
+	reporting := balancer.Reporting{Period: f.Period, LinesPerSecond: f.ReportsPerS,
 		OnAnswers: d.Report.How == "piggyback", Figures: d.Figures()}
-	return choice.New(seed, classes,
-		choice.Dataplane{Proxies: f.DataPlaneSize, Coordinators: d.Balancers,
-			Self: choice.Coordinator(d.Ordinal), StandingTable: f.InitialSet, EjectAfter: f.OutlierAfter,
-			UsualRepeats: choice.Repeats(f.DefaultRetry), TryGoals: f.TryAims, LeastConnections: f.SmallestConn, Levels: levels[f.LevelKind]},
-		choice.Channel{LinesPerSecond: f.EgressPerS, MessageLines: f.PerMessage, MostWaiting: f.PendingMax,
+	return balancer.New(seed, classes,
+		balancer.Dataplane{Proxies: f.DataPlaneSize, Coordinators: d.Balancers,
+			Self: balancer.Coordinator(d.Ordinal), StandingTable: f.InitialSet, EjectAfter: f.OutlierAfter,
+			UsualRepeats: balancer.Repeats(f.DefaultRetry), TryGoals: f.TryAims, LeastConnections: f.SmallestConn, Levels: levels[f.LevelKind]},
+		balancer.Channel{LinesPerSecond: f.EgressPerS, MessageLines: f.PerMessage, MostWaiting: f.PendingMax,
 			MeanWay: f.Propagation, LongestWay: f.LateMost, MostMessages: f.ReloadsMax,
 			MessageWindow: f.UpdateWindow},
-		choice.Guarantees{DrainWithin: g.StopSendingWithin, BareWithin: f.UnservedMax, ColdShare: g.ColdFrom,
+		balancer.Guarantees{DrainWithin: g.StopSendingWithin, BareWithin: f.UnservedMax, ColdShare: g.ColdFrom,
 			ColdFor: g.Cold, FallMultiple: g.FallMultiple, FallWithin: g.Fall, AskWithin: g.AskWithin,
 			GoneIsAdvice: g.GoneIsAdvice},
 		reporting,
-		choice.Probing{Allowed: d.PolicyLimits.MayProbe, Price: d.Prices.Probe,
+		balancer.Probing{Allowed: d.PolicyLimits.MayProbe, Price: d.Prices.Probe,
 			Timeout: d.PolicyLimits.ConnectTimeout},
-		choice.Discovery{OnRequest: d.Discovery == "on_request", Weights: sources[d.WeightSource]})
+		balancer.Discovery{OnRequest: d.Discovery == "on_request", Weights: sources[d.WeightSource]})
 }
--- a/internal/deployment/deployment_test.go
+++ b/internal/deployment/deployment_test.go
@@ -8,35 +8,35 @@
 	"strings"
 	"testing"
 
-	"snowquay/choice"
+	"snowquay/balancer"
 )
 
-// ledger is a choice.Writer that keeps what proxies hold.
+// ledger is a balancer.Writer that keeps what proxies hold.
 type ledger struct {
-	lines  map[choice.Table]map[choice.Server]float64
-	bound  map[choice.Proxy]map[choice.Class]choice.Table
-	levels []choice.Repeats // by class, the most that were ordered
+	lines  map[balancer.Table]map[balancer.Server]float64
+	bound  map[balancer.Proxy]map[balancer.Class]balancer.Table
+	levels []balancer.Repeats // by class, the most that were ordered
 }
 
-func (l *ledger) Weigh(t choice.Table, s choice.Server, v float64) {
+func (l *ledger) Weigh(t balancer.Table, s balancer.Server, v float64) {
 	if l.lines[t] == nil {
-		l.lines[t] = map[choice.Server]float64{}
+		l.lines[t] = map[balancer.Server]float64{}
 	}
 	l.lines[t][s] = v
 }
 
-func (l *ledger) Bind(p choice.Proxy, t choice.Table, set choice.Classes) {
+func (l *ledger) Bind(p balancer.Proxy, t balancer.Table, set balancer.Classes) {
 	if l.bound[p] == nil {
-		l.bound[p] = map[choice.Class]choice.Table{}
+		l.bound[p] = map[balancer.Class]balancer.Table{}
 	}
 	for c := range l.levels {
 		if set == 0 || set>>c&1 == 1 {
-			l.bound[p][choice.Class(c)] = t
+			l.bound[p][balancer.Class(c)] = t
 		}
 	}
 }
 
-func (l *ledger) Admit(_ choice.Table, set choice.Classes, _ float64, again choice.Repeats) {
+func (l *ledger) Admit(_ balancer.Table, set balancer.Classes, _ float64, again balancer.Repeats) {
 	for c := range l.levels {
 		if set == 0 || set>>c&1 == 1 {
 			l.levels[c] = max(l.levels[c], again)
@@ -44,11 +44,11 @@
 	}
 }
 
-func (l *ledger) Mark(choice.Mark)           {}
-func (l *ledger) Probe(choice.Server)        {}
-func (l *ledger) Watch()                     {}
-func (l *ledger) Wake(float64, choice.Timer) {}
-func (l *ledger) Note(string)                {}
+func (l *ledger) Mark(balancer.Mark)           {}
+func (l *ledger) Probe(balancer.Server)        {}
+func (l *ledger) Watch()                       {}
+func (l *ledger) Wake(float64, balancer.Timer) {}
+func (l *ledger) Note(string)                  {}
 
 func site(t *testing.T, name string) (*Deployment, string) {
 	t.Helper()
@@ -71,12 +71,12 @@
 func TestOtherDeploymentsAreReadAndObeyed(t *testing.T) {
 	for _, want := range []struct {
 		name    string
-		effects []choice.Effect
+		effects []balancer.Effect
 		own     []bool
 		drains  float64 // seconds, 0.2 and more over the site's figure
 	}{
-		{"harbour-tides", []choice.Effect{choice.Free, choice.SingleShot}, []bool{false, false}, 2.5},
-		{"alpine-rescue", []choice.Effect{choice.Free, choice.Guarded}, []bool{false, true}, 3},
+		{"harbour-tides", []balancer.Effect{balancer.Free, balancer.SingleShot}, []bool{false, false}, 2.5},
+		{"alpine-rescue", []balancer.Effect{balancer.Free, balancer.Guarded}, []bool{false, true}, 3},
 	} {
 		d, page := site(t, want.name)
 		var names []string
@@ -101,34 +101,34 @@
 
 func obeyed(t *testing.T, name string, d *Deployment, own []bool) {
 	t.Helper()
-	d.FamilyInfo.DefaultRetry = int(choice.TwiceOnFailure) // orders of less are needed then
-	m, l := d.Coordinator(7), &ledger{map[choice.Table]map[choice.Server]float64{}, map[choice.Proxy]map[choice.Class]choice.Table{},
-		make([]choice.Repeats, len(d.Grades))}
-	list, zone := choice.List{Scope: choice.Whole}, map[choice.Server]choice.Zone{}
-	var streams []choice.Stream
+	d.FamilyInfo.DefaultRetry = int(balancer.TwiceOnFailure) // orders of less are needed then
+	m, l := d.Coordinator(7), &ledger{map[balancer.Table]map[balancer.Server]float64{}, map[balancer.Proxy]map[balancer.Class]balancer.Table{},
+		make([]balancer.Repeats, len(d.Grades))}
+	list, zone := balancer.List{Scope: balancer.Whole}, map[balancer.Server]balancer.Zone{}
+	var streams []balancer.Stream
 	for z := range d.Zones {
 		for i := range []int{40, 10, 10}[z] { // an even part of all servers is not what is in a zone
-			s := choice.Server(fmt.Sprintf("s-%d-%d", z, i))
-			zone[s] = choice.Zone(z)
-			list.Entries = append(list.Entries, choice.Entry{Server: s, Zone: choice.Zone(z), Weight: 1})
+			s := balancer.Server(fmt.Sprintf("s-%d-%d", z, i))
+			zone[s] = balancer.Zone(z)
+			list.Entries = append(list.Entries, balancer.Entry{Server: s, Zone: balancer.Zone(z), Weight: 1})
 		}
-		streams = append(streams, choice.Stream{Proxy: choice.Proxy(z), Joined: true, Zone: choice.Zone(z), Usual: 5})
+		streams = append(streams, balancer.Stream{Proxy: balancer.Proxy(z), Joined: true, Zone: balancer.Zone(z), Usual: 5})
 	}
-	m.Round(100, choice.News{Lists: []choice.List{list}, Streams: streams}, l)
+	m.Round(100, balancer.News{Lists: []balancer.List{list}, Streams: streams}, l)
 	for i := range 400 { // most tries fail at first, then none: repeats are ordered off, and on again
 		now := 100.1 + float64(i)/4
-		var traffic []choice.Traffic
+		var traffic []balancer.Traffic
 		for s, z := range zone {
 			if i%4 == 0 {
-				traffic = append(traffic, choice.Traffic{Server: s, Zone: z, Tries: 8, Lost: []float64{6, 0}[i/200], Latency: 0.2, Interval: 1})
+				traffic = append(traffic, balancer.Traffic{Server: s, Zone: z, Tries: 8, Lost: []float64{6, 0}[i/200], Latency: 0.2, Interval: 1})
 			}
 		}
-		slices.SortFunc(traffic, func(a, b choice.Traffic) int { return strings.Compare(string(a.Server), string(b.Server)) })
-		m.Round(now, choice.News{Traffic: traffic}, l)
+		slices.SortFunc(traffic, func(a, b balancer.Traffic) int { return strings.Compare(string(a.Server), string(b.Server)) })
+		m.Round(now, balancer.News{Traffic: traffic}, l)
 	}
 	for _, s := range streams {
 		for c := range d.Grades {
-			table, bound := l.bound[s.Proxy][choice.Class(c)]
+			table, bound := l.bound[s.Proxy][balancer.Class(c)]
 			open := 0
 			for server, v := range l.lines[table] {
 				if v > 0 {
@@ -143,11 +143,11 @@
 			}
 		}
 	}
-	if l.levels[0] != choice.TwiceOnFailure {
+	if l.levels[0] != balancer.TwiceOnFailure {
 		t.Errorf("%s: at most %d was ordered for the class that may run any time", name, l.levels[0])
 	}
 	for c, again := range l.levels {
-		if effects[d.Grades[c].Effect] != choice.Free && again > choice.AfterProof {
+		if effects[d.Grades[c].Effect] != balancer.Free && again > balancer.AfterProof {
 			t.Errorf("%s: class %d may run twice: %d", name, c, again)
 		}
 	}
@@ -193,13 +193,13 @@
 			t.Errorf("%s: doubts %q, want %q", text, doubts, want)
 		}
 		m := d.Coordinator(1)
-		news := choice.News{Lists: []choice.List{{Entries: []choice.Entry{{Server: "s", Weight: 1}}}},
-			Streams: []choice.Stream{{Proxy: 1, Joined: true, Usual: 5}, {Proxy: 2, Joined: true, Usual: 5}}}
-		l := ledger{lines: map[choice.Table]map[choice.Server]float64{}, bound: map[choice.Proxy]map[choice.Class]choice.Table{},
-			levels: make([]choice.Repeats, 1)}
+		news := balancer.News{Lists: []balancer.List{{Entries: []balancer.Entry{{Server: "s", Weight: 1}}}},
+			Streams: []balancer.Stream{{Proxy: 1, Joined: true, Usual: 5}, {Proxy: 2, Joined: true, Usual: 5}}}
+		l := ledger{lines: map[balancer.Table]map[balancer.Server]float64{}, bound: map[balancer.Proxy]map[balancer.Class]balancer.Table{},
+			levels: make([]balancer.Repeats, 1)}
 		for i := range 30 {
 			m.Round(100+float64(i)/4, news, &l)
-			news = choice.News{Applied: []choice.Applied{{Proxy: 1, Mark: 1, Took: 0.1}}}
+			news = balancer.News{Applied: []balancer.Applied{{Proxy: 1, Mark: 1, Took: 0.1}}}
 		}
 	}
 }
--- a/internal/feed/collect/collect.go
+++ b/internal/feed/collect/collect.go
@@ -21,7 +21,7 @@
 	"collectd.org/api"
 	"collectd.org/network"
 
-	"snowquay/choice"
+	"snowquay/balancer"
 	"snowquay/internal/core/fleet"
 	"snowquay/internal/core/measure"
 )
@@ -117,7 +117,7 @@
 	switch {
 	case l.Plugin == plugin && l.Type == trafficType && len(l.Values) == 3:
 		if v, ok := derives(l.Values); ok {
-			c.fleet.Measured(now, at, l.Host, choice.Server(l.PluginInstance),
+			c.fleet.Measured(now, at, l.Host, balancer.Server(l.PluginInstance),
 				measure.Totals{Tries: v[0], Lost: v[1], Seconds: v[2] * microsecond})
 			return
 		}
@@ -128,7 +128,7 @@
 		}
 	case l.Type == uptimeType && len(l.Values) == 1:
 		if v, ok := l.Values[0].(api.Gauge); ok {
-			c.fleet.Uptime(now, choice.Server(l.Host), float64(v))
+			c.fleet.Uptime(now, balancer.Server(l.Host), float64(v))
 			return
 		}
 	}
--- a/internal/feed/collect/collect_test.go
+++ b/internal/feed/collect/collect_test.go
@@ -4,15 +4,15 @@
 	"bytes"
 	"testing"
 
-	"snowquay/choice"
+	"snowquay/balancer"
 	"snowquay/internal/core/fleet"
 	"snowquay/internal/core/measure"
 	"snowquay/internal/core/registry"
 )
 
 func newFleet(t testing.TB) *fleet.Fleet {
-	f, err := fleet.New(1000, fleet.Site{Names: []string{"search"}, Classes: []choice.QueryClass{{GoalTime: 1}},
-		Strangers: true, Limits: fleet.UsualLimits, Reporting: choice.Reporting{Period: 0.5},
+	f, err := fleet.New(1000, fleet.Site{Names: []string{"search"}, Classes: []balancer.QueryClass{{GoalTime: 1}},
+		Strangers: true, Limits: fleet.UsualLimits, Reporting: balancer.Reporting{Period: 0.5},
 		Servers: []registry.Place{{Server: "10.0.0.1:80", Weight: 1, Standing: true}}}, nil, nil)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/feed/collect/text_test.go
+++ b/internal/feed/collect/text_test.go
@@ -8,7 +8,7 @@
 	"strings"
 	"testing"
 
-	"snowquay/choice"
+	"snowquay/balancer"
 )
 
 func lines(at, tries float64) []string {
@@ -46,7 +46,7 @@
 // A stream with garbled, doubled and cut lines leads to what the clean one leads to: the same sums, hence the same decisions.
 func TestGarbledLinesDecideNothing(t *testing.T) {
 	c := rand.New(rand.NewPCG(1, 2))
-	run := func(dirty bool) (all [][]choice.Traffic) {
+	run := func(dirty bool) (all [][]balancer.Traffic) {
 		f := newFleet(t)
 		x := New(f, "", "")
 		for i := range 200 {
--- a/internal/front/admin/admin.go
+++ b/internal/front/admin/admin.go
@@ -18,7 +18,7 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"snowquay/choice"
+	"snowquay/balancer"
 	"snowquay/internal/core/change"
 	"snowquay/internal/core/fair"
 	"snowquay/internal/core/fleet"
@@ -39,7 +39,7 @@
 	// Fleet of a tenant; ok is false where there is none, or it does not run.
 	Fleet(tenancy.Name) (f *fleet.Fleet, ok bool)
 	// Drain orders a drain or its end; done is called once, when it is agreed on and durable, or refused.
-	Drain(now float64, of tenancy.Name, s choice.Server, on bool, done func(ok bool))
+	Drain(now float64, of tenancy.Name, s balancer.Server, on bool, done func(ok bool))
 	// Orders are the latest ones of a tenant, newest first; those to one relay if it is named.
 	Orders(of tenancy.Name, relay string) []map[string]any
 	rights.Callers
@@ -216,15 +216,15 @@
 	return b
 }
 
-var phases = map[choice.Phase]string{choice.InService: "in service", choice.Terminating: "drains", choice.Gone: "gone"}
+var phases = map[balancer.Phase]string{balancer.InService: "in service", balancer.Terminating: "drains", balancer.Gone: "gone"}
 
 type serverRow struct {
-	Server  choice.Server `json:"server"`
-	Phase   string        `json:"phase"`
-	Zone    string        `json:"zone"`
-	Pod     choice.Pod    `json:"pod"`
-	Started float64       `json:"started"`
-	Cold    bool          `json:"cold"`
+	Server  balancer.Server `json:"server"`
+	Phase   string          `json:"phase"`
+	Zone    string          `json:"zone"`
+	Pod     balancer.Pod    `json:"pod"`
+	Started float64         `json:"started"`
+	Cold    bool            `json:"cold"`
 }
 
 func version(f *fleet.Fleet) string { return fmt.Sprintf("%q", strconv.Itoa(f.Roll.Version())) }
@@ -246,16 +246,16 @@
 }
 
 type drainRow struct {
-	Server  choice.Server `json:"server"`
-	Phase   string        `json:"phase"`
-	Told    float64       `json:"told,omitempty"`
-	Proxies int           `json:"proxies"`
-	Without int           `json:"proxies-without"` // of them, known to hold no line to it
-	Waiting []string      `json:"waiting,omitempty"`
-	Done    bool          `json:"done"` // none of this coordinator's proxies sends to it any more
+	Server  balancer.Server `json:"server"`
+	Phase   string          `json:"phase"`
+	Told    float64         `json:"told,omitempty"`
+	Proxies int             `json:"proxies"`
+	Without int             `json:"proxies-without"` // of them, known to hold no line to it
+	Waiting []string        `json:"waiting,omitempty"`
+	Done    bool            `json:"done"` // none of this coordinator's proxies sends to it any more
 }
 
-func (a *API) look(of tenancy.Name, s choice.Server) (row drainRow, ok bool) {
+func (a *API) look(of tenancy.Name, s balancer.Server) (row drainRow, ok bool) {
 	a.program.Do(func(float64) {
 		var d fleet.Draining
 		f, runs := a.program.Fleet(of)
@@ -263,7 +263,7 @@
 			return
 		}
 		if d, ok = f.Drain(s); ok {
-			row = drainRow{s, phases[d.Phase], d.Told, d.Joined, d.Holding, d.Waiting, d.Phase != choice.InService && d.Holding == d.Joined}
+			row = drainRow{s, phases[d.Phase], d.Told, d.Joined, d.Holding, d.Waiting, d.Phase != balancer.InService && d.Holding == d.Joined}
 		}
 	})
 	return row, ok
@@ -276,7 +276,7 @@
 		problem(w, http.StatusBadRequest, "wait=%.40q is no time", r.URL.Query().Get("wait"))
 		return
 	}
-	s := choice.Server(r.PathValue("server"))
+	s := balancer.Server(r.PathValue("server"))
 	for end := time.Now().Add(min(time.Duration(wait*float64(time.Second)), longestWait)); ; time.Sleep(lookEvery) {
 		row, ok := a.look(c.of, s)
 		if !ok {
@@ -324,7 +324,7 @@
 	}
 }
 
-func zoneName(f *fleet.Fleet, z choice.Zone) string {
+func zoneName(f *fleet.Fleet, z balancer.Zone) string {
 	if zones := f.Site().Zones; int(z) >= 0 && int(z) < len(zones) {
 		return zones[z]
 	}
@@ -334,8 +334,8 @@
 const mostEntries = 500 // of the audit in one answer
 
 type previewCall struct {
-	Drain    []choice.Server `json:"drain"`
-	LoseZone bool            `json:"lose-zone"`
+	Drain    []balancer.Server `json:"drain"`
+	LoseZone bool              `json:"lose-zone"`
 }
 
 func decode(w http.ResponseWriter, r *http.Request, v any) ([]byte, bool) {
@@ -381,10 +381,10 @@
 }
 
 type drainCall struct {
-	Server   choice.Server `json:"server"`
-	On       bool          `json:"on"`
-	Force    bool          `json:"force"` // also where the preview has reasons against it
-	LoseZone bool          `json:"lose-zone"`
+	Server   balancer.Server `json:"server"`
+	On       bool            `json:"on"`
+	Force    bool            `json:"force"` // also where the preview has reasons against it
+	LoseZone bool            `json:"lose-zone"`
 }
 
 // drain orders one, or its end. It is answered when it is agreed on and durable; what follows is to be followed.
@@ -416,7 +416,7 @@
 		} else if err = change.Match(r.Header.Get("If-Match"), version(f)); err != nil {
 			status = http.StatusPreconditionFailed
 		} else if c.On && !c.Force {
-			if reasons = f.Preview(now, []choice.Server{c.Server}, c.LoseZone); len(reasons) > 0 {
+			if reasons = f.Preview(now, []balancer.Server{c.Server}, c.LoseZone); len(reasons) > 0 {
 				status, err = http.StatusConflict, fmt.Errorf("it would do harm: %s", strings.Join(words(reasons), "; "))
 			}
 		}
--- a/internal/front/admin/golden_test.go
+++ b/internal/front/admin/golden_test.go
@@ -4,7 +4,7 @@
 	"net/http/httptest"
 	"testing"
 
-	"snowquay/choice"
+	"snowquay/balancer"
 	"snowquay/internal/core/tenancy"
 	"snowquay/internal/golden"
 )
@@ -13,7 +13,7 @@
 	golden.JSON(t, "server.json", serverRow{Server: "127.0.1.2:8080", Phase: "drains", Zone: "a", Pod: 3, Started: 1000.5, Cold: true})
 	golden.JSON(t, "drain.json", drainRow{Server: "127.0.1.2:8080", Phase: "drains", Told: 1000.5, Proxies: 4, Without: 3, Waiting: []string{"relay-1"}, Done: true})
 	golden.JSON(t, "relay.json", relayRow{UID: "relay-1", Zone: "a", Newest: true, Asks: true, Urgent: true})
-	golden.JSON(t, "preview-call.json", previewCall{Drain: []choice.Server{"127.0.1.2:8080"}, LoseZone: true})
+	golden.JSON(t, "preview-call.json", previewCall{Drain: []balancer.Server{"127.0.1.2:8080"}, LoseZone: true})
 	golden.JSON(t, "drain-call.json", drainCall{Server: "127.0.1.2:8080", On: true, Force: true, LoseZone: true})
 	needs := tenancy.Needs{Memory: 1 << 20, Lines: 250.5, Connections: 40, Work: 0.125}
 	golden.JSON(t, "tenant.json", TenantRow{Name: "one", Incarnation: 1, Version: 5, Weight: 2, Needs: needs, Runs: true, Wrong: "why", Servers: 6,
--- a/internal/front/platform/callers.go
+++ b/internal/front/platform/callers.go
@@ -6,7 +6,7 @@
 	"strconv"
 	"strings"
 
-	"snowquay/choice"
+	"snowquay/balancer"
 	"snowquay/internal/run/world"
 	"snowquay/internal/wire/resp"
 )
@@ -173,7 +173,7 @@
 // traffic takes what the proxies of a zone met at a server; false where it can't be used.
 func (p *Program) traffic(now float64, f *fields) bool {
 	zone := p.zone(f.text("az"))
-	t := choice.Traffic{Server: choice.Server(f.text("host")), Zone: zone, Tries: f.figure("n", mostTries),
+	t := balancer.Traffic{Server: balancer.Server(f.text("host")), Zone: zone, Tries: f.figure("n", mostTries),
 		Lost: f.figure("bad", mostTries), Interval: f.figure("window", mostWindow) / 1000}
 	if _, given := f.find("avg"); given || t.Lost < t.Tries { // with no good try there may be no mean
 		t.Latency = f.figure("avg", mostWindow) / 1000
@@ -194,7 +194,7 @@
 func (p *Program) demand(now float64, f *fields) bool {
 	proxy, err := strconv.Atoi(f.text("sidecar"))
 	class := p.class(f.text("kind"))
-	d := choice.Demand{Proxy: choice.Proxy(proxy), Class: class, Queries: f.figure("n", mostTries),
+	d := balancer.Demand{Proxy: balancer.Proxy(proxy), Class: class, Queries: f.figure("n", mostTries),
 		Lost: f.figure("bad", mostTries), Interval: f.figure("window", mostWindow) / 1000}
 	if f.bad || err != nil || class < 0 || d.Lost > d.Queries || d.Interval <= 0 || !p.roster.Has(d.Proxy) {
 		return false
@@ -206,8 +206,8 @@
 }
 
 // words on sockets of the figures that the settings list.
-var words = map[choice.LoadFigure]string{choice.InProgress: "inflight", choice.Waiting: "queue", choice.Busy: "util",
-	choice.ServiceTime: "latency_ms", choice.AnsweredRate: "qps", choice.ErrorRate: "eps"}
+var words = map[balancer.LoadFigure]string{balancer.InProgress: "inflight", balancer.Waiting: "queue", balancer.Busy: "util",
+	balancer.ServiceTime: "latency_ms", balancer.AnsweredRate: "qps", balancer.ErrorRate: "eps"}
 
 // load reads a load report, in the order of the settings. Figures that they do not list are passed over; a report that lacks one
 // of those that they do is left out, and what it came with counts.
--- a/internal/front/platform/links.go
+++ b/internal/front/platform/links.go
@@ -5,7 +5,7 @@
 	"net/http"
 	"net/netip"
 
-	"snowquay/choice"
+	"snowquay/balancer"
 	"snowquay/internal/core/station"
 	"snowquay/internal/run/world"
 	"snowquay/internal/wire/http1"
@@ -353,7 +353,7 @@
 		p.counts.Spoilt++
 		return
 	}
-	proxy := choice.Proxy(*x.Sidecar)
+	proxy := balancer.Proxy(*x.Sidecar)
 	switch m.Method {
 	case "attach":
 		zone := p.zone(x.Zone)
@@ -361,7 +361,7 @@
 			p.counts.Spoilt++
 			return
 		}
-		p.roster.Attach(now, l.says, choice.Stream{Proxy: proxy, Zone: zone, Usual: *x.Share, Fresh: *x.Standing}, &p.news)
+		p.roster.Attach(now, l.says, balancer.Stream{Proxy: proxy, Zone: zone, Usual: *x.Share, Fresh: *x.Standing}, &p.news)
 	case "detach":
 		p.roster.Detach(l.says, proxy, &p.news)
 	case "done":
@@ -372,7 +372,7 @@
 			p.counts.Spoilt++
 			return
 		}
-		p.news.Applied = append(p.news.Applied, choice.Applied{Proxy: proxy, Mark: choice.Mark(*x.Version), Took: *x.Lag / 1000})
+		p.news.Applied = append(p.news.Applied, balancer.Applied{Proxy: proxy, Mark: balancer.Mark(*x.Version), Took: *x.Lag / 1000})
 		p.dirty(now)
 	}
 }
