--- a/internal/front/platform/platform.go
+++ b/internal/front/platform/platform.go
@@ -9,7 +9,7 @@
 	"net/netip"
 	"slices"
 
-	"snowquay/choice"
+	"snowquay/balancer"
 	"snowquay/internal/core/station"
 	"snowquay/internal/deployment"
 	"snowquay/internal/run/world"
@@ -40,11 +40,11 @@
 	dep     *deployment.Deployment
 	names   rpc.Names // of classes, by place
 	figures []string  // of load reports, in their order
-	manager *choice.Manager
+	manager *balancer.Manager
 	log     *slog.Logger
 	io      world.IO
 
-	news    choice.News
+	news    balancer.News
 	looked  int     // streams in them that were looked at for proxies that have left
 	untold  bool    // the module was not told who is joined
 	dirtyAt float64 // since when news wait for their round; 0: none do
@@ -60,7 +60,7 @@
 	relay    relay
 	listing  watch // of discovery
 	probes   map[world.Conn]*probe
-	asked    map[choice.Server]bool // being probed
+	asked    map[balancer.Server]bool // being probed
 
 	tendAt, tellAt, wakeAt float64
 	counts                 Counts
@@ -73,7 +73,7 @@
 
 type wake struct {
 	at float64
-	t  choice.Timer
+	t  balancer.Timer
 }
 
 // New makes a coordinator; it does nothing until Start.
@@ -90,7 +90,7 @@
 	x := &Program{dep: d, names: names, figures: figures, manager: d.Coordinator(p.Seed), log: log, roster: station.NewRoster(),
 		servers: station.NewServers(d.Zones, d.HostTypes), calls: station.NewCalls(names),
 		callers: map[world.Conn]*caller{}, most: max(p.Sockets-reserve, leastCallers), links: map[world.Conn]*link{},
-		probes: map[world.Conn]*probe{}, asked: map[choice.Server]bool{}}
+		probes: map[world.Conn]*probe{}, asked: map[balancer.Server]bool{}}
 	x.relay.main.to, x.relay.second.to, x.listing.to = p.Hub, p.Hub, p.Discovery
 	x.relay.main.receive, x.relay.second.receive, x.listing.receive = (*Program).fromRelay, (*Program).fromRelay, (*Program).fromListing
 	if p.Known != nil {
@@ -182,7 +182,7 @@
 	case p.links[c] != nil:
 		p.broken(now, p.links[c])
 	case p.probes[c] != nil:
-		p.verdict(now, p.probes[c], choice.ProbeUnreachable, nil)
+		p.verdict(now, p.probes[c], balancer.ProbeUnreachable, nil)
 	}
 	p.rest(now)
 }
@@ -244,7 +244,7 @@
 func (p *Program) round(now float64) {
 	news := p.news
 	news.Stalled, news.Resent = p.stalled(now), p.calls.Resent()
-	p.news, p.looked, p.dirtyAt, p.relay.held = choice.News{}, 0, 0, news.Stalled
+	p.news, p.looked, p.dirtyAt, p.relay.held = balancer.News{}, 0, 0, news.Stalled
 	switch { // how proxies are grouped hangs on the servers: who joins before any is known is told with them
 	case !p.servers.Told():
 		news.Streams, p.untold = nil, true
@@ -255,25 +255,25 @@
 	p.manager.Round(now, news, &pen{p.calls, p, now})
 }
 
-// pen is the choice.Writer of a round: orders to the relay go into its calls, the rest is done at once.
+// pen is the balancer.Writer of a round: orders to the relay go into its calls, the rest is done at once.
 type pen struct {
 	*station.Calls
 	p   *Program
 	now float64
 }
 
-// Probe of choice.Writer.
-func (w *pen) Probe(s choice.Server) { w.p.probe(w.now, s) }
+// Probe of balancer.Writer.
+func (w *pen) Probe(s balancer.Server) { w.p.probe(w.now, s) }
 
-// Watch of choice.Writer. Discovery is watched all the time: nothing has to be asked.
+// Watch of balancer.Writer. Discovery is watched all the time: nothing has to be asked.
 func (w *pen) Watch() {}
 
-// Wake of choice.Writer.
-func (w *pen) Wake(after float64, t choice.Timer) {
+// Wake of balancer.Writer.
+func (w *pen) Wake(after float64, t balancer.Timer) {
 	w.p.wakes = append(w.p.wakes, wake{w.now + after, t})
 }
 
-// Note of choice.Writer.
+// Note of balancer.Writer.
 func (w *pen) Note(text string) { w.p.log.Info("decided", "note", text) }
 
 // tend looks at what is due by time alone.
@@ -309,6 +309,10 @@
 }
 
 // zone, class: the place of a name in the settings; below 0 where they do not list it.
-func (p *Program) zone(name string) choice.Zone { return choice.Zone(slices.Index(p.dep.Zones, name)) }
+func (p *Program) zone(name string) balancer.Zone {
+	return balancer.Zone(slices.Index(p.dep.Zones, name))
+}
 
-func (p *Program) class(name string) choice.Class { return choice.Class(slices.Index(p.names, name)) }
+func (p *Program) class(name string) balancer.Class {
+	return balancer.Class(slices.Index(p.names, name))
+}
--- a/internal/front/platform/probes.go
+++ b/internal/front/platform/probes.go
@@ -3,7 +3,7 @@
 import (
 	"net/http"
 
-	"snowquay/choice"
+	"snowquay/balancer"
 	"snowquay/internal/run/world"
 	"snowquay/internal/wire/http1"
 )
@@ -15,7 +15,7 @@
 
 // probe is one that is out.
 type probe struct {
-	server choice.Server
+	server balancer.Server
 	conn   world.Conn
 	at     float64
 	up     bool
@@ -23,10 +23,10 @@
 }
 
 // probe asks a server how it is. One that can't be asked now is moot.
-func (p *Program) probe(now float64, s choice.Server) {
+func (p *Program) probe(now float64, s balancer.Server) {
 	to := p.servers.Addr(s)
 	if !p.dep.PolicyLimits.MayProbe || !to.IsValid() || p.asked[s] || len(p.probes) >= mostProbes {
-		p.news.Probed = append(p.news.Probed, choice.Probed{Server: s, Verdict: choice.ProbeMoot})
+		p.news.Probed = append(p.news.Probed, balancer.Probed{Server: s, Verdict: balancer.ProbeMoot})
 		p.dirty(now)
 		return
 	}
@@ -36,7 +36,7 @@
 
 func (p *Program) reached(now float64, x *probe, ok bool) {
 	if !ok {
-		p.verdict(now, x, choice.ProbeUnreachable, nil)
+		p.verdict(now, x, balancer.ProbeUnreachable, nil)
 		return
 	}
 	path := "/health/live"
@@ -48,7 +48,7 @@
 }
 
 // verdicts are what a server's answer means; any other status is an error.
-var verdicts = map[int]choice.Verdict{http.StatusOK: choice.ProbeGood, http.StatusServiceUnavailable: choice.ProbeRefused}
+var verdicts = map[int]balancer.Verdict{http.StatusOK: balancer.ProbeGood, http.StatusServiceUnavailable: balancer.ProbeRefused}
 
 func (p *Program) answered(now float64, x *probe, b []byte) {
 	x.in = append(x.in, b...)
@@ -59,21 +59,21 @@
 	}
 	verdict, ok := verdicts[m.Status]
 	if err != nil || !ok {
-		verdict = choice.ProbeError
+		verdict = balancer.ProbeError
 	}
 	var f fields
 	var load []float64
-	if verdict == choice.ProbeGood && len(m.Body) > 0 {
+	if verdict == balancer.ProbeGood && len(m.Body) > 0 {
 		load = p.load(&f, m.Body, '=')
 	}
 	p.verdict(now, x, verdict, load)
 }
 
-func (p *Program) verdict(now float64, x *probe, v choice.Verdict, load []float64) {
+func (p *Program) verdict(now float64, x *probe, v balancer.Verdict, load []float64) {
 	delete(p.probes, x.conn)
 	delete(p.asked, x.server)
 	p.io.Close(x.conn)
-	p.news.Probed = append(p.news.Probed, choice.Probed{Server: x.server, Verdict: v, Took: now - x.at, Load: load})
+	p.news.Probed = append(p.news.Probed, balancer.Probed{Server: x.server, Verdict: v, Took: now - x.at, Load: load})
 	p.dirty(now)
 }
 
@@ -82,9 +82,9 @@
 		if now-x.at < probeWithin {
 			continue
 		}
-		v := choice.ProbeTimeout
+		v := balancer.ProbeTimeout
 		if !x.up {
-			v = choice.ProbeUnreachable
+			v = balancer.ProbeUnreachable
 		}
 		p.verdict(now, x, v, nil)
 	}
--- a/internal/front/poll/poll.go
+++ b/internal/front/poll/poll.go
@@ -18,7 +18,7 @@
 	"strconv"
 	"strings"
 
-	"snowquay/choice"
+	"snowquay/balancer"
 	"snowquay/internal/core/longpoll"
 	"snowquay/internal/wire/delta"
 )
@@ -324,8 +324,8 @@
 	return c
 }
 
-var ways = map[choice.Repeats]string{choice.NoRepeat: "none", choice.AfterProof: "proof", choice.AfterFailure: "failure",
-	choice.TwiceOnFailure: "twice"}
+var ways = map[balancer.Repeats]string{balancer.NoRepeat: "none", balancer.AfterProof: "proof", balancer.AfterFailure: "failure",
+	balancer.TwiceOnFailure: "twice"}
 
 // Answer of longpoll.Out.
 func (f *Front) Answer(w longpoll.Waiter, a *longpoll.Answer) {
--- a/internal/front/poll/poll_test.go
+++ b/internal/front/poll/poll_test.go
@@ -21,7 +21,7 @@
 	"github.com/getkin/kin-openapi/routers"
 	"github.com/getkin/kin-openapi/routers/legacy"
 
-	"snowquay/choice"
+	"snowquay/balancer"
 	"snowquay/internal/core/fleet"
 	"snowquay/internal/core/longpoll"
 	"snowquay/internal/core/registry"
@@ -35,11 +35,11 @@
 
 func setup(servers, proxies int, port uint16) run.Setup {
 	s := fleet.Site{Seed: 1, Names: []string{"search"}, Zones: []string{"a"}, Strangers: true,
-		Classes:    []choice.QueryClass{{Benefit: 1, GoalTime: 1, ClientTimeout: 3}},
-		Dataplane:  choice.Dataplane{Proxies: proxies, Coordinators: 1, UsualRepeats: choice.AfterProof, Levels: choice.LevelFraction},
-		Channel:    choice.Channel{LinesPerSecond: 1e7, MessageLines: 3, MostWaiting: 2e7, MeanWay: 0.01, LongestWay: 0.2},
-		Guarantees: choice.Guarantees{DrainWithin: 30, BareWithin: 2, ColdShare: 0.2, ColdFor: 10, FallMultiple: 3, FallWithin: 2},
-		Reporting:  choice.Reporting{Period: 0.5}, Limits: fleet.UsualLimits, Without: map[fleet.Guard]bool{}}
+		Classes:    []balancer.QueryClass{{Benefit: 1, GoalTime: 1, ClientTimeout: 3}},
+		Dataplane:  balancer.Dataplane{Proxies: proxies, Coordinators: 1, UsualRepeats: balancer.AfterProof, Levels: balancer.LevelFraction},
+		Channel:    balancer.Channel{LinesPerSecond: 1e7, MessageLines: 3, MostWaiting: 2e7, MeanWay: 0.01, LongestWay: 0.2},
+		Guarantees: balancer.Guarantees{DrainWithin: 30, BareWithin: 2, ColdShare: 0.2, ColdFor: 10, FallMultiple: 3, FallWithin: 2},
+		Reporting:  balancer.Reporting{Period: 0.5}, Limits: fleet.UsualLimits, Without: map[fleet.Guard]bool{}}
 	for i := range servers {
 		s.Servers = append(s.Servers, registry.Place{Server: server(i), Weight: 1, Standing: true})
 	}
@@ -49,7 +49,7 @@
 		Parking: limits, HTTP: netip.AddrPortFrom(netip.MustParseAddr("127.0.0.1"), port)}
 }
 
-func server(i int) choice.Server { return choice.Server(fmt.Sprintf("10.0.%d.%d:80", i>>8, i&255)) }
+func server(i int) balancer.Server { return balancer.Server(fmt.Sprintf("10.0.%d.%d:80", i>>8, i&255)) }
 
 func listen(t testing.TB, set run.Setup) (*run.Coordinator, *loop.Server, string) {
 	clock := loop.Clock()
--- a/internal/keep/keep_test.go
+++ b/internal/keep/keep_test.go
@@ -8,12 +8,12 @@
 
 	bolt "go.etcd.io/bbolt"
 
-	"snowquay/choice"
+	"snowquay/balancer"
 	"snowquay/internal/core/registry"
 )
 
 func record(s string, told float64) registry.Record {
-	return registry.Record{Place: registry.Place{Server: choice.Server(s), Zone: 2, Weight: 1.5}, Phase: choice.Terminating, Told: told}
+	return registry.Record{Place: registry.Place{Server: balancer.Server(s), Zone: 2, Weight: 1.5}, Phase: balancer.Terminating, Told: told}
 }
 
 func TestRecordsOutliveTheProcess(t *testing.T) {
--- a/internal/lab/lab.go
+++ b/internal/lab/lab.go
@@ -21,7 +21,7 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 	"github.com/cespare/xxhash/v2"
 
-	"snowquay/choice"
+	"snowquay/balancer"
 	"snowquay/internal/rehearse"
 	"snowquay/internal/settings"
 	"snowquay/internal/standin"
@@ -153,7 +153,7 @@
 	rehearse.Enlarge(d, c.Fleet.Servers, c.Fleet.Relays)
 	site := &d.Coordinator.Site
 	for i := range site.Servers { // servers of a pod stand in one zone, and restart together
-		site.Servers[i].Pod, site.Servers[i].Zone = choice.Pod(i/podSize), choice.Zone(i/podSize%len(site.Zones))
+		site.Servers[i].Pod, site.Servers[i].Zone = balancer.Pod(i/podSize), balancer.Zone(i/podSize%len(site.Zones))
 	}
 	site.Channel.LinesPerSecond = max(160, float64(len(site.Classes)*c.Fleet.Servers*c.Fleet.Relays)/leastCross)
 	site.Channel.MostWaiting = 4 * site.Channel.LinesPerSecond
@@ -172,7 +172,7 @@
 		site.Reporting.Period = c.Arm.Period
 	}
 	if c.Arm.Levels == "fraction" || c.Arm.Levels == "rate" {
-		site.Dataplane.Levels = map[string]choice.LevelKind{"fraction": choice.LevelFraction, "rate": choice.LevelRate}[c.Arm.Levels]
+		site.Dataplane.Levels = map[string]balancer.LevelKind{"fraction": balancer.LevelFraction, "rate": balancer.LevelRate}[c.Arm.Levels]
 		d.Coordinator.Policy.Members = true // SASP has no word for them
 	}
 	d.Troubles = nil
--- a/internal/lab/shrink.go
+++ b/internal/lab/shrink.go
@@ -5,7 +5,7 @@
 	"io"
 	"slices"
 
-	"snowquay/choice"
+	"snowquay/balancer"
 	"snowquay/internal/rehearse"
 	"snowquay/internal/settings"
 )
@@ -99,7 +99,7 @@
 	site.Servers = site.Servers[:left]
 	for i := range site.Servers {
 		if int(site.Servers[i].Zone) >= len(site.Zones) {
-			site.Servers[i].Zone = choice.Zone(0)
+			site.Servers[i].Zone = balancer.Zone(0)
 		}
 	}
 	keep(n)
--- a/internal/proxy/follower.go
+++ b/internal/proxy/follower.go
@@ -8,7 +8,7 @@
 	"net/url"
 	"strconv"
 
-	"snowquay/choice"
+	"snowquay/balancer"
 	"snowquay/internal/core/follow"
 	"snowquay/internal/core/session"
 	"snowquay/internal/run/world"
@@ -254,7 +254,7 @@
 	m := &sasp.Message{Kind: sasp.Registration, LB: sasp.FromBalancer}
 	for c, name := range s.p.setup.Forward.Names {
 		g := sasp.Group{UID: []byte(s.p.setup.UID), Name: []byte(name), From: len(m.Rows)}
-		for _, l := range s.p.Core.Tables.Of(choice.Class(c)).Lines() {
+		for _, l := range s.p.Core.Tables.Of(balancer.Class(c)).Lines() {
 			if a, err := netip.ParseAddrPort(string(l.Server)); err == nil {
 				m.Rows = append(m.Rows, sasp.Row{Address: sasp.AddressOf(a)})
 			}
@@ -300,7 +300,7 @@
 		s.join(now)
 	case sasp.SendWeights:
 		// Rows that bring queries come before those that take them away, so that no state on the way lacks a line.
-		var left []choice.Server
+		var left []balancer.Server
 		for _, g := range m.Groups {
 			l, err := s.p.Core.Tables.Rows(now, string(g.Name), m.Rows[g.From:g.To], session.Name)
 			if err != nil || string(g.UID) != s.p.setup.UID {
--- a/internal/proxy/hour_test.go
+++ b/internal/proxy/hour_test.go
@@ -7,7 +7,7 @@
 	"net/netip"
 	"testing"
 
-	"snowquay/choice"
+	"snowquay/balancer"
 	"snowquay/internal/run/sim"
 	"snowquay/internal/run/world"
 	"snowquay/internal/wire/delta"
@@ -20,14 +20,14 @@
 	buf    map[world.Conn][]byte
 	ran    map[string]int // by key, over all servers of its pod
 	chance *rand.Rand
-	at     choice.Server
+	at     balancer.Server
 	town   *town
 }
 
 // town is what an hour is judged by.
 type town struct {
-	sent  map[choice.Server]int // since the latest table
-	gone  map[choice.Server]float64
+	sent  map[balancer.Server]int // since the latest table
+	gone  map[balancer.Server]float64
 	late  string
 	total int
 }
@@ -66,7 +66,7 @@
 func (w *watch) Joined(float64)             {}
 func (w *watch) Left(float64)               {}
 func (w *watch) Table(float64, int, []bool) {}
-func (w *watch) Sent(_ float64, s choice.Server) {
+func (w *watch) Sent(_ float64, s balancer.Server) {
 	w.town.sent[s]++
 	w.town.total++
 }
@@ -77,7 +77,7 @@
 	const servers, rate, minutes = 8, 30.0, 60
 	net, chance := sim.New(4, 1000), rand.New(rand.NewPCG(4, 4))
 	net.Faults.Split = 0.05
-	all, pods := &town{sent: map[choice.Server]int{}, gone: map[choice.Server]float64{}}, make([]map[string]int, servers/2)
+	all, pods := &town{sent: map[balancer.Server]int{}, gone: map[balancer.Server]float64{}}, make([]map[string]int, servers/2)
 	s := setup(servers)
 	at := netip.MustParseAddrPort("10.0.3.1:3000")
 	s.Coordinators, s.Watch = []netip.AddrPort{at}, &watch{all}
@@ -85,11 +85,11 @@
 		if i%2 == 0 {
 			pods[i/2] = map[string]int{}
 		}
-		name := choice.Server(serverAt(i).String())
+		name := balancer.Server(serverAt(i).String())
 		x := &sums{base: base{net: net}, buf: map[world.Conn][]byte{}, ran: pods[i/2], chance: chance, at: name, town: all}
 		net.Add(serverAt(i).Addr(), 0, false).Start(x)
 	}
-	s.Forward.Classes[1].Group = choice.SamePod
+	s.Forward.Classes[1].Group = balancer.SamePod
 	s.Forward.Places = places(servers)
 	d := &desk{}
 	net.Add(at.Addr(), 0, false).Start(d)
@@ -108,9 +108,9 @@
 	}
 	ask()
 	for version := uint64(1); version <= minutes; version++ {
-		table, sum, weights := tables(version, 0), 0.0, map[choice.Server]float64{}
+		table, sum, weights := tables(version, 0), 0.0, map[balancer.Server]float64{}
 		for i := range servers {
-			name := choice.Server(serverAt(i).String())
+			name := balancer.Server(serverAt(i).String())
 			if chance.Float64() < 0.25 && i > 1 {
 				if _, ok := all.gone[name]; !ok {
 					all.gone[name] = net.Now()
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -15,7 +15,7 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"snowquay/choice"
+	"snowquay/balancer"
 	"snowquay/internal/core/admit"
 	"snowquay/internal/core/forward"
 	"snowquay/internal/core/measure"
@@ -28,7 +28,7 @@
 // Route sends queries whose path starts with a prefix to a class; the longest prefix counts.
 type Route struct {
 	Prefix string
-	Class  choice.Class
+	Class  balancer.Class
 }
 
 // Limits of a proxy. What happens at each is said beside it.
@@ -48,14 +48,14 @@
 	Forward      forward.Setup
 	Routes       []Route
 	Limits       Limits
-	Coordinators []netip.AddrPort // tried in turn
-	SASP         bool             // they are spoken to by SASP, else by the long-poll API
-	Collect      uint16           // port of their collectors; 0: nothing is reported
-	User, KeyOf  string           // of signed measurements
-	Report       float64          // seconds between two reports
-	Standing     []choice.Server  // the table until there is another
-	Seed         uint64           // of waits that vary
-	Store        Store            // of the table; nil: nothing outlives the proxy
+	Coordinators []netip.AddrPort  // tried in turn
+	SASP         bool              // they are spoken to by SASP, else by the long-poll API
+	Collect      uint16            // port of their collectors; 0: nothing is reported
+	User, KeyOf  string            // of signed measurements
+	Report       float64           // seconds between two reports
+	Standing     []balancer.Server // the table until there is another
+	Seed         uint64            // of waits that vary
+	Store        Store             // of the table; nil: nothing outlives the proxy
 	Say          func(event string, pairs ...any)
 	Watch        Watch // nil: nobody
 }
@@ -71,7 +71,7 @@
 	Joined(now float64)
 	Left(now float64)
 	Table(now float64, lines int, has []bool)
-	Sent(now float64, s choice.Server)
+	Sent(now float64, s balancer.Server)
 }
 
 const (
@@ -93,7 +93,7 @@
 }
 
 type target struct {
-	server choice.Server
+	server balancer.Server
 	at     netip.AddrPort
 	idle   []*upstream
 	gone   bool // it has no line any more
@@ -124,7 +124,7 @@
 	Core    *forward.Proxy
 	clients map[world.Conn]*client
 	ups     map[world.Conn]*upstream
-	targets map[choice.Server]*target
+	targets map[balancer.Server]*target
 	queries map[forward.Query]*pending
 	tries   map[forward.Try]*upstream
 	session follower
@@ -143,7 +143,7 @@
 // New makes a proxy; it does nothing until Start.
 func New(now float64, s Setup) *Proxy {
 	p := &Proxy{setup: s, Core: forward.New(now, s.Forward), clients: map[world.Conn]*client{}, ups: map[world.Conn]*upstream{},
-		targets: map[choice.Server]*target{}, queries: map[forward.Query]*pending{}, tries: map[forward.Try]*upstream{},
+		targets: map[balancer.Server]*target{}, queries: map[forward.Query]*pending{}, tries: map[forward.Try]*upstream{},
 		chance: s.Seed*2 + 1}
 	slices.SortStableFunc(p.setup.Routes, func(a, b Route) int { return cmp.Compare(len(b.Prefix), len(a.Prefix)) })
 	if s.Say == nil {
@@ -162,7 +162,7 @@
 	p.io = io
 	for c := range p.setup.Forward.Names {
 		for _, s := range p.setup.Standing {
-			p.Core.Tables.Of(choice.Class(c)).Set(s, 1)
+			p.Core.Tables.Of(balancer.Class(c)).Set(s, 1)
 		}
 	}
 	if p.setup.Store != nil {
@@ -301,7 +301,7 @@
 
 func (p *Proxy) ask(now float64, c *client) {
 	m := &c.msg
-	class := choice.Class(-1)
+	class := balancer.Class(-1)
 	for _, r := range p.setup.Routes {
 		if strings.HasPrefix(m.Target, r.Prefix) {
 			class = r.Class
@@ -595,14 +595,14 @@
 func (p *Proxy) reports(now float64) {
 	to := netip.AddrPortFrom(p.session.at().Addr(), p.setup.Collect)
 	k := collect.NewPacker(now, p.setup.UID, p.setup.User, p.setup.KeyOf, func(b []byte) { p.io.Datagram(to, b) })
-	p.Core.Reports(func(s choice.Server, t measure.Totals) { k.Traffic(string(s), t) },
-		func(c choice.Class, t measure.Totals) { k.Demand(p.setup.Forward.Names[c], t) })
+	p.Core.Reports(func(s balancer.Server, t measure.Totals) { k.Traffic(string(s), t) },
+		func(c balancer.Class, t measure.Totals) { k.Demand(p.setup.Forward.Names[c], t) })
 	k.Flush()
 }
 
 // changed notes that the tables are others now: kept connections to servers that have left are closed, queries in progress
 // there go on.
-func (p *Proxy) changed(now float64, lines int, left []choice.Server) {
+func (p *Proxy) changed(now float64, lines int, left []balancer.Server) {
 	p.dirty = p.setup.Store != nil
 	p.Core.Retire(left)
 	for _, s := range left {
@@ -625,7 +625,7 @@
 
 func (p *Proxy) has() (has []bool) {
 	for c := range p.setup.Forward.Names {
-		has = append(has, p.Core.Tables.Of(choice.Class(c)).Len() > 0)
+		has = append(has, p.Core.Tables.Of(balancer.Class(c)).Len() > 0)
 	}
 	return has
 }
--- a/internal/proxy/proxy_test.go
+++ b/internal/proxy/proxy_test.go
@@ -6,7 +6,7 @@
 	"strings"
 	"testing"
 
-	"snowquay/choice"
+	"snowquay/balancer"
 	"snowquay/internal/core/admit"
 	"snowquay/internal/core/avoid"
 	"snowquay/internal/core/forward"
@@ -130,13 +130,13 @@
 
 func setup(servers int) Setup {
 	s := Setup{UID: "proxy-1", Routes: []Route{{"/search", 0}, {"/introduce", 1}, {"/once", 2}}, Limits: UsualLimits, Seed: 1,
-		Forward: forward.Setup{Names: []string{"search", "introduce", "once"}, Ways: []choice.Repeats{choice.AfterFailure, choice.AfterFailure, choice.AfterProof},
-			Classes: []choice.QueryClass{{GoalTime: 1, ClientTimeout: 5}, {GoalTime: 1, ClientTimeout: 5, Effect: choice.Guarded, Window: 4},
-				{GoalTime: 1, ClientTimeout: 5, Effect: choice.SingleShot}},
+		Forward: forward.Setup{Names: []string{"search", "introduce", "once"}, Ways: []balancer.Repeats{balancer.AfterFailure, balancer.AfterFailure, balancer.AfterProof},
+			Classes: []balancer.QueryClass{{GoalTime: 1, ClientTimeout: 5}, {GoalTime: 1, ClientTimeout: 5, Effect: balancer.Guarded, Window: 4},
+				{GoalTime: 1, ClientTimeout: 5, Effect: balancer.SingleShot}},
 			Limits: admit.UsualLimits, Avoid: avoid.UsualTerms, Budget: repeat.Budget{Part: 1, Burst: 100},
 			Make: func(c int) pick.Table { return pick.NewEven(uint64(c)) }}}
 	for i := range servers {
-		s.Standing = append(s.Standing, choice.Server(serverAt(i).String()))
+		s.Standing = append(s.Standing, balancer.Server(serverAt(i).String()))
 	}
 	return s
 }
@@ -430,7 +430,7 @@
 	}
 	other.tell(tables(9, 4, 1)) // it has not heard that the proxy changed hands
 	w.run(0.2)
-	if s := w.proxy.Core.Tables.Of(0); s.Weight(choice.Server(serverAt(1).String())) != 0 || s.Len() != 2 {
+	if s := w.proxy.Core.Tables.Of(0); s.Weight(balancer.Server(serverAt(1).String())) != 0 || s.Len() != 2 {
 		t.Error("a table of an older epoch is followed")
 	}
 	for i := range desks {
@@ -450,11 +450,11 @@
 	}
 }
 
-func places(servers int) map[choice.Server]repeat.Place {
-	at := map[choice.Server]repeat.Place{}
+func places(servers int) map[balancer.Server]repeat.Place {
+	at := map[balancer.Server]repeat.Place{}
 	for i := range servers {
-		s := choice.Server(serverAt(i).String())
-		at[s] = repeat.Place{Server: s, Pod: choice.Pod(i / 2)}
+		s := balancer.Server(serverAt(i).String())
+		at[s] = repeat.Place{Server: s, Pod: balancer.Pod(i / 2)}
 	}
 	return at
 }
@@ -476,7 +476,7 @@
 		t.Error("it applies what it has not read")
 	}
 	w.run(2)
-	if l := w.proxy.Core.Tables.Of(0).Lines(); len(l) != 1 || l[0].Server != choice.Server(serverAt(2).String()) {
+	if l := w.proxy.Core.Tables.Of(0).Lines(); len(l) != 1 || l[0].Server != balancer.Server(serverAt(2).String()) {
 		t.Errorf("after the stall it holds %v", l)
 	}
 	late := tables(9, 0, 0)
--- a/internal/rehearse/draw.go
+++ b/internal/rehearse/draw.go
@@ -5,7 +5,7 @@
 	"math/rand/v2"
 	"net/netip"
 
-	"snowquay/choice"
+	"snowquay/balancer"
 	"snowquay/internal/core/fleet"
 	"snowquay/internal/core/registry"
 	"snowquay/internal/settings"
@@ -90,11 +90,11 @@
 	zones := len(site.Zones)
 	for i := range servers {
 		a := netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 1, byte(i / 250), byte(1 + i%250)}), enlargedPort)
-		site.Servers = append(site.Servers, registry.Place{Server: choice.Server(a.String()), Weight: 1,
-			Zone: choice.Zone(i / podSize % zones), Pod: choice.Pod(i / podSize)})
+		site.Servers = append(site.Servers, registry.Place{Server: balancer.Server(a.String()), Weight: 1,
+			Zone: balancer.Zone(i / podSize % zones), Pod: balancer.Pod(i / podSize)})
 	}
 	for i := range relays {
-		site.Relays = append(site.Relays, fleet.Relay{UID: fmt.Sprint("relay-", i), Zone: choice.Zone(i % zones), Usual: usualRate})
+		site.Relays = append(site.Relays, fleet.Relay{UID: fmt.Sprint("relay-", i), Zone: balancer.Zone(i % zones), Usual: usualRate})
 	}
 	site.Dataplane.Proxies = relays
 	lines := float64(relays * servers * len(site.Classes))
--- a/internal/rehearse/hosted.go
+++ b/internal/rehearse/hosted.go
@@ -11,7 +11,7 @@
 	"slices"
 	"strings"
 
-	"snowquay/choice"
+	"snowquay/balancer"
 	"snowquay/internal/consensus"
 	"snowquay/internal/core/fleet"
 	"snowquay/internal/core/tenancy"
@@ -505,7 +505,7 @@
 func (p *hostedPlay) drain(x *hostedTenant) {
 	s := tenantServer(x.number, p.day.Servers-1)
 	p.on(func(now float64, h *run.Host) {
-		h.Drain(now, x.name, choice.Server(s.String()), true, func(ok bool) {
+		h.Drain(now, x.name, balancer.Server(s.String()), true, func(ok bool) {
 			if ok {
 				x.drained = p.stage.Now()
 				x.ref.Drained(p.stage.Now(), s, true)
--- a/internal/rehearse/proxies.go
+++ b/internal/rehearse/proxies.go
@@ -4,7 +4,7 @@
 	"net/netip"
 	"slices"
 
-	"snowquay/choice"
+	"snowquay/balancer"
 	"snowquay/internal/core/admit"
 	"snowquay/internal/core/avoid"
 	"snowquay/internal/core/forward"
@@ -48,12 +48,12 @@
 		Report: site.Reporting.Period, Seed: seed, Store: &x.shelf, Watch: seen,
 		Forward: forward.Setup{Names: site.Names, Classes: site.Classes, Ways: site.Repeats, Levels: site.Dataplane.Levels,
 			Limits: admit.UsualLimits, Avoid: avoid.Terms{After: site.Dataplane.EjectAfter, For: avoid.UsualTerms.For, Most: avoid.UsualTerms.Most},
-			Budget: repeat.UsualBudget, Places: map[choice.Server]repeat.Place{},
+			Budget: repeat.UsualBudget, Places: map[balancer.Server]repeat.Place{},
 			Make: func(class int) pick.Table { return pick.NewEven(seed + uint64(class)) }}}
 	for k, name := range site.Names {
 		at := slices.IndexFunc(p.classes, func(q standin.Class) bool { return q.Name == name })
 		seen.Classes = append(seen.Classes, at)
-		s.Routes = append(s.Routes, proxy.Route{Prefix: "/" + name, Class: choice.Class(k)})
+		s.Routes = append(s.Routes, proxy.Route{Prefix: "/" + name, Class: balancer.Class(k)})
 	}
 	for _, v := range site.Servers {
 		s.Forward.Places[v.Server] = repeat.Place{Server: v.Server, Zone: v.Zone, Pod: v.Pod}
@@ -75,7 +75,7 @@
 	p.reals = append(p.reals, x)
 	s := p.proxySetup(i)
 	for _, a := range standing {
-		s.Standing = append(s.Standing, choice.Server(a.String()))
+		s.Standing = append(s.Standing, balancer.Server(a.String()))
 	}
 	zone := int(p.day.Coordinator.Site.Relays[i].Zone)
 	at := netip.AddrPortFrom(relayAddr(i).Addr(), clientPort)
--- a/internal/rehearse/rehearse.go
+++ b/internal/rehearse/rehearse.go
@@ -14,7 +14,7 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"snowquay/choice"
+	"snowquay/balancer"
 	"snowquay/internal/consensus"
 	"snowquay/internal/core/fleet"
 	"snowquay/internal/core/longpoll"
@@ -310,7 +310,7 @@
 		}
 	}
 	if n := p.opts.Coordinators; n > 1 {
-		setup.Site.Dataplane.Coordinators, setup.Site.Dataplane.Self = n, choice.Coordinator(i)
+		setup.Site.Dataplane.Coordinators, setup.Site.Dataplane.Self = n, balancer.Coordinator(i)
 		o.lives++
 		o.disk.Own = uint64(i + 1)
 		setup.Disk, setup.Life = &o.disk, o.lives*100+uint64(i)
--- a/internal/run/adopt_test.go
+++ b/internal/run/adopt_test.go
@@ -4,7 +4,7 @@
 	"net/netip"
 	"testing"
 
-	"snowquay/choice"
+	"snowquay/balancer"
 	"snowquay/internal/consensus"
 	"snowquay/internal/core/fleet"
 	"snowquay/internal/core/registry"
@@ -26,11 +26,11 @@
 	start := func() *run.Coordinator {
 		life++
 		c, err := run.New(net.Now(), run.Setup{Site: fleet.Site{Seed: 1, Names: []string{"search"}, Zones: []string{"a"},
-			Strangers: true, Classes: []choice.QueryClass{{Benefit: 1, GoalTime: 1, ClientTimeout: 3}},
-			Dataplane:  choice.Dataplane{Proxies: 1, Coordinators: 1, UsualRepeats: choice.AfterProof},
-			Channel:    choice.Channel{LinesPerSecond: 1e5, MessageLines: 3, MostWaiting: 1e5, MeanWay: 0.01, LongestWay: 0.2},
-			Guarantees: choice.Guarantees{DrainWithin: 3, BareWithin: 2, ColdShare: 0.2, ColdFor: 10, FallMultiple: 3, FallWithin: 2},
-			Reporting:  choice.Reporting{Period: 0.5}, Limits: fleet.UsualLimits}, SASP: at, Limits: session.UsualLimits,
+			Strangers: true, Classes: []balancer.QueryClass{{Benefit: 1, GoalTime: 1, ClientTimeout: 3}},
+			Dataplane:  balancer.Dataplane{Proxies: 1, Coordinators: 1, UsualRepeats: balancer.AfterProof},
+			Channel:    balancer.Channel{LinesPerSecond: 1e5, MessageLines: 3, MostWaiting: 1e5, MeanWay: 0.01, LongestWay: 0.2},
+			Guarantees: balancer.Guarantees{DrainWithin: 3, BareWithin: 2, ColdShare: 0.2, ColdFor: 10, FallMultiple: 3, FallWithin: 2},
+			Reporting:  balancer.Reporting{Period: 0.5}, Limits: fleet.UsualLimits}, SASP: at, Limits: session.UsualLimits,
 			Policy: session.Policy{FleetUID: "fleet", NewOnes: true}, Disk: disk, Life: life,
 			Group: &run.GroupSetup{Self: 1, Weight: 1, Members: map[share.Number]netip.AddrPort{1: peers}, Key: []byte("key"),
 				Terms: consensus.UsualTerms, Lease: share.UsualTerms}}, nil)
@@ -52,21 +52,21 @@
 	}
 	net.Add(server.Addr(), 0, false).Start(member)
 	net.Run(net.Now() + 1)
-	name := choice.Server(server.String())
-	if phase, _ := c.Fleet.Roll.Phase(name); phase != choice.Terminating {
+	name := balancer.Server(server.String())
+	if phase, _ := c.Fleet.Roll.Phase(name); phase != balancer.Terminating {
 		t.Fatalf("it was told of a drain, and the roll says %v", phase)
 	}
 	host.Kill()
 	c = start()
 	net.Run(net.Now() + 2)
-	if rec, ok := c.Fleet.Roll.Find(name); !ok || rec.Phase != choice.Terminating || !rec.Drained {
+	if rec, ok := c.Fleet.Roll.Find(name); !ok || rec.Phase != balancer.Terminating || !rec.Drained {
 		t.Errorf("after its end it knows %+v", rec)
 	}
 }
 
 func TestWhatIsNewsToAll(t *testing.T) {
 	s := &share.State{}
-	r := registry.Record{Place: registry.Place{Server: "a", Weight: 1}, Phase: choice.InService, Started: 100}
+	r := registry.Record{Place: registry.Place{Server: "a", Weight: 1}, Phase: balancer.InService, Started: 100}
 	if len(s.News([]registry.Record{r})) != 1 {
 		t.Error("a new server is no news")
 	}
@@ -79,7 +79,7 @@
 		t.Error("what another coordinator heard a second later is news")
 	}
 	for _, change := range []func(*registry.Record){func(r *registry.Record) { r.Started = 110 }, func(r *registry.Record) { r.Drained = true },
-		func(r *registry.Record) { r.Phase = choice.Gone }, func(r *registry.Record) { r.Weight = 2 }} {
+		func(r *registry.Record) { r.Phase = balancer.Gone }, func(r *registry.Record) { r.Weight = 2 }} {
 		x := r
 		if change(&x); len(s.News([]registry.Record{x})) != 1 {
 			t.Errorf("%+v is no news", x)
--- a/internal/run/coordinator.go
+++ b/internal/run/coordinator.go
@@ -8,7 +8,7 @@
 	"math/rand/v2"
 	"net/netip"
 
-	"snowquay/choice"
+	"snowquay/balancer"
 	"snowquay/internal/consensus"
 	"snowquay/internal/core/fleet"
 	"snowquay/internal/core/longpoll"
@@ -61,9 +61,9 @@
 	// Sent notes that a proxy was sent away.
 	Sent(now float64, uid string)
 	// Drain makes a drain known to all; Settled tells by its ticket when it is. ok is false where it can't be taken.
-	Drain(now float64, s choice.Server, on bool) (ticket uint64, ok bool)
+	Drain(now float64, s balancer.Server, on bool) (ticket uint64, ok bool)
 	// Drains are those that were agreed on, and when they were told. It must not be changed.
-	Drains() map[choice.Server]float64
+	Drains() map[balancer.Server]float64
 	// Kept are the records of servers that are agreed on, by server.
 	Kept() []registry.Record
 	// Keep proposes what is new of records.
@@ -338,7 +338,7 @@
 }
 
 // Drain of session.Out: what was told to one coordinator is agreed on by all before anything follows from it.
-func (c *Coordinator) Drain(now float64, s choice.Server, on bool) (ticket uint64, ok bool) {
+func (c *Coordinator) Drain(now float64, s balancer.Server, on bool) (ticket uint64, ok bool) {
 	if c.peers == nil {
 		return 0, true
 	}
@@ -356,7 +356,7 @@
 // learnt takes what another coordinator has heard of servers' starts.
 func (c *Coordinator) learnt(_ float64, records []registry.Record) {
 	for _, r := range records {
-		if r.Phase != choice.Gone {
+		if r.Phase != balancer.Gone {
 			c.Fleet.Roll.Younger(r.Server, r.Started)
 		}
 	}
@@ -382,7 +382,7 @@
 }
 
 // Order takes a drain, or its end, of an administrator. done is called once, when it is agreed on and durable, or refused.
-func (c *Coordinator) Order(now float64, s choice.Server, on bool, done func(ok bool)) {
+func (c *Coordinator) Order(now float64, s balancer.Server, on bool, done func(ok bool)) {
 	ticket, ok := c.Drain(now, s, on)
 	switch {
 	case !ok:
@@ -405,7 +405,7 @@
 func (c *Coordinator) agree(now float64) {
 	drains := c.peers.Drains()
 	for s := range drains {
-		if phase, _ := c.Fleet.Roll.Phase(s); phase == choice.InService {
+		if phase, _ := c.Fleet.Roll.Phase(s); phase == balancer.InService {
 			c.Fleet.Roll.Quiesce(now, s, true)
 		}
 	}
@@ -415,7 +415,7 @@
 	if !c.adopted { // servers that the others know and that have not dialled us yet
 		c.adopted = true
 		for _, r := range c.peers.Kept() {
-			if _, known := c.Fleet.Roll.Find(r.Server); known || r.Phase == choice.Gone {
+			if _, known := c.Fleet.Roll.Find(r.Server); known || r.Phase == balancer.Gone {
 				continue
 			}
 			if err := c.Fleet.Roll.Restore(now, []registry.Record{r}); err != nil {
--- a/internal/run/host.go
+++ b/internal/run/host.go
@@ -9,7 +9,7 @@
 	"net/netip"
 	"slices"
 
-	"snowquay/choice"
+	"snowquay/balancer"
 	"snowquay/internal/consensus"
 	"snowquay/internal/core/fleet"
 	"snowquay/internal/core/guard"
@@ -103,7 +103,7 @@
 	lives    map[tenancy.Incarnation]*Hosted      // those that are known here
 	drains   map[share.Ticket]tenancy.Incarnation // told here, and not settled yet
 	orders   map[share.Ticket]*waiting
-	byLife   map[tenancy.Incarnation]map[choice.Server]float64
+	byLife   map[tenancy.Incarnation]map[balancer.Server]float64
 	drainsOf uint64 // orders that byLife was made of
 
 	Counts HostCounts
@@ -719,7 +719,7 @@
 func (h *Host) Member() *Member { return h.member }
 
 // Drain orders a drain of a tenant's server, or its end.
-func (h *Host) Drain(now float64, n tenancy.Name, s choice.Server, on bool, done func(ok bool)) {
+func (h *Host) Drain(now float64, n tenancy.Name, s balancer.Server, on bool, done func(ok bool)) {
 	x := h.tenants[n]
 	if x == nil || x.Program == nil {
 		done(false)
--- a/internal/run/host_test.go
+++ b/internal/run/host_test.go
@@ -8,7 +8,7 @@
 	"strings"
 	"testing"
 
-	"snowquay/choice"
+	"snowquay/balancer"
 	"snowquay/internal/core/tenancy"
 	"snowquay/internal/keep"
 	"snowquay/internal/rehearse"
@@ -179,7 +179,7 @@
 		}
 		// A drain that is confirmed and not yet told.
 		told := false
-		s.host.Drain(s.net.Now(), "t000", choice.Server("127.16.0.1:18080"), true, func(ok bool) { told = ok })
+		s.host.Drain(s.net.Now(), "t000", balancer.Server("127.16.0.1:18080"), true, func(ok bool) { told = ok })
 		if restart(); !told {
 			t.Fatal("not confirmed")
 		}
@@ -256,7 +256,7 @@
 	k = s.from(0, setBalancer("t000/relay-0"), register("t000/relay-0"), setBalancer("t000/relay-0"))
 	s.run(3)
 	x, _ := s.host.Tenant("t000")
-	if d, _ := x.Program.Fleet.Drain("127.16.0.1:18080"); d.Phase != choice.InService || len(k.rows) < 4 {
+	if d, _ := x.Program.Fleet.Drain("127.16.0.1:18080"); d.Phase != balancer.InService || len(k.rows) < 4 {
 		t.Errorf("%+v, %d rows", d, len(k.rows))
 	}
 }
--- a/internal/run/member.go
+++ b/internal/run/member.go
@@ -7,7 +7,7 @@
 	"net/netip"
 	"slices"
 
-	"snowquay/choice"
+	"snowquay/balancer"
 	"snowquay/internal/consensus"
 	"snowquay/internal/core/registry"
 	"snowquay/internal/core/share"
@@ -301,13 +301,13 @@
 func (m *Member) Holds(now float64) bool { return m.Ready() && m.Group.Lease.Holds(now) }
 
 // Drain of Peers.
-func (m *Member) Drain(now float64, s choice.Server, on bool) (ticket uint64, ok bool) {
+func (m *Member) Drain(now float64, s balancer.Server, on bool) (ticket uint64, ok bool) {
 	t, ok := m.Group.Drain(now, s, on)
 	return uint64(t), ok
 }
 
 // Drains of Peers.
-func (m *Member) Drains() map[choice.Server]float64 { return m.Group.State.Drains }
+func (m *Member) Drains() map[balancer.Server]float64 { return m.Group.State.Drains }
 
 // Kept of Peers.
 func (m *Member) Kept() []registry.Record { return m.Group.State.Kept() }
--- a/internal/run/scope.go
+++ b/internal/run/scope.go
@@ -4,7 +4,7 @@
 	"maps"
 	"slices"
 
-	"snowquay/choice"
+	"snowquay/balancer"
 	"snowquay/internal/consensus"
 	"snowquay/internal/core/registry"
 	"snowquay/internal/core/share"
@@ -17,7 +17,7 @@
 	h      *Host
 	life   tenancy.Incarnation
 	prefix string
-	empty  map[choice.Server]float64
+	empty  map[balancer.Server]float64
 }
 
 func (h *Host) scope(x *Hosted) *scope {
@@ -40,15 +40,15 @@
 func (s *scope) Sent(now float64, uid string) { s.h.member.Sent(now, uid) }
 
 // Drain of Peers.
-func (s *scope) Drain(now float64, v choice.Server, on bool) (ticket uint64, ok bool) {
-	if ticket, ok = s.h.member.Drain(now, choice.Server(s.prefix)+v, on); ok {
+func (s *scope) Drain(now float64, v balancer.Server, on bool) (ticket uint64, ok bool) {
+	if ticket, ok = s.h.member.Drain(now, balancer.Server(s.prefix)+v, on); ok {
 		s.h.drains[share.Ticket(ticket)] = s.life
 	}
 	return ticket, ok
 }
 
 // Drains of Peers.
-func (s *scope) Drains() map[choice.Server]float64 {
+func (s *scope) Drains() map[balancer.Server]float64 {
 	if at := s.h.drained()[s.life]; at != nil {
 		return at
 	}
@@ -70,26 +70,26 @@
 func (s *scope) Keep(now float64, records []registry.Record) {
 	all := make([]registry.Record, len(records))
 	for i, r := range records {
-		r.Server = choice.Server(s.prefix) + r.Server
+		r.Server = balancer.Server(s.prefix) + r.Server
 		all[i] = r
 	}
 	s.h.member.Keep(now, all)
 }
 
 // drained is what was agreed on of drains, by tenant; worked out anew when it has changed.
-func (h *Host) drained() map[tenancy.Incarnation]map[choice.Server]float64 {
+func (h *Host) drained() map[tenancy.Incarnation]map[balancer.Server]float64 {
 	state := h.member.Group.State
 	if h.byLife != nil && h.drainsOf == state.Orders {
 		return h.byLife
 	}
-	h.byLife, h.drainsOf = map[tenancy.Incarnation]map[choice.Server]float64{}, state.Orders
+	h.byLife, h.drainsOf = map[tenancy.Incarnation]map[balancer.Server]float64{}, state.Orders
 	for s, told := range state.Drains {
 		life, own, ok := share.Scoped(s)
 		if !ok {
 			continue
 		}
 		if h.byLife[life] == nil {
-			h.byLife[life] = map[choice.Server]float64{}
+			h.byLife[life] = map[balancer.Server]float64{}
 		}
 		h.byLife[life][own] = told
 	}
--- a/internal/service/host.go
+++ b/internal/service/host.go
@@ -13,7 +13,7 @@
 
 	"github.com/prometheus/client_golang/prometheus"
 
-	"snowquay/choice"
+	"snowquay/balancer"
 	"snowquay/internal/core/fair"
 	"snowquay/internal/core/fleet"
 	"snowquay/internal/core/rights"
@@ -120,7 +120,7 @@
 }
 
 // Drain of admin.Program.
-func (h *hosted) Drain(now float64, of tenancy.Name, s choice.Server, on bool, done func(ok bool)) {
+func (h *hosted) Drain(now float64, of tenancy.Name, s balancer.Server, on bool, done func(ok bool)) {
 	h.program.Drain(now, of, s, on, done)
 }
 
--- a/internal/service/service.go
+++ b/internal/service/service.go
@@ -15,7 +15,7 @@
 	"github.com/prometheus/client_golang/prometheus"
 	"github.com/prometheus/client_golang/prometheus/promhttp"
 
-	"snowquay/choice"
+	"snowquay/balancer"
 	"snowquay/internal/consensus"
 	"snowquay/internal/core/fleet"
 	"snowquay/internal/core/rights"
@@ -208,7 +208,7 @@
 }
 
 // Drain of admin.Program.
-func (a *administered) Drain(now float64, _ tenancy.Name, s choice.Server, on bool, done func(ok bool)) {
+func (a *administered) Drain(now float64, _ tenancy.Name, s balancer.Server, on bool, done func(ok bool)) {
 	a.program.Order(now, s, on, done)
 }
 
--- a/internal/settings/host.go
+++ b/internal/settings/host.go
@@ -10,7 +10,7 @@
 	"strconv"
 	"strings"
 
-	"snowquay/choice"
+	"snowquay/balancer"
 	"snowquay/internal/core/change"
 	"snowquay/internal/core/fleet"
 	"snowquay/internal/core/rights"
@@ -105,7 +105,7 @@
 }
 
 func tenant(of tenancy.Name, root *node, h *Host) (m run.Made, err error) {
-	r := &reader{zones: map[string]choice.Zone{}}
+	r := &reader{zones: map[string]balancer.Zone{}}
 	c := r.basis(root, nil)
 	r.callers(root, c)
 	for i, x := range c.Callers {
@@ -124,7 +124,7 @@
 	if c.Key != "" && c.User == "" || c.Key == "" && c.User != "" {
 		r.wrong(root.one("reports"), "user and key belong together")
 	}
-	if s.Dataplane.Levels != choice.LevelsIgnored && h.SASP.IsValid() {
+	if s.Dataplane.Levels != balancer.LevelsIgnored && h.SASP.IsValid() {
 		c.Policy.Members = true
 		if !h.HTTP.IsValid() {
 			r.wrong(root.one("fleet"), "levels: SASP has no word for them, and this host speaks nothing else")
@@ -170,7 +170,7 @@
 const mostUID = 255 // bytes on the wire
 
 // served tells whether a class has a server that may take it.
-func served(q choice.QueryClass, s *fleet.Site) bool {
+func served(q balancer.QueryClass, s *fleet.Site) bool {
 	for _, v := range s.Servers {
 		if len(q.OnlyZones) == 0 {
 			return true
--- a/internal/settings/lab.go
+++ b/internal/settings/lab.go
@@ -6,7 +6,7 @@
 	"slices"
 	"strings"
 
-	"snowquay/choice"
+	"snowquay/balancer"
 	"snowquay/internal/core/fleet"
 )
 
@@ -98,7 +98,7 @@
 		c := LabCase{Name: name(n), Seconds: n.number("seconds"), Drawn: n.int("drawn"), Kills: n.int("kills"), Kinds: strings.Fields(n.attrs["kinds"])}
 		for _, t := range n.all("trouble") {
 			v := Trouble{Kind: t.attrs["kind"], At: t.number("at"), For: t.number("for"), Factor: t.number("factor"), Server: t.int("server"),
-				Relay: t.int("relay"), Pod: t.int("pod"), Zone: choice.Zone(1)}
+				Relay: t.int("relay"), Pod: t.int("pod"), Zone: balancer.Zone(1)}
 			if v.At > c.Seconds {
 				r.wrong(t, "it comes after the day's end")
 			}
--- a/internal/settings/proxy.go
+++ b/internal/settings/proxy.go
@@ -7,7 +7,7 @@
 	"slices"
 	"strings"
 
-	"snowquay/choice"
+	"snowquay/balancer"
 	"snowquay/internal/core/admit"
 	"snowquay/internal/core/avoid"
 	"snowquay/internal/core/fleet"
@@ -44,12 +44,12 @@
 }
 
 func readProxy(root *node) (*Proxy, error) {
-	r, p, site := &reader{zones: map[string]choice.Zone{}}, &Proxy{}, &fleet.Site{}
+	r, p, site := &reader{zones: map[string]balancer.Zone{}}, &Proxy{}, &fleet.Site{}
 	for i, z := range root.all("zone") {
 		if _, twice := r.zones[z.attrs["name"]]; twice {
 			r.wrong(z, "there are two zones named %q", z.attrs["name"])
 		}
-		r.zones[z.attrs["name"]] = choice.Zone(i)
+		r.zones[z.attrs["name"]] = balancer.Zone(i)
 	}
 	for _, n := range root.all("class") {
 		r.class(n, site)
@@ -78,15 +78,15 @@
 		if slices.ContainsFunc(p.Routes, func(x proxy.Route) bool { return x.Prefix == n.attrs["path"] }) {
 			r.wrong(n, "there are two routes for %q", n.attrs["path"])
 		}
-		p.Routes = append(p.Routes, proxy.Route{Prefix: n.attrs["path"], Class: choice.Class(c)})
+		p.Routes = append(p.Routes, proxy.Route{Prefix: n.attrs["path"], Class: balancer.Class(c)})
 	}
-	f.Places = map[choice.Server]repeat.Place{}
+	f.Places = map[balancer.Server]repeat.Place{}
 	for _, n := range root.all("server") {
-		s := choice.Server(r.endpoint(n, "address").String())
+		s := balancer.Server(r.endpoint(n, "address").String())
 		if _, twice := f.Places[s]; twice {
 			r.wrong(n, "%s is listed already", s)
 		}
-		f.Places[s] = repeat.Place{Server: s, Zone: r.zone(n, "zone"), Pod: choice.Pod(n.int("pod"))}
+		f.Places[s] = repeat.Place{Server: s, Zone: r.zone(n, "zone"), Pod: balancer.Pod(n.int("pod"))}
 		if n.bool("standing") {
 			p.Standing = append(p.Standing, s)
 		}
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -15,7 +15,7 @@
 	"strings"
 	"sync"
 
-	"snowquay/choice"
+	"snowquay/balancer"
 	"snowquay/internal/consensus"
 	"snowquay/internal/core/change"
 	"snowquay/internal/core/fleet"
@@ -53,7 +53,7 @@
 	Kind               string
 	At, For, Factor    float64
 	Server, Relay, Pod int
-	Zone               choice.Zone
+	Zone               balancer.Zone
 }
 
 // Day is a rehearsal.
@@ -92,11 +92,11 @@
 }
 
 var (
-	levelKinds = map[string]choice.LevelKind{"fraction": choice.LevelFraction, "rate": choice.LevelRate}
-	effects    = map[string]choice.Effect{"free": choice.Free, "guarded": choice.Guarded, "single-shot": choice.SingleShot}
-	groups     = map[string]choice.Group{"all": choice.EveryServer, "zone": choice.SameZone, "pod": choice.SamePod}
-	ways       = map[string]choice.Repeats{"none": choice.NoRepeat, "proof": choice.AfterProof,
-		"failure": choice.AfterFailure, "twice": choice.TwiceOnFailure}
+	levelKinds = map[string]balancer.LevelKind{"fraction": balancer.LevelFraction, "rate": balancer.LevelRate}
+	effects    = map[string]balancer.Effect{"free": balancer.Free, "guarded": balancer.Guarded, "single-shot": balancer.SingleShot}
+	groups     = map[string]balancer.Group{"all": balancer.EveryServer, "zone": balancer.SameZone, "pod": balancer.SamePod}
+	ways       = map[string]balancer.Repeats{"none": balancer.NoRepeat, "proof": balancer.AfterProof,
+		"failure": balancer.AfterFailure, "twice": balancer.TwiceOnFailure}
 )
 
 // LoadCoordinator reads a file; without names guards that are left out, for tests of them.
@@ -180,7 +180,7 @@
 // reader collects what the schema can't say.
 type reader struct {
 	errs  []error
-	zones map[string]choice.Zone
+	zones map[string]balancer.Zone
 }
 
 func (r *reader) wrong(n *node, format string, args ...any) {
@@ -199,7 +199,7 @@
 	return netip.AddrPortFrom(a.Addr().Unmap(), a.Port())
 }
 
-func (r *reader) zone(n *node, name string) choice.Zone {
+func (r *reader) zone(n *node, name string) balancer.Zone {
 	z, ok := r.zones[n.attrs[name]]
 	if !ok {
 		r.wrong(n, "%s: no zone is named %q", name, n.attrs[name])
@@ -208,7 +208,7 @@
 }
 
 func parseCoordinatorNode(root *node, without []fleet.Guard) (*Coordinator, error) {
-	r := &reader{zones: map[string]choice.Zone{}}
+	r := &reader{zones: map[string]balancer.Zone{}}
 	c := r.basis(root, without)
 	l := root.one("listen")
 	c.SASP, c.HTTP = r.endpoint(l, "sasp"), r.endpoint(l, "http")
@@ -247,7 +247,7 @@
 		if _, twice := r.zones[name]; twice {
 			r.wrong(z, "there are two zones named %q", name)
 		}
-		r.zones[name] = choice.Zone(i)
+		r.zones[name] = balancer.Zone(i)
 		s.Zones = append(s.Zones, name)
 	}
 	for _, n := range root.all("class") {
@@ -259,7 +259,7 @@
 		s.Dataplane.Levels = levelKinds[levels]
 	}
 	rep := root.one("reports")
-	s.Reporting = choice.Reporting{Period: rep.number("period")}
+	s.Reporting = balancer.Reporting{Period: rep.number("period")}
 	c.User, c.Key = rep.attrs["user"], rep.attrs["key"]
 	if (c.User == "") != (c.Key == "") {
 		r.wrong(rep, "user and key belong together")
@@ -367,7 +367,7 @@
 }
 
 func (r *reader) class(n *node, s *fleet.Site) {
-	q := choice.QueryClass{Benefit: n.number("benefit"), LateBenefit: n.number("late-benefit"),
+	q := balancer.QueryClass{Benefit: n.number("benefit"), LateBenefit: n.number("late-benefit"),
 		GoalTime: n.number("goal-time"), ClientTimeout: n.number("client-timeout"), Effect: effects[n.attrs["effect"]],
 		Group: groups[n.attrs["same"]], Window: n.number("window"), OwnZone: n.bool("own-zone"), Writes: n.bool("writes")}
 	if slices.Contains(s.Names, n.attrs["name"]) {
@@ -376,7 +376,7 @@
 	if q.GoalTime > q.ClientTimeout {
 		r.wrong(n, "the goal time is longer than the client timeout")
 	}
-	if q.Effect == choice.Guarded && q.Window == 0 {
+	if q.Effect == balancer.Guarded && q.Window == 0 {
 		r.wrong(n, "a guarded class needs a window")
 	}
 	for _, z := range strings.Fields(n.attrs["zones"]) {
@@ -393,17 +393,17 @@
 
 func (r *reader) fleet(root *node, s *fleet.Site) {
 	f, c, g := root.one("fleet"), root.one("channel"), root.one("rules")
-	usual := choice.TwiceOnFailure
+	usual := balancer.TwiceOnFailure
 	for _, way := range s.Repeats {
 		usual = min(usual, way)
 	}
-	s.Dataplane = choice.Dataplane{Proxies: f.int("relays"), Coordinators: 1, StandingTable: f.int("standing"),
+	s.Dataplane = balancer.Dataplane{Proxies: f.int("relays"), Coordinators: 1, StandingTable: f.int("standing"),
 		EjectAfter: f.int("eject-after"), UsualRepeats: usual, LeastConnections: f.number("least-connections"),
-		Levels: choice.LevelsIgnored} // SASP has no word for them
-	s.Channel = choice.Channel{LinesPerSecond: c.number("lines-per-second"), MessageLines: c.number("message-lines"),
+		Levels: balancer.LevelsIgnored} // SASP has no word for them
+	s.Channel = balancer.Channel{LinesPerSecond: c.number("lines-per-second"), MessageLines: c.number("message-lines"),
 		MostWaiting: c.number("most-waiting"), MeanWay: c.number("mean-way"), LongestWay: c.number("longest-way"),
 		MostMessages: c.int("most-messages"), MessageWindow: c.number("message-window")}
-	s.Guarantees = choice.Guarantees{DrainWithin: g.number("drain-within"), BareWithin: g.number("bare-within"),
+	s.Guarantees = balancer.Guarantees{DrainWithin: g.number("drain-within"), BareWithin: g.number("bare-within"),
 		ColdShare: g.number("cold-share"), ColdFor: g.number("cold-for"), FallMultiple: g.number("fall-multiple"),
 		FallWithin: g.number("fall-within")}
 	if s.Channel.LongestWay < s.Channel.MeanWay {
@@ -423,22 +423,22 @@
 	if h := n.number("hold"); h > 0 {
 		c.Site.Limits.HoldServer = h
 	}
-	seen := map[choice.Server]int{}
+	seen := map[balancer.Server]int{}
 	for _, k := range n.all("server") {
 		a := r.endpoint(k, "address")
 		if v := k.number("capacity"); v > 0 {
 			if c.Site.Pools == nil {
-				c.Site.Pools = map[choice.Server]fleet.Pooled{}
+				c.Site.Pools = map[balancer.Server]fleet.Pooled{}
 			}
-			c.Site.Pools[choice.Server(a.String())] = fleet.Pooled{Pool: k.attrs["pool"], Capacity: v}
+			c.Site.Pools[balancer.Server(a.String())] = fleet.Pooled{Pool: k.attrs["pool"], Capacity: v}
 		}
-		s := choice.Server(a.String())
+		s := balancer.Server(a.String())
 		if line := seen[s]; line > 0 {
 			r.wrong(k, "%s is listed already, in line %d", s, line)
 		}
 		seen[s] = k.line
-		c.Site.Servers = append(c.Site.Servers, registry.Place{Server: s, Zone: r.zone(k, "zone"), Kind: choice.Kind(k.int("kind")),
-			Pod: choice.Pod(k.int("pod")), Weight: k.number("weight"), Standing: k.bool("standing")})
+		c.Site.Servers = append(c.Site.Servers, registry.Place{Server: s, Zone: r.zone(k, "zone"), Kind: balancer.Kind(k.int("kind")),
+			Pod: balancer.Pod(k.int("pod")), Weight: k.number("weight"), Standing: k.bool("standing")})
 	}
 }
 
@@ -497,9 +497,9 @@
 	if err != nil {
 		return nil, err
 	}
-	r := &reader{zones: map[string]choice.Zone{}}
+	r := &reader{zones: map[string]balancer.Zone{}}
 	for i, z := range c.Site.Zones {
-		r.zones[z] = choice.Zone(i)
+		r.zones[z] = balancer.Zone(i)
 	}
 	d := &Day{Coordinator: c, coordinator: root.one("coordinator"), Seconds: root.number("seconds"), Seed: uint64(root.int("seed"))}
 	m, q := root.one("servers"), root.one("queries")
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -7,7 +7,7 @@
 	"strings"
 	"testing"
 
-	"snowquay/choice"
+	"snowquay/balancer"
 	"snowquay/internal/core/fleet"
 )
 
@@ -25,14 +25,14 @@
 		t.Fatal(err)
 	}
 	if len(c.Site.Servers) != 4 || len(c.Site.Relays) != 2 || c.Site.Guarantees.DrainWithin != 3 || !c.Policy.NewOnes ||
-		c.Site.Classes[1].Effect != choice.Guarded || c.Site.Servers[2].Zone != 1 || !c.Metrics.IsValid() {
+		c.Site.Classes[1].Effect != balancer.Guarded || c.Site.Servers[2].Zone != 1 || !c.Metrics.IsValid() {
 		t.Errorf("%+v", c)
 	}
-	if c.Site.Repeats[0] != choice.AfterFailure || c.Site.Repeats[1] != choice.AfterProof {
+	if c.Site.Repeats[0] != balancer.AfterFailure || c.Site.Repeats[1] != balancer.AfterProof {
 		t.Errorf("repeats %v: a guarded class must not be repeated after a failure", c.Site.Repeats)
 	}
 	c, err = ParseCoordinator("example.xml", []byte(example(t)), fleet.GuardRepeats)
-	if err != nil || c.Site.Repeats[1] != choice.AfterFailure {
+	if err != nil || c.Site.Repeats[1] != balancer.AfterFailure {
 		t.Errorf("without the guard: %v, %v", c.Site.Repeats, err)
 	}
 	if text := c.String(); !strings.Contains(text, "4 servers listed") || !strings.Contains(text, "introduce") {
--- a/internal/settings/write.go
+++ b/internal/settings/write.go
@@ -9,7 +9,7 @@
 	"slices"
 	"strconv"
 
-	"snowquay/choice"
+	"snowquay/balancer"
 	"snowquay/internal/core/share"
 )
 
@@ -78,7 +78,7 @@
 			}
 		case "fleet":
 			x.attrs["relays"], x.attrs["levels"] = fmt.Sprint(site.Dataplane.Proxies), nameOf(levelKinds, site.Dataplane.Levels)
-			if site.Dataplane.Levels == choice.LevelsIgnored {
+			if site.Dataplane.Levels == balancer.LevelsIgnored {
 				x.attrs["levels"] = "ignored"
 			}
 		case "channel":
--- a/internal/simwire/host.go
+++ b/internal/simwire/host.go
@@ -7,7 +7,7 @@
 	"fmt"
 	"io"
 
-	"snowquay/choice"
+	"snowquay/balancer"
 )
 
 // batch is one line from the bench.
@@ -19,8 +19,8 @@
 // instance is one coordinator and what came in for it in the batch at hand.
 type instance struct {
 	number  int
-	manager *choice.Manager
-	news    choice.News
+	manager *balancer.Manager
+	news    balancer.News
 	waiting bool
 }
 
@@ -78,12 +78,12 @@
 				i = &instance{number: *l.Coordinator}
 				instances[i.number] = i
 			}
-			i.manager, i.news = manager, choice.News{}
+			i.manager, i.news = manager, balancer.News{}
 		case "Destroy":
 			if i == nil || i.manager == nil {
 				return fmt.Errorf("line %d: Destroy for instance %d, which does not run", at, *l.Coordinator)
 			}
-			i.manager, i.news = nil, choice.News{}
+			i.manager, i.news = nil, balancer.News{}
 			continue
 		default:
 			if i == nil || i.manager == nil {
@@ -106,7 +106,7 @@
 		}
 		reply.instance = i.number
 		i.manager.Round(*b.Clock, i.news, reply)
-		i.news = choice.News{}
+		i.news = balancer.News{}
 	}
 	return nil
 }
--- a/internal/simwire/read.go
+++ b/internal/simwire/read.go
@@ -7,7 +7,7 @@
 	"fmt"
 	"math"
 
-	"snowquay/choice"
+	"snowquay/balancer"
 	"snowquay/internal/deployment"
 )
 
@@ -46,17 +46,17 @@
 }
 
 var (
-	scopes = map[string]choice.Scope{"Persisted": choice.Cached, "Complete": choice.Whole,
-		"Partial": choice.Changes, "Error": choice.Failed}
-	phases = map[string]choice.Phase{"in_service": choice.InService, "terminating": choice.Terminating,
-		"terminated": choice.Gone}
-	verdicts = map[string]choice.Verdict{"GOOD": choice.ProbeGood, "BAD": choice.ProbeError,
-		"FULL": choice.ProbeRefused, "LATE": choice.ProbeTimeout, "NOCONN": choice.ProbeUnreachable,
-		"RST": choice.ProbeUnreachable, "CXL": choice.ProbeMoot, "NOP": choice.ProbeMoot}
+	scopes = map[string]balancer.Scope{"Persisted": balancer.Cached, "Complete": balancer.Whole,
+		"Partial": balancer.Changes, "Error": balancer.Failed}
+	phases = map[string]balancer.Phase{"in_service": balancer.InService, "terminating": balancer.Terminating,
+		"terminated": balancer.Gone}
+	verdicts = map[string]balancer.Verdict{"GOOD": balancer.ProbeGood, "BAD": balancer.ProbeError,
+		"FULL": balancer.ProbeRefused, "LATE": balancer.ProbeTimeout, "NOCONN": balancer.ProbeUnreachable,
+		"RST": balancer.ProbeUnreachable, "CXL": balancer.ProbeMoot, "NOP": balancer.ProbeMoot}
 )
 
 // provision builds an instance from its start message.
-func provision(l line) (*choice.Manager, error) {
+func provision(l line) (*balancer.Manager, error) {
 	if len(l.BootInfo) == 0 {
 		return nil, errors.New("provision without boot-info")
 	}
@@ -68,7 +68,7 @@
 }
 
 // add puts one event into the news of its instance.
-func add(n *choice.News, l line) error {
+func add(n *balancer.News, l line) error {
 	for _, v := range append([]float64{l.Size, l.Elapsed, l.PeriodLen, l.Lost, l.Tries}, l.Stats...) {
 		if v < 0 || math.IsInf(v, 0) {
 			return fmt.Errorf("%s holds the impossible figure %v", l.Type, v)
@@ -80,41 +80,41 @@
 		if !ok {
 			return fmt.Errorf("announce has the unknown scope %q", l.Scope)
 		}
-		list := choice.List{Scope: scope}
+		list := balancer.List{Scope: scope}
 		for _, e := range l.Entries {
 			phase, ok := phases[e.Phase]
 			if !ok {
 				return fmt.Errorf("%q has the unknown phase %q", e.Backend, e.Phase)
 			}
-			list.Entries = append(list.Entries, choice.Entry{Server: choice.Server(e.Backend),
-				Zone: choice.Zone(e.Campus), Kind: choice.Kind(e.Shape), Pod: choice.Pod(e.Pod),
+			list.Entries = append(list.Entries, balancer.Entry{Server: balancer.Server(e.Backend),
+				Zone: balancer.Zone(e.Campus), Kind: balancer.Kind(e.Shape), Pod: balancer.Pod(e.Pod),
 				Weight: e.Size, Phase: phase, Started: e.BootTime})
 		}
 		n.Lists = append(n.Lists, list)
 	case "Enrolled":
-		n.Streams = append(n.Streams, choice.Stream{Proxy: choice.Proxy(l.Px), Joined: true,
-			Zone: choice.Zone(l.Campus), Usual: l.Size, Fresh: l.Flag})
+		n.Streams = append(n.Streams, balancer.Stream{Proxy: balancer.Proxy(l.Px), Joined: true,
+			Zone: balancer.Zone(l.Campus), Usual: l.Size, Fresh: l.Flag})
 	case "Detached":
-		n.Streams = append(n.Streams, choice.Stream{Proxy: choice.Proxy(l.Px)})
+		n.Streams = append(n.Streams, balancer.Stream{Proxy: balancer.Proxy(l.Px)})
 	case "TrafficReport":
-		n.Traffic = append(n.Traffic, choice.Traffic{Server: choice.Server(l.Backend),
-			Zone: choice.Zone(l.Campus), Tries: l.Tries, Lost: l.Lost, Latency: l.Elapsed,
+		n.Traffic = append(n.Traffic, balancer.Traffic{Server: balancer.Server(l.Backend),
+			Zone: balancer.Zone(l.Campus), Tries: l.Tries, Lost: l.Lost, Latency: l.Elapsed,
 			Interval: l.PeriodLen, Load: l.Stats})
 	case "OfferedLoad":
-		n.Demand = append(n.Demand, choice.Demand{Proxy: choice.Proxy(l.Px), Class: choice.Class(l.Class),
+		n.Demand = append(n.Demand, balancer.Demand{Proxy: balancer.Proxy(l.Px), Class: balancer.Class(l.Class),
 			Queries: l.Tries, Lost: l.Lost, Interval: l.PeriodLen})
 	case "TookEffect":
-		n.Applied = append(n.Applied, choice.Applied{Proxy: choice.Proxy(l.Px), Mark: choice.Mark(l.Number),
+		n.Applied = append(n.Applied, balancer.Applied{Proxy: balancer.Proxy(l.Px), Mark: balancer.Mark(l.Number),
 			Took: l.Elapsed})
 	case "PingResult":
 		verdict, ok := verdicts[l.Code]
 		if !ok {
 			return fmt.Errorf("PingResult has the unknown code %q", l.Code)
 		}
-		n.Probed = append(n.Probed, choice.Probed{Server: choice.Server(l.Backend), Verdict: verdict,
+		n.Probed = append(n.Probed, balancer.Probed{Server: balancer.Server(l.Backend), Verdict: verdict,
 			Took: l.Elapsed, Load: l.Stats})
 	case "Fired":
-		n.Woken = append(n.Woken, choice.Timer(l.Nonce))
+		n.Woken = append(n.Woken, balancer.Timer(l.Nonce))
 	case "SliceLoad", "Leased", "StoredLine", "Message":
 		// Slices and words from fellow coordinators: nothing here is decided by them yet.
 	default:
--- a/internal/simwire/write.go
+++ b/internal/simwire/write.go
@@ -4,7 +4,7 @@
 	"encoding/json"
 	"strconv"
 
-	"snowquay/choice"
+	"snowquay/balancer"
 )
 
 // pen writes the orders of one instance as actions of the reply.
@@ -49,7 +49,7 @@
 
 func (p *pen) end() { p.out = append(p.out, '}') }
 
-func (p *pen) Weigh(t choice.Table, s choice.Server, weight float64) {
+func (p *pen) Weigh(t balancer.Table, s balancer.Server, weight float64) {
 	p.begin("Weigh")
 	p.figure("size", weight)
 	p.text("backend", string(s))
@@ -57,7 +57,7 @@
 	p.end()
 }
 
-func (p *pen) Bind(px choice.Proxy, t choice.Table, classes choice.Classes) {
+func (p *pen) Bind(px balancer.Proxy, t balancer.Table, classes balancer.Classes) {
 	p.begin("HandTable")
 	p.number("px", int(px))
 	p.number("sheet", int(t))
@@ -65,7 +65,7 @@
 	p.end()
 }
 
-func (p *pen) Admit(t choice.Table, classes choice.Classes, level float64, again choice.Repeats) {
+func (p *pen) Admit(t balancer.Table, classes balancer.Classes, level float64, again balancer.Repeats) {
 	p.begin("Ration")
 	p.number("sheet", int(t))
 	p.number("for-classes", int(classes))
@@ -74,7 +74,7 @@
 	p.end()
 }
 
-func (p *pen) Mark(m choice.Mark) {
+func (p *pen) Mark(m balancer.Mark) {
 	p.begin("Seal")
 	p.number("number", int(m))
 	p.key("flag")
@@ -82,7 +82,7 @@
 	p.end()
 }
 
-func (p *pen) Probe(s choice.Server) {
+func (p *pen) Probe(s balancer.Server) {
 	p.begin("SoundOut")
 	p.text("backend", string(s))
 	p.end()
@@ -95,7 +95,7 @@
 	p.end()
 }
 
-func (p *pen) Wake(after float64, t choice.Timer) {
+func (p *pen) Wake(after float64, t balancer.Timer) {
 	p.begin("Defer")
 	p.number("nonce", int(t))
 	p.figure("sleep-for", after)
--- a/internal/standin/crowd.go
+++ b/internal/standin/crowd.go
@@ -7,7 +7,7 @@
 	"strconv"
 	"strings"
 
-	"snowquay/choice"
+	"snowquay/balancer"
 	"snowquay/internal/run/world"
 	"snowquay/internal/wire/http1"
 )
@@ -217,7 +217,7 @@
 }
 
 // Sent of proxy.Watch.
-func (x *Seen) Sent(now float64, s choice.Server) {
+func (x *Seen) Sent(now float64, s balancer.Server) {
 	if a, err := netip.ParseAddrPort(string(s)); err == nil {
 		x.Ref.try(now, x.UID, a)
 	}
--- a/internal/standin/referee.go
+++ b/internal/standin/referee.go
@@ -10,7 +10,7 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"snowquay/choice"
+	"snowquay/balancer"
 )
 
 // chance is a seeded source; float draws evenly from 0 to 1.
@@ -22,8 +22,8 @@
 
 // Rules are the figures by which the referee judges.
 type Rules struct {
-	Promise choice.Guarantees
-	Channel choice.Channel
+	Promise balancer.Guarantees
+	Channel balancer.Channel
 	Hold    float64 // seconds after which a coordinator holds a server for gone that it does not hear of
 	Slack   float64 // seconds for what stand-ins see late
 }
@@ -365,7 +365,7 @@
 }
 
 func (f *Referee) effect(now float64, a netip.AddrPort, id uint64, c Class) {
-	if c.Query.Effect == choice.Free {
+	if c.Query.Effect == balancer.Free {
 		return
 	}
 	f.mu.Lock()
--- a/internal/standin/relay.go
+++ b/internal/standin/relay.go
@@ -6,7 +6,7 @@
 	"net/netip"
 	"slices"
 
-	"snowquay/choice"
+	"snowquay/balancer"
 	"snowquay/internal/core/measure"
 	"snowquay/internal/feed/collect"
 	"snowquay/internal/run/world"
@@ -129,7 +129,7 @@
 	beat    bool // its coordinator was asked whether it lives, and has not answered
 	asks    asker
 	levels  []float64
-	again   []choice.Repeats
+	again   []balancer.Repeats
 }
 
 // Popularity of keys by Zipf's law with an exponent: which part of the queries is for the first key, the first two, and so on. Relays of
@@ -633,9 +633,9 @@
 	if t.failures++; r.EjectAfter > 0 && t.failures >= r.EjectAfter {
 		t.failures, t.avoid = 0, now+r.EjectFor
 	}
-	most := map[choice.Repeats]int{choice.AfterProof: 1, choice.AfterFailure: 1, choice.TwiceOnFailure: 2}
+	most := map[balancer.Repeats]int{balancer.AfterProof: 1, balancer.AfterFailure: 1, balancer.TwiceOnFailure: 2}
 	way := r.again[x.class]
-	if x.tries <= most[way] && (a == full || way >= choice.AfterFailure) {
+	if x.tries <= most[way] && (a == full || way >= balancer.AfterFailure) {
 		r.try(now, x.query)
 		return
 	}
--- a/internal/standin/standin.go
+++ b/internal/standin/standin.go
@@ -7,17 +7,17 @@
 	"encoding/binary"
 	"math"
 
-	"snowquay/choice"
+	"snowquay/balancer"
 	"snowquay/internal/wire/sasp"
 )
 
 // Class is what stand-ins need to know of a query class.
 type Class struct {
 	Name    string
-	Query   choice.QueryClass
+	Query   balancer.QueryClass
 	Share   float64 // of all queries
 	Work    float64 // mean seconds on a core of speed 1
-	Repeats choice.Repeats
+	Repeats balancer.Repeats
 }
 
 // A query between stand-ins: 24 bytes there, 9 back.
