--- a/internal/core/admit/admit.go
+++ b/internal/core/admission/admit.go
@@ -1,6 +1,6 @@
-// Package admit decides which queries are let in: by levels that the coordinator orders for each class, and by limits of
+// Package admission decides which queries are let in: by levels that the coordinator orders for each class, and by limits of
 // what may be under way. What is not let in is refused at once, and told when to come back. It is pure.
-package admit
+package admission
 
 import (
 	"errors"
--- a/internal/core/forward/forward.go
+++ b/internal/core/forward/forward.go
@@ -8,7 +8,7 @@
 	"slices"
 
 	"snowquay/balancer"
-	"snowquay/internal/core/admit"
+	"snowquay/internal/core/admission"
 	"snowquay/internal/core/avoid"
 	"snowquay/internal/core/follow"
 	"snowquay/internal/core/measure"
@@ -75,7 +75,7 @@
 	Names   []string
 	Ways    []balancer.Repeats // by class, until a coordinator orders otherwise
 	Levels  balancer.LevelKind
-	Limits  admit.Limits
+	Limits  admission.Limits
 	Avoid   avoid.Terms
 	Budget  repeat.Budget
 	Hedge   float64 // seconds after which a query that is safe to repeat is tried once more beside the first try; 0: never
@@ -118,7 +118,7 @@
 type Proxy struct {
 	setup   Setup
 	Tables  *follow.Tables
-	Door    *admit.Door
+	Door    *admission.Door
 	Avoid   *avoid.List
 	ways    []balancer.Repeats
 	budgets []repeat.Budget
@@ -138,7 +138,7 @@
 
 // New makes a proxy without a table.
 func New(now float64, s Setup) *Proxy {
-	p := &Proxy{setup: s, Tables: follow.New(s.Names, s.Make), Door: admit.New(s.Levels, len(s.Names), s.Limits),
+	p := &Proxy{setup: s, Tables: follow.New(s.Names, s.Make), Door: admission.New(s.Levels, len(s.Names), s.Limits),
 		Avoid: avoid.New(s.Avoid), ways: append([]balancer.Repeats(nil), s.Ways...), queries: map[Query]*query{}, tries: map[Try]*query{},
 		wheel: wheel.New[*query](now, tick), looks: wheel.New[*query](now, tick), keys: map[string]*keyed{},
 		served: map[balancer.Server]*measure.Totals{}, demand: make([]measure.Totals, len(s.Names))}
--- a/internal/core/forward/forward_test.go
+++ b/internal/core/forward/forward_test.go
@@ -9,7 +9,7 @@
 	"pgregory.net/rapid"
 
 	"snowquay/balancer"
-	"snowquay/internal/core/admit"
+	"snowquay/internal/core/admission"
 	"snowquay/internal/core/avoid"
 	"snowquay/internal/core/measure"
 	"snowquay/internal/core/pick"
@@ -32,7 +32,7 @@
 	s := Setup{Names: []string{"free", "guarded", "single"}, Ways: []balancer.Repeats{balancer.AfterFailure, balancer.AfterFailure, balancer.AfterFailure},
 		Classes: []balancer.QueryClass{{GoalTime: 1, ClientTimeout: 5}, {GoalTime: 1, ClientTimeout: 5, Effect: balancer.Guarded,
 			Group: balancer.SamePod, Window: 4}, {GoalTime: 1, ClientTimeout: 5, Effect: balancer.SingleShot}},
-		Limits: admit.Limits{Queries: 100, ByServer: 20}, Avoid: avoid.Terms{After: 3, For: 4, Most: 30},
+		Limits: admission.Limits{Queries: 100, ByServer: 20}, Avoid: avoid.Terms{After: 3, For: 4, Most: 30},
 		Budget: repeat.Budget{Part: 0.2, Burst: 10}, Places: map[balancer.Server]repeat.Place{},
 		Make: func(c int) pick.Table { return pick.NewEven(uint64(c)) }}
 	s.Levels = balancer.LevelFraction
@@ -199,7 +199,7 @@
 }
 
 func TestLimitsAndLevels(t *testing.T) {
-	p := open(t, 2, func(s *Setup) { s.Limits = admit.Limits{Queries: 5, ByServer: 2} })
+	p := open(t, 2, func(s *Setup) { s.Limits = admission.Limits{Queries: 5, ByServer: 2} })
 	for range 4 {
 		if _, o := p.Ask(1000, Ask{Class: free}); o[0].Kind != Send {
 			t.Fatalf("%+v", o)
@@ -209,12 +209,12 @@
 	if r := only(t, o, Refuse); !errors.Is(r.Why, ErrNowhere) || r.Back <= 0 {
 		t.Errorf("all servers are full: %+v", r)
 	}
-	p = open(t, 2, func(s *Setup) { s.Limits = admit.Limits{Queries: 5, ByServer: 50} })
+	p = open(t, 2, func(s *Setup) { s.Limits = admission.Limits{Queries: 5, ByServer: 50} })
 	for range 5 {
 		p.Ask(1000, Ask{Class: free})
 	}
 	_, o = p.Ask(1000, Ask{Class: free})
-	if r := only(t, o, Refuse); !errors.Is(r.Why, admit.ErrBusy) {
+	if r := only(t, o, Refuse); !errors.Is(r.Why, admission.ErrBusy) {
 		t.Errorf("%+v", r)
 	}
 	p = open(t, 2, nil)
@@ -234,7 +234,7 @@
 			if f := p.Failed(1000, o[0].Try, repeat.NeverRan); f[0].Kind != Fail {
 				t.Fatalf("repeats were forbidden: %+v", f)
 			}
-		} else if o[0].Back != 2 || !errors.Is(o[0].Why, admit.ErrLevel) {
+		} else if o[0].Back != 2 || !errors.Is(o[0].Why, admission.ErrLevel) {
 			t.Fatalf("%+v", o[0])
 		}
 	}
@@ -432,7 +432,7 @@
 }
 
 func TestRates(t *testing.T) {
-	d := admit.New(balancer.LevelRate, 1, admit.UsualLimits)
+	d := admission.New(balancer.LevelRate, 1, admission.UsualLimits)
 	d.Level(1000, 0, 50, 1)
 	in := 0
 	for i := range 1000 { // 100 a second
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -16,7 +16,7 @@
 	"github.com/cespare/xxhash/v2"
 
 	"snowquay/balancer"
-	"snowquay/internal/core/admit"
+	"snowquay/internal/core/admission"
 	"snowquay/internal/core/forward"
 	"snowquay/internal/core/measure"
 	"snowquay/internal/core/repeat"
@@ -355,8 +355,8 @@
 var statuses = []struct {
 	why    error
 	status int
-}{{forward.ErrKey, 422}, {forward.ErrLate, 504}, {forward.ErrFailed, 502}, {forward.ErrNowhere, 503}, {admit.ErrLevel, 503},
-	{admit.ErrBusy, 503}}
+}{{forward.ErrKey, 422}, {forward.ErrLate, 504}, {forward.ErrFailed, 502}, {forward.ErrNowhere, 503}, {admission.ErrLevel, 503},
+	{admission.ErrBusy, 503}}
 
 func (p *Proxy) fail(now float64, o forward.Order) {
 	q := p.queries[o.Query]
--- a/internal/settings/proxy.go
+++ b/internal/settings/proxy.go
@@ -8,7 +8,7 @@
 	"strings"
 
 	"snowquay/balancer"
-	"snowquay/internal/core/admit"
+	"snowquay/internal/core/admission"
 	"snowquay/internal/core/avoid"
 	"snowquay/internal/core/fleet"
 	"snowquay/internal/core/pick"
@@ -59,7 +59,7 @@
 	p.Seed = uint64(root.int("seed"))
 	f := &p.Forward
 	f.Names, f.Classes, f.Ways = site.Names, site.Classes, site.Repeats
-	f.Levels, f.Limits, f.Avoid, f.Budget = levelKinds[root.attrs["levels"]], admit.UsualLimits, avoid.UsualTerms, repeat.UsualBudget
+	f.Levels, f.Limits, f.Avoid, f.Budget = levelKinds[root.attrs["levels"]], admission.UsualLimits, avoid.UsualTerms, repeat.UsualBudget
 	seed := p.Seed
 	f.Make = func(class int) pick.Table {
 		if root.attrs["pick"] == "random" {
