--- a/internal/core/forward/forward.go
+++ b/internal/core/forward/forward.go
@@ -9,9 +9,9 @@
 
 	"snowquay/balancer"
 	"snowquay/internal/core/admission"
-	"snowquay/internal/core/avoid"
 	"snowquay/internal/core/follow"
 	"snowquay/internal/core/measure"
+	"snowquay/internal/core/outlier"
 	"snowquay/internal/core/pick"
 	"snowquay/internal/core/repeat"
 	"snowquay/internal/core/wheel"
@@ -76,7 +76,7 @@
 	Ways    []balancer.Repeats // by class, until a coordinator orders otherwise
 	Levels  balancer.LevelKind
 	Limits  admission.Limits
-	Avoid   avoid.Terms
+	Avoid   outlier.Terms
 	Budget  repeat.Budget
 	Hedge   float64 // seconds after which a query that is safe to repeat is tried once more beside the first try; 0: never
 	Places  map[balancer.Server]repeat.Place
@@ -119,7 +119,7 @@
 	setup   Setup
 	Tables  *follow.Tables
 	Door    *admission.Door
-	Avoid   *avoid.List
+	Avoid   *outlier.List
 	ways    []balancer.Repeats
 	budgets []repeat.Budget
 	queries map[Query]*query
@@ -139,7 +139,7 @@
 // New makes a proxy without a table.
 func New(now float64, s Setup) *Proxy {
 	p := &Proxy{setup: s, Tables: follow.New(s.Names, s.Make), Door: admission.New(s.Levels, len(s.Names), s.Limits),
-		Avoid: avoid.New(s.Avoid), ways: append([]balancer.Repeats(nil), s.Ways...), queries: map[Query]*query{}, tries: map[Try]*query{},
+		Avoid: outlier.New(s.Avoid), ways: append([]balancer.Repeats(nil), s.Ways...), queries: map[Query]*query{}, tries: map[Try]*query{},
 		wheel: wheel.New[*query](now, tick), looks: wheel.New[*query](now, tick), keys: map[string]*keyed{},
 		served: map[balancer.Server]*measure.Totals{}, demand: make([]measure.Totals, len(s.Names))}
 	for range s.Names {
--- a/internal/core/forward/forward_test.go
+++ b/internal/core/forward/forward_test.go
@@ -10,8 +10,8 @@
 
 	"snowquay/balancer"
 	"snowquay/internal/core/admission"
-	"snowquay/internal/core/avoid"
 	"snowquay/internal/core/measure"
+	"snowquay/internal/core/outlier"
 	"snowquay/internal/core/pick"
 	"snowquay/internal/core/repeat"
 	"snowquay/internal/seeded"
@@ -32,7 +32,7 @@
 	s := Setup{Names: []string{"free", "guarded", "single"}, Ways: []balancer.Repeats{balancer.AfterFailure, balancer.AfterFailure, balancer.AfterFailure},
 		Classes: []balancer.QueryClass{{GoalTime: 1, ClientTimeout: 5}, {GoalTime: 1, ClientTimeout: 5, Effect: balancer.Guarded,
 			Group: balancer.SamePod, Window: 4}, {GoalTime: 1, ClientTimeout: 5, Effect: balancer.SingleShot}},
-		Limits: admission.Limits{Queries: 100, ByServer: 20}, Avoid: avoid.Terms{After: 3, For: 4, Most: 30},
+		Limits: admission.Limits{Queries: 100, ByServer: 20}, Avoid: outlier.Terms{After: 3, For: 4, Most: 30},
 		Budget: repeat.Budget{Part: 0.2, Burst: 10}, Places: map[balancer.Server]repeat.Place{},
 		Make: func(c int) pick.Table { return pick.NewEven(uint64(c)) }}
 	s.Levels = balancer.LevelFraction
--- a/internal/core/avoid/avoid.go
+++ b/internal/core/outlier/avoid.go
@@ -1,5 +1,5 @@
-// Package avoid keeps away from servers that fail, for a while. It is pure.
-package avoid
+// Package outlier keeps away from servers that fail, for a while. It is pure.
+package outlier
 
 import "snowquay/balancer"
 
--- a/internal/proxy/proxy_test.go
+++ b/internal/proxy/proxy_test.go
@@ -8,8 +8,8 @@
 
 	"snowquay/balancer"
 	"snowquay/internal/core/admission"
-	"snowquay/internal/core/avoid"
 	"snowquay/internal/core/forward"
+	"snowquay/internal/core/outlier"
 	"snowquay/internal/core/pick"
 	"snowquay/internal/core/repeat"
 	"snowquay/internal/run/sim"
@@ -133,7 +133,7 @@
 		Forward: forward.Setup{Names: []string{"search", "introduce", "once"}, Ways: []balancer.Repeats{balancer.AfterFailure, balancer.AfterFailure, balancer.AfterProof},
 			Classes: []balancer.QueryClass{{GoalTime: 1, ClientTimeout: 5}, {GoalTime: 1, ClientTimeout: 5, Effect: balancer.Guarded, Window: 4},
 				{GoalTime: 1, ClientTimeout: 5, Effect: balancer.SingleShot}},
-			Limits: admission.UsualLimits, Avoid: avoid.UsualTerms, Budget: repeat.Budget{Part: 1, Burst: 100},
+			Limits: admission.UsualLimits, Avoid: outlier.UsualTerms, Budget: repeat.Budget{Part: 1, Burst: 100},
 			Make: func(c int) pick.Table { return pick.NewEven(uint64(c)) }}}
 	for i := range servers {
 		s.Standing = append(s.Standing, balancer.Server(serverAt(i).String()))
--- a/internal/rehearse/proxies.go
+++ b/internal/rehearse/proxies.go
@@ -6,8 +6,8 @@
 
 	"snowquay/balancer"
 	"snowquay/internal/core/admission"
-	"snowquay/internal/core/avoid"
 	"snowquay/internal/core/forward"
+	"snowquay/internal/core/outlier"
 	"snowquay/internal/core/pick"
 	"snowquay/internal/core/repeat"
 	"snowquay/internal/proxy"
@@ -47,7 +47,7 @@
 	s := proxy.Setup{UID: seen.UID, Limits: proxy.UsualLimits, Collect: c.Measurements.Port(), User: c.User, KeyOf: c.Key,
 		Report: site.Reporting.Period, Seed: seed, Store: &x.shelf, Watch: seen,
 		Forward: forward.Setup{Names: site.Names, Classes: site.Classes, Ways: site.Repeats, Levels: site.Dataplane.Levels,
-			Limits: admission.UsualLimits, Avoid: avoid.Terms{After: site.Dataplane.EjectAfter, For: avoid.UsualTerms.For, Most: avoid.UsualTerms.Most},
+			Limits: admission.UsualLimits, Avoid: outlier.Terms{After: site.Dataplane.EjectAfter, For: outlier.UsualTerms.For, Most: outlier.UsualTerms.Most},
 			Budget: repeat.UsualBudget, Places: map[balancer.Server]repeat.Place{},
 			Make: func(class int) pick.Table { return pick.NewEven(seed + uint64(class)) }}}
 	for k, name := range site.Names {
--- a/internal/settings/proxy.go
+++ b/internal/settings/proxy.go
@@ -9,8 +9,8 @@
 
 	"snowquay/balancer"
 	"snowquay/internal/core/admission"
-	"snowquay/internal/core/avoid"
 	"snowquay/internal/core/fleet"
+	"snowquay/internal/core/outlier"
 	"snowquay/internal/core/pick"
 	"snowquay/internal/core/repeat"
 	"snowquay/internal/proxy"
@@ -59,7 +59,7 @@
 	p.Seed = uint64(root.int("seed"))
 	f := &p.Forward
 	f.Names, f.Classes, f.Ways = site.Names, site.Classes, site.Repeats
-	f.Levels, f.Limits, f.Avoid, f.Budget = levelKinds[root.attrs["levels"]], admission.UsualLimits, avoid.UsualTerms, repeat.UsualBudget
+	f.Levels, f.Limits, f.Avoid, f.Budget = levelKinds[root.attrs["levels"]], admission.UsualLimits, outlier.UsualTerms, repeat.UsualBudget
 	seed := p.Seed
 	f.Make = func(class int) pick.Table {
 		if root.attrs["pick"] == "random" {
@@ -111,7 +111,7 @@
 		f.Budget, f.Hedge = repeat.Budget{Part: n.number("part"), Burst: n.number("burst")}, n.number("hedge-after")
 	}
 	if n := root.one("avoid"); n != nil {
-		f.Avoid = avoid.Terms{After: n.int("after"), For: n.number("for"), Most: n.number("most")}
+		f.Avoid = outlier.Terms{After: n.int("after"), For: n.number("for"), Most: n.number("most")}
 	}
 	p.Limits = proxy.UsualLimits
 	if n := root.one("limits"); n != nil {
