--- a/balancer/channel.go
+++ b/balancer/channel.go
@@ -5,7 +5,7 @@
 import (
 	"math"
 
-	"snowquay/internal/core/backlog"
+	"snowquay/internal/core/inflight"
 )
 
 // urgency says how much of the channel an update may use.
@@ -59,7 +59,7 @@
 type channel struct {
 	Channel
 	grace  float64 // of drains, seconds
-	queue  backlog.Queue
+	queue  inflight.Queue
 	pace   float64 // of the promised one, by the latest acknowledgements
 	newest Mark
 	at     float64 // when unacknowledged lines were last forgiven
--- a/internal/core/backlog/backlog.go
+++ b/internal/core/inflight/backlog.go
@@ -1,6 +1,6 @@
-// Package backlog bounds how much waits in a first-in first-out channel whose pace is not known, from acknowledgements alone: what
+// Package inflight bounds how much waits in a first-in first-out channel whose pace is not known, from acknowledgements alone: what
 // was sent and is not acknowledged may still wait. It is pure; amounts are in whatever unit the channel counts.
-package backlog
+package inflight
 
 // mostOpen bounds the sequence numbers that are remembered. A batch without one waits for the acknowledgement of a later one.
 const mostOpen = 4096
--- a/internal/core/backlog/backlog_test.go
+++ b/internal/core/inflight/backlog_test.go
@@ -1,4 +1,4 @@
-package backlog
+package inflight
 
 import (
 	"testing"
