--- a/internal/core/fleet/fleet.go
+++ b/internal/core/fleet/fleet.go
@@ -15,8 +15,8 @@
 	"slices"
 
 	"snowquay/balancer"
-	"snowquay/internal/core/channel"
 	"snowquay/internal/core/measure"
+	"snowquay/internal/core/pacing"
 	"snowquay/internal/core/registry"
 	"snowquay/internal/core/tables"
 )
@@ -138,7 +138,7 @@
 	free    []balancer.Proxy // numbers of forgotten proxies
 
 	tables map[balancer.Table]*wanted
-	out    *channel.Queue
+	out    *pacing.Queue
 
 	news    balancer.News
 	wakeAt  float64
@@ -195,7 +195,7 @@
 		Roll:    registry.New(site.Limits.HoldServer, site.Limits.Servers, site.Without[GuardCold]),
 		Book:    measure.New(site.Limits.Series),
 		proxies: map[balancer.Proxy]*Proxy{}, byUID: map[string]*Proxy{}, listed: map[string]Relay{},
-		tables: map[balancer.Table]*wanted{}, out: channel.New(site.Channel, site.Without[GuardPace])}
+		tables: map[balancer.Table]*wanted{}, out: pacing.New(site.Channel, site.Without[GuardPace])}
 	f.manager = balancer.New(site.Seed, site.Classes, site.Dataplane, site.inTables(), site.Guarantees, site.Reporting,
 		balancer.Probing{}, balancer.Discovery{Weights: balancer.WeightsNominal})
 	if !site.Without[GuardMemory] && len(records) > 0 {
@@ -550,9 +550,9 @@
 	slices.SortFunc(f.touched, func(a, b *wanted) int { return cmp.Compare(a.number, b.number) })
 	for _, w := range f.touched {
 		f.leaveOne(now, w)
-		turn := channel.Ordinary
+		turn := pacing.Ordinary
 		if w.urgent {
-			turn, w.drained = channel.Urgent, w.Version()
+			turn, w.drained = pacing.Urgent, w.Version()
 		}
 		users := make([]balancer.Proxy, 0, len(w.users))
 		for id := range w.users {
@@ -600,7 +600,7 @@
 	}
 }
 
-func (f *Fleet) wait(now float64, p *Proxy, lines float64, turn channel.Turn) {
+func (f *Fleet) wait(now float64, p *Proxy, lines float64, turn pacing.Turn) {
 	if p.away {
 		f.out.Hold(p.ID)
 	}
@@ -690,7 +690,7 @@
 	}
 	p.trace = w.f.counts
 	if !p.Pulls {
-		w.f.out.Add(w.now, id, lines, channel.Ordinary)
+		w.f.out.Add(w.now, id, lines, pacing.Ordinary)
 	}
 }
 
--- a/internal/core/fleet/out.go
+++ b/internal/core/fleet/out.go
@@ -5,7 +5,7 @@
 	"strings"
 
 	"snowquay/balancer"
-	"snowquay/internal/core/channel"
+	"snowquay/internal/core/pacing"
 	"snowquay/internal/core/tables"
 )
 
@@ -80,9 +80,9 @@
 			f.Refresh(now, p, balancer.Class(c), float64(f.tables[h.Table].Len()))
 		}
 	}
-	turn := channel.Ordinary
+	turn := pacing.Ordinary
 	if p.urgent {
-		turn = channel.Urgent
+		turn = pacing.Urgent
 	}
 	if f.Behind(p) && !f.out.Waits(p.ID) {
 		f.wait(now, p, 1, turn)
@@ -190,7 +190,7 @@
 		return
 	}
 	if h.Full = true; h.Bound && !p.Pulls && p.Joined {
-		f.wait(now, p, lines, channel.Ordinary)
+		f.wait(now, p, lines, pacing.Ordinary)
 	}
 }
 
@@ -215,7 +215,7 @@
 	if left > 0 && !p.Pulls {
 		p.second = p.trace
 		f.out.Hold(p.ID)
-		f.out.Add(now, p.ID, left, channel.Ordinary)
+		f.out.Add(now, p.ID, left, pacing.Ordinary)
 	}
 	p.away, p.awayAt = true, now
 	p.riding, p.marks = append(p.riding[:0], p.marks...), p.marks[:0]
--- a/internal/core/channel/channel.go
+++ b/internal/core/pacing/channel.go
@@ -1,7 +1,7 @@
-// Package channel is the way out: which proxy gets its message next, at what pace. It holds no messages, only who
+// Package pacing is the way out: which proxy gets its message next, at what pace. It holds no messages, only who
 // waits: what a proxy is sent is made when its turn comes, so that a slow one gets the newest state and never a queue
 // of old ones. It is pure.
-package channel
+package pacing
 
 import (
 	"container/heap"
--- a/internal/core/channel/channel_test.go
+++ b/internal/core/pacing/channel_test.go
@@ -1,4 +1,4 @@
-package channel
+package pacing
 
 import (
 	"math"
