--- a/internal/core/fair/fair.go
+++ b/internal/core/fairshare/fair.go
@@ -1,4 +1,4 @@
-// Package fair shares one resource between tenants: by weight, in groups that have weights too, so that who asks for more than
+// Package fairshare shares one resource between tenants: by weight, in groups that have weights too, so that who asks for more than
 // its part is slowed alone and told when to come back, and what others leave is not wasted. A reserve is kept for urgent
 // requests such as drains, which no flood takes. It is pure.
 //
@@ -6,7 +6,7 @@
 // borrows what others leave. Each has a virtual time that advances by what it borrows over its weight; who is ahead of the
 // slowest of those that were refused lately waits, for as long as that one would take to ask again. One that asks for little
 // holds nobody back; one that was away starts at the common time. A request costs one heap operation a level.
-package fair
+package fairshare
 
 import (
 	"errors"
--- a/internal/core/fair/fair_test.go
+++ b/internal/core/fairshare/fair_test.go
@@ -1,4 +1,4 @@
-package fair
+package fairshare
 
 import (
 	"errors"
--- a/internal/core/tenancy/entry.go
+++ b/internal/core/tenancy/entry.go
@@ -8,7 +8,7 @@
 	"net/netip"
 	"slices"
 
-	"snowquay/internal/core/fair"
+	"snowquay/internal/core/fairshare"
 )
 
 // Conn is a connection; the driver numbers them.
@@ -113,7 +113,7 @@
 	buffered  int
 	gates     map[Name]*gate
 	of        map[Conn]Name
-	comes     *fair.Shares
+	comes     *fairshare.Shares
 	Refused   map[Reason]int
 }
 
@@ -123,7 +123,7 @@
 // NewEntry makes an entry.
 func NewEntry(now float64, l EntryLimits, speakers map[Front]Speaker) *Entry {
 	return &Entry{limits: l, speakers: speakers, strangers: map[Conn]*stranger{}, ofNet: map[netip.Prefix]int{}, gates: map[Name]*gate{}, of: map[Conn]Name{},
-		comes:   fair.New(now, fair.Terms{Rate: l.Comes, Burst: l.Burst, Own: 1, Tenants: l.Tenants, Lately: 0.1}),
+		comes:   fairshare.New(now, fairshare.Terms{Rate: l.Comes, Burst: l.Burst, Own: 1, Tenants: l.Tenants, Lately: 0.1}),
 		Refused: map[Reason]int{}}
 }
 
@@ -131,7 +131,7 @@
 // ready is false while it is started. A SASP connection has no credentials but where it comes from: without networks, whoever
 // reaches the port may speak for any relay of the tenant.
 func (e *Entry) Set(now float64, n Name, weight float64, most int, nets []netip.Prefix, ready bool) error {
-	if err := e.comes.Set(now, fair.Tenant(n), "", weight); err != nil {
+	if err := e.comes.Set(now, fairshare.Tenant(n), "", weight); err != nil {
 		return fmt.Errorf("%w: %w", ErrEntry, err)
 	}
 	g := e.gates[n]
@@ -149,7 +149,7 @@
 	for _, c := range conns {
 		delete(e.of, c)
 	}
-	e.comes.Remove(fair.Tenant(n))
+	e.comes.Remove(fairshare.Tenant(n))
 	delete(e.gates, n)
 	return conns
 }
@@ -256,7 +256,7 @@
 	case g.conns >= g.most:
 		return Comes{Front: s.front, Why: e.refuse(Full), After: e.limits.ComeBack}
 	}
-	after, in, err := e.comes.Take(now, fair.Tenant(n), 1, false)
+	after, in, err := e.comes.Take(now, fairshare.Tenant(n), 1, false)
 	if !in || err != nil {
 		return Comes{Front: s.front, Why: e.refuse(TooFast), After: math.Max(after, e.limits.ComeBack)}
 	}
--- a/internal/front/admin/admin.go
+++ b/internal/front/admin/admin.go
@@ -20,7 +20,7 @@
 
 	"snowquay/balancer"
 	"snowquay/internal/core/change"
-	"snowquay/internal/core/fair"
+	"snowquay/internal/core/fairshare"
 	"snowquay/internal/core/fleet"
 	"snowquay/internal/core/guard"
 	"snowquay/internal/core/rights"
@@ -58,15 +58,15 @@
 
 // terms of calls: a hundred cheap ones a second, five previews. A host of many tenants has five times as much.
 var (
-	terms       = fair.Terms{Rate: 100, Burst: 200, Own: 2, Reserve: 0.2, Tenants: 1024, Lately: 0.1}
-	hostedTerms = fair.Terms{Rate: 500, Burst: 1000, Own: 2, Reserve: 0.2, Tenants: 1 << 16, Lately: 0.1}
+	terms       = fairshare.Terms{Rate: 100, Burst: 200, Own: 2, Reserve: 0.2, Tenants: 1024, Lately: 0.1}
+	hostedTerms = fairshare.Terms{Rate: 500, Burst: 1000, Own: 2, Reserve: 0.2, Tenants: 1 << 16, Lately: 0.1}
 )
 
 // API serves the calls. Use New or NewHosted.
 type API struct {
 	program Program
-	hosted  Hosted       // nil: there is one tenant, without a name
-	shares  *fair.Shares // as all below only touched within Program.Do
+	hosted  Hosted            // nil: there is one tenant, without a name
+	shares  *fairshare.Shares // as all below only touched within Program.Do
 	books   map[tenancy.Name]*change.Book
 	say     func(string, ...any)
 	mu      sync.Mutex // of the gate, which stands before the program
@@ -95,8 +95,8 @@
 	return a
 }
 
-func newAPI(now float64, program Program, terms fair.Terms, say func(string, ...any)) *API {
-	a := &API{program: program, shares: fair.New(now, terms), books: map[tenancy.Name]*change.Book{}, say: say,
+func newAPI(now float64, program Program, terms fairshare.Terms, say func(string, ...any)) *API {
+	a := &API{program: program, shares: fairshare.New(now, terms), books: map[tenancy.Name]*change.Book{}, say: say,
 		gate: rights.Gate{Rate: strangers, Burst: strangers}, began: time.Now()}
 	a.HandleFunc("GET /openapi.json", func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Type", "application/json")
@@ -141,8 +141,8 @@
 }
 
 // as says whose share of calls somebody takes: that of its tenant's, and there its own.
-func as(w rights.Who) (fair.Tenant, fair.Group) {
-	return fair.Tenant(string(w.Tenant) + "/" + w.Name), fair.Group(w.Tenant)
+func as(w rights.Who) (fairshare.Tenant, fairshare.Group) {
+	return fairshare.Tenant(string(w.Tenant) + "/" + w.Name), fairshare.Group(w.Tenant)
 }
 
 // with lets a call in: known, allowed, within its share.
@@ -175,7 +175,7 @@
 		case !known:
 			w.Header().Set("WWW-Authenticate", "Bearer")
 			problem(w, http.StatusUnauthorized, "no key of this API")
-		case errors.Is(err, fair.ErrCrowded):
+		case errors.Is(err, fairshare.ErrCrowded):
 			problem(w, http.StatusServiceUnavailable, "%v", err)
 		case err != nil:
 			problem(w, http.StatusForbidden, "%v", err)
--- a/internal/front/admin/hosted.go
+++ b/internal/front/admin/hosted.go
@@ -12,7 +12,7 @@
 	"github.com/cespare/xxhash/v2"
 
 	"snowquay/internal/core/change"
-	"snowquay/internal/core/fair"
+	"snowquay/internal/core/fairshare"
 	"snowquay/internal/core/fleet"
 	"snowquay/internal/core/rights"
 	"snowquay/internal/core/tenancy"
@@ -88,7 +88,7 @@
 // gone lets go of what is kept of a tenant's callers, once it is removed.
 func (a *API) gone(of tenancy.Name) {
 	delete(a.books, of)
-	a.shares.RemoveGroup(fair.Group(of))
+	a.shares.RemoveGroup(fairshare.Group(of))
 }
 
 // list tells the host of all tenants.
--- a/internal/service/host.go
+++ b/internal/service/host.go
@@ -14,7 +14,7 @@
 	"github.com/prometheus/client_golang/prometheus"
 
 	"snowquay/balancer"
-	"snowquay/internal/core/fair"
+	"snowquay/internal/core/fairshare"
 	"snowquay/internal/core/fleet"
 	"snowquay/internal/core/rights"
 	"snowquay/internal/core/tenancy"
@@ -26,7 +26,7 @@
 )
 
 // logTerms share what is logged between tenants: in lines.
-var logTerms = fair.Terms{Rate: 200, Burst: 2000, Own: 10, Reserve: 0, Tenants: 1 << 16, Lately: 0.1}
+var logTerms = fairshare.Terms{Rate: 200, Burst: 2000, Own: 10, Reserve: 0, Tenants: 1 << 16, Lately: 0.1}
 
 const logAgain = 10.0 // seconds between two lines that say how many of a tenant's were left out
 
@@ -225,14 +225,14 @@
 type logs struct {
 	mu     sync.Mutex
 	base   *slog.Logger
-	shares *fair.Shares
+	shares *fairshare.Shares
 	out    map[tenancy.Name]int
 	saidAt map[tenancy.Name]float64
 	each   map[tenancy.Name]*slog.Logger
 }
 
 func newLogs(base *slog.Logger) *logs {
-	return &logs{base: base, shares: fair.New(clockNow(), logTerms), out: map[tenancy.Name]int{}, saidAt: map[tenancy.Name]float64{},
+	return &logs{base: base, shares: fairshare.New(clockNow(), logTerms), out: map[tenancy.Name]int{}, saidAt: map[tenancy.Name]float64{},
 		each: map[tenancy.Name]*slog.Logger{}}
 }
 
@@ -259,17 +259,17 @@
 	delete(l.each, n)
 	delete(l.out, n)
 	delete(l.saidAt, n)
-	l.shares.Remove(fair.Tenant(n))
+	l.shares.Remove(fairshare.Tenant(n))
 }
 
 // take tells whether a tenant's line is in its share, and how many were left out before it.
 func (l *logs) take(now float64, n tenancy.Name) (ok bool, left int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if err := l.shares.Set(now, fair.Tenant(n), "", 1); err != nil {
+	if err := l.shares.Set(now, fairshare.Tenant(n), "", 1); err != nil {
 		return false, 0
 	}
-	_, ok, err := l.shares.Take(now, fair.Tenant(n), 1, false)
+	_, ok, err := l.shares.Take(now, fairshare.Tenant(n), 1, false)
 	if !ok || err != nil {
 		l.out[n]++
 		return false, 0
