--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -21,7 +21,7 @@
 	"github.com/alecthomas/kong"
 
 	"snowquay/internal/core/change"
-	"snowquay/internal/core/fleet"
+	"snowquay/internal/core/controlplane"
 	"snowquay/internal/core/share"
 	"snowquay/internal/platform"
 	"snowquay/internal/rehearse"
@@ -452,19 +452,19 @@
 
 func guards() string {
 	var names []string
-	for _, g := range fleet.Guards {
+	for _, g := range controlplane.Guards {
 		names = append(names, string(g))
 	}
 	return strings.Join(names, ", ")
 }
 
 func (r *rehearsd) Run(e *env) error {
-	var without []fleet.Guard
+	var without []controlplane.Guard
 	for _, name := range r.Without {
 		if !strings.Contains(", "+guards()+",", " "+name+",") {
 			return fmt.Errorf("no guard is named %q; there are %s", name, guards())
 		}
-		without = append(without, fleet.Guard(name))
+		without = append(without, controlplane.Guard(name))
 	}
 	day, err := settings.ParseDay("bad-day.xml", rehearse.BadDay, without...)
 	if r.Day != "" {
--- a/internal/core/fleet/fleet.go
+++ b/internal/core/controlplane/fleet.go
@@ -1,11 +1,11 @@
-// Package fleet is a coordinator without its protocols: it calls the decision module once a round with all that came
+// Package controlplane is a coordinator without its protocols: it calls the decision module once a round with all that came
 // in, keeps the tables that it wants, and for each proxy what it is known to hold, what is on its way and what is
 // wanted. Fronts ask it who is due, send, and say what was sent and taken. It is pure: time and facts are arguments.
 //
 // Three things are kept apart for each proxy and class: the table version that is wanted (the table's own), the one
 // that was sent, and the one that the proxy is known to hold. At most one message is on its way to a proxy; the next
 // is made when that one was taken, from the newest state.
-package fleet
+package controlplane
 
 import (
 	"cmp"
--- a/internal/core/fleet/revise_test.go
+++ b/internal/core/controlplane/revise_test.go
@@ -1,4 +1,4 @@
-package fleet
+package controlplane
 
 import (
 	"errors"
--- a/internal/core/longpoll/longpoll.go
+++ b/internal/core/longpoll/longpoll.go
@@ -13,7 +13,7 @@
 	"slices"
 
 	"snowquay/balancer"
-	"snowquay/internal/core/fleet"
+	"snowquay/internal/core/controlplane"
 	"snowquay/internal/core/tables"
 	"snowquay/internal/core/wheel"
 )
@@ -125,7 +125,7 @@
 
 type client struct {
 	uid      string
-	proxy    *fleet.Proxy
+	proxy    *controlplane.Proxy
 	waiter   Waiter // 0: none waits
 	wait     wheel.Timer[*client]
 	version  uint64
@@ -147,7 +147,7 @@
 
 // Counter is the long-poll side of one coordinator. Use New.
 type Counter struct {
-	fleet    *fleet.Fleet
+	fleet    *controlplane.Fleet
 	out      Out
 	limits   Limits
 	epoch    uint64
@@ -167,10 +167,10 @@
 }
 
 // New makes a counter for a life that began at a clock time. epoch must differ from those of former lives and not be 0.
-func New(now float64, epoch uint64, f *fleet.Fleet, out Out, limits Limits) *Counter {
+func New(now float64, epoch uint64, f *controlplane.Fleet, out Out, limits Limits) *Counter {
 	return &Counter{fleet: f, out: out, limits: limits, epoch: epoch, clients: map[string]*client{},
 		byProxy: map[balancer.Proxy]*client{}, byWaiter: map[Waiter]*client{}, wheel: wheel.New[*client](now, tick),
-		joins: limits.Burst, joinsAt: now, chance: f.Site().Seed*2 + 1, trusting: f.Site().Without[fleet.GuardVersions]}
+		joins: limits.Burst, joinsAt: now, chance: f.Site().Seed*2 + 1, trusting: f.Site().Without[controlplane.GuardVersions]}
 }
 
 // Parked is the number of polls that wait, and that of answers under way.
@@ -226,7 +226,7 @@
 // at the door takes no room from them.
 func (c *Counter) join(now float64, w Waiter, p Poll) *client {
 	if !c.fleet.Listed(p.UID) { // nor do those that may never join
-		c.out.Say("proxy refused", "uid", p.UID, "error", fleet.ErrStranger)
+		c.out.Say("proxy refused", "uid", p.UID, "error", controlplane.ErrStranger)
 		c.refuse(w, NotListed, 0)
 		return nil
 	}
@@ -240,9 +240,9 @@
 	proxy, err := c.fleet.Join(now, p.UID, c, p.Epoch == 0)
 	if err != nil {
 		c.out.Say("proxy refused", "uid", p.UID, "error", err)
-		if errors.Is(err, fleet.ErrElsewhere) {
+		if errors.Is(err, controlplane.ErrElsewhere) {
 			c.refuse(w, Elsewhere, 0)
-		} else if errors.Is(err, fleet.ErrOften) {
+		} else if errors.Is(err, controlplane.ErrOften) {
 			c.refuse(w, TooOften, c.spread())
 		} else {
 			c.refuse(w, Crowded, c.spread())
@@ -347,8 +347,8 @@
 	delete(c.byProxy, x.proxy.ID)
 }
 
-// Displaced of fleet.Front.
-func (c *Counter) Displaced(_ float64, p *fleet.Proxy) {
+// Displaced of controlplane.Front.
+func (c *Counter) Displaced(_ float64, p *controlplane.Proxy) {
 	x := c.byProxy[p.ID]
 	if x == nil {
 		return
@@ -362,8 +362,8 @@
 	c.forget(x)
 }
 
-// Deliver of fleet.Front: the proxy's turn has come.
-func (c *Counter) Deliver(now float64, p *fleet.Proxy) {
+// Deliver of controlplane.Front: the proxy's turn has come.
+func (c *Counter) Deliver(now float64, p *controlplane.Proxy) {
 	x := c.byProxy[p.ID]
 	if x == nil || x.waiter == 0 {
 		c.fleet.Wait(p)
--- a/internal/core/longpoll/longpoll_test.go
+++ b/internal/core/longpoll/longpoll_test.go
@@ -10,7 +10,7 @@
 	"pgregory.net/rapid"
 
 	"snowquay/balancer"
-	"snowquay/internal/core/fleet"
+	"snowquay/internal/core/controlplane"
 	"snowquay/internal/core/registry"
 	"snowquay/internal/seeded"
 )
@@ -21,7 +21,7 @@
 type shop struct {
 	t       testing.TB
 	now     float64
-	fleet   *fleet.Fleet
+	fleet   *controlplane.Fleet
 	counter *Counter
 	next    Waiter
 	of      map[Waiter]string
@@ -98,16 +98,16 @@
 func (s *shop) Dropped(uid string) { s.dropped = append(s.dropped, uid) }
 func (s *shop) Say(string, ...any) {}
 
-func site(proxies int, without ...fleet.Guard) fleet.Site {
-	x := fleet.Site{Seed: 3, Names: []string{"search", "introduce"}, Zones: []string{"a"}, Strangers: true,
+func site(proxies int, without ...controlplane.Guard) controlplane.Site {
+	x := controlplane.Site{Seed: 3, Names: []string{"search", "introduce"}, Zones: []string{"a"}, Strangers: true,
 		Classes: []balancer.QueryClass{{Benefit: 1, GoalTime: 1, ClientTimeout: 3},
 			{Benefit: 3, GoalTime: 1, ClientTimeout: 3, Effect: balancer.SingleShot}},
 		Dataplane: balancer.Dataplane{Proxies: proxies, Coordinators: 1, UsualRepeats: balancer.AfterProof,
 			Levels: balancer.LevelFraction},
 		Channel: balancer.Channel{LinesPerSecond: 2000, MessageLines: 3, MostWaiting: 4000, MeanWay: 0.01, LongestWay: 0.2},
 		Guarantees: balancer.Guarantees{DrainWithin: 3, BareWithin: 2, ColdShare: 0.2, ColdFor: 10, FallMultiple: 3,
-			FallWithin: 2}, Reporting: balancer.Reporting{Period: 0.5}, Limits: fleet.UsualLimits,
-		Without: map[fleet.Guard]bool{}}
+			FallWithin: 2}, Reporting: balancer.Reporting{Period: 0.5}, Limits: controlplane.UsualLimits,
+		Without: map[controlplane.Guard]bool{}}
 	for _, g := range without {
 		x.Without[g] = true
 	}
@@ -119,7 +119,7 @@
 
 func server(i int) balancer.Server { return balancer.Server(fmt.Sprintf("10.0.0.%d:80", i)) }
 
-func open(t testing.TB, x fleet.Site, limits Limits) *shop {
+func open(t testing.TB, x controlplane.Site, limits Limits) *shop {
 	s := &shop{t: t, now: 1000, of: map[Waiter]string{}, by: map[Waiter]*holding{}, holds: map[string]*holding{}, refused: map[string][]Refusal{},
 		lose: map[string]bool{}, last: map[string]Waiter{},
 		retry: map[string]float64{}}
@@ -128,8 +128,8 @@
 }
 
 // life starts a coordinator, or another one in its place: all connections break.
-func (s *shop) life(x fleet.Site, limits Limits) {
-	f, err := fleet.New(s.now, x, nil, nil)
+func (s *shop) life(x controlplane.Site, limits Limits) {
+	f, err := controlplane.New(s.now, x, nil, nil)
 	if err != nil {
 		s.t.Fatal(err)
 	}
@@ -280,7 +280,7 @@
 
 // A version that was never sent to this proxy, of the future, of another life or of another proxy, is not believed.
 func TestAFalseVersionGetsTheFullState(t *testing.T) {
-	for _, without := range [][]fleet.Guard{nil, {fleet.GuardVersions}} {
+	for _, without := range [][]controlplane.Guard{nil, {controlplane.GuardVersions}} {
 		wrong := 0
 		for _, false1 := range []func(h *holding){
 			func(h *holding) { h.version += 7 },
@@ -404,15 +404,15 @@
 type plain struct {
 	displaced int
 	sent      int
-	f         *fleet.Fleet
+	f         *controlplane.Fleet
 }
 
-func (p *plain) Deliver(now float64, x *fleet.Proxy) {
+func (p *plain) Deliver(now float64, x *controlplane.Proxy) {
 	p.sent++
 	p.f.Sent(now, x, 1)
 	p.f.Taken(now, x)
 }
-func (p *plain) Displaced(float64, *fleet.Proxy) { p.displaced++ }
+func (p *plain) Displaced(float64, *controlplane.Proxy) { p.displaced++ }
 
 func TestAProxyMovesBetweenFronts(t *testing.T) {
 	s := open(t, site(1), UsualLimits)
--- a/internal/core/session/session.go
+++ b/internal/core/session/session.go
@@ -10,7 +10,7 @@
 	"slices"
 
 	"snowquay/balancer"
-	"snowquay/internal/core/fleet"
+	"snowquay/internal/core/controlplane"
 	"snowquay/internal/wire/sasp"
 )
 
@@ -102,7 +102,7 @@
 	conn     *conn // nil: it is not connected
 	flags    uint8
 	health   uint8
-	proxy    *fleet.Proxy
+	proxy    *controlplane.Proxy
 	groups   map[string]*group
 	order    []*group
 	claimed  float64
@@ -140,7 +140,7 @@
 
 // Desk is the SASP side of one coordinator. Use New.
 type Desk struct {
-	fleet     *fleet.Fleet
+	fleet     *controlplane.Fleet
 	out       Out
 	limits    Limits
 	policy    Policy
@@ -162,7 +162,7 @@
 }
 
 // New makes a desk.
-func New(f *fleet.Fleet, out Out, limits Limits, policy Policy) *Desk {
+func New(f *controlplane.Fleet, out Out, limits Limits, policy Policy) *Desk {
 	return &Desk{fleet: f, out: out, limits: limits, policy: policy, conns: map[Conn]*conn{},
 		balancers: map[string]*loadBalancer{}, byProxy: map[balancer.Proxy]*loadBalancer{},
 		waiting: map[uint64]*told{}, names: map[sasp.Address]balancer.Server{}, rows: map[balancer.Server]sasp.Address{}}
@@ -376,8 +376,8 @@
 	return all
 }
 
-// Displaced of fleet.Front: the relay speaks to another front now.
-func (d *Desk) Displaced(now float64, p *fleet.Proxy) {
+// Displaced of controlplane.Front: the relay speaks to another front now.
+func (d *Desk) Displaced(now float64, p *controlplane.Proxy) {
 	b := d.byProxy[p.ID]
 	if b == nil {
 		return
@@ -387,8 +387,8 @@
 	d.close(now, b.conn, "its relay has joined by another way")
 }
 
-// Deliver of fleet.Front.
-func (d *Desk) Deliver(now float64, p *fleet.Proxy) {
+// Deliver of controlplane.Front.
+func (d *Desk) Deliver(now float64, p *controlplane.Proxy) {
 	b, m := d.byProxy[p.ID], &d.reply
 	*m = sasp.Message{Kind: sasp.SendWeights, Groups: m.Groups[:0], Rows: m.Rows[:0]}
 	lines := 0
--- a/internal/core/session/session_test.go
+++ b/internal/core/session/session_test.go
@@ -10,7 +10,7 @@
 	"pgregory.net/rapid"
 
 	"snowquay/balancer"
-	"snowquay/internal/core/fleet"
+	"snowquay/internal/core/controlplane"
 	"snowquay/internal/core/measure"
 	"snowquay/internal/core/registry"
 	"snowquay/internal/seeded"
@@ -23,7 +23,7 @@
 type peers struct {
 	t      testing.TB
 	now    float64
-	fleet  *fleet.Fleet
+	fleet  *controlplane.Fleet
 	desk   *Desk
 	next   Conn
 	id     uint32
@@ -71,15 +71,15 @@
 
 const usualServers = 6
 
-func testSite(without ...fleet.Guard) fleet.Site {
-	s := fleet.Site{Seed: 1, Names: []string{"search", "introduce"}, Zones: []string{"a", "b"}, Strangers: true,
+func testSite(without ...controlplane.Guard) controlplane.Site {
+	s := controlplane.Site{Seed: 1, Names: []string{"search", "introduce"}, Zones: []string{"a", "b"}, Strangers: true,
 		Classes: []balancer.QueryClass{{Benefit: 1, GoalTime: 1, ClientTimeout: 3},
 			{Benefit: 3, GoalTime: 1, ClientTimeout: 3, Effect: balancer.Guarded, Group: balancer.SamePod, Window: 5}},
 		Dataplane: balancer.Dataplane{Proxies: 8, Coordinators: 1, StandingTable: 4, UsualRepeats: balancer.AfterProof},
 		Channel: balancer.Channel{LinesPerSecond: 2000, MessageLines: 3, MostWaiting: 4000, MeanWay: 0.01, LongestWay: 0.2,
 			MostMessages: 40, MessageWindow: 10},
 		Guarantees: balancer.Guarantees{DrainWithin: 3, BareWithin: 2, ColdShare: 0.2, ColdFor: 10, FallMultiple: 3, FallWithin: 2},
-		Reporting:  balancer.Reporting{Period: 0.5}, Limits: fleet.UsualLimits, Without: map[fleet.Guard]bool{}}
+		Reporting:  balancer.Reporting{Period: 0.5}, Limits: controlplane.UsualLimits, Without: map[controlplane.Guard]bool{}}
 	for _, g := range without {
 		s.Without[g] = true
 	}
@@ -88,7 +88,7 @@
 			Standing: i < 4})
 	}
 	for i := range 500 {
-		s.Relays = append(s.Relays, fleet.Relay{UID: fmt.Sprintf("r%d", i), Usual: 20})
+		s.Relays = append(s.Relays, controlplane.Relay{UID: fmt.Sprintf("r%d", i), Usual: 20})
 	}
 	return s
 }
@@ -100,10 +100,10 @@
 	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, byte(i >> 8), byte(i)}), 80)
 }
 
-func start(t testing.TB, site fleet.Site, limits Limits, policy Policy) *peers {
+func start(t testing.TB, site controlplane.Site, limits Limits, policy Policy) *peers {
 	p := &peers{t: t, now: 1000, got: map[Conn][]sasp.Message{}, held: map[Conn]map[string]uint16{}, sent: map[Conn]uint64{},
 		ended: map[Conn]bool{}, stuck: map[Conn]bool{}}
-	f, err := fleet.New(p.now, site, nil, nil)
+	f, err := controlplane.New(p.now, site, nil, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -113,7 +113,7 @@
 	return p
 }
 
-func usual(t testing.TB, without ...fleet.Guard) *peers {
+func usual(t testing.TB, without ...controlplane.Guard) *peers {
 	return start(t, testSite(without...), UsualLimits, Policy{FleetUID: "fleet", NewOnes: true})
 }
 
@@ -357,7 +357,7 @@
 }
 
 // A relay takes nothing for ten seconds while drains and weights go on.
-func stall(t *testing.T, without ...fleet.Guard) (p *peers, c Conn) {
+func stall(t *testing.T, without ...controlplane.Guard) (p *peers, c Conn) {
 	site := testSite(without...)
 	site.Limits.StallFor = 30
 	p = start(t, site, UsualLimits, Policy{FleetUID: "fleet"})
@@ -377,7 +377,7 @@
 }
 
 func TestASlowReaderGetsTheNewestState(t *testing.T) {
-	p, c := stall(t, fleet.GuardOverdue)
+	p, c := stall(t, controlplane.GuardOverdue)
 	if p.ended[c] {
 		t.Fatalf("it was cut off: %q", p.log)
 	}
@@ -413,7 +413,7 @@
 
 // A mass of relays that dial at once is paced by the channel, joins by age, and a drain does not wait for them.
 func TestAMassOfRelaysIsPaced(t *testing.T) {
-	for _, without := range [][]fleet.Guard{nil, {fleet.GuardPace}} {
+	for _, without := range [][]controlplane.Guard{nil, {controlplane.GuardPace}} {
 		site := testSite(without...)
 		site.Dataplane.Proxies, site.Channel.LinesPerSecond, site.Channel.MostWaiting = 460, 4000, 9000
 		p := start(t, site, UsualLimits, Policy{FleetUID: "fleet"})
--- a/internal/core/session/speak.go
+++ b/internal/core/session/speak.go
@@ -6,7 +6,7 @@
 	"math"
 
 	"snowquay/balancer"
-	"snowquay/internal/core/fleet"
+	"snowquay/internal/core/controlplane"
 	"snowquay/internal/wire/sasp"
 )
 
@@ -99,9 +99,9 @@
 	p, err := d.fleet.Join(now, b.uid, d, true)
 	if err != nil {
 		d.out.Say("relay refused", "uid", b.uid, "error", err)
-		if errors.Is(err, fleet.ErrElsewhere) {
+		if errors.Is(err, controlplane.ErrElsewhere) {
 			d.close(now, b.conn, "another coordinator leads this relay") // it dials another one
-		} else if errors.Is(err, fleet.ErrOften) {
+		} else if errors.Is(err, controlplane.ErrOften) {
 			d.close(now, b.conn, "it joins too often") // it dials again in a while
 		}
 		return sasp.NotAccepted
--- a/internal/feed/collect/collect.go
+++ b/internal/feed/collect/collect.go
@@ -22,7 +22,7 @@
 	"collectd.org/network"
 
 	"snowquay/balancer"
-	"snowquay/internal/core/fleet"
+	"snowquay/internal/core/controlplane"
 	"snowquay/internal/core/measure"
 )
 
@@ -42,7 +42,7 @@
 
 // Collector hands packets to a fleet.
 type Collector struct {
-	fleet *fleet.Fleet
+	fleet *controlplane.Fleet
 	opts  network.ParseOpts
 
 	Packets, Garbled, Foreign int
@@ -58,7 +58,7 @@
 }
 
 // New makes a collector. With a key only packets signed by that user with that key are taken (HMAC-SHA-256).
-func New(f *fleet.Fleet, user, key string) *Collector {
+func New(f *controlplane.Fleet, user, key string) *Collector {
 	c := &Collector{fleet: f}
 	if key != "" {
 		c.opts = network.ParseOpts{PasswordLookup: password{user, key}, SecurityLevel: network.Sign}
--- a/internal/feed/collect/collect_test.go
+++ b/internal/feed/collect/collect_test.go
@@ -5,14 +5,14 @@
 	"testing"
 
 	"snowquay/balancer"
-	"snowquay/internal/core/fleet"
+	"snowquay/internal/core/controlplane"
 	"snowquay/internal/core/measure"
 	"snowquay/internal/core/registry"
 )
 
-func newFleet(t testing.TB) *fleet.Fleet {
-	f, err := fleet.New(1000, fleet.Site{Names: []string{"search"}, Classes: []balancer.QueryClass{{GoalTime: 1}},
-		Strangers: true, Limits: fleet.UsualLimits, Reporting: balancer.Reporting{Period: 0.5},
+func newFleet(t testing.TB) *controlplane.Fleet {
+	f, err := controlplane.New(1000, controlplane.Site{Names: []string{"search"}, Classes: []balancer.QueryClass{{GoalTime: 1}},
+		Strangers: true, Limits: controlplane.UsualLimits, Reporting: balancer.Reporting{Period: 0.5},
 		Servers: []registry.Place{{Server: "10.0.0.1:80", Weight: 1, Standing: true}}}, nil, nil)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/front/admin/admin.go
+++ b/internal/front/admin/admin.go
@@ -20,8 +20,8 @@
 
 	"snowquay/balancer"
 	"snowquay/internal/core/change"
+	"snowquay/internal/core/controlplane"
 	"snowquay/internal/core/fairshare"
-	"snowquay/internal/core/fleet"
 	"snowquay/internal/core/guard"
 	"snowquay/internal/core/rights"
 	"snowquay/internal/core/tenancy"
@@ -37,7 +37,7 @@
 	// Do calls f between two of the program's steps, and returns when it has run. All else is called from within f.
 	Do(f func(now float64))
 	// Fleet of a tenant; ok is false where there is none, or it does not run.
-	Fleet(tenancy.Name) (f *fleet.Fleet, ok bool)
+	Fleet(tenancy.Name) (f *controlplane.Fleet, ok bool)
 	// Drain orders a drain or its end; done is called once, when it is agreed on and durable, or refused.
 	Drain(now float64, of tenancy.Name, s balancer.Server, on bool, done func(ok bool))
 	// Orders are the latest ones of a tenant, newest first; those to one relay if it is named.
@@ -190,10 +190,10 @@
 }
 
 // fleet calls f with the fleet of a call's tenant, or answers that there is none.
-func (a *API) fleet(w http.ResponseWriter, c call, f func(now float64, fl *fleet.Fleet)) bool {
+func (a *API) fleet(w http.ResponseWriter, c call, f func(now float64, fl *controlplane.Fleet)) bool {
 	ok := false
 	a.program.Do(func(now float64) {
-		var fl *fleet.Fleet
+		var fl *controlplane.Fleet
 		if fl, ok = a.program.Fleet(c.of); ok {
 			f(now, fl)
 		}
@@ -227,11 +227,11 @@
 	Cold    bool            `json:"cold"`
 }
 
-func version(f *fleet.Fleet) string { return fmt.Sprintf("%q", strconv.Itoa(f.Roll.Version())) }
+func version(f *controlplane.Fleet) string { return fmt.Sprintf("%q", strconv.Itoa(f.Roll.Version())) }
 
 func (a *API) servers(w http.ResponseWriter, _ *http.Request, c call) {
 	rows, tag := []serverRow{}, ""
-	if !a.fleet(w, c, func(now float64, f *fleet.Fleet) {
+	if !a.fleet(w, c, func(now float64, f *controlplane.Fleet) {
 		tag = version(f)
 		for _, name := range f.Roll.Servers() {
 			rec, _ := f.Roll.Find(name)
@@ -257,7 +257,7 @@
 
 func (a *API) look(of tenancy.Name, s balancer.Server) (row drainRow, ok bool) {
 	a.program.Do(func(float64) {
-		var d fleet.Draining
+		var d controlplane.Draining
 		f, runs := a.program.Fleet(of)
 		if !runs {
 			return
@@ -315,7 +315,7 @@
 // relays tells how far each joined proxy is.
 func (a *API) relays(w http.ResponseWriter, _ *http.Request, c call) {
 	rows := []relayRow{}
-	if a.fleet(w, c, func(_ float64, f *fleet.Fleet) {
+	if a.fleet(w, c, func(_ float64, f *controlplane.Fleet) {
 		for _, s := range f.Standing() {
 			rows = append(rows, relayRow{s.UID, zoneName(f, s.Zone), s.Newest, s.Asks, s.Urgent})
 		}
@@ -324,7 +324,7 @@
 	}
 }
 
-func zoneName(f *fleet.Fleet, z balancer.Zone) string {
+func zoneName(f *controlplane.Fleet, z balancer.Zone) string {
 	if zones := f.Site().Zones; int(z) >= 0 && int(z) < len(zones) {
 		return zones[z]
 	}
@@ -374,7 +374,7 @@
 		return
 	}
 	var reasons []guard.Reason
-	if !a.fleet(w, who, func(now float64, f *fleet.Fleet) { reasons = f.Preview(now, c.Drain, c.LoseZone) }) {
+	if !a.fleet(w, who, func(now float64, f *controlplane.Fleet) { reasons = f.Preview(now, c.Drain, c.LoseZone) }) {
 		return
 	}
 	reply(w, http.StatusOK, map[string]any{"harmless": len(reasons) == 0, "reasons": words(reasons)})
@@ -403,7 +403,7 @@
 		reasons []guard.Reason
 		done    = make(chan bool, 1)
 	)
-	if !a.fleet(w, who, func(now float64, f *fleet.Fleet) {
+	if !a.fleet(w, who, func(now float64, f *controlplane.Fleet) {
 		if before, known, err = a.book(who.of).Begin(now, who.Name, key, xxhash.Sum64(body)); err != nil || known {
 			status = http.StatusUnprocessableEntity
 			if errors.Is(err, change.ErrBusy) {
--- a/internal/front/admin/hosted.go
+++ b/internal/front/admin/hosted.go
@@ -12,8 +12,8 @@
 	"github.com/cespare/xxhash/v2"
 
 	"snowquay/internal/core/change"
+	"snowquay/internal/core/controlplane"
 	"snowquay/internal/core/fairshare"
-	"snowquay/internal/core/fleet"
 	"snowquay/internal/core/rights"
 	"snowquay/internal/core/tenancy"
 )
@@ -55,14 +55,14 @@
 
 // Seen is what would follow from settings.
 type Seen struct {
-	Weight   float64        `json:"weight"`
-	Needs    tenancy.Needs  `json:"needs"`
-	Anew     string         `json:"starts-anew-for,omitempty"` // what can't be changed while it runs
-	Added    int            `json:"servers-added"`
-	Removed  []string       `json:"servers-removed,omitempty"`
-	Sent     int            `json:"relays-sent-away"`
-	Reasons  []string       `json:"reasons,omitempty"` // why it would do harm
-	Revision fleet.Revision `json:"-"`
+	Weight   float64               `json:"weight"`
+	Needs    tenancy.Needs         `json:"needs"`
+	Anew     string                `json:"starts-anew-for,omitempty"` // what can't be changed while it runs
+	Added    int                   `json:"servers-added"`
+	Removed  []string              `json:"servers-removed,omitempty"`
+	Sent     int                   `json:"relays-sent-away"`
+	Reasons  []string              `json:"reasons,omitempty"` // why it would do harm
+	Revision controlplane.Revision `json:"-"`
 }
 
 const (
--- a/internal/front/loop/loop_test.go
+++ b/internal/front/loop/loop_test.go
@@ -11,7 +11,7 @@
 	"time"
 
 	"snowquay/balancer"
-	"snowquay/internal/core/fleet"
+	"snowquay/internal/core/controlplane"
 	"snowquay/internal/core/registry"
 	"snowquay/internal/core/session"
 	"snowquay/internal/run"
@@ -20,12 +20,12 @@
 )
 
 func setup(servers, relays int) run.Setup {
-	s := fleet.Site{Seed: 1, Names: []string{"search"}, Zones: []string{"a"}, Strangers: true,
+	s := controlplane.Site{Seed: 1, Names: []string{"search"}, Zones: []string{"a"}, Strangers: true,
 		Classes:    []balancer.QueryClass{{Benefit: 1, GoalTime: 1, ClientTimeout: 3}},
 		Dataplane:  balancer.Dataplane{Proxies: relays, Coordinators: 1, UsualRepeats: balancer.AfterProof},
 		Channel:    balancer.Channel{LinesPerSecond: 1e7, MessageLines: 3, MostWaiting: 2e7, MeanWay: 0.01, LongestWay: 0.2},
 		Guarantees: balancer.Guarantees{DrainWithin: 30, BareWithin: 2, ColdShare: 0.2, ColdFor: 10, FallMultiple: 3, FallWithin: 2},
-		Reporting:  balancer.Reporting{Period: 0.5}, Limits: fleet.UsualLimits}
+		Reporting:  balancer.Reporting{Period: 0.5}, Limits: controlplane.UsualLimits}
 	for i := range servers {
 		a := netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, byte(i >> 8), byte(i)}), 80)
 		s.Servers = append(s.Servers, registry.Place{Server: balancer.Server(a.String()), Weight: 1, Standing: true})
--- a/internal/front/poll/poll_test.go
+++ b/internal/front/poll/poll_test.go
@@ -22,7 +22,7 @@
 	"github.com/getkin/kin-openapi/routers/legacy"
 
 	"snowquay/balancer"
-	"snowquay/internal/core/fleet"
+	"snowquay/internal/core/controlplane"
 	"snowquay/internal/core/longpoll"
 	"snowquay/internal/core/registry"
 	"snowquay/internal/core/session"
@@ -34,12 +34,12 @@
 )
 
 func setup(servers, proxies int, port uint16) run.Setup {
-	s := fleet.Site{Seed: 1, Names: []string{"search"}, Zones: []string{"a"}, Strangers: true,
+	s := controlplane.Site{Seed: 1, Names: []string{"search"}, Zones: []string{"a"}, Strangers: true,
 		Classes:    []balancer.QueryClass{{Benefit: 1, GoalTime: 1, ClientTimeout: 3}},
 		Dataplane:  balancer.Dataplane{Proxies: proxies, Coordinators: 1, UsualRepeats: balancer.AfterProof, Levels: balancer.LevelFraction},
 		Channel:    balancer.Channel{LinesPerSecond: 1e7, MessageLines: 3, MostWaiting: 2e7, MeanWay: 0.01, LongestWay: 0.2},
 		Guarantees: balancer.Guarantees{DrainWithin: 30, BareWithin: 2, ColdShare: 0.2, ColdFor: 10, FallMultiple: 3, FallWithin: 2},
-		Reporting:  balancer.Reporting{Period: 0.5}, Limits: fleet.UsualLimits, Without: map[fleet.Guard]bool{}}
+		Reporting:  balancer.Reporting{Period: 0.5}, Limits: controlplane.UsualLimits, Without: map[controlplane.Guard]bool{}}
 	for i := range servers {
 		s.Servers = append(s.Servers, registry.Place{Server: server(i), Weight: 1, Standing: true})
 	}
@@ -131,7 +131,7 @@
 	}
 	set := setup(5, 2, 14880)
 	set.Site.Strangers = false
-	set.Site.Relays = []fleet.Relay{{UID: "r1", Usual: 5}, {UID: "r 2/x"}, {UID: "r3"}}
+	set.Site.Relays = []controlplane.Relay{{UID: "r1", Usual: 5}, {UID: "r 2/x"}, {UID: "r3"}}
 	set.Parking.AskBurst = 15
 	program, s, base := listen(t, set)
 	doc.Servers = openapi3.Servers{{URL: base}}
--- a/internal/rehearse/draw.go
+++ b/internal/rehearse/draw.go
@@ -6,7 +6,7 @@
 	"net/netip"
 
 	"snowquay/balancer"
-	"snowquay/internal/core/fleet"
+	"snowquay/internal/core/controlplane"
 	"snowquay/internal/core/registry"
 	"snowquay/internal/settings"
 )
@@ -94,7 +94,7 @@
 			Zone: balancer.Zone(i / podSize % zones), Pod: balancer.Pod(i / podSize)})
 	}
 	for i := range relays {
-		site.Relays = append(site.Relays, fleet.Relay{UID: fmt.Sprint("relay-", i), Zone: balancer.Zone(i % zones), Usual: usualRate})
+		site.Relays = append(site.Relays, controlplane.Relay{UID: fmt.Sprint("relay-", i), Zone: balancer.Zone(i % zones), Usual: usualRate})
 	}
 	site.Dataplane.Proxies = relays
 	lines := float64(relays * servers * len(site.Classes))
--- a/internal/rehearse/hosted.go
+++ b/internal/rehearse/hosted.go
@@ -13,7 +13,7 @@
 
 	"snowquay/balancer"
 	"snowquay/internal/consensus"
-	"snowquay/internal/core/fleet"
+	"snowquay/internal/core/controlplane"
 	"snowquay/internal/core/tenancy"
 	"snowquay/internal/front/loop"
 	"snowquay/internal/keep"
@@ -44,8 +44,8 @@
 	Log                      *slog.Logger
 	Store                    run.HostStore // nil: in memory
 	Set                      func(*settings.Host)
-	Without                  []fleet.Guard // left out by each tenant's coordinator
-	Anywhere                 bool          // relays of a tenant may come from any network: a guard left out
+	Without                  []controlplane.Guard // left out by each tenant's coordinator
+	Anywhere                 bool                 // relays of a tenant may come from any network: a guard left out
 }
 
 // UsualHostedDay is one that CI plays.
@@ -189,7 +189,7 @@
 			m.Networks = nil
 		}
 		for _, g := range day.Without {
-			m.Setup.Site.Without = map[fleet.Guard]bool{g: true}
+			m.Setup.Site.Without = map[controlplane.Guard]bool{g: true}
 		}
 		return m, err
 	}
--- a/internal/rehearse/hosted_test.go
+++ b/internal/rehearse/hosted_test.go
@@ -4,7 +4,7 @@
 	"bytes"
 	"testing"
 
-	"snowquay/internal/core/fleet"
+	"snowquay/internal/core/controlplane"
 )
 
 func playHosted(t *testing.T, d HostedDay) *HostedResult {
@@ -68,7 +68,7 @@
 
 // What the guards are for: without them a flood holds back drains, of the tenant that it comes from and of the one that it names.
 func TestHostedGuards(t *testing.T) {
-	broken := func(tenant int, anywhere bool, without ...fleet.Guard) bool {
+	broken := func(tenant int, anywhere bool, without ...controlplane.Guard) bool {
 		d := UsualHostedDay()
 		d.Tenants, d.Drains, d.Flood, d.Anywhere, d.Without = 6, true, 3, anywhere, without
 		r, err := RunHosted(d)
@@ -80,12 +80,12 @@
 	for _, c := range []struct {
 		tenant   int
 		anywhere bool
-		without  []fleet.Guard
+		without  []controlplane.Guard
 		broken   bool
 	}{{3, false, nil, false}, {4, false, nil, false},
 		// Drains overtake joins that wait their turn in the module: the tenant that is flooded keeps its own by that alone.
-		{3, false, []fleet.Guard{fleet.GuardOften}, false},
-		{4, true, []fleet.Guard{fleet.GuardOften}, true}, {4, false, []fleet.Guard{fleet.GuardOften}, false}} {
+		{3, false, []controlplane.Guard{controlplane.GuardOften}, false},
+		{4, true, []controlplane.Guard{controlplane.GuardOften}, true}, {4, false, []controlplane.Guard{controlplane.GuardOften}, false}} {
 		if got := broken(c.tenant, c.anywhere, c.without...); got != c.broken {
 			t.Errorf("%+v: broken %t", c, got)
 		}
--- a/internal/rehearse/rehearse.go
+++ b/internal/rehearse/rehearse.go
@@ -16,7 +16,7 @@
 
 	"snowquay/balancer"
 	"snowquay/internal/consensus"
-	"snowquay/internal/core/fleet"
+	"snowquay/internal/core/controlplane"
 	"snowquay/internal/core/longpoll"
 	"snowquay/internal/core/session"
 	"snowquay/internal/core/share"
@@ -50,7 +50,7 @@
 type Options struct {
 	Sockets      bool // over loopback sockets, in real time; else in virtual time
 	Log          *slog.Logger
-	OnOrder      func(fleet.Order)
+	OnOrder      func(controlplane.Order)
 	Seed         uint64                      // 0: the day's
 	Coordinators int                         // that share the fleet, in virtual time; 0 or 1: one alone
 	Proxies      bool                        // proxies of our own with HTTP clients, in place of stand-in relays
@@ -77,7 +77,7 @@
 	Lines      int
 	PeakQueue  float64
 	Complaints []string
-	Counts     fleet.Counts
+	Counts     controlplane.Counts
 	Desk       session.Counts
 	Polls      longpoll.Counts
 	Bytes      int // of long-poll answers
@@ -301,7 +301,7 @@
 	c := p.day.Coordinator
 	setup := c.Setup
 	setup.Log = p.opts.Log
-	setup.OnOrder = func(o fleet.Order) {
+	setup.OnOrder = func(o controlplane.Order) {
 		if o.Held > 0 {
 			p.result.Held = append(p.result.Held, o.Held-o.Decided)
 		}
@@ -381,7 +381,7 @@
 	}
 }
 
-func add(to *fleet.Counts, c fleet.Counts) {
+func add(to *controlplane.Counts, c controlplane.Counts) {
 	to.Rounds += c.Rounds
 	to.Idle += c.Idle
 	to.Lines += c.Lines
--- a/internal/rehearse/rehearse_test.go
+++ b/internal/rehearse/rehearse_test.go
@@ -10,14 +10,14 @@
 
 	"pgregory.net/rapid"
 
-	"snowquay/internal/core/fleet"
+	"snowquay/internal/core/controlplane"
 	"snowquay/internal/seeded"
 	"snowquay/internal/settings"
 )
 
 func TestMain(m *testing.M) { seeded.Main(m) }
 
-func badDay(t *testing.T, text string, without ...fleet.Guard) *settings.Day {
+func badDay(t *testing.T, text string, without ...controlplane.Guard) *settings.Day {
 	t.Helper()
 	d, err := settings.ParseDay("bad-day.xml", []byte(text), without...)
 	if err != nil {
@@ -64,11 +64,11 @@
 
 // Each guard left out breaks the rule that it is for, on a day that keeps it with the guard.
 func TestEachGuardIsNeeded(t *testing.T) {
-	for guard, c := range map[fleet.Guard]struct {
+	for guard, c := range map[controlplane.Guard]struct {
 		rule int
 		seed uint64 // of the day's chances; 0: its own
-	}{fleet.GuardRejoin: {1, 18}, fleet.GuardRepeats: {2, 0}, fleet.GuardMemory: {3, 0},
-		fleet.GuardReports: {3, 0}, fleet.GuardCold: {4, 0}, fleet.GuardPace: {5, 0}} {
+	}{controlplane.GuardRejoin: {1, 18}, controlplane.GuardRepeats: {2, 0}, controlplane.GuardMemory: {3, 0},
+		controlplane.GuardReports: {3, 0}, controlplane.GuardCold: {4, 0}, controlplane.GuardPace: {5, 0}} {
 		t.Run(string(guard), func(t *testing.T) {
 			t.Parallel()
 			r, text := play1(t, badDay(t, string(BadDay), guard), Options{Seed: c.seed})
--- a/internal/run/adopt_test.go
+++ b/internal/run/adopt_test.go
@@ -6,7 +6,7 @@
 
 	"snowquay/balancer"
 	"snowquay/internal/consensus"
-	"snowquay/internal/core/fleet"
+	"snowquay/internal/core/controlplane"
 	"snowquay/internal/core/registry"
 	"snowquay/internal/core/session"
 	"snowquay/internal/core/share"
@@ -25,12 +25,12 @@
 	life := uint64(0)
 	start := func() *run.Coordinator {
 		life++
-		c, err := run.New(net.Now(), run.Setup{Site: fleet.Site{Seed: 1, Names: []string{"search"}, Zones: []string{"a"},
+		c, err := run.New(net.Now(), run.Setup{Site: controlplane.Site{Seed: 1, Names: []string{"search"}, Zones: []string{"a"},
 			Strangers: true, Classes: []balancer.QueryClass{{Benefit: 1, GoalTime: 1, ClientTimeout: 3}},
 			Dataplane:  balancer.Dataplane{Proxies: 1, Coordinators: 1, UsualRepeats: balancer.AfterProof},
 			Channel:    balancer.Channel{LinesPerSecond: 1e5, MessageLines: 3, MostWaiting: 1e5, MeanWay: 0.01, LongestWay: 0.2},
 			Guarantees: balancer.Guarantees{DrainWithin: 3, BareWithin: 2, ColdShare: 0.2, ColdFor: 10, FallMultiple: 3, FallWithin: 2},
-			Reporting:  balancer.Reporting{Period: 0.5}, Limits: fleet.UsualLimits}, SASP: at, Limits: session.UsualLimits,
+			Reporting:  balancer.Reporting{Period: 0.5}, Limits: controlplane.UsualLimits}, SASP: at, Limits: session.UsualLimits,
 			Policy: session.Policy{FleetUID: "fleet", NewOnes: true}, Disk: disk, Life: life,
 			Group: &run.GroupSetup{Self: 1, Weight: 1, Members: map[share.Number]netip.AddrPort{1: peers}, Key: []byte("key"),
 				Terms: consensus.UsualTerms, Lease: share.UsualTerms}}, nil)
--- a/internal/run/coordinator.go
+++ b/internal/run/coordinator.go
@@ -10,7 +10,7 @@
 
 	"snowquay/balancer"
 	"snowquay/internal/consensus"
-	"snowquay/internal/core/fleet"
+	"snowquay/internal/core/controlplane"
 	"snowquay/internal/core/longpoll"
 	"snowquay/internal/core/registry"
 	"snowquay/internal/core/session"
@@ -29,7 +29,7 @@
 
 // Setup is what a coordinator is made of.
 type Setup struct {
-	Site     fleet.Site
+	Site     controlplane.Site
 	Limits   session.Limits
 	Policy   session.Policy
 	Poll     poll.Limits
@@ -39,14 +39,14 @@
 	User     string         // of signed measurements
 	Key      string         // empty: they need not be signed
 	Log      *slog.Logger
-	OnFail   func(error)       // nil: nobody is told that it orders nothing any more
-	OnOrder  func(fleet.Order) // nil: nobody traces
-	Group    *GroupSetup       // nil: it shares its fleet with nobody
-	Disk     consensus.Disk    // of the group
-	Life     uint64            // of this process in the group: no former one has had it
-	Peers    Peers             // that it shares its fleet with, where a host speaks to them for all its tenants; nil: Group says
-	Graphite *graphite.Setup   // nil: no figures are sent
-	Stir     func(now float64) // nil: what is urgent is done at once; else a host is asked for a turn, and wakes it
+	OnFail   func(error)              // nil: nobody is told that it orders nothing any more
+	OnOrder  func(controlplane.Order) // nil: nobody traces
+	Group    *GroupSetup              // nil: it shares its fleet with nobody
+	Disk     consensus.Disk           // of the group
+	Life     uint64                   // of this process in the group: no former one has had it
+	Peers    Peers                    // that it shares its fleet with, where a host speaks to them for all its tenants; nil: Group says
+	Graphite *graphite.Setup          // nil: no figures are sent
+	Stir     func(now float64)        // nil: what is urgent is done at once; else a host is asked for a turn, and wakes it
 }
 
 // Peers are the coordinators that one shares its fleet with, as it sees them.
@@ -72,7 +72,7 @@
 
 // Store keeps the records that outlive a coordinator.
 type Store interface {
-	fleet.Keeper
+	controlplane.Keeper
 	Load() ([]registry.Record, error)
 }
 
@@ -80,10 +80,10 @@
 // server itself, what it does not know yet it holds for cold, and drains have an agreement of their own.
 type both struct {
 	c   *Coordinator
-	own fleet.Keeper // nil: there is no disk of our own
+	own controlplane.Keeper // nil: there is no disk of our own
 }
 
-// Keep of fleet.Keeper.
+// Keep of controlplane.Keeper.
 func (b *both) Keep(records []registry.Record) error {
 	if p := b.c.peers; p.Ready() {
 		p.Keep(b.c.now, records)
@@ -100,7 +100,7 @@
 	store Store
 	io    world.IO
 
-	Fleet    *fleet.Fleet
+	Fleet    *controlplane.Fleet
 	Desk     *session.Desk
 	Poll     *poll.Front
 	Member   *Member             // nil: it is in no group of its own
@@ -118,7 +118,7 @@
 func New(now float64, setup Setup, store Store) (*Coordinator, error) {
 	c := &Coordinator{setup: setup, store: store}
 	var records []registry.Record
-	var keeper fleet.Keeper
+	var keeper controlplane.Keeper
 	if store != nil {
 		var err error
 		if records, err = store.Load(); err != nil {
@@ -129,7 +129,7 @@
 	if setup.Group != nil || setup.Peers != nil {
 		keeper = &both{c, keeper}
 	}
-	f, err := fleet.New(now, setup.Site, records, keeper)
+	f, err := controlplane.New(now, setup.Site, records, keeper)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/run/host.go
+++ b/internal/run/host.go
@@ -11,7 +11,7 @@
 
 	"snowquay/balancer"
 	"snowquay/internal/consensus"
-	"snowquay/internal/core/fleet"
+	"snowquay/internal/core/controlplane"
 	"snowquay/internal/core/guard"
 	"snowquay/internal/core/rights"
 	"snowquay/internal/core/share"
@@ -47,14 +47,14 @@
 	Room       tenancy.Room
 	Entry      tenancy.EntryLimits
 	Turns      turns.Terms
-	Make       func(tenancy.Tenant) (Made, error)                   // reads a tenant's settings
-	Log        func(tenancy.Name) *slog.Logger                      // of a tenant, or of the host itself for the empty name; nil: nobody listens
-	OnOrder    func(tenancy.Name, tenancy.Incarnation, fleet.Order) // nil: nobody traces
-	Graphite   *graphite.Setup                                      // nil: no figures are sent
-	Group      *GroupSetup                                          // nil: it shares its tenants with no other host
-	Disk       consensus.Disk                                       // of the group
-	Life       uint64                                               // of this process in the group: no former one has had it
-	OnFail     func(error)                                          // nil: nobody is told that it orders nothing any more
+	Make       func(tenancy.Tenant) (Made, error)                          // reads a tenant's settings
+	Log        func(tenancy.Name) *slog.Logger                             // of a tenant, or of the host itself for the empty name; nil: nobody listens
+	OnOrder    func(tenancy.Name, tenancy.Incarnation, controlplane.Order) // nil: nobody traces
+	Graphite   *graphite.Setup                                             // nil: no figures are sent
+	Group      *GroupSetup                                                 // nil: it shares its tenants with no other host
+	Disk       consensus.Disk                                              // of the group
+	Life       uint64                                                      // of this process in the group: no former one has had it
+	OnFail     func(error)                                                 // nil: nobody is told that it orders nothing any more
 }
 
 // HostStore keeps what outlives a host. What returns without an error is durable, but for rolls: see there.
@@ -75,9 +75,9 @@
 	Program *Coordinator // nil: it is not started yet, or its settings can't be read
 	Wrong   error        // why it does not run
 	made    Made
-	user    string       // of its signed measurements, as the host knows it
-	rests   bool         // nobody is connected: it is looked at now and then
-	counted fleet.Counts // up to the latest look
+	user    string              // of its signed measurements, as the host knows it
+	rests   bool                // nobody is connected: it is looked at now and then
+	counted controlplane.Counts // up to the latest look
 }
 
 // Host runs many tenants in one process: each has a coordinator of its own, with its own decisions, tables, limits and waiting
@@ -211,7 +211,7 @@
 		}
 	}
 	if h.setup.OnOrder != nil {
-		s.OnOrder = func(o fleet.Order) { h.setup.OnOrder(name, life, o) }
+		s.OnOrder = func(o controlplane.Order) { h.setup.OnOrder(name, life, o) }
 	}
 	p, err := New(now, s, h.store.Roll(life))
 	if err == nil {
@@ -222,7 +222,7 @@
 		h.say(x.Name, "tenant can't run", "error", err)
 		return
 	}
-	x.Program, x.Wrong, x.rests, x.counted = p, nil, false, fleet.Counts{}
+	x.Program, x.Wrong, x.rests, x.counted = p, nil, false, controlplane.Counts{}
 	p.Start(now, &tenantIO{h, x})
 	h.say(x.Name, "tenant runs", "incarnation", x.Incarnation, "version", x.Version)
 }
@@ -558,7 +558,7 @@
 // Seen is what would follow from other settings of a tenant.
 type Seen struct {
 	Made     Made
-	Revision fleet.Revision
+	Revision controlplane.Revision
 	Reasons  []guard.Reason // why it would do harm; none: it would not
 }
 
@@ -574,7 +574,7 @@
 		return s, nil
 	}
 	f := x.Program.Fleet
-	s.Revision = fleet.Compare(f.Site(), &s.Made.Setup.Site)
+	s.Revision = controlplane.Compare(f.Site(), &s.Made.Setup.Site)
 	s.Reasons = f.Preview(now, s.Revision.Removed, false)
 	if len(s.Revision.Removed) == 0 {
 		s.Reasons = nil // what is so already is not this change's doing
@@ -733,7 +733,7 @@
 func (s *HostSetup) Ports() []netip.AddrPort { return (&Setup{SASP: s.SASP, HTTP: s.HTTP}).Ports() }
 
 // Revise takes other settings of a coordinator that runs, whole or not at all.
-func (c *Coordinator) Revise(now float64, s Setup) (fleet.Revision, error) {
+func (c *Coordinator) Revise(now float64, s Setup) (controlplane.Revision, error) {
 	r, err := c.Fleet.Revise(now, s.Site)
 	if err != nil {
 		return r, err
--- a/internal/service/host.go
+++ b/internal/service/host.go
@@ -14,8 +14,8 @@
 	"github.com/prometheus/client_golang/prometheus"
 
 	"snowquay/balancer"
+	"snowquay/internal/core/controlplane"
 	"snowquay/internal/core/fairshare"
-	"snowquay/internal/core/fleet"
 	"snowquay/internal/core/rights"
 	"snowquay/internal/core/tenancy"
 	"snowquay/internal/front/admin"
@@ -111,7 +111,7 @@
 }
 
 // Fleet of admin.Program.
-func (h *hosted) Fleet(of tenancy.Name) (*fleet.Fleet, bool) {
+func (h *hosted) Fleet(of tenancy.Name) (*controlplane.Fleet, bool) {
 	x, ok := h.program.Tenant(of)
 	if !ok || x.Program == nil {
 		return nil, false
--- a/internal/service/service.go
+++ b/internal/service/service.go
@@ -17,7 +17,7 @@
 
 	"snowquay/balancer"
 	"snowquay/internal/consensus"
-	"snowquay/internal/core/fleet"
+	"snowquay/internal/core/controlplane"
 	"snowquay/internal/core/rights"
 	"snowquay/internal/core/spool"
 	"snowquay/internal/core/tenancy"
@@ -200,7 +200,7 @@
 func (a *administered) Do(f func(now float64)) { a.server.Do(f) }
 
 // Fleet of admin.Program.
-func (a *administered) Fleet(tenancy.Name) (*fleet.Fleet, bool) { return a.program.Fleet, true }
+func (a *administered) Fleet(tenancy.Name) (*controlplane.Fleet, bool) { return a.program.Fleet, true }
 
 // Orders of admin.Program.
 func (a *administered) Orders(_ tenancy.Name, relay string) []map[string]any {
--- a/internal/service/watch.go
+++ b/internal/service/watch.go
@@ -12,7 +12,7 @@
 	sdk "go.opentelemetry.io/otel/sdk/trace"
 	"go.opentelemetry.io/otel/trace"
 
-	"snowquay/internal/core/fleet"
+	"snowquay/internal/core/controlplane"
 	"snowquay/internal/core/tenancy"
 )
 
@@ -42,9 +42,9 @@
 func wall(clock float64) time.Time { return time.Unix(0, int64(clock*1e9)) }
 
 // order makes a span of an order's life, with the facts that it came from, and a span for each part of it.
-func (w *watch) order(o fleet.Order) { w.orderOf("", 0, o) }
+func (w *watch) order(o controlplane.Order) { w.orderOf("", 0, o) }
 
-func (w *watch) orderOf(of tenancy.Name, life tenancy.Incarnation, o fleet.Order) {
+func (w *watch) orderOf(of tenancy.Name, life tenancy.Incarnation, o controlplane.Order) {
 	urgent := "no"
 	if o.Urgent {
 		urgent = "yes"
--- a/internal/settings/host.go
+++ b/internal/settings/host.go
@@ -12,7 +12,7 @@
 
 	"snowquay/balancer"
 	"snowquay/internal/core/change"
-	"snowquay/internal/core/fleet"
+	"snowquay/internal/core/controlplane"
 	"snowquay/internal/core/rights"
 	"snowquay/internal/core/tenancy"
 	"snowquay/internal/core/turns"
@@ -170,7 +170,7 @@
 const mostUID = 255 // bytes on the wire
 
 // served tells whether a class has a server that may take it.
-func served(q balancer.QueryClass, s *fleet.Site) bool {
+func served(q balancer.QueryClass, s *controlplane.Site) bool {
 	for _, v := range s.Servers {
 		if len(q.OnlyZones) == 0 {
 			return true
--- a/internal/settings/lab.go
+++ b/internal/settings/lab.go
@@ -7,7 +7,7 @@
 	"strings"
 
 	"snowquay/balancer"
-	"snowquay/internal/core/fleet"
+	"snowquay/internal/core/controlplane"
 )
 
 // Experiment is what is played: each case of each fleet with each arm and each seed.
@@ -49,7 +49,7 @@
 	Coordinators int
 	Period       float64 // seconds between two reports; 0: as usual
 	Levels       string
-	Without      []fleet.Guard
+	Without      []controlplane.Guard
 	Program      string // another build of this program that plays it; empty: this one
 }
 
@@ -110,10 +110,10 @@
 		a := Arm{Name: name(n), Policy: n.attrs["policy"], Front: n.attrs["front"], Coordinators: n.int("coordinators"), Period: n.number("period"),
 			Levels: n.attrs["levels"], Program: n.attrs["program"]}
 		for _, g := range strings.Fields(n.attrs["without"]) {
-			if !slices.Contains(fleet.Guards, fleet.Guard(g)) {
+			if !slices.Contains(controlplane.Guards, controlplane.Guard(g)) {
 				r.wrong(n, "without: no guard is named %q", g)
 			}
-			a.Without = append(a.Without, fleet.Guard(g))
+			a.Without = append(a.Without, controlplane.Guard(g))
 		}
 		if a.Levels != "ignored" && a.Front != "http" {
 			r.wrong(n, "levels: only the front http has a word for them")
--- a/internal/settings/proxy.go
+++ b/internal/settings/proxy.go
@@ -9,7 +9,7 @@
 
 	"snowquay/balancer"
 	"snowquay/internal/core/admission"
-	"snowquay/internal/core/fleet"
+	"snowquay/internal/core/controlplane"
 	"snowquay/internal/core/outlier"
 	"snowquay/internal/core/pick"
 	"snowquay/internal/core/repeat"
@@ -44,7 +44,7 @@
 }
 
 func readProxy(root *node) (*Proxy, error) {
-	r, p, site := &reader{zones: map[string]balancer.Zone{}}, &Proxy{}, &fleet.Site{}
+	r, p, site := &reader{zones: map[string]balancer.Zone{}}, &Proxy{}, &controlplane.Site{}
 	for i, z := range root.all("zone") {
 		if _, twice := r.zones[z.attrs["name"]]; twice {
 			r.wrong(z, "there are two zones named %q", z.attrs["name"])
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -18,7 +18,7 @@
 	"snowquay/balancer"
 	"snowquay/internal/consensus"
 	"snowquay/internal/core/change"
-	"snowquay/internal/core/fleet"
+	"snowquay/internal/core/controlplane"
 	"snowquay/internal/core/longpoll"
 	"snowquay/internal/core/registry"
 	"snowquay/internal/core/rights"
@@ -100,7 +100,7 @@
 )
 
 // LoadCoordinator reads a file; without names guards that are left out, for tests of them.
-func LoadCoordinator(path string, without ...fleet.Guard) (*Coordinator, error) {
+func LoadCoordinator(path string, without ...controlplane.Guard) (*Coordinator, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
 		return nil, err
@@ -109,7 +109,7 @@
 }
 
 // ParseCoordinator reads a file's text; name is for its errors.
-func ParseCoordinator(name string, text []byte, without ...fleet.Guard) (*Coordinator, error) {
+func ParseCoordinator(name string, text []byte, without ...controlplane.Guard) (*Coordinator, error) {
 	root, err := load(text, "coordinator")
 	if err != nil {
 		return nil, named(name, err)
@@ -119,7 +119,7 @@
 }
 
 // LoadDay reads a day's file.
-func LoadDay(path string, without ...fleet.Guard) (*Day, error) {
+func LoadDay(path string, without ...controlplane.Guard) (*Day, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
 		return nil, err
@@ -128,7 +128,7 @@
 }
 
 // ParseDay reads a day's text.
-func ParseDay(name string, text []byte, without ...fleet.Guard) (*Day, error) {
+func ParseDay(name string, text []byte, without ...controlplane.Guard) (*Day, error) {
 	root, err := load(text, "day")
 	if err != nil {
 		return nil, named(name, err)
@@ -207,7 +207,7 @@
 	return z
 }
 
-func parseCoordinatorNode(root *node, without []fleet.Guard) (*Coordinator, error) {
+func parseCoordinatorNode(root *node, without []controlplane.Guard) (*Coordinator, error) {
 	r := &reader{zones: map[string]balancer.Zone{}}
 	c := r.basis(root, without)
 	l := root.one("listen")
@@ -232,13 +232,13 @@
 }
 
 // basis reads what a coordinator of its own and one of a tenant have in common.
-func (r *reader) basis(root *node, without []fleet.Guard) *Coordinator {
+func (r *reader) basis(root *node, without []controlplane.Guard) *Coordinator {
 	c := &Coordinator{}
 	s := &c.Site
-	s.Seed, s.Limits, c.Limits = uint64(root.int("seed")), fleet.UsualLimits, session.UsualLimits
+	s.Seed, s.Limits, c.Limits = uint64(root.int("seed")), controlplane.UsualLimits, session.UsualLimits
 	for _, g := range without {
 		if s.Without == nil {
-			s.Without = map[fleet.Guard]bool{}
+			s.Without = map[controlplane.Guard]bool{}
 		}
 		s.Without[g] = true
 	}
@@ -366,7 +366,7 @@
 	}
 }
 
-func (r *reader) class(n *node, s *fleet.Site) {
+func (r *reader) class(n *node, s *controlplane.Site) {
 	q := balancer.QueryClass{Benefit: n.number("benefit"), LateBenefit: n.number("late-benefit"),
 		GoalTime: n.number("goal-time"), ClientTimeout: n.number("client-timeout"), Effect: effects[n.attrs["effect"]],
 		Group: groups[n.attrs["same"]], Window: n.number("window"), OwnZone: n.bool("own-zone"), Writes: n.bool("writes")}
@@ -388,10 +388,10 @@
 	}
 	slices.Sort(q.OnlyZones)
 	s.Names, s.Classes = append(s.Names, n.attrs["name"]), append(s.Classes, q)
-	s.Repeats = append(s.Repeats, fleet.SafeRepeats(q, ways[n.attrs["repeats"]], s.Without))
+	s.Repeats = append(s.Repeats, controlplane.SafeRepeats(q, ways[n.attrs["repeats"]], s.Without))
 }
 
-func (r *reader) fleet(root *node, s *fleet.Site) {
+func (r *reader) fleet(root *node, s *controlplane.Site) {
 	f, c, g := root.one("fleet"), root.one("channel"), root.one("rules")
 	usual := balancer.TwiceOnFailure
 	for _, way := range s.Repeats {
@@ -428,9 +428,9 @@
 		a := r.endpoint(k, "address")
 		if v := k.number("capacity"); v > 0 {
 			if c.Site.Pools == nil {
-				c.Site.Pools = map[balancer.Server]fleet.Pooled{}
+				c.Site.Pools = map[balancer.Server]controlplane.Pooled{}
 			}
-			c.Site.Pools[balancer.Server(a.String())] = fleet.Pooled{Pool: k.attrs["pool"], Capacity: v}
+			c.Site.Pools[balancer.Server(a.String())] = controlplane.Pooled{Pool: k.attrs["pool"], Capacity: v}
 		}
 		s := balancer.Server(a.String())
 		if line := seen[s]; line > 0 {
@@ -442,7 +442,7 @@
 	}
 }
 
-func (r *reader) relays(n *node, s *fleet.Site) {
+func (r *reader) relays(n *node, s *controlplane.Site) {
 	s.Strangers = n.bool("strangers")
 	if n.attrs["stranger-zone"] != "" {
 		s.StrangerIn = r.zone(n, "stranger-zone")
@@ -454,7 +454,7 @@
 			r.wrong(k, "relay %q is listed already, in line %d", uid, line)
 		}
 		seen[uid] = k.line
-		s.Relays = append(s.Relays, fleet.Relay{UID: uid, Zone: r.zone(k, "zone"), Usual: k.number("usual")})
+		s.Relays = append(s.Relays, controlplane.Relay{UID: uid, Zone: r.zone(k, "zone"), Usual: k.number("usual")})
 	}
 	if !s.Strangers && len(s.Relays) == 0 {
 		r.wrong(n, "no relay may join: none is listed, and strangers may not")
@@ -492,7 +492,7 @@
 	}
 }
 
-func day(root *node, without []fleet.Guard) (*Day, error) {
+func day(root *node, without []controlplane.Guard) (*Day, error) {
 	c, err := parseCoordinatorNode(root.one("coordinator"), without)
 	if err != nil {
 		return nil, err
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -8,7 +8,7 @@
 	"testing"
 
 	"snowquay/balancer"
-	"snowquay/internal/core/fleet"
+	"snowquay/internal/core/controlplane"
 )
 
 func example(t testing.TB) string {
@@ -31,7 +31,7 @@
 	if c.Site.Repeats[0] != balancer.AfterFailure || c.Site.Repeats[1] != balancer.AfterProof {
 		t.Errorf("repeats %v: a guarded class must not be repeated after a failure", c.Site.Repeats)
 	}
-	c, err = ParseCoordinator("example.xml", []byte(example(t)), fleet.GuardRepeats)
+	c, err = ParseCoordinator("example.xml", []byte(example(t)), controlplane.GuardRepeats)
 	if err != nil || c.Site.Repeats[1] != balancer.AfterFailure {
 		t.Errorf("without the guard: %v, %v", c.Site.Repeats, err)
 	}
