--- a/internal/core/forward/forward.go
+++ b/internal/core/forward/forward.go
@@ -9,11 +9,11 @@
 
 	"snowquay/balancer"
 	"snowquay/internal/core/admission"
-	"snowquay/internal/core/follow"
 	"snowquay/internal/core/measure"
 	"snowquay/internal/core/outlier"
 	"snowquay/internal/core/pick"
 	"snowquay/internal/core/repeat"
+	"snowquay/internal/core/tablecache"
 	"snowquay/internal/core/wheel"
 )
 
@@ -117,7 +117,7 @@
 // Proxy is one. Use New.
 type Proxy struct {
 	setup   Setup
-	Tables  *follow.Tables
+	Tables  *tablecache.Tables
 	Door    *admission.Door
 	Avoid   *outlier.List
 	ways    []balancer.Repeats
@@ -138,7 +138,7 @@
 
 // New makes a proxy without a table.
 func New(now float64, s Setup) *Proxy {
-	p := &Proxy{setup: s, Tables: follow.New(s.Names, s.Make), Door: admission.New(s.Levels, len(s.Names), s.Limits),
+	p := &Proxy{setup: s, Tables: tablecache.New(s.Names, s.Make), Door: admission.New(s.Levels, len(s.Names), s.Limits),
 		Avoid: outlier.New(s.Avoid), ways: append([]balancer.Repeats(nil), s.Ways...), queries: map[Query]*query{}, tries: map[Try]*query{},
 		wheel: wheel.New[*query](now, tick), looks: wheel.New[*query](now, tick), keys: map[string]*keyed{},
 		served: map[balancer.Server]*measure.Totals{}, demand: make([]measure.Totals, len(s.Names))}
@@ -149,7 +149,7 @@
 }
 
 // Follow takes orders for classes that came with tables.
-func (p *Proxy) Follow(now float64, orders []follow.Order) {
+func (p *Proxy) Follow(now float64, orders []tablecache.Order) {
 	for _, o := range orders {
 		if o.Level >= 0 {
 			p.Door.Level(now, o.Class, o.Level, o.ComeBack)
--- a/internal/core/follow/follow.go
+++ b/internal/core/tablecache/follow.go
@@ -1,6 +1,6 @@
-// Package follow keeps the tables that a proxy was told: it applies what coordinators say, whole and in order, refuses what
+// Package tablecache keeps the tables that a proxy was told: it applies what coordinators say, whole and in order, refuses what
 // is older than it has followed, and outlives coordinators and its own restarts by a snapshot. It is pure.
-package follow
+package tablecache
 
 import (
 	"encoding/json"
--- a/internal/core/follow/golden_test.go
+++ b/internal/core/tablecache/golden_test.go
@@ -1,4 +1,4 @@
-package follow
+package tablecache
 
 import (
 	"testing"
--- a/internal/proxy/follower.go
+++ b/internal/proxy/follower.go
@@ -9,8 +9,8 @@
 	"strconv"
 
 	"snowquay/balancer"
-	"snowquay/internal/core/follow"
 	"snowquay/internal/core/session"
+	"snowquay/internal/core/tablecache"
 	"snowquay/internal/run/world"
 	"snowquay/internal/wire/delta"
 	"snowquay/internal/wire/http1"
@@ -207,7 +207,7 @@
 		}
 		orders, left, err := s.p.Core.Tables.Apply(now, &t)
 		switch {
-		case errors.Is(err, follow.ErrBase):
+		case errors.Is(err, tablecache.ErrBase):
 			s.p.Core.Tables.Lost()
 		case err != nil:
 			s.p.setup.Say("tables refused", "error", err)
