--- a/internal/core/forward/forward.go
+++ b/internal/core/forwarding/forward.go
@@ -1,6 +1,6 @@
-// Package forward is a proxy without its sockets: it lets queries in, picks a server for each, decides what happens when a
+// Package forwarding is a proxy without its sockets: it lets queries in, picks a server for each, decides what happens when a
 // try fails, gives up in time, and counts what it met. Facts and times come in, orders go out. It is pure.
-package forward
+package forwarding
 
 import (
 	"errors"
--- a/internal/core/forward/forward_test.go
+++ b/internal/core/forwarding/forward_test.go
@@ -1,4 +1,4 @@
-package forward
+package forwarding
 
 import (
 	"errors"
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -17,7 +17,7 @@
 
 	"snowquay/balancer"
 	"snowquay/internal/core/admission"
-	"snowquay/internal/core/forward"
+	"snowquay/internal/core/forwarding"
 	"snowquay/internal/core/measure"
 	"snowquay/internal/core/repeat"
 	"snowquay/internal/feed/collect"
@@ -45,7 +45,7 @@
 // Setup is what a proxy is made of. Times are seconds.
 type Setup struct {
 	UID          string
-	Forward      forward.Setup
+	Forward      forwarding.Setup
 	Routes       []Route
 	Limits       Limits
 	Coordinators []netip.AddrPort  // tried in turn
@@ -85,7 +85,7 @@
 type client struct {
 	id    world.Conn
 	buf   []byte
-	query forward.Query // 0: none is under way
+	query forwarding.Query // 0: none is under way
 	msg   http1.Message
 	ended bool // the connection ends after the answer
 	asked bool // it was told to go on with its body
@@ -102,8 +102,8 @@
 type upstream struct {
 	id    world.Conn
 	to    *target
-	try   forward.Try
-	query forward.Query
+	try   forwarding.Try
+	query forwarding.Query
 	up    bool
 	buf   []byte
 	msg   http1.Message
@@ -121,12 +121,12 @@
 type Proxy struct {
 	setup   Setup
 	io      world.IO
-	Core    *forward.Proxy
+	Core    *forwarding.Proxy
 	clients map[world.Conn]*client
 	ups     map[world.Conn]*upstream
 	targets map[balancer.Server]*target
-	queries map[forward.Query]*pending
-	tries   map[forward.Try]*upstream
+	queries map[forwarding.Query]*pending
+	tries   map[forwarding.Try]*upstream
 	session follower
 	chance  uint64
 	bytes   []byte
@@ -142,8 +142,8 @@
 
 // New makes a proxy; it does nothing until Start.
 func New(now float64, s Setup) *Proxy {
-	p := &Proxy{setup: s, Core: forward.New(now, s.Forward), clients: map[world.Conn]*client{}, ups: map[world.Conn]*upstream{},
-		targets: map[balancer.Server]*target{}, queries: map[forward.Query]*pending{}, tries: map[forward.Try]*upstream{},
+	p := &Proxy{setup: s, Core: forwarding.New(now, s.Forward), clients: map[world.Conn]*client{}, ups: map[world.Conn]*upstream{},
+		targets: map[balancer.Server]*target{}, queries: map[forwarding.Query]*pending{}, tries: map[forwarding.Try]*upstream{},
 		chance: s.Seed*2 + 1}
 	slices.SortStableFunc(p.setup.Routes, func(a, b Route) int { return cmp.Compare(len(b.Prefix), len(a.Prefix)) })
 	if s.Say == nil {
@@ -312,7 +312,7 @@
 		p.direct(c, m.Method, problem(404, "no class of queries is at this path", 0))
 		return
 	}
-	a := forward.Ask{Class: class, Key: m.Get(keyField)}
+	a := forwarding.Ask{Class: class, Key: m.Get(keyField)}
 	q := &pending{client: c, method: m.Method, bytes: http1.AppendRequest(nil, m)}
 	if a.Key != "" {
 		d := xxhash.New()
@@ -336,17 +336,17 @@
 }
 
 // obey does what was ordered.
-func (p *Proxy) obey(now float64, orders []forward.Order) {
+func (p *Proxy) obey(now float64, orders []forwarding.Order) {
 	for _, o := range orders {
 		switch o.Kind {
-		case forward.Send:
+		case forwarding.Send:
 			p.try(now, o)
-		case forward.Cancel:
+		case forwarding.Cancel:
 			if u := p.tries[o.Try]; u != nil {
 				p.drop(u)
 				p.io.Close(u.id)
 			}
-		case forward.Fail, forward.Refuse:
+		case forwarding.Fail, forwarding.Refuse:
 			p.fail(now, o)
 		}
 	}
@@ -355,15 +355,15 @@
 var statuses = []struct {
 	why    error
 	status int
-}{{forward.ErrKey, 422}, {forward.ErrLate, 504}, {forward.ErrFailed, 502}, {forward.ErrNowhere, 503}, {admission.ErrLevel, 503},
+}{{forwarding.ErrKey, 422}, {forwarding.ErrLate, 504}, {forwarding.ErrFailed, 502}, {forwarding.ErrNowhere, 503}, {admission.ErrLevel, 503},
 	{admission.ErrBusy, 503}}
 
-func (p *Proxy) fail(now float64, o forward.Order) {
+func (p *Proxy) fail(now float64, o forwarding.Order) {
 	q := p.queries[o.Query]
 	if delete(p.queries, o.Query); q == nil || q.client == nil {
 		return
 	}
-	if q.last != nil && errors.Is(o.Why, forward.ErrFailed) { // what the server itself says is better than that it failed
+	if q.last != nil && errors.Is(o.Why, forwarding.ErrFailed) { // what the server itself says is better than that it failed
 		var m http1.Message
 		if _, err := http1.Response(q.last, q.method, p.setup.Limits.HTTP, &m); err == nil {
 			p.finish(now, q.client, q.method, &m)
@@ -388,7 +388,7 @@
 	p.answer(now, c, method, m)
 }
 
-func (p *Proxy) try(now float64, o forward.Order) {
+func (p *Proxy) try(now float64, o forwarding.Order) {
 	t := p.targets[o.Server]
 	if t == nil {
 		at, err := netip.ParseAddrPort(string(o.Server))
@@ -482,7 +482,7 @@
 }
 
 // lastOf keeps a server's own words on a failure.
-func (p *Proxy) lastOf(t forward.Try, raw []byte) {
+func (p *Proxy) lastOf(t forwarding.Try, raw []byte) {
 	if n, ok := p.Core.Of(t); ok && p.queries[n] != nil {
 		p.queries[n].last = raw
 	}
--- a/internal/proxy/proxy_test.go
+++ b/internal/proxy/proxy_test.go
@@ -8,7 +8,7 @@
 
 	"snowquay/balancer"
 	"snowquay/internal/core/admission"
-	"snowquay/internal/core/forward"
+	"snowquay/internal/core/forwarding"
 	"snowquay/internal/core/outlier"
 	"snowquay/internal/core/pick"
 	"snowquay/internal/core/repeat"
@@ -130,7 +130,7 @@
 
 func setup(servers int) Setup {
 	s := Setup{UID: "proxy-1", Routes: []Route{{"/search", 0}, {"/introduce", 1}, {"/once", 2}}, Limits: UsualLimits, Seed: 1,
-		Forward: forward.Setup{Names: []string{"search", "introduce", "once"}, Ways: []balancer.Repeats{balancer.AfterFailure, balancer.AfterFailure, balancer.AfterProof},
+		Forward: forwarding.Setup{Names: []string{"search", "introduce", "once"}, Ways: []balancer.Repeats{balancer.AfterFailure, balancer.AfterFailure, balancer.AfterProof},
 			Classes: []balancer.QueryClass{{GoalTime: 1, ClientTimeout: 5}, {GoalTime: 1, ClientTimeout: 5, Effect: balancer.Guarded, Window: 4},
 				{GoalTime: 1, ClientTimeout: 5, Effect: balancer.SingleShot}},
 			Limits: admission.UsualLimits, Avoid: outlier.UsualTerms, Budget: repeat.Budget{Part: 1, Burst: 100},
--- a/internal/rehearse/proxies.go
+++ b/internal/rehearse/proxies.go
@@ -6,7 +6,7 @@
 
 	"snowquay/balancer"
 	"snowquay/internal/core/admission"
-	"snowquay/internal/core/forward"
+	"snowquay/internal/core/forwarding"
 	"snowquay/internal/core/outlier"
 	"snowquay/internal/core/pick"
 	"snowquay/internal/core/repeat"
@@ -46,7 +46,7 @@
 	seen := &standin.Seen{Ref: p.ref, UID: site.Relays[i].UID}
 	s := proxy.Setup{UID: seen.UID, Limits: proxy.UsualLimits, Collect: c.Measurements.Port(), User: c.User, KeyOf: c.Key,
 		Report: site.Reporting.Period, Seed: seed, Store: &x.shelf, Watch: seen,
-		Forward: forward.Setup{Names: site.Names, Classes: site.Classes, Ways: site.Repeats, Levels: site.Dataplane.Levels,
+		Forward: forwarding.Setup{Names: site.Names, Classes: site.Classes, Ways: site.Repeats, Levels: site.Dataplane.Levels,
 			Limits: admission.UsualLimits, Avoid: outlier.Terms{After: site.Dataplane.EjectAfter, For: outlier.UsualTerms.For, Most: outlier.UsualTerms.Most},
 			Budget: repeat.UsualBudget, Places: map[balancer.Server]repeat.Place{},
 			Make: func(class int) pick.Table { return pick.NewEven(seed + uint64(class)) }}}
