--- a/internal/core/controlplane/preview.go
+++ b/internal/core/controlplane/preview.go
@@ -5,14 +5,14 @@
 	"slices"
 
 	"snowquay/balancer"
-	"snowquay/internal/core/guard"
+	"snowquay/internal/core/tablecheck"
 	"snowquay/internal/core/tables"
 )
 
 // Preview looks at what would follow if some servers were drained now: why that must not be, none if it may. Each proxy may
 // hold the table that it has, or the one without them; where capacities are stated, what is left must bear the queries also once
 // they are gone. loseZone asks that any one zone could be lost besides.
-func (f *Fleet) Preview(now float64, drain []balancer.Server, loseZone bool) []guard.Reason {
+func (f *Fleet) Preview(now float64, drain []balancer.Server, loseZone bool) []tablecheck.Reason {
 	s := f.guarded(now, drain, balancer.Terminating, loseZone)
 	reasons := s.Check()
 	if len(reasons) == 0 && len(f.site.Pools) > 0 {
@@ -22,11 +22,11 @@
 }
 
 // guarded is the site as the guard sees it, with some servers in another phase.
-func (f *Fleet) guarded(now float64, drain []balancer.Server, phase balancer.Phase, loseZone bool) *guard.Site {
-	s := &guard.Site{Servers: map[balancer.Server]guard.Server{}, ColdShare: f.site.Guarantees.ColdShare, LoseZone: loseZone}
+func (f *Fleet) guarded(now float64, drain []balancer.Server, phase balancer.Phase, loseZone bool) *tablecheck.Site {
+	s := &tablecheck.Site{Servers: map[balancer.Server]tablecheck.Server{}, ColdShare: f.site.Guarantees.ColdShare, LoseZone: loseZone}
 	for _, name := range f.Roll.Servers() {
 		rec, _ := f.Roll.Find(name)
-		v := guard.Server{Zone: rec.Zone, Phase: rec.Phase, Cold: f.Roll.Cold(now, name, f.site.Guarantees.ColdFor)}
+		v := tablecheck.Server{Zone: rec.Zone, Phase: rec.Phase, Cold: f.Roll.Cold(now, name, f.site.Guarantees.ColdFor)}
 		if v.Phase == balancer.InService && slices.Contains(drain, name) {
 			v.Phase = phase
 		}
@@ -35,7 +35,7 @@
 		}
 		s.Servers[name] = v
 	}
-	next, held := map[*wanted]*guard.Table{}, map[*wanted]*guard.Table{}
+	next, held := map[*wanted]*tablecheck.Table{}, map[*wanted]*tablecheck.Table{}
 	for _, p := range f.sorted() {
 		for c := range p.Holds {
 			h := &p.Holds[c]
@@ -44,7 +44,7 @@
 			}
 			w := f.tables[h.Table]
 			if next[w] == nil {
-				next[w], held[w] = &guard.Table{Lines: map[balancer.Server]float64{}}, &guard.Table{Lines: map[balancer.Server]float64{}}
+				next[w], held[w] = &tablecheck.Table{Lines: map[balancer.Server]float64{}}, &tablecheck.Table{Lines: map[balancer.Server]float64{}}
 				for l := range w.Since(0) {
 					if l.Weight == 0 {
 						continue
@@ -55,11 +55,11 @@
 					}
 				}
 			}
-			states := []*guard.Table{next[w]}
+			states := []*tablecheck.Table{next[w]}
 			if phase != balancer.Gone { // by then all have followed
 				states = append(states, held[w])
 			}
-			s.Proxies = append(s.Proxies, guard.Proxy{UID: p.UID, Class: balancer.Class(c),
+			s.Proxies = append(s.Proxies, tablecheck.Proxy{UID: p.UID, Class: balancer.Class(c),
 				Demand: p.Usual / float64(len(f.site.Classes)), States: states})
 		}
 	}
--- a/internal/core/guard/guard.go
+++ b/internal/core/tablecheck/guard.go
@@ -1,11 +1,11 @@
-// Package guard looks at tables before they are published, or as a preview of them: which would leave a class of some proxy
+// Package tablecheck looks at tables before they are published, or as a preview of them: which would leave a class of some proxy
 // without a server that may take its queries, or send a pool of servers more than it can take. It takes into account that
 // each proxy may still hold any of its former tables, that servers drain, are cold or gone, and, where asked for, that any
 // one zone is lost. It is pure.
 //
 // Proxies are independent of each other: each is in one of its possible states. What all of them may send to a pool at worst
 // is then the sum of what each may send at worst, so that no combination has to be played through.
-package guard
+package tablecheck
 
 import (
 	"cmp"
--- a/internal/core/guard/guard_test.go
+++ b/internal/core/tablecheck/guard_test.go
@@ -1,4 +1,4 @@
-package guard
+package tablecheck
 
 import (
 	"flag"
--- a/internal/front/admin/admin.go
+++ b/internal/front/admin/admin.go
@@ -22,8 +22,8 @@
 	"snowquay/internal/core/change"
 	"snowquay/internal/core/controlplane"
 	"snowquay/internal/core/fairshare"
-	"snowquay/internal/core/guard"
 	"snowquay/internal/core/rights"
+	"snowquay/internal/core/tablecheck"
 	"snowquay/internal/core/tenancy"
 )
 
@@ -360,7 +360,7 @@
 	return b, true
 }
 
-func words(reasons []guard.Reason) []string {
+func words(reasons []tablecheck.Reason) []string {
 	list := []string{}
 	for _, r := range reasons[:min(len(reasons), mostEntries)] {
 		list = append(list, r.String())
@@ -373,7 +373,7 @@
 	if _, ok := decode(w, r, &c); !ok {
 		return
 	}
-	var reasons []guard.Reason
+	var reasons []tablecheck.Reason
 	if !a.fleet(w, who, func(now float64, f *controlplane.Fleet) { reasons = f.Preview(now, c.Drain, c.LoseZone) }) {
 		return
 	}
@@ -400,7 +400,7 @@
 		known   bool
 		err     error
 		status  int
-		reasons []guard.Reason
+		reasons []tablecheck.Reason
 		done    = make(chan bool, 1)
 	)
 	if !a.fleet(w, who, func(now float64, f *controlplane.Fleet) {
--- a/internal/run/host.go
+++ b/internal/run/host.go
@@ -12,9 +12,9 @@
 	"snowquay/balancer"
 	"snowquay/internal/consensus"
 	"snowquay/internal/core/controlplane"
-	"snowquay/internal/core/guard"
 	"snowquay/internal/core/rights"
 	"snowquay/internal/core/share"
+	"snowquay/internal/core/tablecheck"
 	"snowquay/internal/core/tenancy"
 	"snowquay/internal/core/turns"
 	"snowquay/internal/feed/collect"
@@ -559,7 +559,7 @@
 type Seen struct {
 	Made     Made
 	Revision controlplane.Revision
-	Reasons  []guard.Reason // why it would do harm; none: it would not
+	Reasons  []tablecheck.Reason // why it would do harm; none: it would not
 }
 
 // See looks at other settings of a tenant without taking them: whether they can be read, what would change, and whether that would
