--- a/internal/core/controlplane/figures.go
+++ b/internal/core/controlplane/figures.go
@@ -4,7 +4,7 @@
 	"slices"
 
 	"snowquay/balancer"
-	"snowquay/internal/core/measure"
+	"snowquay/internal/core/loadreport"
 )
 
 // Figure of a fleet, for those who watch it.
@@ -19,14 +19,14 @@
 
 // sums are what proxies reported since the start.
 type sums struct {
-	servers map[balancer.Server]*measure.Totals
-	classes []measure.Totals
+	servers map[balancer.Server]*loadreport.Totals
+	classes []loadreport.Totals
 }
 
 // count takes what is handed to the module of a period.
 func (f *Fleet) count(traffic []balancer.Traffic, demand []balancer.Demand) {
 	if f.sums.servers == nil {
-		f.sums = sums{map[balancer.Server]*measure.Totals{}, make([]measure.Totals, len(f.site.Classes))}
+		f.sums = sums{map[balancer.Server]*loadreport.Totals{}, make([]loadreport.Totals, len(f.site.Classes))}
 	}
 	for _, t := range traffic {
 		s := f.sums.servers[t.Server]
@@ -38,7 +38,7 @@
 					}
 				}
 			}
-			s = &measure.Totals{}
+			s = &loadreport.Totals{}
 			f.sums.servers[t.Server] = s
 		}
 		s.Tries += t.Tries
--- a/internal/core/controlplane/fleet.go
+++ b/internal/core/controlplane/fleet.go
@@ -15,7 +15,7 @@
 	"slices"
 
 	"snowquay/balancer"
-	"snowquay/internal/core/measure"
+	"snowquay/internal/core/loadreport"
 	"snowquay/internal/core/pacing"
 	"snowquay/internal/core/registry"
 	"snowquay/internal/core/tables"
@@ -127,7 +127,7 @@
 	lead    func() uint64
 	sent    func(now float64, uid string)
 	Roll    *registry.Roll
-	Book    *measure.Book
+	Book    *loadreport.Book
 	keeper  Keeper
 
 	proxies map[balancer.Proxy]*Proxy
@@ -193,7 +193,7 @@
 	}
 	f := &Fleet{site: site, keeper: keeper, first: true, began: now, ranAt: math.Inf(-1), closed: now,
 		Roll:    registry.New(site.Limits.HoldServer, site.Limits.Servers, site.Without[GuardCold]),
-		Book:    measure.New(site.Limits.Series),
+		Book:    loadreport.New(site.Limits.Series),
 		proxies: map[balancer.Proxy]*Proxy{}, byUID: map[string]*Proxy{}, listed: map[string]Relay{},
 		tables: map[balancer.Table]*wanted{}, out: pacing.New(site.Channel, site.Without[GuardPace])}
 	f.manager = balancer.New(site.Seed, site.Classes, site.Dataplane, site.inTables(), site.Guarantees, site.Reporting,
@@ -412,7 +412,7 @@
 
 // Measured takes a relay's totals at a server. Nothing is decided by a report that names somebody unknown, or by one
 // of a relay that is not joined.
-func (f *Fleet) Measured(now, at float64, uid string, s balancer.Server, t measure.Totals) {
+func (f *Fleet) Measured(now, at float64, uid string, s balancer.Server, t loadreport.Totals) {
 	p := f.byUID[uid]
 	if p == nil || !p.Joined {
 		f.Counts.UnknownRelay++
@@ -456,7 +456,7 @@
 }
 
 // Demanded takes a relay's totals of a class.
-func (f *Fleet) Demanded(now, at float64, uid, class string, t measure.Totals) {
+func (f *Fleet) Demanded(now, at float64, uid, class string, t loadreport.Totals) {
 	p := f.byUID[uid]
 	c, ok := f.Class(class)
 	if p == nil || !p.Joined || !ok {
--- a/internal/core/controlplane/fleet_test.go
+++ b/internal/core/controlplane/fleet_test.go
@@ -6,7 +6,7 @@
 	"testing"
 
 	"snowquay/balancer"
-	"snowquay/internal/core/measure"
+	"snowquay/internal/core/loadreport"
 	"snowquay/internal/core/registry"
 )
 
@@ -165,11 +165,11 @@
 				totals += 20
 				b.StopTimer()
 				for i := range rows {
-					f.Measured(now, now, fmt.Sprint("r", i), name(i), measure.Totals{Tries: totals, Seconds: totals / 4})
+					f.Measured(now, now, fmt.Sprint("r", i), name(i), loadreport.Totals{Tries: totals, Seconds: totals / 4})
 				}
 				if rows == 300 {
 					for i := range 460 {
-						f.Demanded(now, now, fmt.Sprint("r", i), "search", measure.Totals{Tries: totals / 2})
+						f.Demanded(now, now, fmt.Sprint("r", i), "search", loadreport.Totals{Tries: totals / 2})
 					}
 				}
 				b.StartTimer()
--- a/internal/core/controlplane/revise_test.go
+++ b/internal/core/controlplane/revise_test.go
@@ -9,7 +9,7 @@
 	"testing"
 
 	"snowquay/balancer"
-	"snowquay/internal/core/measure"
+	"snowquay/internal/core/loadreport"
 	"snowquay/internal/core/registry"
 )
 
@@ -136,8 +136,8 @@
 	for i := range 40 {
 		now += 0.5
 		for r := range 2 {
-			f.Measured(now, now, fmt.Sprint("r", r), name(0), measure.Totals{Tries: float64(10 * i), Lost: float64(i), Seconds: float64(i)})
-			f.Demanded(now, now, fmt.Sprint("r", r), "search", measure.Totals{Tries: float64(10 * i)})
+			f.Measured(now, now, fmt.Sprint("r", r), name(0), loadreport.Totals{Tries: float64(10 * i), Lost: float64(i), Seconds: float64(i)})
+			f.Demanded(now, now, fmt.Sprint("r", r), "search", loadreport.Totals{Tries: float64(10 * i)})
 		}
 		step(f, now)
 	}
--- a/internal/core/forwarding/forward.go
+++ b/internal/core/forwarding/forward.go
@@ -9,7 +9,7 @@
 
 	"snowquay/balancer"
 	"snowquay/internal/core/admission"
-	"snowquay/internal/core/measure"
+	"snowquay/internal/core/loadreport"
 	"snowquay/internal/core/outlier"
 	"snowquay/internal/core/pick"
 	"snowquay/internal/core/repeat"
@@ -130,8 +130,8 @@
 	looks   *wheel.Wheel[*query]
 	keys    map[string]*keyed
 	order   []string // keys, oldest first
-	served  map[balancer.Server]*measure.Totals
-	demand  []measure.Totals
+	served  map[balancer.Server]*loadreport.Totals
+	demand  []loadreport.Totals
 	orders  []Order
 	Counts  Counts
 }
@@ -141,7 +141,7 @@
 	p := &Proxy{setup: s, Tables: tablecache.New(s.Names, s.Make), Door: admission.New(s.Levels, len(s.Names), s.Limits),
 		Avoid: outlier.New(s.Avoid), ways: append([]balancer.Repeats(nil), s.Ways...), queries: map[Query]*query{}, tries: map[Try]*query{},
 		wheel: wheel.New[*query](now, tick), looks: wheel.New[*query](now, tick), keys: map[string]*keyed{},
-		served: map[balancer.Server]*measure.Totals{}, demand: make([]measure.Totals, len(s.Names))}
+		served: map[balancer.Server]*loadreport.Totals{}, demand: make([]loadreport.Totals, len(s.Names))}
 	for range s.Names {
 		p.budgets = append(p.budgets, s.Budget)
 	}
@@ -279,7 +279,7 @@
 	return true
 }
 
-func (p *Proxy) met(s balancer.Server) *measure.Totals {
+func (p *Proxy) met(s balancer.Server) *loadreport.Totals {
 	m := p.served[s]
 	if m == nil {
 		if len(p.served) >= mostSeen {
@@ -292,7 +292,7 @@
 		if len(p.served) >= mostSeen {
 			return nil
 		}
-		m = &measure.Totals{}
+		m = &loadreport.Totals{}
 		p.served[s] = m
 	}
 	return m
@@ -472,7 +472,7 @@
 func (p *Proxy) Under() int { return len(p.queries) }
 
 // Reports are the totals since the start, by server and by class, for measurements.
-func (p *Proxy) Reports(server func(balancer.Server, measure.Totals), class func(balancer.Class, measure.Totals)) {
+func (p *Proxy) Reports(server func(balancer.Server, loadreport.Totals), class func(balancer.Class, loadreport.Totals)) {
 	for _, s := range slices.Sorted(maps.Keys(p.served)) {
 		server(s, *p.served[s])
 	}
--- a/internal/core/forwarding/forward_test.go
+++ b/internal/core/forwarding/forward_test.go
@@ -10,7 +10,7 @@
 
 	"snowquay/balancer"
 	"snowquay/internal/core/admission"
-	"snowquay/internal/core/measure"
+	"snowquay/internal/core/loadreport"
 	"snowquay/internal/core/outlier"
 	"snowquay/internal/core/pick"
 	"snowquay/internal/core/repeat"
@@ -272,7 +272,7 @@
 		p.Failed(now, only(t, o, Send).Try, repeat.MayHaveRun)
 	}
 	reported := 0.0
-	p.Reports(func(_ balancer.Server, m measure.Totals) { reported += m.Lost }, func(balancer.Class, measure.Totals) {})
+	p.Reports(func(_ balancer.Server, m loadreport.Totals) { reported += m.Lost }, func(balancer.Class, loadreport.Totals) {})
 	if reported < 100 {
 		t.Errorf("%v failures are reported", reported)
 	}
--- a/internal/core/measure/measure.go
+++ b/internal/core/loadreport/measure.go
@@ -1,7 +1,7 @@
-// Package measure turns what relays report of their traffic into the sums that the decision module is given. Reports
+// Package loadreport turns what relays report of their traffic into the sums that the decision module is given. Reports
 // are running totals, so that a lost one costs nothing but time, and a doubled or reordered one is seen to be old. It
 // is pure.
-package measure
+package loadreport
 
 import (
 	"cmp"
--- a/internal/core/measure/measure_test.go
+++ b/internal/core/loadreport/measure_test.go
@@ -1,4 +1,4 @@
-package measure
+package loadreport
 
 import (
 	"math"
--- a/internal/core/session/session_test.go
+++ b/internal/core/session/session_test.go
@@ -11,7 +11,7 @@
 
 	"snowquay/balancer"
 	"snowquay/internal/core/controlplane"
-	"snowquay/internal/core/measure"
+	"snowquay/internal/core/loadreport"
 	"snowquay/internal/core/registry"
 	"snowquay/internal/seeded"
 	"snowquay/internal/wire/sasp"
@@ -537,9 +537,9 @@
 		s, tries := balancer.Server(address(1).String()), 0.0
 		report := func(clock float64) {
 			tries += 5
-			p.fleet.Measured(p.now, clock, "r1", s, measure.Totals{Tries: tries})
-			p.fleet.Measured(p.now, clock, "nobody", s, measure.Totals{Tries: tries})
-			p.fleet.Measured(p.now, clock, "r1", "10.9.9.9:1", measure.Totals{Tries: tries})
+			p.fleet.Measured(p.now, clock, "r1", s, loadreport.Totals{Tries: tries})
+			p.fleet.Measured(p.now, clock, "nobody", s, loadreport.Totals{Tries: tries})
+			p.fleet.Measured(p.now, clock, "r1", "10.9.9.9:1", loadreport.Totals{Tries: tries})
 		}
 		for range 6 {
 			p.pass(0.5)
--- a/internal/feed/collect/collect.go
+++ b/internal/feed/collect/collect.go
@@ -23,7 +23,7 @@
 
 	"snowquay/balancer"
 	"snowquay/internal/core/controlplane"
-	"snowquay/internal/core/measure"
+	"snowquay/internal/core/loadreport"
 )
 
 const (
@@ -118,12 +118,12 @@
 	case l.Plugin == plugin && l.Type == trafficType && len(l.Values) == 3:
 		if v, ok := derives(l.Values); ok {
 			c.fleet.Measured(now, at, l.Host, balancer.Server(l.PluginInstance),
-				measure.Totals{Tries: v[0], Lost: v[1], Seconds: v[2] * microsecond})
+				loadreport.Totals{Tries: v[0], Lost: v[1], Seconds: v[2] * microsecond})
 			return
 		}
 	case l.Plugin == plugin && l.Type == demandType && len(l.Values) == 2:
 		if v, ok := derives(l.Values); ok {
-			c.fleet.Demanded(now, at, l.Host, l.PluginInstance, measure.Totals{Tries: v[0], Lost: v[1]})
+			c.fleet.Demanded(now, at, l.Host, l.PluginInstance, loadreport.Totals{Tries: v[0], Lost: v[1]})
 			return
 		}
 	case l.Type == uptimeType && len(l.Values) == 1:
@@ -177,12 +177,12 @@
 }
 
 // Traffic adds a relay's totals at a server.
-func (p *Packer) Traffic(server string, t measure.Totals) {
+func (p *Packer) Traffic(server string, t loadreport.Totals) {
 	p.add(plugin, server, trafficType, api.Derive(t.Tries), api.Derive(t.Lost), api.Derive(t.Seconds/microsecond))
 }
 
 // Demand adds a relay's totals of a class.
-func (p *Packer) Demand(class string, t measure.Totals) {
+func (p *Packer) Demand(class string, t loadreport.Totals) {
 	p.add(plugin, class, demandType, api.Derive(t.Tries), api.Derive(t.Lost))
 }
 
--- a/internal/feed/collect/collect_test.go
+++ b/internal/feed/collect/collect_test.go
@@ -6,7 +6,7 @@
 
 	"snowquay/balancer"
 	"snowquay/internal/core/controlplane"
-	"snowquay/internal/core/measure"
+	"snowquay/internal/core/loadreport"
 	"snowquay/internal/core/registry"
 )
 
@@ -25,8 +25,8 @@
 
 func packet(now, tries float64, host, key string) (out []byte) {
 	p := NewPacker(now, host, "relays", key, func(b []byte) { out = bytes.Clone(b) })
-	p.Traffic("10.0.0.1:80", measure.Totals{Tries: tries, Lost: 1, Seconds: tries / 4})
-	p.Demand("search", measure.Totals{Tries: tries})
+	p.Traffic("10.0.0.1:80", loadreport.Totals{Tries: tries, Lost: 1, Seconds: tries / 4})
+	p.Demand("search", loadreport.Totals{Tries: tries})
 	p.Uptime(77)
 	p.Flush()
 	return out
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -18,7 +18,7 @@
 	"snowquay/balancer"
 	"snowquay/internal/core/admission"
 	"snowquay/internal/core/forwarding"
-	"snowquay/internal/core/measure"
+	"snowquay/internal/core/loadreport"
 	"snowquay/internal/core/repeat"
 	"snowquay/internal/feed/collect"
 	"snowquay/internal/run/world"
@@ -595,8 +595,8 @@
 func (p *Proxy) reports(now float64) {
 	to := netip.AddrPortFrom(p.session.at().Addr(), p.setup.Collect)
 	k := collect.NewPacker(now, p.setup.UID, p.setup.User, p.setup.KeyOf, func(b []byte) { p.io.Datagram(to, b) })
-	p.Core.Reports(func(s balancer.Server, t measure.Totals) { k.Traffic(string(s), t) },
-		func(c balancer.Class, t measure.Totals) { k.Demand(p.setup.Forward.Names[c], t) })
+	p.Core.Reports(func(s balancer.Server, t loadreport.Totals) { k.Traffic(string(s), t) },
+		func(c balancer.Class, t loadreport.Totals) { k.Demand(p.setup.Forward.Names[c], t) })
 	k.Flush()
 }
 
--- a/internal/standin/relay.go
+++ b/internal/standin/relay.go
@@ -7,7 +7,7 @@
 	"slices"
 
 	"snowquay/balancer"
-	"snowquay/internal/core/measure"
+	"snowquay/internal/core/loadreport"
 	"snowquay/internal/feed/collect"
 	"snowquay/internal/run/world"
 	"snowquay/internal/wire/sasp"
@@ -80,7 +80,7 @@
 	failures int
 	under    int     // tries under way
 	avoid    float64 // until then
-	totals   measure.Totals
+	totals   loadreport.Totals
 }
 
 type query struct {
@@ -121,7 +121,7 @@
 	byID    map[uint64]*try // newest try of a query
 	nextTry int
 	nextID  uint64
-	demand  []measure.Totals
+	demand  []loadreport.Totals
 	chance  chance
 	again0  map[int]*query
 	asked   int
@@ -153,7 +153,7 @@
 func NewRelay(s RelaySetup, ref *Referee) *Relay {
 	r := &Relay{RelaySetup: s, Load: 1, ref: ref, targets: map[netip.AddrPort]*target{},
 		byConn: map[world.Conn]netip.AddrPort{}, parts: map[world.Conn][]byte{}, tries: map[int]*try{},
-		byID: map[uint64]*try{}, again0: map[int]*query{}, nextTry: relayTries, demand: make([]measure.Totals, len(s.Classes)),
+		byID: map[uint64]*try{}, again0: map[int]*query{}, nextTry: relayTries, demand: make([]loadreport.Totals, len(s.Classes)),
 		chance: newChance(s.Seed), nextID: s.Seed << 32}
 	for _, c := range s.Classes {
 		r.levels, r.again = append(r.levels, 1), append(r.again, c.Repeats)
