--- a/internal/core/forwarding/forward.go
+++ b/internal/core/forwarding/forward.go
@@ -11,7 +11,7 @@
 	"snowquay/internal/core/admission"
 	"snowquay/internal/core/loadreport"
 	"snowquay/internal/core/outlier"
-	"snowquay/internal/core/pick"
+	"snowquay/internal/core/picker"
 	"snowquay/internal/core/repeat"
 	"snowquay/internal/core/tablecache"
 	"snowquay/internal/core/wheel"
@@ -80,7 +80,7 @@
 	Budget  repeat.Budget
 	Hedge   float64 // seconds after which a query that is safe to repeat is tried once more beside the first try; 0: never
 	Places  map[balancer.Server]repeat.Place
-	Make    func(class int) pick.Table
+	Make    func(class int) picker.Table
 }
 
 type try struct {
--- a/internal/core/forwarding/forward_test.go
+++ b/internal/core/forwarding/forward_test.go
@@ -12,7 +12,7 @@
 	"snowquay/internal/core/admission"
 	"snowquay/internal/core/loadreport"
 	"snowquay/internal/core/outlier"
-	"snowquay/internal/core/pick"
+	"snowquay/internal/core/picker"
 	"snowquay/internal/core/repeat"
 	"snowquay/internal/seeded"
 	"snowquay/internal/wire/delta"
@@ -34,7 +34,7 @@
 			Group: balancer.SamePod, Window: 4}, {GoalTime: 1, ClientTimeout: 5, Effect: balancer.SingleShot}},
 		Limits: admission.Limits{Queries: 100, ByServer: 20}, Avoid: outlier.Terms{After: 3, For: 4, Most: 30},
 		Budget: repeat.Budget{Part: 0.2, Burst: 10}, Places: map[balancer.Server]repeat.Place{},
-		Make: func(c int) pick.Table { return pick.NewEven(uint64(c)) }}
+		Make: func(c int) picker.Table { return picker.NewEven(uint64(c)) }}
 	s.Levels = balancer.LevelFraction
 	for i := range servers {
 		s.Places[server(i)] = repeat.Place{Server: server(i), Zone: balancer.Zone(i % 2), Pod: balancer.Pod(i / 2)}
--- a/internal/core/pick/pick.go
+++ b/internal/core/picker/pick.go
@@ -1,6 +1,6 @@
-// Package pick chooses servers by weight: evenly, so that every stretch of picks is near the weights, or at random. Both
+// Package picker chooses servers by weight: evenly, so that every stretch of picks is near the weights, or at random. Both
 // structures change a line in logarithmic time, and neither bunches picks when a table changes. It is pure.
-package pick
+package picker
 
 import (
 	"cmp"
--- a/internal/core/pick/pick_test.go
+++ b/internal/core/picker/pick_test.go
@@ -1,4 +1,4 @@
-package pick
+package picker
 
 import (
 	"fmt"
--- a/internal/core/tablecache/follow.go
+++ b/internal/core/tablecache/follow.go
@@ -9,7 +9,7 @@
 	"math"
 
 	"snowquay/balancer"
-	"snowquay/internal/core/pick"
+	"snowquay/internal/core/picker"
 	"snowquay/internal/wire/delta"
 	"snowquay/internal/wire/sasp"
 )
@@ -42,7 +42,7 @@
 // Tables of a proxy. Use New.
 type Tables struct {
 	names   []string
-	by      []pick.Table
+	by      []picker.Table
 	epoch   string
 	version uint64
 	lead    uint64
@@ -55,7 +55,7 @@
 type Counts struct{ Applied, Old, Base, Wrong int }
 
 // New makes empty tables for classes of these names; make gives each its way of picking.
-func New(names []string, make func(class int) pick.Table) *Tables {
+func New(names []string, make func(class int) picker.Table) *Tables {
 	t := &Tables{names: names, gone: map[balancer.Server]float64{}}
 	for i := range names {
 		t.by = append(t.by, make(i))
@@ -64,7 +64,7 @@
 }
 
 // Of is a class's table.
-func (t *Tables) Of(c balancer.Class) pick.Table { return t.by[c] }
+func (t *Tables) Of(c balancer.Class) picker.Table { return t.by[c] }
 
 // Class by its name.
 func (t *Tables) Class(name string) (balancer.Class, bool) {
@@ -128,13 +128,13 @@
 			for _, l := range x.Lines() {
 				touched[l.Server] = true
 			}
-			var lines []pick.Line
+			var lines []picker.Line
 			for _, l := range c.Lines {
 				if l.Weight > 0 {
-					lines = append(lines, pick.Line{Server: balancer.Server(l.Server), Weight: l.Weight})
+					lines = append(lines, picker.Line{Server: balancer.Server(l.Server), Weight: l.Weight})
 				}
 			}
-			pick.Replace(x, lines)
+			picker.Replace(x, lines)
 		} else {
 			for _, l := range c.Lines {
 				touched[balancer.Server(l.Server)] = true
@@ -208,8 +208,8 @@
 }
 
 type snapshotClass struct {
-	Name  string      `json:"name"`
-	Lines []pick.Line `json:"lines"`
+	Name  string        `json:"name"`
+	Lines []picker.Line `json:"lines"`
 }
 
 // Save is a snapshot of what is held.
@@ -244,7 +244,7 @@
 	}
 	for _, c := range s.Classes {
 		k, _ := t.Class(c.Name)
-		pick.Replace(t.by[k], c.Lines)
+		picker.Replace(t.by[k], c.Lines)
 	}
 	t.at, t.lead = s.At, s.Lead
 	return nil
--- a/internal/proxy/proxy_test.go
+++ b/internal/proxy/proxy_test.go
@@ -10,7 +10,7 @@
 	"snowquay/internal/core/admission"
 	"snowquay/internal/core/forwarding"
 	"snowquay/internal/core/outlier"
-	"snowquay/internal/core/pick"
+	"snowquay/internal/core/picker"
 	"snowquay/internal/core/repeat"
 	"snowquay/internal/run/sim"
 	"snowquay/internal/run/world"
@@ -134,7 +134,7 @@
 			Classes: []balancer.QueryClass{{GoalTime: 1, ClientTimeout: 5}, {GoalTime: 1, ClientTimeout: 5, Effect: balancer.Guarded, Window: 4},
 				{GoalTime: 1, ClientTimeout: 5, Effect: balancer.SingleShot}},
 			Limits: admission.UsualLimits, Avoid: outlier.UsualTerms, Budget: repeat.Budget{Part: 1, Burst: 100},
-			Make: func(c int) pick.Table { return pick.NewEven(uint64(c)) }}}
+			Make: func(c int) picker.Table { return picker.NewEven(uint64(c)) }}}
 	for i := range servers {
 		s.Standing = append(s.Standing, balancer.Server(serverAt(i).String()))
 	}
--- a/internal/rehearse/proxies.go
+++ b/internal/rehearse/proxies.go
@@ -8,7 +8,7 @@
 	"snowquay/internal/core/admission"
 	"snowquay/internal/core/forwarding"
 	"snowquay/internal/core/outlier"
-	"snowquay/internal/core/pick"
+	"snowquay/internal/core/picker"
 	"snowquay/internal/core/repeat"
 	"snowquay/internal/proxy"
 	"snowquay/internal/settings"
@@ -49,7 +49,7 @@
 		Forward: forwarding.Setup{Names: site.Names, Classes: site.Classes, Ways: site.Repeats, Levels: site.Dataplane.Levels,
 			Limits: admission.UsualLimits, Avoid: outlier.Terms{After: site.Dataplane.EjectAfter, For: outlier.UsualTerms.For, Most: outlier.UsualTerms.Most},
 			Budget: repeat.UsualBudget, Places: map[balancer.Server]repeat.Place{},
-			Make: func(class int) pick.Table { return pick.NewEven(seed + uint64(class)) }}}
+			Make: func(class int) picker.Table { return picker.NewEven(seed + uint64(class)) }}}
 	for k, name := range site.Names {
 		at := slices.IndexFunc(p.classes, func(q standin.Class) bool { return q.Name == name })
 		seen.Classes = append(seen.Classes, at)
--- a/internal/settings/proxy.go
+++ b/internal/settings/proxy.go
@@ -11,7 +11,7 @@
 	"snowquay/internal/core/admission"
 	"snowquay/internal/core/controlplane"
 	"snowquay/internal/core/outlier"
-	"snowquay/internal/core/pick"
+	"snowquay/internal/core/picker"
 	"snowquay/internal/core/repeat"
 	"snowquay/internal/proxy"
 )
@@ -61,11 +61,11 @@
 	f.Names, f.Classes, f.Ways = site.Names, site.Classes, site.Repeats
 	f.Levels, f.Limits, f.Avoid, f.Budget = levelKinds[root.attrs["levels"]], admission.UsualLimits, outlier.UsualTerms, repeat.UsualBudget
 	seed := p.Seed
-	f.Make = func(class int) pick.Table {
+	f.Make = func(class int) picker.Table {
 		if root.attrs["pick"] == "random" {
-			return pick.NewRandom(seed + uint64(class))
+			return picker.NewRandom(seed + uint64(class))
 		}
-		return pick.NewEven(seed + uint64(class))
+		return picker.NewEven(seed + uint64(class))
 	}
 	for _, n := range root.all("route") {
 		c := slices.Index(f.Names, n.attrs["class"])
