--- a/internal/core/pure/policy_test.go
+++ b/internal/core/archtest/policy_test.go
@@ -1,4 +1,4 @@
-package pure
+package archtest
 
 import (
 	"os"
