--- a/internal/core/forwarding/forward.go
+++ b/internal/core/forwarding/forward.go
@@ -12,7 +12,7 @@
 	"snowquay/internal/core/loadreport"
 	"snowquay/internal/core/outlier"
 	"snowquay/internal/core/picker"
-	"snowquay/internal/core/repeat"
+	"snowquay/internal/core/retry"
 	"snowquay/internal/core/tablecache"
 	"snowquay/internal/core/wheel"
 )
@@ -77,9 +77,9 @@
 	Levels  balancer.LevelKind
 	Limits  admission.Limits
 	Avoid   outlier.Terms
-	Budget  repeat.Budget
+	Budget  retry.Budget
 	Hedge   float64 // seconds after which a query that is safe to repeat is tried once more beside the first try; 0: never
-	Places  map[balancer.Server]repeat.Place
+	Places  map[balancer.Server]retry.Place
 	Make    func(class int) picker.Table
 }
 
@@ -92,7 +92,7 @@
 type query struct {
 	number Query
 	ask    Ask
-	repeat repeat.Query
+	repeat retry.Query
 	came   float64
 	tries  []*try // under way
 	timer  wheel.Timer[*query]
@@ -103,7 +103,7 @@
 type keyed struct {
 	key   string
 	print uint64
-	first repeat.Place
+	first retry.Place
 	at    float64
 	ran   bool
 	until float64
@@ -121,7 +121,7 @@
 	Door    *admission.Door
 	Avoid   *outlier.List
 	ways    []balancer.Repeats
-	budgets []repeat.Budget
+	budgets []retry.Budget
 	queries map[Query]*query
 	tries   map[Try]*query
 	nextQ   Query
@@ -193,7 +193,7 @@
 		p.Counts.Refused++
 		return n, []Order{{Kind: Refuse, Query: n, Why: err, Back: back}}
 	}
-	q := &query{number: n, ask: a, came: now, repeat: repeat.Query{Class: class, Way: p.ways[a.Class], Until: now + class.ClientTimeout,
+	q := &query{number: n, ask: a, came: now, repeat: retry.Query{Class: class, Way: p.ways[a.Class], Until: now + class.ClientTimeout,
 		Keyed: a.Key != ""}}
 	if k != nil && k.ran { // its client repeats it: it goes where the first one may have run
 		q.repeat.Ran, q.repeat.First, q.repeat.FirstAt = true, k.first, k.at
@@ -235,11 +235,11 @@
 	return k, nil
 }
 
-func (p *Proxy) place(s balancer.Server) repeat.Place {
+func (p *Proxy) place(s balancer.Server) retry.Place {
 	if at, ok := p.setup.Places[s]; ok {
 		return at
 	}
-	return repeat.Place{Server: s, Zone: -1, Pod: -1} // nobody knows: it is in no group but its own
+	return retry.Place{Server: s, Zone: -1, Pod: -1} // nobody knows: it is in no group but its own
 }
 
 // send picks a server for a query's next try; false: none may take it. Servers that fail are avoided, unless all that are
@@ -358,7 +358,7 @@
 }
 
 // Failed tells that a try brought none. The query is tried once more where that is allowed, or fails.
-func (p *Proxy) Failed(now float64, t Try, o repeat.Outcome) []Order {
+func (p *Proxy) Failed(now float64, t Try, o retry.Outcome) []Order {
 	q := p.tries[t]
 	if q == nil {
 		return nil
@@ -367,14 +367,14 @@
 	return p.take()
 }
 
-func (p *Proxy) failed(now float64, q *query, x *try, o repeat.Outcome) {
+func (p *Proxy) failed(now float64, q *query, x *try, o retry.Outcome) {
 	p.over(q, x)
 	p.Avoid.Failed(now, x.server)
 	if m := p.met(x.server); m != nil {
 		m.Lost++
 	}
 	q.repeat.Failed(p.place(x.server), x.sent, o)
-	if o == repeat.MayHaveRun {
+	if o == retry.MayHaveRun {
 		p.remember(q, x)
 	}
 	if len(q.tries) > 0 { // the other one of a hedge goes on
@@ -445,11 +445,11 @@
 	}
 	x := q.tries[0]
 	then := q.repeat
-	if then.Failed(p.place(x.server), x.sent, repeat.MayHaveRun); len(q.tries) > 1 || !then.May(now, repeat.MayHaveRun) {
+	if then.Failed(p.place(x.server), x.sent, retry.MayHaveRun); len(q.tries) > 1 || !then.May(now, retry.MayHaveRun) {
 		return
 	}
 	p.orders = append(p.orders, Order{Kind: Cancel, Query: q.number, Try: x.number, Server: x.server})
-	p.failed(now, q, x, repeat.MayHaveRun)
+	p.failed(now, q, x, retry.MayHaveRun)
 }
 
 // Retire forgets servers that have no line any more, where nothing is under way.
--- a/internal/core/forwarding/forward_test.go
+++ b/internal/core/forwarding/forward_test.go
@@ -13,7 +13,7 @@
 	"snowquay/internal/core/loadreport"
 	"snowquay/internal/core/outlier"
 	"snowquay/internal/core/picker"
-	"snowquay/internal/core/repeat"
+	"snowquay/internal/core/retry"
 	"snowquay/internal/seeded"
 	"snowquay/internal/wire/delta"
 )
@@ -33,11 +33,11 @@
 		Classes: []balancer.QueryClass{{GoalTime: 1, ClientTimeout: 5}, {GoalTime: 1, ClientTimeout: 5, Effect: balancer.Guarded,
 			Group: balancer.SamePod, Window: 4}, {GoalTime: 1, ClientTimeout: 5, Effect: balancer.SingleShot}},
 		Limits: admission.Limits{Queries: 100, ByServer: 20}, Avoid: outlier.Terms{After: 3, For: 4, Most: 30},
-		Budget: repeat.Budget{Part: 0.2, Burst: 10}, Places: map[balancer.Server]repeat.Place{},
+		Budget: retry.Budget{Part: 0.2, Burst: 10}, Places: map[balancer.Server]retry.Place{},
 		Make: func(c int) picker.Table { return picker.NewEven(uint64(c)) }}
 	s.Levels = balancer.LevelFraction
 	for i := range servers {
-		s.Places[server(i)] = repeat.Place{Server: server(i), Zone: balancer.Zone(i % 2), Pod: balancer.Pod(i / 2)}
+		s.Places[server(i)] = retry.Place{Server: server(i), Zone: balancer.Zone(i % 2), Pod: balancer.Pod(i / 2)}
 	}
 	return s
 }
@@ -83,11 +83,11 @@
 	p := open(t, 4, nil)
 	_, o := p.Ask(1000, Ask{Class: free})
 	first := only(t, o, Send)
-	second := only(t, p.Failed(1000.1, first.Try, repeat.MayHaveRun), Send)
+	second := only(t, p.Failed(1000.1, first.Try, retry.MayHaveRun), Send)
 	if second.Server == first.Server {
 		t.Error("it is sent to the same server again")
 	}
-	if end := only(t, p.Failed(1000.2, second.Try, repeat.MayHaveRun), Fail); !errors.Is(end.Why, ErrFailed) || p.Under() != 0 {
+	if end := only(t, p.Failed(1000.2, second.Try, retry.MayHaveRun), Fail); !errors.Is(end.Why, ErrFailed) || p.Under() != 0 {
 		t.Errorf("%+v", end)
 	}
 	if _, _, ok := p.Answered(1001, second.Try); ok {
@@ -99,10 +99,10 @@
 func TestSingleShotQueriesNeedProof(t *testing.T) {
 	p := open(t, 4, nil)
 	_, o := p.Ask(1000, Ask{Class: single})
-	only(t, p.Failed(1000.1, only(t, o, Send).Try, repeat.MayHaveRun), Fail)
+	only(t, p.Failed(1000.1, only(t, o, Send).Try, retry.MayHaveRun), Fail)
 	_, o = p.Ask(1001, Ask{Class: single})
-	second := only(t, p.Failed(1001.1, only(t, o, Send).Try, repeat.NeverRan), Send)
-	only(t, p.Failed(1001.2, second.Try, repeat.NeverRan), Fail) // one repeat
+	second := only(t, p.Failed(1001.1, only(t, o, Send).Try, retry.NeverRan), Send)
+	only(t, p.Failed(1001.2, second.Try, retry.NeverRan), Fail) // one repeat
 	_, o = p.Ask(1002, Ask{Class: single})
 	if n := len(p.Tick(1003.5)); n != 0 || len(o) != 1 {
 		t.Errorf("%d orders when its goal time is over: it must be waited for", n)
@@ -116,7 +116,7 @@
 		now := 1000 + float64(i)*20
 		_, o := p.Ask(now, Ask{Class: guarded, Key: fmt.Sprint("k", i), Print: 1})
 		first := only(t, o, Send)
-		second := only(t, p.Failed(now+0.1, first.Try, repeat.MayHaveRun), Send)
+		second := only(t, p.Failed(now+0.1, first.Try, retry.MayHaveRun), Send)
 		if a, b := p.place(first.Server), p.place(second.Server); a.Pod != b.Pod || a.Server == b.Server {
 			t.Fatalf("from %+v to %+v", a, b)
 		}
@@ -135,9 +135,9 @@
 		}
 	}
 	_, o := p.Ask(5000, Ask{Class: guarded}) // without a key no server knows a repeat
-	only(t, p.Failed(5000.1, only(t, o, Send).Try, repeat.MayHaveRun), Fail)
+	only(t, p.Failed(5000.1, only(t, o, Send).Try, retry.MayHaveRun), Fail)
 	_, o = p.Ask(6000, Ask{Class: guarded, Key: "late", Print: 1})
-	only(t, p.Failed(6004.5, only(t, o, Send).Try, repeat.MayHaveRun), Fail) // they have forgotten it
+	only(t, p.Failed(6004.5, only(t, o, Send).Try, retry.MayHaveRun), Fail) // they have forgotten it
 	// The table changes between a try and its repeat, with the drain of the servers that the repeat would pick.
 	_, o = p.Ask(7000, Ask{Class: guarded, Key: "drained", Print: 1})
 	first := only(t, o, Send)
@@ -150,19 +150,19 @@
 	if _, _, err := p.Tables.Apply(7000.05, table(true, 2, 0, left...)); err != nil {
 		t.Fatal(err)
 	}
-	if again := only(t, p.Failed(7000.1, first.Try, repeat.MayHaveRun), Send); again.Server != first.Server {
+	if again := only(t, p.Failed(7000.1, first.Try, retry.MayHaveRun), Send); again.Server != first.Server {
 		t.Errorf("it goes to %s, where its repeat is not known", again.Server)
 	}
 }
 
 func TestBudgetsHedgesAndTime(t *testing.T) {
-	p := open(t, 6, func(s *Setup) { s.Budget = repeat.Budget{Part: 0.1, Burst: 2} })
+	p := open(t, 6, func(s *Setup) { s.Budget = retry.Budget{Part: 0.1, Burst: 2} })
 	repeats := 0
 	for i := range 100 {
 		now := 1000 + float64(i)
 		_, o := p.Ask(now, Ask{Class: free})
 		for len(o) == 1 && o[0].Kind == Send {
-			o = p.Failed(now+0.01, o[0].Try, repeat.MayHaveRun)
+			o = p.Failed(now+0.01, o[0].Try, retry.MayHaveRun)
 		}
 		repeats = p.Counts.Repeats
 	}
@@ -231,7 +231,7 @@
 		_, o := p.Ask(1000, Ask{Class: free})
 		if o[0].Kind == Send {
 			in++
-			if f := p.Failed(1000, o[0].Try, repeat.NeverRan); f[0].Kind != Fail {
+			if f := p.Failed(1000, o[0].Try, retry.NeverRan); f[0].Kind != Fail {
 				t.Fatalf("repeats were forbidden: %+v", f)
 			}
 		} else if o[0].Back != 2 || !errors.Is(o[0].Why, admission.ErrLevel) {
@@ -246,7 +246,7 @@
 	orders, _, _ = p.Tables.Apply(1000, a)
 	p.Follow(1000, orders)
 	_, o = p.Ask(1000, Ask{Class: single})
-	only(t, p.Failed(1000.1, o[0].Try, repeat.MayHaveRun), Fail)
+	only(t, p.Failed(1000.1, o[0].Try, retry.MayHaveRun), Fail)
 }
 
 // A server that fails is avoided for a while, never the last one, even if all of them fail.
@@ -258,7 +258,7 @@
 		_, o := p.Ask(now, Ask{Class: single})
 		x := only(t, o, Send)
 		if hits[x.Server]++; x.Server == server(1) {
-			p.Failed(now, x.Try, repeat.MayHaveRun)
+			p.Failed(now, x.Try, retry.MayHaveRun)
 		} else {
 			p.Answered(now, x.Try)
 		}
@@ -269,7 +269,7 @@
 	for i := range 100 {
 		now := 1100 + float64(i)*0.01
 		_, o := p.Ask(now, Ask{Class: single})
-		p.Failed(now, only(t, o, Send).Try, repeat.MayHaveRun)
+		p.Failed(now, only(t, o, Send).Try, retry.MayHaveRun)
 	}
 	reported := 0.0
 	p.Reports(func(_ balancer.Server, m loadreport.Totals) { reported += m.Lost }, func(balancer.Class, loadreport.Totals) {})
@@ -390,12 +390,12 @@
 				if any != 0 {
 					delete(tries, any)
 					ran[f.q] = append(ran[f.q], f)
-					obey(p.Failed(now, any, repeat.MayHaveRun))
+					obey(p.Failed(now, any, retry.MayHaveRun))
 				}
 			case 5:
 				if any != 0 {
 					delete(tries, any)
-					obey(p.Failed(now, any, repeat.NeverRan))
+					obey(p.Failed(now, any, retry.NeverRan))
 				}
 			case 6:
 				var some []int
--- a/internal/core/repeat/repeat.go
+++ b/internal/core/retry/repeat.go
@@ -1,6 +1,6 @@
-// Package repeat decides whether a query that failed may be sent once more, and where: by what its class allows, by what is
+// Package retry decides whether a query that failed may be sent once more, and where: by what its class allows, by what is
 // known of the tries so far, and within a budget. It is pure.
-package repeat
+package retry
 
 import "snowquay/balancer"
 
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -19,7 +19,7 @@
 	"snowquay/internal/core/admission"
 	"snowquay/internal/core/forwarding"
 	"snowquay/internal/core/loadreport"
-	"snowquay/internal/core/repeat"
+	"snowquay/internal/core/retry"
 	"snowquay/internal/feed/collect"
 	"snowquay/internal/run/world"
 	"snowquay/internal/wire/http1"
@@ -202,7 +202,7 @@
 	}
 	if !ok {
 		p.drop(u)
-		p.obey(now, p.Core.Failed(now, u.try, repeat.NeverRan))
+		p.obey(now, p.Core.Failed(now, u.try, retry.NeverRan))
 		return
 	}
 	u.up = true
@@ -393,7 +393,7 @@
 	if t == nil {
 		at, err := netip.ParseAddrPort(string(o.Server))
 		if err != nil {
-			p.obey(now, p.Core.Failed(now, o.Try, repeat.NeverRan))
+			p.obey(now, p.Core.Failed(now, o.Try, retry.NeverRan))
 			return
 		}
 		t = &target{server: o.Server, at: at}
@@ -462,9 +462,9 @@
 	if msg.Status >= 500 {
 		raw := slices.Clone(u.buf[:n])
 		p.release(u, keep)
-		outcome := repeat.MayHaveRun
+		outcome := retry.MayHaveRun
 		if msg.Status == 503 && strings.EqualFold(msg.Get(ranField), "no") {
-			outcome = repeat.NeverRan
+			outcome = retry.NeverRan
 		}
 		p.lastOf(t, raw)
 		p.obey(now, p.Core.Failed(now, t, outcome))
@@ -506,7 +506,7 @@
 func (p *Proxy) broken(now float64, u *upstream) {
 	t := u.try
 	if p.drop(u); t != 0 {
-		p.obey(now, p.Core.Failed(now, t, repeat.MayHaveRun))
+		p.obey(now, p.Core.Failed(now, t, retry.MayHaveRun))
 	}
 }
 
--- a/internal/proxy/proxy_test.go
+++ b/internal/proxy/proxy_test.go
@@ -11,7 +11,7 @@
 	"snowquay/internal/core/forwarding"
 	"snowquay/internal/core/outlier"
 	"snowquay/internal/core/picker"
-	"snowquay/internal/core/repeat"
+	"snowquay/internal/core/retry"
 	"snowquay/internal/run/sim"
 	"snowquay/internal/run/world"
 	"snowquay/internal/wire/delta"
@@ -133,7 +133,7 @@
 		Forward: forwarding.Setup{Names: []string{"search", "introduce", "once"}, Ways: []balancer.Repeats{balancer.AfterFailure, balancer.AfterFailure, balancer.AfterProof},
 			Classes: []balancer.QueryClass{{GoalTime: 1, ClientTimeout: 5}, {GoalTime: 1, ClientTimeout: 5, Effect: balancer.Guarded, Window: 4},
 				{GoalTime: 1, ClientTimeout: 5, Effect: balancer.SingleShot}},
-			Limits: admission.UsualLimits, Avoid: outlier.UsualTerms, Budget: repeat.Budget{Part: 1, Burst: 100},
+			Limits: admission.UsualLimits, Avoid: outlier.UsualTerms, Budget: retry.Budget{Part: 1, Burst: 100},
 			Make: func(c int) picker.Table { return picker.NewEven(uint64(c)) }}}
 	for i := range servers {
 		s.Standing = append(s.Standing, balancer.Server(serverAt(i).String()))
@@ -450,11 +450,11 @@
 	}
 }
 
-func places(servers int) map[balancer.Server]repeat.Place {
-	at := map[balancer.Server]repeat.Place{}
+func places(servers int) map[balancer.Server]retry.Place {
+	at := map[balancer.Server]retry.Place{}
 	for i := range servers {
 		s := balancer.Server(serverAt(i).String())
-		at[s] = repeat.Place{Server: s, Pod: balancer.Pod(i / 2)}
+		at[s] = retry.Place{Server: s, Pod: balancer.Pod(i / 2)}
 	}
 	return at
 }
@@ -492,7 +492,7 @@
 // All servers fail at once: each query ends within its client timeout, repeats stay within their budget, and when the servers
 // are well again queries are answered at once.
 func TestAllServersFail(t *testing.T) {
-	w := build(t, 3, func(s *Setup) { s.Forward.Budget = repeat.Budget{Part: 0.1, Burst: 5} })
+	w := build(t, 3, func(s *Setup) { s.Forward.Budget = retry.Budget{Part: 0.1, Burst: 5} })
 	for _, s := range w.servers {
 		s.how = "fails"
 	}
--- a/internal/rehearse/proxies.go
+++ b/internal/rehearse/proxies.go
@@ -9,7 +9,7 @@
 	"snowquay/internal/core/forwarding"
 	"snowquay/internal/core/outlier"
 	"snowquay/internal/core/picker"
-	"snowquay/internal/core/repeat"
+	"snowquay/internal/core/retry"
 	"snowquay/internal/proxy"
 	"snowquay/internal/settings"
 	"snowquay/internal/standin"
@@ -48,7 +48,7 @@
 		Report: site.Reporting.Period, Seed: seed, Store: &x.shelf, Watch: seen,
 		Forward: forwarding.Setup{Names: site.Names, Classes: site.Classes, Ways: site.Repeats, Levels: site.Dataplane.Levels,
 			Limits: admission.UsualLimits, Avoid: outlier.Terms{After: site.Dataplane.EjectAfter, For: outlier.UsualTerms.For, Most: outlier.UsualTerms.Most},
-			Budget: repeat.UsualBudget, Places: map[balancer.Server]repeat.Place{},
+			Budget: retry.UsualBudget, Places: map[balancer.Server]retry.Place{},
 			Make: func(class int) picker.Table { return picker.NewEven(seed + uint64(class)) }}}
 	for k, name := range site.Names {
 		at := slices.IndexFunc(p.classes, func(q standin.Class) bool { return q.Name == name })
@@ -56,7 +56,7 @@
 		s.Routes = append(s.Routes, proxy.Route{Prefix: "/" + name, Class: balancer.Class(k)})
 	}
 	for _, v := range site.Servers {
-		s.Forward.Places[v.Server] = repeat.Place{Server: v.Server, Zone: v.Zone, Pod: v.Pod}
+		s.Forward.Places[v.Server] = retry.Place{Server: v.Server, Zone: v.Zone, Pod: v.Pod}
 	}
 	at := c.SASP
 	if s.SASP = !(p.opts.Front == "http" || p.opts.Front == "both" && i%2 == 1); !s.SASP {
--- a/internal/settings/proxy.go
+++ b/internal/settings/proxy.go
@@ -12,7 +12,7 @@
 	"snowquay/internal/core/controlplane"
 	"snowquay/internal/core/outlier"
 	"snowquay/internal/core/picker"
-	"snowquay/internal/core/repeat"
+	"snowquay/internal/core/retry"
 	"snowquay/internal/proxy"
 )
 
@@ -59,7 +59,7 @@
 	p.Seed = uint64(root.int("seed"))
 	f := &p.Forward
 	f.Names, f.Classes, f.Ways = site.Names, site.Classes, site.Repeats
-	f.Levels, f.Limits, f.Avoid, f.Budget = levelKinds[root.attrs["levels"]], admission.UsualLimits, outlier.UsualTerms, repeat.UsualBudget
+	f.Levels, f.Limits, f.Avoid, f.Budget = levelKinds[root.attrs["levels"]], admission.UsualLimits, outlier.UsualTerms, retry.UsualBudget
 	seed := p.Seed
 	f.Make = func(class int) picker.Table {
 		if root.attrs["pick"] == "random" {
@@ -80,13 +80,13 @@
 		}
 		p.Routes = append(p.Routes, proxy.Route{Prefix: n.attrs["path"], Class: balancer.Class(c)})
 	}
-	f.Places = map[balancer.Server]repeat.Place{}
+	f.Places = map[balancer.Server]retry.Place{}
 	for _, n := range root.all("server") {
 		s := balancer.Server(r.endpoint(n, "address").String())
 		if _, twice := f.Places[s]; twice {
 			r.wrong(n, "%s is listed already", s)
 		}
-		f.Places[s] = repeat.Place{Server: s, Zone: r.zone(n, "zone"), Pod: balancer.Pod(n.int("pod"))}
+		f.Places[s] = retry.Place{Server: s, Zone: r.zone(n, "zone"), Pod: balancer.Pod(n.int("pod"))}
 		if n.bool("standing") {
 			p.Standing = append(p.Standing, s)
 		}
@@ -108,7 +108,7 @@
 		r.wrong(root, "neither coordinators nor a server with standing: there is nowhere to send to")
 	}
 	if n := root.one("repeats"); n != nil {
-		f.Budget, f.Hedge = repeat.Budget{Part: n.number("part"), Burst: n.number("burst")}, n.number("hedge-after")
+		f.Budget, f.Hedge = retry.Budget{Part: n.number("part"), Burst: n.number("burst")}, n.number("hedge-after")
 	}
 	if n := root.one("avoid"); n != nil {
 		f.Avoid = outlier.Terms{After: n.int("after"), For: n.number("for"), Most: n.number("most")}
