--- a/internal/core/rights/rights.go
+++ b/internal/core/authz/rights.go
@@ -1,6 +1,6 @@
-// Package rights says who may do what in a hosted service: the host, each tenant's staff and viewers, and its relays. Whoever
+// Package authz says who may do what in a hosted service: the host, each tenant's staff and viewers, and its relays. Whoever
 // knows callers, by keys today, answers one question (Identify); what they may do is decided here. It is pure.
-package rights
+package authz
 
 import (
 	"crypto/sha256"
--- a/internal/core/rights/rights_test.go
+++ b/internal/core/authz/rights_test.go
@@ -1,4 +1,4 @@
-package rights
+package authz
 
 import (
 	"errors"
--- a/internal/front/admin/admin.go
+++ b/internal/front/admin/admin.go
@@ -19,10 +19,10 @@
 	"github.com/cespare/xxhash/v2"
 
 	"snowquay/balancer"
+	"snowquay/internal/core/authz"
 	"snowquay/internal/core/change"
 	"snowquay/internal/core/controlplane"
 	"snowquay/internal/core/fairshare"
-	"snowquay/internal/core/rights"
 	"snowquay/internal/core/tablecheck"
 	"snowquay/internal/core/tenancy"
 )
@@ -42,7 +42,7 @@
 	Drain(now float64, of tenancy.Name, s balancer.Server, on bool, done func(ok bool))
 	// Orders are the latest ones of a tenant, newest first; those to one relay if it is named.
 	Orders(of tenancy.Name, relay string) []map[string]any
-	rights.Callers
+	authz.Callers
 }
 
 const (
@@ -70,7 +70,7 @@
 	books   map[tenancy.Name]*change.Book
 	say     func(string, ...any)
 	mu      sync.Mutex // of the gate, which stands before the program
-	gate    rights.Gate
+	gate    authz.Gate
 	began   time.Time
 	http.ServeMux
 }
@@ -97,7 +97,7 @@
 
 func newAPI(now float64, program Program, terms fairshare.Terms, say func(string, ...any)) *API {
 	a := &API{program: program, shares: fairshare.New(now, terms), books: map[tenancy.Name]*change.Book{}, say: say,
-		gate: rights.Gate{Rate: strangers, Burst: strangers}, began: time.Now()}
+		gate: authz.Gate{Rate: strangers, Burst: strangers}, began: time.Now()}
 	a.HandleFunc("GET /openapi.json", func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Type", "application/json")
 		_, _ = w.Write(OpenAPI) // a reader that went away needs no answer
@@ -136,12 +136,12 @@
 
 // call is a request that was let in.
 type call struct {
-	rights.Who
+	authz.Who
 	of tenancy.Name // the tenant that it is about; empty: none, or the only one
 }
 
 // as says whose share of calls somebody takes: that of its tenant's, and there its own.
-func as(w rights.Who) (fairshare.Tenant, fairshare.Group) {
+func as(w authz.Who) (fairshare.Tenant, fairshare.Group) {
 	return fairshare.Tenant(string(w.Tenant) + "/" + w.Name), fairshare.Group(w.Tenant)
 }
 
@@ -162,7 +162,7 @@
 				known = false
 				return
 			}
-			if err = rights.May(c.Who, rights.Act{Needs: needs, Tenant: c.of}); err != nil {
+			if err = authz.May(c.Who, authz.Act{Needs: needs, Tenant: c.of}); err != nil {
 				return
 			}
 			name, group := as(c.Who)
--- a/internal/front/admin/hosted.go
+++ b/internal/front/admin/hosted.go
@@ -11,10 +11,10 @@
 
 	"github.com/cespare/xxhash/v2"
 
+	"snowquay/internal/core/authz"
 	"snowquay/internal/core/change"
 	"snowquay/internal/core/controlplane"
 	"snowquay/internal/core/fairshare"
-	"snowquay/internal/core/rights"
 	"snowquay/internal/core/tenancy"
 )
 
@@ -213,7 +213,7 @@
 		row, there := a.hosted.Row(who.of)
 		c := tenancy.Command{Kind: tenancy.Change, Name: who.of, If: must, ID: id(r, who), Print: fingerprint(r, body), At: now}
 		switch {
-		case !there && rights.May(who.Who, rights.Act{Needs: change.Host}) != nil:
+		case !there && authz.May(who.Who, authz.Act{Needs: change.Host}) != nil:
 			done(decided{status: http.StatusForbidden, err: errors.New("only the host may make tenants")})
 			return
 		case !there && must != 0:
--- a/internal/run/host.go
+++ b/internal/run/host.go
@@ -11,8 +11,8 @@
 
 	"snowquay/balancer"
 	"snowquay/internal/consensus"
+	"snowquay/internal/core/authz"
 	"snowquay/internal/core/controlplane"
-	"snowquay/internal/core/rights"
 	"snowquay/internal/core/share"
 	"snowquay/internal/core/tablecheck"
 	"snowquay/internal/core/tenancy"
@@ -34,7 +34,7 @@
 // Made is a tenant's settings, ready to act.
 type Made struct {
 	Setup    Setup
-	Callers  []rights.Key
+	Callers  []authz.Key
 	Weight   float64
 	Needs    tenancy.Needs
 	Most     int            // connections
@@ -89,7 +89,7 @@
 	Dir     *tenancy.Directory
 	Entry   *tenancy.Entry
 	Turns   *turns.Turns[tenancy.Name]
-	Keys    rights.Keys
+	Keys    authz.Keys
 	tenants map[tenancy.Name]*Hosted
 	users   map[string]tenancy.Name   // of signed measurements
 	starts  []tenancy.Name            // that are to be started, next first
--- a/internal/service/admin.go
+++ b/internal/service/admin.go
@@ -12,8 +12,8 @@
 	"time"
 
 	"snowquay/internal/consensus"
+	"snowquay/internal/core/authz"
 	"snowquay/internal/core/change"
-	"snowquay/internal/core/rights"
 	"snowquay/internal/settings"
 )
 
@@ -30,7 +30,7 @@
 	return call(c.Admin, c.Callers, needs, method, path, body)
 }
 
-func call(admin netip.AddrPort, callers []rights.Key, needs change.Role, method, path string, body any) (json.RawMessage, error) {
+func call(admin netip.AddrPort, callers []authz.Key, needs change.Role, method, path string, body any) (json.RawMessage, error) {
 	if !admin.IsValid() {
 		return nil, errors.New("the settings have no <listen admin>")
 	}
--- a/internal/service/host.go
+++ b/internal/service/host.go
@@ -14,9 +14,9 @@
 	"github.com/prometheus/client_golang/prometheus"
 
 	"snowquay/balancer"
+	"snowquay/internal/core/authz"
 	"snowquay/internal/core/controlplane"
 	"snowquay/internal/core/fairshare"
-	"snowquay/internal/core/rights"
 	"snowquay/internal/core/tenancy"
 	"snowquay/internal/front/admin"
 	"snowquay/internal/front/loop"
@@ -105,8 +105,8 @@
 // Do of admin.Program.
 func (h *hosted) Do(f func(now float64)) { h.server.Do(f) }
 
-// Identify of rights.Callers.
-func (h *hosted) Identify(credential string) (rights.Who, bool) {
+// Identify of authz.Callers.
+func (h *hosted) Identify(credential string) (authz.Who, bool) {
 	return h.program.Keys.Identify(credential)
 }
 
--- a/internal/service/service.go
+++ b/internal/service/service.go
@@ -17,8 +17,8 @@
 
 	"snowquay/balancer"
 	"snowquay/internal/consensus"
+	"snowquay/internal/core/authz"
 	"snowquay/internal/core/controlplane"
-	"snowquay/internal/core/rights"
 	"snowquay/internal/core/spool"
 	"snowquay/internal/core/tenancy"
 	"snowquay/internal/feed/graphite"
@@ -190,7 +190,7 @@
 
 // administered is a coordinator as its administration API sees it.
 type administered struct {
-	rights.Keys
+	authz.Keys
 	server  *loop.Server
 	program *run.Coordinator
 	watch   *watch
--- a/internal/settings/host.go
+++ b/internal/settings/host.go
@@ -11,9 +11,9 @@
 	"strings"
 
 	"snowquay/balancer"
+	"snowquay/internal/core/authz"
 	"snowquay/internal/core/change"
 	"snowquay/internal/core/controlplane"
-	"snowquay/internal/core/rights"
 	"snowquay/internal/core/tenancy"
 	"snowquay/internal/core/turns"
 	"snowquay/internal/run"
@@ -26,7 +26,7 @@
 	Metrics      netip.AddrPort // not valid: none
 	Admin        netip.AddrPort
 	Store        string
-	Callers      []rights.Key
+	Callers      []authz.Key
 	GroupStore   string // file of what a host that shares its tenants must not forget
 }
 
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -17,11 +17,11 @@
 
 	"snowquay/balancer"
 	"snowquay/internal/consensus"
+	"snowquay/internal/core/authz"
 	"snowquay/internal/core/change"
 	"snowquay/internal/core/controlplane"
 	"snowquay/internal/core/longpoll"
 	"snowquay/internal/core/registry"
-	"snowquay/internal/core/rights"
 	"snowquay/internal/core/session"
 	"snowquay/internal/core/share"
 	"snowquay/internal/core/spool"
@@ -37,7 +37,7 @@
 	Metrics      netip.AddrPort // not valid: none
 	Store        string         // empty: nothing outlives the coordinator
 	Admin        netip.AddrPort // not valid: none
-	Callers      []rights.Key
+	Callers      []authz.Key
 	GroupStore   string // file of what a coordinator that shares its fleet must not forget
 }
 
@@ -353,7 +353,7 @@
 // callers reads who may use the administration API.
 func (r *reader) callers(root *node, c *Coordinator) {
 	for _, n := range root.all("caller") {
-		x := rights.Key{Who: rights.Who{Name: n.attrs["name"], Role: roles[n.attrs["role"]]}, Secret: n.attrs["key"]}
+		x := authz.Key{Who: authz.Who{Name: n.attrs["name"], Role: roles[n.attrs["role"]]}, Secret: n.attrs["key"]}
 		if len(x.Secret) < leastKey {
 			r.wrong(n, "key: %d bytes, %d at least", len(x.Secret), leastKey)
 		}
