--- a/internal/core/session/session.go
+++ b/internal/core/saspsession/session.go
@@ -1,7 +1,7 @@
-// Package session speaks SASP (RFC 4678) for a fleet: connections, who speaks on them, what balancers and members
+// Package saspsession speaks SASP (RFC 4678) for a fleet: connections, who speaks on them, what balancers and members
 // have registered, and the bytes that answer them or are pushed to them. It is pure: bytes, times and what the kernel
 // says come in as arguments, bytes go out through an interface. docs/sasp.md tells what of the RFC is spoken.
-package session
+package saspsession
 
 import (
 	"fmt"
--- a/internal/core/session/speak.go
+++ b/internal/core/saspsession/speak.go
@@ -1,4 +1,4 @@
-package session
+package saspsession
 
 import (
 	"bytes"
--- a/internal/front/loop/loop_test.go
+++ b/internal/front/loop/loop_test.go
@@ -13,7 +13,7 @@
 	"snowquay/balancer"
 	"snowquay/internal/core/controlplane"
 	"snowquay/internal/core/registry"
-	"snowquay/internal/core/session"
+	"snowquay/internal/core/saspsession"
 	"snowquay/internal/run"
 	"snowquay/internal/run/world"
 	"snowquay/internal/wire/sasp"
@@ -30,7 +30,7 @@
 		a := netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, byte(i >> 8), byte(i)}), 80)
 		s.Servers = append(s.Servers, registry.Place{Server: balancer.Server(a.String()), Weight: 1, Standing: true})
 	}
-	return run.Setup{Site: s, Limits: session.UsualLimits, Policy: session.Policy{FleetUID: "fleet"}}
+	return run.Setup{Site: s, Limits: saspsession.UsualLimits, Policy: saspsession.Policy{FleetUID: "fleet"}}
 }
 
 func listen(t testing.TB, setup run.Setup, port uint16) (*run.Coordinator, *Server, string) {
--- a/internal/front/poll/poll_test.go
+++ b/internal/front/poll/poll_test.go
@@ -25,7 +25,7 @@
 	"snowquay/internal/core/controlplane"
 	"snowquay/internal/core/longpoll"
 	"snowquay/internal/core/registry"
-	"snowquay/internal/core/session"
+	"snowquay/internal/core/saspsession"
 	"snowquay/internal/front/loop"
 	"snowquay/internal/front/poll"
 	"snowquay/internal/run"
@@ -45,7 +45,7 @@
 	}
 	limits := longpoll.UsualLimits
 	limits.Joins, limits.Burst = 1e6, 1e6
-	return run.Setup{Site: s, Limits: session.UsualLimits, Policy: session.Policy{FleetUID: "fleet"}, Poll: poll.UsualLimits,
+	return run.Setup{Site: s, Limits: saspsession.UsualLimits, Policy: saspsession.Policy{FleetUID: "fleet"}, Poll: poll.UsualLimits,
 		Parking: limits, HTTP: netip.AddrPortFrom(netip.MustParseAddr("127.0.0.1"), port)}
 }
 
--- a/internal/rehearse/rehearse.go
+++ b/internal/rehearse/rehearse.go
@@ -18,7 +18,7 @@
 	"snowquay/internal/consensus"
 	"snowquay/internal/core/controlplane"
 	"snowquay/internal/core/longpoll"
-	"snowquay/internal/core/session"
+	"snowquay/internal/core/saspsession"
 	"snowquay/internal/core/share"
 	"snowquay/internal/front/loop"
 	"snowquay/internal/keep"
@@ -78,7 +78,7 @@
 	PeakQueue  float64
 	Complaints []string
 	Counts     controlplane.Counts
-	Desk       session.Counts
+	Desk       saspsession.Counts
 	Polls      longpoll.Counts
 	Bytes      int // of long-poll answers
 	WholeBytes int // of the same with whole tables
--- a/internal/run/adopt_test.go
+++ b/internal/run/adopt_test.go
@@ -8,7 +8,7 @@
 	"snowquay/internal/consensus"
 	"snowquay/internal/core/controlplane"
 	"snowquay/internal/core/registry"
-	"snowquay/internal/core/session"
+	"snowquay/internal/core/saspsession"
 	"snowquay/internal/core/share"
 	"snowquay/internal/run"
 	"snowquay/internal/run/sim"
@@ -30,8 +30,8 @@
 			Dataplane:  balancer.Dataplane{Proxies: 1, Coordinators: 1, UsualRepeats: balancer.AfterProof},
 			Channel:    balancer.Channel{LinesPerSecond: 1e5, MessageLines: 3, MostWaiting: 1e5, MeanWay: 0.01, LongestWay: 0.2},
 			Guarantees: balancer.Guarantees{DrainWithin: 3, BareWithin: 2, ColdShare: 0.2, ColdFor: 10, FallMultiple: 3, FallWithin: 2},
-			Reporting:  balancer.Reporting{Period: 0.5}, Limits: controlplane.UsualLimits}, SASP: at, Limits: session.UsualLimits,
-			Policy: session.Policy{FleetUID: "fleet", NewOnes: true}, Disk: disk, Life: life,
+			Reporting:  balancer.Reporting{Period: 0.5}, Limits: controlplane.UsualLimits}, SASP: at, Limits: saspsession.UsualLimits,
+			Policy: saspsession.Policy{FleetUID: "fleet", NewOnes: true}, Disk: disk, Life: life,
 			Group: &run.GroupSetup{Self: 1, Weight: 1, Members: map[share.Number]netip.AddrPort{1: peers}, Key: []byte("key"),
 				Terms: consensus.UsualTerms, Lease: share.UsualTerms}}, nil)
 		if err != nil {
--- a/internal/run/coordinator.go
+++ b/internal/run/coordinator.go
@@ -13,7 +13,7 @@
 	"snowquay/internal/core/controlplane"
 	"snowquay/internal/core/longpoll"
 	"snowquay/internal/core/registry"
-	"snowquay/internal/core/session"
+	"snowquay/internal/core/saspsession"
 	"snowquay/internal/core/share"
 	"snowquay/internal/feed/collect"
 	"snowquay/internal/feed/graphite"
@@ -30,8 +30,8 @@
 // Setup is what a coordinator is made of.
 type Setup struct {
 	Site     controlplane.Site
-	Limits   session.Limits
-	Policy   session.Policy
+	Limits   saspsession.Limits
+	Policy   saspsession.Policy
 	Poll     poll.Limits
 	Parking  longpoll.Limits
 	SASP     netip.AddrPort // not valid: it is not spoken
@@ -101,7 +101,7 @@
 	io    world.IO
 
 	Fleet    *controlplane.Fleet
-	Desk     *session.Desk
+	Desk     *saspsession.Desk
 	Poll     *poll.Front
 	Member   *Member             // nil: it is in no group of its own
 	peers    Peers               // nil: it shares its fleet with nobody
@@ -134,7 +134,7 @@
 		return nil, err
 	}
 	c.Fleet = f
-	c.Desk = session.New(f, c, setup.Limits, setup.Policy)
+	c.Desk = saspsession.New(f, c, setup.Limits, setup.Policy)
 	c.polls = map[world.Conn]bool{}
 	c.Poll = poll.New(c, setup.Poll, setup.Site.Names)
 	// An epoch of microseconds: a life begins later than the one before it.
@@ -182,7 +182,7 @@
 		c.Poll.Opened(now, poll.Conn(id), from)
 		return
 	}
-	c.Desk.Opened(now, session.Conn(id), from)
+	c.Desk.Opened(now, saspsession.Conn(id), from)
 }
 
 // Connected of world.Program: a coordinator dials those that it shares its fleet with.
@@ -207,7 +207,7 @@
 		c.Poll.Receive(now, poll.Conn(id), b)
 		return
 	}
-	c.Desk.Receive(now, session.Conn(id), b)
+	c.Desk.Receive(now, saspsession.Conn(id), b)
 	if c.Fleet.Roll.Waits() { // a drain does not wait for the next look
 		c.hurry(now)
 	}
@@ -226,7 +226,7 @@
 		c.Poll.Closed(now, poll.Conn(id))
 		return
 	}
-	c.Desk.Closed(now, session.Conn(id))
+	c.Desk.Closed(now, saspsession.Conn(id))
 }
 
 // Taken of world.Program.
@@ -241,7 +241,7 @@
 		c.Poll.Taken(now, poll.Conn(id), total)
 		return
 	}
-	c.Desk.Taken(now, session.Conn(id), total)
+	c.Desk.Taken(now, saspsession.Conn(id), total)
 }
 
 // Datagram of world.Program.
@@ -307,8 +307,8 @@
 	c.Fleet.Push(now)
 }
 
-// Send of session.Out.
-func (c *Coordinator) Send(id session.Conn, b []byte) { c.io.Send(world.Conn(id), b) }
+// Send of saspsession.Out.
+func (c *Coordinator) Send(id saspsession.Conn, b []byte) { c.io.Send(world.Conn(id), b) }
 
 // SendPoll of poll.Out.
 func (c *Coordinator) SendPoll(id poll.Conn, b []byte) { c.io.Send(world.Conn(id), b) }
@@ -337,7 +337,7 @@
 	return all
 }
 
-// Drain of session.Out: what was told to one coordinator is agreed on by all before anything follows from it.
+// Drain of saspsession.Out: what was told to one coordinator is agreed on by all before anything follows from it.
 func (c *Coordinator) Drain(now float64, s balancer.Server, on bool) (ticket uint64, ok bool) {
 	if c.peers == nil {
 		return 0, true
@@ -431,10 +431,10 @@
 	}
 }
 
-// Close of session.Out.
-func (c *Coordinator) Close(id session.Conn) { c.io.Close(world.Conn(id)) }
+// Close of saspsession.Out.
+func (c *Coordinator) Close(id saspsession.Conn) { c.io.Close(world.Conn(id)) }
 
-// Say of session.Out.
+// Say of saspsession.Out.
 func (c *Coordinator) Say(event string, pairs ...any) {
 	if c.setup.Log != nil {
 		c.setup.Log.Log(context.Background(), slog.LevelInfo, event, pairs...)
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -22,7 +22,7 @@
 	"snowquay/internal/core/controlplane"
 	"snowquay/internal/core/longpoll"
 	"snowquay/internal/core/registry"
-	"snowquay/internal/core/session"
+	"snowquay/internal/core/saspsession"
 	"snowquay/internal/core/share"
 	"snowquay/internal/core/spool"
 	"snowquay/internal/feed/graphite"
@@ -235,7 +235,7 @@
 func (r *reader) basis(root *node, without []controlplane.Guard) *Coordinator {
 	c := &Coordinator{}
 	s := &c.Site
-	s.Seed, s.Limits, c.Limits = uint64(root.int("seed")), controlplane.UsualLimits, session.UsualLimits
+	s.Seed, s.Limits, c.Limits = uint64(root.int("seed")), controlplane.UsualLimits, saspsession.UsualLimits
 	for _, g := range without {
 		if s.Without == nil {
 			s.Without = map[controlplane.Guard]bool{}
@@ -418,7 +418,7 @@
 }
 
 func (r *reader) servers(n *node, c *Coordinator) {
-	c.Policy = session.Policy{FleetUID: n.attrs["uid"], AnyAgent: n.attrs["agents"] == "any",
+	c.Policy = saspsession.Policy{FleetUID: n.attrs["uid"], AnyAgent: n.attrs["agents"] == "any",
 		NewOnes: n.attrs["register"] != "listed", Vouching: n.attrs["register"] == "balancers"}
 	if h := n.number("hold"); h > 0 {
 		c.Site.Limits.HoldServer = h
