--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -22,7 +22,7 @@
 
 	"snowquay/internal/core/change"
 	"snowquay/internal/core/controlplane"
-	"snowquay/internal/core/share"
+	"snowquay/internal/core/membership"
 	"snowquay/internal/platform"
 	"snowquay/internal/rehearse"
 	"snowquay/internal/run"
@@ -352,7 +352,7 @@
 	if err != nil {
 		return err
 	}
-	if err := service.GroupRemove(setup, share.Number(g.Number), g.Wait); err != nil {
+	if err := service.GroupRemove(setup, membership.Number(g.Number), g.Wait); err != nil {
 		return err
 	}
 	_, err = fmt.Fprintf(e.out, "%d is taken out\n", g.Number)
--- a/internal/consensus/change_test.go
+++ b/internal/consensus/change_test.go
@@ -6,8 +6,8 @@
 	"testing"
 
 	"snowquay/balancer"
+	"snowquay/internal/core/membership"
 	"snowquay/internal/core/registry"
-	"snowquay/internal/core/share"
 )
 
 // join starts a coordinator that a running group is to take in; its seat is asked for by another one, as the transport
@@ -22,7 +22,7 @@
 }
 
 func (w *town) unseat(id, by ID) {
-	w.peers[by].group.Propose(w.peers[by].clock(), share.Command{Kind: share.Unseat, Number: share.Number(id)})
+	w.peers[by].group.Propose(w.peers[by].clock(), membership.Command{Kind: membership.Unseat, Number: membership.Number(id)})
 }
 
 func (w *town) voters(t *testing.T) int {
--- a/internal/consensus/consensus.go
+++ b/internal/consensus/consensus.go
@@ -13,7 +13,7 @@
 	"go.etcd.io/raft/v3/raftpb"
 	"google.golang.org/protobuf/proto"
 
-	"snowquay/internal/core/share"
+	"snowquay/internal/core/membership"
 )
 
 // ID of a node. Numbers are never used twice in a group: an emptied folder needs a new one.
@@ -176,20 +176,20 @@
 func (n *Node) Commit() uint64 { return n.raw.BasicStatus().GetCommit() }
 
 // Config is who takes part, as the leader knows it; ok is false elsewhere.
-func (n *Node) Config() (c share.Config, ok bool) {
+func (n *Node) Config() (c membership.Config, ok bool) {
 	if !n.Leads() || n.failed != nil {
 		return c, false
 	}
 	s := n.raw.Status()
-	c.Match, c.Commit, c.Changing = map[share.Number]uint64{}, s.GetCommit(), n.changing > n.applied
+	c.Match, c.Commit, c.Changing = map[membership.Number]uint64{}, s.GetCommit(), n.changing > n.applied
 	for id, p := range s.Progress {
-		c.Match[share.Number(id)] = p.Match
+		c.Match[membership.Number(id)] = p.Match
 	}
 	for _, id := range n.conf.GetVoters() {
-		c.Voters = append(c.Voters, share.Number(id))
+		c.Voters = append(c.Voters, membership.Number(id))
 	}
 	for _, id := range n.conf.GetLearners() {
-		c.Learners = append(c.Learners, share.Number(id))
+		c.Learners = append(c.Learners, membership.Number(id))
 	}
 	return c, true
 }
@@ -364,15 +364,15 @@
 }
 
 // Change proposes one change of who takes part.
-func (n *Node) Change(now float64, id share.Number, what share.Change) error {
+func (n *Node) Change(now float64, id membership.Number, what membership.Change) error {
 	if n.failed != nil {
 		return n.failed
 	}
 	kind := raftpb.ConfChangeType_ConfChangeRemoveNode
 	switch what {
-	case share.Learn:
+	case membership.Learn:
 		kind = raftpb.ConfChangeType_ConfChangeAddLearnerNode
-	case share.Promote:
+	case membership.Promote:
 		kind = raftpb.ConfChangeType_ConfChangeAddNode
 	}
 	err := n.raw.ProposeConfChange(&raftpb.ConfChangeV2{Changes: []*raftpb.ConfChangeSingle{{Type: &kind,
--- a/internal/consensus/golden_test.go
+++ b/internal/consensus/golden_test.go
@@ -13,7 +13,7 @@
 	"go.etcd.io/raft/v3/raftpb"
 	"google.golang.org/protobuf/proto"
 
-	"snowquay/internal/core/share"
+	"snowquay/internal/core/membership"
 	"snowquay/internal/golden"
 )
 
@@ -21,11 +21,11 @@
 
 func goldenSaved(t *testing.T) Saved {
 	t.Helper()
-	command, err := share.Command{Kind: share.Drain, Server: "127.0.1.2:8080", On: true, ID: 101, Told: 2000.5}.Encode()
+	command, err := membership.Command{Kind: membership.Drain, Server: "127.0.1.2:8080", On: true, ID: 101, Told: 2000.5}.Encode()
 	if err != nil {
 		t.Fatal(err)
 	}
-	state, err := (&share.State{Epoch: 3}).Snapshot()
+	state, err := (&membership.State{Epoch: 3}).Snapshot()
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/consensus/group.go
+++ b/internal/consensus/group.go
@@ -5,8 +5,8 @@
 	"slices"
 
 	"snowquay/balancer"
+	"snowquay/internal/core/membership"
 	"snowquay/internal/core/registry"
-	"snowquay/internal/core/share"
 	"snowquay/internal/core/tenancy"
 )
 
@@ -14,12 +14,12 @@
 // It has no I/O of its own. Use NewGroup.
 type Group struct {
 	Node    *Node
-	State   *share.State
-	Lease   *share.Lease
-	Pledges *share.Pledges
-	Seekers *share.Seekers
-	number  share.Number
-	seat    share.Seat
+	State   *membership.State
+	Lease   *membership.Lease
+	Pledges *membership.Pledges
+	Seekers *membership.Seekers
+	number  membership.Number
+	seat    membership.Seat
 	out     Messenger
 	pending [][]byte // commands that no leader has taken yet
 	left    bool
@@ -31,31 +31,31 @@
 type Messenger interface {
 	Send(to ID, b []byte)
 	// Moved: proxies may have changed hands. It is called after the state has changed.
-	Moved(now float64, s *share.State)
+	Moved(now float64, s *membership.State)
 	// Drained: a drain was agreed on, or its end.
-	Drained(now float64, c share.Command)
+	Drained(now float64, c membership.Command)
 	// Learnt: records of servers were agreed on, ours among them.
 	Learnt(now float64, records []registry.Record)
 	// Settled: drains that were told here are kept, or refused.
-	Settled(now float64, kept, refused []share.Ticket)
+	Settled(now float64, kept, refused []membership.Ticket)
 }
 
 // Tenants is a Messenger that hears of tenants.
 type Tenants interface {
 	// Tenanted: a change of a tenant was agreed on; with a ticket it was told here, and had that outcome. No name: any of them may have
 	// changed.
-	Tenanted(now float64, n tenancy.Name, told share.Ticket, o tenancy.Outcome)
+	Tenanted(now float64, n tenancy.Name, told membership.Ticket, o tenancy.Outcome)
 }
 
 // Part is what a coordinator is in its group.
 type Part struct {
-	Number  share.Number
-	Seat    share.Seat
+	Number  membership.Number
+	Seat    membership.Seat
 	Weight  float64
 	Members []ID   // the first ones; none: a running group will take us in
 	Seed    uint64 // of this process: no former one had it
 	Terms   Terms
-	Lease   share.Terms
+	Lease   membership.Terms
 	Room    tenancy.Room // of a host of many tenants
 }
 
@@ -73,13 +73,13 @@
 
 // NewGroup makes a coordinator's part. seed must differ from those of its former processes. Its lease starts empty: it orders nothing before it has renewed.
 func NewGroup(now float64, p Part, disk Disk, out Messenger) (*Group, error) {
-	g := &Group{State: &share.State{Directory: tenancy.Directory{Room: p.Room}}, out: out, number: p.Number, seat: p.Seat, Seekers: share.NewSeekers(), Pledges: share.NewPledges(p.Seed, 2*p.Lease.Dead())}
+	g := &Group{State: &membership.State{Directory: tenancy.Directory{Room: p.Room}}, out: out, number: p.Number, seat: p.Seat, Seekers: membership.NewSeekers(), Pledges: membership.NewPledges(p.Seed, 2*p.Lease.Dead())}
 	node, err := New(now, ID(p.Number), p.Members, p.Seed, disk, g, func() ([]byte, error) { return g.State.Snapshot() }, p.Terms)
 	if err != nil {
 		return nil, err
 	}
 	g.Node = node
-	g.Lease = share.NewLease(now, p.Seat.Peer, p.Seed, p.Weight, g.State.Members[p.Seat.Peer].Renewal, p.Lease)
+	g.Lease = membership.NewLease(now, p.Seat.Peer, p.Seed, p.Weight, g.State.Members[p.Seat.Peer].Renewal, p.Lease)
 	return g, nil
 }
 
@@ -89,7 +89,7 @@
 // Committed of Out.
 func (g *Group) Committed(now float64, _ uint64, data []byte) {
 	g.Counts.Applied++
-	c, err := share.Decode(data)
+	c, err := membership.Decode(data)
 	if err != nil {
 		g.Counts.Senseless++ // by everybody alike
 		return
@@ -102,14 +102,14 @@
 	if g.Lease != nil { // while the log is played at the start there is none, and nothing may follow
 		g.Lease.Applied(now, c, g.State)
 	}
-	if c.Kind == share.Keep && g.Lease != nil {
+	if c.Kind == membership.Keep && g.Lease != nil {
 		g.out.Learnt(now, c.Records)
 	}
-	if c.Kind == share.Drain {
+	if c.Kind == membership.Drain {
 		g.Pledges.Applied(c, g.State)
 		g.out.Drained(now, c)
 	}
-	if c.Kind == share.Tenants {
+	if c.Kind == membership.Tenants {
 		ticket := g.Pledges.Applied(c, g.State)
 		if t, ok := g.out.(Tenants); ok {
 			t.Tenanted(now, c.Tenant.Name, ticket, g.State.Outcome())
@@ -126,7 +126,7 @@
 
 // Restored of Out.
 func (g *Group) Restored(now float64, _ uint64, data []byte) {
-	var s share.State
+	var s membership.State
 	if err := s.Restore(data); err != nil {
 		g.Counts.Senseless++
 		return
@@ -134,7 +134,7 @@
 	g.Counts.Restored++
 	*g.State = s
 	for server, told := range s.Drains {
-		g.out.Drained(now, share.Command{Kind: share.Drain, Server: server, On: true, Told: told})
+		g.out.Drained(now, membership.Command{Kind: membership.Drain, Server: server, On: true, Told: told})
 	}
 	if t, ok := g.out.(Tenants); ok {
 		t.Tenanted(now, "", 0, tenancy.Outcome{})
@@ -175,7 +175,7 @@
 		g.Propose(now, g.Sit())
 	}
 	if c, ok := g.Node.Config(); ok {
-		if n, what := g.State.NextChange(c); what != share.NoChange {
+		if n, what := g.State.NextChange(c); what != membership.NoChange {
 			g.Counts.Changes++
 			if err := g.Node.Change(now, n, what); err != nil && g.Node.failed != nil {
 				return g.Node.failed
@@ -191,11 +191,13 @@
 }
 
 // Out tells whether a number was taken out of the group and is not needed any more.
-func (g *Group) Out(n share.Number) bool { return g.State.Seats[n].Gone && !g.Node.Includes(ID(n)) }
+func (g *Group) Out(n membership.Number) bool {
+	return g.State.Seats[n].Gone && !g.Node.Includes(ID(n))
+}
 
 // Sit is the command that gives us our place.
-func (g *Group) Sit() share.Command {
-	return share.Command{Kind: share.Sit, Number: g.number, Peer: g.seat.Peer, Address: g.seat.Address}
+func (g *Group) Sit() membership.Command {
+	return membership.Command{Kind: membership.Sit, Number: g.number, Peer: g.seat.Peer, Address: g.seat.Address}
 }
 
 // Seated tells whether the group knows us.
@@ -204,18 +206,18 @@
 // Keep makes records outlive this coordinator. They count when they are committed: Kept tells.
 func (g *Group) Keep(now float64, records []registry.Record) {
 	for batch := range slices.Chunk(records, keepAtOnce) {
-		g.Propose(now, share.Command{Kind: share.Keep, Records: batch})
+		g.Propose(now, membership.Command{Kind: membership.Keep, Records: batch})
 	}
 	_ = g.flush(now) // what fails is tried again with the next tick
 }
 
 // Drain makes a drain, or its end, known to all. Settled tells when it is; ok is false where too many wait.
-func (g *Group) Drain(now float64, server balancer.Server, on bool) (ticket share.Ticket, ok bool) {
-	return g.Tell(now, share.Command{Kind: share.Drain, Server: server, On: on})
+func (g *Group) Drain(now float64, server balancer.Server, on bool) (ticket membership.Ticket, ok bool) {
+	return g.Tell(now, membership.Command{Kind: membership.Drain, Server: server, On: on})
 }
 
 // Tell makes an order known to all, as Drain does.
-func (g *Group) Tell(now float64, c share.Command) (ticket share.Ticket, ok bool) {
+func (g *Group) Tell(now float64, c membership.Command) (ticket membership.Ticket, ok bool) {
 	if ticket, ok = g.Pledges.Tell(now, c); ok {
 		for _, c := range g.Pledges.Due(now) {
 			g.Propose(now, c)
@@ -232,7 +234,7 @@
 }
 
 // Propose hands a command to the group, now or as soon as a leader is known.
-func (g *Group) Propose(_ float64, c share.Command) {
+func (g *Group) Propose(_ float64, c membership.Command) {
 	b, err := c.Encode()
 	if err != nil { // only figures that are not finite have no form, and they are refused before
 		g.Counts.Senseless++
--- a/internal/consensus/group_test.go
+++ b/internal/consensus/group_test.go
@@ -14,8 +14,8 @@
 	bolt "go.etcd.io/bbolt"
 
 	"snowquay/balancer"
+	"snowquay/internal/core/membership"
 	"snowquay/internal/core/registry"
-	"snowquay/internal/core/share"
 )
 
 // town is a group in virtual time: each coordinator has a clock of its own rate, may be paused, killed and cut off.
@@ -32,7 +32,7 @@
 	double   string // two that led one proxy at a time
 	unled    float64
 	longest  float64
-	terms    share.Terms
+	terms    membership.Terms
 }
 
 type letter struct {
@@ -49,20 +49,20 @@
 	group         *Group
 	paused        float64
 	first         []ID // the group's first members, as its settings have them
-	kept, refused []share.Ticket
+	kept, refused []membership.Ticket
 }
 
-func (p *peer) Settled(_ float64, kept, refused []share.Ticket) {
+func (p *peer) Settled(_ float64, kept, refused []membership.Ticket) {
 	p.kept, p.refused = append(p.kept, kept...), append(p.refused, refused...)
 }
 func (p *peer) Learnt(float64, []registry.Record) {}
-func (p *peer) seat() share.Seat {
-	return share.Seat{Peer: p.name(), Address: netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, byte(p.id)}), 7000)}
+func (p *peer) seat() membership.Seat {
+	return membership.Seat{Peer: p.name(), Address: netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, byte(p.id)}), 7000)}
 }
-func (p *peer) clock() float64                 { return 1000 + p.town.now*p.rate }
-func (p *peer) name() share.Peer               { return share.Peer(fmt.Sprint("c", p.id)) }
-func (p *peer) Moved(float64, *share.State)    {}
-func (p *peer) Drained(float64, share.Command) {}
+func (p *peer) clock() float64                      { return 1000 + p.town.now*p.rate }
+func (p *peer) name() membership.Peer               { return membership.Peer(fmt.Sprint("c", p.id)) }
+func (p *peer) Moved(float64, *membership.State)    {}
+func (p *peer) Drained(float64, membership.Command) {}
 func (p *peer) Send(to ID, b []byte) {
 	t := p.town
 	if t.cut[[2]ID{p.id, to}] || t.chance.Float64() < t.lossy {
@@ -72,7 +72,7 @@
 }
 
 func (p *peer) start() {
-	g, err := NewGroup(p.clock(), Part{Number: share.Number(p.id), Seat: p.seat(), Weight: 1, Members: p.first,
+	g, err := NewGroup(p.clock(), Part{Number: membership.Number(p.id), Seat: p.seat(), Weight: 1, Members: p.first,
 		Seed: p.town.chance.Uint64(), Terms: Terms{Heartbeat: 0.1, Election: 0.5, Log: 200, Keep: 20, Message: 64 << 10},
 		Lease: p.town.terms}, p.disk, p)
 	if err != nil {
@@ -85,7 +85,7 @@
 }
 
 func found(t testing.TB, n int, seed uint64) *town {
-	w := &town{t: t, chance: rand.New(rand.NewPCG(seed, 9)), peers: map[ID]*peer{}, cut: map[[2]ID]bool{}, lossy: 0.01, terms: share.UsualTerms}
+	w := &town{t: t, chance: rand.New(rand.NewPCG(seed, 9)), peers: map[ID]*peer{}, cut: map[[2]ID]bool{}, lossy: 0.01, terms: membership.UsualTerms}
 	for i := range n {
 		w.members = append(w.members, ID(i+1))
 	}
@@ -121,7 +121,7 @@
 			switch {
 			case l.at > w.now || p != nil && p.paused > w.now:
 				later = append(later, l)
-			case p != nil && p.group != nil && p.group.Out(share.Number(l.from)): // as the transport does
+			case p != nil && p.group != nil && p.group.Out(membership.Number(l.from)): // as the transport does
 				if q := w.peers[l.from]; q.group != nil {
 					q.group = nil
 				}
@@ -330,7 +330,7 @@
 		return f
 	}
 	run := func(f *File) *Group {
-		g, err := NewGroup(p.clock(), Part{Number: 1, Seat: p.seat(), Weight: 1, Members: []ID{1}, Seed: 5, Lease: share.UsualTerms,
+		g, err := NewGroup(p.clock(), Part{Number: 1, Seat: p.seat(), Weight: 1, Members: []ID{1}, Seed: 5, Lease: membership.UsualTerms,
 			Terms: Terms{Heartbeat: 0.1, Election: 0.5, Log: 10, Keep: 3, Message: 1 << 16}}, f, p)
 		if err != nil {
 			t.Fatal(err)
--- a/internal/consensus/history_test.go
+++ b/internal/consensus/history_test.go
@@ -8,14 +8,14 @@
 	"github.com/anishathalye/porcupine"
 
 	"snowquay/balancer"
-	"snowquay/internal/core/share"
+	"snowquay/internal/core/membership"
 )
 
 // order is what a coordinator orders a proxy.
 type order struct {
 	uid   string
-	by    share.Peer
-	epoch share.Epoch
+	by    membership.Peer
+	epoch membership.Epoch
 }
 
 // leadership says which histories of orders to one proxy are right: epochs do not fall, and each is one coordinator's.
@@ -85,7 +85,7 @@
 	*town
 	faults
 	given, followed, known []porcupine.Operation
-	newest                 map[string]share.Epoch // that each proxy has followed
+	newest                 map[string]membership.Epoch // that each proxy has followed
 	flying                 []flight
 	told                   []*telling
 	late                   string // a holder that did not know of a confirmed drain
@@ -100,7 +100,7 @@
 	server balancer.Server
 	peer   *peer
 	group  *Group
-	ticket share.Ticket
+	ticket membership.Ticket
 	call   float64
 	kept   float64
 	lost   bool
@@ -187,7 +187,7 @@
 }
 
 func playHistory(t testing.TB, seed uint64, f faults) *history {
-	h := &history{town: found(t, 3+2*int(seed%2), seed), faults: f, newest: map[string]share.Epoch{}}
+	h := &history{town: found(t, 3+2*int(seed%2), seed), faults: f, newest: map[string]membership.Epoch{}}
 	h.town.careless = f.careless
 	h.heal()
 	h.run(6)
--- a/internal/consensus/measure_test.go
+++ b/internal/consensus/measure_test.go
@@ -9,8 +9,8 @@
 	"google.golang.org/protobuf/proto"
 
 	"snowquay/balancer"
+	"snowquay/internal/core/membership"
 	"snowquay/internal/core/registry"
-	"snowquay/internal/core/share"
 )
 
 // counting is a disk that counts what is saved.
@@ -55,7 +55,7 @@
 				return &counting{Disk: f}
 			}
 			start := func(d Disk) *Group {
-				g, err := NewGroup(p.clock(), Part{Number: 1, Seat: p.seat(), Weight: 1, Members: []ID{1}, Seed: 5, Lease: share.UsualTerms,
+				g, err := NewGroup(p.clock(), Part{Number: 1, Seat: p.seat(), Weight: 1, Members: []ID{1}, Seed: 5, Lease: membership.UsualTerms,
 					Terms: UsualTerms}, d, p)
 				if err != nil {
 					b.Fatal(err)
@@ -107,8 +107,8 @@
 func BenchmarkSnapshot(b *testing.B) {
 	for _, n := range []int{300, 1000, 5000} {
 		b.Run(fmt.Sprint(n, "-servers"), func(b *testing.B) {
-			s := &share.State{}
-			if _, err := s.Apply(share.Command{Kind: share.Keep, Records: records(n)}); err != nil {
+			s := &membership.State{}
+			if _, err := s.Apply(membership.Command{Kind: membership.Keep, Records: records(n)}); err != nil {
 				b.Fatal(err)
 			}
 			for b.Loop() {
--- a/internal/core/share/share.go
+++ b/internal/core/membership/share.go
@@ -1,8 +1,8 @@
-// Package share is what coordinators that share a fleet must agree on: who lives, in which epoch, who leads which proxies,
+// Package membership is what coordinators that share a fleet must agree on: who lives, in which epoch, who leads which proxies,
 // and the facts that have to outlive any one of them. State is a replicated state machine: the same commands in the same
 // order lead to the same state everywhere. Lease tells one coordinator by its own clock alone whether it may order. Both
 // are pure. docs/sharing.md tells why it is as it is.
-package share
+package membership
 
 import (
 	"cmp"
--- a/internal/core/share/share_test.go
+++ b/internal/core/membership/share_test.go
@@ -1,4 +1,4 @@
-package share
+package membership
 
 import (
 	"bytes"
--- a/internal/rehearse/rehearse.go
+++ b/internal/rehearse/rehearse.go
@@ -18,8 +18,8 @@
 	"snowquay/internal/consensus"
 	"snowquay/internal/core/controlplane"
 	"snowquay/internal/core/longpoll"
+	"snowquay/internal/core/membership"
 	"snowquay/internal/core/saspsession"
-	"snowquay/internal/core/share"
 	"snowquay/internal/front/loop"
 	"snowquay/internal/keep"
 	"snowquay/internal/run"
@@ -337,10 +337,10 @@
 
 // groupOf is what the i-th of n that share a fleet, or tenants, is told of the others.
 func groupOf(n, i int, at func(k int) netip.Addr) *run.GroupSetup {
-	g := &run.GroupSetup{Self: share.Number(i + 1), Weight: 1, Members: map[share.Number]netip.AddrPort{},
-		Key: []byte("a key for rehearsals"), Terms: consensus.UsualTerms, Lease: share.UsualTerms}
+	g := &run.GroupSetup{Self: membership.Number(i + 1), Weight: 1, Members: map[membership.Number]netip.AddrPort{},
+		Key: []byte("a key for rehearsals"), Terms: consensus.UsualTerms, Lease: membership.UsualTerms}
 	for k := range n {
-		g.Members[share.Number(k+1)] = netip.AddrPortFrom(at(k), peerPort)
+		g.Members[membership.Number(k+1)] = netip.AddrPortFrom(at(k), peerPort)
 	}
 	return g
 }
--- a/internal/rehearse/takeover.go
+++ b/internal/rehearse/takeover.go
@@ -11,7 +11,7 @@
 	"slices"
 	"syscall"
 
-	"snowquay/internal/core/share"
+	"snowquay/internal/core/membership"
 	"snowquay/internal/settings"
 )
 
@@ -88,13 +88,13 @@
 func (p *play) startProcess(i int) (host, error) {
 	x, c, n := p.opts.Processes, p.day.Coordinator, p.opts.Coordinators
 	file := func(what string) string { return filepath.Join(x.Folder, fmt.Sprintf("%d.%s", i+1, what)) }
-	m := settings.Member{Number: share.Number(i + 1), SASP: p.at(i, c.SASP), Measurements: p.at(i, c.Measurements),
-		Store: file("db"), GroupStore: file("group"), Key: processKey, Peers: map[share.Number]netip.AddrPort{}}
+	m := settings.Member{Number: membership.Number(i + 1), SASP: p.at(i, c.SASP), Measurements: p.at(i, c.Measurements),
+		Store: file("db"), GroupStore: file("group"), Key: processKey, Peers: map[membership.Number]netip.AddrPort{}}
 	if c.HTTP.IsValid() {
 		m.HTTP = p.at(i, c.HTTP)
 	}
 	for k := range n {
-		m.Peers[share.Number(k+1)] = netip.AddrPortFrom(p.at(k, c.SASP).Addr(), peerPort)
+		m.Peers[membership.Number(k+1)] = netip.AddrPortFrom(p.at(k, c.SASP).Addr(), peerPort)
 	}
 	text, err := p.day.Settings(m)
 	if err != nil {
--- a/internal/run/adopt_test.go
+++ b/internal/run/adopt_test.go
@@ -7,9 +7,9 @@
 	"snowquay/balancer"
 	"snowquay/internal/consensus"
 	"snowquay/internal/core/controlplane"
+	"snowquay/internal/core/membership"
 	"snowquay/internal/core/registry"
 	"snowquay/internal/core/saspsession"
-	"snowquay/internal/core/share"
 	"snowquay/internal/run"
 	"snowquay/internal/run/sim"
 	"snowquay/internal/wire/sasp"
@@ -32,8 +32,8 @@
 			Guarantees: balancer.Guarantees{DrainWithin: 3, BareWithin: 2, ColdShare: 0.2, ColdFor: 10, FallMultiple: 3, FallWithin: 2},
 			Reporting:  balancer.Reporting{Period: 0.5}, Limits: controlplane.UsualLimits}, SASP: at, Limits: saspsession.UsualLimits,
 			Policy: saspsession.Policy{FleetUID: "fleet", NewOnes: true}, Disk: disk, Life: life,
-			Group: &run.GroupSetup{Self: 1, Weight: 1, Members: map[share.Number]netip.AddrPort{1: peers}, Key: []byte("key"),
-				Terms: consensus.UsualTerms, Lease: share.UsualTerms}}, nil)
+			Group: &run.GroupSetup{Self: 1, Weight: 1, Members: map[membership.Number]netip.AddrPort{1: peers}, Key: []byte("key"),
+				Terms: consensus.UsualTerms, Lease: membership.UsualTerms}}, nil)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -65,12 +65,12 @@
 }
 
 func TestWhatIsNewsToAll(t *testing.T) {
-	s := &share.State{}
+	s := &membership.State{}
 	r := registry.Record{Place: registry.Place{Server: "a", Weight: 1}, Phase: balancer.InService, Started: 100}
 	if len(s.News([]registry.Record{r})) != 1 {
 		t.Error("a new server is no news")
 	}
-	if _, err := s.Apply(share.Command{Kind: share.Keep, Records: []registry.Record{r}}); err != nil {
+	if _, err := s.Apply(membership.Command{Kind: membership.Keep, Records: []registry.Record{r}}); err != nil {
 		t.Fatal(err)
 	}
 	later := r
--- a/internal/run/coordinator.go
+++ b/internal/run/coordinator.go
@@ -12,9 +12,9 @@
 	"snowquay/internal/consensus"
 	"snowquay/internal/core/controlplane"
 	"snowquay/internal/core/longpoll"
+	"snowquay/internal/core/membership"
 	"snowquay/internal/core/registry"
 	"snowquay/internal/core/saspsession"
-	"snowquay/internal/core/share"
 	"snowquay/internal/feed/collect"
 	"snowquay/internal/feed/graphite"
 	"snowquay/internal/front/poll"
@@ -145,7 +145,7 @@
 	}
 	if setup.Group != nil {
 		g, d := *setup.Group, setup.Site.Dataplane
-		g.Lease.Rise = share.RiseFor(d.Proxies, len(g.Members), float64(len(setup.Site.Servers)*len(setup.Site.Classes)),
+		g.Lease.Rise = membership.RiseFor(d.Proxies, len(g.Members), float64(len(setup.Site.Servers)*len(setup.Site.Classes)),
 			setup.Site.Channel.LinesPerSecond)
 		c.Member = NewMember(g, setup.Disk, setup.Life, c.Say)
 		c.Member.OnFail = setup.OnFail
@@ -349,7 +349,7 @@
 }
 
 // drained takes a drain that was agreed on.
-func (c *Coordinator) drained(now float64, d share.Command) {
+func (c *Coordinator) drained(now float64, d membership.Command) {
 	c.Fleet.Roll.Quiesce(now, d.Server, d.On)
 }
 
@@ -363,7 +363,7 @@
 }
 
 // settled answers those who told of drains.
-func (c *Coordinator) settled(now float64, kept, refused []share.Ticket) {
+func (c *Coordinator) settled(now float64, kept, refused []membership.Ticket) {
 	for _, t := range kept {
 		c.settle(now, uint64(t), true)
 	}
--- a/internal/run/golden_test.go
+++ b/internal/run/golden_test.go
@@ -4,12 +4,12 @@
 	"net/netip"
 	"testing"
 
-	"snowquay/internal/core/share"
+	"snowquay/internal/core/membership"
 	"snowquay/internal/golden"
 )
 
 func TestGroupStatusOnTheWire(t *testing.T) {
 	golden.JSON(t, "status.json", Status{Number: 1, Leader: 2, Commit: 99, Epoch: 5, Leads: true, Failed: "the disk failed",
-		Seats:   map[share.Number]share.Seat{1: {Peer: "c1", Address: netip.MustParseAddrPort("127.0.0.1:7001"), Gone: true}},
-		Members: map[share.Peer]share.Member{"c1": {Weight: 1, Renewal: 20, Life: 77, Alive: true, Seen: 5, Knows: 9}}, Drains: 3})
+		Seats:   map[membership.Number]membership.Seat{1: {Peer: "c1", Address: netip.MustParseAddrPort("127.0.0.1:7001"), Gone: true}},
+		Members: map[membership.Peer]membership.Member{"c1": {Weight: 1, Renewal: 20, Life: 77, Alive: true, Seen: 5, Knows: 9}}, Drains: 3})
 }
--- a/internal/run/guards_test.go
+++ b/internal/run/guards_test.go
@@ -8,7 +8,7 @@
 	"testing"
 
 	"snowquay/internal/consensus"
-	"snowquay/internal/core/share"
+	"snowquay/internal/core/membership"
 	"snowquay/internal/run"
 	"snowquay/internal/run/sim"
 	"snowquay/internal/run/world"
@@ -18,43 +18,43 @@
 // town is three members over a net in virtual time, with disks in memory.
 type town struct {
 	net     *sim.Net
-	at      map[share.Number]netip.AddrPort
-	hosts   map[share.Number]*sim.Host
-	disks   map[share.Number]*consensus.Memory
-	members map[share.Number]*run.Member
+	at      map[membership.Number]netip.AddrPort
+	hosts   map[membership.Number]*sim.Host
+	disks   map[membership.Number]*consensus.Memory
+	members map[membership.Number]*run.Member
 	said    []string
 	lives   uint64
 }
 
 func newTown(seed uint64, count int) *town {
-	w := &town{net: sim.New(seed, 1000), at: map[share.Number]netip.AddrPort{}, hosts: map[share.Number]*sim.Host{},
-		disks: map[share.Number]*consensus.Memory{}, members: map[share.Number]*run.Member{}}
-	for n := share.Number(1); n <= share.Number(count); n++ {
+	w := &town{net: sim.New(seed, 1000), at: map[membership.Number]netip.AddrPort{}, hosts: map[membership.Number]*sim.Host{},
+		disks: map[membership.Number]*consensus.Memory{}, members: map[membership.Number]*run.Member{}}
+	for n := membership.Number(1); n <= membership.Number(count); n++ {
 		w.at[n] = netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, byte(n)}), 7000)
 		w.place(n)
 	}
-	for n := share.Number(1); n <= share.Number(count); n++ {
+	for n := membership.Number(1); n <= membership.Number(count); n++ {
 		w.start(n, run.GroupSetup{Members: w.at})
 	}
 	w.net.Run(w.net.Now() + 5)
 	return w
 }
 
-func (w *town) place(n share.Number) {
+func (w *town) place(n membership.Number) {
 	w.hosts[n] = w.net.Add(netip.AddrFrom4([4]byte{10, 0, 0, byte(n)}), int(n), false)
 	w.disks[n] = &consensus.Memory{Own: uint64(n) * 11}
 }
 
-func (w *town) start(n share.Number, g run.GroupSetup) {
+func (w *town) start(n membership.Number, g run.GroupSetup) {
 	w.lives++
-	g.Self, g.Weight, g.Key, g.Terms, g.Lease = n, 1, []byte("key"), consensus.UsualTerms, share.UsualTerms
+	g.Self, g.Weight, g.Key, g.Terms, g.Lease = n, 1, []byte("key"), consensus.UsualTerms, membership.UsualTerms
 	w.members[n] = run.NewMember(g, w.disks[n], w.lives, func(event string, pairs ...any) {
 		w.said = append(w.said, fmt.Sprint(n, " ", event, " ", pairs))
 	})
 	w.hosts[n].Start(w.members[n])
 }
 
-func (w *town) holds(n share.Number) bool {
+func (w *town) holds(n membership.Number) bool {
 	m := w.members[n]
 	return m.Failed == nil && m.Group.Lease.Holds(w.net.Now())
 }
@@ -115,8 +115,8 @@
 	}
 }
 
-func unseat(t *testing.T, n share.Number) []byte {
-	b, err := share.Command{Kind: share.Unseat, Number: n}.Encode()
+func unseat(t *testing.T, n membership.Number) []byte {
+	b, err := membership.Command{Kind: membership.Unseat, Number: n}.Encode()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -184,7 +184,7 @@
 	if !other.closed || !w.heard("this version's with") {
 		t.Error("another version's peer is not told apart")
 	}
-	for n := share.Number(1); n <= 3; n++ {
+	for n := membership.Number(1); n <= 3; n++ {
 		if !w.holds(n) || w.members[n].Group.State.Members["c1"].Renewal > 1000 {
 			t.Errorf("%d does not go on", n)
 		}
--- a/internal/run/host.go
+++ b/internal/run/host.go
@@ -13,7 +13,7 @@
 	"snowquay/internal/consensus"
 	"snowquay/internal/core/authz"
 	"snowquay/internal/core/controlplane"
-	"snowquay/internal/core/share"
+	"snowquay/internal/core/membership"
 	"snowquay/internal/core/tablecheck"
 	"snowquay/internal/core/tenancy"
 	"snowquay/internal/core/turns"
@@ -98,11 +98,11 @@
 	flushed float64
 	stirred bool // somebody asked for a turn at once
 
-	figures  *graphite.Sender                     // nil: none are sent
-	member   *Member                              // nil: it shares its tenants with nobody
-	lives    map[tenancy.Incarnation]*Hosted      // those that are known here
-	drains   map[share.Ticket]tenancy.Incarnation // told here, and not settled yet
-	orders   map[share.Ticket]*waiting
+	figures  *graphite.Sender                          // nil: none are sent
+	member   *Member                                   // nil: it shares its tenants with nobody
+	lives    map[tenancy.Incarnation]*Hosted           // those that are known here
+	drains   map[membership.Ticket]tenancy.Incarnation // told here, and not settled yet
+	orders   map[membership.Ticket]*waiting
 	byLife   map[tenancy.Incarnation]map[balancer.Server]float64
 	drainsOf uint64 // orders that byLife was made of
 
@@ -622,7 +622,7 @@
 		done(tenancy.Outcome{}, ErrNotAgreed)
 		return
 	}
-	ticket, ok := h.member.Group.Tell(now, share.Command{Kind: share.Tenants, Tenant: &c})
+	ticket, ok := h.member.Group.Tell(now, membership.Command{Kind: membership.Tenants, Tenant: &c})
 	if !ok {
 		done(tenancy.Outcome{}, ErrNotAgreed)
 		return
--- a/internal/run/hosts_test.go
+++ b/internal/run/hosts_test.go
@@ -7,7 +7,7 @@
 	"testing"
 
 	"snowquay/internal/consensus"
-	"snowquay/internal/core/share"
+	"snowquay/internal/core/membership"
 	"snowquay/internal/core/tenancy"
 	"snowquay/internal/keep"
 	"snowquay/internal/rehearse"
@@ -48,10 +48,10 @@
 	setup := h.set.HostSetup
 	h.disk[i].Own = uint64(i + 1)
 	setup.Disk, setup.Life = &h.disk[i], h.lives*10+uint64(i)
-	setup.Group = &run.GroupSetup{Self: share.Number(i + 1), Weight: 1, Members: map[share.Number]netip.AddrPort{}, Key: []byte("a key for three hosts"),
-		Terms: consensus.UsualTerms, Lease: share.UsualTerms}
+	setup.Group = &run.GroupSetup{Self: membership.Number(i + 1), Weight: 1, Members: map[membership.Number]netip.AddrPort{}, Key: []byte("a key for three hosts"),
+		Terms: consensus.UsualTerms, Lease: membership.UsualTerms}
 	for k := range h.place {
-		setup.Group.Members[share.Number(k+1)] = netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 0, 0, byte(1 + k)}), 13900)
+		setup.Group.Members[membership.Number(k+1)] = netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 0, 0, byte(1 + k)}), 13900)
 	}
 	x, err := run.NewHost(h.net.Now(), setup, &keep.HostedMemory{})
 	if err != nil {
--- a/internal/run/member.go
+++ b/internal/run/member.go
@@ -9,8 +9,8 @@
 
 	"snowquay/balancer"
 	"snowquay/internal/consensus"
+	"snowquay/internal/core/membership"
 	"snowquay/internal/core/registry"
-	"snowquay/internal/core/share"
 	"snowquay/internal/core/tenancy"
 	"snowquay/internal/run/world"
 	"snowquay/internal/wire/peer"
@@ -30,16 +30,16 @@
 	say       func(event string, pairs ...any)
 	peers     *peers
 	io        world.IO
-	folders   *share.Folders
+	folders   *membership.Folders
 	joinAt    float64
 	Group     *consensus.Group
 	Failed    error // why it orders nothing any more, for good
 	leaving   bool
 	OnFail    func(error) // nil: nobody is told
-	OnDrain   func(now float64, c share.Command)
+	OnDrain   func(now float64, c membership.Command)
 	OnLearnt  func(now float64, records []registry.Record)
-	OnSettled func(now float64, kept, refused []share.Ticket)
-	OnTenant  func(now float64, n tenancy.Name, told share.Ticket, o tenancy.Outcome) // nil: it hosts nobody
+	OnSettled func(now float64, kept, refused []membership.Ticket)
+	OnTenant  func(now float64, n tenancy.Name, told membership.Ticket, o tenancy.Outcome) // nil: it hosts nobody
 }
 
 // ErrRefused says that another coordinator does not hear this one; it orders nothing any more.
@@ -59,12 +59,12 @@
 
 func (m *Member) begin(now float64, io world.IO) {
 	m.io, m.peers = io, newPeers(m, io)
-	kept := map[share.Number]uint64{}
+	kept := map[membership.Number]uint64{}
 	for id, mark := range m.disk.Pins() {
-		kept[share.Number(id)] = mark
+		kept[membership.Number(id)] = mark
 	}
-	m.folders = share.NewFolders(kept)
-	part := consensus.Part{Number: m.setup.Self, Seat: share.Seat{Peer: Name(m.setup.Self), Address: m.setup.Members[m.setup.Self]},
+	m.folders = membership.NewFolders(kept)
+	part := consensus.Part{Number: m.setup.Self, Seat: membership.Seat{Peer: Name(m.setup.Self), Address: m.setup.Members[m.setup.Self]},
 		Weight: m.setup.Weight, Seed: m.life, Terms: m.setup.Terms, Lease: m.setup.Lease, Room: m.setup.Room}
 	if !m.setup.Joins {
 		for _, n := range sortedNumbers(m.setup.Members) {
@@ -77,18 +77,18 @@
 	}
 }
 
-func sortedNumbers[V any](of map[share.Number]V) []share.Number {
-	all := make([]share.Number, 0, len(of))
+func sortedNumbers[V any](of map[membership.Number]V) []membership.Number {
+	all := make([]membership.Number, 0, len(of))
 	for n := range of {
 		all = append(all, n)
 	}
-	slices.SortFunc(all, cmp.Compare[share.Number])
+	slices.SortFunc(all, cmp.Compare[membership.Number])
 	return all
 }
 
 // addresses are where the others are: as the settings say, and as they have agreed since.
-func (m *Member) addresses() map[share.Number]netip.AddrPort {
-	at := make(map[share.Number]netip.AddrPort, len(m.setup.Members))
+func (m *Member) addresses() map[membership.Number]netip.AddrPort {
+	at := make(map[membership.Number]netip.AddrPort, len(m.setup.Members))
 	for n, a := range m.setup.Members {
 		at[n] = a
 	}
@@ -120,7 +120,7 @@
 	}
 	if f.From != 0 {
 		if err := m.admit(f); err != nil {
-			m.io.Send(c, m.peers.frame(share.Number(f.From), peer.Refusal, []byte(err.Error())))
+			m.io.Send(c, m.peers.frame(membership.Number(f.From), peer.Refusal, []byte(err.Error())))
 			return err
 		}
 	}
@@ -135,12 +135,12 @@
 			m.fail(err)
 		}
 	case peer.Command:
-		x, err := share.Decode(f.Message)
+		x, err := membership.Decode(f.Message)
 		if err != nil {
 			return err
 		}
-		if x.Kind != share.Sit && x.Kind != share.Unseat { // the rest is for those who are in the group to say by consensus
-			return fmt.Errorf("%w: kind %d", share.ErrCommand, x.Kind)
+		if x.Kind != membership.Sit && x.Kind != membership.Unseat { // the rest is for those who are in the group to say by consensus
+			return fmt.Errorf("%w: kind %d", membership.ErrCommand, x.Kind)
 		}
 		m.say("asked to change the group", "kind", x.Kind, "number", x.Number, "address", x.Address)
 		m.Group.Propose(now, x)
@@ -149,14 +149,14 @@
 		if err != nil {
 			return err
 		}
-		m.io.Send(c, m.peers.frame(share.Number(f.From), peer.Tell, b))
+		m.io.Send(c, m.peers.frame(membership.Number(f.From), peer.Tell, b))
 	}
 	return nil
 }
 
 // admit looks whether a number speaks from the folder that it always had.
 func (m *Member) admit(f peer.Frame) error {
-	n := share.Number(f.From)
+	n := membership.Number(f.From)
 	if m.Group != nil && m.Group.Out(n) {
 		return fmt.Errorf("number %d: %w", n, consensus.ErrRemoved)
 	}
@@ -193,15 +193,17 @@
 }
 
 // Send of consensus.Messenger.
-func (m *Member) Send(to consensus.ID, b []byte) { m.peers.send(share.Number(to), peer.Consensus, b) }
+func (m *Member) Send(to consensus.ID, b []byte) {
+	m.peers.send(membership.Number(to), peer.Consensus, b)
+}
 
 // Moved of consensus.Messenger.
-func (m *Member) Moved(_ float64, s *share.State) {
+func (m *Member) Moved(_ float64, s *membership.State) {
 	m.say("proxies change hands", "epoch", s.Epoch, "living", s.Living())
 }
 
 // Drained of consensus.Messenger.
-func (m *Member) Drained(now float64, c share.Command) {
+func (m *Member) Drained(now float64, c membership.Command) {
 	if m.OnDrain != nil {
 		m.OnDrain(now, c)
 	}
@@ -215,14 +217,14 @@
 }
 
 // Tenanted of consensus.Tenants.
-func (m *Member) Tenanted(now float64, n tenancy.Name, told share.Ticket, o tenancy.Outcome) {
+func (m *Member) Tenanted(now float64, n tenancy.Name, told membership.Ticket, o tenancy.Outcome) {
 	if m.OnTenant != nil {
 		m.OnTenant(now, n, told, o)
 	}
 }
 
 // Settled of consensus.Messenger.
-func (m *Member) Settled(now float64, kept, refused []share.Ticket) {
+func (m *Member) Settled(now float64, kept, refused []membership.Ticket) {
 	if m.OnSettled != nil {
 		m.OnSettled(now, kept, refused)
 	}
--- a/internal/run/member_sockets_test.go
+++ b/internal/run/member_sockets_test.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"snowquay/internal/consensus"
-	"snowquay/internal/core/share"
+	"snowquay/internal/core/membership"
 	"snowquay/internal/front/loop"
 	"snowquay/internal/run"
 )
@@ -16,11 +16,11 @@
 // The same members on event loops over loopback: all proxies are led, one member ends without a word, and the others lead
 // its proxies.
 func TestMembersOverSockets(t *testing.T) {
-	order, at := []share.Number{1, 2, 3}, map[share.Number]netip.AddrPort{}
+	order, at := []membership.Number{1, 2, 3}, map[membership.Number]netip.AddrPort{}
 	for _, id := range order {
 		at[id] = netip.MustParseAddrPort(fmt.Sprint("127.0.0.1:", 14900+int(id)))
 	}
-	members, loops := map[share.Number]*run.Member{}, map[share.Number]*loop.Server{}
+	members, loops := map[membership.Number]*run.Member{}, map[membership.Number]*loop.Server{}
 	clock, dir := loop.Clock(), t.TempDir()
 	for _, id := range order {
 		f, err := consensus.OpenFile(filepath.Join(dir, fmt.Sprint(id)), consensus.ID(id))
@@ -28,7 +28,7 @@
 			t.Fatal(err)
 		}
 		defer f.Close()
-		lease := share.UsualTerms
+		lease := membership.UsualTerms
 		lease.For, lease.Every, lease.Margin = 1.2, 0.3, 0.2
 		members[id] = run.NewMember(run.GroupSetup{Self: id, Weight: 1, Members: at,
 			Key: []byte("key"), Terms: consensus.UsualTerms, Lease: lease}, f, uint64(clock()*1e6), func(string, ...any) {})
@@ -41,7 +41,7 @@
 	led := func() (n int) {
 		for i := range 20 {
 			for _, s := range loops {
-				id := share.Number(0)
+				id := membership.Number(0)
 				for k, v := range loops {
 					if v == s {
 						id = k
--- a/internal/run/member_test.go
+++ b/internal/run/member_test.go
@@ -7,7 +7,7 @@
 	"testing"
 
 	"snowquay/internal/consensus"
-	"snowquay/internal/core/share"
+	"snowquay/internal/core/membership"
 	"snowquay/internal/run"
 	"snowquay/internal/run/sim"
 )
@@ -16,14 +16,14 @@
 func TestMembersOverANet(t *testing.T) {
 	net := sim.New(5, 1000)
 	net.Faults.Split = 0.1
-	dir, order := t.TempDir(), []share.Number{1, 2, 3}
-	at := map[share.Number]netip.AddrPort{}
+	dir, order := t.TempDir(), []membership.Number{1, 2, 3}
+	at := map[membership.Number]netip.AddrPort{}
 	for _, id := range order {
 		at[id] = netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, byte(id)}), 7000)
 	}
-	hosts, members, files := map[share.Number]*sim.Host{}, map[share.Number]*run.Member{}, map[share.Number]*consensus.File{}
+	hosts, members, files := map[membership.Number]*sim.Host{}, map[membership.Number]*run.Member{}, map[membership.Number]*consensus.File{}
 	life := uint64(0)
-	start := func(id share.Number, key string) {
+	start := func(id membership.Number, key string) {
 		f, err := consensus.OpenFile(filepath.Join(dir, fmt.Sprint(id)), consensus.ID(id))
 		if err != nil {
 			t.Fatal(err)
@@ -31,10 +31,10 @@
 		life++
 		files[id] = f
 		members[id] = run.NewMember(run.GroupSetup{Self: id, Weight: 1, Members: at,
-			Key: []byte(key), Terms: consensus.UsualTerms, Lease: share.UsualTerms}, f, life, func(string, ...any) {})
+			Key: []byte(key), Terms: consensus.UsualTerms, Lease: membership.UsualTerms}, f, life, func(string, ...any) {})
 		hosts[id].Start(members[id])
 	}
-	kill := func(id share.Number) {
+	kill := func(id membership.Number) {
 		hosts[id].Kill()
 		if err := files[id].Close(); err != nil {
 			t.Fatal(err)
--- a/internal/run/peers.go
+++ b/internal/run/peers.go
@@ -6,7 +6,7 @@
 	"net/netip"
 
 	"snowquay/internal/consensus"
-	"snowquay/internal/core/share"
+	"snowquay/internal/core/membership"
 	"snowquay/internal/core/tenancy"
 	"snowquay/internal/run/world"
 	"snowquay/internal/wire/peer"
@@ -14,18 +14,18 @@
 
 // GroupSetup is what a coordinator that shares its fleet is told of the others.
 type GroupSetup struct {
-	Self    share.Number
+	Self    membership.Number
 	Weight  float64
-	Members map[share.Number]netip.AddrPort // of the group as far as it is known, ourselves among them
-	Joins   bool                            // the group runs already, and is to take us in
+	Members map[membership.Number]netip.AddrPort // of the group as far as it is known, ourselves among them
+	Joins   bool                                 // the group runs already, and is to take us in
 	Key     []byte
 	Terms   consensus.Terms
-	Lease   share.Terms
+	Lease   membership.Terms
 	Room    tenancy.Room // of a host of many tenants
 }
 
 // Name of a coordinator by its number.
-func Name(n share.Number) share.Peer { return share.Peer(fmt.Sprint("c", n)) }
+func Name(n membership.Number) membership.Peer { return membership.Peer(fmt.Sprint("c", n)) }
 
 const (
 	peerRedial = 0.25    // seconds between two dials of a coordinator that does not answer
@@ -35,7 +35,7 @@
 
 // link is our connection to another coordinator, for what we say to it.
 type link struct {
-	id     share.Number
+	id     membership.Number
 	conn   world.Conn
 	up     bool
 	dialAt float64
@@ -49,14 +49,14 @@
 type peers struct {
 	member *Member
 	io     world.IO
-	links  map[share.Number]*link
+	links  map[membership.Number]*link
 	byOut  map[world.Conn]*link
 	in     map[world.Conn][]byte // of connections that others dialled
 	bytes  []byte
 }
 
 func newPeers(m *Member, io world.IO) *peers {
-	return &peers{member: m, io: io, links: map[share.Number]*link{}, byOut: map[world.Conn]*link{}, in: map[world.Conn][]byte{}}
+	return &peers{member: m, io: io, links: map[membership.Number]*link{}, byOut: map[world.Conn]*link{}, in: map[world.Conn][]byte{}}
 }
 
 // tick dials those that are to be spoken to, where they are now, and lets go of those that are not in the group any more.
@@ -86,14 +86,14 @@
 }
 
 // frame is what we say, with what tells our folder.
-func (p *peers) frame(to share.Number, kind peer.Kind, b []byte) []byte {
+func (p *peers) frame(to membership.Number, kind peer.Kind, b []byte) []byte {
 	m := p.member
 	p.bytes = peer.Append(p.bytes[:0], m.setup.Key, peer.Frame{From: uint64(m.setup.Self), To: uint64(to), Mark: m.disk.Mark(),
 		Commit: m.commit(), Kind: kind, Message: b})
 	return p.bytes
 }
 
-func (p *peers) send(to share.Number, kind peer.Kind, b []byte) {
+func (p *peers) send(to membership.Number, kind peer.Kind, b []byte) {
 	l := p.links[to]
 	if l == nil || !l.up || l.sent-l.taken > peerUnread {
 		return
@@ -194,22 +194,22 @@
 
 // Status is how a group is, as one coordinator sees it.
 type Status struct {
-	Number  share.Number                `json:"number"`
-	Leader  share.Number                `json:"consensus-leader"` // 0: none is known
-	Commit  uint64                      `json:"commit"`
-	Epoch   share.Epoch                 `json:"epoch"`
-	Leads   bool                        `json:"holds-lease"`
-	Failed  string                      `json:"failed,omitempty"` // why it orders nothing any more
-	Seats   map[share.Number]share.Seat `json:"seats"`
-	Members map[share.Peer]share.Member `json:"members"`
-	Drains  int                         `json:"drains"`
+	Number  membership.Number                     `json:"number"`
+	Leader  membership.Number                     `json:"consensus-leader"` // 0: none is known
+	Commit  uint64                                `json:"commit"`
+	Epoch   membership.Epoch                      `json:"epoch"`
+	Leads   bool                                  `json:"holds-lease"`
+	Failed  string                                `json:"failed,omitempty"` // why it orders nothing any more
+	Seats   map[membership.Number]membership.Seat `json:"seats"`
+	Members map[membership.Peer]membership.Member `json:"members"`
+	Drains  int                                   `json:"drains"`
 }
 
 func (m *Member) status(now float64) ([]byte, error) {
 	g := m.Group
 	s := Status{Number: m.setup.Self}
 	if g != nil {
-		s.Leader, s.Commit, s.Epoch, s.Leads = share.Number(g.Node.Leader()), m.commit(), g.State.Epoch, m.Failed == nil && g.Lease.Holds(now)
+		s.Leader, s.Commit, s.Epoch, s.Leads = membership.Number(g.Node.Leader()), m.commit(), g.State.Epoch, m.Failed == nil && g.Lease.Holds(now)
 		s.Seats, s.Members, s.Drains = g.State.Seats, g.State.Members, len(g.State.Drains)
 	}
 	if m.Failed != nil {
--- a/internal/run/scope.go
+++ b/internal/run/scope.go
@@ -6,8 +6,8 @@
 
 	"snowquay/balancer"
 	"snowquay/internal/consensus"
+	"snowquay/internal/core/membership"
 	"snowquay/internal/core/registry"
-	"snowquay/internal/core/share"
 	"snowquay/internal/core/tenancy"
 )
 
@@ -21,7 +21,7 @@
 }
 
 func (h *Host) scope(x *Hosted) *scope {
-	return &scope{h: h, life: x.Incarnation, prefix: share.Scope(x.Incarnation)}
+	return &scope{h: h, life: x.Incarnation, prefix: membership.Scope(x.Incarnation)}
 }
 
 // Ready of Peers.
@@ -42,7 +42,7 @@
 // Drain of Peers.
 func (s *scope) Drain(now float64, v balancer.Server, on bool) (ticket uint64, ok bool) {
 	if ticket, ok = s.h.member.Drain(now, balancer.Server(s.prefix)+v, on); ok {
-		s.h.drains[share.Ticket(ticket)] = s.life
+		s.h.drains[membership.Ticket(ticket)] = s.life
 	}
 	return ticket, ok
 }
@@ -58,7 +58,7 @@
 // Kept of Peers.
 func (s *scope) Kept() (records []registry.Record) {
 	for _, r := range s.h.member.Kept() {
-		if life, own, ok := share.Scoped(r.Server); ok && life == s.life {
+		if life, own, ok := membership.Scoped(r.Server); ok && life == s.life {
 			r.Server = own
 			records = append(records, r)
 		}
@@ -84,7 +84,7 @@
 	}
 	h.byLife, h.drainsOf = map[tenancy.Incarnation]map[balancer.Server]float64{}, state.Orders
 	for s, told := range state.Drains {
-		life, own, ok := share.Scoped(s)
+		life, own, ok := membership.Scoped(s)
 		if !ok {
 			continue
 		}
@@ -102,7 +102,7 @@
 	m := NewMember(g, disk, h.setup.Life, func(event string, pairs ...any) { h.say("", event, pairs...) })
 	m.OnFail = h.setup.OnFail
 	m.OnDrain, m.OnSettled, m.OnLearnt, m.OnTenant = h.onDrain, h.onSettled, h.onLearnt, h.onTenant
-	h.member, h.drains, h.orders = m, map[share.Ticket]tenancy.Incarnation{}, map[share.Ticket]*waiting{}
+	h.member, h.drains, h.orders = m, map[membership.Ticket]tenancy.Incarnation{}, map[membership.Ticket]*waiting{}
 	h.lives = map[tenancy.Incarnation]*Hosted{}
 }
 
@@ -113,9 +113,9 @@
 }
 
 // onDrain takes a drain that was agreed on.
-func (h *Host) onDrain(now float64, c share.Command) {
+func (h *Host) onDrain(now float64, c membership.Command) {
 	h.byLife = nil
-	life, own, ok := share.Scoped(c.Server)
+	life, own, ok := membership.Scoped(c.Server)
 	if x := h.lives[life]; ok && x != nil && x.Program != nil {
 		c.Server = own
 		x.Program.drained(now, c)
@@ -126,7 +126,7 @@
 // onLearnt takes what another host has heard of servers' starts.
 func (h *Host) onLearnt(now float64, records []registry.Record) {
 	for _, r := range records {
-		life, own, ok := share.Scoped(r.Server)
+		life, own, ok := membership.Scoped(r.Server)
 		if x := h.lives[life]; ok && x != nil && x.Program != nil {
 			r.Server = own
 			x.Program.learnt(now, []registry.Record{r})
@@ -135,12 +135,12 @@
 }
 
 // onSettled answers those who told of drains and of changes.
-func (h *Host) onSettled(now float64, kept, refused []share.Ticket) {
+func (h *Host) onSettled(now float64, kept, refused []membership.Ticket) {
 	h.settle(now, kept, true)
 	h.settle(now, refused, false)
 }
 
-func (h *Host) settle(now float64, tickets []share.Ticket, ok bool) {
+func (h *Host) settle(now float64, tickets []membership.Ticket, ok bool) {
 	for _, t := range tickets {
 		if w := h.orders[t]; w != nil {
 			delete(h.orders, t)
@@ -160,7 +160,7 @@
 }
 
 // onTenant takes a change of the directory that was agreed on.
-func (h *Host) onTenant(now float64, n tenancy.Name, told share.Ticket, o tenancy.Outcome) {
+func (h *Host) onTenant(now float64, n tenancy.Name, told membership.Ticket, o tenancy.Outcome) {
 	if w := h.orders[told]; w != nil {
 		w.outcome = o
 	}
--- a/internal/service/group.go
+++ b/internal/service/group.go
@@ -9,7 +9,7 @@
 	"slices"
 	"time"
 
-	"snowquay/internal/core/share"
+	"snowquay/internal/core/membership"
 	"snowquay/internal/run"
 	"snowquay/internal/wire/peer"
 )
@@ -26,7 +26,7 @@
 
 // GroupRemove takes a coordinator out for good, by way of any of the others. A command may be lost while a leader is
 // elected, so it is given again until one of them says that it is agreed on.
-func GroupRemove(g *run.GroupSetup, gone share.Number, wait time.Duration) error {
+func GroupRemove(g *run.GroupSetup, gone membership.Number, wait time.Duration) error {
 	for end := time.Now().Add(wait); ; time.Sleep(removeAsk) {
 		var last error
 		for _, n := range slices.Sorted(maps.Keys(g.Members)) {
@@ -41,7 +41,7 @@
 				return fmt.Errorf("nobody has number %d", gone)
 			}
 			if err == nil {
-				_, err = ask(g.Members[n], g.Key, &share.Command{Kind: share.Unseat, Number: gone})
+				_, err = ask(g.Members[n], g.Key, &membership.Command{Kind: membership.Unseat, Number: gone})
 			}
 			if last = err; err == nil {
 				break
@@ -54,7 +54,7 @@
 }
 
 // ask sends a command, if any, and asks for the status.
-func ask(at netip.AddrPort, key []byte, order *share.Command) (s run.Status, err error) {
+func ask(at netip.AddrPort, key []byte, order *membership.Command) (s run.Status, err error) {
 	c, err := net.DialTimeout("tcp", at.String(), toolWithin)
 	if err != nil {
 		return s, err
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -21,9 +21,9 @@
 	"snowquay/internal/core/change"
 	"snowquay/internal/core/controlplane"
 	"snowquay/internal/core/longpoll"
+	"snowquay/internal/core/membership"
 	"snowquay/internal/core/registry"
 	"snowquay/internal/core/saspsession"
-	"snowquay/internal/core/share"
 	"snowquay/internal/core/spool"
 	"snowquay/internal/feed/graphite"
 	"snowquay/internal/front/poll"
@@ -275,12 +275,12 @@
 	if n == nil {
 		return
 	}
-	g := &run.GroupSetup{Self: share.Number(n.int("number")), Weight: n.number("weight"), Joins: n.bool("joins"),
-		Members: map[share.Number]netip.AddrPort{}, Key: []byte(n.attrs["key"]), Terms: consensus.UsualTerms,
-		Lease: share.UsualTerms}
+	g := &run.GroupSetup{Self: membership.Number(n.int("number")), Weight: n.number("weight"), Joins: n.bool("joins"),
+		Members: map[membership.Number]netip.AddrPort{}, Key: []byte(n.attrs["key"]), Terms: consensus.UsualTerms,
+		Lease: membership.UsualTerms}
 	seen := map[netip.AddrPort]bool{}
 	for _, p := range n.all("peer") {
-		number, a := share.Number(p.int("number")), r.endpoint(p, "address")
+		number, a := membership.Number(p.int("number")), r.endpoint(p, "address")
 		if _, twice := g.Members[number]; twice {
 			r.wrong(p, "there are two peers with number %d", number)
 		}
@@ -296,7 +296,7 @@
 		r.wrong(n, "key: %d bytes, %d at least: whoever has it may speak for a coordinator", len(g.Key), leastKey)
 	}
 	if v := n.number("lease"); v > 0 {
-		g.Lease.For, g.Lease.Every = v, v/share.Renewals
+		g.Lease.For, g.Lease.Every = v, v/membership.Renewals
 	}
 	if v := n.number("margin"); v > 0 {
 		g.Lease.Margin = v
--- a/internal/settings/write.go
+++ b/internal/settings/write.go
@@ -10,16 +10,16 @@
 	"strconv"
 
 	"snowquay/balancer"
-	"snowquay/internal/core/share"
+	"snowquay/internal/core/membership"
 )
 
 // Member of a group, for settings that a rehearsal writes.
 type Member struct {
-	Number                   share.Number
+	Number                   membership.Number
 	SASP, HTTP, Measurements netip.AddrPort // HTTP not valid: it is not spoken
 	Metrics                  netip.AddrPort // likewise
 	Store, GroupStore, Key   string
-	Peers                    map[share.Number]netip.AddrPort
+	Peers                    map[membership.Number]netip.AddrPort
 }
 
 // Settings are those of one coordinator of a group on a day, as a file for serve.
