--- a/internal/core/station/calls.go
+++ b/internal/core/platformstate/calls.go
@@ -1,7 +1,7 @@
-// Package station is what a coordinator on the platform knows of its proxies, its servers and its relay: who is joined, what the
+// Package platformstate is what a coordinator on the platform knows of its proxies, its servers and its relay: who is joined, what the
 // relay was told and what it answered, whom to trust when two sources disagree. It is pure, and decides nothing that balancer/
 // decides.
-package station
+package platformstate
 
 import (
 	"snowquay/balancer"
--- a/internal/core/station/station_test.go
+++ b/internal/core/platformstate/station_test.go
@@ -1,4 +1,4 @@
-package station
+package platformstate
 
 import (
 	"encoding/json"
--- a/internal/front/platform/links.go
+++ b/internal/front/platform/links.go
@@ -6,7 +6,7 @@
 	"net/netip"
 
 	"snowquay/balancer"
-	"snowquay/internal/core/station"
+	"snowquay/internal/core/platformstate"
 	"snowquay/internal/run/world"
 	"snowquay/internal/wire/http1"
 	"snowquay/internal/wire/lines"
@@ -41,10 +41,10 @@
 	lines lines.Reader
 	head  []byte // of discovery's answer, until it is whole
 	body  *http1.Body
-	first bool            // it has told something
-	whole bool            // discovery has been asked for the whole list
-	says  *station.Source // of a link to the relay that gives its news
-	mute  bool            // a call on it was not answered, and there was no sign of life since
+	first bool                  // it has told something
+	whole bool                  // discovery has been asked for the whole list
+	says  *platformstate.Source // of a link to the relay that gives its news
+	mute  bool                  // a call on it was not answered, and there was no sign of life since
 }
 
 // watch is a link that has to stand, and the one that is to take its place: made beside it where it is silent or its address is
@@ -297,16 +297,16 @@
 // answer takes what came on the link that a call is out on.
 func (p *Program) answer(now float64, m *rpc.Message) {
 	switch p.calls.Answered(m) {
-	case station.Refused:
+	case platformstate.Refused:
 		p.log.Debug("relay refuses", "why", m.Error)
 		p.relay.sayAt = now + againFirst
 		p.over()
-	case station.Partly:
+	case platformstate.Partly:
 		p.log.Warn("relay could not use an order", "dropped", p.calls.Dropped)
 		p.over()
-	case station.Taken:
+	case platformstate.Taken:
 		p.over()
-	case station.Unclear:
+	case platformstate.Unclear:
 		p.log.Warn("relay's answer cannot be read")
 		p.unfit(now)
 	}
@@ -319,7 +319,7 @@
 		if err := rpc.Parse(line, &m); err != nil || m.Answer {
 			switch {
 			case l.says == nil && err == nil && m.Error == "":
-				l.says = station.NewSource(now)
+				l.says = platformstate.NewSource(now)
 				p.take(now, l.of)
 				if l.of == &p.relay.main {
 					p.roster.Follow(now, l.says, &p.news)
--- a/internal/front/platform/platform.go
+++ b/internal/front/platform/platform.go
@@ -10,7 +10,7 @@
 	"slices"
 
 	"snowquay/balancer"
-	"snowquay/internal/core/station"
+	"snowquay/internal/core/platformstate"
 	"snowquay/internal/deployment"
 	"snowquay/internal/run/world"
 	"snowquay/internal/wire/registry"
@@ -49,9 +49,9 @@
 	untold  bool    // the module was not told who is joined
 	dirtyAt float64 // since when news wait for their round; 0: none do
 	wakes   []wake  // that the module has asked for
-	roster  *station.Roster
-	servers *station.Servers
-	calls   *station.Calls
+	roster  *platformstate.Roster
+	servers *platformstate.Servers
+	calls   *platformstate.Calls
 
 	callers  map[world.Conn]*caller
 	unjoined []*caller // oldest first, with some that have joined or gone
@@ -87,8 +87,8 @@
 	for _, f := range d.Figures() {
 		figures = append(figures, words[f])
 	}
-	x := &Program{dep: d, names: names, figures: figures, manager: d.Coordinator(p.Seed), log: log, roster: station.NewRoster(),
-		servers: station.NewServers(d.Zones, d.HostTypes), calls: station.NewCalls(names),
+	x := &Program{dep: d, names: names, figures: figures, manager: d.Coordinator(p.Seed), log: log, roster: platformstate.NewRoster(),
+		servers: platformstate.NewServers(d.Zones, d.HostTypes), calls: platformstate.NewCalls(names),
 		callers: map[world.Conn]*caller{}, most: max(p.Sockets-reserve, leastCallers), links: map[world.Conn]*link{},
 		probes: map[world.Conn]*probe{}, asked: map[balancer.Server]bool{}}
 	x.relay.main.to, x.relay.second.to, x.listing.to = p.Hub, p.Hub, p.Discovery
@@ -257,7 +257,7 @@
 
 // pen is the balancer.Writer of a round: orders to the relay go into its calls, the rest is done at once.
 type pen struct {
-	*station.Calls
+	*platformstate.Calls
 	p   *Program
 	now float64
 }
