--- a/internal/core/turns/turns.go
+++ b/internal/core/fairqueue/turns.go
@@ -1,10 +1,10 @@
-// Package turns says whose turn it is where many share one event loop: tenants that are due are looked at in an order that is fair
+// Package fairqueue says whose turn it is where many share one event loop: tenants that are due are looked at in an order that is fair
 // by what their looks took, within what a loop may spend. Who asks for much waits behind who asks for little; urgent looks, which
 // are for drains, go first as long as a tenant has not had more of them than its part. It is pure.
 //
 // Due times are kept in a timing wheel, those that are due in a heap by virtual time. A look costs a heap operation, a tenant that
 // rests costs nothing.
-package turns
+package fairqueue
 
 import (
 	"snowquay/internal/core/wheel"
--- a/internal/core/turns/turns_test.go
+++ b/internal/core/fairqueue/turns_test.go
@@ -1,4 +1,4 @@
-package turns
+package fairqueue
 
 import (
 	"fmt"
--- a/internal/run/host.go
+++ b/internal/run/host.go
@@ -13,10 +13,10 @@
 	"snowquay/internal/consensus"
 	"snowquay/internal/core/authz"
 	"snowquay/internal/core/controlplane"
+	"snowquay/internal/core/fairqueue"
 	"snowquay/internal/core/membership"
 	"snowquay/internal/core/tablecheck"
 	"snowquay/internal/core/tenancy"
-	"snowquay/internal/core/turns"
 	"snowquay/internal/feed/collect"
 	"snowquay/internal/feed/graphite"
 	"snowquay/internal/front/poll"
@@ -46,7 +46,7 @@
 	SASP, HTTP netip.AddrPort // where relays and servers of all tenants come; not valid: it is not spoken
 	Room       tenancy.Room
 	Entry      tenancy.EntryLimits
-	Turns      turns.Terms
+	Turns      fairqueue.Terms
 	Make       func(tenancy.Tenant) (Made, error)                          // reads a tenant's settings
 	Log        func(tenancy.Name) *slog.Logger                             // of a tenant, or of the host itself for the empty name; nil: nobody listens
 	OnOrder    func(tenancy.Name, tenancy.Incarnation, controlplane.Order) // nil: nobody traces
@@ -88,7 +88,7 @@
 	io      world.IO
 	Dir     *tenancy.Directory
 	Entry   *tenancy.Entry
-	Turns   *turns.Turns[tenancy.Name]
+	Turns   *fairqueue.Turns[tenancy.Name]
 	Keys    authz.Keys
 	tenants map[tenancy.Name]*Hosted
 	users   map[string]tenancy.Name   // of signed measurements
@@ -119,7 +119,7 @@
 // that looks at those that run leave.
 func NewHost(now float64, setup HostSetup, store HostStore) (*Host, error) {
 	h := &Host{setup: setup, store: store, tenants: map[tenancy.Name]*Hosted{}, users: map[string]tenancy.Name{},
-		froms: map[world.Conn]netip.Addr{}, Turns: turns.New[tenancy.Name](now, setup.Turns)}
+		froms: map[world.Conn]netip.Addr{}, Turns: fairqueue.New[tenancy.Name](now, setup.Turns)}
 	h.Entry = tenancy.NewEntry(now, setup.Entry, map[tenancy.Front]tenancy.Speaker{
 		tenancy.SASP: func(b []byte) (string, bool, error) { return sasp.Speaker(b, setup.Entry.Bytes) }, tenancy.HTTP: poll.Speaker})
 	if setup.Graphite != nil {
--- a/internal/settings/host.go
+++ b/internal/settings/host.go
@@ -14,8 +14,8 @@
 	"snowquay/internal/core/authz"
 	"snowquay/internal/core/change"
 	"snowquay/internal/core/controlplane"
+	"snowquay/internal/core/fairqueue"
 	"snowquay/internal/core/tenancy"
-	"snowquay/internal/core/turns"
 	"snowquay/internal/run"
 )
 
@@ -57,7 +57,7 @@
 	if !h.SASP.IsValid() && !h.HTTP.IsValid() {
 		r.wrong(l, "neither sasp nor http: no proxy could join")
 	}
-	h.Room, h.Entry, h.Turns = tenancy.UsualRoom, tenancy.UsualEntryLimits, turns.UsualTerms
+	h.Room, h.Entry, h.Turns = tenancy.UsualRoom, tenancy.UsualEntryLimits, fairqueue.UsualTerms
 	if n := root.one("room"); n != nil {
 		for name, to := range map[string]*float64{"lines-per-second": &h.Room.Lines, "connections": &h.Room.Connections, "work": &h.Room.Work,
 			"work-times": &h.Room.WorkTimes} {
