--- a/internal/core/fairqueue/turns.go
+++ b/internal/core/fairqueue/turns.go
@@ -7,7 +7,7 @@
 package fairqueue
 
 import (
-	"snowquay/internal/core/wheel"
+	"snowquay/internal/core/timingwheel"
 )
 
 // Terms of a loop.
@@ -29,7 +29,7 @@
 	key      K
 	weight   float64
 	virt     float64
-	due      wheel.Timer[*one[K]]
+	due      timingwheel.Timer[*one[K]]
 	waits    bool // in the heap
 	at       int  // its place there
 	urgent   bool
@@ -46,7 +46,7 @@
 type Turns[K comparable] struct {
 	terms    Terms
 	all      map[K]*one[K]
-	wheel    *wheel.Wheel[*one[K]]
+	wheel    *timingwheel.Wheel[*one[K]]
 	heap     []*one[K]
 	virt     float64 // the common time: that of the latest turn
 	tokens   float64
@@ -62,7 +62,7 @@
 
 // New makes turns that start at a clock time.
 func New[K comparable](now float64, t Terms) *Turns[K] {
-	return &Turns[K]{terms: t, all: map[K]*one[K]{}, wheel: wheel.New[*one[K]](now, t.Tick), tokens: t.Burst, tokensAt: now}
+	return &Turns[K]{terms: t, all: map[K]*one[K]{}, wheel: timingwheel.New[*one[K]](now, t.Tick), tokens: t.Burst, tokensAt: now}
 }
 
 // Set makes a key take part with a weight over 0, or changes it. It is due when it is woken or stirred.
--- a/internal/core/forwarding/forward.go
+++ b/internal/core/forwarding/forward.go
@@ -14,7 +14,7 @@
 	"snowquay/internal/core/picker"
 	"snowquay/internal/core/retry"
 	"snowquay/internal/core/tablecache"
-	"snowquay/internal/core/wheel"
+	"snowquay/internal/core/timingwheel"
 )
 
 // Query is a client's; Try is one attempt at a server. Both are numbered here, each number is used once.
@@ -95,9 +95,9 @@
 	repeat retry.Query
 	came   float64
 	tries  []*try // under way
-	timer  wheel.Timer[*query]
+	timer  timingwheel.Timer[*query]
 	hedged bool
-	look   wheel.Timer[*query] // when its newest try has taken long
+	look   timingwheel.Timer[*query] // when its newest try has taken long
 }
 
 type keyed struct {
@@ -126,8 +126,8 @@
 	tries   map[Try]*query
 	nextQ   Query
 	nextT   Try
-	wheel   *wheel.Wheel[*query]
-	looks   *wheel.Wheel[*query]
+	wheel   *timingwheel.Wheel[*query]
+	looks   *timingwheel.Wheel[*query]
 	keys    map[string]*keyed
 	order   []string // keys, oldest first
 	served  map[balancer.Server]*loadreport.Totals
@@ -140,7 +140,7 @@
 func New(now float64, s Setup) *Proxy {
 	p := &Proxy{setup: s, Tables: tablecache.New(s.Names, s.Make), Door: admission.New(s.Levels, len(s.Names), s.Limits),
 		Avoid: outlier.New(s.Avoid), ways: append([]balancer.Repeats(nil), s.Ways...), queries: map[Query]*query{}, tries: map[Try]*query{},
-		wheel: wheel.New[*query](now, tick), looks: wheel.New[*query](now, tick), keys: map[string]*keyed{},
+		wheel: timingwheel.New[*query](now, tick), looks: timingwheel.New[*query](now, tick), keys: map[string]*keyed{},
 		served: map[balancer.Server]*loadreport.Totals{}, demand: make([]loadreport.Totals, len(s.Names))}
 	for range s.Names {
 		p.budgets = append(p.budgets, s.Budget)
--- a/internal/core/longpoll/longpoll.go
+++ b/internal/core/longpoll/longpoll.go
@@ -15,7 +15,7 @@
 	"snowquay/balancer"
 	"snowquay/internal/core/controlplane"
 	"snowquay/internal/core/tables"
-	"snowquay/internal/core/wheel"
+	"snowquay/internal/core/timingwheel"
 )
 
 // Waiter is a poll; the front numbers them, each number is used once.
@@ -127,7 +127,7 @@
 	uid      string
 	proxy    *controlplane.Proxy
 	waiter   Waiter // 0: none waits
-	wait     wheel.Timer[*client]
+	wait     timingwheel.Timer[*client]
 	version  uint64
 	base     uint64 // version that it named and that is believed; 0: none
 	sent     [remembered]sentState
@@ -155,7 +155,7 @@
 	clients  map[string]*client
 	byProxy  map[balancer.Proxy]*client
 	byWaiter map[Waiter]*client
-	wheel    *wheel.Wheel[*client]
+	wheel    *timingwheel.Wheel[*client]
 	underWay int
 	joins    float64
 	joinsAt  float64
@@ -169,7 +169,7 @@
 // New makes a counter for a life that began at a clock time. epoch must differ from those of former lives and not be 0.
 func New(now float64, epoch uint64, f *controlplane.Fleet, out Out, limits Limits) *Counter {
 	return &Counter{fleet: f, out: out, limits: limits, epoch: epoch, clients: map[string]*client{},
-		byProxy: map[balancer.Proxy]*client{}, byWaiter: map[Waiter]*client{}, wheel: wheel.New[*client](now, tick),
+		byProxy: map[balancer.Proxy]*client{}, byWaiter: map[Waiter]*client{}, wheel: timingwheel.New[*client](now, tick),
 		joins: limits.Burst, joinsAt: now, chance: f.Site().Seed*2 + 1, trusting: f.Site().Without[controlplane.GuardVersions]}
 }
 
--- a/internal/core/wheel/wheel.go
+++ b/internal/core/timingwheel/wheel.go
@@ -1,6 +1,6 @@
-// Package wheel is a hierarchical timing wheel: many deadlines, most of which are taken back before they come. Setting and
+// Package timingwheel is a hierarchical timing wheel: many deadlines, most of which are taken back before they come. Setting and
 // taking back cost the same however many there are; nothing is allocated for them. It is pure.
-package wheel
+package timingwheel
 
 import "math/bits"
 
--- a/internal/core/wheel/wheel_test.go
+++ b/internal/core/timingwheel/wheel_test.go
@@ -1,4 +1,4 @@
-package wheel
+package timingwheel
 
 import (
 	"container/heap"
