--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -20,8 +20,8 @@
 
 	"github.com/alecthomas/kong"
 
-	"snowquay/internal/core/change"
 	"snowquay/internal/core/controlplane"
+	"snowquay/internal/core/idempotency"
 	"snowquay/internal/core/membership"
 	"snowquay/internal/platform"
 	"snowquay/internal/rehearse"
@@ -171,10 +171,10 @@
 	if err != nil {
 		return err
 	}
-	b, err := service.Call(c, change.Staff, "POST", "/v1/drains", map[string]any{"server": d.Server, "on": !d.End, "force": d.Force,
+	b, err := service.Call(c, idempotency.Staff, "POST", "/v1/drains", map[string]any{"server": d.Server, "on": !d.End, "force": d.Force,
 		"lose-zone": d.LoseZone})
 	if err == nil && !d.End && d.Follow > 0 {
-		b, err = service.Call(c, change.Viewer, "GET", fmt.Sprintf("/v1/drains/%s?wait=%g", service.Escape(d.Server), d.Follow), nil)
+		b, err = service.Call(c, idempotency.Viewer, "GET", fmt.Sprintf("/v1/drains/%s?wait=%g", service.Escape(d.Server), d.Follow), nil)
 	}
 	if err != nil {
 		return err
@@ -194,7 +194,7 @@
 	if err != nil {
 		return err
 	}
-	b, err := service.Call(c, change.Viewer, "POST", "/v1/preview", map[string]any{"drain": p.Server, "lose-zone": p.LoseZone})
+	b, err := service.Call(c, idempotency.Viewer, "POST", "/v1/preview", map[string]any{"drain": p.Server, "lose-zone": p.LoseZone})
 	if err != nil {
 		return err
 	}
@@ -226,7 +226,7 @@
 	if err != nil {
 		return err
 	}
-	b, err := service.Call(c, change.Viewer, "GET", "/v1/orders?relay="+url.QueryEscape(x.Proxy), nil)
+	b, err := service.Call(c, idempotency.Viewer, "GET", "/v1/orders?relay="+url.QueryEscape(x.Proxy), nil)
 	if err != nil {
 		return err
 	}
@@ -263,7 +263,7 @@
 	if err != nil {
 		return err
 	}
-	b, err := service.Call(c, change.Viewer, "GET", "/v1/servers", nil)
+	b, err := service.Call(c, idempotency.Viewer, "GET", "/v1/servers", nil)
 	if err != nil {
 		return err
 	}
--- a/internal/core/authz/rights.go
+++ b/internal/core/authz/rights.go
@@ -7,14 +7,14 @@
 	"errors"
 	"fmt"
 
-	"snowquay/internal/core/change"
+	"snowquay/internal/core/idempotency"
 	"snowquay/internal/core/tenancy"
 )
 
 // Who calls.
 type Who struct {
 	Name   string
-	Role   change.Role
+	Role   idempotency.Role
 	Tenant tenancy.Name // whose staff or viewer; empty: the host's
 }
 
@@ -25,7 +25,7 @@
 
 // Act that somebody wants to do.
 type Act struct {
-	Needs  change.Role
+	Needs  idempotency.Role
 	Tenant tenancy.Name // with what belongs to it; empty: with what is the host's
 }
 
@@ -41,12 +41,12 @@
 // outside of it, and has no more than staff's rights there.
 func May(w Who, a Act) error {
 	if w.Tenant == "" {
-		return change.May(w.Role, a.Needs)
+		return idempotency.May(w.Role, a.Needs)
 	}
 	if a.Tenant != w.Tenant {
 		return fmt.Errorf("%w: %q", ErrElsewhere, a.Tenant)
 	}
-	return change.May(min(w.Role, change.Staff), a.Needs)
+	return idempotency.May(min(w.Role, idempotency.Staff), a.Needs)
 }
 
 type digest [sha256.Size]byte
--- a/internal/core/authz/rights_test.go
+++ b/internal/core/authz/rights_test.go
@@ -4,21 +4,21 @@
 	"errors"
 	"testing"
 
-	"snowquay/internal/core/change"
+	"snowquay/internal/core/idempotency"
 )
 
 func TestWhoMayWhat(t *testing.T) {
-	host, staff, viewer := Who{"h", change.Host, ""}, Who{"s", change.Staff, "a"}, Who{"v", change.Viewer, "a"}
+	host, staff, viewer := Who{"h", idempotency.Host, ""}, Who{"s", idempotency.Staff, "a"}, Who{"v", idempotency.Viewer, "a"}
 	for _, c := range []struct {
 		who  Who
 		act  Act
 		want error
 	}{
-		{host, Act{change.Host, "a"}, nil}, {host, Act{change.Host, ""}, nil},
-		{staff, Act{change.Staff, "a"}, nil}, {staff, Act{change.Staff, "b"}, ErrElsewhere}, {staff, Act{change.Viewer, ""}, ErrElsewhere},
-		{staff, Act{change.Host, "a"}, change.ErrRole}, {viewer, Act{change.Staff, "a"}, change.ErrRole}, {viewer, Act{change.Viewer, "a"}, nil},
-		{Who{"x", change.Host, "a"}, Act{change.Host, "a"}, change.ErrRole}, // whatever a tenant's settings say of a role
-		{Who{}, Act{change.Viewer, ""}, change.ErrRole},
+		{host, Act{idempotency.Host, "a"}, nil}, {host, Act{idempotency.Host, ""}, nil},
+		{staff, Act{idempotency.Staff, "a"}, nil}, {staff, Act{idempotency.Staff, "b"}, ErrElsewhere}, {staff, Act{idempotency.Viewer, ""}, ErrElsewhere},
+		{staff, Act{idempotency.Host, "a"}, idempotency.ErrRole}, {viewer, Act{idempotency.Staff, "a"}, idempotency.ErrRole}, {viewer, Act{idempotency.Viewer, "a"}, nil},
+		{Who{"x", idempotency.Host, "a"}, Act{idempotency.Host, "a"}, idempotency.ErrRole}, // whatever a tenant's settings say of a role
+		{Who{}, Act{idempotency.Viewer, ""}, idempotency.ErrRole},
 	} {
 		if err := May(c.who, c.act); !errors.Is(err, c.want) || c.want == nil && err != nil {
 			t.Errorf("%+v, %+v: %v", c.who, c.act, err)
@@ -31,7 +31,7 @@
 	if _, ok := k.Identify(""); ok {
 		t.Error("nobody's key is somebody's")
 	}
-	if err := k.Set("", []Key{{Who{Name: "host", Role: change.Host, Tenant: "forged"}, "key-host"}}); err != nil {
+	if err := k.Set("", []Key{{Who{Name: "host", Role: idempotency.Host, Tenant: "forged"}, "key-host"}}); err != nil {
 		t.Fatal(err)
 	}
 	if err := k.Set("a", []Key{{Who{Name: "ann"}, "key-ann"}}); err != nil {
--- a/internal/core/change/change.go
+++ b/internal/core/idempotency/change.go
@@ -1,6 +1,6 @@
-// Package change keeps what makes an administrator's calls safe to repeat and to answer for: what a call with a key was
+// Package idempotency keeps what makes an administrator's calls safe to repeat and to answer for: what a call with a key was
 // answered, and who changed what. It is pure.
-package change
+package idempotency
 
 import (
 	"errors"
--- a/internal/core/change/golden_test.go
+++ b/internal/core/idempotency/golden_test.go
@@ -1,4 +1,4 @@
-package change
+package idempotency
 
 import (
 	"testing"
--- a/internal/front/admin/admin.go
+++ b/internal/front/admin/admin.go
@@ -20,9 +20,9 @@
 
 	"snowquay/balancer"
 	"snowquay/internal/core/authz"
-	"snowquay/internal/core/change"
 	"snowquay/internal/core/controlplane"
 	"snowquay/internal/core/fairshare"
+	"snowquay/internal/core/idempotency"
 	"snowquay/internal/core/tablecheck"
 	"snowquay/internal/core/tenancy"
 )
@@ -67,7 +67,7 @@
 	program Program
 	hosted  Hosted            // nil: there is one tenant, without a name
 	shares  *fairshare.Shares // as all below only touched within Program.Do
-	books   map[tenancy.Name]*change.Book
+	books   map[tenancy.Name]*idempotency.Book
 	say     func(string, ...any)
 	mu      sync.Mutex // of the gate, which stands before the program
 	gate    authz.Gate
@@ -96,7 +96,7 @@
 }
 
 func newAPI(now float64, program Program, terms fairshare.Terms, say func(string, ...any)) *API {
-	a := &API{program: program, shares: fairshare.New(now, terms), books: map[tenancy.Name]*change.Book{}, say: say,
+	a := &API{program: program, shares: fairshare.New(now, terms), books: map[tenancy.Name]*idempotency.Book{}, say: say,
 		gate: authz.Gate{Rate: strangers, Burst: strangers}, began: time.Now()}
 	a.HandleFunc("GET /openapi.json", func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Type", "application/json")
@@ -107,20 +107,20 @@
 
 // tenant serves the calls about one tenant's fleet below a path.
 func (a *API) tenant(path string) {
-	a.HandleFunc("GET "+path+"/servers", a.with(change.Viewer, costLook, false, a.servers))
-	a.HandleFunc("GET "+path+"/relays", a.with(change.Viewer, costLook, false, a.relays))
-	a.HandleFunc("GET "+path+"/drains/{server}", a.with(change.Viewer, costLook, false, a.follow))
-	a.HandleFunc("GET "+path+"/orders", a.with(change.Viewer, costLook, false, a.orders))
-	a.HandleFunc("GET "+path+"/audit", a.with(change.Staff, costLook, false, a.audit))
-	a.HandleFunc("POST "+path+"/preview", a.with(change.Viewer, costPreview, false, a.preview))
-	a.HandleFunc("POST "+path+"/drains", a.with(change.Staff, costDrain, true, a.drain))
+	a.HandleFunc("GET "+path+"/servers", a.with(idempotency.Viewer, costLook, false, a.servers))
+	a.HandleFunc("GET "+path+"/relays", a.with(idempotency.Viewer, costLook, false, a.relays))
+	a.HandleFunc("GET "+path+"/drains/{server}", a.with(idempotency.Viewer, costLook, false, a.follow))
+	a.HandleFunc("GET "+path+"/orders", a.with(idempotency.Viewer, costLook, false, a.orders))
+	a.HandleFunc("GET "+path+"/audit", a.with(idempotency.Staff, costLook, false, a.audit))
+	a.HandleFunc("POST "+path+"/preview", a.with(idempotency.Viewer, costPreview, false, a.preview))
+	a.HandleFunc("POST "+path+"/drains", a.with(idempotency.Staff, costDrain, true, a.drain))
 }
 
 // book of a tenant's calls and changes.
-func (a *API) book(of tenancy.Name) *change.Book {
+func (a *API) book(of tenancy.Name) *idempotency.Book {
 	b := a.books[of]
 	if b == nil {
-		b = &change.Book{}
+		b = &idempotency.Book{}
 		a.books[of] = b
 	}
 	return b
@@ -146,7 +146,7 @@
 }
 
 // with lets a call in: known, allowed, within its share.
-func (a *API) with(needs change.Role, cost float64, urgent bool, do func(http.ResponseWriter, *http.Request, call)) http.HandlerFunc {
+func (a *API) with(needs idempotency.Role, cost float64, urgent bool, do func(http.ResponseWriter, *http.Request, call)) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		credential, bearer := strings.CutPrefix(r.Header.Get("Authorization"), "Bearer ")
 		c := call{of: tenancy.Name(r.PathValue("tenant"))}
@@ -291,7 +291,7 @@
 }
 
 func (a *API) audit(w http.ResponseWriter, _ *http.Request, c call) {
-	entries := []change.Entry{}
+	entries := []idempotency.Entry{}
 	a.program.Do(func(float64) {
 		if b := a.books[c.of]; b != nil {
 			entries = b.Audit(mostEntries)
@@ -396,7 +396,7 @@
 	}
 	key := r.Header.Get("Idempotency-Key")
 	var (
-		before  change.Answer
+		before  idempotency.Answer
 		known   bool
 		err     error
 		status  int
@@ -406,14 +406,14 @@
 	if !a.fleet(w, who, func(now float64, f *controlplane.Fleet) {
 		if before, known, err = a.book(who.of).Begin(now, who.Name, key, xxhash.Sum64(body)); err != nil || known {
 			status = http.StatusUnprocessableEntity
-			if errors.Is(err, change.ErrBusy) {
+			if errors.Is(err, idempotency.ErrBusy) {
 				status = http.StatusConflict
 			}
 			return
 		}
 		if _, there := f.Roll.Find(c.Server); !there {
 			status, err = http.StatusNotFound, fmt.Errorf("no server %q is known", c.Server)
-		} else if err = change.Match(r.Header.Get("If-Match"), version(f)); err != nil {
+		} else if err = idempotency.Match(r.Header.Get("If-Match"), version(f)); err != nil {
 			status = http.StatusPreconditionFailed
 		} else if c.On && !c.Force {
 			if reasons = f.Preview(now, []balancer.Server{c.Server}, c.LoseZone); len(reasons) > 0 {
@@ -423,7 +423,7 @@
 		if err == nil {
 			a.program.Drain(now, who.of, c.Server, c.On, func(ok bool) { done <- ok })
 		} else {
-			a.book(who.of).End(who.Name, key, change.Answer{}, false)
+			a.book(who.of).End(who.Name, key, idempotency.Answer{}, false)
 			a.noteDrain(now, who, c, "refused: "+err.Error())
 		}
 	}) {
@@ -450,7 +450,7 @@
 	}
 	text, _ := json.Marshal(row) // figures are finite
 	a.program.Do(func(now float64) {
-		a.book(who.of).End(who.Name, key, change.Answer{Status: http.StatusAccepted, Body: text}, agreed)
+		a.book(who.of).End(who.Name, key, idempotency.Answer{Status: http.StatusAccepted, Body: text}, agreed)
 		a.noteDrain(now, who, c, map[bool]string{true: "agreed", false: "not agreed in time"}[agreed])
 	})
 	if !agreed {
@@ -474,6 +474,6 @@
 
 // note keeps who changed what, or was refused to.
 func (a *API) note(now float64, who call, what, of, result string) {
-	a.book(who.of).Note(change.Entry{At: now, Who: who.Name, What: what, Of: of, Result: result})
+	a.book(who.of).Note(idempotency.Entry{At: now, Who: who.Name, What: what, Of: of, Result: result})
 	a.say("administration", "tenant", who.of, "who", who.Name, "of-tenant", who.Tenant, "what", what, "of", of, "result", result)
 }
--- a/internal/front/admin/hosted.go
+++ b/internal/front/admin/hosted.go
@@ -12,9 +12,9 @@
 	"github.com/cespare/xxhash/v2"
 
 	"snowquay/internal/core/authz"
-	"snowquay/internal/core/change"
 	"snowquay/internal/core/controlplane"
 	"snowquay/internal/core/fairshare"
+	"snowquay/internal/core/idempotency"
 	"snowquay/internal/core/tenancy"
 )
 
@@ -75,13 +75,13 @@
 	a := newAPI(now, hosted, hostedTerms, say)
 	a.hosted = hosted
 	a.tenant("/v1/tenants/{tenant}")
-	a.HandleFunc("GET /v1/tenants", a.with(change.Viewer, costList, false, a.list))
-	a.HandleFunc("GET /v1/audit", a.with(change.Staff, costLook, false, a.audit))
-	a.HandleFunc("GET /v1/tenants/{tenant}", a.with(change.Viewer, costLook, false, a.show))
-	a.HandleFunc("GET /v1/tenants/{tenant}/settings", a.with(change.Staff, costLook, false, a.settings))
-	a.HandleFunc("PUT /v1/tenants/{tenant}", a.with(change.Staff, costTenant, false, a.put))
-	a.HandleFunc("POST /v1/tenants/{tenant}/servers", a.with(change.Staff, costTenant, false, a.edit))
-	a.HandleFunc("DELETE /v1/tenants/{tenant}", a.with(change.Host, costTenant, false, a.remove))
+	a.HandleFunc("GET /v1/tenants", a.with(idempotency.Viewer, costList, false, a.list))
+	a.HandleFunc("GET /v1/audit", a.with(idempotency.Staff, costLook, false, a.audit))
+	a.HandleFunc("GET /v1/tenants/{tenant}", a.with(idempotency.Viewer, costLook, false, a.show))
+	a.HandleFunc("GET /v1/tenants/{tenant}/settings", a.with(idempotency.Staff, costLook, false, a.settings))
+	a.HandleFunc("PUT /v1/tenants/{tenant}", a.with(idempotency.Staff, costTenant, false, a.put))
+	a.HandleFunc("POST /v1/tenants/{tenant}/servers", a.with(idempotency.Staff, costTenant, false, a.edit))
+	a.HandleFunc("DELETE /v1/tenants/{tenant}", a.with(idempotency.Host, costTenant, false, a.remove))
 	return a
 }
 
@@ -213,7 +213,7 @@
 		row, there := a.hosted.Row(who.of)
 		c := tenancy.Command{Kind: tenancy.Change, Name: who.of, If: must, ID: id(r, who), Print: fingerprint(r, body), At: now}
 		switch {
-		case !there && authz.May(who.Who, authz.Act{Needs: change.Host}) != nil:
+		case !there && authz.May(who.Who, authz.Act{Needs: idempotency.Host}) != nil:
 			done(decided{status: http.StatusForbidden, err: errors.New("only the host may make tenants")})
 			return
 		case !there && must != 0:
@@ -239,7 +239,7 @@
 			return
 		}
 		c.Weight, c.Needs = d.seen.Weight, d.seen.Needs
-		if c.Kind == tenancy.Change && who.Role < change.Host {
+		if c.Kind == tenancy.Change && who.Role < idempotency.Host {
 			// What a tenant may take is the host's to say: its staff may ask for less, not for more.
 			if err := c.Needs.Within(row.Needs); err != nil || c.Weight > row.Weight {
 				done(decided{status: http.StatusForbidden, seen: d.seen, err: fmt.Errorf("only the host may raise what a tenant takes: weight %g to %g; %v",
--- a/internal/settings/host.go
+++ b/internal/settings/host.go
@@ -12,9 +12,9 @@
 
 	"snowquay/balancer"
 	"snowquay/internal/core/authz"
-	"snowquay/internal/core/change"
 	"snowquay/internal/core/controlplane"
 	"snowquay/internal/core/fairqueue"
+	"snowquay/internal/core/idempotency"
 	"snowquay/internal/core/tenancy"
 	"snowquay/internal/run"
 )
@@ -109,7 +109,7 @@
 	c := r.basis(root, nil)
 	r.callers(root, c)
 	for i, x := range c.Callers {
-		if x.Role == change.Host {
+		if x.Role == idempotency.Host {
 			r.wrong(root.all("caller")[i], "role: the host's callers are in the host's settings")
 		}
 	}
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -18,8 +18,8 @@
 	"snowquay/balancer"
 	"snowquay/internal/consensus"
 	"snowquay/internal/core/authz"
-	"snowquay/internal/core/change"
 	"snowquay/internal/core/controlplane"
+	"snowquay/internal/core/idempotency"
 	"snowquay/internal/core/longpoll"
 	"snowquay/internal/core/membership"
 	"snowquay/internal/core/registry"
@@ -348,7 +348,7 @@
 
 const leastKey = 16 // bytes of a group's key, or a caller's
 
-var roles = map[string]change.Role{"viewer": change.Viewer, "staff": change.Staff, "host": change.Host}
+var roles = map[string]idempotency.Role{"viewer": idempotency.Viewer, "staff": idempotency.Staff, "host": idempotency.Host}
 
 // callers reads who may use the administration API.
 func (r *reader) callers(root *node, c *Coordinator) {
