--- a/internal/feed/collect/collect.go
+++ b/internal/feed/collectd/collect.go
@@ -1,4 +1,4 @@
-// Package collect reads measurements in collectd's binary network protocol and hands them to a fleet. What it reads:
+// Package collectd reads measurements in collectd's binary network protocol and hands them to a fleet. What it reads:
 //
 //	host = relay UID,  plugin snowquay, plugin instance = server address, type snowquay_traffic:
 //	    derive tries, derive lost, derive microseconds that the good ones took together
@@ -9,7 +9,7 @@
 // Where measurements need not be signed, the same may come as lines of collectd's plain text protocol (PUTVAL), in datagrams.
 //
 // All else is passed over, as a network that carries other measurements wants. It does no I/O.
-package collect
+package collectd
 
 import (
 	"context"
--- a/internal/feed/collect/text.go
+++ b/internal/feed/collectd/text.go
@@ -1,4 +1,4 @@
-package collect
+package collectd
 
 import (
 	"bytes"
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -20,7 +20,7 @@
 	"snowquay/internal/core/forwarding"
 	"snowquay/internal/core/loadreport"
 	"snowquay/internal/core/retry"
-	"snowquay/internal/feed/collect"
+	"snowquay/internal/feed/collectd"
 	"snowquay/internal/run/world"
 	"snowquay/internal/wire/http1"
 )
@@ -594,7 +594,7 @@
 
 func (p *Proxy) reports(now float64) {
 	to := netip.AddrPortFrom(p.session.at().Addr(), p.setup.Collect)
-	k := collect.NewPacker(now, p.setup.UID, p.setup.User, p.setup.KeyOf, func(b []byte) { p.io.Datagram(to, b) })
+	k := collectd.NewPacker(now, p.setup.UID, p.setup.User, p.setup.KeyOf, func(b []byte) { p.io.Datagram(to, b) })
 	p.Core.Reports(func(s balancer.Server, t loadreport.Totals) { k.Traffic(string(s), t) },
 		func(c balancer.Class, t loadreport.Totals) { k.Demand(p.setup.Forward.Names[c], t) })
 	k.Flush()
--- a/internal/run/coordinator.go
+++ b/internal/run/coordinator.go
@@ -15,7 +15,7 @@
 	"snowquay/internal/core/membership"
 	"snowquay/internal/core/registry"
 	"snowquay/internal/core/saspsession"
-	"snowquay/internal/feed/collect"
+	"snowquay/internal/feed/collectd"
 	"snowquay/internal/feed/graphite"
 	"snowquay/internal/front/poll"
 	"snowquay/internal/run/world"
@@ -107,7 +107,7 @@
 	peers    Peers               // nil: it shares its fleet with nobody
 	figures  *graphite.Sender    // nil: none are sent
 	polls    map[world.Conn]bool // connections of the long-poll front
-	Collect  *collect.Collector
+	Collect  *collectd.Collector
 	now      float64 // of the latest look
 	adopted  bool
 	ordered  map[uint64]func(bool) // administrators' drains on their way, by ticket
@@ -139,7 +139,7 @@
 	c.Poll = poll.New(c, setup.Poll, setup.Site.Names)
 	// An epoch of microseconds: a life begins later than the one before it.
 	c.Poll.Counter = longpoll.New(now, uint64(now*1e6)|1, f, c.Poll, setup.Parking)
-	c.Collect = collect.New(f, setup.User, setup.Key)
+	c.Collect = collectd.New(f, setup.User, setup.Key)
 	if setup.Graphite != nil {
 		c.figures = graphite.New(now, *setup.Graphite, rand.New(rand.NewPCG(setup.Site.Seed, 0x67a)).Float64)
 	}
--- a/internal/run/host.go
+++ b/internal/run/host.go
@@ -17,7 +17,7 @@
 	"snowquay/internal/core/membership"
 	"snowquay/internal/core/tablecheck"
 	"snowquay/internal/core/tenancy"
-	"snowquay/internal/feed/collect"
+	"snowquay/internal/feed/collectd"
 	"snowquay/internal/feed/graphite"
 	"snowquay/internal/front/poll"
 	"snowquay/internal/run/world"
@@ -437,7 +437,7 @@
 // Datagram of world.Program: measurements of many tenants come to one port. Whose they are is told by the user that signed them; the
 // tenant's own key then proves it.
 func (h *Host) Datagram(now float64, b []byte) {
-	user, ok := collect.User(b)
+	user, ok := collectd.User(b)
 	if !ok {
 		h.Counts.Unsigned++
 		return
--- a/internal/standin/flood.go
+++ b/internal/standin/flood.go
@@ -6,7 +6,7 @@
 	"net/url"
 
 	"snowquay/internal/core/loadreport"
-	"snowquay/internal/feed/collect"
+	"snowquay/internal/feed/collectd"
 	"snowquay/internal/run/world"
 	"snowquay/internal/wire/sasp"
 )
@@ -67,7 +67,7 @@
 		if f.chance.float() < 0.5 {
 			user, host = f.OtherUser, f.Others
 		}
-		p := collect.NewPacker(now, host, user, key, func(b []byte) { f.io.Datagram(f.Collect, b) })
+		p := collectd.NewPacker(now, host, user, key, func(b []byte) { f.io.Datagram(f.Collect, b) })
 		for i := range 20 {
 			p.Traffic(f.Server.String(), loadreport.Totals{Tries: float64(i * 1000), Lost: float64(i * 900), Seconds: 1e6})
 		}
--- a/internal/standin/relay.go
+++ b/internal/standin/relay.go
@@ -8,7 +8,7 @@
 
 	"snowquay/balancer"
 	"snowquay/internal/core/loadreport"
-	"snowquay/internal/feed/collect"
+	"snowquay/internal/feed/collectd"
 	"snowquay/internal/run/world"
 	"snowquay/internal/wire/sasp"
 )
@@ -648,7 +648,7 @@
 }
 
 func (r *Relay) report(now float64) {
-	p := collect.NewPacker(now, r.UID, r.User, r.Key, func(b []byte) { r.io.Datagram(r.Collect, b) })
+	p := collectd.NewPacker(now, r.UID, r.User, r.Key, func(b []byte) { r.io.Datagram(r.Collect, b) })
 	var servers []netip.AddrPort
 	for a := range r.targets {
 		servers = append(servers, a)
--- a/internal/standin/server.go
+++ b/internal/standin/server.go
@@ -5,7 +5,7 @@
 	"math"
 	"net/netip"
 
-	"snowquay/internal/feed/collect"
+	"snowquay/internal/feed/collectd"
 	"snowquay/internal/run/world"
 	"snowquay/internal/wire/sasp"
 )
@@ -356,7 +356,7 @@
 	switch {
 	case s.fallen:
 	case what == wakeReport:
-		p := collect.NewPacker(now, s.Addr.String(), s.User, s.Key, func(b []byte) {
+		p := collectd.NewPacker(now, s.Addr.String(), s.User, s.Key, func(b []byte) {
 			for _, a := range s.Coordinators {
 				s.io.Datagram(netip.AddrPortFrom(a.Addr(), s.Collect), b)
 			}
