--- a/internal/run/sim/sim.go
+++ b/internal/env/simnet/sim.go
@@ -1,7 +1,7 @@
-// Package sim is a net and a clock in virtual time. Everything that happens follows from the seed. Faults: delivery a
+// Package simnet is a net and a clock in virtual time. Everything that happens follows from the seed. Faults: delivery a
 // byte at a time, hosts that stop reading, cuts between zones (connections stay half open until they are noticed),
 // lost, doubled and late datagrams, gaps in the clock, hosts that die and start again.
-package sim
+package simnet
 
 import (
 	"container/heap"
--- a/internal/front/platform/platform_test.go
+++ b/internal/front/platform/platform_test.go
@@ -14,7 +14,7 @@
 	"pgregory.net/rapid"
 
 	"snowquay/internal/deployment"
-	"snowquay/internal/run/sim"
+	"snowquay/internal/env/simnet"
 	"snowquay/internal/run/world"
 	"snowquay/internal/seeded"
 	"snowquay/internal/wire/lines"
@@ -303,12 +303,12 @@
 func (d *dialler) Closed(now float64, c world.Conn)          { d.closed[c] = now }
 
 type scene struct {
-	net     *sim.Net
+	net     *simnet.Net
 	program *Program
 	desk    *desk
 	agent   *agent
 	caller  *dialler
-	host    map[string]*sim.Host
+	host    map[string]*simnet.Host
 }
 
 func server(id, state string) registry.Server {
@@ -324,7 +324,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := &scene{net: sim.New(seed, 1000), desk: newDesk(), agent: &agent{}, caller: newDialler(), host: map[string]*sim.Host{}}
+	s := &scene{net: simnet.New(seed, 1000), desk: newDesk(), agent: &agent{}, caller: newDialler(), host: map[string]*simnet.Host{}}
 	known := &registry.List{Full: true, Servers: servers}
 	s.agent.list = *known
 	s.program = New(Place{Discovery: discoveryAddress, Hub: hub, Sockets: sockets, Known: known, Seed: 7, Deployment: d},
@@ -704,7 +704,7 @@
 		t.Fatal(err)
 	}
 	d.FamilyInfo.ClassOwnZone = []bool{true}
-	s := &scene{net: sim.New(1, 1000), desk: newDesk(), agent: &agent{mute: true}, caller: newDialler(), host: map[string]*sim.Host{}}
+	s := &scene{net: simnet.New(1, 1000), desk: newDesk(), agent: &agent{mute: true}, caller: newDialler(), host: map[string]*simnet.Host{}}
 	s.program = New(Place{Discovery: discoveryAddress, Hub: hub, Sockets: 256, Seed: 7, Deployment: d}, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	s.net.Add(hub.Addr(), 0, false).Start(s.desk)
 	s.net.Add(discoveryAddress.Addr(), 0, false).Start(s.agent)
--- a/internal/proxy/hour_test.go
+++ b/internal/proxy/hour_test.go
@@ -8,7 +8,7 @@
 	"testing"
 
 	"snowquay/balancer"
-	"snowquay/internal/run/sim"
+	"snowquay/internal/env/simnet"
 	"snowquay/internal/run/world"
 	"snowquay/internal/wire/delta"
 	"snowquay/internal/wire/http1"
@@ -75,7 +75,7 @@
 // query goes to a server whose line was taken away, and no effect happens twice though answers get lost.
 func TestAnHour(t *testing.T) {
 	const servers, rate, minutes = 8, 30.0, 60
-	net, chance := sim.New(4, 1000), rand.New(rand.NewPCG(4, 4))
+	net, chance := simnet.New(4, 1000), rand.New(rand.NewPCG(4, 4))
 	net.Faults.Split = 0.05
 	all, pods := &town{sent: map[balancer.Server]int{}, gone: map[balancer.Server]float64{}}, make([]map[string]int, servers/2)
 	s := setup(servers)
--- a/internal/proxy/proxy_test.go
+++ b/internal/proxy/proxy_test.go
@@ -12,7 +12,7 @@
 	"snowquay/internal/core/outlier"
 	"snowquay/internal/core/picker"
 	"snowquay/internal/core/retry"
-	"snowquay/internal/run/sim"
+	"snowquay/internal/env/simnet"
 	"snowquay/internal/run/world"
 	"snowquay/internal/wire/delta"
 	"snowquay/internal/wire/http1"
@@ -21,7 +21,7 @@
 // base is a world.Program that does nothing.
 type base struct {
 	io  world.IO
-	net *sim.Net
+	net *simnet.Net
 }
 
 func (b *base) Start(_ float64, io world.IO)                   { b.io = io }
@@ -108,11 +108,11 @@
 // street is a proxy with servers and clients in virtual time.
 type street struct {
 	t       *testing.T
-	net     *sim.Net
+	net     *simnet.Net
 	proxy   *Proxy
-	host    *sim.Host
+	host    *simnet.Host
 	servers []*httpd
-	hosts   []*sim.Host
+	hosts   []*simnet.Host
 	users   byte
 	store   *shelf
 }
@@ -142,7 +142,7 @@
 }
 
 func build(t *testing.T, servers int, change func(*Setup)) *street {
-	w := &street{t: t, net: sim.New(1, 1000), store: &shelf{}}
+	w := &street{t: t, net: simnet.New(1, 1000), store: &shelf{}}
 	w.net.Faults.Split = 0.3
 	s := setup(servers)
 	if change != nil {
@@ -372,7 +372,7 @@
 		s.Coordinators, s.Standing, s.Store, s.Seed = at, nil, &shelf, 7
 	}
 	w := build(t, 3, change)
-	desks, hosts := []*desk{{}, {}}, []*sim.Host{}
+	desks, hosts := []*desk{{}, {}}, []*simnet.Host{}
 	for i := range at {
 		hosts = append(hosts, w.net.Add(at[i].Addr(), 0, false))
 		hosts[i].Start(desks[i])
--- a/internal/rehearse/hosted.go
+++ b/internal/rehearse/hosted.go
@@ -15,10 +15,10 @@
 	"snowquay/internal/consensus"
 	"snowquay/internal/core/controlplane"
 	"snowquay/internal/core/tenancy"
+	"snowquay/internal/env/simnet"
 	"snowquay/internal/front/loop"
 	"snowquay/internal/keep"
 	"snowquay/internal/run"
-	"snowquay/internal/run/sim"
 	"snowquay/internal/run/sockets"
 	"snowquay/internal/settings"
 	"snowquay/internal/standin"
@@ -164,7 +164,7 @@
 
 // aHost of the day.
 type aHost struct {
-	place   *sim.Host
+	place   *simnet.Host
 	server  *loop.Server
 	program *run.Host
 	up      bool
@@ -209,7 +209,7 @@
 		p.sock.Zone(hostAt, 0)
 		p.stage = p.sock
 	} else {
-		p.sim = sim.New(day.Seed, startAt)
+		p.sim = simnet.New(day.Seed, startAt)
 		p.stage = p.sim
 	}
 	start := p.stage.Now()
--- a/internal/rehearse/rehearse.go
+++ b/internal/rehearse/rehearse.go
@@ -20,10 +20,10 @@
 	"snowquay/internal/core/longpoll"
 	"snowquay/internal/core/membership"
 	"snowquay/internal/core/saspsession"
+	"snowquay/internal/env/simnet"
 	"snowquay/internal/front/loop"
 	"snowquay/internal/keep"
 	"snowquay/internal/run"
-	"snowquay/internal/run/sim"
 	"snowquay/internal/run/sockets"
 	"snowquay/internal/run/world"
 	"snowquay/internal/settings"
@@ -177,7 +177,7 @@
 			p.sock.Zone(p.at(i, day.Coordinator.SASP).Addr(), i%len(site.Zones))
 		}
 	} else {
-		p.sim = sim.New(p.opts.Seed, startAt)
+		p.sim = simnet.New(p.opts.Seed, startAt)
 		f := &p.sim.Faults
 		f.Split, f.Loss, f.Double, f.LateMost, f.Notice = day.Split, day.Loss, day.Double, day.Late, noticeMost
 		p.stage = p.sim
@@ -213,7 +213,7 @@
 // scene is where a day is played: one of the two nets, and what went wrong with playing it.
 type scene struct {
 	stage stage
-	sim   *sim.Net
+	sim   *simnet.Net
 	sock  *sockets.Net
 	err   error
 }
@@ -255,7 +255,7 @@
 
 func restart(h host, program world.Program) error {
 	switch h := h.(type) {
-	case *sim.Host:
+	case *simnet.Host:
 		h.Start(program)
 	case *sockets.Host:
 		return h.Start(program)
@@ -563,7 +563,7 @@
 	case "coordinator_pause":
 		p.coordinators[max(t.Server, 0)%len(p.coordinators)].host.Freeze(t.For)
 	case "coordinator_hidden", "coordinator_alone": // from relays and servers, or from the other coordinators; virtual time only
-		h, ok := p.coordinators[max(t.Server, 0)%len(p.coordinators)].host.(*sim.Host)
+		h, ok := p.coordinators[max(t.Server, 0)%len(p.coordinators)].host.(*simnet.Host)
 		if !ok {
 			return
 		}
@@ -611,7 +611,7 @@
 			}
 		}
 	case "vanish": // silent: no reset, no answer; it comes back with a new process
-		if h, ok := p.serverHosts[t.Server].(*sim.Host); ok {
+		if h, ok := p.serverHosts[t.Server].(*simnet.Host); ok {
 			h.Shun(func(netip.Addr) bool { return true })
 			p.ref.ServerDown(p.stage.Now(), p.servers[t.Server].Addr)
 			later(func() {
--- a/internal/run/adopt_test.go
+++ b/internal/run/adopt_test.go
@@ -10,14 +10,14 @@
 	"snowquay/internal/core/membership"
 	"snowquay/internal/core/registry"
 	"snowquay/internal/core/saspsession"
+	"snowquay/internal/env/simnet"
 	"snowquay/internal/run"
-	"snowquay/internal/run/sim"
 	"snowquay/internal/wire/sasp"
 )
 
 // A coordinator whose own store is lost takes from the group what servers there are, and which of them drain.
 func TestTheRollOutlivesAStore(t *testing.T) {
-	net := sim.New(1, 1000)
+	net := simnet.New(1, 1000)
 	at, peers := netip.MustParseAddrPort("10.0.0.1:3860"), netip.MustParseAddrPort("10.0.0.1:7000")
 	server := netip.MustParseAddrPort("10.0.0.9:80")
 	disk := &consensus.Memory{Own: 5}
--- a/internal/run/graphite_test.go
+++ b/internal/run/graphite_test.go
@@ -10,18 +10,18 @@
 
 	"snowquay/internal/core/spool"
 	"snowquay/internal/core/tenancy"
+	"snowquay/internal/env/simnet"
 	"snowquay/internal/feed/graphite"
 	"snowquay/internal/golden"
 	"snowquay/internal/keep"
 	"snowquay/internal/rehearse"
 	"snowquay/internal/run"
-	"snowquay/internal/run/sim"
 	"snowquay/internal/settings"
 	"snowquay/internal/standin"
 )
 
 // watched is a host with two tenants whose figures are sent to a receiver in virtual time.
-func watched(t *testing.T, change func(*graphite.Setup)) (*site, *sim.Host, *standin.Receiver) {
+func watched(t *testing.T, change func(*graphite.Setup)) (*site, *simnet.Host, *standin.Receiver) {
 	t.Helper()
 	set, err := settings.ParseHost("host.xml", []byte(strings.Replace(rehearse.HostSettings, "<caller", `<graphite address="127.0.9.9:2003" prefix="sq.test"/><caller`, 1)))
 	if err != nil {
@@ -29,7 +29,7 @@
 	}
 	change(set.Graphite)
 	set.Make = func(x tenancy.Tenant) (run.Made, error) { return settings.ParseTenant(x.Name, x.Settings, set) }
-	s := &site{t: t, set: set, store: &keep.HostedMemory{}, net: sim.New(1, 1000)}
+	s := &site{t: t, set: set, store: &keep.HostedMemory{}, net: simnet.New(1, 1000)}
 	s.place = s.net.Add(set.SASP.Addr(), 0, false)
 	s.start()
 	for i, text := range texts(2) {
--- a/internal/run/guards_test.go
+++ b/internal/run/guards_test.go
@@ -9,17 +9,17 @@
 
 	"snowquay/internal/consensus"
 	"snowquay/internal/core/membership"
+	"snowquay/internal/env/simnet"
 	"snowquay/internal/run"
-	"snowquay/internal/run/sim"
 	"snowquay/internal/run/world"
 	"snowquay/internal/wire/peer"
 )
 
 // town is three members over a net in virtual time, with disks in memory.
 type town struct {
-	net     *sim.Net
+	net     *simnet.Net
 	at      map[membership.Number]netip.AddrPort
-	hosts   map[membership.Number]*sim.Host
+	hosts   map[membership.Number]*simnet.Host
 	disks   map[membership.Number]*consensus.Memory
 	members map[membership.Number]*run.Member
 	said    []string
@@ -27,7 +27,7 @@
 }
 
 func newTown(seed uint64, count int) *town {
-	w := &town{net: sim.New(seed, 1000), at: map[membership.Number]netip.AddrPort{}, hosts: map[membership.Number]*sim.Host{},
+	w := &town{net: simnet.New(seed, 1000), at: map[membership.Number]netip.AddrPort{}, hosts: map[membership.Number]*simnet.Host{},
 		disks: map[membership.Number]*consensus.Memory{}, members: map[membership.Number]*run.Member{}}
 	for n := membership.Number(1); n <= membership.Number(count); n++ {
 		w.at[n] = netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, byte(n)}), 7000)
--- a/internal/run/host_test.go
+++ b/internal/run/host_test.go
@@ -10,10 +10,10 @@
 
 	"snowquay/balancer"
 	"snowquay/internal/core/tenancy"
+	"snowquay/internal/env/simnet"
 	"snowquay/internal/keep"
 	"snowquay/internal/rehearse"
 	"snowquay/internal/run"
-	"snowquay/internal/run/sim"
 	"snowquay/internal/run/world"
 	"snowquay/internal/settings"
 	"snowquay/internal/wire/sasp"
@@ -24,8 +24,8 @@
 	t     *testing.T
 	set   *settings.Host
 	store run.HostStore
-	net   *sim.Net
-	place *sim.Host
+	net   *simnet.Net
+	place *simnet.Host
 	host  *run.Host
 }
 
@@ -36,7 +36,7 @@
 		t.Fatal(err)
 	}
 	set.Make = func(x tenancy.Tenant) (run.Made, error) { return settings.ParseTenant(x.Name, x.Settings, set) }
-	s := &site{t: t, set: set, store: store, net: sim.New(1, 1000)}
+	s := &site{t: t, set: set, store: store, net: simnet.New(1, 1000)}
 	s.place = s.net.Add(set.SASP.Addr(), 0, false)
 	s.start()
 	return s
--- a/internal/run/hosts_test.go
+++ b/internal/run/hosts_test.go
@@ -9,19 +9,19 @@
 	"snowquay/internal/consensus"
 	"snowquay/internal/core/membership"
 	"snowquay/internal/core/tenancy"
+	"snowquay/internal/env/simnet"
 	"snowquay/internal/keep"
 	"snowquay/internal/rehearse"
 	"snowquay/internal/run"
-	"snowquay/internal/run/sim"
 	"snowquay/internal/settings"
 )
 
 // three hosts that share their tenants, in virtual time.
 type three struct {
 	t     *testing.T
-	net   *sim.Net
+	net   *simnet.Net
 	set   *settings.Host
-	place [3]*sim.Host
+	place [3]*simnet.Host
 	host  [3]*run.Host
 	disk  [3]consensus.Memory
 	lives uint64
@@ -34,7 +34,7 @@
 	}
 	set.Room.Tenants = tenants
 	set.Make = func(x tenancy.Tenant) (run.Made, error) { return settings.ParseTenant(x.Name, x.Settings, set) }
-	h := &three{t: t, net: sim.New(1, 1000), set: set}
+	h := &three{t: t, net: simnet.New(1, 1000), set: set}
 	for i := range h.place {
 		h.place[i] = h.net.Add(netip.AddrFrom4([4]byte{127, 0, 0, byte(1 + i)}), 0, false)
 		h.start(i)
--- a/internal/run/member_test.go
+++ b/internal/run/member_test.go
@@ -8,20 +8,20 @@
 
 	"snowquay/internal/consensus"
 	"snowquay/internal/core/membership"
+	"snowquay/internal/env/simnet"
 	"snowquay/internal/run"
-	"snowquay/internal/run/sim"
 )
 
 // Three members over a net that splits what is sent, each with a store on disk: killed, frozen and cut off in turn.
 func TestMembersOverANet(t *testing.T) {
-	net := sim.New(5, 1000)
+	net := simnet.New(5, 1000)
 	net.Faults.Split = 0.1
 	dir, order := t.TempDir(), []membership.Number{1, 2, 3}
 	at := map[membership.Number]netip.AddrPort{}
 	for _, id := range order {
 		at[id] = netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, byte(id)}), 7000)
 	}
-	hosts, members, files := map[membership.Number]*sim.Host{}, map[membership.Number]*run.Member{}, map[membership.Number]*consensus.File{}
+	hosts, members, files := map[membership.Number]*simnet.Host{}, map[membership.Number]*run.Member{}, map[membership.Number]*consensus.File{}
 	life := uint64(0)
 	start := func(id membership.Number, key string) {
 		f, err := consensus.OpenFile(filepath.Join(dir, fmt.Sprint(id)), consensus.ID(id))
--- a/internal/standin/queue_test.go
+++ b/internal/standin/queue_test.go
@@ -7,7 +7,7 @@
 	"testing"
 
 	"snowquay/balancer"
-	"snowquay/internal/run/sim"
+	"snowquay/internal/env/simnet"
 	"snowquay/internal/run/world"
 )
 
@@ -86,7 +86,7 @@
 	} {
 		classes := []Class{{Name: "q", Query: balancer.QueryClass{GoalTime: 1, ClientTimeout: 5}, Work: mean}}
 		ref := NewReferee(Rules{}, classes)
-		net := sim.New(7, 1000)
+		net := simnet.New(7, 1000)
 		addr := netip.MustParseAddrPort("127.0.9.1:80")
 		s := NewServer(ServerSetup{Addr: addr, Pod: NewPod(), Cores: q.cores, Speed: 1, Queue: 1 << 30, ColdShare: 1, Warm: true, Classes: classes, Seed: 3}, ref)
 		net.Add(addr.Addr(), 0, false).Start(s)
@@ -107,7 +107,7 @@
 	classes := []Class{{Name: "q", Query: balancer.QueryClass{GoalTime: 1, ClientTimeout: 5}}}
 	mean := func(change func(*ServerSetup), load float64) float64 {
 		ref := NewReferee(Rules{}, classes)
-		net := sim.New(7, 1000)
+		net := simnet.New(7, 1000)
 		addr := netip.MustParseAddrPort("127.0.9.1:80")
 		setup := ServerSetup{Addr: addr, Pod: NewPod(), Cores: 1, Speed: 1, Queue: 1 << 30, ColdShare: 1, Warm: true, Classes: classes, Seed: 3}
 		change(&setup)
@@ -126,7 +126,7 @@
 	}
 	// Five dial a server that takes three.
 	ref := NewReferee(Rules{}, classes)
-	net := sim.New(7, 1000)
+	net := simnet.New(7, 1000)
 	addr := netip.MustParseAddrPort("127.0.9.1:80")
 	s := NewServer(ServerSetup{Addr: addr, Pod: NewPod(), Cores: 1, Speed: 1, Queue: 9, ColdShare: 1, Warm: true, Classes: classes, Seed: 3, Connections: 3}, ref)
 	net.Add(addr.Addr(), 0, false).Start(s)
@@ -148,7 +148,7 @@
 	}
 	// Work that is given up: it stops, or goes on for nobody.
 	for _, stops := range []bool{true, false} {
-		net := sim.New(7, 1000)
+		net := simnet.New(7, 1000)
 		s := NewServer(ServerSetup{Addr: addr, Pod: NewPod(), Cores: 1, Speed: 1, Queue: 9, ColdShare: 1, Warm: true, Classes: classes, Seed: 3, Stops: stops}, NewReferee(Rules{}, classes))
 		net.Add(addr.Addr(), 0, false).Start(s)
 		p := &probe{to: addr, rate: 1e-9, work: func(chance) float64 { return 1 }, chance: newChance(1)}
