--- a/internal/run/sockets/sockets.go
+++ b/internal/env/socketnet/sockets.go
@@ -1,6 +1,6 @@
-// Package sockets runs programs over real sockets on loopback, as package sim does in virtual time. All programs of a
+// Package socketnet runs programs over real sockets on loopback, as package sim does in virtual time. All programs of a
 // Net take turns under one lock: they are stand-ins, the one that is measured has a loop of its own.
-package sockets
+package socketnet
 
 import (
 	"net"
--- a/internal/rehearse/hosted.go
+++ b/internal/rehearse/hosted.go
@@ -16,10 +16,10 @@
 	"snowquay/internal/core/controlplane"
 	"snowquay/internal/core/tenancy"
 	"snowquay/internal/env/simnet"
+	"snowquay/internal/env/socketnet"
 	"snowquay/internal/front/loop"
 	"snowquay/internal/keep"
 	"snowquay/internal/run"
-	"snowquay/internal/run/sockets"
 	"snowquay/internal/settings"
 	"snowquay/internal/standin"
 	"snowquay/internal/wire/sasp"
@@ -205,7 +205,7 @@
 		p.hosts = append(p.hosts, o)
 	}
 	if day.Sockets {
-		p.sock = sockets.New(loop.Clock())
+		p.sock = socketnet.New(loop.Clock())
 		p.sock.Zone(hostAt, 0)
 		p.stage = p.sock
 	} else {
--- a/internal/rehearse/rehearse.go
+++ b/internal/rehearse/rehearse.go
@@ -21,10 +21,10 @@
 	"snowquay/internal/core/membership"
 	"snowquay/internal/core/saspsession"
 	"snowquay/internal/env/simnet"
+	"snowquay/internal/env/socketnet"
 	"snowquay/internal/front/loop"
 	"snowquay/internal/keep"
 	"snowquay/internal/run"
-	"snowquay/internal/run/sockets"
 	"snowquay/internal/run/world"
 	"snowquay/internal/settings"
 	"snowquay/internal/standin"
@@ -171,7 +171,7 @@
 	p.ref = standin.NewReferee(standin.Rules{Promise: site.Guarantees, Channel: rules,
 		Hold: site.Limits.HoldServer + noticeMost, Slack: slack}, p.classes)
 	if opts.Sockets {
-		p.sock = sockets.New(loop.Clock())
+		p.sock = socketnet.New(loop.Clock())
 		p.stage = p.sock
 		for i := range max(opts.Coordinators, 1) {
 			p.sock.Zone(p.at(i, day.Coordinator.SASP).Addr(), i%len(site.Zones))
@@ -214,7 +214,7 @@
 type scene struct {
 	stage stage
 	sim   *simnet.Net
-	sock  *sockets.Net
+	sock  *socketnet.Net
 	err   error
 }
 
@@ -257,7 +257,7 @@
 	switch h := h.(type) {
 	case *simnet.Host:
 		h.Start(program)
-	case *sockets.Host:
+	case *socketnet.Host:
 		return h.Start(program)
 	}
 	return nil
