--- a/internal/env/simnet/sim.go
+++ b/internal/env/simnet/sim.go
@@ -8,7 +8,7 @@
 	"math/rand/v2"
 	"net/netip"
 
-	"snowquay/internal/run/world"
+	"snowquay/internal/env"
 )
 
 // Faults of the net, by chance.
@@ -70,11 +70,11 @@
 	net     *Net
 	addr    netip.Addr
 	zone    int
-	program world.Program
+	program env.Program
 	life    int // grows with every start and end
 	up      bool
-	next    world.Conn
-	conns   map[world.Conn]*end
+	next    env.Conn
+	conns   map[env.Conn]*end
 	silent  bool // no datagram of it arrives
 	lateBy  float64
 	window  int
@@ -86,7 +86,7 @@
 // end is one side of a connection.
 type end struct {
 	host    *Host
-	id      world.Conn
+	id      env.Conn
 	peer    *end
 	closed  bool
 	ready   bool     // the dial was answered
@@ -130,7 +130,7 @@
 // Add makes a host in a zone. It is down until Start. A guest shares its address with another host: it can dial, and
 // is not dialled.
 func (n *Net) Add(addr netip.Addr, zone int, guest bool) *Host {
-	h := &Host{net: n, addr: addr, zone: zone, window: window, conns: map[world.Conn]*end{}}
+	h := &Host{net: n, addr: addr, zone: zone, window: window, conns: map[env.Conn]*end{}}
 	if !guest {
 		n.hosts[addr] = h
 	}
@@ -138,7 +138,7 @@
 }
 
 // Start runs a program on the host.
-func (h *Host) Start(p world.Program) {
+func (h *Host) Start(p env.Program) {
 	h.program, h.up, h.stall, h.frozen = p, true, 0, 0
 	h.life++
 	p.Start(h.net.now, h)
@@ -151,7 +151,7 @@
 	for _, e := range h.sorted() {
 		h.drop(e)
 	}
-	h.conns = map[world.Conn]*end{}
+	h.conns = map[env.Conn]*end{}
 }
 
 // Up tells whether a program runs.
@@ -198,7 +198,7 @@
 
 func (h *Host) sorted() []*end {
 	all := make([]*end, 0, len(h.conns))
-	for id := world.Conn(1); id <= h.next; id++ {
+	for id := env.Conn(1); id <= h.next; id++ {
 		if e := h.conns[id]; e != nil {
 			all = append(all, e)
 		}
@@ -289,8 +289,8 @@
 	return e
 }
 
-// Dial of world.IO.
-func (h *Host) Dial(to netip.AddrPort) world.Conn {
+// Dial of env.IO.
+func (h *Host) Dial(to netip.AddrPort) env.Conn {
 	e := h.conn(nil)
 	n, life := h.net, h.life
 	other := n.hosts[to.Addr()]
@@ -324,8 +324,8 @@
 	return e.id
 }
 
-// Send of world.IO.
-func (h *Host) Send(c world.Conn, b []byte) {
+// Send of env.IO.
+func (h *Host) Send(c env.Conn, b []byte) {
 	e := h.conns[c]
 	if e == nil || e.closed || e.peer == nil || len(b) == 0 {
 		return
@@ -403,15 +403,15 @@
 	}
 }
 
-// Close of world.IO.
-func (h *Host) Close(c world.Conn) {
+// Close of env.IO.
+func (h *Host) Close(c env.Conn) {
 	if e := h.conns[c]; e != nil {
 		delete(h.conns, c)
 		h.drop(e)
 	}
 }
 
-// Datagram of world.IO.
+// Datagram of env.IO.
 func (h *Host) Datagram(to netip.AddrPort, b []byte) {
 	n, other := h.net, h.net.hosts[to.Addr()]
 	if other == nil || h.silent || h.apartFrom(other) {
@@ -437,7 +437,7 @@
 	return 0
 }
 
-// Wake of world.IO.
+// Wake of env.IO.
 func (h *Host) Wake(at float64, what int) {
 	life := h.life
 	h.net.At(at, func() {
--- a/internal/env/socketnet/sockets.go
+++ b/internal/env/socketnet/sockets.go
@@ -8,7 +8,7 @@
 	"sync"
 	"time"
 
-	"snowquay/internal/run/world"
+	"snowquay/internal/env"
 )
 
 const (
@@ -31,11 +31,11 @@
 	net     *Net
 	addr    netip.AddrPort // port 0: it does not listen
 	zone    int
-	program world.Program
+	program env.Program
 	life    int
 	up      bool
-	next    world.Conn
-	conns   map[world.Conn]*conn
+	next    env.Conn
+	conns   map[env.Conn]*conn
 	listen  net.Listener
 	udp     *net.UDPConn
 	frozen  float64
@@ -45,7 +45,7 @@
 
 type conn struct {
 	host  *Host
-	id    world.Conn
+	id    env.Conn
 	c     net.Conn
 	zone  int // of the peer
 	out   chan []byte
@@ -98,7 +98,7 @@
 
 // Add makes a host. With a port it listens; guests share an address with another host, and do not.
 func (n *Net) Add(addr netip.AddrPort, zone int) *Host {
-	h := &Host{net: n, addr: addr, zone: zone, conns: map[world.Conn]*conn{}}
+	h := &Host{net: n, addr: addr, zone: zone, conns: map[env.Conn]*conn{}}
 	if _, taken := n.hosts[addr.Addr()]; !taken {
 		n.hosts[addr.Addr()] = h
 	}
@@ -106,7 +106,7 @@
 }
 
 // Start runs a program on the host, under the lock.
-func (h *Host) Start(p world.Program) error {
+func (h *Host) Start(p env.Program) error {
 	h.program, h.up, h.frozen = p, true, 0
 	h.life++
 	udp, err := net.ListenUDP("udp", &net.UDPAddr{IP: h.addr.Addr().AsSlice()})
@@ -271,8 +271,8 @@
 	}
 }
 
-// Dial of world.IO.
-func (h *Host) Dial(to netip.AddrPort) world.Conn {
+// Dial of env.IO.
+func (h *Host) Dial(to netip.AddrPort) env.Conn {
 	x := h.add(nil, h.net.zoneOf(to.Addr()))
 	life := h.life
 	go func() {
@@ -309,8 +309,8 @@
 	return x.id
 }
 
-// Send of world.IO.
-func (h *Host) Send(id world.Conn, b []byte) {
+// Send of env.IO.
+func (h *Host) Send(id env.Conn, b []byte) {
 	x := h.conns[id]
 	if x == nil || x.ended {
 		return
@@ -322,14 +322,14 @@
 	}
 }
 
-// Close of world.IO.
-func (h *Host) Close(id world.Conn) {
+// Close of env.IO.
+func (h *Host) Close(id env.Conn) {
 	if x := h.conns[id]; x != nil {
 		h.drop(x)
 	}
 }
 
-// Datagram of world.IO.
+// Datagram of env.IO.
 func (h *Host) Datagram(to netip.AddrPort, b []byte) {
 	if h.silent || h.net.apart(h.zone, h.net.zoneOf(to.Addr())) {
 		return
@@ -343,7 +343,7 @@
 	send()
 }
 
-// Wake of world.IO.
+// Wake of env.IO.
 func (h *Host) Wake(at float64, what int) {
 	life := h.life
 	h.net.At(at, func() {
--- a/internal/run/world/world.go
+++ b/internal/env/world.go
@@ -1,6 +1,6 @@
-// Package world is what a program sees of its host: connections, datagrams and a clock. Programs written against it
+// Package env is what a program sees of its host: connections, datagrams and a clock. Programs written against it
 // run unchanged in virtual time (package sim) and over real sockets (package sockets).
-package world
+package env
 
 import "net/netip"
 
--- a/internal/feed/graphite/graphite.go
+++ b/internal/feed/graphite/graphite.go
@@ -7,7 +7,7 @@
 	"strings"
 
 	"snowquay/internal/core/spool"
-	"snowquay/internal/run/world"
+	"snowquay/internal/env"
 	"snowquay/internal/wire/graphite"
 )
 
@@ -23,12 +23,12 @@
 // UsualSeries are those of 1,000 servers with 20 classes.
 const UsualSeries = 1 << 15
 
-// Sender is part of a world.Program, which hands it what is its own. Use New.
+// Sender is part of a env.Program, which hands it what is its own. Use New.
 type Sender struct {
 	*spool.Courier
 	setup  Setup
-	io     world.IO
-	conn   world.Conn
+	io     env.IO
+	conn   env.Conn
 	ids    map[string]spool.ID
 	names  []string
 	nextAt float64
@@ -43,7 +43,7 @@
 }
 
 // Start says where it may dial.
-func (s *Sender) Start(io world.IO) { s.io = io }
+func (s *Sender) Start(io env.IO) { s.io = io }
 
 // Add a figure to the sample that is being made.
 func (s *Sender) Add(grows bool, value float64, path ...string) {
@@ -130,7 +130,7 @@
 }
 
 // Connected takes the end of a dial; false: it is not this sender's.
-func (s *Sender) Connected(now float64, c world.Conn, ok bool) bool {
+func (s *Sender) Connected(now float64, c env.Conn, ok bool) bool {
 	if s.conn == 0 || c != s.conn {
 		return false
 	}
@@ -145,7 +145,7 @@
 }
 
 // Closed takes the end of a connection, likewise.
-func (s *Sender) Closed(now float64, c world.Conn) bool {
+func (s *Sender) Closed(now float64, c env.Conn) bool {
 	if s.conn == 0 || c != s.conn {
 		return false
 	}
@@ -155,7 +155,7 @@
 }
 
 // Taken takes the kernel's word, likewise.
-func (s *Sender) Taken(now float64, c world.Conn, total uint64) bool {
+func (s *Sender) Taken(now float64, c env.Conn, total uint64) bool {
 	if s.conn == 0 || c != s.conn {
 		return false
 	}
@@ -165,4 +165,4 @@
 }
 
 // Receive takes what a receiver says: nothing of it is wanted.
-func (s *Sender) Receive(c world.Conn) bool { return s.conn != 0 && c == s.conn }
+func (s *Sender) Receive(c env.Conn) bool { return s.conn != 0 && c == s.conn }
--- a/internal/front/loop/loop.go
+++ b/internal/front/loop/loop.go
@@ -1,4 +1,4 @@
-// Package loop runs a world.Program on real sockets with gnet's event loops: TCP listeners for
+// Package loop runs a env.Program on real sockets with gnet's event loops: TCP listeners for
 // proxies and a UDP one for measurements. One loop owns all connections, so the program needs no locks and messages leave in the order in
 // which they were decided; a round's writes are system calls and nothing else.
 package loop
@@ -18,7 +18,7 @@
 	"github.com/panjf2000/gnet/v2/pkg/logging"
 	"golang.org/x/sys/unix"
 
-	"snowquay/internal/run/world"
+	"snowquay/internal/env"
 )
 
 const (
@@ -34,15 +34,15 @@
 // Server is a program on sockets. Use Listen.
 type Server struct {
 	gnet.BuiltinEventEngine
-	program world.Program
+	program env.Program
 	clock   func() float64
 
 	mu      sync.Mutex // a loop and the ticker of an engine without connections take turns
 	engine  gnet.Engine
 	loop    gnet.EventLoop
-	conns   map[world.Conn]*conn
-	untaken map[world.Conn]*conn
-	next    world.Conn
+	conns   map[env.Conn]*conn
+	untaken map[env.Conn]*conn
+	next    env.Conn
 	wakeAt  float64
 	what    int
 	stopped bool
@@ -59,7 +59,7 @@
 }
 
 type conn struct {
-	id   world.Conn
+	id   env.Conn
 	c    gnet.Conn
 	sent uint64
 }
@@ -88,10 +88,10 @@
 
 // Listen starts a program and returns when it can be dialled, on TCP by proxies or
 // peers, and on UDP by those who measure unless that address is not valid.
-func Listen(program world.Program, tcp []netip.AddrPort, measurements netip.AddrPort, clock func() float64) (*Server,
+func Listen(program env.Program, tcp []netip.AddrPort, measurements netip.AddrPort, clock func() float64) (*Server,
 	error) {
 	_, blind := program.(Blind)
-	s := &Server{program: program, clock: clock, blind: blind, conns: map[world.Conn]*conn{}, untaken: map[world.Conn]*conn{},
+	s := &Server{program: program, clock: clock, blind: blind, conns: map[env.Conn]*conn{}, untaken: map[env.Conn]*conn{},
 		booted: make(chan struct{}), running: make(chan struct{}), done: make(chan error, 1)}
 	if bounded, ok := program.(Bounded); ok {
 		s.unread = bounded.MostUnread()
@@ -348,10 +348,10 @@
 }
 
 // dialled marks a connection of our own until it is open.
-type dialled struct{ id world.Conn }
+type dialled struct{ id env.Conn }
 
-// Dial of world.IO. The dial is made beside the loop, and its connection then belongs to it.
-func (s *Server) Dial(to netip.AddrPort) world.Conn {
+// Dial of env.IO. The dial is made beside the loop, and its connection then belongs to it.
+func (s *Server) Dial(to netip.AddrPort) env.Conn {
 	s.next++
 	id, engine := s.next, s.engine
 	go func() {
@@ -380,7 +380,7 @@
 	return id
 }
 
-// Datagram of world.IO.
+// Datagram of env.IO.
 func (s *Server) Datagram(to netip.AddrPort, b []byte) {
 	if s.udp == nil {
 		var err error
@@ -391,8 +391,8 @@
 	_, _ = s.udp.WriteToUDPAddrPort(b, to) // likewise
 }
 
-// Send of world.IO.
-func (s *Server) Send(id world.Conn, b []byte) {
+// Send of env.IO.
+func (s *Server) Send(id env.Conn, b []byte) {
 	x := s.conns[id]
 	if x == nil {
 		return
@@ -408,15 +408,15 @@
 	s.writing.Store(false)
 }
 
-// Close of world.IO.
-func (s *Server) Close(id world.Conn) {
+// Close of env.IO.
+func (s *Server) Close(id env.Conn) {
 	if x := s.conns[id]; x != nil {
 		s.forget(x)
 		_ = x.c.Close()
 	}
 }
 
-// Wake of world.IO. A program that listens has one wake-up at a time.
+// Wake of env.IO. A program that listens has one wake-up at a time.
 func (s *Server) Wake(at float64, what int) {
 	s.wakeAt, s.what = at, what
 	if s.blind {
--- a/internal/front/loop/loop_test.go
+++ b/internal/front/loop/loop_test.go
@@ -14,8 +14,8 @@
 	"snowquay/internal/core/controlplane"
 	"snowquay/internal/core/registry"
 	"snowquay/internal/core/saspsession"
+	"snowquay/internal/env"
 	"snowquay/internal/run"
-	"snowquay/internal/run/world"
 	"snowquay/internal/wire/sasp"
 )
 
@@ -249,18 +249,18 @@
 
 // late answers each byte late and twice, so that a peer that resets is written to before its end is known.
 type late struct {
-	io     world.IO
+	io     env.IO
 	closed atomic.Int32
 }
 
-func (l *late) Start(_ float64, io world.IO)                   { l.io = io }
-func (l *late) Opened(float64, world.Conn, netip.Addr, uint16) {}
-func (l *late) Connected(float64, world.Conn, bool)            {}
-func (l *late) Closed(float64, world.Conn)                     { l.closed.Add(1) }
-func (l *late) Taken(float64, world.Conn, uint64)              {}
-func (l *late) Datagram(float64, []byte)                       {}
-func (l *late) Woken(float64, int)                             {}
-func (l *late) Receive(_ float64, c world.Conn, b []byte) {
+func (l *late) Start(_ float64, io env.IO)                   { l.io = io }
+func (l *late) Opened(float64, env.Conn, netip.Addr, uint16) {}
+func (l *late) Connected(float64, env.Conn, bool)            {}
+func (l *late) Closed(float64, env.Conn)                     { l.closed.Add(1) }
+func (l *late) Taken(float64, env.Conn, uint64)              {}
+func (l *late) Datagram(float64, []byte)                     {}
+func (l *late) Woken(float64, int)                           {}
+func (l *late) Receive(_ float64, c env.Conn, b []byte) {
 	if b[0] == 'x' {
 		time.Sleep(50 * time.Millisecond) // until the reset is here; it decides nothing but whether the test tests
 	}
--- a/internal/front/platform/callers.go
+++ b/internal/front/platform/callers.go
@@ -7,7 +7,7 @@
 	"strings"
 
 	"snowquay/balancer"
-	"snowquay/internal/run/world"
+	"snowquay/internal/env"
 	"snowquay/internal/wire/resp"
 )
 
@@ -25,14 +25,14 @@
 
 // caller is somebody who has connected.
 type caller struct {
-	conn   world.Conn
+	conn   env.Conn
 	since  float64
 	in     resp.Reader
 	joined bool // it has named a zone
 	asked  int  // signs of life
 }
 
-func (p *Program) accept(now float64, c world.Conn) {
+func (p *Program) accept(now float64, c env.Conn) {
 	if len(p.callers) >= p.most { // whoever has said nothing for longest makes room
 		for len(p.unjoined) > 0 && len(p.callers) >= p.most {
 			p.refuse(p.unjoined[0])
--- a/internal/front/platform/links.go
+++ b/internal/front/platform/links.go
@@ -7,7 +7,7 @@
 
 	"snowquay/balancer"
 	"snowquay/internal/core/platformstate"
-	"snowquay/internal/run/world"
+	"snowquay/internal/env"
 	"snowquay/internal/wire/http1"
 	"snowquay/internal/wire/lines"
 	"snowquay/internal/wire/registry"
@@ -33,7 +33,7 @@
 // link is one connection of our own.
 type link struct {
 	of    *watch
-	conn  world.Conn
+	conn  env.Conn
 	to    netip.AddrPort
 	up    bool
 	since float64 // when it was dialled
--- a/internal/front/platform/platform.go
+++ b/internal/front/platform/platform.go
@@ -1,5 +1,5 @@
 // Package platform runs a coordinator on the platform: collectors and strangers that connect, links to the relay and to discovery,
-// probes. It is a world.Program: the same code runs on sockets and in virtual time. It decides nothing; what it reads goes into
+// probes. It is a env.Program: the same code runs on sockets and in virtual time. It decides nothing; what it reads goes into
 // the round's news, and the round's orders leave as calls to the relay.
 package platform
 
@@ -12,7 +12,7 @@
 	"snowquay/balancer"
 	"snowquay/internal/core/platformstate"
 	"snowquay/internal/deployment"
-	"snowquay/internal/run/world"
+	"snowquay/internal/env"
 	"snowquay/internal/wire/registry"
 	"snowquay/internal/wire/rpc"
 )
@@ -42,7 +42,7 @@
 	figures []string  // of load reports, in their order
 	manager *balancer.Manager
 	log     *slog.Logger
-	io      world.IO
+	io      env.IO
 
 	news    balancer.News
 	looked  int     // streams in them that were looked at for proxies that have left
@@ -53,13 +53,13 @@
 	servers *platformstate.Servers
 	calls   *platformstate.Calls
 
-	callers  map[world.Conn]*caller
+	callers  map[env.Conn]*caller
 	unjoined []*caller // oldest first, with some that have joined or gone
 	most     int       // callers at once
-	links    map[world.Conn]*link
+	links    map[env.Conn]*link
 	relay    relay
 	listing  watch // of discovery
-	probes   map[world.Conn]*probe
+	probes   map[env.Conn]*probe
 	asked    map[balancer.Server]bool // being probed
 
 	tendAt, tellAt, wakeAt float64
@@ -89,8 +89,8 @@
 	}
 	x := &Program{dep: d, names: names, figures: figures, manager: d.Coordinator(p.Seed), log: log, roster: platformstate.NewRoster(),
 		servers: platformstate.NewServers(d.Zones, d.HostTypes), calls: platformstate.NewCalls(names),
-		callers: map[world.Conn]*caller{}, most: max(p.Sockets-reserve, leastCallers), links: map[world.Conn]*link{},
-		probes: map[world.Conn]*probe{}, asked: map[balancer.Server]bool{}}
+		callers: map[env.Conn]*caller{}, most: max(p.Sockets-reserve, leastCallers), links: map[env.Conn]*link{},
+		probes: map[env.Conn]*probe{}, asked: map[balancer.Server]bool{}}
 	x.relay.main.to, x.relay.second.to, x.listing.to = p.Hub, p.Hub, p.Discovery
 	x.relay.main.receive, x.relay.second.receive, x.listing.receive = (*Program).fromRelay, (*Program).fromRelay, (*Program).fromListing
 	if p.Known != nil {
@@ -107,8 +107,8 @@
 // MostUnread of loop.Bounded: whoever leaves more unread is cut off. A relay reads a call before it answers, and none is larger than that.
 func (p *Program) MostUnread() int { return mostUnread }
 
-// Start of world.Program.
-func (p *Program) Start(now float64, io world.IO) {
+// Start of env.Program.
+func (p *Program) Start(now float64, io env.IO) {
 	p.io, p.tellAt = io, now+tellEvery
 	p.round(now)
 	p.tend(now)
@@ -138,17 +138,17 @@
 	for c := range p.links {
 		p.io.Close(c)
 	}
-	p.callers, p.links = map[world.Conn]*caller{}, map[world.Conn]*link{}
+	p.callers, p.links = map[env.Conn]*caller{}, map[env.Conn]*link{}
 }
 
-// Opened of world.Program.
-func (p *Program) Opened(now float64, c world.Conn, _ netip.Addr, _ uint16) {
+// Opened of env.Program.
+func (p *Program) Opened(now float64, c env.Conn, _ netip.Addr, _ uint16) {
 	p.accept(now, c)
 	p.rest(now)
 }
 
-// Connected of world.Program.
-func (p *Program) Connected(now float64, c world.Conn, ok bool) {
+// Connected of env.Program.
+func (p *Program) Connected(now float64, c env.Conn, ok bool) {
 	switch {
 	case p.links[c] != nil:
 		p.linked(now, p.links[c], ok)
@@ -160,8 +160,8 @@
 	p.rest(now)
 }
 
-// Receive of world.Program.
-func (p *Program) Receive(now float64, c world.Conn, b []byte) {
+// Receive of env.Program.
+func (p *Program) Receive(now float64, c env.Conn, b []byte) {
 	switch {
 	case p.callers[c] != nil:
 		p.hear(now, p.callers[c], b)
@@ -174,8 +174,8 @@
 	p.rest(now)
 }
 
-// Closed of world.Program.
-func (p *Program) Closed(now float64, c world.Conn) {
+// Closed of env.Program.
+func (p *Program) Closed(now float64, c env.Conn) {
 	switch {
 	case p.callers[c] != nil:
 		delete(p.callers, c)
@@ -187,13 +187,13 @@
 	p.rest(now)
 }
 
-// Taken of world.Program.
-func (p *Program) Taken(float64, world.Conn, uint64) {}
+// Taken of env.Program.
+func (p *Program) Taken(float64, env.Conn, uint64) {}
 
-// Datagram of world.Program.
+// Datagram of env.Program.
 func (p *Program) Datagram(float64, []byte) {}
 
-// Woken of world.Program.
+// Woken of env.Program.
 func (p *Program) Woken(now float64, _ int) {
 	p.wakeAt = 0
 	for i := 0; i < len(p.wakes); i++ {
--- a/internal/front/platform/platform_test.go
+++ b/internal/front/platform/platform_test.go
@@ -14,8 +14,8 @@
 	"pgregory.net/rapid"
 
 	"snowquay/internal/deployment"
+	"snowquay/internal/env"
 	"snowquay/internal/env/simnet"
-	"snowquay/internal/run/world"
 	"snowquay/internal/seeded"
 	"snowquay/internal/wire/lines"
 	"snowquay/internal/wire/registry"
@@ -39,23 +39,23 @@
 "points":3}],"guarantees":{"cold":18,"cold-from":0.2,"fall":1.5,"fall-multiple":3,"stop-sending-within":2.3},
 "policy-limits":{"may-probe":true},"report":{"how":"piggyback","names":["q","busy"]}}`
 
-// plain is a world.Program that does nothing of its own.
-type plain struct{ io world.IO }
+// plain is a env.Program that does nothing of its own.
+type plain struct{ io env.IO }
 
-func (p *plain) Start(_ float64, io world.IO)                   { p.io = io }
-func (p *plain) Opened(float64, world.Conn, netip.Addr, uint16) {}
-func (p *plain) Connected(float64, world.Conn, bool)            {}
-func (p *plain) Receive(float64, world.Conn, []byte)            {}
-func (p *plain) Closed(float64, world.Conn)                     {}
-func (p *plain) Taken(float64, world.Conn, uint64)              {}
-func (p *plain) Datagram(float64, []byte)                       {}
-func (p *plain) Woken(float64, int)                             {}
+func (p *plain) Start(_ float64, io env.IO)                   { p.io = io }
+func (p *plain) Opened(float64, env.Conn, netip.Addr, uint16) {}
+func (p *plain) Connected(float64, env.Conn, bool)            {}
+func (p *plain) Receive(float64, env.Conn, []byte)            {}
+func (p *plain) Closed(float64, env.Conn)                     {}
+func (p *plain) Taken(float64, env.Conn, uint64)              {}
+func (p *plain) Datagram(float64, []byte)                     {}
+func (p *plain) Woken(float64, int)                           {}
 
 // desk is a relay: what its proxies were told, by call.
 type desk struct {
 	plain
-	in     map[world.Conn]*lines.Reader
-	watch  map[world.Conn]bool
+	in     map[env.Conn]*lines.Reader
+	watch  map[env.Conn]bool
 	joined map[int]string // by proxy, its zone
 	bound  map[int]float64
 	lines  map[string]float64
@@ -71,11 +71,11 @@
 }
 
 func newDesk() *desk {
-	return &desk{in: map[world.Conn]*lines.Reader{}, watch: map[world.Conn]bool{}, joined: map[int]string{}, bound: map[int]float64{},
+	return &desk{in: map[env.Conn]*lines.Reader{}, watch: map[env.Conn]bool{}, joined: map[int]string{}, bound: map[int]float64{},
 		lines: map[string]float64{}, tables: map[int]map[string]float64{}, on: map[int]int{}}
 }
 
-func (d *desk) Start(now float64, io world.IO) { d.io = io; io.Wake(now+1, 0) }
+func (d *desk) Start(now float64, io env.IO) { d.io = io; io.Wake(now+1, 0) }
 
 func (d *desk) Woken(now float64, _ int) {
 	for c := range d.watch {
@@ -86,14 +86,14 @@
 	d.io.Wake(now+1, 0)
 }
 
-func (d *desk) Opened(_ float64, c world.Conn, _ netip.Addr, _ uint16) {
+func (d *desk) Opened(_ float64, c env.Conn, _ netip.Addr, _ uint16) {
 	d.in[c] = &lines.Reader{}
 	d.opened++
 }
 
-func (d *desk) Closed(_ float64, c world.Conn) { delete(d.in, c); delete(d.watch, c) }
+func (d *desk) Closed(_ float64, c env.Conn) { delete(d.in, c); delete(d.watch, c) }
 
-func (d *desk) attach(c world.Conn, p int) {
+func (d *desk) attach(c env.Conn, p int) {
 	d.io.Send(c, fmt.Appendf(nil, `{"jsonrpc":"2.0","method":"attach","params":{"sidecar":%d,"az":%q,"share":5,"standing":true}}`+"\n", p, d.joined[p]))
 }
 
@@ -104,7 +104,7 @@
 	}
 }
 
-func (d *desk) Receive(now float64, c world.Conn, b []byte) {
+func (d *desk) Receive(now float64, c env.Conn, b []byte) {
 	_ = d.in[c].Read(b, 1<<20, func(line []byte) {
 		var m struct {
 			ID     uint64
@@ -199,9 +199,9 @@
 // agent is discovery.
 type agent struct {
 	plain
-	watch map[world.Conn]bool
+	watch map[env.Conn]bool
 	list  registry.List
-	in    map[world.Conn]string
+	in    map[env.Conn]string
 	mute  bool
 
 	first  string   // of a watch's lines, where it is not the whole list
@@ -210,12 +210,12 @@
 	asked  []string // requests for a watch
 }
 
-func (a *agent) Start(now float64, io world.IO) {
-	a.io, a.watch, a.in = io, map[world.Conn]bool{}, map[world.Conn]string{}
+func (a *agent) Start(now float64, io env.IO) {
+	a.io, a.watch, a.in = io, map[env.Conn]bool{}, map[env.Conn]string{}
 	io.Wake(now+2, 0)
 }
 
-func (a *agent) chunk(c world.Conn, text string) {
+func (a *agent) chunk(c env.Conn, text string) {
 	if !a.mute {
 		a.io.Send(c, fmt.Appendf(nil, "%x\r\n%s\r\n", len(text), text))
 	}
@@ -228,7 +228,7 @@
 	a.io.Wake(now+2, 0)
 }
 
-func (a *agent) Closed(_ float64, c world.Conn) { delete(a.watch, c) }
+func (a *agent) Closed(_ float64, c env.Conn) { delete(a.watch, c) }
 
 func (a *agent) tell(full bool, servers ...registry.Server) {
 	a.list.Version++
@@ -242,7 +242,7 @@
 	}
 }
 
-func (a *agent) Receive(_ float64, c world.Conn, b []byte) {
+func (a *agent) Receive(_ float64, c env.Conn, b []byte) {
 	if a.in[c] += string(b); !strings.HasSuffix(a.in[c], "\r\n\r\n") {
 		return
 	}
@@ -275,32 +275,32 @@
 // caller is whoever connects to the coordinator.
 type dialler struct {
 	plain
-	conns  []world.Conn
-	got    map[world.Conn]string
-	closed map[world.Conn]float64
-	opened map[world.Conn]float64
-	say    map[world.Conn][]byte
+	conns  []env.Conn
+	got    map[env.Conn]string
+	closed map[env.Conn]float64
+	opened map[env.Conn]float64
+	say    map[env.Conn][]byte
 }
 
 func newDialler() *dialler {
-	return &dialler{got: map[world.Conn]string{}, closed: map[world.Conn]float64{}, opened: map[world.Conn]float64{}, say: map[world.Conn][]byte{}}
+	return &dialler{got: map[env.Conn]string{}, closed: map[env.Conn]float64{}, opened: map[env.Conn]float64{}, say: map[env.Conn][]byte{}}
 }
 
-func (d *dialler) dial(b []byte) world.Conn {
+func (d *dialler) dial(b []byte) env.Conn {
 	c := d.io.Dial(self)
 	d.conns, d.say[c] = append(d.conns, c), b
 	return c
 }
 
-func (d *dialler) Connected(now float64, c world.Conn, ok bool) {
+func (d *dialler) Connected(now float64, c env.Conn, ok bool) {
 	if d.opened[c] = now; !ok {
 		d.closed[c] = now
 		return
 	}
 	d.io.Send(c, d.say[c])
 }
-func (d *dialler) Receive(_ float64, c world.Conn, b []byte) { d.got[c] += string(b) }
-func (d *dialler) Closed(now float64, c world.Conn)          { d.closed[c] = now }
+func (d *dialler) Receive(_ float64, c env.Conn, b []byte) { d.got[c] += string(b) }
+func (d *dialler) Closed(now float64, c env.Conn)          { d.closed[c] = now }
 
 type scene struct {
 	net     *simnet.Net
@@ -331,7 +331,7 @@
 		slog.New(slog.NewTextHandler(io.Discard, nil)))
 	for name, x := range map[string]struct {
 		at netip.AddrPort
-		p  world.Program
+		p  env.Program
 	}{"relay": {hub, s.desk}, "discovery": {discoveryAddress, s.agent}, "caller": {outside, s.caller}} {
 		s.host[name] = s.net.Add(x.at.Addr(), 0, false)
 		s.host[name].Start(x.p)
@@ -557,7 +557,7 @@
 	s.desk.join(1, "a")
 	s.net.Run(1002)
 	s.desk.away, s.agent.mute = true, true
-	for _, all := range []map[world.Conn]bool{s.desk.watch, s.agent.watch} {
+	for _, all := range []map[env.Conn]bool{s.desk.watch, s.agent.watch} {
 		for c := range all {
 			s.net.At(1002, func() { s.desk.io.Close(c) })
 			delete(all, c)
@@ -799,7 +799,7 @@
 	})
 }
 
-func firstOf(m map[world.Conn]*lines.Reader) (least world.Conn) {
+func firstOf(m map[env.Conn]*lines.Reader) (least env.Conn) {
 	for c := range m {
 		if least == 0 || c < least {
 			least = c
--- a/internal/front/platform/probes.go
+++ b/internal/front/platform/probes.go
@@ -4,7 +4,7 @@
 	"net/http"
 
 	"snowquay/balancer"
-	"snowquay/internal/run/world"
+	"snowquay/internal/env"
 	"snowquay/internal/wire/http1"
 )
 
@@ -16,7 +16,7 @@
 // probe is one that is out.
 type probe struct {
 	server balancer.Server
-	conn   world.Conn
+	conn   env.Conn
 	at     float64
 	up     bool
 	in     []byte
--- a/internal/proxy/follower.go
+++ b/internal/proxy/follower.go
@@ -11,7 +11,7 @@
 	"snowquay/balancer"
 	"snowquay/internal/core/saspsession"
 	"snowquay/internal/core/tablecache"
-	"snowquay/internal/run/world"
+	"snowquay/internal/env"
 	"snowquay/internal/wire/delta"
 	"snowquay/internal/wire/http1"
 	"snowquay/internal/wire/sasp"
@@ -28,7 +28,7 @@
 // follower is the connection to whichever coordinator leads the proxy.
 type follower struct {
 	p       *Proxy
-	conn    world.Conn // 0: none
+	conn    env.Conn // 0: none
 	up      bool
 	joined  bool
 	which   int
@@ -97,7 +97,7 @@
 	}
 }
 
-func (s *follower) connected(now float64, id world.Conn, ok bool) bool {
+func (s *follower) connected(now float64, id env.Conn, ok bool) bool {
 	if id != s.conn || id == 0 {
 		return false
 	}
@@ -114,7 +114,7 @@
 	return true
 }
 
-func (s *follower) closed(now float64, id world.Conn) {
+func (s *follower) closed(now float64, id env.Conn) {
 	if id == s.conn && id != 0 {
 		s.ended(now, "the connection broke")
 	}
@@ -169,7 +169,7 @@
 		url.PathEscape(s.p.setup.UID), q.Encode(), delta.CBOR))
 }
 
-func (s *follower) receive(now float64, id world.Conn, b []byte) {
+func (s *follower) receive(now float64, id env.Conn, b []byte) {
 	if id != s.conn || id == 0 {
 		return
 	}
--- a/internal/proxy/hour_test.go
+++ b/internal/proxy/hour_test.go
@@ -8,8 +8,8 @@
 	"testing"
 
 	"snowquay/balancer"
+	"snowquay/internal/env"
 	"snowquay/internal/env/simnet"
-	"snowquay/internal/run/world"
 	"snowquay/internal/wire/delta"
 	"snowquay/internal/wire/http1"
 )
@@ -17,7 +17,7 @@
 // sums is a server that counts, and fails now and then after it has run a query.
 type sums struct {
 	base
-	buf    map[world.Conn][]byte
+	buf    map[env.Conn][]byte
 	ran    map[string]int // by key, over all servers of its pod
 	chance *rand.Rand
 	at     balancer.Server
@@ -32,7 +32,7 @@
 	total int
 }
 
-func (s *sums) Receive(now float64, c world.Conn, b []byte) {
+func (s *sums) Receive(now float64, c env.Conn, b []byte) {
 	s.buf[c] = append(s.buf[c], b...)
 	var m http1.Message
 	n, err := http1.Request(s.buf[c], http1.UsualLimits, &m)
@@ -86,7 +86,7 @@
 			pods[i/2] = map[string]int{}
 		}
 		name := balancer.Server(serverAt(i).String())
-		x := &sums{base: base{net: net}, buf: map[world.Conn][]byte{}, ran: pods[i/2], chance: chance, at: name, town: all}
+		x := &sums{base: base{net: net}, buf: map[env.Conn][]byte{}, ran: pods[i/2], chance: chance, at: name, town: all}
 		net.Add(serverAt(i).Addr(), 0, false).Start(x)
 	}
 	s.Forward.Classes[1].Group = balancer.SamePod
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -1,4 +1,4 @@
-// Package proxy is a small proxy as a world.Program: it serves HTTP/1.1 clients, sends their queries to match servers as the
+// Package proxy is a small proxy as a env.Program: it serves HTTP/1.1 clients, sends their queries to match servers as the
 // published tables say, follows coordinators by the long-poll API or SASP, and reports what it met. All that it decides is in
 // core/forward. docs/proxy.md tells why it is as it is.
 package proxy
@@ -20,8 +20,8 @@
 	"snowquay/internal/core/forwarding"
 	"snowquay/internal/core/loadreport"
 	"snowquay/internal/core/retry"
+	"snowquay/internal/env"
 	"snowquay/internal/feed/collectd"
-	"snowquay/internal/run/world"
 	"snowquay/internal/wire/http1"
 )
 
@@ -83,7 +83,7 @@
 )
 
 type client struct {
-	id    world.Conn
+	id    env.Conn
 	buf   []byte
 	query forwarding.Query // 0: none is under way
 	msg   http1.Message
@@ -100,7 +100,7 @@
 }
 
 type upstream struct {
-	id    world.Conn
+	id    env.Conn
 	to    *target
 	try   forwarding.Try
 	query forwarding.Query
@@ -120,10 +120,10 @@
 // Proxy is the program. Use New.
 type Proxy struct {
 	setup   Setup
-	io      world.IO
+	io      env.IO
 	Core    *forwarding.Proxy
-	clients map[world.Conn]*client
-	ups     map[world.Conn]*upstream
+	clients map[env.Conn]*client
+	ups     map[env.Conn]*upstream
 	targets map[balancer.Server]*target
 	queries map[forwarding.Query]*pending
 	tries   map[forwarding.Try]*upstream
@@ -142,7 +142,7 @@
 
 // New makes a proxy; it does nothing until Start.
 func New(now float64, s Setup) *Proxy {
-	p := &Proxy{setup: s, Core: forwarding.New(now, s.Forward), clients: map[world.Conn]*client{}, ups: map[world.Conn]*upstream{},
+	p := &Proxy{setup: s, Core: forwarding.New(now, s.Forward), clients: map[env.Conn]*client{}, ups: map[env.Conn]*upstream{},
 		targets: map[balancer.Server]*target{}, queries: map[forwarding.Query]*pending{}, tries: map[forwarding.Try]*upstream{},
 		chance: s.Seed*2 + 1}
 	slices.SortStableFunc(p.setup.Routes, func(a, b Route) int { return cmp.Compare(len(b.Prefix), len(a.Prefix)) })
@@ -157,8 +157,8 @@
 	return float64(p.chance>>11) / (1 << 53)
 }
 
-// Start of world.Program.
-func (p *Proxy) Start(now float64, io world.IO) {
+// Start of env.Program.
+func (p *Proxy) Start(now float64, io env.IO) {
 	p.io = io
 	for c := range p.setup.Forward.Names {
 		for _, s := range p.setup.Standing {
@@ -181,8 +181,8 @@
 	io.Wake(now+wakeEvery, 0)
 }
 
-// Opened of world.Program.
-func (p *Proxy) Opened(now float64, id world.Conn, _ netip.Addr, _ uint16) {
+// Opened of env.Program.
+func (p *Proxy) Opened(now float64, id env.Conn, _ netip.Addr, _ uint16) {
 	if len(p.clients) >= p.setup.Limits.Clients {
 		p.Counts.Clients++
 		p.io.Close(id)
@@ -191,8 +191,8 @@
 	p.clients[id] = &client{id: id, since: now}
 }
 
-// Connected of world.Program.
-func (p *Proxy) Connected(now float64, id world.Conn, ok bool) {
+// Connected of env.Program.
+func (p *Proxy) Connected(now float64, id env.Conn, ok bool) {
 	if p.session.connected(now, id, ok) {
 		return
 	}
@@ -224,8 +224,8 @@
 	}
 }
 
-// Receive of world.Program.
-func (p *Proxy) Receive(now float64, id world.Conn, b []byte) {
+// Receive of env.Program.
+func (p *Proxy) Receive(now float64, id env.Conn, b []byte) {
 	if c := p.clients[id]; c != nil {
 		if c.buf = append(c.buf, b...); len(c.buf) > p.setup.Limits.HTTP.Head+p.setup.Limits.HTTP.Body+(p.setup.Limits.HTTP.Body>>2) {
 			p.bad(now, c, 413, "too much is sent ahead")
@@ -510,8 +510,8 @@
 	}
 }
 
-// Closed of world.Program.
-func (p *Proxy) Closed(now float64, id world.Conn) {
+// Closed of env.Program.
+func (p *Proxy) Closed(now float64, id env.Conn) {
 	if c := p.clients[id]; c != nil {
 		delete(p.clients, id)
 		if q := p.queries[c.query]; q != nil && c.query != 0 {
@@ -533,8 +533,8 @@
 	p.session.closed(now, id)
 }
 
-// Taken of world.Program.
-func (p *Proxy) Taken(float64, world.Conn, uint64) {}
+// Taken of env.Program.
+func (p *Proxy) Taken(float64, env.Conn, uint64) {}
 
 // Reconnect breaks the connection to the coordinator from this side.
 func (p *Proxy) Reconnect(now float64) {
@@ -546,10 +546,10 @@
 // Blind of loop.Blind: the proxy does not ask what clients have taken.
 func (p *Proxy) Blind() {}
 
-// Datagram of world.Program.
+// Datagram of env.Program.
 func (p *Proxy) Datagram(float64, []byte) {}
 
-// Woken of world.Program.
+// Woken of env.Program.
 func (p *Proxy) Woken(now float64, _ int) {
 	p.obey(now, p.Core.Tick(now))
 	p.session.tick(now)
--- a/internal/proxy/proxy_test.go
+++ b/internal/proxy/proxy_test.go
@@ -12,43 +12,43 @@
 	"snowquay/internal/core/outlier"
 	"snowquay/internal/core/picker"
 	"snowquay/internal/core/retry"
+	"snowquay/internal/env"
 	"snowquay/internal/env/simnet"
-	"snowquay/internal/run/world"
 	"snowquay/internal/wire/delta"
 	"snowquay/internal/wire/http1"
 )
 
-// base is a world.Program that does nothing.
+// base is a env.Program that does nothing.
 type base struct {
-	io  world.IO
+	io  env.IO
 	net *simnet.Net
 }
 
-func (b *base) Start(_ float64, io world.IO)                   { b.io = io }
-func (b *base) Opened(float64, world.Conn, netip.Addr, uint16) {}
-func (b *base) Connected(float64, world.Conn, bool)            {}
-func (b *base) Closed(float64, world.Conn)                     {}
-func (b *base) Taken(float64, world.Conn, uint64)              {}
-func (b *base) Datagram(float64, []byte)                       {}
-func (b *base) Woken(float64, int)                             {}
-func (b *base) Receive(float64, world.Conn, []byte)            {}
+func (b *base) Start(_ float64, io env.IO)                   { b.io = io }
+func (b *base) Opened(float64, env.Conn, netip.Addr, uint16) {}
+func (b *base) Connected(float64, env.Conn, bool)            {}
+func (b *base) Closed(float64, env.Conn)                     {}
+func (b *base) Taken(float64, env.Conn, uint64)              {}
+func (b *base) Datagram(float64, []byte)                     {}
+func (b *base) Woken(float64, int)                           {}
+func (b *base) Receive(float64, env.Conn, []byte)            {}
 
 // httpd is a server that behaves as it is told.
 type httpd struct {
 	base
 	name     string
 	how      string // ok, silent, reset, drip, twice, fails, full, unframed
-	buf      map[world.Conn][]byte
+	buf      map[env.Conn][]byte
 	seen     []string
 	accepted int
 	closed   int
 }
 
-func (h *httpd) Opened(float64, world.Conn, netip.Addr, uint16) { h.accepted++ }
-func (h *httpd) Closed(_ float64, c world.Conn)                 { h.closed++; delete(h.buf, c) }
-func (h *httpd) Receive(now float64, c world.Conn, b []byte) {
+func (h *httpd) Opened(float64, env.Conn, netip.Addr, uint16) { h.accepted++ }
+func (h *httpd) Closed(_ float64, c env.Conn)                 { h.closed++; delete(h.buf, c) }
+func (h *httpd) Receive(now float64, c env.Conn, b []byte) {
 	if h.buf == nil {
-		h.buf = map[world.Conn][]byte{}
+		h.buf = map[env.Conn][]byte{}
 	}
 	h.buf[c] = append(h.buf[c], b...)
 	var m http1.Message
@@ -90,20 +90,20 @@
 	base
 	to     netip.AddrPort
 	send   string
-	conn   world.Conn
+	conn   env.Conn
 	got    string
 	ended  bool
 	leaves float64
 }
 
-func (u *user) Start(_ float64, io world.IO) { u.io = io; u.conn = io.Dial(u.to) }
-func (u *user) Connected(now float64, c world.Conn, ok bool) {
+func (u *user) Start(_ float64, io env.IO) { u.io = io; u.conn = io.Dial(u.to) }
+func (u *user) Connected(now float64, c env.Conn, ok bool) {
 	if u.io.Send(c, []byte(u.send)); u.leaves > 0 {
 		u.net.At(now+u.leaves, func() { u.io.Close(c) })
 	}
 }
-func (u *user) Receive(_ float64, _ world.Conn, b []byte) { u.got += string(b) }
-func (u *user) Closed(float64, world.Conn)                { u.ended = true }
+func (u *user) Receive(_ float64, _ env.Conn, b []byte) { u.got += string(b) }
+func (u *user) Closed(float64, env.Conn)                { u.ended = true }
 
 // street is a proxy with servers and clients in virtual time.
 type street struct {
@@ -327,12 +327,12 @@
 // desk is a coordinator whose answers are given by hand.
 type desk struct {
 	base
-	conn  world.Conn
+	conn  env.Conn
 	asked []string
 	buf   []byte
 }
 
-func (d *desk) Receive(_ float64, c world.Conn, b []byte) {
+func (d *desk) Receive(_ float64, c env.Conn, b []byte) {
 	d.conn = c
 	d.buf = append(d.buf, b...)
 	var m http1.Message
--- a/internal/rehearse/rehearse.go
+++ b/internal/rehearse/rehearse.go
@@ -20,12 +20,12 @@
 	"snowquay/internal/core/longpoll"
 	"snowquay/internal/core/membership"
 	"snowquay/internal/core/saspsession"
+	"snowquay/internal/env"
 	"snowquay/internal/env/simnet"
 	"snowquay/internal/env/socketnet"
 	"snowquay/internal/front/loop"
 	"snowquay/internal/keep"
 	"snowquay/internal/run"
-	"snowquay/internal/run/world"
 	"snowquay/internal/settings"
 	"snowquay/internal/standin"
 	"snowquay/internal/wire/sasp"
@@ -239,7 +239,7 @@
 }
 
 // add makes a host and starts a program on it. Guests share an address with another host.
-func (p *play) add(at netip.AddrPort, zone int, program world.Program, guest bool) host {
+func (p *play) add(at netip.AddrPort, zone int, program env.Program, guest bool) host {
 	if p.sim == nil {
 		if guest {
 			at = netip.AddrPortFrom(at.Addr(), 0)
@@ -253,7 +253,7 @@
 	return h
 }
 
-func restart(h host, program world.Program) error {
+func restart(h host, program env.Program) error {
 	switch h := h.(type) {
 	case *simnet.Host:
 		h.Start(program)
--- a/internal/run/coordinator.go
+++ b/internal/run/coordinator.go
@@ -15,10 +15,10 @@
 	"snowquay/internal/core/membership"
 	"snowquay/internal/core/registry"
 	"snowquay/internal/core/saspsession"
+	"snowquay/internal/env"
 	"snowquay/internal/feed/collectd"
 	"snowquay/internal/feed/graphite"
 	"snowquay/internal/front/poll"
-	"snowquay/internal/run/world"
 )
 
 const (
@@ -94,19 +94,19 @@
 	return b.own.Keep(records)
 }
 
-// Coordinator is a world.Program.
+// Coordinator is a env.Program.
 type Coordinator struct {
 	setup Setup
 	store Store
-	io    world.IO
+	io    env.IO
 
 	Fleet    *controlplane.Fleet
 	Desk     *saspsession.Desk
 	Poll     *poll.Front
-	Member   *Member             // nil: it is in no group of its own
-	peers    Peers               // nil: it shares its fleet with nobody
-	figures  *graphite.Sender    // nil: none are sent
-	polls    map[world.Conn]bool // connections of the long-poll front
+	Member   *Member           // nil: it is in no group of its own
+	peers    Peers             // nil: it shares its fleet with nobody
+	figures  *graphite.Sender  // nil: none are sent
+	polls    map[env.Conn]bool // connections of the long-poll front
 	Collect  *collectd.Collector
 	now      float64 // of the latest look
 	adopted  bool
@@ -135,7 +135,7 @@
 	}
 	c.Fleet = f
 	c.Desk = saspsession.New(f, c, setup.Limits, setup.Policy)
-	c.polls = map[world.Conn]bool{}
+	c.polls = map[env.Conn]bool{}
 	c.Poll = poll.New(c, setup.Poll, setup.Site.Names)
 	// An epoch of microseconds: a life begins later than the one before it.
 	c.Poll.Counter = longpoll.New(now, uint64(now*1e6)|1, f, c.Poll, setup.Parking)
@@ -160,8 +160,8 @@
 	return c, nil
 }
 
-// Start of world.Program.
-func (c *Coordinator) Start(now float64, io world.IO) {
+// Start of env.Program.
+func (c *Coordinator) Start(now float64, io env.IO) {
 	if c.io = io; c.figures != nil {
 		c.figures.Start(io)
 	}
@@ -171,8 +171,8 @@
 	io.Wake(now, 0)
 }
 
-// Opened of world.Program.
-func (c *Coordinator) Opened(now float64, id world.Conn, from netip.Addr, port uint16) {
+// Opened of env.Program.
+func (c *Coordinator) Opened(now float64, id env.Conn, from netip.Addr, port uint16) {
 	if c.Member != nil && port == c.setup.Group.Members[c.setup.Group.Self].Port() {
 		c.Member.Opened(now, id, from, port)
 		return
@@ -185,8 +185,8 @@
 	c.Desk.Opened(now, saspsession.Conn(id), from)
 }
 
-// Connected of world.Program: a coordinator dials those that it shares its fleet with.
-func (c *Coordinator) Connected(now float64, id world.Conn, ok bool) {
+// Connected of env.Program: a coordinator dials those that it shares its fleet with.
+func (c *Coordinator) Connected(now float64, id env.Conn, ok bool) {
 	if c.figures != nil && c.figures.Connected(now, id, ok) {
 		return
 	}
@@ -195,8 +195,8 @@
 	}
 }
 
-// Receive of world.Program.
-func (c *Coordinator) Receive(now float64, id world.Conn, b []byte) {
+// Receive of env.Program.
+func (c *Coordinator) Receive(now float64, id env.Conn, b []byte) {
 	if c.figures != nil && c.figures.Receive(id) {
 		return
 	}
@@ -213,8 +213,8 @@
 	}
 }
 
-// Closed of world.Program.
-func (c *Coordinator) Closed(now float64, id world.Conn) {
+// Closed of env.Program.
+func (c *Coordinator) Closed(now float64, id env.Conn) {
 	if c.figures != nil && c.figures.Closed(now, id) {
 		return
 	}
@@ -229,8 +229,8 @@
 	c.Desk.Closed(now, saspsession.Conn(id))
 }
 
-// Taken of world.Program.
-func (c *Coordinator) Taken(now float64, id world.Conn, total uint64) {
+// Taken of env.Program.
+func (c *Coordinator) Taken(now float64, id env.Conn, total uint64) {
 	if c.figures != nil && c.figures.Taken(now, id, total) {
 		return
 	}
@@ -244,14 +244,14 @@
 	c.Desk.Taken(now, saspsession.Conn(id), total)
 }
 
-// Datagram of world.Program.
+// Datagram of env.Program.
 func (c *Coordinator) Datagram(now float64, b []byte) {
 	if err := c.Collect.Packet(now, b); err != nil && c.setup.Log != nil {
 		c.setup.Log.Debug("measurement", "error", err)
 	}
 }
 
-// Woken of world.Program.
+// Woken of env.Program.
 func (c *Coordinator) Woken(now float64, _ int) {
 	c.tick(now)
 	if c.figures != nil {
@@ -308,15 +308,15 @@
 }
 
 // Send of saspsession.Out.
-func (c *Coordinator) Send(id saspsession.Conn, b []byte) { c.io.Send(world.Conn(id), b) }
+func (c *Coordinator) Send(id saspsession.Conn, b []byte) { c.io.Send(env.Conn(id), b) }
 
 // SendPoll of poll.Out.
-func (c *Coordinator) SendPoll(id poll.Conn, b []byte) { c.io.Send(world.Conn(id), b) }
+func (c *Coordinator) SendPoll(id poll.Conn, b []byte) { c.io.Send(env.Conn(id), b) }
 
 // ClosePoll of poll.Out.
 func (c *Coordinator) ClosePoll(id poll.Conn) {
-	delete(c.polls, world.Conn(id))
-	c.io.Close(world.Conn(id))
+	delete(c.polls, env.Conn(id))
+	c.io.Close(env.Conn(id))
 }
 
 // Leave gives our part up, so that the others need not wait until our lease ends. It reports whether they know.
@@ -432,7 +432,7 @@
 }
 
 // Close of saspsession.Out.
-func (c *Coordinator) Close(id saspsession.Conn) { c.io.Close(world.Conn(id)) }
+func (c *Coordinator) Close(id saspsession.Conn) { c.io.Close(env.Conn(id)) }
 
 // Say of saspsession.Out.
 func (c *Coordinator) Say(event string, pairs ...any) {
--- a/internal/run/guards_test.go
+++ b/internal/run/guards_test.go
@@ -9,9 +9,9 @@
 
 	"snowquay/internal/consensus"
 	"snowquay/internal/core/membership"
+	"snowquay/internal/env"
 	"snowquay/internal/env/simnet"
 	"snowquay/internal/run"
-	"snowquay/internal/run/world"
 	"snowquay/internal/wire/peer"
 )
 
@@ -131,16 +131,16 @@
 	buf    []byte
 	told   string
 	closed bool
-	io     world.IO
+	io     env.IO
 }
 
-func (x *tool) Start(_ float64, io world.IO)                   { x.io = io; io.Dial(x.to) }
-func (x *tool) Opened(float64, world.Conn, netip.Addr, uint16) {}
-func (x *tool) Closed(float64, world.Conn)                     { x.closed = true }
-func (x *tool) Taken(float64, world.Conn, uint64)              {}
-func (x *tool) Datagram(float64, []byte)                       {}
-func (x *tool) Woken(float64, int)                             {}
-func (x *tool) Connected(_ float64, c world.Conn, _ bool) {
+func (x *tool) Start(_ float64, io env.IO)                   { x.io = io; io.Dial(x.to) }
+func (x *tool) Opened(float64, env.Conn, netip.Addr, uint16) {}
+func (x *tool) Closed(float64, env.Conn)                     { x.closed = true }
+func (x *tool) Taken(float64, env.Conn, uint64)              {}
+func (x *tool) Datagram(float64, []byte)                     {}
+func (x *tool) Woken(float64, int)                           {}
+func (x *tool) Connected(_ float64, c env.Conn, _ bool) {
 	if x.key == "" {
 		x.key = "key"
 	}
@@ -148,7 +148,7 @@
 		x.io.Send(c, peer.Append(nil, []byte(x.key), f))
 	}
 }
-func (x *tool) Receive(_ float64, _ world.Conn, b []byte) {
+func (x *tool) Receive(_ float64, _ env.Conn, b []byte) {
 	x.buf = append(x.buf, b...)
 	if f, n, err := peer.Next(x.buf, []byte("key")); n > 0 && err == nil {
 		x.told = string(f.Message)
@@ -198,5 +198,5 @@
 	b  []byte
 }
 
-func (r *raw) Start(_ float64, io world.IO)              { r.io = io; io.Dial(r.to) }
-func (r *raw) Connected(_ float64, c world.Conn, _ bool) { r.io.Send(c, r.b) }
+func (r *raw) Start(_ float64, io env.IO)              { r.io = io; io.Dial(r.to) }
+func (r *raw) Connected(_ float64, c env.Conn, _ bool) { r.io.Send(c, r.b) }
--- a/internal/run/host.go
+++ b/internal/run/host.go
@@ -17,10 +17,10 @@
 	"snowquay/internal/core/membership"
 	"snowquay/internal/core/tablecheck"
 	"snowquay/internal/core/tenancy"
+	"snowquay/internal/env"
 	"snowquay/internal/feed/collectd"
 	"snowquay/internal/feed/graphite"
 	"snowquay/internal/front/poll"
-	"snowquay/internal/run/world"
 	"snowquay/internal/wire/sasp"
 )
 
@@ -81,19 +81,19 @@
 }
 
 // Host runs many tenants in one process: each has a coordinator of its own, with its own decisions, tables, limits and waiting
-// lines. The host gives them their connections, their turns, and nothing of each other. It is a world.Program.
+// lines. The host gives them their connections, their turns, and nothing of each other. It is a env.Program.
 type Host struct {
 	setup   HostSetup
 	store   HostStore
-	io      world.IO
+	io      env.IO
 	Dir     *tenancy.Directory
 	Entry   *tenancy.Entry
 	Turns   *fairqueue.Turns[tenancy.Name]
 	Keys    authz.Keys
 	tenants map[tenancy.Name]*Hosted
-	users   map[string]tenancy.Name   // of signed measurements
-	starts  []tenancy.Name            // that are to be started, next first
-	froms   map[world.Conn]netip.Addr // of connections whose tenant is not known
+	users   map[string]tenancy.Name // of signed measurements
+	starts  []tenancy.Name          // that are to be started, next first
+	froms   map[env.Conn]netip.Addr // of connections whose tenant is not known
 	checked float64
 	flushed float64
 	stirred bool // somebody asked for a turn at once
@@ -119,7 +119,7 @@
 // that looks at those that run leave.
 func NewHost(now float64, setup HostSetup, store HostStore) (*Host, error) {
 	h := &Host{setup: setup, store: store, tenants: map[tenancy.Name]*Hosted{}, users: map[string]tenancy.Name{},
-		froms: map[world.Conn]netip.Addr{}, Turns: fairqueue.New[tenancy.Name](now, setup.Turns)}
+		froms: map[env.Conn]netip.Addr{}, Turns: fairqueue.New[tenancy.Name](now, setup.Turns)}
 	h.Entry = tenancy.NewEntry(now, setup.Entry, map[tenancy.Front]tenancy.Speaker{
 		tenancy.SASP: func(b []byte) (string, bool, error) { return sasp.Speaker(b, setup.Entry.Bytes) }, tenancy.HTTP: poll.Speaker})
 	if setup.Graphite != nil {
@@ -230,7 +230,7 @@
 // end stops a tenant at once: its connections are closed. Its relays go on by the tables that they hold.
 func (h *Host) end(x *Hosted) {
 	for _, c := range h.Entry.Drop(x.Name) {
-		h.io.Close(world.Conn(c))
+		h.io.Close(env.Conn(c))
 	}
 	x.Program = nil
 }
@@ -241,26 +241,26 @@
 	x *Hosted
 }
 
-// Dial of world.IO: a tenant's coordinator dials nobody.
-func (t *tenantIO) Dial(netip.AddrPort) world.Conn { return 0 }
+// Dial of env.IO: a tenant's coordinator dials nobody.
+func (t *tenantIO) Dial(netip.AddrPort) env.Conn { return 0 }
 
-// Send of world.IO.
-func (t *tenantIO) Send(c world.Conn, b []byte) { t.h.io.Send(c, b) }
+// Send of env.IO.
+func (t *tenantIO) Send(c env.Conn, b []byte) { t.h.io.Send(c, b) }
 
-// Close of world.IO.
-func (t *tenantIO) Close(c world.Conn) {
+// Close of env.IO.
+func (t *tenantIO) Close(c env.Conn) {
 	t.h.Entry.Closed(tenancy.Conn(c))
 	t.h.io.Close(c)
 }
 
-// Datagram of world.IO: a tenant's coordinator sends none.
+// Datagram of env.IO: a tenant's coordinator sends none.
 func (t *tenantIO) Datagram(netip.AddrPort, []byte) {}
 
-// Wake of world.IO.
+// Wake of env.IO.
 func (t *tenantIO) Wake(at float64, _ int) { t.h.Turns.Wake(t.x.Name, at) }
 
-// Start of world.Program.
-func (h *Host) Start(now float64, io world.IO) {
+// Start of env.Program.
+func (h *Host) Start(now float64, io env.IO) {
 	if h.io = io; h.figures != nil {
 		h.figures.Start(io)
 	}
@@ -281,8 +281,8 @@
 	return h.member != nil && port == h.setup.Group.Members[h.setup.Group.Self].Port()
 }
 
-// Opened of world.Program.
-func (h *Host) Opened(now float64, c world.Conn, from netip.Addr, port uint16) {
+// Opened of env.Program.
+func (h *Host) Opened(now float64, c env.Conn, from netip.Addr, port uint16) {
 	if h.ours(port) {
 		h.member.Opened(now, c, from, port)
 		return
@@ -298,8 +298,8 @@
 	h.froms[c] = from
 }
 
-// Connected of world.Program: a host dials those that it shares its tenants with.
-func (h *Host) Connected(now float64, c world.Conn, ok bool) {
+// Connected of env.Program: a host dials those that it shares its tenants with.
+func (h *Host) Connected(now float64, c env.Conn, ok bool) {
 	if h.figures != nil && h.figures.Connected(now, c, ok) {
 		return
 	}
@@ -309,7 +309,7 @@
 }
 
 // known is the tenant of a connection.
-func (h *Host) known(c world.Conn) *Hosted {
+func (h *Host) known(c env.Conn) *Hosted {
 	n, ok := h.Entry.Of(tenancy.Conn(c))
 	if !ok {
 		return nil
@@ -320,8 +320,8 @@
 	return nil
 }
 
-// Receive of world.Program.
-func (h *Host) Receive(now float64, c world.Conn, b []byte) {
+// Receive of env.Program.
+func (h *Host) Receive(now float64, c env.Conn, b []byte) {
 	if h.figures != nil && h.figures.Receive(c) {
 		return
 	}
@@ -354,7 +354,7 @@
 }
 
 // meets takes bytes of a connection that has not said whose it is. With a tenant they are that tenant's, from the first one on.
-func (h *Host) meets(now float64, c world.Conn, b []byte) (*Hosted, []byte) {
+func (h *Host) meets(now float64, c env.Conn, b []byte) (*Hosted, []byte) {
 	from, here := h.froms[c]
 	if !here {
 		return nil, nil
@@ -404,8 +404,8 @@
 	return poll.Refusal(x.status, x.kind, r.Why.String(), r.After)
 }
 
-// Closed of world.Program.
-func (h *Host) Closed(now float64, c world.Conn) {
+// Closed of env.Program.
+func (h *Host) Closed(now float64, c env.Conn) {
 	if h.figures != nil && h.figures.Closed(now, c) {
 		return
 	}
@@ -421,8 +421,8 @@
 	}
 }
 
-// Taken of world.Program.
-func (h *Host) Taken(now float64, c world.Conn, total uint64) {
+// Taken of env.Program.
+func (h *Host) Taken(now float64, c env.Conn, total uint64) {
 	if h.figures != nil && h.figures.Taken(now, c, total) {
 		return
 	}
@@ -434,7 +434,7 @@
 	}
 }
 
-// Datagram of world.Program: measurements of many tenants come to one port. Whose they are is told by the user that signed them; the
+// Datagram of env.Program: measurements of many tenants come to one port. Whose they are is told by the user that signed them; the
 // tenant's own key then proves it.
 func (h *Host) Datagram(now float64, b []byte) {
 	user, ok := collectd.User(b)
@@ -451,13 +451,13 @@
 	h.came(now, x, len(b))
 }
 
-// Woken of world.Program.
+// Woken of env.Program.
 func (h *Host) Woken(now float64, _ int) {
 	if now-h.checked >= checkEvery {
 		h.checked = now
 		for _, c := range h.Entry.Late(now) {
-			delete(h.froms, world.Conn(c))
-			h.io.Close(world.Conn(c))
+			delete(h.froms, env.Conn(c))
+			h.io.Close(env.Conn(c))
 		}
 	}
 	if h.member != nil {
--- a/internal/run/host_test.go
+++ b/internal/run/host_test.go
@@ -10,11 +10,11 @@
 
 	"snowquay/balancer"
 	"snowquay/internal/core/tenancy"
+	"snowquay/internal/env"
 	"snowquay/internal/env/simnet"
 	"snowquay/internal/keep"
 	"snowquay/internal/rehearse"
 	"snowquay/internal/run"
-	"snowquay/internal/run/world"
 	"snowquay/internal/settings"
 	"snowquay/internal/wire/sasp"
 )
@@ -73,22 +73,22 @@
 	codes  []sasp.Code
 	rows   []sasp.Row
 	closed int
-	io     world.IO
+	io     env.IO
 	buf    []byte
 }
 
-func (k *talker) Start(_ float64, io world.IO) {
+func (k *talker) Start(_ float64, io env.IO) {
 	k.io = io
 	io.Dial(k.to)
 }
-func (k *talker) Connected(_ float64, c world.Conn, ok bool) {
+func (k *talker) Connected(_ float64, c env.Conn, ok bool) {
 	for _, m := range k.say {
 		if ok {
 			k.io.Send(c, sasp.Append(nil, m))
 		}
 	}
 }
-func (k *talker) Receive(_ float64, _ world.Conn, b []byte) {
+func (k *talker) Receive(_ float64, _ env.Conn, b []byte) {
 	k.buf = append(k.buf, b...)
 	for {
 		n, err := sasp.Frame(k.buf, sasp.MostMessage)
@@ -104,11 +104,11 @@
 		k.buf = k.buf[n:]
 	}
 }
-func (k *talker) Closed(float64, world.Conn)                     { k.closed++ }
-func (k *talker) Opened(float64, world.Conn, netip.Addr, uint16) {}
-func (k *talker) Taken(float64, world.Conn, uint64)              {}
-func (k *talker) Datagram(float64, []byte)                       {}
-func (k *talker) Woken(float64, int)                             {}
+func (k *talker) Closed(float64, env.Conn)                     { k.closed++ }
+func (k *talker) Opened(float64, env.Conn, netip.Addr, uint16) {}
+func (k *talker) Taken(float64, env.Conn, uint64)              {}
+func (k *talker) Datagram(float64, []byte)                     {}
+func (k *talker) Woken(float64, int)                           {}
 
 func setBalancer(uid string) *sasp.Message {
 	return &sasp.Message{Kind: sasp.SetBalancer, UID: []byte(uid), Flags: sasp.Push | sasp.Trust}
--- a/internal/run/member.go
+++ b/internal/run/member.go
@@ -12,7 +12,7 @@
 	"snowquay/internal/core/membership"
 	"snowquay/internal/core/registry"
 	"snowquay/internal/core/tenancy"
-	"snowquay/internal/run/world"
+	"snowquay/internal/env"
 	"snowquay/internal/wire/peer"
 )
 
@@ -21,7 +21,7 @@
 	joinAgain  = 0.5  // seconds between two asks to be taken in
 )
 
-// Member is a coordinator's part in a group, as a world.Program of its own: it listens to the others, speaks to them, and
+// Member is a coordinator's part in a group, as a env.Program of its own: it listens to the others, speaks to them, and
 // knows which proxies are its to order.
 type Member struct {
 	setup     GroupSetup
@@ -29,7 +29,7 @@
 	life      uint64
 	say       func(event string, pairs ...any)
 	peers     *peers
-	io        world.IO
+	io        env.IO
 	folders   *membership.Folders
 	joinAt    float64
 	Group     *consensus.Group
@@ -50,14 +50,14 @@
 	return &Member{setup: setup, disk: disk, life: life, say: say}
 }
 
-// Start of world.Program.
-func (m *Member) Start(now float64, io world.IO) {
+// Start of env.Program.
+func (m *Member) Start(now float64, io env.IO) {
 	if m.begin(now, io); m.Failed == nil {
 		io.Wake(now, 0)
 	}
 }
 
-func (m *Member) begin(now float64, io world.IO) {
+func (m *Member) begin(now float64, io env.IO) {
 	m.io, m.peers = io, newPeers(m, io)
 	kept := map[membership.Number]uint64{}
 	for id, mark := range m.disk.Pins() {
@@ -111,7 +111,7 @@
 }
 
 // heard takes a frame. An error closes its connection.
-func (m *Member) heard(now float64, c world.Conn, f peer.Frame, ours bool) error {
+func (m *Member) heard(now float64, c env.Conn, f peer.Frame, ours bool) error {
 	if ours { // on the connection that we dialled, the other side says only why it does not hear us
 		if f.Kind == peer.Refusal {
 			m.fail(fmt.Errorf("%w: number %d: %s", ErrRefused, f.From, f.Message))
@@ -250,29 +250,29 @@
 	return uint64(m.Group.State.Epoch)
 }
 
-// Opened of world.Program.
-func (m *Member) Opened(_ float64, c world.Conn, _ netip.Addr, _ uint16) { m.peers.opened(c) }
+// Opened of env.Program.
+func (m *Member) Opened(_ float64, c env.Conn, _ netip.Addr, _ uint16) { m.peers.opened(c) }
 
-// Connected of world.Program.
-func (m *Member) Connected(_ float64, c world.Conn, ok bool) { m.peers.connected(c, ok) }
+// Connected of env.Program.
+func (m *Member) Connected(_ float64, c env.Conn, ok bool) { m.peers.connected(c, ok) }
 
-// Receive of world.Program.
-func (m *Member) Receive(now float64, c world.Conn, b []byte) {
+// Receive of env.Program.
+func (m *Member) Receive(now float64, c env.Conn, b []byte) {
 	if m.Failed == nil {
 		m.peers.receive(now, c, b)
 	}
 }
 
-// Closed of world.Program.
-func (m *Member) Closed(_ float64, c world.Conn) { m.peers.closed(c) }
+// Closed of env.Program.
+func (m *Member) Closed(_ float64, c env.Conn) { m.peers.closed(c) }
 
-// Taken of world.Program.
-func (m *Member) Taken(_ float64, c world.Conn, total uint64) { m.peers.taken(c, total) }
+// Taken of env.Program.
+func (m *Member) Taken(_ float64, c env.Conn, total uint64) { m.peers.taken(c, total) }
 
-// Datagram of world.Program.
+// Datagram of env.Program.
 func (m *Member) Datagram(float64, []byte) {}
 
-// Woken of world.Program.
+// Woken of env.Program.
 func (m *Member) Woken(now float64, _ int) {
 	if m.tick(now); m.Failed == nil {
 		m.io.Wake(now+memberTick, 0)
--- a/internal/run/peers.go
+++ b/internal/run/peers.go
@@ -8,7 +8,7 @@
 	"snowquay/internal/consensus"
 	"snowquay/internal/core/membership"
 	"snowquay/internal/core/tenancy"
-	"snowquay/internal/run/world"
+	"snowquay/internal/env"
 	"snowquay/internal/wire/peer"
 )
 
@@ -36,7 +36,7 @@
 // link is our connection to another coordinator, for what we say to it.
 type link struct {
 	id     membership.Number
-	conn   world.Conn
+	conn   env.Conn
 	up     bool
 	dialAt float64
 	sent   uint64
@@ -48,15 +48,15 @@
 // one side stops one direction only.
 type peers struct {
 	member *Member
-	io     world.IO
+	io     env.IO
 	links  map[membership.Number]*link
-	byOut  map[world.Conn]*link
-	in     map[world.Conn][]byte // of connections that others dialled
+	byOut  map[env.Conn]*link
+	in     map[env.Conn][]byte // of connections that others dialled
 	bytes  []byte
 }
 
-func newPeers(m *Member, io world.IO) *peers {
-	return &peers{member: m, io: io, links: map[membership.Number]*link{}, byOut: map[world.Conn]*link{}, in: map[world.Conn][]byte{}}
+func newPeers(m *Member, io env.IO) *peers {
+	return &peers{member: m, io: io, links: map[membership.Number]*link{}, byOut: map[env.Conn]*link{}, in: map[env.Conn][]byte{}}
 }
 
 // tick dials those that are to be spoken to, where they are now, and lets go of those that are not in the group any more.
@@ -110,7 +110,7 @@
 	}
 }
 
-func (p *peers) opened(c world.Conn) {
+func (p *peers) opened(c env.Conn) {
 	if len(p.in) >= mostIn {
 		p.member.say("peer's connection closed", "why", "too many")
 		p.io.Close(c)
@@ -120,7 +120,7 @@
 }
 
 // connected, closed, taken and receive tell whether the connection is one of ours.
-func (p *peers) connected(c world.Conn, ok bool) bool {
+func (p *peers) connected(c env.Conn, ok bool) bool {
 	l := p.byOut[c]
 	if l == nil {
 		return false
@@ -134,7 +134,7 @@
 	return true
 }
 
-func (p *peers) closed(c world.Conn) bool {
+func (p *peers) closed(c env.Conn) bool {
 	if _, ok := p.in[c]; ok {
 		delete(p.in, c)
 		return true
@@ -142,7 +142,7 @@
 	return p.connected(c, false)
 }
 
-func (p *peers) taken(c world.Conn, total uint64) bool {
+func (p *peers) taken(c env.Conn, total uint64) bool {
 	if l := p.byOut[c]; l != nil {
 		l.taken = total
 		return true
@@ -151,7 +151,7 @@
 	return ok
 }
 
-func (p *peers) receive(now float64, c world.Conn, b []byte) bool {
+func (p *peers) receive(now float64, c env.Conn, b []byte) bool {
 	l := p.byOut[c]
 	buf, ok := p.in[c]
 	if !ok && l == nil {
--- a/internal/standin/crowd.go
+++ b/internal/standin/crowd.go
@@ -8,7 +8,7 @@
 	"strings"
 
 	"snowquay/balancer"
-	"snowquay/internal/run/world"
+	"snowquay/internal/env"
 	"snowquay/internal/wire/http1"
 )
 
@@ -31,12 +31,12 @@
 	CrowdSetup
 	Load   float64 // times the usual rate
 	ref    *Referee
-	io     world.IO
+	io     env.IO
 	chance chance
 	nextID uint64
-	idle   []world.Conn
-	calls  map[world.Conn]*call
-	timers map[int]world.Conn
+	idle   []env.Conn
+	calls  map[env.Conn]*call
+	timers map[int]env.Conn
 	next   int
 }
 
@@ -51,12 +51,12 @@
 
 // NewCrowd makes clients that tell a referee what they met.
 func NewCrowd(s CrowdSetup, ref *Referee) *Crowd {
-	return &Crowd{CrowdSetup: s, Load: 1, ref: ref, chance: newChance(s.Seed), nextID: s.Seed << 32, calls: map[world.Conn]*call{},
-		timers: map[int]world.Conn{}, next: crowdTimeout}
+	return &Crowd{CrowdSetup: s, Load: 1, ref: ref, chance: newChance(s.Seed), nextID: s.Seed << 32, calls: map[env.Conn]*call{},
+		timers: map[int]env.Conn{}, next: crowdTimeout}
 }
 
-// Start of world.Program.
-func (c *Crowd) Start(now float64, io world.IO) {
+// Start of env.Program.
+func (c *Crowd) Start(now float64, io env.IO) {
 	c.io = io
 	c.arrive(now)
 }
@@ -65,7 +65,7 @@
 	c.io.Wake(now-math.Log(1-c.chance.float())/max(c.Rate*c.Load, 1e-3), crowdArrival)
 }
 
-// Woken of world.Program.
+// Woken of env.Program.
 func (c *Crowd) Woken(now float64, what int) {
 	if what == crowdArrival {
 		c.arrive(now)
@@ -92,7 +92,7 @@
 	c.ref.asked(now, k)
 	c.next++
 	x.timer = c.next
-	var conn world.Conn
+	var conn env.Conn
 	if n := len(c.idle); n > 0 {
 		conn, c.idle = c.idle[n-1], c.idle[:n-1]
 		c.io.Send(conn, x.text)
@@ -103,8 +103,8 @@
 	c.io.Wake(now+c.Classes[k].Query.ClientTimeout, x.timer)
 }
 
-// Connected of world.Program.
-func (c *Crowd) Connected(_ float64, conn world.Conn, ok bool) {
+// Connected of env.Program.
+func (c *Crowd) Connected(_ float64, conn env.Conn, ok bool) {
 	if x := c.calls[conn]; x != nil && ok {
 		c.io.Send(conn, x.text)
 	} else if x != nil {
@@ -112,13 +112,13 @@
 	}
 }
 
-func (c *Crowd) forget(conn world.Conn, x *call) {
+func (c *Crowd) forget(conn env.Conn, x *call) {
 	delete(c.calls, conn)
 	delete(c.timers, x.timer)
 }
 
-// Receive of world.Program.
-func (c *Crowd) Receive(now float64, conn world.Conn, b []byte) {
+// Receive of env.Program.
+func (c *Crowd) Receive(now float64, conn env.Conn, b []byte) {
 	x := c.calls[conn]
 	if x == nil {
 		return
@@ -145,8 +145,8 @@
 	}
 }
 
-// Closed of world.Program.
-func (c *Crowd) Closed(_ float64, conn world.Conn) {
+// Closed of env.Program.
+func (c *Crowd) Closed(_ float64, conn env.Conn) {
 	if x := c.calls[conn]; x != nil {
 		c.forget(conn, x)
 		return
@@ -159,17 +159,17 @@
 	}
 }
 
-// Opened of world.Program.
-func (c *Crowd) Opened(float64, world.Conn, netip.Addr, uint16) {}
+// Opened of env.Program.
+func (c *Crowd) Opened(float64, env.Conn, netip.Addr, uint16) {}
 
-// Taken of world.Program.
-func (c *Crowd) Taken(float64, world.Conn, uint64) {}
+// Taken of env.Program.
+func (c *Crowd) Taken(float64, env.Conn, uint64) {}
 
-// Datagram of world.Program.
+// Datagram of env.Program.
 func (c *Crowd) Datagram(float64, []byte) {}
 
 // http takes a query that a real proxy has passed on.
-func (s *Server) http(now float64, c world.Conn, b []byte) {
+func (s *Server) http(now float64, c env.Conn, b []byte) {
 	b = append(s.parts[c], b...)
 	s.parts[c] = b
 	var m http1.Message
--- a/internal/standin/flood.go
+++ b/internal/standin/flood.go
@@ -6,8 +6,8 @@
 	"net/url"
 
 	"snowquay/internal/core/loadreport"
+	"snowquay/internal/env"
 	"snowquay/internal/feed/collectd"
-	"snowquay/internal/run/world"
 	"snowquay/internal/wire/sasp"
 )
 
@@ -22,24 +22,24 @@
 	Rate              float64 // of what it does, a second
 	Server            netip.AddrPort
 	Seed              uint64
-	io                world.IO
+	io                env.IO
 	chance            chance
-	conns             []world.Conn
-	web               map[world.Conn]bool
-	speak             map[world.Conn]*speaker
+	conns             []env.Conn
+	web               map[env.Conn]bool
+	speak             map[env.Conn]*speaker
 }
 
 const floodConns = 40 // connections at once
 
-// Start of world.Program.
-func (f *Flood) Start(now float64, io world.IO) {
-	f.io, f.chance, f.web, f.speak = io, newChance(f.Seed), map[world.Conn]bool{}, map[world.Conn]*speaker{}
+// Start of env.Program.
+func (f *Flood) Start(now float64, io env.IO) {
+	f.io, f.chance, f.web, f.speak = io, newChance(f.Seed), map[env.Conn]bool{}, map[env.Conn]*speaker{}
 	io.Wake(now, 0)
 }
 
 const floodEvery = 0.01 // seconds between two bursts
 
-// Woken of world.Program.
+// Woken of env.Program.
 func (f *Flood) Woken(now float64, _ int) {
 	for range int(f.Rate * floodEvery) {
 		f.act(now)
@@ -77,7 +77,7 @@
 	}
 }
 
-func (f *Flood) say(c world.Conn) {
+func (f *Flood) say(c env.Conn) {
 	uid := f.UID
 	if f.chance.float() < 0.3 {
 		uid = f.Others
@@ -99,11 +99,11 @@
 		Rows: []sasp.Row{{Address: sasp.AddressOf(f.Server)}}}))
 }
 
-// Opened of world.Program.
-func (f *Flood) Opened(float64, world.Conn, netip.Addr, uint16) {}
+// Opened of env.Program.
+func (f *Flood) Opened(float64, env.Conn, netip.Addr, uint16) {}
 
-// Connected of world.Program.
-func (f *Flood) Connected(now float64, c world.Conn, ok bool) {
+// Connected of env.Program.
+func (f *Flood) Connected(now float64, c env.Conn, ok bool) {
 	if !ok {
 		f.Closed(now, c)
 		return
@@ -111,11 +111,11 @@
 	f.say(c)
 }
 
-// Receive of world.Program.
-func (f *Flood) Receive(float64, world.Conn, []byte) {}
+// Receive of env.Program.
+func (f *Flood) Receive(float64, env.Conn, []byte) {}
 
-// Closed of world.Program.
-func (f *Flood) Closed(_ float64, c world.Conn) {
+// Closed of env.Program.
+func (f *Flood) Closed(_ float64, c env.Conn) {
 	for i, o := range f.conns {
 		if o == c {
 			f.conns = append(f.conns[:i], f.conns[i+1:]...)
@@ -126,8 +126,8 @@
 	delete(f.speak, c)
 }
 
-// Taken of world.Program.
-func (f *Flood) Taken(float64, world.Conn, uint64) {}
+// Taken of env.Program.
+func (f *Flood) Taken(float64, env.Conn, uint64) {}
 
-// Datagram of world.Program.
+// Datagram of env.Program.
 func (f *Flood) Datagram(float64, []byte) {}
--- a/internal/standin/queue_test.go
+++ b/internal/standin/queue_test.go
@@ -7,8 +7,8 @@
 	"testing"
 
 	"snowquay/balancer"
+	"snowquay/internal/env"
 	"snowquay/internal/env/simnet"
-	"snowquay/internal/run/world"
 )
 
 // probe sends a server queries that come by Poisson's law, and keeps how long they took in all.
@@ -17,8 +17,8 @@
 	rate   float64
 	work   func(chance) float64
 	chance chance
-	io     world.IO
-	conn   world.Conn
+	io     env.IO
+	conn   env.Conn
 	sent   map[uint64]float64
 	next   uint64
 	from   float64 // seconds of the clock, until when nothing counts
@@ -27,18 +27,18 @@
 	buf    []byte
 }
 
-func (p *probe) Start(_ float64, io world.IO) {
+func (p *probe) Start(_ float64, io env.IO) {
 	p.io, p.sent, p.conn = io, map[uint64]float64{}, io.Dial(p.to)
 }
-func (p *probe) Connected(now float64, _ world.Conn, _ bool) { p.wake(now) }
-func (p *probe) wake(now float64)                            { p.io.Wake(now-math.Log(1-p.chance.float())/p.rate, 0) }
+func (p *probe) Connected(now float64, _ env.Conn, _ bool) { p.wake(now) }
+func (p *probe) wake(now float64)                          { p.io.Wake(now-math.Log(1-p.chance.float())/p.rate, 0) }
 func (p *probe) Woken(now float64, _ int) {
 	p.wake(now)
 	p.next++
 	p.sent[p.next] = now
 	p.io.Send(p.conn, appendQuery(nil, p.next, 0, 0, p.work(p.chance)))
 }
-func (p *probe) Receive(now float64, _ world.Conn, b []byte) {
+func (p *probe) Receive(now float64, _ env.Conn, b []byte) {
 	p.buf = append(p.buf, b...)
 	for len(p.buf) >= answerSize {
 		id := binary.BigEndian.Uint64(p.buf)
@@ -49,10 +49,10 @@
 		p.buf = p.buf[answerSize:]
 	}
 }
-func (p *probe) Opened(float64, world.Conn, netip.Addr, uint16) {}
-func (p *probe) Closed(float64, world.Conn)                     {}
-func (p *probe) Taken(float64, world.Conn, uint64)              {}
-func (p *probe) Datagram(float64, []byte)                       {}
+func (p *probe) Opened(float64, env.Conn, netip.Addr, uint16) {}
+func (p *probe) Closed(float64, env.Conn)                     {}
+func (p *probe) Taken(float64, env.Conn, uint64)              {}
+func (p *probe) Datagram(float64, []byte)                     {}
 
 // erlangC is the chance that a query has to wait, with c cores and an offered load of a.
 func erlangC(c int, a float64) float64 {
--- a/internal/standin/receiver.go
+++ b/internal/standin/receiver.go
@@ -4,7 +4,7 @@
 	"bytes"
 	"net/netip"
 
-	"snowquay/internal/run/world"
+	"snowquay/internal/env"
 	"snowquay/internal/wire/graphite"
 )
 
@@ -15,17 +15,17 @@
 	Lines   int // that came, again ones among them
 	Again   int // with a path and a time that were there already
 	Garbled int
-	parts   map[world.Conn][]byte
+	parts   map[env.Conn][]byte
 }
 
 // NewReceiver makes a receiver.
 func NewReceiver() *Receiver { return &Receiver{Values: map[string]map[int64]float64{}} }
 
-// Start of world.Program.
-func (r *Receiver) Start(float64, world.IO) { r.parts = map[world.Conn][]byte{} }
+// Start of env.Program.
+func (r *Receiver) Start(float64, env.IO) { r.parts = map[env.Conn][]byte{} }
 
-// Receive of world.Program.
-func (r *Receiver) Receive(_ float64, c world.Conn, b []byte) {
+// Receive of env.Program.
+func (r *Receiver) Receive(_ float64, c env.Conn, b []byte) {
 	b = append(r.parts[c], b...)
 	for {
 		line, rest, whole := bytes.Cut(b, []byte("\n"))
@@ -50,20 +50,20 @@
 	r.parts[c] = bytes.Clone(b)
 }
 
-// Opened of world.Program.
-func (r *Receiver) Opened(float64, world.Conn, netip.Addr, uint16) {}
+// Opened of env.Program.
+func (r *Receiver) Opened(float64, env.Conn, netip.Addr, uint16) {}
 
-// Connected of world.Program.
-func (r *Receiver) Connected(float64, world.Conn, bool) {}
+// Connected of env.Program.
+func (r *Receiver) Connected(float64, env.Conn, bool) {}
 
-// Closed of world.Program: a line that was cut off is none.
-func (r *Receiver) Closed(_ float64, c world.Conn) { delete(r.parts, c) }
+// Closed of env.Program: a line that was cut off is none.
+func (r *Receiver) Closed(_ float64, c env.Conn) { delete(r.parts, c) }
 
-// Taken of world.Program.
-func (r *Receiver) Taken(float64, world.Conn, uint64) {}
+// Taken of env.Program.
+func (r *Receiver) Taken(float64, env.Conn, uint64) {}
 
-// Datagram of world.Program.
+// Datagram of env.Program.
 func (r *Receiver) Datagram(float64, []byte) {}
 
-// Woken of world.Program.
+// Woken of env.Program.
 func (r *Receiver) Woken(float64, int) {}
--- a/internal/standin/relay.go
+++ b/internal/standin/relay.go
@@ -8,8 +8,8 @@
 
 	"snowquay/balancer"
 	"snowquay/internal/core/loadreport"
+	"snowquay/internal/env"
 	"snowquay/internal/feed/collectd"
-	"snowquay/internal/run/world"
 	"snowquay/internal/wire/sasp"
 )
 
@@ -74,7 +74,7 @@
 }
 
 type target struct {
-	conn     world.Conn
+	conn     env.Conn
 	open     bool
 	queued   []*try
 	failures int
@@ -109,14 +109,14 @@
 	Lies float64 // part of its tries that it reports as lost, whatever became of them
 
 	ref     *Referee
-	io      world.IO
-	sasp    world.Conn
+	io      env.IO
+	sasp    env.Conn
 	joined  bool
 	speak   speaker
 	tables  []*table
 	targets map[netip.AddrPort]*target
-	byConn  map[world.Conn]netip.AddrPort
-	parts   map[world.Conn][]byte
+	byConn  map[env.Conn]netip.AddrPort
+	parts   map[env.Conn][]byte
 	tries   map[int]*try
 	byID    map[uint64]*try // newest try of a query
 	nextTry int
@@ -152,7 +152,7 @@
 // NewRelay makes a relay that tells a referee what it does.
 func NewRelay(s RelaySetup, ref *Referee) *Relay {
 	r := &Relay{RelaySetup: s, Load: 1, ref: ref, targets: map[netip.AddrPort]*target{},
-		byConn: map[world.Conn]netip.AddrPort{}, parts: map[world.Conn][]byte{}, tries: map[int]*try{},
+		byConn: map[env.Conn]netip.AddrPort{}, parts: map[env.Conn][]byte{}, tries: map[int]*try{},
 		byID: map[uint64]*try{}, again0: map[int]*query{}, nextTry: relayTries, demand: make([]loadreport.Totals, len(s.Classes)),
 		chance: newChance(s.Seed), nextID: s.Seed << 32}
 	for _, c := range s.Classes {
@@ -170,8 +170,8 @@
 	return r
 }
 
-// Start of world.Program.
-func (r *Relay) Start(now float64, io world.IO) {
+// Start of env.Program.
+func (r *Relay) Start(now float64, io env.IO) {
 	r.io = io
 	r.ref.relayAt(r.UID, r.Host)
 	r.sasp = io.Dial(r.Coordinator)
@@ -197,11 +197,11 @@
 	r.io.Wake(now-math.Log(1-r.chance.float())/rate, relayArrival)
 }
 
-// Opened of world.Program.
-func (r *Relay) Opened(float64, world.Conn, netip.Addr, uint16) {}
+// Opened of env.Program.
+func (r *Relay) Opened(float64, env.Conn, netip.Addr, uint16) {}
 
-// Connected of world.Program.
-func (r *Relay) Connected(now float64, c world.Conn, ok bool) {
+// Connected of env.Program.
+func (r *Relay) Connected(now float64, c env.Conn, ok bool) {
 	if c == r.sasp {
 		if !ok {
 			r.io.Wake(now+r.pause(), relayDial)
@@ -253,8 +253,8 @@
 	r.io.Send(r.sasp, r.speak.write(m))
 }
 
-// Receive of world.Program.
-func (r *Relay) Receive(now float64, c world.Conn, b []byte) {
+// Receive of env.Program.
+func (r *Relay) Receive(now float64, c env.Conn, b []byte) {
 	if c == r.sasp {
 		if r.deaf {
 			if r.asks.out = false; r.Asks {
@@ -359,8 +359,8 @@
 	}
 }
 
-// Closed of world.Program.
-func (r *Relay) Closed(now float64, c world.Conn) {
+// Closed of env.Program.
+func (r *Relay) Closed(now float64, c env.Conn) {
 	if c == r.sasp {
 		r.joined = false
 		r.ref.left(now, r.UID)
@@ -403,13 +403,13 @@
 	return numbers
 }
 
-// Taken of world.Program.
-func (r *Relay) Taken(float64, world.Conn, uint64) {}
+// Taken of env.Program.
+func (r *Relay) Taken(float64, env.Conn, uint64) {}
 
-// Datagram of world.Program.
+// Datagram of env.Program.
 func (r *Relay) Datagram(float64, []byte) {}
 
-// Woken of world.Program.
+// Woken of env.Program.
 func (r *Relay) Woken(now float64, what int) {
 	switch what {
 	case relayArrival:
--- a/internal/standin/server.go
+++ b/internal/standin/server.go
@@ -5,8 +5,8 @@
 	"math"
 	"net/netip"
 
+	"snowquay/internal/env"
 	"snowquay/internal/feed/collectd"
-	"snowquay/internal/run/world"
 	"snowquay/internal/wire/sasp"
 )
 
@@ -52,7 +52,7 @@
 )
 
 type job struct {
-	conn  world.Conn
+	conn  env.Conn
 	id    uint64
 	class int
 	work  float64
@@ -83,15 +83,15 @@
 	Room   float64 // part of its connections that it takes; 0: all
 
 	ref        *Referee
-	io         world.IO
+	io         env.IO
 	started    float64
 	running    map[int]job
 	waiting    []job
 	nextJob    int
-	parts      map[world.Conn][]byte
-	real       map[world.Conn]bool // those of real proxies
-	from       map[world.Conn]netip.Addr
-	sasp       map[world.Conn]*registrar
+	parts      map[env.Conn][]byte
+	real       map[env.Conn]bool // those of real proxies
+	from       map[env.Conn]netip.Addr
+	sasp       map[env.Conn]*registrar
 	registered int // with so many coordinators
 	open       int // connections that others have made
 	keys       map[uint32]float64
@@ -106,12 +106,12 @@
 
 // NewServer makes a match server that tells a referee what it does.
 func NewServer(s ServerSetup, ref *Referee) *Server {
-	return &Server{ServerSetup: s, Slow: 1, ref: ref, running: map[int]job{}, real: map[world.Conn]bool{}, parts: map[world.Conn][]byte{},
-		sasp: map[world.Conn]*registrar{}, from: map[world.Conn]netip.Addr{}, chance: newChance(s.Seed), nextJob: wakeJobs}
+	return &Server{ServerSetup: s, Slow: 1, ref: ref, running: map[int]job{}, real: map[env.Conn]bool{}, parts: map[env.Conn][]byte{},
+		sasp: map[env.Conn]*registrar{}, from: map[env.Conn]netip.Addr{}, chance: newChance(s.Seed), nextJob: wakeJobs}
 }
 
-// Start of world.Program.
-func (s *Server) Start(now float64, io world.IO) {
+// Start of env.Program.
+func (s *Server) Start(now float64, io env.IO) {
 	if s.io, s.started = io, now; s.Warm {
 		s.started = now - longWarm
 	}
@@ -124,8 +124,8 @@
 
 func (s *Server) dial(i int) { s.sasp[s.io.Dial(s.Coordinators[i])] = &registrar{at: i} }
 
-// Opened of world.Program.
-func (s *Server) Opened(now float64, c world.Conn, from netip.Addr, _ uint16) {
+// Opened of env.Program.
+func (s *Server) Opened(now float64, c env.Conn, from netip.Addr, _ uint16) {
 	room := 1.0
 	if s.Room > 0 {
 		room = s.Room
@@ -140,8 +140,8 @@
 	}
 }
 
-// Connected of world.Program: the coordinator answers.
-func (s *Server) Connected(now float64, c world.Conn, ok bool) {
+// Connected of env.Program: the coordinator answers.
+func (s *Server) Connected(now float64, c env.Conn, ok bool) {
 	r := s.sasp[c]
 	if r == nil {
 		return
@@ -160,8 +160,8 @@
 	s.io.Send(c, r.speak.write(m))
 }
 
-// Receive of world.Program.
-func (s *Server) Receive(now float64, c world.Conn, b []byte) {
+// Receive of env.Program.
+func (s *Server) Receive(now float64, c env.Conn, b []byte) {
 	if r := s.sasp[c]; r != nil {
 		r.speak.read(b, func(m *sasp.Message) {
 			if m.Kind == sasp.RegistrationReply && m.Code == sasp.OK {
@@ -196,8 +196,8 @@
 	s.parts[c] = append([]byte(nil), b...)
 }
 
-// Closed of world.Program.
-func (s *Server) Closed(now float64, c world.Conn) {
+// Closed of env.Program.
+func (s *Server) Closed(now float64, c env.Conn) {
 	if _, theirs := s.from[c]; theirs {
 		s.open--
 	}
@@ -215,10 +215,10 @@
 	}
 }
 
-// Taken of world.Program.
-func (s *Server) Taken(float64, world.Conn, uint64) {}
+// Taken of env.Program.
+func (s *Server) Taken(float64, env.Conn, uint64) {}
 
-// Datagram of world.Program.
+// Datagram of env.Program.
 func (s *Server) Datagram(float64, []byte) {}
 
 func (s *Server) part(now float64) float64 { // of its capacity
@@ -268,7 +268,7 @@
 }
 
 // giveUp ends a query that nobody waits for any longer: where work stops for that, and always where it has not begun.
-func (s *Server) giveUp(now float64, c world.Conn, id uint64) {
+func (s *Server) giveUp(now float64, c env.Conn, id uint64) {
 	for i, j := range s.waiting {
 		if j.conn == c && j.id == id && !j.conns {
 			s.waiting = append(s.waiting[:i], s.waiting[i+1:]...)
@@ -351,7 +351,7 @@
 	}
 }
 
-// Woken of world.Program.
+// Woken of env.Program.
 func (s *Server) Woken(now float64, what int) {
 	switch {
 	case s.fallen:
@@ -411,22 +411,22 @@
 	FleetUID, Group string
 	Quiesce         bool
 	Ref             *Referee
-	io              world.IO
+	io              env.IO
 	speak           speaker
 	done            bool
 }
 
-// Start of world.Program.
-func (a *Agent) Start(_ float64, io world.IO) {
+// Start of env.Program.
+func (a *Agent) Start(_ float64, io env.IO) {
 	a.io = io
 	io.Dial(a.Coordinators[0])
 }
 
-// Opened of world.Program.
-func (a *Agent) Opened(float64, world.Conn, netip.Addr, uint16) {}
+// Opened of env.Program.
+func (a *Agent) Opened(float64, env.Conn, netip.Addr, uint16) {}
 
-// Connected of world.Program.
-func (a *Agent) Connected(now float64, c world.Conn, ok bool) {
+// Connected of env.Program.
+func (a *Agent) Connected(now float64, c env.Conn, ok bool) {
 	if !ok {
 		a.io.Wake(now+0.2, 0)
 		return
@@ -441,8 +441,8 @@
 		Groups: []sasp.Group{{UID: []byte(a.FleetUID), Name: []byte(a.Group), To: 1}}}))
 }
 
-// Receive of world.Program: the reply is the moment at which the coordinator was told.
-func (a *Agent) Receive(now float64, c world.Conn, b []byte) {
+// Receive of env.Program: the reply is the moment at which the coordinator was told.
+func (a *Agent) Receive(now float64, c env.Conn, b []byte) {
 	a.speak.read(b, func(m *sasp.Message) {
 		if a.done = true; m.Code == sasp.OK {
 			a.Ref.drain(now, a.Server, a.Quiesce)
@@ -453,20 +453,20 @@
 	})
 }
 
-// Closed of world.Program.
-func (a *Agent) Closed(now float64, _ world.Conn) {
+// Closed of env.Program.
+func (a *Agent) Closed(now float64, _ env.Conn) {
 	if !a.done {
 		a.io.Wake(now+0.2, 0)
 	}
 }
 
-// Taken of world.Program.
-func (a *Agent) Taken(float64, world.Conn, uint64) {}
+// Taken of env.Program.
+func (a *Agent) Taken(float64, env.Conn, uint64) {}
 
-// Datagram of world.Program.
+// Datagram of env.Program.
 func (a *Agent) Datagram(float64, []byte) {}
 
-// Woken of world.Program: it tries again.
+// Woken of env.Program: it tries again.
 func (a *Agent) Woken(float64, int) {
 	if !a.done {
 		a.at++
