--- a/internal/core/archtest/pure_test.go
+++ b/internal/core/archtest/pure_test.go
@@ -69,7 +69,7 @@
 }
 
 func TestImpuritiesAreSeen(t *testing.T) {
-	text := "package x\nimport \"time\"\nimport \"snowquay/internal/front/loop\"\nfunc f() { go f(); c := make(chan int); c <- 1 }"
+	text := "package x\nimport \"time\"\nimport \"snowquay/internal/frontend/eventloop\"\nfunc f() { go f(); c := make(chan int); c <- 1 }"
 	file, err := parser.ParseFile(token.NewFileSet(), "x.go", text, 0)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/front/platform/crossing_test.go
+++ b/internal/front/platform/crossing_test.go
@@ -15,7 +15,7 @@
 	"time"
 
 	"snowquay/internal/deployment"
-	"snowquay/internal/front/loop"
+	"snowquay/internal/frontend/eventloop"
 	"snowquay/internal/wire/registry"
 	"snowquay/internal/wire/resp"
 )
@@ -324,7 +324,7 @@
 	*counter
 	*office
 	program *Program
-	server  *loop.Server
+	server  *eventloop.Server
 	listen  netip.AddrPort
 }
 
@@ -355,7 +355,7 @@
 	}
 	g.listen = address(t, free)
 	_ = free.Close()
-	if g.server, err = loop.Listen(g.program, []netip.AddrPort{g.listen}, netip.AddrPort{}, loop.Clock()); err != nil {
+	if g.server, err = eventloop.Listen(g.program, []netip.AddrPort{g.listen}, netip.AddrPort{}, eventloop.Clock()); err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = g.server.Stop() })
--- a/internal/front/platform/platform.go
+++ b/internal/front/platform/platform.go
@@ -101,10 +101,10 @@
 	return x
 }
 
-// Blind of loop.Blind: nobody needs to know what peers' hosts have taken.
+// Blind of eventloop.Blind: nobody needs to know what peers' hosts have taken.
 func (p *Program) Blind() {}
 
-// MostUnread of loop.Bounded: whoever leaves more unread is cut off. A relay reads a call before it answers, and none is larger than that.
+// MostUnread of eventloop.Bounded: whoever leaves more unread is cut off. A relay reads a call before it answers, and none is larger than that.
 func (p *Program) MostUnread() int { return mostUnread }
 
 // Start of env.Program.
--- a/internal/front/poll/poll_test.go
+++ b/internal/front/poll/poll_test.go
@@ -26,8 +26,8 @@
 	"snowquay/internal/core/longpoll"
 	"snowquay/internal/core/registry"
 	"snowquay/internal/core/saspsession"
-	"snowquay/internal/front/loop"
 	"snowquay/internal/front/poll"
+	"snowquay/internal/frontend/eventloop"
 	"snowquay/internal/run"
 	"snowquay/internal/wire/delta"
 	"snowquay/internal/wire/sasp"
@@ -51,13 +51,13 @@
 
 func server(i int) balancer.Server { return balancer.Server(fmt.Sprintf("10.0.%d.%d:80", i>>8, i&255)) }
 
-func listen(t testing.TB, set run.Setup) (*run.Coordinator, *loop.Server, string) {
-	clock := loop.Clock()
+func listen(t testing.TB, set run.Setup) (*run.Coordinator, *eventloop.Server, string) {
+	clock := eventloop.Clock()
 	program, err := run.New(clock(), set, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	s, err := loop.Listen(program, set.Ports(), set.HTTP, clock)
+	s, err := eventloop.Listen(program, set.Ports(), set.HTTP, clock)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/front/loop/loop.go
+++ b/internal/frontend/eventloop/loop.go
@@ -1,7 +1,7 @@
-// Package loop runs a env.Program on real sockets with gnet's event loops: TCP listeners for
+// Package eventloop runs a env.Program on real sockets with gnet's event loops: TCP listeners for
 // proxies and a UDP one for measurements. One loop owns all connections, so the program needs no locks and messages leave in the order in
 // which they were decided; a round's writes are system calls and nothing else.
-package loop
+package eventloop
 
 import (
 	"context"
--- a/internal/front/loop/loop_test.go
+++ b/internal/frontend/eventloop/loop_test.go
@@ -1,4 +1,4 @@
-package loop
+package eventloop
 
 import (
 	"fmt"
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -19,8 +19,8 @@
 	"golang.org/x/sys/unix"
 
 	"snowquay/internal/deployment"
-	"snowquay/internal/front/loop"
 	front "snowquay/internal/front/platform"
+	"snowquay/internal/frontend/eventloop"
 	"snowquay/internal/wire/registry"
 )
 
@@ -105,7 +105,7 @@
 	debug.SetMemoryLimit(int64(memory * softPart * (1 << 20)))
 	place.Sockets = descriptors(place.Sockets)
 	program := front.New(place, log)
-	server, err := loop.Listen(program, []netip.AddrPort{listen}, netip.AddrPort{}, loop.Clock())
+	server, err := eventloop.Listen(program, []netip.AddrPort{listen}, netip.AddrPort{}, eventloop.Clock())
 	if err != nil {
 		return err
 	}
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -543,7 +543,7 @@
 	}
 }
 
-// Blind of loop.Blind: the proxy does not ask what clients have taken.
+// Blind of eventloop.Blind: the proxy does not ask what clients have taken.
 func (p *Proxy) Blind() {}
 
 // Datagram of env.Program.
--- a/internal/rehearse/hosted.go
+++ b/internal/rehearse/hosted.go
@@ -17,7 +17,7 @@
 	"snowquay/internal/core/tenancy"
 	"snowquay/internal/env/simnet"
 	"snowquay/internal/env/socketnet"
-	"snowquay/internal/front/loop"
+	"snowquay/internal/frontend/eventloop"
 	"snowquay/internal/keep"
 	"snowquay/internal/run"
 	"snowquay/internal/settings"
@@ -165,7 +165,7 @@
 // aHost of the day.
 type aHost struct {
 	place   *simnet.Host
-	server  *loop.Server
+	server  *eventloop.Server
 	program *run.Host
 	up      bool
 	store   run.HostStore
@@ -205,7 +205,7 @@
 		p.hosts = append(p.hosts, o)
 	}
 	if day.Sockets {
-		p.sock = socketnet.New(loop.Clock())
+		p.sock = socketnet.New(eventloop.Clock())
 		p.sock.Zone(hostAt, 0)
 		p.stage = p.sock
 	} else {
@@ -281,7 +281,7 @@
 	}
 	o.program, p.began, p.led, o.up = h, now, 0, true
 	if p.sim == nil {
-		if o.server, err = loop.Listen(h, p.host.Ports(), p.host.Measurements, p.sock.Now); err != nil {
+		if o.server, err = eventloop.Listen(h, p.host.Ports(), p.host.Measurements, p.sock.Now); err != nil {
 			p.fail(err)
 			o.up = false
 		}
--- a/internal/rehearse/rehearse.go
+++ b/internal/rehearse/rehearse.go
@@ -23,7 +23,7 @@
 	"snowquay/internal/env"
 	"snowquay/internal/env/simnet"
 	"snowquay/internal/env/socketnet"
-	"snowquay/internal/front/loop"
+	"snowquay/internal/frontend/eventloop"
 	"snowquay/internal/keep"
 	"snowquay/internal/run"
 	"snowquay/internal/settings"
@@ -171,7 +171,7 @@
 	p.ref = standin.NewReferee(standin.Rules{Promise: site.Guarantees, Channel: rules,
 		Hold: site.Limits.HoldServer + noticeMost, Slack: slack}, p.classes)
 	if opts.Sockets {
-		p.sock = socketnet.New(loop.Clock())
+		p.sock = socketnet.New(eventloop.Clock())
 		p.stage = p.sock
 		for i := range max(opts.Coordinators, 1) {
 			p.sock.Zone(p.at(i, day.Coordinator.SASP).Addr(), i%len(site.Zones))
@@ -265,7 +265,7 @@
 
 // mainHost is the coordinator's host over sockets: a gnet server.
 type mainHost struct {
-	server *loop.Server
+	server *eventloop.Server
 	fail   func(error)
 }
 
@@ -330,7 +330,7 @@
 		p.fail(restart(o.host, program))
 		return
 	}
-	server, err := loop.Listen(program, c.Ports(), c.Measurements, p.sock.Now)
+	server, err := eventloop.Listen(program, c.Ports(), c.Measurements, p.sock.Now)
 	p.fail(err)
 	o.host = &mainHost{server, p.fail}
 }
--- a/internal/run/member_sockets_test.go
+++ b/internal/run/member_sockets_test.go
@@ -9,7 +9,7 @@
 
 	"snowquay/internal/consensus"
 	"snowquay/internal/core/membership"
-	"snowquay/internal/front/loop"
+	"snowquay/internal/frontend/eventloop"
 	"snowquay/internal/run"
 )
 
@@ -20,8 +20,8 @@
 	for _, id := range order {
 		at[id] = netip.MustParseAddrPort(fmt.Sprint("127.0.0.1:", 14900+int(id)))
 	}
-	members, loops := map[membership.Number]*run.Member{}, map[membership.Number]*loop.Server{}
-	clock, dir := loop.Clock(), t.TempDir()
+	members, loops := map[membership.Number]*run.Member{}, map[membership.Number]*eventloop.Server{}
+	clock, dir := eventloop.Clock(), t.TempDir()
 	for _, id := range order {
 		f, err := consensus.OpenFile(filepath.Join(dir, fmt.Sprint(id)), consensus.ID(id))
 		if err != nil {
@@ -32,7 +32,7 @@
 		lease.For, lease.Every, lease.Margin = 1.2, 0.3, 0.2
 		members[id] = run.NewMember(run.GroupSetup{Self: id, Weight: 1, Members: at,
 			Key: []byte("key"), Terms: consensus.UsualTerms, Lease: lease}, f, uint64(clock()*1e6), func(string, ...any) {})
-		s, err := loop.Listen(members[id], []netip.AddrPort{at[id]}, netip.AddrPort{}, clock)
+		s, err := eventloop.Listen(members[id], []netip.AddrPort{at[id]}, netip.AddrPort{}, clock)
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/service/host.go
+++ b/internal/service/host.go
@@ -19,7 +19,7 @@
 	"snowquay/internal/core/fairshare"
 	"snowquay/internal/core/tenancy"
 	"snowquay/internal/front/admin"
-	"snowquay/internal/front/loop"
+	"snowquay/internal/frontend/eventloop"
 	"snowquay/internal/keep"
 	"snowquay/internal/run"
 	"snowquay/internal/settings"
@@ -46,7 +46,7 @@
 	}
 	defer func() { err = errors.Join(err, part.close()) }()
 	c.Disk, c.Life, c.OnFail = part.disk, part.life, part.fail
-	clock := loop.Clock()
+	clock := eventloop.Clock()
 	program, err := run.NewHost(clock(), c.HostSetup, store)
 	if err != nil {
 		return err
@@ -54,7 +54,7 @@
 	if err := program.Keys.Set("", c.Callers); err != nil {
 		return err
 	}
-	server, err := loop.Listen(program, append(c.Ports(), part.ports...), c.Measurements, clock)
+	server, err := eventloop.Listen(program, append(c.Ports(), part.ports...), c.Measurements, clock)
 	if err != nil {
 		return err
 	}
@@ -85,7 +85,7 @@
 }
 
 // leave gives up what is led here, and waits a little until the others know.
-func leave(server *loop.Server, leave func(now float64) (known bool)) {
+func leave(server *eventloop.Server, leave func(now float64) (known bool)) {
 	for end := time.Now().Add(leaveWithin); time.Now().Before(end); time.Sleep(leaveAsk) {
 		known := false
 		if server.Do(func(now float64) { known = leave(now) }); known {
@@ -96,7 +96,7 @@
 
 // hosted is a host as its administration API sees it.
 type hosted struct {
-	server  *loop.Server
+	server  *eventloop.Server
 	program *run.Host
 	watch   *watch
 	logs    *logs
@@ -311,7 +311,7 @@
 
 // hostState reads a host's figures when they are asked for.
 type hostState struct {
-	server  *loop.Server
+	server  *eventloop.Server
 	program *run.Host
 }
 
--- a/internal/service/proxy.go
+++ b/internal/service/proxy.go
@@ -10,7 +10,7 @@
 
 	"github.com/prometheus/client_golang/prometheus"
 
-	"snowquay/internal/front/loop"
+	"snowquay/internal/frontend/eventloop"
 	"snowquay/internal/proxy"
 	"snowquay/internal/settings"
 )
@@ -49,9 +49,9 @@
 		c.Store = snapshot(c.Path)
 	}
 	c.Say = func(event string, pairs ...any) { log.Info(event, pairs...) }
-	clock := loop.Clock()
+	clock := eventloop.Clock()
 	program := proxy.New(clock(), c.Setup)
-	server, err := loop.Listen(program, []netip.AddrPort{c.Listen}, netip.AddrPort{}, clock)
+	server, err := eventloop.Listen(program, []netip.AddrPort{c.Listen}, netip.AddrPort{}, clock)
 	if err != nil {
 		return err
 	}
@@ -72,7 +72,7 @@
 
 // proxyState reads a proxy's figures when they are asked for.
 type proxyState struct {
-	server  *loop.Server
+	server  *eventloop.Server
 	program *proxy.Proxy
 }
 
--- a/internal/service/service.go
+++ b/internal/service/service.go
@@ -23,7 +23,7 @@
 	"snowquay/internal/core/tenancy"
 	"snowquay/internal/feed/graphite"
 	"snowquay/internal/front/admin"
-	"snowquay/internal/front/loop"
+	"snowquay/internal/frontend/eventloop"
 	"snowquay/internal/keep"
 	"snowquay/internal/run"
 	"snowquay/internal/settings"
@@ -54,12 +54,12 @@
 	c.Disk, c.Life, c.OnFail = part.disk, part.life, part.fail
 	watch := newWatch(keptSpans)
 	c.Log, c.OnOrder = log, watch.order
-	clock := loop.Clock()
+	clock := eventloop.Clock()
 	program, err := run.New(clock(), c.Setup, records)
 	if err != nil {
 		return err
 	}
-	server, err := loop.Listen(program, append(c.Ports(), part.ports...), c.Measurements, clock)
+	server, err := eventloop.Listen(program, append(c.Ports(), part.ports...), c.Measurements, clock)
 	if err != nil {
 		return err
 	}
@@ -191,7 +191,7 @@
 // administered is a coordinator as its administration API sees it.
 type administered struct {
 	authz.Keys
-	server  *loop.Server
+	server  *eventloop.Server
 	program *run.Coordinator
 	watch   *watch
 }
@@ -214,7 +214,7 @@
 
 // state reads a coordinator's figures when they are asked for.
 type state struct {
-	server  *loop.Server
+	server  *eventloop.Server
 	program *run.Coordinator
 }
 
