--- a/internal/front/poll/poll.go
+++ b/internal/frontend/longpollhttp/poll.go
@@ -1,7 +1,7 @@
-// Package poll is the long-poll API on connections: HTTP/1.1 (RFC 9112) requests become polls of a core/longpoll Counter,
+// Package longpollhttp is the long-poll API on connections: HTTP/1.1 (RFC 9112) requests become polls of a core/longpoll Counter,
 // and its answers responses. Requests are parsed by net/http. It does no I/O of its own, so that it runs on an event loop
 // and in virtual time; a parked poll costs its connection's few fields and no goroutine.
-package poll
+package longpollhttp
 
 import (
 	"bufio"
--- a/internal/front/poll/poll_test.go
+++ b/internal/frontend/longpollhttp/poll_test.go
@@ -1,4 +1,4 @@
-package poll_test
+package longpollhttp_test
 
 import (
 	"bufio"
@@ -26,8 +26,8 @@
 	"snowquay/internal/core/longpoll"
 	"snowquay/internal/core/registry"
 	"snowquay/internal/core/saspsession"
-	"snowquay/internal/front/poll"
 	"snowquay/internal/frontend/eventloop"
+	"snowquay/internal/frontend/longpollhttp"
 	"snowquay/internal/run"
 	"snowquay/internal/wire/delta"
 	"snowquay/internal/wire/sasp"
@@ -45,7 +45,7 @@
 	}
 	limits := longpoll.UsualLimits
 	limits.Joins, limits.Burst = 1e6, 1e6
-	return run.Setup{Site: s, Limits: saspsession.UsualLimits, Policy: saspsession.Policy{FleetUID: "fleet"}, Poll: poll.UsualLimits,
+	return run.Setup{Site: s, Limits: saspsession.UsualLimits, Policy: saspsession.Policy{FleetUID: "fleet"}, Poll: longpollhttp.UsualLimits,
 		Parking: limits, HTTP: netip.AddrPortFrom(netip.MustParseAddr("127.0.0.1"), port)}
 }
 
@@ -122,7 +122,7 @@
 }
 
 func TestTheAPIIsAsDescribed(t *testing.T) {
-	doc, err := openapi3.NewLoader().LoadFromData(poll.OpenAPI)
+	doc, err := openapi3.NewLoader().LoadFromData(longpollhttp.OpenAPI)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/run/coordinator.go
+++ b/internal/run/coordinator.go
@@ -18,7 +18,7 @@
 	"snowquay/internal/env"
 	"snowquay/internal/feed/collectd"
 	"snowquay/internal/feed/graphite"
-	"snowquay/internal/front/poll"
+	"snowquay/internal/frontend/longpollhttp"
 )
 
 const (
@@ -32,7 +32,7 @@
 	Site     controlplane.Site
 	Limits   saspsession.Limits
 	Policy   saspsession.Policy
-	Poll     poll.Limits
+	Poll     longpollhttp.Limits
 	Parking  longpoll.Limits
 	SASP     netip.AddrPort // not valid: it is not spoken
 	HTTP     netip.AddrPort // likewise
@@ -102,7 +102,7 @@
 
 	Fleet    *controlplane.Fleet
 	Desk     *saspsession.Desk
-	Poll     *poll.Front
+	Poll     *longpollhttp.Front
 	Member   *Member           // nil: it is in no group of its own
 	peers    Peers             // nil: it shares its fleet with nobody
 	figures  *graphite.Sender  // nil: none are sent
@@ -136,7 +136,7 @@
 	c.Fleet = f
 	c.Desk = saspsession.New(f, c, setup.Limits, setup.Policy)
 	c.polls = map[env.Conn]bool{}
-	c.Poll = poll.New(c, setup.Poll, setup.Site.Names)
+	c.Poll = longpollhttp.New(c, setup.Poll, setup.Site.Names)
 	// An epoch of microseconds: a life begins later than the one before it.
 	c.Poll.Counter = longpoll.New(now, uint64(now*1e6)|1, f, c.Poll, setup.Parking)
 	c.Collect = collectd.New(f, setup.User, setup.Key)
@@ -179,7 +179,7 @@
 	}
 	if c.setup.HTTP.IsValid() && port == c.setup.HTTP.Port() {
 		c.polls[id] = true
-		c.Poll.Opened(now, poll.Conn(id), from)
+		c.Poll.Opened(now, longpollhttp.Conn(id), from)
 		return
 	}
 	c.Desk.Opened(now, saspsession.Conn(id), from)
@@ -204,7 +204,7 @@
 		return
 	}
 	if c.polls[id] {
-		c.Poll.Receive(now, poll.Conn(id), b)
+		c.Poll.Receive(now, longpollhttp.Conn(id), b)
 		return
 	}
 	c.Desk.Receive(now, saspsession.Conn(id), b)
@@ -223,7 +223,7 @@
 	}
 	if c.polls[id] {
 		delete(c.polls, id)
-		c.Poll.Closed(now, poll.Conn(id))
+		c.Poll.Closed(now, longpollhttp.Conn(id))
 		return
 	}
 	c.Desk.Closed(now, saspsession.Conn(id))
@@ -238,7 +238,7 @@
 		return
 	}
 	if c.polls[id] {
-		c.Poll.Taken(now, poll.Conn(id), total)
+		c.Poll.Taken(now, longpollhttp.Conn(id), total)
 		return
 	}
 	c.Desk.Taken(now, saspsession.Conn(id), total)
@@ -310,11 +310,11 @@
 // Send of saspsession.Out.
 func (c *Coordinator) Send(id saspsession.Conn, b []byte) { c.io.Send(env.Conn(id), b) }
 
-// SendPoll of poll.Out.
-func (c *Coordinator) SendPoll(id poll.Conn, b []byte) { c.io.Send(env.Conn(id), b) }
+// SendPoll of longpollhttp.Out.
+func (c *Coordinator) SendPoll(id longpollhttp.Conn, b []byte) { c.io.Send(env.Conn(id), b) }
 
-// ClosePoll of poll.Out.
-func (c *Coordinator) ClosePoll(id poll.Conn) {
+// ClosePoll of longpollhttp.Out.
+func (c *Coordinator) ClosePoll(id longpollhttp.Conn) {
 	delete(c.polls, env.Conn(id))
 	c.io.Close(env.Conn(id))
 }
--- a/internal/run/host.go
+++ b/internal/run/host.go
@@ -20,7 +20,7 @@
 	"snowquay/internal/env"
 	"snowquay/internal/feed/collectd"
 	"snowquay/internal/feed/graphite"
-	"snowquay/internal/front/poll"
+	"snowquay/internal/frontend/longpollhttp"
 	"snowquay/internal/wire/sasp"
 )
 
@@ -121,7 +121,7 @@
 	h := &Host{setup: setup, store: store, tenants: map[tenancy.Name]*Hosted{}, users: map[string]tenancy.Name{},
 		froms: map[env.Conn]netip.Addr{}, Turns: fairqueue.New[tenancy.Name](now, setup.Turns)}
 	h.Entry = tenancy.NewEntry(now, setup.Entry, map[tenancy.Front]tenancy.Speaker{
-		tenancy.SASP: func(b []byte) (string, bool, error) { return sasp.Speaker(b, setup.Entry.Bytes) }, tenancy.HTTP: poll.Speaker})
+		tenancy.SASP: func(b []byte) (string, bool, error) { return sasp.Speaker(b, setup.Entry.Bytes) }, tenancy.HTTP: longpollhttp.Speaker})
 	if setup.Graphite != nil {
 		h.figures = graphite.New(now, *setup.Graphite, rand.New(rand.NewPCG(setup.Life, 0x67a)).Float64)
 	}
@@ -401,7 +401,7 @@
 
 func refusal(r tenancy.Comes) []byte {
 	x := refusals[r.Why]
-	return poll.Refusal(x.status, x.kind, r.Why.String(), r.After)
+	return longpollhttp.Refusal(x.status, x.kind, r.Why.String(), r.After)
 }
 
 // Closed of env.Program.
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -26,7 +26,7 @@
 	"snowquay/internal/core/saspsession"
 	"snowquay/internal/core/spool"
 	"snowquay/internal/feed/graphite"
-	"snowquay/internal/front/poll"
+	"snowquay/internal/frontend/longpollhttp"
 	"snowquay/internal/run"
 )
 
@@ -254,7 +254,7 @@
 		r.class(n, s)
 	}
 	r.fleet(root, s)
-	c.Poll, c.Parking = poll.UsualLimits, longpoll.UsualLimits
+	c.Poll, c.Parking = longpollhttp.UsualLimits, longpoll.UsualLimits
 	if levels := root.one("fleet").attrs["levels"]; levels != "ignored" {
 		s.Dataplane.Levels = levelKinds[levels]
 	}
