--- a/internal/service/host.go
+++ b/internal/service/host.go
@@ -18,7 +18,7 @@
 	"snowquay/internal/core/controlplane"
 	"snowquay/internal/core/fairshare"
 	"snowquay/internal/core/tenancy"
-	"snowquay/internal/front/admin"
+	"snowquay/internal/frontend/admin"
 	"snowquay/internal/frontend/eventloop"
 	"snowquay/internal/keep"
 	"snowquay/internal/run"
--- a/internal/service/service.go
+++ b/internal/service/service.go
@@ -22,7 +22,7 @@
 	"snowquay/internal/core/spool"
 	"snowquay/internal/core/tenancy"
 	"snowquay/internal/feed/graphite"
-	"snowquay/internal/front/admin"
+	"snowquay/internal/frontend/admin"
 	"snowquay/internal/frontend/eventloop"
 	"snowquay/internal/keep"
 	"snowquay/internal/run"
