--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -19,8 +19,8 @@
 	"golang.org/x/sys/unix"
 
 	"snowquay/internal/deployment"
-	front "snowquay/internal/front/platform"
 	"snowquay/internal/frontend/eventloop"
+	front "snowquay/internal/frontend/platform"
 	"snowquay/internal/wire/registry"
 )
 
