--- a/internal/rehearse/hosted.go
+++ b/internal/rehearse/hosted.go
@@ -18,10 +18,10 @@
 	"snowquay/internal/env/simnet"
 	"snowquay/internal/env/socketnet"
 	"snowquay/internal/frontend/eventloop"
-	"snowquay/internal/keep"
 	"snowquay/internal/run"
 	"snowquay/internal/settings"
 	"snowquay/internal/standin"
+	"snowquay/internal/store"
 	"snowquay/internal/wire/sasp"
 )
 
@@ -200,7 +200,7 @@
 	for range max(day.Hosts, 1) {
 		o := &aHost{store: day.Store}
 		if o.store == nil {
-			o.store = &keep.HostedMemory{}
+			o.store = &store.HostedMemory{}
 		}
 		p.hosts = append(p.hosts, o)
 	}
--- a/internal/rehearse/rehearse.go
+++ b/internal/rehearse/rehearse.go
@@ -24,10 +24,10 @@
 	"snowquay/internal/env/simnet"
 	"snowquay/internal/env/socketnet"
 	"snowquay/internal/frontend/eventloop"
-	"snowquay/internal/keep"
 	"snowquay/internal/run"
 	"snowquay/internal/settings"
 	"snowquay/internal/standin"
+	"snowquay/internal/store"
 	"snowquay/internal/wire/sasp"
 )
 
@@ -118,7 +118,7 @@
 	program *run.Coordinator
 	host    host
 	up      bool
-	store   keep.Memory
+	store   store.Memory
 	disk    consensus.Memory
 	lives   uint64
 }
--- a/internal/run/graphite_test.go
+++ b/internal/run/graphite_test.go
@@ -13,11 +13,11 @@
 	"snowquay/internal/env/simnet"
 	"snowquay/internal/feed/graphite"
 	"snowquay/internal/golden"
-	"snowquay/internal/keep"
 	"snowquay/internal/rehearse"
 	"snowquay/internal/run"
 	"snowquay/internal/settings"
 	"snowquay/internal/standin"
+	"snowquay/internal/store"
 )
 
 // watched is a host with two tenants whose figures are sent to a receiver in virtual time.
@@ -29,7 +29,7 @@
 	}
 	change(set.Graphite)
 	set.Make = func(x tenancy.Tenant) (run.Made, error) { return settings.ParseTenant(x.Name, x.Settings, set) }
-	s := &site{t: t, set: set, store: &keep.HostedMemory{}, net: simnet.New(1, 1000)}
+	s := &site{t: t, set: set, store: &store.HostedMemory{}, net: simnet.New(1, 1000)}
 	s.place = s.net.Add(set.SASP.Addr(), 0, false)
 	s.start()
 	for i, text := range texts(2) {
--- a/internal/run/host_test.go
+++ b/internal/run/host_test.go
@@ -12,10 +12,10 @@
 	"snowquay/internal/core/tenancy"
 	"snowquay/internal/env"
 	"snowquay/internal/env/simnet"
-	"snowquay/internal/keep"
 	"snowquay/internal/rehearse"
 	"snowquay/internal/run"
 	"snowquay/internal/settings"
+	"snowquay/internal/store"
 	"snowquay/internal/wire/sasp"
 )
 
@@ -137,12 +137,12 @@
 // one publishes what was confirmed, and answers the repeated call in the same way.
 func TestHostKilledBetween(t *testing.T) {
 	for _, file := range []bool{false, true} {
-		var disk run.HostStore = &keep.HostedMemory{}
+		var disk run.HostStore = &store.HostedMemory{}
 		open := func() {}
 		if file {
 			path := filepath.Join(t.TempDir(), "tenants.db")
 			open = func() {
-				f, err := keep.OpenHosted(path)
+				f, err := store.OpenHosted(path)
 				if err != nil {
 					t.Fatal(err)
 				}
@@ -158,7 +158,7 @@
 		}
 		restart := func() {
 			s.place.Kill()
-			if f, ok := disk.(*keep.Hosted); ok {
+			if f, ok := disk.(*store.Hosted); ok {
 				if err := f.Close(); err != nil {
 					t.Fatal(err)
 				}
@@ -194,7 +194,7 @@
 		if len(k.rows) == 0 || weight != 0 {
 			t.Errorf("the drain is forgotten: %d rows, weight %d", len(k.rows), weight)
 		}
-		if f, ok := disk.(*keep.Hosted); ok {
+		if f, ok := disk.(*store.Hosted); ok {
 			if err := f.Close(); err != nil {
 				t.Fatal(err)
 			}
@@ -204,7 +204,7 @@
 
 // A change that can't be made durable has not happened, whoever asks.
 func TestHostDiskFails(t *testing.T) {
-	store := &keep.HostedMemory{}
+	store := &store.HostedMemory{}
 	s := newSite(t, store)
 	text := texts(2)
 	if _, err := s.order(tenancy.Create, "t000", text[0], 1); err != nil {
@@ -229,7 +229,7 @@
 // A tenant that is removed and made again is another one: connections of the former are closed, drains that it was told are not the
 // new one's, and what its relays hold is replaced.
 func TestHostMadeAgain(t *testing.T) {
-	s := newSite(t, &keep.HostedMemory{})
+	s := newSite(t, &store.HostedMemory{})
 	text := texts(1)[0]
 	if _, err := s.order(tenancy.Create, "t000", text, 0); err != nil {
 		t.Fatal(err)
@@ -264,7 +264,7 @@
 // Servers and relays of a tenant come and go while it runs; what its decision module is handed at the start makes it start anew. A
 // file that can't be read changes nothing.
 func TestHostRevises(t *testing.T) {
-	s := newSite(t, &keep.HostedMemory{})
+	s := newSite(t, &store.HostedMemory{})
 	text := string(texts(1)[0])
 	if _, err := s.order(tenancy.Create, "t000", []byte(text), 0); err != nil {
 		t.Fatal(err)
@@ -316,7 +316,7 @@
 
 // Many tenants that start at once do so in the time that looks at those that run leave, those first that somebody asks for.
 func TestHostStartsMany(t *testing.T) {
-	store := &keep.HostedMemory{}
+	store := &store.HostedMemory{}
 	s := newSite(t, store)
 	n := 200
 	for i, text := range texts(n)[:n] {
--- a/internal/run/hostmeasure_test.go
+++ b/internal/run/hostmeasure_test.go
@@ -7,8 +7,8 @@
 	"time"
 
 	"snowquay/internal/core/tenancy"
-	"snowquay/internal/keep"
 	"snowquay/internal/rehearse"
+	"snowquay/internal/store"
 )
 
 func heap() float64 {
@@ -25,7 +25,7 @@
 			for b.Loop() {
 				t := &testing.T{}
 				before := heap()
-				s := newSite(t, &keep.HostedMemory{})
+				s := newSite(t, &store.HostedMemory{})
 				d := rehearse.UsualHostedDay()
 				for i := range n {
 					s.host.Order(s.net.Now(), func() tenancy.Command {
@@ -54,7 +54,7 @@
 
 // What the start of a tenant takes, of which as many as a host has come after it was killed.
 func BenchmarkStartTenant(b *testing.B) {
-	s := newSite(&testing.T{}, &keep.HostedMemory{})
+	s := newSite(&testing.T{}, &store.HostedMemory{})
 	d := rehearse.UsualHostedDay()
 	text := d.TenantSettings(0)
 	b.Run("read", func(b *testing.B) {
--- a/internal/run/hosts_test.go
+++ b/internal/run/hosts_test.go
@@ -10,10 +10,10 @@
 	"snowquay/internal/core/membership"
 	"snowquay/internal/core/tenancy"
 	"snowquay/internal/env/simnet"
-	"snowquay/internal/keep"
 	"snowquay/internal/rehearse"
 	"snowquay/internal/run"
 	"snowquay/internal/settings"
+	"snowquay/internal/store"
 )
 
 // three hosts that share their tenants, in virtual time.
@@ -53,7 +53,7 @@
 	for k := range h.place {
 		setup.Group.Members[membership.Number(k+1)] = netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 0, 0, byte(1 + k)}), 13900)
 	}
-	x, err := run.NewHost(h.net.Now(), setup, &keep.HostedMemory{})
+	x, err := run.NewHost(h.net.Now(), setup, &store.HostedMemory{})
 	if err != nil {
 		h.t.Fatal(err)
 	}
--- a/internal/service/host.go
+++ b/internal/service/host.go
@@ -20,9 +20,9 @@
 	"snowquay/internal/core/tenancy"
 	"snowquay/internal/frontend/admin"
 	"snowquay/internal/frontend/eventloop"
-	"snowquay/internal/keep"
 	"snowquay/internal/run"
 	"snowquay/internal/settings"
+	"snowquay/internal/store"
 )
 
 // logTerms share what is logged between tenants: in lines.
@@ -32,7 +32,7 @@
 
 // ServeHost runs a host of many tenants until something comes on stop.
 func ServeHost(c *settings.Host, log *slog.Logger, stop <-chan os.Signal) (err error) {
-	store, err := keep.OpenHosted(c.Store)
+	store, err := store.OpenHosted(c.Store)
 	if err != nil {
 		return err
 	}
--- a/internal/service/service.go
+++ b/internal/service/service.go
@@ -24,9 +24,9 @@
 	"snowquay/internal/feed/graphite"
 	"snowquay/internal/frontend/admin"
 	"snowquay/internal/frontend/eventloop"
-	"snowquay/internal/keep"
 	"snowquay/internal/run"
 	"snowquay/internal/settings"
+	"snowquay/internal/store"
 )
 
 const (
@@ -39,8 +39,8 @@
 func Serve(c *settings.Coordinator, log *slog.Logger, stop <-chan os.Signal) (err error) {
 	var records run.Store
 	if c.Store != "" {
-		var s *keep.Store
-		if s, err = keep.Open(c.Store); err != nil {
+		var s *store.Store
+		if s, err = store.Open(c.Store); err != nil {
 			return err
 		}
 		defer func() { err = errors.Join(err, s.Close()) }()
--- a/internal/keep/hosted.go
+++ b/internal/store/hosted.go
@@ -1,4 +1,4 @@
-package keep
+package store
 
 import (
 	"encoding/binary"
--- a/internal/keep/keep.go
+++ b/internal/store/keep.go
@@ -1,5 +1,5 @@
-// Package keep is a coordinator's memory on disk: one record for each server, so that a drain outlives a restart.
-package keep
+// Package store is a coordinator's memory on disk: one record for each server, so that a drain outlives a restart.
+package store
 
 import (
 	"encoding/json"
