--- a/internal/cli/lab.go
+++ b/internal/cli/lab.go
@@ -6,7 +6,7 @@
 	"os"
 	"strings"
 
-	"snowquay/internal/lab"
+	"snowquay/internal/experiment"
 	"snowquay/internal/settings"
 )
 
@@ -26,16 +26,16 @@
 }
 
 // play plays what the folder lacks, and returns all that is there then.
-func (l *labRun) play(e *env) (*settings.Experiment, map[string]*lab.Record, error) {
+func (l *labRun) play(e *env) (*settings.Experiment, map[string]*experiment.Record, error) {
 	x, err := settings.LoadExperiment(l.Experiment)
 	if err != nil {
 		return nil, nil, err
 	}
-	f, err := lab.Open(l.Folder, x)
+	f, err := experiment.Open(l.Folder, x)
 	if err != nil {
 		return nil, nil, err
 	}
-	if err := lab.Run(f, x, l.Jobs, e.out); err != nil {
+	if err := experiment.Run(f, x, l.Jobs, e.out); err != nil {
 		return nil, nil, err
 	}
 	records, err := f.Records(x)
@@ -47,7 +47,7 @@
 	if err != nil {
 		return err
 	}
-	return lab.Table(e.out, lab.Groups(x, records), "text")
+	return experiment.Table(e.out, experiment.Groups(x, records), "text")
 }
 
 type labSweep struct {
@@ -61,7 +61,7 @@
 		return err
 	}
 	broken := 0
-	for i, r := range lab.Worst(records) {
+	for i, r := range experiment.Worst(records) {
 		if len(r.Broken()) > 0 {
 			broken++
 		}
@@ -77,7 +77,7 @@
 		fmt.Fprintf(e.out, "  [%s]\n", strings.Join(r.Troubles, " "))
 	}
 	fmt.Fprintln(e.out, "pairs of troubles, the worst first:")
-	for i, p := range lab.Pairs(records) {
+	for i, p := range experiment.Pairs(records) {
 		if i < l.Most {
 			fmt.Fprintf(e.out, "%-20s %-20s service %.3f on %d days, %d with a broken rule\n", p.A, p.B, p.Service.Mean, p.Service.N, p.Broken)
 		}
@@ -96,7 +96,7 @@
 }
 
 func (l *labCompare) Run(e *env) error {
-	f, x, err := lab.Read(l.Folder)
+	f, x, err := experiment.Read(l.Folder)
 	if err != nil {
 		return err
 	}
@@ -104,11 +104,11 @@
 	if err != nil {
 		return err
 	}
-	all := lab.Compare(lab.Groups(x, records), l.Base, l.Other)
+	all := experiment.Compare(experiment.Groups(x, records), l.Base, l.Other)
 	if len(all) == 0 {
 		return fmt.Errorf("no seed was played with both %q and %q", l.Base, l.Other)
 	}
-	lab.PrintDifferences(e.out, all, l.Base, l.Other)
+	experiment.PrintDifferences(e.out, all, l.Base, l.Other)
 	return nil
 }
 
@@ -117,11 +117,11 @@
 }
 
 func (l *labReport) Run(e *env) error {
-	f, x, err := lab.Read(l.Folder)
+	f, x, err := experiment.Read(l.Folder)
 	if err != nil {
 		return err
 	}
-	written, err := lab.Report(f, x)
+	written, err := experiment.Report(f, x)
 	if err != nil {
 		return err
 	}
@@ -139,11 +139,11 @@
 }
 
 func (l *labShrink) Run(e *env) error {
-	_, x, err := lab.Read(l.Folder)
+	_, x, err := experiment.Read(l.Folder)
 	if err != nil {
 		return err
 	}
-	c, err := lab.Find(x, l.Cell)
+	c, err := experiment.Find(x, l.Cell)
 	if err != nil {
 		return err
 	}
@@ -151,14 +151,14 @@
 	if err != nil {
 		return err
 	}
-	bad := lab.Breaks(l.Rule, c.Options())
+	bad := experiment.Breaks(l.Rule, c.Options())
 	if l.Under > 0 {
-		bad = lab.Under(l.Under, c.Options())
+		bad = experiment.Under(l.Under, c.Options())
 	}
 	if !bad(d) {
 		return fmt.Errorf("the day %s is not bad in that way", l.Cell)
 	}
-	d = lab.Shrink(d, bad, l.Most, e.out)
+	d = experiment.Shrink(d, bad, l.Most, e.out)
 	text, err := d.Write()
 	if err != nil {
 		return err
@@ -184,12 +184,12 @@
 	if err != nil {
 		return err
 	}
-	c, err := lab.Find(x, l.Cell)
+	c, err := experiment.Find(x, l.Cell)
 	if err != nil {
 		return err
 	}
 	c.Arm.Program = ""
-	r, err := lab.Play(x, c)
+	r, err := experiment.Play(x, c)
 	if err != nil {
 		return err
 	}
--- a/internal/lab/compare.go
+++ b/internal/experiment/compare.go
@@ -1,4 +1,4 @@
-package lab
+package experiment
 
 import (
 	"cmp"
--- a/internal/lab/lab.go
+++ b/internal/experiment/lab.go
@@ -1,6 +1,6 @@
-// Package lab plays experiments in virtual time: fleets, days and arms over many seeds, kept in a folder, compared by paired seeds, swept
+// Package experiment plays experiments in virtual time: fleets, days and arms over many seeds, kept in a folder, compared by paired seeds, swept
 // for what is worst, and shrunk to what is least. Days are those of package rehearse; all figures are of simulated servers.
-package lab
+package experiment
 
 import (
 	"cmp"
