--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -24,8 +24,8 @@
 	"snowquay/internal/core/idempotency"
 	"snowquay/internal/core/membership"
 	"snowquay/internal/platform"
-	"snowquay/internal/rehearse"
 	"snowquay/internal/run"
+	"snowquay/internal/scenario"
 	"snowquay/internal/service"
 	"snowquay/internal/settings"
 )
@@ -387,7 +387,7 @@
 }
 
 func (t *takeovers) Run(e *env) (err error) {
-	day, err := settings.ParseDay("bad-day.xml", rehearse.BadDay)
+	day, err := settings.ParseDay("bad-day.xml", scenario.BadDay)
 	if err != nil {
 		return err
 	}
@@ -395,14 +395,14 @@
 		if !t.Virtual {
 			return errors.New("another number of servers or relays is played in virtual time only, with --virtual")
 		}
-		rehearse.Enlarge(day, cmp.Or(t.Servers, len(day.Coordinator.Site.Servers)), cmp.Or(t.Relays, len(day.Coordinator.Site.Relays)))
+		scenario.Enlarge(day, cmp.Or(t.Servers, len(day.Coordinator.Site.Servers)), cmp.Or(t.Relays, len(day.Coordinator.Site.Relays)))
 	}
-	rehearse.Takeovers(day, t.Kills, t.Every, t.Seed, t.Calm)
+	scenario.Takeovers(day, t.Kills, t.Every, t.Seed, t.Calm)
 	if t.Spare {
 		day.Troubles = slices.DeleteFunc(day.Troubles, func(x settings.Trouble) bool { return strings.HasPrefix(x.Kind, "coordinator_") })
 	}
 	if t.Virtual {
-		return show(e, day, rehearse.Options{Log: e.log, Front: t.Front, Coordinators: 3, Proxies: t.Proxies})
+		return show(e, day, scenario.Options{Log: e.log, Front: t.Front, Coordinators: 3, Proxies: t.Proxies})
 	}
 	exe, err := os.Executable()
 	if err != nil {
@@ -421,13 +421,13 @@
 	}
 	defer func() { err = errors.Join(err, log.Close()) }()
 	fmt.Fprintf(e.out, "playing %.0f s over loopback sockets, three coordinators as processes, %d kills ...\n", day.Seconds, t.Kills)
-	return show(e, day, rehearse.Options{Sockets: true, Log: e.log, Front: t.Front, Coordinators: 3, Proxies: t.Proxies,
-		Processes: &rehearse.Processes{Exe: exe, Folder: folder, Log: log}})
+	return show(e, day, scenario.Options{Sockets: true, Log: e.log, Front: t.Front, Coordinators: 3, Proxies: t.Proxies,
+		Processes: &scenario.Processes{Exe: exe, Folder: folder, Log: log}})
 }
 
 // show plays a day and prints the verdicts.
-func show(e *env, day *settings.Day, opts rehearse.Options) error {
-	result, err := rehearse.Run(day, opts)
+func show(e *env, day *settings.Day, opts scenario.Options) error {
+	result, err := scenario.Run(day, opts)
 	if err != nil {
 		return err
 	}
@@ -466,7 +466,7 @@
 		}
 		without = append(without, controlplane.Guard(name))
 	}
-	day, err := settings.ParseDay("bad-day.xml", rehearse.BadDay, without...)
+	day, err := settings.ParseDay("bad-day.xml", scenario.BadDay, without...)
 	if r.Day != "" {
 		day, err = settings.LoadDay(r.Day, without...)
 	}
@@ -479,5 +479,5 @@
 	if !r.Virtual {
 		fmt.Fprintf(e.out, "playing %g s over loopback sockets ...\n", day.Seconds)
 	}
-	return show(e, day, rehearse.Options{Sockets: !r.Virtual, Log: e.log, Seed: r.Seed, Front: r.Front, Coordinators: r.Coordinators, Proxies: r.Proxies})
+	return show(e, day, scenario.Options{Sockets: !r.Virtual, Log: e.log, Seed: r.Seed, Front: r.Front, Coordinators: r.Coordinators, Proxies: r.Proxies})
 }
--- a/internal/cli/host.go
+++ b/internal/cli/host.go
@@ -9,7 +9,7 @@
 
 	"snowquay/internal/core/idempotency"
 	"snowquay/internal/core/tenancy"
-	"snowquay/internal/rehearse"
+	"snowquay/internal/scenario"
 	"snowquay/internal/service"
 	"snowquay/internal/settings"
 )
@@ -256,7 +256,7 @@
 	if !h.Virtual {
 		fmt.Fprintf(e.out, "playing %g s over loopback sockets ...\n", h.Seconds)
 	}
-	r, err := rehearse.RunHosted(rehearse.HostedDay{Tenants: h.Tenants, Servers: h.Servers, Relays: h.Relays, Seconds: h.Seconds, Seed: h.Seed,
+	r, err := scenario.RunHosted(scenario.HostedDay{Tenants: h.Tenants, Servers: h.Servers, Relays: h.Relays, Seconds: h.Seconds, Seed: h.Seed,
 		Sockets: !h.Virtual, Hosts: h.Hosts, Kills: h.Kills, Only: -1, Rate: h.Rate, Flood: h.Flood, FloodRate: 2000, Restart: h.Restart, Down: 1, Remove: h.Remove, Drains: h.Drains, Log: e.log})
 	if err != nil {
 		return err
--- a/internal/experiment/lab.go
+++ b/internal/experiment/lab.go
@@ -22,7 +22,7 @@
 	"github.com/cespare/xxhash/v2"
 
 	"snowquay/balancer"
-	"snowquay/internal/rehearse"
+	"snowquay/internal/scenario"
 	"snowquay/internal/settings"
 	"snowquay/internal/standin"
 )
@@ -146,11 +146,11 @@
 
 // Day of a cell, ready to be played.
 func (c Cell) Day() (*settings.Day, error) {
-	d, err := settings.ParseDay("bad-day.xml", rehearse.BadDay, c.Arm.Without...)
+	d, err := settings.ParseDay("bad-day.xml", scenario.BadDay, c.Arm.Without...)
 	if err != nil {
 		return nil, err
 	}
-	rehearse.Enlarge(d, c.Fleet.Servers, c.Fleet.Relays)
+	scenario.Enlarge(d, c.Fleet.Servers, c.Fleet.Relays)
 	site := &d.Coordinator.Site
 	for i := range site.Servers { // servers of a pod stand in one zone, and restart together
 		site.Servers[i].Pod, site.Servers[i].Zone = balancer.Pod(i/podSize), balancer.Zone(i/podSize%len(site.Zones))
@@ -185,14 +185,14 @@
 		Draw(d, c.Case.Drawn, c.Case.Kinds)
 	}
 	if c.Case.Kills > 0 {
-		rehearse.Kill(d, c.Case.Kills)
+		scenario.Kill(d, c.Case.Kills)
 	}
 	return d, nil
 }
 
 // Options of a cell's play.
-func (c Cell) Options() rehearse.Options {
-	o := rehearse.Options{Seed: c.Seed, Front: c.Arm.Front, Coordinators: c.Arm.Coordinators, Mute: c.Arm.Policy == "listed"}
+func (c Cell) Options() scenario.Options {
+	o := scenario.Options{Seed: c.Seed, Front: c.Arm.Front, Coordinators: c.Arm.Coordinators, Mute: c.Arm.Policy == "listed"}
 	switch c.Arm.Policy {
 	case "robin":
 		o.Policy = standin.Robin
@@ -208,14 +208,14 @@
 	if err != nil {
 		return nil, err
 	}
-	res, err := rehearse.Run(d, c.Options())
+	res, err := scenario.Run(d, c.Options())
 	if err != nil {
 		return nil, err
 	}
 	return record(x, c, d, res), nil
 }
 
-func record(x *settings.Experiment, c Cell, d *settings.Day, res *rehearse.Result) *Record {
+func record(x *settings.Experiment, c Cell, d *settings.Day, res *scenario.Result) *Record {
 	r := &Record{Experiment: x.Name, Fleet: c.Fleet.Name, Case: c.Case.Name, Arm: c.Arm.Name, Seed: c.Seed, Version: Version(),
 		Print: print(x), Servers: c.Fleet.Servers, Relays: c.Fleet.Relays, Seconds: c.Case.Seconds, Service: res.Service, Worst: res.Worst,
 		WorstClass: 1, Drained: res.Drained, Messages: res.Messages, Lines: res.Lines, Fulls: res.Counts.Fulls, PeakQueue: res.PeakQueue, Events: res.Events}
--- a/internal/experiment/lab_test.go
+++ b/internal/experiment/lab_test.go
@@ -13,7 +13,7 @@
 	"strings"
 	"testing"
 
-	"snowquay/internal/rehearse"
+	"snowquay/internal/scenario"
 	"snowquay/internal/seeded"
 	"snowquay/internal/settings"
 )
@@ -226,7 +226,7 @@
 	x := parse(t, `<experiment name="s" seeds="1"><fleet name="f" servers="8" relays="6" load="0.5"/><case name="c" seconds="14">
 		<trouble kind="slow" at="6" for="4" server="2" factor="3"/></case><arm name="a"/></experiment>`)
 	c := Cells(x)[0]
-	var got [2]*rehearse.Result
+	var got [2]*scenario.Result
 	for i, sockets := range []bool{false, true} {
 		d, err := c.Day()
 		if err != nil {
@@ -239,7 +239,7 @@
 			a.SASP, a.HTTP = netip.AddrPortFrom(a.SASP.Addr(), 13960), netip.AddrPortFrom(a.HTTP.Addr(), 18960)
 			a.Measurements = netip.AddrPortFrom(a.Measurements.Addr(), 15960)
 		}
-		if got[i], err = rehearse.Run(d, o); err != nil {
+		if got[i], err = scenario.Run(d, o); err != nil {
 			t.Fatal(err)
 		}
 		if !got[i].Kept() {
--- a/internal/experiment/shrink.go
+++ b/internal/experiment/shrink.go
@@ -6,7 +6,7 @@
 	"slices"
 
 	"snowquay/balancer"
-	"snowquay/internal/rehearse"
+	"snowquay/internal/scenario"
 	"snowquay/internal/settings"
 )
 
@@ -152,11 +152,11 @@
 }
 
 // Breaks is a Bad for days that break a rule, 0: any, played in a way.
-func Breaks(rule int, opts rehearse.Options) Bad {
+func Breaks(rule int, opts scenario.Options) Bad {
 	return func(d *settings.Day) bool {
 		opts := opts
 		opts.Seed = d.Seed
-		r, err := rehearse.Run(d, opts)
+		r, err := scenario.Run(d, opts)
 		if err != nil {
 			return false
 		}
@@ -170,11 +170,11 @@
 }
 
 // Under is a Bad for days with a service under a figure.
-func Under(service float64, opts rehearse.Options) Bad {
+func Under(service float64, opts scenario.Options) Bad {
 	return func(d *settings.Day) bool {
 		opts := opts
 		opts.Seed = d.Seed
-		r, err := rehearse.Run(d, opts)
+		r, err := scenario.Run(d, opts)
 		return err == nil && r.Service < service
 	}
 }
--- a/internal/run/graphite_test.go
+++ b/internal/run/graphite_test.go
@@ -13,8 +13,8 @@
 	"snowquay/internal/env/simnet"
 	"snowquay/internal/feed/graphite"
 	"snowquay/internal/golden"
-	"snowquay/internal/rehearse"
 	"snowquay/internal/run"
+	"snowquay/internal/scenario"
 	"snowquay/internal/settings"
 	"snowquay/internal/standin"
 	"snowquay/internal/store"
@@ -23,7 +23,7 @@
 // watched is a host with two tenants whose figures are sent to a receiver in virtual time.
 func watched(t *testing.T, change func(*graphite.Setup)) (*site, *simnet.Host, *standin.Receiver) {
 	t.Helper()
-	set, err := settings.ParseHost("host.xml", []byte(strings.Replace(rehearse.HostSettings, "<caller", `<graphite address="127.0.9.9:2003" prefix="sq.test"/><caller`, 1)))
+	set, err := settings.ParseHost("host.xml", []byte(strings.Replace(scenario.HostSettings, "<caller", `<graphite address="127.0.9.9:2003" prefix="sq.test"/><caller`, 1)))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/run/host_test.go
+++ b/internal/run/host_test.go
@@ -12,8 +12,8 @@
 	"snowquay/internal/core/tenancy"
 	"snowquay/internal/env"
 	"snowquay/internal/env/simnet"
-	"snowquay/internal/rehearse"
 	"snowquay/internal/run"
+	"snowquay/internal/scenario"
 	"snowquay/internal/settings"
 	"snowquay/internal/store"
 	"snowquay/internal/wire/sasp"
@@ -31,7 +31,7 @@
 
 func newSite(t *testing.T, store run.HostStore) *site {
 	t.Helper()
-	set, err := settings.ParseHost("host.xml", []byte(rehearse.HostSettings))
+	set, err := settings.ParseHost("host.xml", []byte(scenario.HostSettings))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -126,7 +126,7 @@
 }
 
 func texts(n int) (all [][]byte) {
-	d := rehearse.UsualHostedDay()
+	d := scenario.UsualHostedDay()
 	for t := range n {
 		all = append(all, []byte(strings.ReplaceAll(string(d.TenantSettings(t)), `pod="`, `standing="true" pod="`)))
 	}
--- a/internal/run/hostmeasure_test.go
+++ b/internal/run/hostmeasure_test.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"snowquay/internal/core/tenancy"
-	"snowquay/internal/rehearse"
+	"snowquay/internal/scenario"
 	"snowquay/internal/store"
 )
 
@@ -26,7 +26,7 @@
 				t := &testing.T{}
 				before := heap()
 				s := newSite(t, &store.HostedMemory{})
-				d := rehearse.UsualHostedDay()
+				d := scenario.UsualHostedDay()
 				for i := range n {
 					s.host.Order(s.net.Now(), func() tenancy.Command {
 						name, text := tenancy.Name(fmt.Sprintf("t%03d", i)), d.TenantSettings(i)
@@ -55,7 +55,7 @@
 // What the start of a tenant takes, of which as many as a host has come after it was killed.
 func BenchmarkStartTenant(b *testing.B) {
 	s := newSite(&testing.T{}, &store.HostedMemory{})
-	d := rehearse.UsualHostedDay()
+	d := scenario.UsualHostedDay()
 	text := d.TenantSettings(0)
 	b.Run("read", func(b *testing.B) {
 		for b.Loop() {
--- a/internal/run/hosts_test.go
+++ b/internal/run/hosts_test.go
@@ -10,8 +10,8 @@
 	"snowquay/internal/core/membership"
 	"snowquay/internal/core/tenancy"
 	"snowquay/internal/env/simnet"
-	"snowquay/internal/rehearse"
 	"snowquay/internal/run"
+	"snowquay/internal/scenario"
 	"snowquay/internal/settings"
 	"snowquay/internal/store"
 )
@@ -28,7 +28,7 @@
 }
 
 func newThree(t *testing.T, tenants int) *three {
-	set, err := settings.ParseHost("host.xml", []byte(rehearse.HostSettings))
+	set, err := settings.ParseHost("host.xml", []byte(scenario.HostSettings))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/rehearse/rehearse.go
+++ b/internal/scenario/rehearse.go
@@ -1,6 +1,6 @@
-// Package rehearse plays a day: one coordinator, match servers and relays, and what goes wrong, in virtual time or over
+// Package scenario plays a day: one coordinator, match servers and relays, and what goes wrong, in virtual time or over
 // loopback sockets, with the same programs. The referee's verdict comes from what relays and servers saw.
-package rehearse
+package scenario
 
 import (
 	_ "embed"
--- a/internal/rehearse/takeover.go
+++ b/internal/scenario/takeover.go
@@ -1,4 +1,4 @@
-package rehearse
+package scenario
 
 import (
 	"fmt"
