--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -20,11 +20,11 @@
 
 	"github.com/alecthomas/kong"
 
+	"snowquay/internal/coordinator"
 	"snowquay/internal/core/controlplane"
 	"snowquay/internal/core/idempotency"
 	"snowquay/internal/core/membership"
 	"snowquay/internal/platform"
-	"snowquay/internal/run"
 	"snowquay/internal/scenario"
 	"snowquay/internal/service"
 	"snowquay/internal/settings"
@@ -294,7 +294,7 @@
 	Settings string `arg:"" type:"existingfile" help:"Settings file (XML) of any of them."`
 }
 
-func loadGroup(path string) (*run.GroupSetup, error) {
+func loadGroup(path string) (*coordinator.GroupSetup, error) {
 	c, err := settings.LoadCoordinator(path)
 	if err != nil {
 		return nil, err
--- a/internal/run/adopt_test.go
+++ b/internal/coordinator/adopt_test.go
@@ -1,4 +1,4 @@
-package run_test
+package coordinator_test
 
 import (
 	"net/netip"
@@ -6,12 +6,12 @@
 
 	"snowquay/balancer"
 	"snowquay/internal/consensus"
+	"snowquay/internal/coordinator"
 	"snowquay/internal/core/controlplane"
 	"snowquay/internal/core/membership"
 	"snowquay/internal/core/registry"
 	"snowquay/internal/core/saspsession"
 	"snowquay/internal/env/simnet"
-	"snowquay/internal/run"
 	"snowquay/internal/wire/sasp"
 )
 
@@ -23,16 +23,16 @@
 	disk := &consensus.Memory{Own: 5}
 	host := net.Add(at.Addr(), 0, false)
 	life := uint64(0)
-	start := func() *run.Coordinator {
+	start := func() *coordinator.Coordinator {
 		life++
-		c, err := run.New(net.Now(), run.Setup{Site: controlplane.Site{Seed: 1, Names: []string{"search"}, Zones: []string{"a"},
+		c, err := coordinator.New(net.Now(), coordinator.Setup{Site: controlplane.Site{Seed: 1, Names: []string{"search"}, Zones: []string{"a"},
 			Strangers: true, Classes: []balancer.QueryClass{{Benefit: 1, GoalTime: 1, ClientTimeout: 3}},
 			Dataplane:  balancer.Dataplane{Proxies: 1, Coordinators: 1, UsualRepeats: balancer.AfterProof},
 			Channel:    balancer.Channel{LinesPerSecond: 1e5, MessageLines: 3, MostWaiting: 1e5, MeanWay: 0.01, LongestWay: 0.2},
 			Guarantees: balancer.Guarantees{DrainWithin: 3, BareWithin: 2, ColdShare: 0.2, ColdFor: 10, FallMultiple: 3, FallWithin: 2},
 			Reporting:  balancer.Reporting{Period: 0.5}, Limits: controlplane.UsualLimits}, SASP: at, Limits: saspsession.UsualLimits,
 			Policy: saspsession.Policy{FleetUID: "fleet", NewOnes: true}, Disk: disk, Life: life,
-			Group: &run.GroupSetup{Self: 1, Weight: 1, Members: map[membership.Number]netip.AddrPort{1: peers}, Key: []byte("key"),
+			Group: &coordinator.GroupSetup{Self: 1, Weight: 1, Members: map[membership.Number]netip.AddrPort{1: peers}, Key: []byte("key"),
 				Terms: consensus.UsualTerms, Lease: membership.UsualTerms}}, nil)
 		if err != nil {
 			t.Fatal(err)
--- a/internal/run/coordinator.go
+++ b/internal/coordinator/coordinator.go
@@ -1,6 +1,6 @@
-// Package run makes a coordinator of its parts: a fleet, a SASP desk, a long-poll front and a collector of measurements.
+// Package coordinator makes a coordinator of its parts: a fleet, a SASP desk, a long-poll front and a collector of measurements.
 // The same program runs in virtual time and over real sockets.
-package run
+package coordinator
 
 import (
 	"context"
--- a/internal/run/golden_test.go
+++ b/internal/coordinator/golden_test.go
@@ -1,4 +1,4 @@
-package run
+package coordinator
 
 import (
 	"net/netip"
--- a/internal/run/graphite_test.go
+++ b/internal/coordinator/graphite_test.go
@@ -1,4 +1,4 @@
-package run_test
+package coordinator_test
 
 import (
 	"fmt"
@@ -8,12 +8,12 @@
 	"strings"
 	"testing"
 
+	"snowquay/internal/coordinator"
 	"snowquay/internal/core/spool"
 	"snowquay/internal/core/tenancy"
 	"snowquay/internal/env/simnet"
 	"snowquay/internal/feed/graphite"
 	"snowquay/internal/golden"
-	"snowquay/internal/run"
 	"snowquay/internal/scenario"
 	"snowquay/internal/settings"
 	"snowquay/internal/standin"
@@ -28,7 +28,7 @@
 		t.Fatal(err)
 	}
 	change(set.Graphite)
-	set.Make = func(x tenancy.Tenant) (run.Made, error) { return settings.ParseTenant(x.Name, x.Settings, set) }
+	set.Make = func(x tenancy.Tenant) (coordinator.Made, error) { return settings.ParseTenant(x.Name, x.Settings, set) }
 	s := &site{t: t, set: set, store: &store.HostedMemory{}, net: simnet.New(1, 1000)}
 	s.place = s.net.Add(set.SASP.Addr(), 0, false)
 	s.start()
--- a/internal/run/guards_test.go
+++ b/internal/coordinator/guards_test.go
@@ -1,4 +1,4 @@
-package run_test
+package coordinator_test
 
 import (
 	"errors"
@@ -8,10 +8,10 @@
 	"testing"
 
 	"snowquay/internal/consensus"
+	"snowquay/internal/coordinator"
 	"snowquay/internal/core/membership"
 	"snowquay/internal/env"
 	"snowquay/internal/env/simnet"
-	"snowquay/internal/run"
 	"snowquay/internal/wire/peer"
 )
 
@@ -21,20 +21,20 @@
 	at      map[membership.Number]netip.AddrPort
 	hosts   map[membership.Number]*simnet.Host
 	disks   map[membership.Number]*consensus.Memory
-	members map[membership.Number]*run.Member
+	members map[membership.Number]*coordinator.Member
 	said    []string
 	lives   uint64
 }
 
 func newTown(seed uint64, count int) *town {
 	w := &town{net: simnet.New(seed, 1000), at: map[membership.Number]netip.AddrPort{}, hosts: map[membership.Number]*simnet.Host{},
-		disks: map[membership.Number]*consensus.Memory{}, members: map[membership.Number]*run.Member{}}
+		disks: map[membership.Number]*consensus.Memory{}, members: map[membership.Number]*coordinator.Member{}}
 	for n := membership.Number(1); n <= membership.Number(count); n++ {
 		w.at[n] = netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, byte(n)}), 7000)
 		w.place(n)
 	}
 	for n := membership.Number(1); n <= membership.Number(count); n++ {
-		w.start(n, run.GroupSetup{Members: w.at})
+		w.start(n, coordinator.GroupSetup{Members: w.at})
 	}
 	w.net.Run(w.net.Now() + 5)
 	return w
@@ -45,10 +45,10 @@
 	w.disks[n] = &consensus.Memory{Own: uint64(n) * 11}
 }
 
-func (w *town) start(n membership.Number, g run.GroupSetup) {
+func (w *town) start(n membership.Number, g coordinator.GroupSetup) {
 	w.lives++
 	g.Self, g.Weight, g.Key, g.Terms, g.Lease = n, 1, []byte("key"), consensus.UsualTerms, membership.UsualTerms
-	w.members[n] = run.NewMember(g, w.disks[n], w.lives, func(event string, pairs ...any) {
+	w.members[n] = coordinator.NewMember(g, w.disks[n], w.lives, func(event string, pairs ...any) {
 		w.said = append(w.said, fmt.Sprint(n, " ", event, " ", pairs))
 	})
 	w.hosts[n].Start(w.members[n])
@@ -78,10 +78,10 @@
 	w.hosts[3].Kill()
 	w.hosts[2].Kill()
 	w.disks[3] = &consensus.Memory{Own: 999}
-	w.start(2, run.GroupSetup{Members: w.at})
-	w.start(3, run.GroupSetup{Members: w.at})
+	w.start(2, coordinator.GroupSetup{Members: w.at})
+	w.start(3, coordinator.GroupSetup{Members: w.at})
 	w.net.Run(w.net.Now() + 8)
-	if !errors.Is(w.members[3].Failed, run.ErrRefused) || !strings.Contains(w.members[3].Failed.Error(), "new number") {
+	if !errors.Is(w.members[3].Failed, coordinator.ErrRefused) || !strings.Contains(w.members[3].Failed.Error(), "new number") {
 		t.Errorf("it goes on under its old number: %v\n%s", w.members[3].Failed, strings.Join(w.said, "\n"))
 	}
 	if !w.holds(1) || !w.holds(2) {
@@ -90,7 +90,7 @@
 	w.place(4)
 	w.at[4] = netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, 4}), 7000)
 	delete(w.at, 3)
-	w.start(4, run.GroupSetup{Members: w.at, Joins: true})
+	w.start(4, coordinator.GroupSetup{Members: w.at, Joins: true})
 	w.net.Run(w.net.Now() + 8)
 	if !w.holds(4) || !w.members[4].Group.Seated() {
 		t.Errorf("under a new number it is not taken in: %v", w.members[4].Failed)
@@ -100,7 +100,7 @@
 	if w.holds(2) || w.holds(4) {
 		t.Error("two of four voters lead")
 	}
-	w.start(1, run.GroupSetup{Members: w.at})
+	w.start(1, coordinator.GroupSetup{Members: w.at})
 	w.net.Run(w.net.Now() + 8)
 	tool := &tool{to: w.at[2], frames: []peer.Frame{{Kind: peer.Command, Message: unseat(t, 3)}, {Kind: peer.Ask}}}
 	w.net.Add(netip.AddrFrom4([4]byte{10, 0, 0, 99}), 9, false).Start(tool)
--- a/internal/run/host_test.go
+++ b/internal/coordinator/host_test.go
@@ -1,4 +1,4 @@
-package run_test
+package coordinator_test
 
 import (
 	"errors"
@@ -9,10 +9,10 @@
 	"testing"
 
 	"snowquay/balancer"
+	"snowquay/internal/coordinator"
 	"snowquay/internal/core/tenancy"
 	"snowquay/internal/env"
 	"snowquay/internal/env/simnet"
-	"snowquay/internal/run"
 	"snowquay/internal/scenario"
 	"snowquay/internal/settings"
 	"snowquay/internal/store"
@@ -23,19 +23,19 @@
 type site struct {
 	t     *testing.T
 	set   *settings.Host
-	store run.HostStore
+	store coordinator.HostStore
 	net   *simnet.Net
 	place *simnet.Host
-	host  *run.Host
+	host  *coordinator.Host
 }
 
-func newSite(t *testing.T, store run.HostStore) *site {
+func newSite(t *testing.T, store coordinator.HostStore) *site {
 	t.Helper()
 	set, err := settings.ParseHost("host.xml", []byte(scenario.HostSettings))
 	if err != nil {
 		t.Fatal(err)
 	}
-	set.Make = func(x tenancy.Tenant) (run.Made, error) { return settings.ParseTenant(x.Name, x.Settings, set) }
+	set.Make = func(x tenancy.Tenant) (coordinator.Made, error) { return settings.ParseTenant(x.Name, x.Settings, set) }
 	s := &site{t: t, set: set, store: store, net: simnet.New(1, 1000)}
 	s.place = s.net.Add(set.SASP.Addr(), 0, false)
 	s.start()
@@ -45,7 +45,7 @@
 func (s *site) start() {
 	s.t.Helper()
 	var err error
-	if s.host, err = run.NewHost(s.net.Now(), s.set.HostSetup, s.store); err != nil {
+	if s.host, err = coordinator.NewHost(s.net.Now(), s.set.HostSetup, s.store); err != nil {
 		s.t.Fatal(err)
 	}
 	s.place.Start(s.host)
@@ -137,7 +137,7 @@
 // one publishes what was confirmed, and answers the repeated call in the same way.
 func TestHostKilledBetween(t *testing.T) {
 	for _, file := range []bool{false, true} {
-		var disk run.HostStore = &store.HostedMemory{}
+		var disk coordinator.HostStore = &store.HostedMemory{}
 		open := func() {}
 		if file {
 			path := filepath.Join(t.TempDir(), "tenants.db")
@@ -211,10 +211,10 @@
 		t.Fatal(err)
 	}
 	store.Fails = errors.New("the disk is full")
-	if _, err := s.order(tenancy.Create, "t001", text[1], 2); !errors.Is(err, run.ErrNotKept) {
+	if _, err := s.order(tenancy.Create, "t001", text[1], 2); !errors.Is(err, coordinator.ErrNotKept) {
 		t.Error(err)
 	}
-	if _, err := s.order(tenancy.Remove, "t000", nil, 3); !errors.Is(err, run.ErrNotKept) {
+	if _, err := s.order(tenancy.Remove, "t000", nil, 3); !errors.Is(err, coordinator.ErrNotKept) {
 		t.Error(err)
 	}
 	if _, ok := s.host.Tenant("t001"); ok || len(s.host.Tenants()) != 1 {
--- a/internal/run/hostmeasure_test.go
+++ b/internal/coordinator/hostmeasure_test.go
@@ -1,4 +1,4 @@
-package run_test
+package coordinator_test
 
 import (
 	"fmt"
--- a/internal/run/hosts_test.go
+++ b/internal/coordinator/hosts_test.go
@@ -1,4 +1,4 @@
-package run_test
+package coordinator_test
 
 import (
 	"errors"
@@ -7,10 +7,10 @@
 	"testing"
 
 	"snowquay/internal/consensus"
+	"snowquay/internal/coordinator"
 	"snowquay/internal/core/membership"
 	"snowquay/internal/core/tenancy"
 	"snowquay/internal/env/simnet"
-	"snowquay/internal/run"
 	"snowquay/internal/scenario"
 	"snowquay/internal/settings"
 	"snowquay/internal/store"
@@ -22,7 +22,7 @@
 	net   *simnet.Net
 	set   *settings.Host
 	place [3]*simnet.Host
-	host  [3]*run.Host
+	host  [3]*coordinator.Host
 	disk  [3]consensus.Memory
 	lives uint64
 }
@@ -33,7 +33,7 @@
 		t.Fatal(err)
 	}
 	set.Room.Tenants = tenants
-	set.Make = func(x tenancy.Tenant) (run.Made, error) { return settings.ParseTenant(x.Name, x.Settings, set) }
+	set.Make = func(x tenancy.Tenant) (coordinator.Made, error) { return settings.ParseTenant(x.Name, x.Settings, set) }
 	h := &three{t: t, net: simnet.New(1, 1000), set: set}
 	for i := range h.place {
 		h.place[i] = h.net.Add(netip.AddrFrom4([4]byte{127, 0, 0, byte(1 + i)}), 0, false)
@@ -48,12 +48,12 @@
 	setup := h.set.HostSetup
 	h.disk[i].Own = uint64(i + 1)
 	setup.Disk, setup.Life = &h.disk[i], h.lives*10+uint64(i)
-	setup.Group = &run.GroupSetup{Self: membership.Number(i + 1), Weight: 1, Members: map[membership.Number]netip.AddrPort{}, Key: []byte("a key for three hosts"),
+	setup.Group = &coordinator.GroupSetup{Self: membership.Number(i + 1), Weight: 1, Members: map[membership.Number]netip.AddrPort{}, Key: []byte("a key for three hosts"),
 		Terms: consensus.UsualTerms, Lease: membership.UsualTerms}
 	for k := range h.place {
 		setup.Group.Members[membership.Number(k+1)] = netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 0, 0, byte(1 + k)}), 13900)
 	}
-	x, err := run.NewHost(h.net.Now(), setup, &store.HostedMemory{})
+	x, err := coordinator.NewHost(h.net.Now(), setup, &store.HostedMemory{})
 	if err != nil {
 		h.t.Fatal(err)
 	}
@@ -148,7 +148,7 @@
 	for _, a := range answers {
 		if *a == nil {
 			made++
-		} else if !errors.Is(*a, tenancy.ErrRoom) && !errors.Is(*a, errWaits) && !errors.Is(*a, run.ErrNotAgreed) {
+		} else if !errors.Is(*a, tenancy.ErrRoom) && !errors.Is(*a, errWaits) && !errors.Is(*a, coordinator.ErrNotAgreed) {
 			t.Error(*a)
 		}
 	}
--- a/internal/run/member_sockets_test.go
+++ b/internal/coordinator/member_sockets_test.go
@@ -1,4 +1,4 @@
-package run_test
+package coordinator_test
 
 import (
 	"fmt"
@@ -8,9 +8,9 @@
 	"time"
 
 	"snowquay/internal/consensus"
+	"snowquay/internal/coordinator"
 	"snowquay/internal/core/membership"
 	"snowquay/internal/frontend/eventloop"
-	"snowquay/internal/run"
 )
 
 // The same members on event loops over loopback: all proxies are led, one member ends without a word, and the others lead
@@ -20,7 +20,7 @@
 	for _, id := range order {
 		at[id] = netip.MustParseAddrPort(fmt.Sprint("127.0.0.1:", 14900+int(id)))
 	}
-	members, loops := map[membership.Number]*run.Member{}, map[membership.Number]*eventloop.Server{}
+	members, loops := map[membership.Number]*coordinator.Member{}, map[membership.Number]*eventloop.Server{}
 	clock, dir := eventloop.Clock(), t.TempDir()
 	for _, id := range order {
 		f, err := consensus.OpenFile(filepath.Join(dir, fmt.Sprint(id)), consensus.ID(id))
@@ -30,7 +30,7 @@
 		defer f.Close()
 		lease := membership.UsualTerms
 		lease.For, lease.Every, lease.Margin = 1.2, 0.3, 0.2
-		members[id] = run.NewMember(run.GroupSetup{Self: id, Weight: 1, Members: at,
+		members[id] = coordinator.NewMember(coordinator.GroupSetup{Self: id, Weight: 1, Members: at,
 			Key: []byte("key"), Terms: consensus.UsualTerms, Lease: lease}, f, uint64(clock()*1e6), func(string, ...any) {})
 		s, err := eventloop.Listen(members[id], []netip.AddrPort{at[id]}, netip.AddrPort{}, clock)
 		if err != nil {
--- a/internal/run/member_test.go
+++ b/internal/coordinator/member_test.go
@@ -1,4 +1,4 @@
-package run_test
+package coordinator_test
 
 import (
 	"fmt"
@@ -7,9 +7,9 @@
 	"testing"
 
 	"snowquay/internal/consensus"
+	"snowquay/internal/coordinator"
 	"snowquay/internal/core/membership"
 	"snowquay/internal/env/simnet"
-	"snowquay/internal/run"
 )
 
 // Three members over a net that splits what is sent, each with a store on disk: killed, frozen and cut off in turn.
@@ -21,7 +21,7 @@
 	for _, id := range order {
 		at[id] = netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, byte(id)}), 7000)
 	}
-	hosts, members, files := map[membership.Number]*simnet.Host{}, map[membership.Number]*run.Member{}, map[membership.Number]*consensus.File{}
+	hosts, members, files := map[membership.Number]*simnet.Host{}, map[membership.Number]*coordinator.Member{}, map[membership.Number]*consensus.File{}
 	life := uint64(0)
 	start := func(id membership.Number, key string) {
 		f, err := consensus.OpenFile(filepath.Join(dir, fmt.Sprint(id)), consensus.ID(id))
@@ -30,7 +30,7 @@
 		}
 		life++
 		files[id] = f
-		members[id] = run.NewMember(run.GroupSetup{Self: id, Weight: 1, Members: at,
+		members[id] = coordinator.NewMember(coordinator.GroupSetup{Self: id, Weight: 1, Members: at,
 			Key: []byte(key), Terms: consensus.UsualTerms, Lease: membership.UsualTerms}, f, life, func(string, ...any) {})
 		hosts[id].Start(members[id])
 	}
--- a/internal/frontend/eventloop/loop_test.go
+++ b/internal/frontend/eventloop/loop_test.go
@@ -11,15 +11,15 @@
 	"time"
 
 	"snowquay/balancer"
+	"snowquay/internal/coordinator"
 	"snowquay/internal/core/controlplane"
 	"snowquay/internal/core/registry"
 	"snowquay/internal/core/saspsession"
 	"snowquay/internal/env"
-	"snowquay/internal/run"
 	"snowquay/internal/wire/sasp"
 )
 
-func setup(servers, relays int) run.Setup {
+func setup(servers, relays int) coordinator.Setup {
 	s := controlplane.Site{Seed: 1, Names: []string{"search"}, Zones: []string{"a"}, Strangers: true,
 		Classes:    []balancer.QueryClass{{Benefit: 1, GoalTime: 1, ClientTimeout: 3}},
 		Dataplane:  balancer.Dataplane{Proxies: relays, Coordinators: 1, UsualRepeats: balancer.AfterProof},
@@ -30,12 +30,12 @@
 		a := netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, byte(i >> 8), byte(i)}), 80)
 		s.Servers = append(s.Servers, registry.Place{Server: balancer.Server(a.String()), Weight: 1, Standing: true})
 	}
-	return run.Setup{Site: s, Limits: saspsession.UsualLimits, Policy: saspsession.Policy{FleetUID: "fleet"}}
+	return coordinator.Setup{Site: s, Limits: saspsession.UsualLimits, Policy: saspsession.Policy{FleetUID: "fleet"}}
 }
 
-func listen(t testing.TB, setup run.Setup, port uint16) (*run.Coordinator, *Server, string) {
+func listen(t testing.TB, setup coordinator.Setup, port uint16) (*coordinator.Coordinator, *Server, string) {
 	clock := Clock()
-	program, err := run.New(clock(), setup, nil)
+	program, err := coordinator.New(clock(), setup, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -120,7 +120,7 @@
 
 func TestAPortThatIsTakenIsSaid(t *testing.T) {
 	_, _, at := listen(t, setup(1, 1), 14861)
-	program, _ := run.New(1, setup(1, 1), nil)
+	program, _ := coordinator.New(1, setup(1, 1), nil)
 	if _, err := Listen(program, []netip.AddrPort{netip.MustParseAddrPort(at)}, netip.MustParseAddrPort(at), Clock()); err == nil {
 		t.Error("two servers listen on one port")
 	}
--- a/internal/frontend/longpollhttp/poll_test.go
+++ b/internal/frontend/longpollhttp/poll_test.go
@@ -22,18 +22,18 @@
 	"github.com/getkin/kin-openapi/routers/legacy"
 
 	"snowquay/balancer"
+	"snowquay/internal/coordinator"
 	"snowquay/internal/core/controlplane"
 	"snowquay/internal/core/longpoll"
 	"snowquay/internal/core/registry"
 	"snowquay/internal/core/saspsession"
 	"snowquay/internal/frontend/eventloop"
 	"snowquay/internal/frontend/longpollhttp"
-	"snowquay/internal/run"
 	"snowquay/internal/wire/delta"
 	"snowquay/internal/wire/sasp"
 )
 
-func setup(servers, proxies int, port uint16) run.Setup {
+func setup(servers, proxies int, port uint16) coordinator.Setup {
 	s := controlplane.Site{Seed: 1, Names: []string{"search"}, Zones: []string{"a"}, Strangers: true,
 		Classes:    []balancer.QueryClass{{Benefit: 1, GoalTime: 1, ClientTimeout: 3}},
 		Dataplane:  balancer.Dataplane{Proxies: proxies, Coordinators: 1, UsualRepeats: balancer.AfterProof, Levels: balancer.LevelFraction},
@@ -45,15 +45,15 @@
 	}
 	limits := longpoll.UsualLimits
 	limits.Joins, limits.Burst = 1e6, 1e6
-	return run.Setup{Site: s, Limits: saspsession.UsualLimits, Policy: saspsession.Policy{FleetUID: "fleet"}, Poll: longpollhttp.UsualLimits,
+	return coordinator.Setup{Site: s, Limits: saspsession.UsualLimits, Policy: saspsession.Policy{FleetUID: "fleet"}, Poll: longpollhttp.UsualLimits,
 		Parking: limits, HTTP: netip.AddrPortFrom(netip.MustParseAddr("127.0.0.1"), port)}
 }
 
 func server(i int) balancer.Server { return balancer.Server(fmt.Sprintf("10.0.%d.%d:80", i>>8, i&255)) }
 
-func listen(t testing.TB, set run.Setup) (*run.Coordinator, *eventloop.Server, string) {
+func listen(t testing.TB, set coordinator.Setup) (*coordinator.Coordinator, *eventloop.Server, string) {
 	clock := eventloop.Clock()
-	program, err := run.New(clock(), set, nil)
+	program, err := coordinator.New(clock(), set, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/scenario/hosted.go
+++ b/internal/scenario/hosted.go
@@ -13,12 +13,12 @@
 
 	"snowquay/balancer"
 	"snowquay/internal/consensus"
+	"snowquay/internal/coordinator"
 	"snowquay/internal/core/controlplane"
 	"snowquay/internal/core/tenancy"
 	"snowquay/internal/env/simnet"
 	"snowquay/internal/env/socketnet"
 	"snowquay/internal/frontend/eventloop"
-	"snowquay/internal/run"
 	"snowquay/internal/settings"
 	"snowquay/internal/standin"
 	"snowquay/internal/store"
@@ -42,7 +42,7 @@
 	Remove                   int     // this tenant is removed in the middle of the day, and made again; -1: nobody
 	Drains                   bool    // each tenant has a server drained during the flood
 	Log                      *slog.Logger
-	Store                    run.HostStore // nil: in memory
+	Store                    coordinator.HostStore // nil: in memory
 	Set                      func(*settings.Host)
 	Without                  []controlplane.Guard // left out by each tenant's coordinator
 	Anywhere                 bool                 // relays of a tenant may come from any network: a guard left out
@@ -68,7 +68,7 @@
 // HostedResult is the day.
 type HostedResult struct {
 	Tenants  []TenantResult
-	Counts   run.HostCounts
+	Counts   coordinator.HostCounts
 	Turns    turnsSeen
 	AllLed   float64 // seconds from the host's start, or its latest restart, until all relays of all tenants were told their tables; 0: never
 	Events   int
@@ -166,9 +166,9 @@
 type aHost struct {
 	place   *simnet.Host
 	server  *eventloop.Server
-	program *run.Host
+	program *coordinator.Host
 	up      bool
-	store   run.HostStore
+	store   coordinator.HostStore
 	disk    consensus.Memory
 	lives   uint64
 }
@@ -183,7 +183,7 @@
 	if day.Set != nil {
 		day.Set(p.host)
 	}
-	p.host.Make = func(t tenancy.Tenant) (run.Made, error) {
+	p.host.Make = func(t tenancy.Tenant) (coordinator.Made, error) {
 		m, err := settings.ParseTenant(t.Name, t.Settings, p.host)
 		if day.Anywhere {
 			m.Networks = nil
@@ -274,7 +274,7 @@
 		o.disk.Own = uint64(i + 1)
 		setup.Group = groupOf(n, i, func(k int) netip.Addr { return hostAddr(k, 0).Addr() })
 	}
-	h, err := run.NewHost(now, setup, o.store)
+	h, err := coordinator.NewHost(now, setup, o.store)
 	if err != nil {
 		p.fail(err)
 		return
@@ -345,7 +345,7 @@
 }
 
 // on does something with a host that runs, between two of its steps.
-func (p *hostedPlay) on(f func(now float64, h *run.Host)) {
+func (p *hostedPlay) on(f func(now float64, h *coordinator.Host)) {
 	o := p.one()
 	switch {
 	case o == nil:
@@ -357,7 +357,7 @@
 }
 
 func (p *hostedPlay) order(c tenancy.Command) {
-	p.on(func(now float64, h *run.Host) {
+	p.on(func(now float64, h *coordinator.Host) {
 		c.At = now
 		if c.Kind != tenancy.Remove {
 			m, err := settings.ParseTenant(c.Name, c.Settings, p.host)
@@ -504,7 +504,7 @@
 // drain orders one by the host, as its administration API does, and follows it on the relays' side.
 func (p *hostedPlay) drain(x *hostedTenant) {
 	s := tenantServer(x.number, p.day.Servers-1)
-	p.on(func(now float64, h *run.Host) {
+	p.on(func(now float64, h *coordinator.Host) {
 		h.Drain(now, x.name, balancer.Server(s.String()), true, func(ok bool) {
 			if ok {
 				x.drained = p.stage.Now()
--- a/internal/scenario/rehearse.go
+++ b/internal/scenario/rehearse.go
@@ -16,6 +16,7 @@
 
 	"snowquay/balancer"
 	"snowquay/internal/consensus"
+	"snowquay/internal/coordinator"
 	"snowquay/internal/core/controlplane"
 	"snowquay/internal/core/longpoll"
 	"snowquay/internal/core/membership"
@@ -24,7 +25,6 @@
 	"snowquay/internal/env/simnet"
 	"snowquay/internal/env/socketnet"
 	"snowquay/internal/frontend/eventloop"
-	"snowquay/internal/run"
 	"snowquay/internal/settings"
 	"snowquay/internal/standin"
 	"snowquay/internal/store"
@@ -115,7 +115,7 @@
 
 // one is a coordinator of the day.
 type one struct {
-	program *run.Coordinator
+	program *coordinator.Coordinator
 	host    host
 	up      bool
 	store   store.Memory
@@ -316,7 +316,7 @@
 		setup.Disk, setup.Life = &o.disk, o.lives*100+uint64(i)
 		setup.Group = groupOf(n, i, func(k int) netip.Addr { return p.at(k, c.SASP).Addr() })
 	}
-	program, err := run.New(p.stage.Now(), setup, &o.store)
+	program, err := coordinator.New(p.stage.Now(), setup, &o.store)
 	if err != nil {
 		p.fail(err)
 		return
@@ -336,8 +336,8 @@
 }
 
 // groupOf is what the i-th of n that share a fleet, or tenants, is told of the others.
-func groupOf(n, i int, at func(k int) netip.Addr) *run.GroupSetup {
-	g := &run.GroupSetup{Self: membership.Number(i + 1), Weight: 1, Members: map[membership.Number]netip.AddrPort{},
+func groupOf(n, i int, at func(k int) netip.Addr) *coordinator.GroupSetup {
+	g := &coordinator.GroupSetup{Self: membership.Number(i + 1), Weight: 1, Members: map[membership.Number]netip.AddrPort{},
 		Key: []byte("a key for rehearsals"), Terms: consensus.UsualTerms, Lease: membership.UsualTerms}
 	for k := range n {
 		g.Members[membership.Number(k+1)] = netip.AddrPortFrom(at(k), peerPort)
--- a/internal/service/group.go
+++ b/internal/service/group.go
@@ -9,8 +9,8 @@
 	"slices"
 	"time"
 
+	"snowquay/internal/coordinator"
 	"snowquay/internal/core/membership"
-	"snowquay/internal/run"
 	"snowquay/internal/wire/peer"
 )
 
@@ -20,13 +20,13 @@
 )
 
 // GroupStatus asks the coordinator at an address how its group is.
-func GroupStatus(at netip.AddrPort, key []byte) (s run.Status, err error) {
+func GroupStatus(at netip.AddrPort, key []byte) (s coordinator.Status, err error) {
 	return ask(at, key, nil)
 }
 
 // GroupRemove takes a coordinator out for good, by way of any of the others. A command may be lost while a leader is
 // elected, so it is given again until one of them says that it is agreed on.
-func GroupRemove(g *run.GroupSetup, gone membership.Number, wait time.Duration) error {
+func GroupRemove(g *coordinator.GroupSetup, gone membership.Number, wait time.Duration) error {
 	for end := time.Now().Add(wait); ; time.Sleep(removeAsk) {
 		var last error
 		for _, n := range slices.Sorted(maps.Keys(g.Members)) {
@@ -54,7 +54,7 @@
 }
 
 // ask sends a command, if any, and asks for the status.
-func ask(at netip.AddrPort, key []byte, order *membership.Command) (s run.Status, err error) {
+func ask(at netip.AddrPort, key []byte, order *membership.Command) (s coordinator.Status, err error) {
 	c, err := net.DialTimeout("tcp", at.String(), toolWithin)
 	if err != nil {
 		return s, err
--- a/internal/service/host.go
+++ b/internal/service/host.go
@@ -14,13 +14,13 @@
 	"github.com/prometheus/client_golang/prometheus"
 
 	"snowquay/balancer"
+	"snowquay/internal/coordinator"
 	"snowquay/internal/core/authz"
 	"snowquay/internal/core/controlplane"
 	"snowquay/internal/core/fairshare"
 	"snowquay/internal/core/tenancy"
 	"snowquay/internal/frontend/admin"
 	"snowquay/internal/frontend/eventloop"
-	"snowquay/internal/run"
 	"snowquay/internal/settings"
 	"snowquay/internal/store"
 )
@@ -38,7 +38,7 @@
 	}
 	defer func() { err = errors.Join(err, store.Close()) }()
 	watch, logs := newWatch(hostedKept), newLogs(log)
-	c.Make = func(t tenancy.Tenant) (run.Made, error) { return settings.ParseTenant(t.Name, t.Settings, c) }
+	c.Make = func(t tenancy.Tenant) (coordinator.Made, error) { return settings.ParseTenant(t.Name, t.Settings, c) }
 	c.Log, c.OnOrder = logs.of, watch.orderOf
 	part, err := openGroup(c.Group, c.GroupStore)
 	if err != nil {
@@ -47,7 +47,7 @@
 	defer func() { err = errors.Join(err, part.close()) }()
 	c.Disk, c.Life, c.OnFail = part.disk, part.life, part.fail
 	clock := eventloop.Clock()
-	program, err := run.NewHost(clock(), c.HostSetup, store)
+	program, err := coordinator.NewHost(clock(), c.HostSetup, store)
 	if err != nil {
 		return err
 	}
@@ -97,7 +97,7 @@
 // hosted is a host as its administration API sees it.
 type hosted struct {
 	server  *eventloop.Server
-	program *run.Host
+	program *coordinator.Host
 	watch   *watch
 	logs    *logs
 }
@@ -141,7 +141,7 @@
 	return rows
 }
 
-func (h *hosted) row(x *run.Hosted) admin.TenantRow {
+func (h *hosted) row(x *coordinator.Hosted) admin.TenantRow {
 	r := admin.TenantRow{Name: x.Name, Incarnation: x.Incarnation, Version: x.Version, Weight: x.Weight, Needs: x.Needs, Runs: x.Program != nil}
 	if x.Wrong != nil {
 		r.Wrong = x.Wrong.Error()
@@ -312,7 +312,7 @@
 // hostState reads a host's figures when they are asked for.
 type hostState struct {
 	server  *eventloop.Server
-	program *run.Host
+	program *coordinator.Host
 }
 
 // Describe of prometheus.Collector: it is unchecked, since its figures are read from the host as it is.
@@ -320,27 +320,27 @@
 
 var tenantFigures = []struct {
 	desc *prometheus.Desc
-	of   func(h *run.Host, x *run.Hosted) float64
+	of   func(h *coordinator.Host, x *coordinator.Hosted) float64
 }{
-	{tenantDesc("runs", "1 while the tenant's coordinator runs."), func(_ *run.Host, x *run.Hosted) float64 { return one(x.Program != nil) }},
-	{tenantDesc("relays_joined", "Relays that are joined."), func(_ *run.Host, x *run.Hosted) float64 {
+	{tenantDesc("runs", "1 while the tenant's coordinator runs."), func(_ *coordinator.Host, x *coordinator.Hosted) float64 { return one(x.Program != nil) }},
+	{tenantDesc("relays_joined", "Relays that are joined."), func(_ *coordinator.Host, x *coordinator.Hosted) float64 {
 		if x.Program == nil {
 			return 0
 		}
 		return float64(x.Program.Fleet.Joined())
 	}},
-	{tenantDesc("waiting_lines", "Lines that wait in the tenant's channel."), func(_ *run.Host, x *run.Hosted) float64 {
+	{tenantDesc("waiting_lines", "Lines that wait in the tenant's channel."), func(_ *coordinator.Host, x *coordinator.Hosted) float64 {
 		if x.Program == nil {
 			return 0
 		}
 		waiting, _ := x.Program.Fleet.Waiting()
 		return waiting
 	}},
-	{tenantDesc("work_seconds_total", "Seconds of a core that it was reckoned at."), func(h *run.Host, x *run.Hosted) float64 {
+	{tenantDesc("work_seconds_total", "Seconds of a core that it was reckoned at."), func(h *coordinator.Host, x *coordinator.Hosted) float64 {
 		work, _ := h.Turns.Took(x.Name)
 		return work
 	}},
-	{tenantDesc("longest_wait_seconds", "The longest that it was due and waited for its turn."), func(h *run.Host, x *run.Hosted) float64 {
+	{tenantDesc("longest_wait_seconds", "The longest that it was due and waited for its turn."), func(h *coordinator.Host, x *coordinator.Hosted) float64 {
 		_, longest := h.Turns.Took(x.Name)
 		return longest
 	}},
--- a/internal/service/service.go
+++ b/internal/service/service.go
@@ -17,6 +17,7 @@
 
 	"snowquay/balancer"
 	"snowquay/internal/consensus"
+	"snowquay/internal/coordinator"
 	"snowquay/internal/core/authz"
 	"snowquay/internal/core/controlplane"
 	"snowquay/internal/core/spool"
@@ -24,7 +25,6 @@
 	"snowquay/internal/feed/graphite"
 	"snowquay/internal/frontend/admin"
 	"snowquay/internal/frontend/eventloop"
-	"snowquay/internal/run"
 	"snowquay/internal/settings"
 	"snowquay/internal/store"
 )
@@ -37,7 +37,7 @@
 
 // Serve runs a coordinator until something comes on stop.
 func Serve(c *settings.Coordinator, log *slog.Logger, stop <-chan os.Signal) (err error) {
-	var records run.Store
+	var records coordinator.Store
 	if c.Store != "" {
 		var s *store.Store
 		if s, err = store.Open(c.Store); err != nil {
@@ -55,7 +55,7 @@
 	watch := newWatch(keptSpans)
 	c.Log, c.OnOrder = log, watch.order
 	clock := eventloop.Clock()
-	program, err := run.New(clock(), c.Setup, records)
+	program, err := coordinator.New(clock(), c.Setup, records)
 	if err != nil {
 		return err
 	}
@@ -108,7 +108,7 @@
 }
 
 // openGroup opens what a member of a group must not forget; without a group there is nothing to open.
-func openGroup(g *run.GroupSetup, store string) (*groupPart, error) {
+func openGroup(g *coordinator.GroupSetup, store string) (*groupPart, error) {
 	p := &groupPart{failed: make(chan error, 1)}
 	if g == nil {
 		return p, nil
@@ -192,7 +192,7 @@
 type administered struct {
 	authz.Keys
 	server  *eventloop.Server
-	program *run.Coordinator
+	program *coordinator.Coordinator
 	watch   *watch
 }
 
@@ -215,7 +215,7 @@
 // state reads a coordinator's figures when they are asked for.
 type state struct {
 	server  *eventloop.Server
-	program *run.Coordinator
+	program *coordinator.Coordinator
 }
 
 // Describe of prometheus.Collector: it is unchecked, since its figures are read from the coordinator as it is.
--- a/internal/settings/host.go
+++ b/internal/settings/host.go
@@ -11,17 +11,17 @@
 	"strings"
 
 	"snowquay/balancer"
+	"snowquay/internal/coordinator"
 	"snowquay/internal/core/authz"
 	"snowquay/internal/core/controlplane"
 	"snowquay/internal/core/fairqueue"
 	"snowquay/internal/core/idempotency"
 	"snowquay/internal/core/tenancy"
-	"snowquay/internal/run"
 )
 
 // Host is what the settings file of a host of many tenants says, ready to act.
 type Host struct {
-	run.HostSetup
+	coordinator.HostSetup
 	Measurements netip.AddrPort
 	Metrics      netip.AddrPort // not valid: none
 	Admin        netip.AddrPort
@@ -95,16 +95,16 @@
 
 // ParseTenant reads a tenant's settings for a host. Relays and servers are named there as its staff calls them; in its coordinator, and
 // on the wire, the tenant's name stands before each, so that a name tells whose it is.
-func ParseTenant(of tenancy.Name, text []byte, h *Host) (run.Made, error) {
+func ParseTenant(of tenancy.Name, text []byte, h *Host) (coordinator.Made, error) {
 	root, err := load(text, "tenant")
 	if err != nil {
-		return run.Made{}, named(string(of), err)
+		return coordinator.Made{}, named(string(of), err)
 	}
 	m, err := tenant(of, root, h)
 	return m, named(string(of), err)
 }
 
-func tenant(of tenancy.Name, root *node, h *Host) (m run.Made, err error) {
+func tenant(of tenancy.Name, root *node, h *Host) (m coordinator.Made, err error) {
 	r := &reader{zones: map[string]balancer.Zone{}}
 	c := r.basis(root, nil)
 	r.callers(root, c)
@@ -163,7 +163,7 @@
 		}
 		m.Networks = append(m.Networks, p)
 	}
-	return run.Made{Networks: m.Networks, Setup: c.Setup, Callers: c.Callers, Weight: root.number("weight"), Needs: tenancy.Of(size), Most: c.Limits.Connections},
+	return coordinator.Made{Networks: m.Networks, Setup: c.Setup, Callers: c.Callers, Weight: root.number("weight"), Needs: tenancy.Of(size), Most: c.Limits.Connections},
 		errors.Join(r.errs...)
 }
 
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -17,6 +17,7 @@
 
 	"snowquay/balancer"
 	"snowquay/internal/consensus"
+	"snowquay/internal/coordinator"
 	"snowquay/internal/core/authz"
 	"snowquay/internal/core/controlplane"
 	"snowquay/internal/core/idempotency"
@@ -27,12 +28,11 @@
 	"snowquay/internal/core/spool"
 	"snowquay/internal/feed/graphite"
 	"snowquay/internal/frontend/longpollhttp"
-	"snowquay/internal/run"
 )
 
 // Coordinator is what a settings file says, ready to act.
 type Coordinator struct {
-	run.Setup
+	coordinator.Setup
 	Measurements netip.AddrPort
 	Metrics      netip.AddrPort // not valid: none
 	Store        string         // empty: nothing outlives the coordinator
@@ -275,7 +275,7 @@
 	if n == nil {
 		return
 	}
-	g := &run.GroupSetup{Self: membership.Number(n.int("number")), Weight: n.number("weight"), Joins: n.bool("joins"),
+	g := &coordinator.GroupSetup{Self: membership.Number(n.int("number")), Weight: n.number("weight"), Joins: n.bool("joins"),
 		Members: map[membership.Number]netip.AddrPort{}, Key: []byte(n.attrs["key"]), Terms: consensus.UsualTerms,
 		Lease: membership.UsualTerms}
 	seen := map[netip.AddrPort]bool{}
--- a/internal/store/hosted.go
+++ b/internal/store/hosted.go
@@ -10,9 +10,9 @@
 	bolt "go.etcd.io/bbolt"
 	bolterrors "go.etcd.io/bbolt/errors"
 
+	"snowquay/internal/coordinator"
 	"snowquay/internal/core/registry"
 	"snowquay/internal/core/tenancy"
-	"snowquay/internal/run"
 )
 
 var (
@@ -51,7 +51,7 @@
 
 func number(n uint64) []byte { return binary.BigEndian.AppendUint64(nil, n) }
 
-// Directory of run.HostStore. Rolls of tenants that are not in it, which a crash has left, are removed.
+// Directory of coordinator.HostStore. Rolls of tenants that are not in it, which a crash has left, are removed.
 func (h *Hosted) Directory() (d tenancy.Directory, err error) {
 	err = h.db.Update(func(tx *bolt.Tx) error {
 		var x head
@@ -101,7 +101,7 @@
 	return d, err
 }
 
-// Save of run.HostStore.
+// Save of coordinator.HostStore.
 func (h *Hosted) Save(d *tenancy.Directory, of tenancy.Name, over tenancy.Incarnation) error {
 	saved := h.saved
 	err := h.db.Update(func(tx *bolt.Tx) error {
@@ -156,10 +156,10 @@
 	return err
 }
 
-// Roll of run.HostStore.
-func (h *Hosted) Roll(life tenancy.Incarnation) run.Store { return &tenantRoll{h, life} }
+// Roll of coordinator.HostStore.
+func (h *Hosted) Roll(life tenancy.Incarnation) coordinator.Store { return &tenantRoll{h, life} }
 
-// Flush of run.HostStore.
+// Flush of coordinator.HostStore.
 func (h *Hosted) Flush() error {
 	if h.count == 0 {
 		return nil
@@ -194,7 +194,7 @@
 	life tenancy.Incarnation
 }
 
-// Keep of run.Store. A drain, and the end of one, are durable when it returns. All else, such as starts and registrations, waits for
+// Keep of coordinator.Store. A drain, and the end of one, are durable when it returns. All else, such as starts and registrations, waits for
 // the next flush, so that a thousand tenants that start at once do not write a thousand times: what of it is lost is heard again.
 func (r *tenantRoll) Keep(records []registry.Record) error {
 	at, drains := r.h.waiting[r.life], r.h.drains[r.life]
@@ -228,7 +228,7 @@
 	return nil
 }
 
-// Load of run.Store.
+// Load of coordinator.Store.
 func (r *tenantRoll) Load() (records []registry.Record, err error) {
 	if err := r.h.Flush(); err != nil {
 		return nil, err
@@ -263,7 +263,7 @@
 	Saves int
 }
 
-// Directory of run.HostStore.
+// Directory of coordinator.HostStore.
 func (m *HostedMemory) Directory() (d tenancy.Directory, err error) {
 	if m.text != nil {
 		err = d.Restore(m.text)
@@ -271,7 +271,7 @@
 	return d, err
 }
 
-// Save of run.HostStore.
+// Save of coordinator.HostStore.
 func (m *HostedMemory) Save(d *tenancy.Directory, _ tenancy.Name, over tenancy.Incarnation) (err error) {
 	if m.Fails != nil {
 		return m.Fails
@@ -282,8 +282,8 @@
 	return err
 }
 
-// Roll of run.HostStore.
-func (m *HostedMemory) Roll(life tenancy.Incarnation) run.Store {
+// Roll of coordinator.HostStore.
+func (m *HostedMemory) Roll(life tenancy.Incarnation) coordinator.Store {
 	if m.rolls == nil {
 		m.rolls = map[tenancy.Incarnation]*Memory{}
 	}
@@ -293,5 +293,5 @@
 	return m.rolls[life]
 }
 
-// Flush of run.HostStore.
+// Flush of coordinator.HostStore.
 func (m *HostedMemory) Flush() error { return nil }
--- a/internal/store/keep.go
+++ b/internal/store/keep.go
@@ -104,7 +104,7 @@
 	Fails   error // what Keep returns instead of keeping
 }
 
-// Keep of run.Store.
+// Keep of coordinator.Store.
 func (m *Memory) Keep(records []registry.Record) error {
 	if m.Fails != nil {
 		return m.Fails
@@ -118,7 +118,7 @@
 	return nil
 }
 
-// Load of run.Store.
+// Load of coordinator.Store.
 func (m *Memory) Load() (records []registry.Record, err error) {
 	for _, r := range m.records {
 		records = append(records, r)
