--- a/balancer/recorder_test.go
+++ b/balancer/recorder_test.go
@@ -7,12 +7,12 @@
 	"slices"
 	"testing"
 
-	"snowquay/internal/seeded"
+	"snowquay/internal/testseed"
 )
 
 // The random runs always start from the same seed, so that the verdict never varies. Flags given on the command line stand.
 func TestMain(m *testing.M) {
-	seeded.With(m, map[string]string{"rapid.seed": "20", "rapid.nofailfile": "true", "rapid.checks": "150", "rapid.shrinktime": "3s"})
+	testseed.With(m, map[string]string{"rapid.seed": "20", "rapid.nofailfile": "true", "rapid.checks": "150", "rapid.shrinktime": "3s"})
 }
 
 // site is what the tests hand to New, and the list that they keep.
--- a/internal/core/forwarding/forward_test.go
+++ b/internal/core/forwarding/forward_test.go
@@ -14,11 +14,11 @@
 	"snowquay/internal/core/outlier"
 	"snowquay/internal/core/picker"
 	"snowquay/internal/core/retry"
-	"snowquay/internal/seeded"
+	"snowquay/internal/testseed"
 	"snowquay/internal/wire/delta"
 )
 
-func TestMain(m *testing.M) { seeded.Main(m) }
+func TestMain(m *testing.M) { testseed.Main(m) }
 
 const (
 	free = balancer.Class(iota)
--- a/internal/core/longpoll/longpoll_test.go
+++ b/internal/core/longpoll/longpoll_test.go
@@ -12,10 +12,10 @@
 	"snowquay/balancer"
 	"snowquay/internal/core/controlplane"
 	"snowquay/internal/core/registry"
-	"snowquay/internal/seeded"
+	"snowquay/internal/testseed"
 )
 
-func TestMain(m *testing.M) { seeded.Main(m) }
+func TestMain(m *testing.M) { testseed.Main(m) }
 
 // shop is a counter with its clients: each keeps what it was told, and applies deltas as the API says.
 type shop struct {
--- a/internal/core/pacing/channel_test.go
+++ b/internal/core/pacing/channel_test.go
@@ -7,10 +7,10 @@
 	"pgregory.net/rapid"
 
 	"snowquay/balancer"
-	"snowquay/internal/seeded"
+	"snowquay/internal/testseed"
 )
 
-func TestMain(m *testing.M) { seeded.Main(m) }
+func TestMain(m *testing.M) { testseed.Main(m) }
 
 var limits = balancer.Channel{LinesPerSecond: 100, MessageLines: 3, MostWaiting: 1000, MostMessages: 3, MessageWindow: 10}
 
--- a/internal/core/picker/pick_test.go
+++ b/internal/core/picker/pick_test.go
@@ -8,10 +8,10 @@
 	"pgregory.net/rapid"
 
 	"snowquay/balancer"
-	"snowquay/internal/seeded"
+	"snowquay/internal/testseed"
 )
 
-func TestMain(m *testing.M) { seeded.Main(m) }
+func TestMain(m *testing.M) { testseed.Main(m) }
 
 func name(i int) balancer.Server { return balancer.Server(fmt.Sprint("s", i)) }
 
--- a/internal/core/platformstate/station_test.go
+++ b/internal/core/platformstate/station_test.go
@@ -10,12 +10,12 @@
 	"pgregory.net/rapid"
 
 	"snowquay/balancer"
-	"snowquay/internal/seeded"
+	"snowquay/internal/testseed"
 	"snowquay/internal/wire/registry"
 	"snowquay/internal/wire/rpc"
 )
 
-func TestMain(m *testing.M) { seeded.Main(m) }
+func TestMain(m *testing.M) { testseed.Main(m) }
 
 // desk is a relay that carries out calls, as its protocol says.
 type desk struct{ lines map[string]float64 }
--- a/internal/core/saspsession/session_test.go
+++ b/internal/core/saspsession/session_test.go
@@ -13,11 +13,11 @@
 	"snowquay/internal/core/controlplane"
 	"snowquay/internal/core/loadreport"
 	"snowquay/internal/core/registry"
-	"snowquay/internal/seeded"
+	"snowquay/internal/testseed"
 	"snowquay/internal/wire/sasp"
 )
 
-func TestMain(m *testing.M) { seeded.Main(m) }
+func TestMain(m *testing.M) { testseed.Main(m) }
 
 // peers is the other end of all connections: it keeps what came, and what each relay holds.
 type peers struct {
--- a/internal/core/tablecheck/guard_test.go
+++ b/internal/core/tablecheck/guard_test.go
@@ -10,7 +10,7 @@
 	"pgregory.net/rapid"
 
 	"snowquay/balancer"
-	"snowquay/internal/seeded"
+	"snowquay/internal/testseed"
 )
 
 func TestMain(m *testing.M) {
@@ -18,7 +18,7 @@
 	if err := flag.Set("rapid.checks", "1000"); err != nil {
 		panic(err)
 	}
-	seeded.Main(m)
+	testseed.Main(m)
 }
 
 func name(i int) balancer.Server { return balancer.Server(fmt.Sprint("s", i)) }
--- a/internal/core/tables/tables_test.go
+++ b/internal/core/tables/tables_test.go
@@ -7,10 +7,10 @@
 	"pgregory.net/rapid"
 
 	"snowquay/balancer"
-	"snowquay/internal/seeded"
+	"snowquay/internal/testseed"
 )
 
-func TestMain(m *testing.M) { seeded.Main(m) }
+func TestMain(m *testing.M) { testseed.Main(m) }
 
 // Whoever applies what Since says holds the table, from any version that it reaches.
 func TestSinceBringsUpToDate(t *testing.T) {
--- a/internal/core/timingwheel/wheel_test.go
+++ b/internal/core/timingwheel/wheel_test.go
@@ -9,10 +9,10 @@
 
 	"pgregory.net/rapid"
 
-	"snowquay/internal/seeded"
+	"snowquay/internal/testseed"
 )
 
-func TestMain(m *testing.M) { seeded.Main(m) }
+func TestMain(m *testing.M) { testseed.Main(m) }
 
 // Held against a plain list: the same timers fire, in the same tick, whatever is set, moved and taken back.
 func TestAgainstAPlainList(t *testing.T) {
--- a/internal/experiment/lab_test.go
+++ b/internal/experiment/lab_test.go
@@ -14,11 +14,11 @@
 	"testing"
 
 	"snowquay/internal/scenario"
-	"snowquay/internal/seeded"
 	"snowquay/internal/settings"
+	"snowquay/internal/testseed"
 )
 
-func TestMain(m *testing.M) { seeded.Main(m) }
+func TestMain(m *testing.M) { testseed.Main(m) }
 
 const small = `<experiment name="small" seeds="3">
   <fleet name="f" servers="8" relays="6" load="0.5"/>
--- a/internal/frontend/platform/platform_test.go
+++ b/internal/frontend/platform/platform_test.go
@@ -16,13 +16,13 @@
 	"snowquay/internal/deployment"
 	"snowquay/internal/env"
 	"snowquay/internal/env/simnet"
-	"snowquay/internal/seeded"
+	"snowquay/internal/testseed"
 	"snowquay/internal/wire/lines"
 	"snowquay/internal/wire/registry"
 	"snowquay/internal/wire/resp"
 )
 
-func TestMain(m *testing.M) { seeded.Main(m) }
+func TestMain(m *testing.M) { testseed.Main(m) }
 
 var (
 	self             = netip.MustParseAddrPort("10.0.0.4:8000")
--- a/internal/scenario/rehearse_test.go
+++ b/internal/scenario/rehearse_test.go
@@ -11,11 +11,11 @@
 	"pgregory.net/rapid"
 
 	"snowquay/internal/core/controlplane"
-	"snowquay/internal/seeded"
 	"snowquay/internal/settings"
+	"snowquay/internal/testseed"
 )
 
-func TestMain(m *testing.M) { seeded.Main(m) }
+func TestMain(m *testing.M) { testseed.Main(m) }
 
 func badDay(t *testing.T, text string, without ...controlplane.Guard) *settings.Day {
 	t.Helper()
--- a/internal/seeded/seeded.go
+++ b/internal/testseed/seeded.go
@@ -1,5 +1,5 @@
-// Package seeded runs the tests of a package with random runs that are the same every time.
-package seeded
+// Package testseed runs the tests of a package with random runs that are the same every time.
+package testseed
 
 import (
 	"flag"
