--- a/internal/coordinator/graphite_test.go
+++ b/internal/coordinator/graphite_test.go
@@ -11,17 +11,17 @@
 	"snowquay/internal/coordinator"
 	"snowquay/internal/core/spool"
 	"snowquay/internal/core/tenancy"
+	"snowquay/internal/emulator"
 	"snowquay/internal/env/simnet"
 	"snowquay/internal/feed/graphite"
 	"snowquay/internal/golden"
 	"snowquay/internal/scenario"
 	"snowquay/internal/settings"
-	"snowquay/internal/standin"
 	"snowquay/internal/store"
 )
 
 // watched is a host with two tenants whose figures are sent to a receiver in virtual time.
-func watched(t *testing.T, change func(*graphite.Setup)) (*site, *simnet.Host, *standin.Receiver) {
+func watched(t *testing.T, change func(*graphite.Setup)) (*site, *simnet.Host, *emulator.Receiver) {
 	t.Helper()
 	set, err := settings.ParseHost("host.xml", []byte(strings.Replace(scenario.HostSettings, "<caller", `<graphite address="127.0.9.9:2003" prefix="sq.test"/><caller`, 1)))
 	if err != nil {
@@ -37,7 +37,7 @@
 			t.Fatal(err)
 		}
 	}
-	r := standin.NewReceiver()
+	r := emulator.NewReceiver()
 	at := s.net.Add(netip.MustParseAddr("127.0.9.9"), 1, false)
 	at.Start(r)
 	return s, at, r
--- a/internal/standin/crowd.go
+++ b/internal/emulator/crowd.go
@@ -1,4 +1,4 @@
-package standin
+package emulator
 
 import (
 	"fmt"
--- a/internal/standin/standin.go
+++ b/internal/emulator/standin.go
@@ -1,7 +1,7 @@
-// Package standin has small stand-ins for what a coordinator works with: match servers, relays with their clients,
+// Package emulator has small stand-ins for what a coordinator works with: match servers, relays with their clients,
 // agents that order drains, and a referee that judges the rules by what these see on their sockets. They are models
 // for tests and rehearsals, not measurements of real machines.
-package standin
+package emulator
 
 import (
 	"encoding/binary"
--- a/internal/experiment/lab.go
+++ b/internal/experiment/lab.go
@@ -22,9 +22,9 @@
 	"github.com/cespare/xxhash/v2"
 
 	"snowquay/balancer"
+	"snowquay/internal/emulator"
 	"snowquay/internal/scenario"
 	"snowquay/internal/settings"
-	"snowquay/internal/standin"
 )
 
 var (
@@ -195,9 +195,9 @@
 	o := scenario.Options{Seed: c.Seed, Front: c.Arm.Front, Coordinators: c.Arm.Coordinators, Mute: c.Arm.Policy == "listed"}
 	switch c.Arm.Policy {
 	case "robin":
-		o.Policy = standin.Robin
+		o.Policy = emulator.Robin
 	case "two":
-		o.Policy = standin.OfTwo
+		o.Policy = emulator.OfTwo
 	}
 	return o
 }
--- a/internal/scenario/hosted.go
+++ b/internal/scenario/hosted.go
@@ -16,11 +16,11 @@
 	"snowquay/internal/coordinator"
 	"snowquay/internal/core/controlplane"
 	"snowquay/internal/core/tenancy"
+	"snowquay/internal/emulator"
 	"snowquay/internal/env/simnet"
 	"snowquay/internal/env/socketnet"
 	"snowquay/internal/frontend/eventloop"
 	"snowquay/internal/settings"
-	"snowquay/internal/standin"
 	"snowquay/internal/store"
 	"snowquay/internal/wire/sasp"
 )
@@ -56,7 +56,7 @@
 // TenantResult is one tenant's day.
 type TenantResult struct {
 	Name       tenancy.Name
-	Verdicts   []standin.Verdict
+	Verdicts   []emulator.Verdict
 	Service    float64
 	Foreign    int // lines to servers of other tenants that its relays were given
 	Complaints []string
@@ -82,7 +82,7 @@
 // Kept tells whether all tenants kept all rules and none saw anything of another.
 func (r *HostedResult) Kept() bool {
 	return !slices.ContainsFunc(r.Tenants, func(t TenantResult) bool {
-		return t.Foreign > 0 || slices.ContainsFunc(t.Verdicts, func(v standin.Verdict) bool { return !v.Kept })
+		return t.Foreign > 0 || slices.ContainsFunc(t.Verdicts, func(v emulator.Verdict) bool { return !v.Kept })
 	}) && len(r.Problems) == 0
 }
 
@@ -142,10 +142,10 @@
 type hostedTenant struct {
 	number  int
 	name    tenancy.Name
-	ref     *standin.Referee
-	servers []*standin.Server
-	relays  []*standin.Relay
-	classes []standin.Class
+	ref     *emulator.Referee
+	servers []*emulator.Server
+	relays  []*emulator.Relay
+	classes []emulator.Class
 	drained float64
 }
 
@@ -158,7 +158,7 @@
 	tenants []*hostedTenant
 	began   float64
 	led     float64
-	rules   standin.Rules
+	rules   emulator.Rules
 	result  HostedResult
 }
 
@@ -385,16 +385,16 @@
 	}
 	site := &made.Setup.Site
 	for i, name := range site.Names {
-		x.classes = append(x.classes, standin.Class{Name: name, Query: site.Classes[i], Share: []float64{0.79, 0.21}[i], Work: 0.1,
+		x.classes = append(x.classes, emulator.Class{Name: name, Query: site.Classes[i], Share: []float64{0.79, 0.21}[i], Work: 0.1,
 			Repeats: site.Repeats[i]})
 	}
 	slack := simSlack
 	if p.day.Sockets {
 		slack = socketSlack
 	}
-	p.rules = standin.Rules{Promise: site.Guarantees, Channel: site.Channel, Hold: site.Limits.HoldServer + noticeMost, Slack: slack}
+	p.rules = emulator.Rules{Promise: site.Guarantees, Channel: site.Channel, Hold: site.Limits.HoldServer + noticeMost, Slack: slack}
 	p.rules.Channel.LinesPerSecond *= float64(len(p.hosts)) // each has a channel of its own
-	x.ref = standin.NewReferee(p.rules, x.classes)
+	x.ref = emulator.NewReferee(p.rules, x.classes)
 	p.tenants = append(p.tenants, x)
 	p.order(tenancy.Command{Kind: tenancy.Create, Name: x.name, Settings: text})
 }
@@ -408,10 +408,10 @@
 
 func (p *hostedPlay) startTenant(x *hostedTenant) {
 	chance := rand.New(rand.NewPCG(p.day.Seed, uint64(x.number)))
-	pods := map[int]*standin.Pod{0: standin.NewPod(), 1: standin.NewPod()}
+	pods := map[int]*emulator.Pod{0: emulator.NewPod(), 1: emulator.NewPod()}
 	for i := range p.day.Servers {
 		half := i * 2 / p.day.Servers
-		s := standin.NewServer(standin.ServerSetup{Addr: tenantServer(x.number, i), Pod: pods[half], Cores: 4, Speed: 0.8 + 0.4*chance.Float64(),
+		s := emulator.NewServer(emulator.ServerSetup{Addr: tenantServer(x.number, i), Pod: pods[half], Cores: 4, Speed: 0.8 + 0.4*chance.Float64(),
 			Queue: 30, ColdShare: 0.1, ColdFor: 18, Multiple: 2, Within: 1.5, Warm: true,
 			Coordinators: p.all(hostPort), Collect: hostCollect, User: string(x.name),
 			Key: fmt.Sprintf("measurements-%03d", x.number), FleetUID: x.name.UID("fleet"), Classes: x.classes, Seed: chance.Uint64()}, x.ref)
@@ -420,7 +420,7 @@
 	}
 	for i := range p.day.Relays {
 		half := i * 2 / p.day.Relays
-		setup := standin.RelaySetup{UID: x.name.UID(fmt.Sprint("relay-", i)), Host: tenantRelay(x.number, i), Asks: i%2 == 1,
+		setup := emulator.RelaySetup{UID: x.name.UID(fmt.Sprint("relay-", i)), Host: tenantRelay(x.number, i), Asks: i%2 == 1,
 			Coordinator: netip.AddrPortFrom(hostAt, hostPort), Collect: netip.AddrPortFrom(hostAt, hostCollect), User: string(x.name),
 			Key: fmt.Sprintf("measurements-%03d", x.number), Flags: sasp.Push | sasp.Trust | sasp.NoChange, Classes: x.classes,
 			Rate: p.day.Rate / float64(p.day.Relays), Report: 0.5, EjectAfter: 8, EjectFor: 4, Keys: 200, Seed: chance.Uint64() >> 16}
@@ -435,7 +435,7 @@
 		for k := range min(p.day.Servers, 3) {
 			setup.Standing = append(setup.Standing, tenantServer(x.number, k))
 		}
-		r := standin.NewRelay(setup, x.ref)
+		r := emulator.NewRelay(setup, x.ref)
 		x.relays = append(x.relays, r)
 		p.fail(restart(p.place1(netip.AddrPortFrom(setup.Host, 0), half), r))
 	}
@@ -599,9 +599,9 @@
 	return err
 }
 
-// flood makes a tenant's own side as bad as it can be: see standin.Flood.
+// flood makes a tenant's own side as bad as it can be: see emulator.Flood.
 func (p *hostedPlay) flood(t int) {
-	f := &standin.Flood{To: netip.AddrPortFrom(hostAt, hostPort), HTTP: netip.AddrPortFrom(hostAt, hostPoll), Collect: netip.AddrPortFrom(hostAt, hostCollect),
+	f := &emulator.Flood{To: netip.AddrPortFrom(hostAt, hostPort), HTTP: netip.AddrPortFrom(hostAt, hostPoll), Collect: netip.AddrPortFrom(hostAt, hostCollect),
 		UID: tenantName(t).UID("relay-0"), Others: tenantName((t + 1) % max(p.day.Tenants, 2)).UID("relay-0"), User: string(tenantName(t)),
 		Key: fmt.Sprintf("measurements-%03d", t), Class: "search", Rate: p.day.FloodRate, Server: tenantServer(t, 0), Seed: p.day.Seed,
 		OtherUser: string(tenantName((t + 1) % max(p.day.Tenants, 2)))}
--- a/internal/scenario/proxies.go
+++ b/internal/scenario/proxies.go
@@ -10,9 +10,9 @@
 	"snowquay/internal/core/outlier"
 	"snowquay/internal/core/picker"
 	"snowquay/internal/core/retry"
+	"snowquay/internal/emulator"
 	"snowquay/internal/proxy"
 	"snowquay/internal/settings"
-	"snowquay/internal/standin"
 )
 
 const (
@@ -33,7 +33,7 @@
 type real struct {
 	proxy *proxy.Proxy
 	host  host
-	crowd *standin.Crowd
+	crowd *emulator.Crowd
 	shelf shelf
 	lives uint64
 }
@@ -43,7 +43,7 @@
 	site := &c.Site
 	x := p.reals[i]
 	seed := p.opts.Seed<<16 + uint64(i+1) + x.lives<<40
-	seen := &standin.Seen{Ref: p.ref, UID: site.Relays[i].UID}
+	seen := &emulator.Seen{Ref: p.ref, UID: site.Relays[i].UID}
 	s := proxy.Setup{UID: seen.UID, Limits: proxy.UsualLimits, Collect: c.Measurements.Port(), User: c.User, KeyOf: c.Key,
 		Report: site.Reporting.Period, Seed: seed, Store: &x.shelf, Watch: seen,
 		Forward: forwarding.Setup{Names: site.Names, Classes: site.Classes, Ways: site.Repeats, Levels: site.Dataplane.Levels,
@@ -51,7 +51,7 @@
 			Budget: retry.UsualBudget, Places: map[balancer.Server]retry.Place{},
 			Make: func(class int) picker.Table { return picker.NewEven(seed + uint64(class)) }}}
 	for k, name := range site.Names {
-		at := slices.IndexFunc(p.classes, func(q standin.Class) bool { return q.Name == name })
+		at := slices.IndexFunc(p.classes, func(q emulator.Class) bool { return q.Name == name })
 		seen.Classes = append(seen.Classes, at)
 		s.Routes = append(s.Routes, proxy.Route{Prefix: "/" + name, Class: balancer.Class(k)})
 	}
@@ -81,7 +81,7 @@
 	at := netip.AddrPortFrom(relayAddr(i).Addr(), clientPort)
 	x.proxy = proxy.New(p.stage.Now(), s)
 	x.host = p.add(at, zone, x.proxy, false)
-	x.crowd = standin.NewCrowd(standin.CrowdSetup{To: at, Classes: p.classes, Rate: rate, Seed: uint64(i+1) + p.opts.Seed<<16}, p.ref)
+	x.crowd = emulator.NewCrowd(emulator.CrowdSetup{To: at, Classes: p.classes, Rate: rate, Seed: uint64(i+1) + p.opts.Seed<<16}, p.ref)
 	p.add(netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 0, crowdNet + byte(i/250), byte(1 + i%250)}), 0), zone, x.crowd, false)
 }
 
--- a/internal/scenario/rehearse.go
+++ b/internal/scenario/rehearse.go
@@ -21,12 +21,12 @@
 	"snowquay/internal/core/longpoll"
 	"snowquay/internal/core/membership"
 	"snowquay/internal/core/saspsession"
+	"snowquay/internal/emulator"
 	"snowquay/internal/env"
 	"snowquay/internal/env/simnet"
 	"snowquay/internal/env/socketnet"
 	"snowquay/internal/frontend/eventloop"
 	"snowquay/internal/settings"
-	"snowquay/internal/standin"
 	"snowquay/internal/store"
 	"snowquay/internal/wire/sasp"
 )
@@ -56,14 +56,14 @@
 	Proxies      bool                        // proxies of our own with HTTP clients, in place of stand-in relays
 	Processes    *Processes                  // coordinators that share the fleet are processes of their own, over sockets; nil: they are not
 	Led          func(now float64, led bool) // nil: nobody looks whether all relays are led
-	Policy       standin.Policy              // by which stand-in relays pick
+	Policy       emulator.Policy             // by which stand-in relays pick
 	Mute         bool                        // nothing is measured: the listed weights stand
 	Front        string                      // by which relays join: sasp, http, or both in turn; empty: sasp
 }
 
 // Result of a day.
 type Result struct {
-	Verdicts   []standin.Verdict
+	Verdicts   []emulator.Verdict
 	Service    float64
 	Worst      float64                   // service of the worst ten seconds
 	Drained    float64                   // seconds from a drain until the last query after it
@@ -126,17 +126,17 @@
 type play struct {
 	day     *settings.Day
 	opts    Options
-	ref     *standin.Referee
-	classes []standin.Class
+	ref     *emulator.Referee
+	classes []emulator.Class
 	scene
 	chance *rand.Rand
 
 	coordinators []*one
-	servers      []*standin.Server
+	servers      []*emulator.Server
 	serverHosts  []host
-	pods         map[int]*standin.Pod
+	pods         map[int]*emulator.Pod
 	fallen       map[int]bool
-	relays       []*standin.Relay
+	relays       []*emulator.Relay
 	relayHosts   []host
 	reals        []*real // in the relays\' place
 	life         []uint64
@@ -147,19 +147,19 @@
 
 // Run plays a day.
 func Run(day *settings.Day, opts Options) (*Result, error) {
-	p := &play{day: day, opts: opts, pods: map[int]*standin.Pod{}, fallen: map[int]bool{}}
+	p := &play{day: day, opts: opts, pods: map[int]*emulator.Pod{}, fallen: map[int]bool{}}
 	if opts.Seed == 0 {
 		p.opts.Seed = day.Seed
 	}
 	p.chance = rand.New(rand.NewPCG(p.opts.Seed, 0xda4))
-	p.popular = standin.Popularity(day.Keys, day.Clients.Popularity)
+	p.popular = emulator.Popularity(day.Keys, day.Clients.Popularity)
 	site := &day.Coordinator.Site
 	for i, q := range day.Queries {
 		k := 0
 		for k < len(site.Names) && site.Names[k] != q.Class {
 			k++
 		}
-		p.classes = append(p.classes, standin.Class{Name: q.Class, Query: site.Classes[k], Share: day.Queries[i].Share,
+		p.classes = append(p.classes, emulator.Class{Name: q.Class, Query: site.Classes[k], Share: day.Queries[i].Share,
 			Work: q.Work, Repeats: site.Repeats[k]})
 	}
 	rules := site.Channel
@@ -168,7 +168,7 @@
 	if opts.Sockets {
 		slack = socketSlack
 	}
-	p.ref = standin.NewReferee(standin.Rules{Promise: site.Guarantees, Channel: rules,
+	p.ref = emulator.NewReferee(emulator.Rules{Promise: site.Guarantees, Channel: rules,
 		Hold: site.Limits.HoldServer + noticeMost, Slack: slack}, p.classes)
 	if opts.Sockets {
 		p.sock = socketnet.New(eventloop.Clock())
@@ -399,17 +399,17 @@
 	to.Evicted += c.Evicted
 }
 
-func (p *play) serverSetup(i int, warm bool) standin.ServerSetup {
+func (p *play) serverSetup(i int, warm bool) emulator.ServerSetup {
 	c := p.day.Coordinator
 	s := c.Site.Servers[i]
 	pod := p.pods[int(s.Pod)]
 	if pod == nil {
-		pod = standin.NewPod()
+		pod = emulator.NewPod()
 		p.pods[int(s.Pod)] = pod
 	}
 	g := c.Site.Guarantees
 	speeds := rand.New(rand.NewPCG(p.opts.Seed, uint64(i)))
-	return standin.ServerSetup{Addr: netip.MustParseAddrPort(string(s.Server)), Pod: pod, Cores: p.day.Cores,
+	return emulator.ServerSetup{Addr: netip.MustParseAddrPort(string(s.Server)), Pod: pod, Cores: p.day.Cores,
 		Speed: p.day.Slowest + (p.day.Fastest-p.day.Slowest)*speeds.Float64(), Queue: p.day.Queue, ColdShare: g.ColdShare,
 		ColdFor: g.ColdFor, Multiple: g.FallMultiple, Within: g.FallWithin, Warm: warm, Coordinators: p.all(c.SASP),
 		Collect: c.Measurements.Port(), User: c.User, Key: c.Key, FleetUID: c.Policy.FleetUID, Classes: p.classes,
@@ -417,8 +417,8 @@
 		KeyLess: p.day.Model.KeyLess, KeyMost: p.day.Model.KeyMost, Stops: p.day.Model.Stops}
 }
 
-func (p *play) newServer(i int, warm bool) *standin.Server {
-	s := standin.NewServer(p.serverSetup(i, warm), p.ref)
+func (p *play) newServer(i int, warm bool) *emulator.Server {
+	s := emulator.NewServer(p.serverSetup(i, warm), p.ref)
 	s.Fall = func() {
 		p.fallen[i] = true
 		p.stage.At(p.stage.Now(), func() { p.killServer(i) })
@@ -470,7 +470,7 @@
 			p.addProxy(i, setup.Rate, setup.Standing)
 			continue
 		}
-		p.relays = append(p.relays, standin.NewRelay(setup, p.ref))
+		p.relays = append(p.relays, emulator.NewRelay(setup, p.ref))
 		p.relayHosts = append(p.relayHosts, p.add(relayAddr(i), int(site.Relays[i].Zone), p.relays[i], false))
 		if p.opts.Mute {
 			p.relayHosts[i].Mute(true, 0)
@@ -488,7 +488,7 @@
 	return false
 }
 
-func (p *play) relaySetup(i int, rate float64) standin.RelaySetup {
+func (p *play) relaySetup(i int, rate float64) emulator.RelaySetup {
 	c := p.day.Coordinator
 	asks := p.opts.Front == "http" || p.opts.Front == "both" && i%2 == 1
 	at := c.SASP
@@ -499,7 +499,7 @@
 	for k := range p.coordinators[1:] {
 		others = append(others, p.at(k+1, at))
 	}
-	return standin.RelaySetup{Others: others, Asks: asks, UID: c.Site.Relays[i].UID, Host: relayAddr(i).Addr(), Coordinator: at, Collect: c.Measurements, User: c.User,
+	return emulator.RelaySetup{Others: others, Asks: asks, UID: c.Site.Relays[i].UID, Host: relayAddr(i).Addr(), Coordinator: at, Collect: c.Measurements, User: c.User,
 		Key: c.Key, Flags: sasp.Push | sasp.Trust | sasp.NoChange, Classes: p.classes, Rate: rate,
 		Report: c.Site.Reporting.Period, EjectAfter: c.Site.Dataplane.EjectAfter, EjectFor: 4, Keys: p.day.Keys,
 		Seed: uint64(i+1) + p.opts.Seed<<16, Popular: p.popular, Again: p.day.Clients.Again, Wait: p.day.Clients.Wait,
@@ -508,7 +508,7 @@
 
 // every is all servers of the day, for relays that need no coordinator.
 func (p *play) every() (all []netip.AddrPort) {
-	if p.opts.Policy != standin.Robin {
+	if p.opts.Policy != emulator.Robin {
 		return nil
 	}
 	for _, s := range p.day.Coordinator.Site.Servers {
@@ -591,7 +591,7 @@
 			setup := p.relays[t.Relay].RelaySetup
 			setup.Standing = nil // it knows no server before it is told
 			setup.Seed += p.life[t.Relay] << 20
-			p.relays[t.Relay] = standin.NewRelay(setup, p.ref)
+			p.relays[t.Relay] = emulator.NewRelay(setup, p.ref)
 			p.fail(restart(p.relayHosts[t.Relay], p.relays[t.Relay]))
 		})
 	case "reconnect":
@@ -658,7 +658,7 @@
 
 func (p *play) agent(server int, on bool) {
 	s := p.servers[server]
-	p.add(s.Addr, int(p.day.Coordinator.Site.Servers[server].Zone), &standin.Agent{Coordinators: s.Coordinators,
+	p.add(s.Addr, int(p.day.Coordinator.Site.Servers[server].Zone), &emulator.Agent{Coordinators: s.Coordinators,
 		Server: s.Addr, FleetUID: s.FleetUID, Group: p.classes[0].Name, Quiesce: on, Ref: p.ref}, true)
 }
 
