--- a/internal/core/platformstate/servers.go
+++ b/internal/core/platformstate/servers.go
@@ -5,7 +5,7 @@
 	"slices"
 
 	"snowquay/balancer"
-	"snowquay/internal/wire/registry"
+	"snowquay/internal/wire/discovery"
 )
 
 // Servers are those that discovery has listed and not taken back, and where they are probed.
@@ -56,7 +56,7 @@
 func (s *Servers) Len() int { return len(s.listed) }
 
 // Cached takes the list as it was last held.
-func (s *Servers) Cached(l *registry.List, news *balancer.News) {
+func (s *Servers) Cached(l *discovery.List, news *balancer.News) {
 	s.take(l, balancer.Cached, news)
 	s.whole, s.owed = s.version, false
 }
@@ -64,7 +64,7 @@
 // Take takes what discovery tells. A link's word that is older than what is known changes nothing, unless it is the whole list
 // and the first that the link says: discovery may have begun anew. Where an entry can't be used the rest counts, and what it told
 // is owed; the first word of a new link makes that good. Take tells whether nothing is.
-func (s *Servers) Take(l *registry.List, first bool, news *balancer.News) bool {
+func (s *Servers) Take(l *discovery.List, first bool, news *balancer.News) bool {
 	if first && l.Version >= s.version || l.Version > s.version || l.Full && (first || l.Version == s.version) {
 		scope := balancer.Changes
 		if l.Full {
@@ -78,7 +78,7 @@
 	return !s.owed
 }
 
-func (s *Servers) take(l *registry.List, scope balancer.Scope, news *balancer.News) (ok bool) {
+func (s *Servers) take(l *discovery.List, scope balancer.Scope, news *balancer.News) (ok bool) {
 	s.version = l.Version
 	list, former, spoilt := balancer.List{Scope: scope}, s.listed, s.Spoilt
 	s.Spoilt += uint64(l.Spoilt)
@@ -113,14 +113,14 @@
 	return s.Spoilt == spoilt
 }
 
-func (s *Servers) entry(e registry.Server) (balancer.Entry, bool) {
+func (s *Servers) entry(e discovery.Server) (balancer.Entry, bool) {
 	x := balancer.Entry{Server: balancer.Server(e.ID), Pod: balancer.Pod(e.Cell), Weight: e.Weight, Started: e.Started / 1000}
 	switch e.State {
-	case registry.Ready:
+	case discovery.Ready:
 		x.Phase = balancer.InService
-	case registry.Draining:
+	case discovery.Draining:
 		x.Phase = balancer.Terminating
-	case registry.Gone:
+	case discovery.Gone:
 		x.Phase = balancer.Gone
 		return x, e.ID != "" // its other fields tell nothing
 	default:
--- a/internal/core/platformstate/station_test.go
+++ b/internal/core/platformstate/station_test.go
@@ -11,7 +11,7 @@
 
 	"snowquay/balancer"
 	"snowquay/internal/testseed"
-	"snowquay/internal/wire/registry"
+	"snowquay/internal/wire/discovery"
 	"snowquay/internal/wire/rpc"
 )
 
@@ -276,26 +276,26 @@
 // What an unusable entry told is asked for again: the version does not go on. A drain counts whatever else the entry says.
 func TestAListThatIsNotWholeIsOwed(t *testing.T) {
 	s, news := NewServers([]string{"a"}, nil), &balancer.News{}
-	entry := func(id, state string) registry.Server {
-		return registry.Server{ID: id, Addr: "127.0.0.1:1", Zone: "a", State: state, Weight: 1}
+	entry := func(id, state string) discovery.Server {
+		return discovery.Server{ID: id, Addr: "127.0.0.1:1", Zone: "a", State: state, Weight: 1}
 	}
-	if !s.Take(&registry.List{Version: 4, Full: true, Servers: []registry.Server{entry("x", "ready"), entry("y", "ready")}}, true, news) {
+	if !s.Take(&discovery.List{Version: 4, Full: true, Servers: []discovery.Server{entry("x", "ready"), entry("y", "ready")}}, true, news) {
 		t.Fatal("a good list is not whole")
 	}
 	drains, strange := entry("x", "draining"), entry("z", "ready")
 	drains.Weight, strange.Zone = -1, "nowhere"
 	*news = balancer.News{}
-	if s.Take(&registry.List{Version: 5, Servers: []registry.Server{drains, strange}}, false, news) || s.Version() != 4 || s.Newest() != 5 || s.Spoilt != 2 {
+	if s.Take(&discovery.List{Version: 5, Servers: []discovery.Server{drains, strange}}, false, news) || s.Version() != 4 || s.Newest() != 5 || s.Spoilt != 2 {
 		t.Errorf("version %d, %d spoilt", s.Version(), s.Spoilt)
 	}
 	if l := news.Lists[0]; len(l.Entries) != 1 || l.Entries[0].Server != "x" || l.Entries[0].Phase != balancer.Terminating || l.Entries[0].Weight != 1 {
 		t.Errorf("%+v", l)
 	}
-	if s.Take(&registry.List{Version: 6, Servers: []registry.Server{entry("y", "ready")}}, false, news) || s.Version() != 4 {
+	if s.Take(&discovery.List{Version: 6, Servers: []discovery.Server{entry("y", "ready")}}, false, news) || s.Version() != 4 {
 		t.Errorf("a good list makes good what the one before owes: version %d", s.Version())
 	}
 	*news = balancer.News{}
-	whole := &registry.List{Version: 6, Full: true, Servers: []registry.Server{entry("x", "draining")}, Spoilt: 1} // perhaps y's
+	whole := &discovery.List{Version: 6, Full: true, Servers: []discovery.Server{entry("x", "draining")}, Spoilt: 1} // perhaps y's
 	if s.Take(whole, false, news) || !s.Listed("y") || news.Lists[0].Scope != balancer.Changes {
 		t.Errorf("y is listed: %v; %+v", s.Listed("y"), news.Lists)
 	}
@@ -303,7 +303,7 @@
 		t.Errorf("y is listed: %v at version %d", s.Listed("y"), s.Version())
 	}
 	s.Owe()
-	if s.Take(&registry.List{Version: 7}, false, news) || s.Version() != 6 || !s.Take(&registry.List{Version: 7}, true, news) || s.Version() != 7 {
+	if s.Take(&discovery.List{Version: 7}, false, news) || s.Version() != 6 || !s.Take(&discovery.List{Version: 7}, true, news) || s.Version() != 7 {
 		t.Errorf("version %d after a line that could not be read and a new link's first", s.Version())
 	}
 }
@@ -399,10 +399,10 @@
 
 func TestListsThatAreOlderChangeNothing(t *testing.T) {
 	s, news := NewServers([]string{"z"}, nil), &balancer.News{}
-	list := func(version int64, full bool, state string, ids ...string) *registry.List {
-		l := &registry.List{Version: version, Full: full}
+	list := func(version int64, full bool, state string, ids ...string) *discovery.List {
+		l := &discovery.List{Version: version, Full: full}
 		for _, id := range ids {
-			l.Servers = append(l.Servers, registry.Server{ID: id, Zone: "z", State: state, Addr: "10.0.0.1:80"})
+			l.Servers = append(l.Servers, discovery.Server{ID: id, Zone: "z", State: state, Addr: "10.0.0.1:80"})
 		}
 		return l
 	}
@@ -421,7 +421,7 @@
 		t.Error("the whole list of a new link was not taken")
 	}
 	spoilt := list(2, false, "strange", "x")
-	spoilt.Servers = append(spoilt.Servers, registry.Server{ID: "y", Zone: "elsewhere", State: "ready"}, registry.Server{State: "gone"})
+	spoilt.Servers = append(spoilt.Servers, discovery.Server{ID: "y", Zone: "elsewhere", State: "ready"}, discovery.Server{State: "gone"})
 	if s.Take(spoilt, false, news); s.Spoilt != 3 || s.Len() != 1 || len(slices.Collect(slices.Values(news.Lists[3].Entries))) != 0 {
 		t.Errorf("%d spoilt, %d listed", s.Spoilt, s.Len())
 	}
--- a/internal/frontend/platform/crossing_test.go
+++ b/internal/frontend/platform/crossing_test.go
@@ -16,7 +16,7 @@
 
 	"snowquay/internal/deployment"
 	"snowquay/internal/frontend/eventloop"
-	"snowquay/internal/wire/registry"
+	"snowquay/internal/wire/discovery"
 	"snowquay/internal/wire/resp"
 )
 
@@ -289,7 +289,7 @@
 			continue
 		}
 		o.mu.Lock()
-		if o.asked = append(o.asked, path); path == registry.All {
+		if o.asked = append(o.asked, path); path == discovery.All {
 			_, _ = fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(o.whole), o.whole)
 		} else {
 			_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
@@ -344,7 +344,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	known := registry.List{Full: true, Version: 5, Servers: []registry.Server{server("s-1", "ready"), server("s-2", "ready"), server("s-3", "ready")}}
+	known := discovery.List{Full: true, Version: 5, Servers: []discovery.Server{server("s-1", "ready"), server("s-2", "ready"), server("s-3", "ready")}}
 	text, _ := json.Marshal(known)
 	g := &ground{counter: openCounter(t, 1), office: openOffice(t, string(text), "")}
 	g.program = New(Place{Discovery: address(t, g.office.Listener), Hub: address(t, g.counter.Listener), Sockets: 256, Known: &known, Seed: 7,
@@ -398,18 +398,18 @@
 // drain has discovery tell that a server drains.
 func (g *ground) drain(id string) {
 	g.office.mu.Lock()
-	var l registry.List
+	var l discovery.List
 	_ = json.Unmarshal([]byte(g.whole), &l)
 	for i, s := range l.Servers {
 		if s.ID == id {
-			l.Servers[i].State = registry.Draining
+			l.Servers[i].State = discovery.Draining
 		}
 	}
 	l.Version++
 	text, _ := json.Marshal(l)
 	g.whole = string(text)
 	g.office.mu.Unlock()
-	g.office.say(line(l.Version, false, server(id, registry.Draining)) + "\n")
+	g.office.say(line(l.Version, false, server(id, discovery.Draining)) + "\n")
 }
 
 func takes(id string) func(call) bool {
@@ -510,9 +510,9 @@
 	g := stand(t)
 	before := len(g.paths())
 	g.office.mu.Lock()
-	g.first = line(7, false, server("s-3", registry.Draining), server("s-2", registry.Ready)) // all after version 5, as it then is
+	g.first = line(7, false, server("s-3", discovery.Draining), server("s-2", discovery.Ready)) // all after version 5, as it then is
 	g.office.mu.Unlock()
-	g.office.say(`{"version":6,"full":false,"servers":[{"id":"s-3","st` + "\n" + line(7, false, server("s-2", registry.Ready)) + "\n")
+	g.office.say(`{"version":6,"full":false,"servers":[{"id":"s-3","st` + "\n" + line(7, false, server("s-2", discovery.Ready)) + "\n")
 	g.until(t, "takes s-3 out", takes("s-3")).answer(t)
 	if paths := g.paths(); len(paths) <= before || !strings.HasSuffix(paths[len(paths)-1], "index=5") {
 		t.Errorf("asked for %q", paths)
@@ -521,12 +521,12 @@
 
 func TestANewDiscoveryBeginsAtALowerVersion(t *testing.T) {
 	g := stand(t)
-	whole := line(2, true, server("s-1", registry.Ready), server("s-2", registry.Ready))
+	whole := line(2, true, server("s-1", discovery.Ready), server("s-2", discovery.Ready))
 	next := openOffice(t, whole, line(2, false))
 	g.see(func(now float64, p *Program) { p.Move(now, address(t, next.Listener), address(t, g.counter.Listener)) })
 	g.until(t, "takes s-3 out, which the new list lacks", takes("s-3")).answer(t)
 	g.eventually(t, "the new watch stands", func(p *Program) bool { return len(next.paths()) == 2 && p.servers.Version() == 2 })
-	next.say(line(3, false, server("s-2", registry.Draining)) + "\n")
+	next.say(line(3, false, server("s-2", discovery.Draining)) + "\n")
 	g.until(t, "takes s-2 out", takes("s-2")).answer(t)
 }
 
--- a/internal/frontend/platform/links.go
+++ b/internal/frontend/platform/links.go
@@ -8,9 +8,9 @@
 	"snowquay/balancer"
 	"snowquay/internal/core/platformstate"
 	"snowquay/internal/env"
+	"snowquay/internal/wire/discovery"
 	"snowquay/internal/wire/http1"
 	"snowquay/internal/wire/lines"
-	"snowquay/internal/wire/registry"
 	"snowquay/internal/wire/rpc"
 )
 
@@ -147,9 +147,9 @@
 
 // list asks discovery for the whole list where that is owed, else for what changes.
 func (p *Program) list(l *link) {
-	path := registry.Watch(p.servers.Version())
+	path := discovery.Watch(p.servers.Version())
 	if l.whole = l.of.whole; l.whole {
-		path = registry.All
+		path = discovery.All
 	}
 	p.io.Send(l.conn, []byte("GET "+path+" HTTP/1.1\r\nHost: "+l.to.String()+"\r\n\r\n"))
 }
@@ -418,7 +418,7 @@
 		return
 	}
 	if err == nil {
-		_, err = registry.Parse(m.Body)
+		_, err = discovery.Parse(m.Body)
 	}
 	if err != nil || m.Status != http.StatusOK { // it is asked for again: what changes says nothing without it
 		p.log.Warn("discovery's answer cannot be used", "status", m.Status, "error", err)
@@ -442,7 +442,7 @@
 func (p *Program) listed(now float64, l *link, line []byte) {
 	w := l.of
 	if len(line) > 0 {
-		list, err := registry.Parse(line)
+		list, err := discovery.Parse(line)
 		switch {
 		case err != nil:
 			p.counts.Spoilt++
--- a/internal/frontend/platform/platform.go
+++ b/internal/frontend/platform/platform.go
@@ -13,7 +13,7 @@
 	"snowquay/internal/core/platformstate"
 	"snowquay/internal/deployment"
 	"snowquay/internal/env"
-	"snowquay/internal/wire/registry"
+	"snowquay/internal/wire/discovery"
 	"snowquay/internal/wire/rpc"
 )
 
@@ -28,9 +28,9 @@
 // Place is what a coordinator is told of where it runs.
 type Place struct {
 	Discovery, Hub netip.AddrPort
-	Sockets        int            // descriptors that it may hold
-	Known          *registry.List // nil where it can't be read
-	KnownWrong     error          // and why
+	Sockets        int             // descriptors that it may hold
+	Known          *discovery.List // nil where it can't be read
+	KnownWrong     error           // and why
 	Seed           uint64
 	Deployment     *deployment.Deployment
 }
--- a/internal/frontend/platform/platform_test.go
+++ b/internal/frontend/platform/platform_test.go
@@ -17,8 +17,8 @@
 	"snowquay/internal/env"
 	"snowquay/internal/env/simnet"
 	"snowquay/internal/testseed"
+	"snowquay/internal/wire/discovery"
 	"snowquay/internal/wire/lines"
-	"snowquay/internal/wire/registry"
 	"snowquay/internal/wire/resp"
 )
 
@@ -200,7 +200,7 @@
 type agent struct {
 	plain
 	watch map[env.Conn]bool
-	list  registry.List
+	list  discovery.List
 	in    map[env.Conn]string
 	mute  bool
 
@@ -230,9 +230,9 @@
 
 func (a *agent) Closed(_ float64, c env.Conn) { delete(a.watch, c) }
 
-func (a *agent) tell(full bool, servers ...registry.Server) {
+func (a *agent) tell(full bool, servers ...discovery.Server) {
 	a.list.Version++
-	b, _ := json.Marshal(registry.List{Version: a.list.Version, Full: full, Servers: servers})
+	b, _ := json.Marshal(discovery.List{Version: a.list.Version, Full: full, Servers: servers})
 	for c := range a.watch { // in two chunks: a line need not end where a chunk does
 		a.chunk(c, string(b[:len(b)/2]))
 		a.chunk(c, string(b[len(b)/2:])+"\n")
@@ -249,7 +249,7 @@
 	asked := a.in[c]
 	if a.in[c] = ""; strings.HasPrefix(asked, "GET /registry/instances HTTP/1.1\r\n") {
 		a.wholes++
-		if full, _ := json.Marshal(registry.List{Version: a.list.Version, Full: true, Servers: a.list.Servers}); !a.mute {
+		if full, _ := json.Marshal(discovery.List{Version: a.list.Version, Full: true, Servers: a.list.Servers}); !a.mute {
 			if a.spoilt {
 				full = full[:len(full)/2]
 			}
@@ -264,7 +264,7 @@
 	a.watch[c] = true
 	if !a.mute {
 		a.io.Send(c, []byte("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"))
-		first, _ := json.Marshal(registry.List{Version: a.list.Version, Full: true, Servers: a.list.Servers})
+		first, _ := json.Marshal(discovery.List{Version: a.list.Version, Full: true, Servers: a.list.Servers})
 		if a.first != "" {
 			first = []byte(a.first)
 		}
@@ -311,21 +311,21 @@
 	host    map[string]*simnet.Host
 }
 
-func server(id, state string) registry.Server {
-	return registry.Server{ID: id, Addr: "10.1.0.18:8000", Zone: "a", Kind: "m", State: state, Weight: 1}
+func server(id, state string) discovery.Server {
+	return discovery.Server{ID: id, Addr: "10.1.0.18:8000", Zone: "a", Kind: "m", State: state, Weight: 1}
 }
 
 func begin(t interface{ Fatal(...any) }, seed uint64, sockets int) *scene {
 	return beginWith(t, seed, sockets, settings, server("s-1", "ready"), server("s-2", "ready"), server("s-3", "ready"))
 }
 
-func beginWith(t interface{ Fatal(...any) }, seed uint64, sockets int, settings string, servers ...registry.Server) *scene {
+func beginWith(t interface{ Fatal(...any) }, seed uint64, sockets int, settings string, servers ...discovery.Server) *scene {
 	d, err := deployment.Read([]byte(settings))
 	if err != nil {
 		t.Fatal(err)
 	}
 	s := &scene{net: simnet.New(seed, 1000), desk: newDesk(), agent: &agent{}, caller: newDialler(), host: map[string]*simnet.Host{}}
-	known := &registry.List{Full: true, Servers: servers}
+	known := &discovery.List{Full: true, Servers: servers}
 	s.agent.list = *known
 	s.program = New(Place{Discovery: discoveryAddress, Hub: hub, Sockets: sockets, Known: known, Seed: 7, Deployment: d},
 		slog.New(slog.NewTextHandler(io.Discard, nil)))
@@ -580,8 +580,8 @@
 	}
 }
 
-func line(version int64, full bool, servers ...registry.Server) string {
-	b, _ := json.Marshal(registry.List{Version: version, Full: full, Servers: append([]registry.Server{}, servers...)})
+func line(version int64, full bool, servers ...discovery.Server) string {
+	b, _ := json.Marshal(discovery.List{Version: version, Full: full, Servers: append([]discovery.Server{}, servers...)})
 	return string(b)
 }
 
@@ -644,7 +644,7 @@
 			s.agent.tell(false, server("s-1", "ready"))
 		}
 		s.net.Run(1002)
-		agent := &agent{list: registry.List{Version: version, Full: true, Servers: []registry.Server{server("s-1", "ready"), server("s-2", "ready")}}}
+		agent := &agent{list: discovery.List{Version: version, Full: true, Servers: []discovery.Server{server("s-1", "ready"), server("s-2", "ready")}}}
 		agent.first = line(version, false)
 		s.net.Add(otherList.Addr(), 0, false).Start(agent)
 		s.program.Move(s.net.Now(), otherList, hub)
@@ -665,7 +665,7 @@
 	s := begin(t, 1, 256)
 	s.desk.join(1, "a")
 	s.net.Run(1002)
-	next := &agent{list: registry.List{Version: 9, Servers: []registry.Server{server("s-1", "ready")}}, spoilt: true}
+	next := &agent{list: discovery.List{Version: 9, Servers: []discovery.Server{server("s-1", "ready")}}, spoilt: true}
 	s.net.Add(otherList.Addr(), 0, false).Start(next)
 	s.program.Move(s.net.Now(), otherList, hub)
 	if s.net.Run(1007); next.wholes < 5 || next.wholes > 30 || len(next.asked) > 0 || len(s.desk.lines) != 3 {
@@ -685,7 +685,7 @@
 		s.agent.tell(false, server("s-1", "ready"))
 	}
 	s.net.Run(1002)
-	s.agent.list = registry.List{Version: 3, Full: true, Servers: []registry.Server{server("s-1", "ready")}}
+	s.agent.list = discovery.List{Version: 3, Full: true, Servers: []discovery.Server{server("s-1", "ready")}}
 	s.agent.first = line(3, false)
 	for c := range s.agent.watch {
 		s.agent.io.Close(c)
@@ -721,7 +721,7 @@
 	s.net.Run(1003)
 	north, south := server("s-1", "ready"), server("s-2", "ready")
 	south.Zone = "b"
-	s.agent.mute, s.agent.list = false, registry.List{Version: 5, Full: true, Servers: []registry.Server{north, south}}
+	s.agent.mute, s.agent.list = false, discovery.List{Version: 5, Full: true, Servers: []discovery.Server{north, south}}
 	s.net.Run(1009)
 	for p := 1; p < 7; p++ {
 		want := map[string]string{"a": "s-1", "b": "s-2"}[s.desk.joined[p]]
@@ -775,7 +775,7 @@
 			s.net.Run(now)
 		}
 		s.desk.answer, s.agent.mute = nil, false
-		var all []registry.Server
+		var all []discovery.Server
 		for _, id := range []string{"s-1", "s-2", "s-3"} {
 			if state[id] != "gone" {
 				all = append(all, server(id, state[id]))
--- a/internal/frontend/platform/scale_test.go
+++ b/internal/frontend/platform/scale_test.go
@@ -5,7 +5,7 @@
 	"strings"
 	"testing"
 
-	"snowquay/internal/wire/registry"
+	"snowquay/internal/wire/discovery"
 	"snowquay/internal/wire/resp"
 	"snowquay/internal/wire/rpc"
 )
@@ -19,7 +19,7 @@
 	return large.Replace(settings)
 }
 
-func manyServers(n int) (list []registry.Server) {
+func manyServers(n int) (list []discovery.Server) {
 	for i := range n {
 		x := server(fmt.Sprintf("s-%04d", i), "ready")
 		x.Zone = string(rune('a' + i%2))
@@ -46,7 +46,7 @@
 	drained := map[string]bool{}
 	at := 1010.0
 	for step := range steps {
-		var list []registry.Server
+		var list []discovery.Server
 		for i := step; i < servers/2; i += steps {
 			x := all[i]
 			x.State = "draining"
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -21,7 +21,7 @@
 	"snowquay/internal/deployment"
 	"snowquay/internal/frontend/eventloop"
 	front "snowquay/internal/frontend/platform"
-	"snowquay/internal/wire/registry"
+	"snowquay/internal/wire/discovery"
 )
 
 const (
@@ -80,7 +80,7 @@
 		return wrong("settings: %w", err)
 	}
 	if len(c.Known) > 0 { // it may be out of date as it is: where it can't be read discovery tells all
-		place.Known, place.KnownWrong = registry.Parse(c.Known)
+		place.Known, place.KnownWrong = discovery.Parse(c.Known)
 	}
 	return listen, c.Limits.Memory, place, nil
 }
--- a/internal/wire/registry/registry.go
+++ b/internal/wire/discovery/registry.go
@@ -1,5 +1,5 @@
-// Package registry reads discovery's lists: JSON objects, one to a line where they are watched. It is pure.
-package registry
+// Package discovery reads discovery's lists: JSON objects, one to a line where they are watched. It is pure.
+package discovery
 
 import (
 	"encoding/json"
--- a/internal/wire/registry/registry_test.go
+++ b/internal/wire/discovery/registry_test.go
@@ -1,4 +1,4 @@
-package registry
+package discovery
 
 import (
 	"encoding/json"
