--- a/internal/core/platformstate/calls.go
+++ b/internal/core/platformstate/calls.go
@@ -5,7 +5,7 @@
 
 import (
 	"snowquay/balancer"
-	"snowquay/internal/wire/rpc"
+	"snowquay/internal/wire/jsonrpc"
 )
 
 const (
@@ -48,7 +48,7 @@
 // Calls are the orders on their way to the relay: one call at a time is out, what is decided meanwhile waits as the newest state
 // of all that is ordered, not as a queue, so it can't grow beyond tables, servers and proxies. It is the balancer.Writer's back.
 type Calls struct {
-	names   rpc.Names
+	names   jsonrpc.Names
 	waiting []order
 	at      map[about]int // in waiting
 	out     []order       // of the call that is out
@@ -62,7 +62,7 @@
 }
 
 // NewCalls makes the way to the relay. Classes go by names on it.
-func NewCalls(names rpc.Names) *Calls {
+func NewCalls(names jsonrpc.Names) *Calls {
 	return &Calls{names: names, at: map[about]int{}}
 }
 
@@ -92,7 +92,7 @@
 
 // Weigh of balancer.Writer.
 func (c *Calls) Weigh(t balancer.Table, s balancer.Server, weight float64) {
-	c.put(about{does: weighs, table: t, server: s}, rpc.AppendShare(nil, int(t), string(s), weight))
+	c.put(about{does: weighs, table: t, server: s}, jsonrpc.AppendShare(nil, int(t), string(s), weight))
 }
 
 // Bind of balancer.Writer.
@@ -109,7 +109,7 @@
 // the oldest: that all before it has left the channel is true of whoever answers, of a newer one it would not be.
 func (c *Calls) Mark(m balancer.Mark) {
 	if _, waits := c.at[about{does: marks}]; !waits {
-		c.put(about{does: marks}, rpc.AppendMark(nil, int64(m), false))
+		c.put(about{does: marks}, jsonrpc.AppendMark(nil, int64(m), false))
 	}
 }
 
@@ -162,14 +162,14 @@
 	}
 	c.id++
 	c.flying = true
-	return rpc.AppendApply(b, c.id, orders), true
+	return jsonrpc.AppendApply(b, c.id, orders), true
 }
 
 // fitting is how many of the orders that wait one call can hold.
 func (c *Calls) fitting() (n int) {
 	size := 0
 	for _, o := range c.waiting {
-		if size += len(o.text) + 1; size > rpc.MostOrders-framing {
+		if size += len(o.text) + 1; size > jsonrpc.MostOrders-framing {
 			return n
 		}
 		n++
@@ -229,7 +229,7 @@
 }
 
 // Answered takes the relay's answer. What can't be read is unclear, and so is an answer to another call.
-func (c *Calls) Answered(m *rpc.Message) Outcome {
+func (c *Calls) Answered(m *jsonrpc.Message) Outcome {
 	if !c.flying || m.Answer && m.ID < c.id { // late, on a link that was not given up
 		return Stranger
 	}
--- a/internal/core/platformstate/station_test.go
+++ b/internal/core/platformstate/station_test.go
@@ -12,7 +12,7 @@
 	"snowquay/balancer"
 	"snowquay/internal/testseed"
 	"snowquay/internal/wire/discovery"
-	"snowquay/internal/wire/rpc"
+	"snowquay/internal/wire/jsonrpc"
 )
 
 func TestMain(m *testing.M) { testseed.Main(m) }
@@ -30,7 +30,7 @@
 	if err := json.Unmarshal(b, &c); err != nil {
 		t.Fatalf("%v: %s", err, b)
 	}
-	if len(b) > rpc.MostOrders {
+	if len(b) > jsonrpc.MostOrders {
 		t.Fatalf("a call of %d bytes", len(b))
 	}
 	return c
@@ -46,16 +46,16 @@
 
 func idle(c *Calls) bool { return !c.Flying() && c.Waiting() == 0 }
 
-func answer(id uint64, text string) *rpc.Message {
-	var m rpc.Message
-	_ = rpc.Parse(fmt.Appendf(nil, `{"jsonrpc":"2.0","id":%d,%s}`, id, text), &m)
+func answer(id uint64, text string) *jsonrpc.Message {
+	var m jsonrpc.Message
+	_ = jsonrpc.Parse(fmt.Appendf(nil, `{"jsonrpc":"2.0","id":%d,%s}`, id, text), &m)
 	return &m
 }
 
 // Whatever becomes of calls, the relay ends with what was decided last: nothing is lost, nothing newer is overtaken.
 func TestTheRelayEndsWithWhatWasDecidedLast(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		c, d := NewCalls(rpc.Names{"a", "b"}), &desk{map[string]float64{}}
+		c, d := NewCalls(jsonrpc.Names{"a", "b"}), &desk{map[string]float64{}}
 		want := map[string]float64{}
 		decide := func() {
 			for range rapid.IntRange(1, 5).Draw(t, "orders") {
@@ -116,7 +116,7 @@
 }
 
 func TestAnOrderThatTheRelayCannotUseIsDroppedAndTheRestGoesOn(t *testing.T) {
-	c := NewCalls(rpc.Names{"a"})
+	c := NewCalls(jsonrpc.Names{"a"})
 	c.Weigh(1, "x", 1)
 	c.Bind(7, 1, 0)
 	c.Weigh(1, "y", 2)
@@ -138,7 +138,7 @@
 // Guards against an account of the channel that holds too little to wait: whoever answers a newer round's mark has not got its message
 // after all of an older round's, where both went with one call.
 func TestTheOldestMarkOfSeveralRoundsStands(t *testing.T) {
-	c := NewCalls(rpc.Names{"a"})
+	c := NewCalls(jsonrpc.Names{"a"})
 	stamps := func(b []byte) (list []float64) {
 		for _, o := range (&desk{}).read(t, b).Params.Changes {
 			if o["do"] == "mark" {
@@ -175,7 +175,7 @@
 // unless its table alone is larger than a call. Then that is told.
 func TestALargeRoundIsCutBetweenTables(t *testing.T) {
 	for _, servers := range []int{5, 300, 1024} {
-		c := NewCalls(rpc.Names{"a"})
+		c := NewCalls(jsonrpc.Names{"a"})
 		tables := 3000 / servers
 		for table := range tables {
 			for i := range servers {
@@ -212,7 +212,7 @@
 }
 
 func TestWhatGoesAgainIsTold(t *testing.T) {
-	c := NewCalls(rpc.Names{"a"})
+	c := NewCalls(jsonrpc.Names{"a"})
 	c.Weigh(1, "x", 1)
 	c.Weigh(2, "x", 1)
 	c.Admit(3, 1, 0.5, balancer.NoRepeat)
@@ -238,7 +238,7 @@
 
 // A proxy leaves while the call that binds it is out, and the call goes again: its next joining is not bound by it.
 func TestWhoLeavesWithinACallIsNotBoundWhenItGoesAgain(t *testing.T) {
-	c := NewCalls(rpc.Names{"a"})
+	c := NewCalls(jsonrpc.Names{"a"})
 	c.Bind(7, 1, 0)
 	c.Weigh(1, "x", 1)
 	c.Next(nil)
--- a/internal/frontend/platform/links.go
+++ b/internal/frontend/platform/links.go
@@ -10,8 +10,8 @@
 	"snowquay/internal/env"
 	"snowquay/internal/wire/discovery"
 	"snowquay/internal/wire/http1"
+	"snowquay/internal/wire/jsonrpc"
 	"snowquay/internal/wire/lines"
-	"snowquay/internal/wire/rpc"
 )
 
 const (
@@ -139,7 +139,7 @@
 	switch w {
 	case &p.relay.main, &p.relay.second:
 		p.relay.ids++
-		p.io.Send(l.conn, rpc.AppendWatch(nil, p.relay.ids))
+		p.io.Send(l.conn, jsonrpc.AppendWatch(nil, p.relay.ids))
 	default:
 		p.list(l)
 	}
@@ -295,7 +295,7 @@
 }
 
 // answer takes what came on the link that a call is out on.
-func (p *Program) answer(now float64, m *rpc.Message) {
+func (p *Program) answer(now float64, m *jsonrpc.Message) {
 	switch p.calls.Answered(m) {
 	case platformstate.Refused:
 		p.log.Debug("relay refuses", "why", m.Error)
@@ -315,8 +315,8 @@
 func (p *Program) fromRelay(now float64, l *link, b []byte) {
 	err := l.lines.Read(b, mostLine, func(line []byte) {
 		p.trace("news", line)
-		var m rpc.Message
-		if err := rpc.Parse(line, &m); err != nil || m.Answer {
+		var m jsonrpc.Message
+		if err := jsonrpc.Parse(line, &m); err != nil || m.Answer {
 			switch {
 			case l.says == nil && err == nil && m.Error == "":
 				l.says = platformstate.NewSource(now)
@@ -342,7 +342,7 @@
 }
 
 // told takes one piece of the relay's news.
-func (p *Program) told(now float64, l *link, m *rpc.Message) {
+func (p *Program) told(now float64, l *link, m *jsonrpc.Message) {
 	x := &m.Params
 	if m.Method == "ping" {
 		l.mute = false
--- a/internal/frontend/platform/platform.go
+++ b/internal/frontend/platform/platform.go
@@ -14,7 +14,7 @@
 	"snowquay/internal/deployment"
 	"snowquay/internal/env"
 	"snowquay/internal/wire/discovery"
-	"snowquay/internal/wire/rpc"
+	"snowquay/internal/wire/jsonrpc"
 )
 
 const (
@@ -38,8 +38,8 @@
 // Program is one coordinator. Use New.
 type Program struct {
 	dep     *deployment.Deployment
-	names   rpc.Names // of classes, by place
-	figures []string  // of load reports, in their order
+	names   jsonrpc.Names // of classes, by place
+	figures []string      // of load reports, in their order
 	manager *balancer.Manager
 	log     *slog.Logger
 	io      env.IO
@@ -79,7 +79,7 @@
 // New makes a coordinator; it does nothing until Start.
 func New(p Place, log *slog.Logger) *Program {
 	d := p.Deployment
-	var names rpc.Names
+	var names jsonrpc.Names
 	for _, c := range d.Grades {
 		names = append(names, c.Name)
 	}
--- a/internal/frontend/platform/scale_test.go
+++ b/internal/frontend/platform/scale_test.go
@@ -6,8 +6,8 @@
 	"testing"
 
 	"snowquay/internal/wire/discovery"
+	"snowquay/internal/wire/jsonrpc"
 	"snowquay/internal/wire/resp"
-	"snowquay/internal/wire/rpc"
 )
 
 // largeSettings are those of a deployment of many coordinators: a limit on messages, a channel whose limit is ten seconds of its pace.
@@ -78,7 +78,7 @@
 			}
 		}
 	}
-	if s.desk.most > rpc.MostOrders || s.program.calls.Dropped > 0 || s.program.counts.Spoilt+s.program.servers.Spoilt > 0 {
+	if s.desk.most > jsonrpc.MostOrders || s.program.calls.Dropped > 0 || s.program.counts.Spoilt+s.program.servers.Spoilt > 0 {
 		t.Errorf("a call of %d bytes, %d orders dropped, %d messages spoilt", s.desk.most, s.program.calls.Dropped, s.program.counts.Spoilt)
 	}
 }
--- a/internal/wire/rpc/golden_test.go
+++ b/internal/wire/jsonrpc/golden_test.go
@@ -1,4 +1,4 @@
-package rpc
+package jsonrpc
 
 import (
 	"slices"
--- a/internal/wire/rpc/rpc.go
+++ b/internal/wire/jsonrpc/rpc.go
@@ -1,5 +1,5 @@
-// Package rpc reads and writes the relay's JSON-RPC 2.0, one object to a line. It is pure.
-package rpc
+// Package jsonrpc reads and writes the relay's JSON-RPC 2.0, one object to a line. It is pure.
+package jsonrpc
 
 import (
 	"bytes"
