--- a/balancer/account.go
+++ b/balancer/account.go
@@ -9,7 +9,7 @@
 )
 
 // holds gives the lines of a pool, in the servers' order.
-func (m *Manager) holds(p *pool) []line {
+func (m *Balancer) holds(p *pool) []line {
 	lines := make([]line, 0, len(p.held))
 	for name, weight := range p.held {
 		lines = append(lines, line{m.servers[name], weight})
@@ -19,7 +19,7 @@
 }
 
 // moves gives what a table holds and what is wanted of each server that is in either, in the servers' order.
-func (m *Manager) moves(p *pool, want []line) (moves []move) {
+func (m *Balancer) moves(p *pool, want []line) (moves []move) {
 	for _, l := range m.holds(p) {
 		for len(want) > 0 && want[0].server.place < l.server.place {
 			moves, want = append(moves, move{server: want[0].server, want: want[0].weight}), want[1:]
@@ -47,13 +47,13 @@
 }
 
 // mark asks whoever this round has written to for an acknowledgement.
-func (m *Manager) mark(now, size float64, w Writer) {
+func (m *Balancer) mark(now, size float64, w CommandSink) {
 	c := &m.channel
 	c.newest = c.newest%mostMark + 1
 	if !c.queue.Number(int(c.newest), size) {
 		return
 	}
-	w.Mark(c.newest)
+	w.RequestAck(c.newest)
 	for _, x := range m.proxies {
 		if x.bound && x.mark == 0 { // it has joined with this round
 			x.mark = c.newest
@@ -64,15 +64,15 @@
 }
 
 // acknowledge takes a proxy's answer to a mark.
-func (m *Manager) acknowledge(a Applied) {
+func (m *Balancer) acknowledge(a Ack) {
 	size := 0.0
-	if x := m.joined[a.Proxy]; x != nil && x.mark == a.Mark {
+	if x := m.joined[a.Proxy]; x != nil && x.mark == a.ID {
 		size = x.size
 	}
 	m.channel.acknowledge(a, size)
 }
 
-func (m *Manager) joins(x *proxy) float64 { // the lines that its whole tables take
+func (m *Balancer) joins(x *proxy) float64 { // the lines that its whole tables take
 	lines := m.channel.head()
 	for _, p := range x.group.pools {
 		lines += float64(1 + len(p.held) + len(p.levels))
@@ -80,7 +80,7 @@
 	return lines
 }
 
-func (m *Manager) resent(now float64, r Resent) { // charges what the channel may carry a second time
+func (m *Balancer) resent(now float64, r Redelivered) { // charges what the channel may carry a second time
 	for _, g := range m.groups {
 		g.lines = 0
 		for _, t := range r.Tables {
@@ -98,7 +98,7 @@
 }
 
 // concern charges a line to each proxy of a group, and a message its head.
-func (m *Manager) concern(now float64, g *group) {
+func (m *Balancer) concern(now float64, g *group) {
 	lines := 1.0
 	if g.lines == 0 {
 		lines += m.channel.head()
--- a/balancer/admission.go
+++ b/balancer/admission.go
@@ -24,7 +24,7 @@
 
 // press is the regulator for the fleet, against the goal time; least benefit is refused first. Guards against
 // overload; it does harm where answers are slow for other reasons. Servers that lose most count if most do.
-func (m *Manager) press(now, due, gain, bears float64) {
+func (m *Balancer) press(now, due, gain, bears float64) {
 	room, rates := make([]float64, len(m.order)), make([]float64, len(m.order))
 	took, done, n, lost, tried := [2]float64{}, [2]float64{}, [2]float64{}, 0.0, 0.0 // [1]: that lose most tries
 	for i, s := range m.order {
@@ -32,7 +32,7 @@
 		rates[i] = -1
 		tried, lost = tried+t.tries, lost+t.lost
 		rate, work := t.good, t.seconds
-		if s.Phase != InService {
+		if s.Phase != Ready {
 			continue
 		}
 		if room[i] = m.bears(now, s) / heavy; t.enough(tries) && m.ready(now, s) >= 1 {
@@ -61,12 +61,12 @@
 	}
 }
 
-func (m *Manager) admit(now float64, room []float64) {
+func (m *Balancer) admit(now float64, room []float64) {
 	asked, whole, cut, fresh := make([]float64, len(m.let)), 0.0, 0.0, 1.0
 	lately := func(x *proxy) bool { return now-x.since < trail+m.cycle } // what they get is not reported in full
 	settled := slices.DeleteFunc(slices.Clone(m.proxies), lately)
 	for c := range asked {
-		if asked[c] = offered(settled, nil, 1<<c); m.fleet.Levels == LevelFraction && m.was[c] < 1 {
+		if asked[c] = offered(settled, nil, 1<<c); m.fleet.Admission == AdmissionFraction && m.was[c] < 1 {
 			cut += m.was[c] * asked[c]
 		} else {
 			whole += asked[c]
@@ -76,7 +76,7 @@
 		fresh = min(1, max(leastFresh, (m.tries-whole)/cut))
 	}
 	for _, c := range m.all {
-		free, open := 0.0, m.classes[c].OnlyZones
+		free, open := 0.0, m.classes[c].AllowedZones
 		if m.let[c] < 1 {
 			asked[c] *= fresh
 		}
@@ -95,10 +95,10 @@
 	}
 }
 
-func (m *Manager) level(c Class) float64 {
-	if m.fleet.Levels == LevelFraction && m.let[c] < 1 {
+func (m *Balancer) level(c Class) float64 {
+	if m.fleet.Admission == AdmissionFraction && m.let[c] < 1 {
 		return max(m.let[c], leastLevel)
-	} else if m.fleet.Levels == LevelsIgnored || m.let[c] >= 1 {
+	} else if m.fleet.Admission == AdmissionIgnored || m.let[c] >= 1 {
 		return noLevel
 	}
 	rates := make([]float64, 0, len(m.proxies))
@@ -112,19 +112,19 @@
 	return noLevel
 }
 
-func (m *Manager) setLevels(now float64, g *group, p *pool, classes Classes, w Writer) {
+func (m *Balancer) setLevels(now float64, g *group, p *pool, classes ClassSet, w CommandSink) {
 	for _, c := range m.all {
-		o := order{m.level(c), m.fleet.UsualRepeats}
-		if m.classes[c].Effect != Free { // a repeat that we order must never take effect twice
-			o.again = min(o.again, AfterProof)
+		o := order{m.level(c), m.fleet.DefaultRetry}
+		if m.classes[c].Idempotency != Idempotent { // a repeat that we order must never take effect twice
+			o.again = min(o.again, RetryIfNotExecuted)
 		}
 		h := cmp.Or(p.levels[c], order{noLevel, o.again})
 		if m.pressed { // what one server turns away would go to the others, cold ones above all
-			o.again = NoRepeat
+			o.again = RetryNever
 		}
 		if classes>>c&1 == 1 && (o.again != h.again || math.Abs(o.level-h.level) > movedBy*h.level) {
 			p.levels[c], p.leveled = o, now
-			w.Admit(p.table, 1<<c, o.level, o.again)
+			w.SetAdmission(p.table, 1<<c, o.level, o.again)
 			m.concern(now, g)
 		}
 	}
--- a/balancer/channel.go
+++ b/balancer/channel.go
@@ -61,13 +61,13 @@
 	grace  float64 // of drains, seconds
 	queue  inflight.Queue
 	pace   float64 // of the promised one, by the latest acknowledgements
-	newest Mark
+	newest AckID
 	at     float64 // when unacknowledged lines were last forgiven
 	sentAt float64 // when something was last written
 }
 
 // head is what a message takes besides its lines: a mark too.
-func (c *channel) head() float64 { return c.MessageLines + 1 }
+func (c *channel) head() float64 { return c.MessageOverhead + 1 }
 
 func (c *channel) charge(now, lines float64) {
 	c.queue.Send(lines)
@@ -77,12 +77,12 @@
 // room is how many lines an update may still put into the channel. Ordinary ones leave a slow channel
 // short, for what comes after them.
 func (c *channel) room(now float64, u urgency) float64 {
-	c.queue.Assume(forgiven * c.LinesPerSecond * (now - c.at))
+	c.queue.Assume(forgiven * c.EntriesPerSecond * (now - c.at))
 	c.at = now
-	limit := queueParts[u] * c.MostWaiting
+	limit := queueParts[u] * c.MaxQueued
 	if u < urgent { // acknowledgements are as late as the way is long
-		seconds := c.LongestWay + min(queueTimes[u], graceParts[u]*c.grace)
-		limit = min(limit, seconds*c.LinesPerSecond)
+		seconds := c.MaxDelay + min(queueTimes[u], graceParts[u]*c.grace)
+		limit = min(limit, seconds*c.EntriesPerSecond)
 	}
 	if u == ordinary {
 		limit *= c.pace
@@ -96,28 +96,28 @@
 	if c.room(now, pressing) >= lines || c.queue.Outstanding() == 0 {
 		return true
 	}
-	return now-c.sentAt > probeAfter && probePart*c.MostWaiting-c.queue.Outstanding() >= lines
+	return now-c.sentAt > probeAfter && probePart*c.MaxQueued-c.queue.Outstanding() >= lines
 }
 
 // acknowledge takes an answer to a mark, to a message of some lines. The pace is the time that it should
 // have taken against that which it took.
-func (c *channel) acknowledge(a Applied, lines float64) {
-	outstanding, ok := c.queue.Acknowledge(int(a.Mark), lines)
+func (c *channel) acknowledge(a Ack, lines float64) {
+	outstanding, ok := c.queue.Acknowledge(int(a.ID), lines)
 	if !ok {
 		return
 	}
-	due := c.LongestWay + outstanding/max(c.LinesPerSecond, 1)
-	c.pace += (due/max(a.Took, due, 1e-9) - c.pace) * paceStep
+	due := c.MaxDelay + outstanding/max(c.EntriesPerSecond, 1)
+	c.pace += (due/max(a.Latency, due, 1e-9) - c.pace) * paceStep
 }
 
 // mayWrite tells whether a group's proxies may be sent another message. They are spread over the window, so
 // that some of its messages come free at any time, and a part of them is kept for drains; these go at once,
 // and gathered once only that part is left.
 func (c *channel) mayWrite(now float64, g *group, u urgency) bool {
-	if c.MostMessages <= 0 {
+	if c.MaxMessages <= 0 {
 		return true
 	}
-	most := max(c.MostMessages-spareMessages, min(c.MostMessages-1, 1)) // where there is but one it binds
+	most := max(c.MaxMessages-spareMessages, min(c.MaxMessages-1, 1)) // where there is but one it binds
 	free := most - int(math.Ceil(drainMessages*float64(most)))
 	written := g.messages.Count(now, c.MessageWindow)
 	since, some := g.messages.Since(now)
@@ -128,7 +128,7 @@
 }
 
 // fit is how many lines to every proxy of a group the channel and the limit on messages still bear.
-func (m *Manager) fit(now float64, g *group, u urgency) int {
+func (m *Balancer) fit(now float64, g *group, u urgency) int {
 	if g.lines == 0 && !m.channel.mayWrite(now, g, u) {
 		return 0
 	}
@@ -136,7 +136,7 @@
 }
 
 // lines is how many the channel alone bears.
-func (m *Manager) lines(now float64, g *group, u urgency) int {
+func (m *Balancer) lines(now float64, g *group, u urgency) int {
 	lines := m.channel.room(now, u) / max(g.users, 1e-3)
 	if g.lines == 0 {
 		lines -= m.channel.head()
--- a/balancer/choice_test.go
+++ b/balancer/choice_test.go
@@ -9,7 +9,7 @@
 )
 
 // begin starts a manager on a site with some warm servers and half a minute of ordinary reports.
-func begin(t *testing.T, s site, servers int) (*Manager, *recorder) {
+func begin(t *testing.T, s site, servers int) (*Balancer, *recorder) {
 	t.Helper()
 	m, r := s.manager(), newRecorder(s)
 	fleet(r, m, servers)
@@ -22,7 +22,7 @@
 
 // but answers like well, save for one server.
 func but(bad Server, as met) met {
-	return func(s Server, share, queries float64) Traffic {
+	return func(s Server, share, queries float64) UpstreamReport {
 		if s == bad {
 			return as(s, share, queries)
 		}
@@ -30,8 +30,8 @@
 	}
 }
 
-func fails(s Server, share, queries float64) Traffic { // at once, and every try
-	return Traffic{Server: s, Tries: share * queries, Lost: share * queries}
+func fails(s Server, share, queries float64) UpstreamReport { // at once, and every try
+	return UpstreamReport{Server: s, Attempts: share * queries, Failed: share * queries}
 }
 
 func TestGainSolvesTheRiccatiEquation(t *testing.T) {
@@ -47,8 +47,8 @@
 func TestListedWeightsStart(t *testing.T) {
 	s := usualSite()
 	m, r := s.manager(), newRecorder(s)
-	r.round(m, 100, News{Lists: []List{{Entries: []Entry{{Server: "a", Weight: 3}, {Server: "b", Weight: 1}}}},
-		Streams: []Stream{{Proxy: 1, Joined: true, Usual: 5}}})
+	r.round(m, 100, Events{Lists: []EndpointList{{Endpoints: []Endpoint{{Server: "a", Weight: 3}, {Server: "b", Weight: 1}}}},
+		ProxyEvents: []ProxyEvent{{Proxy: 1, Joined: true, ExpectedRate: 5}}})
 	if got := r.tables[1]["a"] / r.tables[1]["b"]; got != 3 {
 		t.Errorf("weights stand as %v to 1, want 3", got)
 	}
@@ -56,8 +56,8 @@
 
 func TestSlowServerGetsLess(t *testing.T) {
 	m, r := begin(t, usualSite(), 6)
-	play(r, m, 30, 100, but(name(2), func(s Server, share, queries float64) Traffic {
-		return Traffic{Server: s, Tries: share * queries, Latency: 0.75}
+	play(r, m, 30, 100, but(name(2), func(s Server, share, queries float64) UpstreamReport {
+		return UpstreamReport{Server: s, Attempts: share * queries, Latency: 0.75}
 	}))
 	if got := r.share(1, name(2)); got > 0.08 || got == 0 {
 		t.Errorf("a server three times slower has a share of %.3f, want about 1/16", got)
@@ -66,8 +66,8 @@
 
 // Guards against the sinkhole: errors come at once, so their server shows no work in process.
 func TestFastErrorsDrawNothing(t *testing.T) {
-	mostly := func(s Server, share, queries float64) Traffic { // few good answers, quickly given, leave little work
-		return Traffic{Server: s, Tries: share * queries, Lost: 0.8 * share * queries, Latency: 0.02}
+	mostly := func(s Server, share, queries float64) UpstreamReport { // few good answers, quickly given, leave little work
+		return UpstreamReport{Server: s, Attempts: share * queries, Failed: 0.8 * share * queries, Latency: 0.02}
 	}
 	for _, bad := range []met{fails, mostly} {
 		m, r := begin(t, usualSite(), 6)
@@ -95,12 +95,12 @@
 // Guards against tables that lose their servers faster than new ones come, while joins fill the channel.
 func TestARollingReleaseLeavesNoTableThin(t *testing.T) {
 	s := usualSite()
-	s.fleet.LeastConnections, s.channel.MostMessages = 8, 12
+	s.fleet.MinConnections, s.channel.MaxMessages = 8, 12
 	m, r := begin(t, s, 24)
 	for i := range 16 {
-		l := List{Scope: Changes, Entries: []Entry{{Server: name(i), Zone: Zone(i % 2), Phase: Terminating}}}
-		r.round(m, r.now+0.3, News{Lists: []List{l},
-			Streams: []Stream{{Proxy: Proxy(100 + i), Joined: true, Usual: 12}}})
+		l := EndpointList{Scope: DeltaList, Endpoints: []Endpoint{{Server: name(i), Zone: Zone(i % 2), Phase: Draining}}}
+		r.round(m, r.now+0.3, Events{Lists: []EndpointList{l},
+			ProxyEvents: []ProxyEvent{{Proxy: Proxy(100 + i), Joined: true, ExpectedRate: 12}}})
 		for x, tables := range r.bound {
 			if n := len(r.tables[tables[0]]); n < 2 || r.broken != "" {
 				t.Fatalf("after %d drains proxy %d has %d lines; %s", i+1, x, n, r.broken)
@@ -112,11 +112,11 @@
 // Guards against a list that names servers which are none.
 func TestManyNewServersGetLittleUntilTheyAreMet(t *testing.T) {
 	m, r := begin(t, usualSite(), 6)
-	l := List{Scope: Changes}
+	l := EndpointList{Scope: DeltaList}
 	for i := range 20 {
-		l.Entries = append(l.Entries, Entry{Server: name(40 + i), Weight: 1})
+		l.Endpoints = append(l.Endpoints, Endpoint{Server: name(40 + i), Weight: 1})
 	}
-	r.round(m, r.now+1, News{Lists: []List{l}})
+	r.round(m, r.now+1, Events{Lists: []EndpointList{l}})
 	if play(r, m, 8, 100, well); r.share(1, name(45)) > 0.01 {
 		t.Errorf("one of 20 servers that answer nothing has a share of %.3f", r.share(1, name(45)))
 	}
@@ -125,15 +125,15 @@
 // Answers that get lost on the way are no overload: to refuse queries would not bring them back.
 func TestLostAnswersDoNotCutLevels(t *testing.T) {
 	m, r := begin(t, usualSite(), 6)
-	play(r, m, 20, 100, func(s Server, share, queries float64) Traffic {
-		return Traffic{Server: s, Tries: share * queries, Lost: 0.25 * share * queries, Latency: 0.25}
+	play(r, m, 20, 100, func(s Server, share, queries float64) UpstreamReport {
+		return UpstreamReport{Server: s, Attempts: share * queries, Failed: 0.25 * share * queries, Latency: 0.25}
 	})
 	if slices.Min(m.let) < 1 || m.pressed {
 		t.Errorf("levels are %.2f", m.let)
 	}
-	play(r, m, 30, 100, func(s Server, share, queries float64) Traffic { // then half of the servers lose some
+	play(r, m, 30, 100, func(s Server, share, queries float64) UpstreamReport { // then half of the servers lose some
 		lost := 0.2 * share * queries * float64(s[len(s)-4]%2)
-		return Traffic{Server: s, Tries: share * queries, Lost: lost, Latency: 0.25}
+		return UpstreamReport{Server: s, Attempts: share * queries, Failed: lost, Latency: 0.25}
 	})
 	if got := r.share(1, name(5)); got < 0.12 {
 		t.Errorf("one of them has a share of %.3f, want about 1/6", got)
@@ -142,7 +142,7 @@
 
 func TestTheRestIsNotPushedOver(t *testing.T) {
 	m, r := begin(t, usualSite(), 6)
-	play(r, m, 20, 100, func(s Server, share, queries float64) Traffic {
+	play(r, m, 20, 100, func(s Server, share, queries float64) UpstreamReport {
 		if s <= name(3) {
 			return fails(s, share, queries)
 		}
@@ -158,8 +158,8 @@
 	s := usualSite()
 	s.reporting.Period = 2
 	m, r := begin(t, s, 6)
-	play(r, m, 6, 100, but(name(2), func(s Server, share, queries float64) Traffic {
-		return Traffic{Server: s, Tries: share * queries, Latency: 1}
+	play(r, m, 6, 100, but(name(2), func(s Server, share, queries float64) UpstreamReport {
+		return UpstreamReport{Server: s, Attempts: share * queries, Latency: 1}
 	}))
 	play(r, m, 2, 100, well)
 	for was := r.share(1, name(2)); r.now < 150; play(r, m, 1, 100, well) {
@@ -171,9 +171,9 @@
 
 func TestReportsCountByTheTimeTheyCover(t *testing.T) {
 	m, r := begin(t, usualSite(), 6)
-	var news News
+	var news Events
 	for i := range 6 {
-		news.Traffic = append(news.Traffic, Traffic{Server: name(i), Tries: 1000 / 6, Latency: 0.25, Interval: 10})
+		news.Upstreams = append(news.Upstreams, UpstreamReport{Server: name(i), Attempts: 1000 / 6, Latency: 0.25, Interval: 10})
 	}
 	if r.round(m, r.now+10, news); m.tries < 70 || m.tries > 130 {
 		t.Errorf("100 tries a second over 10 s are read as %.0f", m.tries)
@@ -185,8 +185,8 @@
 	s := usualSite()
 	s.fleet.Proxies = 60
 	m, r := begin(t, s, 40)
-	play(r, m, 40, 100, func(s Server, share, queries float64) Traffic {
-		return Traffic{Server: s, Tries: share * queries, Latency: 0.1 * float64(1+(s[len(s)-4]-'0')%5)}
+	play(r, m, 40, 100, func(s Server, share, queries float64) UpstreamReport {
+		return UpstreamReport{Server: s, Attempts: share * queries, Latency: 0.1 * float64(1+(s[len(s)-4]-'0')%5)}
 	})
 	if a, b := r.share(1, name(30)), r.share(1, name(34)); a < 2*b || r.broken != "" {
 		t.Errorf("the fastest has a share of %.4f, the slowest of %.4f; %s", a, b, r.broken)
@@ -196,7 +196,7 @@
 // A connection from every proxy to every server would fill the servers: groups share a part of them each.
 func TestGroupsShareTheServers(t *testing.T) {
 	s := usualSite()
-	s.fleet.LeastConnections = 8
+	s.fleet.MinConnections = 8
 	m, r := s.manager(), newRecorder(s)
 	fleet(r, m, 12)
 	used, lines := map[Server]bool{}, 0
@@ -212,8 +212,8 @@
 
 func TestATableIsNeverEmptiedForWantOfPace(t *testing.T) {
 	m, r := begin(t, usualSite(), 2)
-	r.round(m, r.now+0.1, News{Lists: []List{{Scope: Whole, Entries: []Entry{{Server: name(0), Weight: 1}}}}})
-	r.round(m, r.now+0.1, News{Lists: []List{{Scope: Whole, Entries: []Entry{{Server: "new:1", Weight: 1}}}}})
+	r.round(m, r.now+0.1, Events{Lists: []EndpointList{{Scope: FullList, Endpoints: []Endpoint{{Server: name(0), Weight: 1}}}}})
+	r.round(m, r.now+0.1, Events{Lists: []EndpointList{{Scope: FullList, Endpoints: []Endpoint{{Server: "new:1", Weight: 1}}}}})
 	if len(r.tables[1]) != 1 || r.tables[1]["new:1"] == 0 || r.broken != "" {
 		t.Errorf("table %v, %s", r.tables[1], r.broken)
 	}
@@ -221,9 +221,9 @@
 
 func TestDrainLeavesAtOnceAndNeverComesToLaterJoins(t *testing.T) {
 	m, r := begin(t, usualSite(), 3)
-	drain := []Entry{{Server: name(1), Weight: 1, Phase: Terminating}}
-	r.round(m, r.now+0.1, News{Lists: []List{{Scope: Changes, Entries: drain}},
-		Streams: []Stream{{Proxy: 50, Joined: true, Usual: 5}}})
+	drain := []Endpoint{{Server: name(1), Weight: 1, Phase: Draining}}
+	r.round(m, r.now+0.1, Events{Lists: []EndpointList{{Scope: DeltaList, Endpoints: drain}},
+		ProxyEvents: []ProxyEvent{{Proxy: 50, Joined: true, ExpectedRate: 5}}})
 	if r.tables[1][name(1)] != 0 || r.bound[50][0] != 1 {
 		t.Errorf("table %v, late proxy bound to %v", r.tables[1], r.bound[50])
 	}
@@ -231,7 +231,7 @@
 
 func TestLastServersDrain(t *testing.T) {
 	m, r := begin(t, usualSite(), 2)
-	r.round(m, r.now+0.1, News{Lists: []List{{Scope: Whole}}})
+	r.round(m, r.now+0.1, Events{Lists: []EndpointList{{Scope: FullList}}})
 	if len(r.tables[1]) != 0 || r.broken != "" {
 		t.Errorf("table %v, %s", r.tables[1], r.broken)
 	}
@@ -240,11 +240,11 @@
 // Guards against a list that loses servers which still run.
 func TestGoneAsAdviceCountsOnceItAnswersNothing(t *testing.T) {
 	s := usualSite()
-	s.promise.GoneIsAdvice = true
+	s.promise.RemovalIsAdvisory = true
 	m, r := begin(t, s, 4)
 	delete(r.list, name(3)) // the recorder then expects no drain
-	r.round(m, r.now+1, News{Lists: []List{{Scope: Changes, Entries: []Entry{{Server: name(3), Phase: Gone}}}}})
-	r.list[name(3)] = Entry{Server: name(3), Phase: Gone}
+	r.round(m, r.now+1, Events{Lists: []EndpointList{{Scope: DeltaList, Endpoints: []Endpoint{{Server: name(3), Phase: Removed}}}}})
+	r.list[name(3)] = Endpoint{Server: name(3), Phase: Removed}
 	delete(r.toldGone, name(3))
 	play(r, m, 10, 100, well)
 	answers := r.share(1, name(3))
@@ -257,30 +257,30 @@
 func TestColdServerIsShieldedWhileOthersFail(t *testing.T) {
 	s := usualSite()
 	m, r := begin(t, s, 6)
-	cold := Entry{Server: name(0), Weight: 1, Started: r.now}
-	r.round(m, r.now+0.1, News{Lists: []List{{Scope: Changes, Entries: []Entry{cold}}}})
+	cold := Endpoint{Server: name(0), Weight: 1, Started: r.now}
+	r.round(m, r.now+0.1, Events{Lists: []EndpointList{{Scope: DeltaList, Endpoints: []Endpoint{cold}}}})
 	for range 10 {
-		play(r, m, 1, 150, func(s Server, share, queries float64) Traffic {
+		play(r, m, 1, 150, func(s Server, share, queries float64) UpstreamReport {
 			if s == name(1) || s == name(2) || s == name(3) {
 				return fails(s, share, queries)
 			}
 			return well(s, share, queries)
 		})
 		part := m.cold(r.now, m.servers[name(0)])
-		if got, most := r.share(1, name(0))*150, 2.0/3*s.promise.FallMultiple*part*100/6; got > most {
+		if got, most := r.share(1, name(0))*150, 2.0/3*s.promise.OverloadFactor*part*100/6; got > most {
 			t.Fatalf("after %.0f s it gets %.1f queries a second, over %.1f", r.now-cold.Started, got, most)
 		}
 	}
 }
 
-func overloaded(s Server, share, queries float64) Traffic {
-	return Traffic{Server: s, Tries: 17, Latency: 2.5}
+func overloaded(s Server, share, queries float64) UpstreamReport {
+	return UpstreamReport{Server: s, Attempts: 17, Latency: 2.5}
 }
 
 func TestOverloadRefusesTheLeastBenefitFirst(t *testing.T) {
-	for _, kind := range []LevelKind{LevelFraction, LevelRate} {
+	for _, kind := range []AdmissionMode{AdmissionFraction, AdmissionRate} {
 		s := usualSite()
-		s.fleet.Levels = kind
+		s.fleet.Admission = kind
 		m, r := begin(t, s, 6)
 		play(r, m, 6, 160, overloaded)
 		low := r.levels[1][0]
@@ -305,7 +305,9 @@
 	m, r := s.manager(), newRecorder(s)
 	fleet(r, m, 6)
 	play(r, m, 8, 160, overloaded)
-	play(r, m, 10, 160, func(s Server, share, queries float64) Traffic { return Traffic{Server: s, Tries: 6, Latency: 2.5} })
+	play(r, m, 10, 160, func(s Server, share, queries float64) UpstreamReport {
+		return UpstreamReport{Server: s, Attempts: 6, Latency: 2.5}
+	})
 	if got := m.let[0]*offered(m.proxies, nil, 1) + m.let[1]*offered(m.proxies, nil, 2); got < 30 {
 		t.Errorf("of 100 queries a second that the servers can do it lets in %.1f", got)
 	}
@@ -314,16 +316,16 @@
 // Servers that lose most of their tries were out of the count, so that a fleet that lost most was left to itself.
 func TestAFleetThatLosesMostOfItsTriesIsPressed(t *testing.T) {
 	m, r := begin(t, usualSite(), 6)
-	play(r, m, 5, 160, func(s Server, share, queries float64) Traffic {
-		return Traffic{Server: s, Tries: 80, Lost: 70, Latency: 1.5}
+	play(r, m, 5, 160, func(s Server, share, queries float64) UpstreamReport {
+		return UpstreamReport{Server: s, Attempts: 80, Failed: 70, Latency: 1.5}
 	})
 	if m.let[0] > 0.5 {
 		t.Errorf("the least benefit is let in at %v", m.let[0])
 	}
-	if got := m.groups[0].pools[0].levels[1].again; got != NoRepeat { // repeats would pile on those that still stand
+	if got := m.groups[0].pools[0].levels[1].again; got != RetryNever { // repeats would pile on those that still stand
 		t.Errorf("proxies repeat in the way %v", got)
 	}
-	if play(r, m, 20, 100, well); m.groups[0].pools[0].levels[1] != (order{noLevel, AfterProof}) {
+	if play(r, m, 20, 100, well); m.groups[0].pools[0].levels[1] != (order{noLevel, RetryIfNotExecuted}) {
 		t.Errorf("once all is well the order stays %v", m.groups[0].pools[0].levels[1])
 	}
 }
@@ -331,13 +333,13 @@
 // Proxies that come back from an outage avoid every server but the one they have not met.
 func TestColdServerWaitsForProxiesToSettle(t *testing.T) {
 	s := usualSite()
-	s.fleet.EjectAfter = 8
+	s.fleet.EjectAfterFailures = 8
 	m, r := begin(t, s, 6)
-	list := []List{{Scope: Changes, Entries: []Entry{{Server: name(0), Weight: 1, Started: r.now}}}}
-	r.round(m, r.now+0.1, News{Lists: list, Streams: []Stream{{Proxy: 3}, {Proxy: 4}}})
+	list := []EndpointList{{Scope: DeltaList, Endpoints: []Endpoint{{Server: name(0), Weight: 1, Started: r.now}}}}
+	r.round(m, r.now+0.1, Events{Lists: list, ProxyEvents: []ProxyEvent{{Proxy: 3}, {Proxy: 4}}})
 	for play(r, m, 2, 100, well); r.now < 141; play(r, m, 1, 100, well) {
 		if len(m.absent) > 0 {
-			r.round(m, r.now, News{Streams: []Stream{{Proxy: 3, Joined: true, Usual: 9}, {Proxy: 4, Joined: true, Usual: 9}}})
+			r.round(m, r.now, Events{ProxyEvents: []ProxyEvent{{Proxy: 3, Joined: true, ExpectedRate: 9}, {Proxy: 4, Joined: true, ExpectedRate: 9}}})
 		}
 		if _, held := r.tables[1][name(0)]; held && r.now < 132+settleFor {
 			t.Fatalf("at %.0f s it has a line", r.now)
@@ -351,13 +353,13 @@
 // Where tries are turned away proxies avoid servers, and the cold one would draw what is left.
 func TestColdServerHasNoLineInALossyFleet(t *testing.T) {
 	s := usualSite()
-	s.fleet.EjectAfter = 8
+	s.fleet.EjectAfterFailures = 8
 	m, r := begin(t, s, 6)
-	lossy := func(s Server, share, queries float64) Traffic {
-		return Traffic{Server: s, Tries: share * queries, Lost: 0.1 * share * queries, Latency: 0.25}
+	lossy := func(s Server, share, queries float64) UpstreamReport {
+		return UpstreamReport{Server: s, Attempts: share * queries, Failed: 0.1 * share * queries, Latency: 0.25}
 	}
 	play(r, m, 3, 100, lossy)
-	r.round(m, r.now, News{Lists: []List{{Scope: Changes, Entries: []Entry{{Server: name(0), Started: r.now}}}}})
+	r.round(m, r.now, Events{Lists: []EndpointList{{Scope: DeltaList, Endpoints: []Endpoint{{Server: name(0), Started: r.now}}}}})
 	if play(r, m, 4, 100, lossy); r.tables[1][name(0)] != 0 {
 		t.Errorf("a cold server has the share %.3f", r.share(1, name(0)))
 	}
@@ -368,12 +370,12 @@
 
 func TestHealedCutBringsServersBack(t *testing.T) {
 	m, r := begin(t, usualSite(), 6) // servers 1, 3, 5 in zone 1
-	far := Stream{Proxy: 40, Zone: 1, Usual: 50, Joined: true}
-	r.round(m, r.now, News{Streams: []Stream{far}})
-	r.round(m, r.now, News{Streams: []Stream{{Proxy: 40, Zone: 1}}})
+	far := ProxyEvent{Proxy: 40, Zone: 1, ExpectedRate: 50, Joined: true}
+	r.round(m, r.now, Events{ProxyEvents: []ProxyEvent{far}})
+	r.round(m, r.now, Events{ProxyEvents: []ProxyEvent{{Proxy: 40, Zone: 1}}})
 	play(r, m, 12, 50, but(name(1), fails))
 	before := r.share(1, name(1))
-	r.round(m, r.now, News{Streams: []Stream{far}})
+	r.round(m, r.now, Events{ProxyEvents: []ProxyEvent{far}})
 	play(r, m, 1, 100, but(name(1), fails)) // still a report of the cut
 	if got := r.share(1, name(1)); before > 0.03 || got < 2*before || got < 0.06 {
 		t.Errorf("its share went from %.3f to %.3f, want about half of 1/6", before, got)
@@ -382,16 +384,16 @@
 
 func TestClassesKeptToZonesHaveATableEach(t *testing.T) {
 	s := usualSite()
-	s.classes[1].OnlyZones = []Zone{1}
+	s.classes[1].AllowedZones = []Zone{1}
 	_, r := begin(t, s, 6)
 	if a, b := r.bound[0][0], r.bound[0][1]; a == b || len(r.tables[a]) != 6 || len(r.tables[b]) != 3 {
 		t.Errorf("tables %v", r.tables)
 	}
-	s.classes[1] = QueryClass{Benefit: 1, GoalTime: 1, OwnZone: true}
+	s.classes[1] = RequestClass{PriorityWeight: 1, LatencyObjective: 1, ZoneLocal: true}
 	m := s.manager()
 	r = newRecorder(s)
 	fleet(r, m, 4)
-	r.round(m, 101, News{Streams: []Stream{{Proxy: 90, Joined: true, Zone: 1, Usual: 3}}})
+	r.round(m, 101, Events{ProxyEvents: []ProxyEvent{{Proxy: 90, Joined: true, Zone: 1, ExpectedRate: 3}}})
 	if a, b := r.bound[0][1], r.bound[90][1]; a == b || r.tables[b][name(0)] != 0 || r.tables[b][name(1)] == 0 {
 		t.Errorf("tables %v of %v", r.tables, r.bound)
 	}
@@ -399,12 +401,12 @@
 
 func TestDiscoveryIsAskedAgain(t *testing.T) {
 	s := usualSite()
-	s.discovery.OnRequest = true
+	s.discovery.Polled = true
 	m, r := s.manager(), newRecorder(s)
 	for i, asked := 0, 0; i < 400; i++ {
-		failed := []List{{Scope: Failed}}[:len(r.watched)-asked]
+		failed := []EndpointList{{Scope: ListFailed}}[:len(r.watched)-asked]
 		asked = len(r.watched)
-		r.round(m, 100+float64(i)/10, News{Lists: failed})
+		r.round(m, 100+float64(i)/10, Events{Lists: failed})
 	}
 	if n := len(r.watched); n < 25 || n > 70 {
 		t.Errorf("asked %d times in 40 s, want once in a sixteenth to an eighth of the time allowed", n)
@@ -415,9 +417,9 @@
 func TestSlowChannelIsNoticed(t *testing.T) {
 	m, r := begin(t, usualSite(), 6)
 	for range 6 {
-		r.round(m, r.now+1, News{Streams: []Stream{{Proxy: 3, Joined: true, Usual: 5}}})
+		r.round(m, r.now+1, Events{ProxyEvents: []ProxyEvent{{Proxy: 3, Joined: true, ExpectedRate: 5}}})
 		if len(r.marks) > 0 {
-			r.round(m, r.now+4, News{Applied: []Applied{{Proxy: 3, Mark: r.marks[len(r.marks)-1], Took: 3}}})
+			r.round(m, r.now+4, Events{Acks: []Ack{{Proxy: 3, ID: r.marks[len(r.marks)-1], Latency: 3}}})
 		}
 	}
 	if m.channel.pace > 0.5 {
@@ -429,14 +431,14 @@
 	s := usualSite()
 	s.reporting.Period = 0
 	m, r := s.manager(), newRecorder(s)
-	r.round(m, 0, News{})
-	r.round(m, 0, News{Lists: []List{{}, {Scope: Whole}, {Scope: Changes, Entries: []Entry{{Server: "x", Phase: Gone}}}}})
-	r.round(m, 1, News{Streams: []Stream{{Proxy: 1, Joined: true}, {Proxy: 1}, {Proxy: 1, Joined: true}, {Proxy: 9}},
-		Lists: []List{{Scope: Whole, Entries: []Entry{{Server: "a"}, {Server: "a"}}}}})
+	r.round(m, 0, Events{})
+	r.round(m, 0, Events{Lists: []EndpointList{{}, {Scope: FullList}, {Scope: DeltaList, Endpoints: []Endpoint{{Server: "x", Phase: Removed}}}}})
+	r.round(m, 1, Events{ProxyEvents: []ProxyEvent{{Proxy: 1, Joined: true}, {Proxy: 1}, {Proxy: 1, Joined: true}, {Proxy: 9}},
+		Lists: []EndpointList{{Scope: FullList, Endpoints: []Endpoint{{Server: "a"}, {Server: "a"}}}}})
 	for i := range 20 {
-		r.round(m, 2+float64(i)/4, News{Traffic: []Traffic{{Server: "a"}, {Server: "none", Tries: 3}, {Server: "a", Tries: 8, Lost: 99}},
-			Demand:  []Demand{{Proxy: 1}, {Proxy: 77, Queries: 4, Interval: 1}, {Proxy: 1, Class: 40, Queries: 1, Interval: 1}},
-			Applied: []Applied{{Mark: 12}}, Probed: []Probed{{Server: "none"}}})
+		r.round(m, 2+float64(i)/4, Events{Upstreams: []UpstreamReport{{Server: "a"}, {Server: "none", Attempts: 3}, {Server: "a", Attempts: 8, Failed: 99}},
+			Demands: []DemandReport{{Proxy: 1}, {Proxy: 77, Requests: 4, Interval: 1}, {Proxy: 1, Class: 40, Requests: 1, Interval: 1}},
+			Acks:    []Ack{{ID: 12}}, HealthChecks: []HealthCheckResult{{Server: "none"}}})
 	}
 	if r.broken != "" || r.tables[1]["a"] <= 0 {
 		t.Errorf("table %v, %s", r.tables[1], r.broken)
@@ -447,15 +449,15 @@
 func TestRandomRunsKeepTheRules(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := usualSite()
-		s.fleet.Levels = LevelKind(rapid.IntRange(0, 2).Draw(t, "levels"))
-		s.fleet.UsualRepeats = Repeats(rapid.IntRange(0, 3).Draw(t, "repeats"))
+		s.fleet.Admission = AdmissionMode(rapid.IntRange(0, 2).Draw(t, "levels"))
+		s.fleet.DefaultRetry = RetryPolicy(rapid.IntRange(0, 3).Draw(t, "repeats"))
 		s.reporting.Period = rapid.SampledFrom([]float64{0.5, 1, 2}).Draw(t, "period")
-		s.fleet.LeastConnections = rapid.SampledFrom([]float64{0, 12}).Draw(t, "connections") // 12: groups
-		s.channel.MostMessages = rapid.SampledFrom([]int{0, 12}).Draw(t, "messages")
-		s.channel.MostWaiting = rapid.SampledFrom([]float64{260, 2000}).Draw(t, "lines") // what can't wait, twice
-		s.channel.LinesPerSecond = s.channel.MostWaiting / 1.5
+		s.fleet.MinConnections = rapid.SampledFrom([]float64{0, 12}).Draw(t, "connections") // 12: groups
+		s.channel.MaxMessages = rapid.SampledFrom([]int{0, 12}).Draw(t, "messages")
+		s.channel.MaxQueued = rapid.SampledFrom([]float64{260, 2000}).Draw(t, "lines") // what can't wait, twice
+		s.channel.EntriesPerSecond = s.channel.MaxQueued / 1.5
 		if rapid.Bool().Draw(t, "zones") {
-			s.classes[1].OnlyZones = []Zone{1}
+			s.classes[1].AllowedZones = []Zone{1}
 		}
 		m, r := s.manager(), newRecorder(s)
 		twin, copy := s.manager(), newRecorder(s)
@@ -478,61 +480,61 @@
 	})
 }
 
-func randomNews(t *rapid.T, r *recorder, servers int, seconds float64) (news News) {
+func randomNews(t *rapid.T, r *recorder, servers int, seconds float64) (news Events) {
 	i := rapid.IntRange(0, servers-1).Draw(t, "server")
-	e := Entry{Server: name(i), Weight: 1, Zone: Zone(i % 2), Started: r.list[name(i)].Started}
-	x, held := Stream{Proxy: Proxy(rapid.IntRange(0, 11).Draw(t, "proxy")), Usual: 12}, false
+	e := Endpoint{Server: name(i), Weight: 1, Zone: Zone(i % 2), Started: r.list[name(i)].Started}
+	x, held := ProxyEvent{Proxy: Proxy(rapid.IntRange(0, 11).Draw(t, "proxy")), ExpectedRate: 12}, false
 	switch rapid.IntRange(0, 9).Draw(t, "event") {
 	case 0:
-		e.Phase = Terminating
-		news.Lists = []List{{Scope: Changes, Entries: []Entry{e}}}
+		e.Phase = Draining
+		news.Lists = []EndpointList{{Scope: DeltaList, Endpoints: []Endpoint{e}}}
 	case 1:
-		e.Phase = Gone
-		news.Lists = []List{{Scope: Changes, Entries: []Entry{e}}}
+		e.Phase = Removed
+		news.Lists = []EndpointList{{Scope: DeltaList, Endpoints: []Endpoint{e}}}
 	case 2:
 		e.Started = r.now
-		news.Lists = []List{{Scope: Changes, Entries: []Entry{e}}}
+		news.Lists = []EndpointList{{Scope: DeltaList, Endpoints: []Endpoint{e}}}
 	case 3:
-		news.Streams = []Stream{x}
+		news.ProxyEvents = []ProxyEvent{x}
 	case 4:
 		x.Joined = true
-		news.Streams = []Stream{x}
+		news.ProxyEvents = []ProxyEvent{x}
 	case 5:
 		for p := range 8 { // all streams break at once
-			news.Streams = append(news.Streams, Stream{Proxy: Proxy(p)}, Stream{Proxy: Proxy(p), Joined: true, Usual: 12})
+			news.ProxyEvents = append(news.ProxyEvents, ProxyEvent{Proxy: Proxy(p)}, ProxyEvent{Proxy: Proxy(p), Joined: true, ExpectedRate: 12})
 		}
 	case 6: // answers are held up
 		held = true
 	}
 	if !held {
-		news.Applied = r.arrived(r.now + seconds)
+		news.Acks = r.arrived(r.now + seconds)
 	}
 	worst := rapid.IntRange(0, 3).Draw(t, "trouble")
 	for i := range servers {
 		tries := 15 * seconds * r.share(1, name(i)) * float64(servers)
 		lost := tries * rapid.SampledFrom([]float64{0, 0, 0, 1, 0.5}).Draw(t, "lost") * float64(min(worst, 1))
-		news.Traffic = append(news.Traffic, Traffic{Server: name(i), Tries: tries, Lost: lost, Interval: seconds,
+		news.Upstreams = append(news.Upstreams, UpstreamReport{Server: name(i), Attempts: tries, Failed: lost, Interval: seconds,
 			Latency: rapid.Float64Range(0.1, 0.3+float64(worst)).Draw(t, "latency")})
 	}
 	for x := range 12 {
 		for c := range r.site.classes {
-			news.Demand = append(news.Demand, Demand{Proxy: Proxy(x), Class: Class(c), Interval: 1,
-				Queries: rapid.Float64Range(0.5, 1).Draw(t, "demand") * float64(servers)})
+			news.Demands = append(news.Demands, DemandReport{Proxy: Proxy(x), Class: Class(c), Interval: 1,
+				Requests: rapid.Float64Range(0.5, 1).Draw(t, "demand") * float64(servers)})
 		}
 	}
 	return news
 }
 
 // checkCold holds the tries that a cold server is led by fresh weights against what it can do.
-func checkCold(t *rapid.T, m *Manager, r *recorder) {
+func checkCold(t *rapid.T, m *Balancer, r *recorder) {
 	for _, s := range m.order {
 		part := m.cold(r.now, s)
-		warm := slices.ContainsFunc(m.order, func(o *server) bool { return o.Phase == InService && m.cold(r.now, o) >= 1 })
-		if s.Phase != InService || part >= 1 || !warm || m.answers.Entries() < 20 || len(m.reaches) > 1 || len(m.groups) > 1 {
+		warm := slices.ContainsFunc(m.order, func(o *server) bool { return o.Phase == Ready && m.cold(r.now, o) >= 1 })
+		if s.Phase != Ready || part >= 1 || !warm || m.answers.Entries() < 20 || len(m.reaches) > 1 || len(m.groups) > 1 {
 			continue
 		}
 		led := r.share(1, s.Server) * math.Max(m.tries, offered(m.proxies, nil, every))
-		if most := m.promise.FallMultiple * 1.5 * math.Max(part*m.answers.Mean(), 1); led > most {
+		if most := m.promise.OverloadFactor * 1.5 * math.Max(part*m.answers.Mean(), 1); led > most {
 			t.Fatalf("%s is cold (%.2f of its capacity) and led %.1f tries a second, over %.1f", s.Server, part, led, most)
 		}
 	}
@@ -541,20 +543,20 @@
 // Guards against refusing what servers could answer, in the seconds in which proxies that came from another coordinator ask and
 // what they are answered is not reported yet.
 func TestProxiesThatJoinDoNotCutLevels(t *testing.T) {
-	late := func(s Server, share, queries float64) Traffic { // a little more work than the goal time bears
-		return Traffic{Server: s, Tries: share * queries, Latency: 0.45}
+	late := func(s Server, share, queries float64) UpstreamReport { // a little more work than the goal time bears
+		return UpstreamReport{Server: s, Attempts: share * queries, Latency: 0.45}
 	}
-	steady := func(m *Manager, r *recorder, asked float64, seconds int) {
+	steady := func(m *Balancer, r *recorder, asked float64, seconds int) {
 		for range seconds {
-			var news News
+			var news Events
 			for i := range 6 {
 				tr := late(name(i), r.share(1, name(i)), 100)
 				tr.Interval = 1
-				news.Traffic = append(news.Traffic, tr)
+				news.Upstreams = append(news.Upstreams, tr)
 			}
 			for x := range 8 {
 				for c, part := range []float64{0.8, 0.2} {
-					news.Demand = append(news.Demand, Demand{Proxy: Proxy(x), Class: Class(c), Queries: asked / 8 * part, Interval: 1})
+					news.Demands = append(news.Demands, DemandReport{Proxy: Proxy(x), Class: Class(c), Requests: asked / 8 * part, Interval: 1})
 				}
 			}
 			r.round(m, r.now+1, news)
@@ -562,9 +564,9 @@
 	}
 	m, r := begin(t, usualSite(), 6)
 	steady(m, r, 100, 20)
-	var news News
+	var news Events
 	for x := range 24 {
-		news.Streams = append(news.Streams, Stream{Proxy: Proxy(100 + x), Joined: true, Usual: 12})
+		news.ProxyEvents = append(news.ProxyEvents, ProxyEvent{Proxy: Proxy(100 + x), Joined: true, ExpectedRate: 12})
 	}
 	r.round(m, r.now+0.5, news)
 	mix := offered(m.proxies, nil, 2) / offered(m.proxies, nil, every)
@@ -580,7 +582,7 @@
 
 // Guards against a channel that becomes slow all of a sudden: nothing tells of it but answers that stay out.
 func TestASlowChannelIsNotFilled(t *testing.T) {
-	ch := Channel{LinesPerSecond: 2700, MessageLines: 3, MostWaiting: 2700, MeanWay: 0.4, LongestWay: 1}
+	ch := Channel{EntriesPerSecond: 2700, MessageOverhead: 3, MaxQueued: 2700, MeanDelay: 0.4, MaxDelay: 1}
 	for _, part := range []float64{0.03, 0.04, 0.05} {
 		notFilled(t, ch, part)
 	}
@@ -599,11 +601,11 @@
 			c.newest++
 			c.queue.Number(int(c.newest), lines)
 		}
-		if waiting = max(0, waiting-0.5*part*ch.LinesPerSecond) + lines; waiting > ch.MostWaiting {
+		if waiting = max(0, waiting-0.5*part*ch.EntriesPerSecond) + lines; waiting > ch.MaxQueued {
 			t.Fatalf("at %.2f %.0f lines wait", now, waiting)
 		}
 	}
-	if c.acknowledge(Applied{Mark: c.newest, Took: 0.3}, sent); c.room(140, ordinary) < 0.4*ch.MostWaiting {
+	if c.acknowledge(Ack{ID: c.newest, Latency: 0.3}, sent); c.room(140, ordinary) < 0.4*ch.MaxQueued {
 		t.Errorf("once a mark is answered in time there is room for %.0f lines", c.room(140, ordinary))
 	}
 }
@@ -620,25 +622,25 @@
 
 func slowedWhileProxiesJoin(t *testing.T, batch, part float64) {
 	t.Helper()
-	ch := Channel{LinesPerSecond: 1500, MessageLines: 3, MostWaiting: 4400, MeanWay: 0.3, LongestWay: 1}
+	ch := Channel{EntriesPerSecond: 1500, MessageOverhead: 3, MaxQueued: 4400, MeanDelay: 0.3, MaxDelay: 1}
 	c, left, waiting, refused := channel{Channel: ch, grace: 4, pace: 1}, 0.0, 0.0, 0
 	type message struct {
 		lines float64
-		mark  Mark
+		mark  AckID
 		given float64
 	}
 	var queue []message // in the order in which it leaves
 	var due []float64   // when the answers arrive
-	var answers []Applied
+	var answers []Ack
 	var sizes []float64
 	put := func(m message) { queue, waiting = append(queue, m), waiting+m.lines }
 	for i := range 600 {
 		now := 100 + float64(i)*0.05
-		for left += 0.05 * part * ch.LinesPerSecond; len(queue) > 0 && queue[0].lines <= left; queue = queue[1:] {
+		for left += 0.05 * part * ch.EntriesPerSecond; len(queue) > 0 && queue[0].lines <= left; queue = queue[1:] {
 			m := queue[0]
 			left, waiting = left-m.lines, waiting-m.lines
-			due = append(due, now+2*ch.MeanWay)
-			answers = append(answers, Applied{Mark: m.mark, Took: now + ch.MeanWay - m.given})
+			due = append(due, now+2*ch.MeanDelay)
+			answers = append(answers, Ack{ID: m.mark, Latency: now + ch.MeanDelay - m.given})
 			sizes = append(sizes, m.lines)
 		}
 		if len(queue) == 0 {
@@ -667,7 +669,7 @@
 			c.newest = mark
 			c.queue.Number(int(mark), written)
 		}
-		if waiting > ch.MostWaiting {
+		if waiting > ch.MaxQueued {
 			t.Fatalf("at a part of %.2f, after %.2f s %.0f lines wait", part, now-100, waiting)
 		}
 	}
@@ -682,26 +684,26 @@
 	s := usualSite()
 	s.fleet.Proxies = 40
 	m, r := begin(t, s, 6)
-	streams := func(from int) (l []Stream) {
+	streams := func(from int) (l []ProxyEvent) {
 		for i := range 10 {
-			l = append(l, Stream{Proxy: Proxy(from + i), Joined: true, Usual: 5})
+			l = append(l, ProxyEvent{Proxy: Proxy(from + i), Joined: true, ExpectedRate: 5})
 		}
 		return l
 	}
-	r.round(m, r.now+0.1, News{Streams: streams(10)})
+	r.round(m, r.now+0.1, Events{ProxyEvents: streams(10)})
 	waiting := m.channel.queue.Outstanding()
 	if waiting < 50 {
 		t.Fatalf("ten joins take %.0f lines", waiting)
 	}
 	r.log = ""
 	for i := range 20 {
-		r.round(m, r.now+0.25, News{Stalled: true, Lists: []List{{Scope: Changes, Entries: []Entry{{Server: name(i % 3),
-			Phase: Terminating}}}}, Streams: streams(20)[:i%10]})
+		r.round(m, r.now+0.25, Events{ChannelStalled: true, Lists: []EndpointList{{Scope: DeltaList, Endpoints: []Endpoint{{Server: name(i % 3),
+			Phase: Draining}}}}, ProxyEvents: streams(20)[:i%10]})
 	}
 	if r.log != "" || m.channel.queue.Outstanding() < waiting {
 		t.Errorf("%.0f lines are held to wait, %.0f before; ordered %q", m.channel.queue.Outstanding(), waiting, r.log)
 	}
-	if r.round(m, r.now+0.01, News{}); r.tables[1][name(1)] > 0 || r.bound[20] == nil {
+	if r.round(m, r.now+0.01, Events{}); r.tables[1][name(1)] > 0 || r.bound[20] == nil {
 		t.Errorf("then the table is %v, proxy 20 bound to %v", r.tables[1], r.bound[20])
 	}
 }
@@ -709,17 +711,17 @@
 // A mark given before the channel was out of reach is answered after it: nothing has left meanwhile but what the answer tells.
 func TestAnAnswerAfterAStallCountsByWhatItTook(t *testing.T) {
 	m, r := begin(t, usualSite(), 6)
-	r.round(m, r.now+0.1, News{Streams: []Stream{{Proxy: 40, Joined: true, Usual: 5}, {Proxy: 41, Joined: true, Usual: 5}}})
+	r.round(m, r.now+0.1, Events{ProxyEvents: []ProxyEvent{{Proxy: 40, Joined: true, ExpectedRate: 5}, {Proxy: 41, Joined: true, ExpectedRate: 5}}})
 	c := &m.channel
 	before := c.queue.Outstanding()
 	for range 20 {
-		r.round(m, r.now+0.25, News{Stalled: true})
+		r.round(m, r.now+0.25, Events{ChannelStalled: true})
 	}
 	if c.queue.Outstanding() != before {
 		t.Errorf("%.0f lines are held to wait after the stall, want the %.0f of before it", c.queue.Outstanding(), before)
 	}
 	x := m.proxies[len(m.proxies)-2]
-	c.acknowledge(Applied{Proxy: x.Proxy, Mark: c.newest, Took: 5.05}, x.size)
+	c.acknowledge(Ack{Proxy: x.Proxy, ID: c.newest, Latency: 5.05}, x.size)
 	if got := c.queue.Outstanding(); got != x.size {
 		t.Errorf("%.0f lines are held to wait after one of two answers, want the %.0f of the other", got, x.size)
 	}
@@ -728,16 +730,16 @@
 // After a restart proxies still answer marks of the life before: these say nothing of this one's.
 func TestMarksOfAFormerLifeAreNoAnswers(t *testing.T) {
 	s := usualSite()
-	lives := [2]Mark{}
+	lives := [2]AckID{}
 	for i, seed := range []uint64{0x8c1f30d27a5be964, 0x1f30d27a5be9648c} {
-		m, r := New(seed, s.classes, s.fleet, s.channel, s.promise, s.reporting, Probing{}, s.discovery), newRecorder(s)
+		m, r := New(seed, s.classes, s.fleet, s.channel, s.promise, s.reporting, HealthChecking{}, s.discovery), newRecorder(s)
 		fleet(r, m, 4)
 		lives[i] = m.channel.newest
 		waiting := m.channel.queue.Outstanding()
 		if waiting == 0 || len(r.marks) == 0 {
 			t.Fatal("no mark was given")
 		}
-		r.round(m, r.now+0.01, News{Applied: []Applied{{Proxy: 1, Mark: lives[0], Took: 9}}})
+		r.round(m, r.now+0.01, Events{Acks: []Ack{{Proxy: 1, ID: lives[0], Latency: 9}}})
 		if i == 1 && (m.channel.queue.Outstanding() < waiting-1 || m.channel.pace < 1) {
 			t.Errorf("mark %d is answered by %d", lives[1], lives[0])
 		}
@@ -748,7 +750,7 @@
 	m, r := begin(t, usualSite(), 6)
 	users, lines := m.groups[0].users, m.joins(m.proxies[0])
 	before, written := m.channel.queue.Outstanding(), m.groups[0].messages.Count(r.now, 10)
-	m.resent(r.now, Resent{Tables: []Table{1, 1, 99}, Proxies: []Proxy{m.proxies[0].Proxy, 999}})
+	m.resent(r.now, Redelivered{Tables: []Table{1, 1, 99}, Proxies: []Proxy{m.proxies[0].Proxy, 999}})
 	if got := m.groups[0].messages.Count(r.now, 10) - written; got != 1 {
 		t.Errorf("a call that goes twice counts as %d messages more, want 1", got)
 	}
@@ -761,7 +763,7 @@
 	m, r := begin(t, usualSite(), 6)
 	for i := range 40 { // one query in ten seconds, reported by the period it came in, and the nine before
 		spans := []float64{1, 9}
-		r.round(m, r.now+5, News{Demand: []Demand{{Proxy: 3, Class: 1, Queries: 0.5, Interval: spans[i%2]}}})
+		r.round(m, r.now+5, Events{Demands: []DemandReport{{Proxy: 3, Class: 1, Requests: 0.5, Interval: spans[i%2]}}})
 	}
 	x := m.proxies[slices.IndexFunc(m.proxies, func(x *proxy) bool { return x.Proxy == 3 })]
 	if x.rate[1] > 0.15 {
@@ -773,11 +775,11 @@
 func TestServersThatAreGoneForGoodAreForgotten(t *testing.T) {
 	m, r := begin(t, usualSite(), 6)
 	for i := range 2000 {
-		l := List{Scope: Changes, Entries: []Entry{{Server: Server(rune('a'+i%26)) + name(100+i), Weight: 1}}}
+		l := EndpointList{Scope: DeltaList, Endpoints: []Endpoint{{Server: Server(rune('a'+i%26)) + name(100+i), Weight: 1}}}
 		if i > 0 {
-			l.Entries = append(l.Entries, Entry{Server: Server(rune('a'+(i-1)%26)) + name(99+i), Phase: Gone})
+			l.Endpoints = append(l.Endpoints, Endpoint{Server: Server(rune('a'+(i-1)%26)) + name(99+i), Phase: Removed})
 		}
-		r.round(m, r.now+1, News{Lists: []List{l}, Traffic: []Traffic{well(name(0), 0.2, 100)}})
+		r.round(m, r.now+1, Events{Lists: []EndpointList{l}, Upstreams: []UpstreamReport{well(name(0), 0.2, 100)}})
 	}
 	if len(m.servers) > 12 || len(m.order) != len(m.servers) || r.broken != "" {
 		t.Errorf("%d servers and %d in order; %s", len(m.servers), len(m.order), r.broken)
--- a/balancer/estimates.go
+++ b/balancer/estimates.go
@@ -16,7 +16,7 @@
 	leastBin   = 0.2  // queries a second: under this is as good as nothing
 	forgetFor  = 30.0 // seconds after which a proxy that left is held to be dead; outages last 5 to 20
 	leastShare = 0.5  // of an even share of the servers, for a group of few queries: its table can lose one
-	every      = ^Classes(0)
+	every      = ^ClassSet(0)
 )
 
 // queryRates is the scale of histograms of queries a second: 16 bins reach 130, and half a minute to two
@@ -25,27 +25,27 @@
 
 // Estimates: work in process, completion, demand.
 
-func (m *Manager) count(now float64, traffic []Traffic, demand []Demand) {
+func (m *Balancer) count(now float64, traffic []UpstreamReport, demand []DemandReport) {
 	for _, t := range traffic {
-		if s := m.servers[t.Server]; s != nil && t.Tries > 0 && now >= s.deaf {
-			good := max(t.Tries-t.Lost, 0)
+		if s := m.servers[t.Server]; s != nil && t.Attempts > 0 && now >= s.deaf {
+			good := max(t.Attempts-t.Failed, 0)
 			m.fresh = true
-			s.rows = append(s.rows, row{zone: t.Zone, at: now, span: max(t.Interval, m.period/2), tries: t.Tries,
-				good: good, lost: t.Tries - good, seconds: good * t.Latency})
+			s.rows = append(s.rows, row{zone: t.Zone, at: now, span: max(t.Interval, m.period/2), tries: t.Attempts,
+				good: good, lost: t.Attempts - good, seconds: good * t.Latency})
 		}
 	}
 	for _, d := range demand {
 		x := m.joined[d.Proxy]
 		if x != nil && int(d.Class) < len(m.classes) && d.Interval > 0 {
 			known := math.Exp(-d.Interval / (window * m.period)) // none came where no report did: long ones count more
-			x.rate[d.Class] += (d.Queries/d.Interval - x.rate[d.Class]) * (1 - known)
+			x.rate[d.Class] += (d.Requests/d.Interval - x.rate[d.Class]) * (1 - known)
 		}
 	}
 }
 
 func (r row) enough(n float64) bool { return n >= leastTries || r.lost == 0 && n >= leastTries/2 }
 
-func (m *Manager) close(now float64) {
+func (m *Balancer) close(now float64) {
 	m.closed, m.fresh = now, false
 	var tries, spans, ats, n float64
 	for _, s := range m.order {
@@ -58,7 +58,7 @@
 		held := func(g *group) bool {
 			return slices.ContainsFunc(g.pools, func(p *pool) bool { return p.held[s.Server] > 0 })
 		}
-		over := s.Phase == Gone && len(s.rows) == 0 && !slices.ContainsFunc(m.groups, held)
+		over := s.Phase == Removed && len(s.rows) == 0 && !slices.ContainsFunc(m.groups, held)
 		if over {
 			delete(m.servers, s.Server)
 		}
--- a/balancer/groups.go
+++ b/balancer/groups.go
@@ -21,7 +21,7 @@
 	sliver    = 0.1   // of a server's intake; less of it is not worth a line in a second table
 )
 
-func (m *Manager) stream(now float64, s Stream) {
+func (m *Balancer) stream(now float64, s ProxyEvent) {
 	same := func(x *proxy) bool { return x.Proxy == s.Proxy }
 	if x := m.joined[s.Proxy]; x != nil {
 		if x.left = now; x.bound {
@@ -48,21 +48,21 @@
 	if len(own) == 0 { // its zone has no server
 		own = m.groups
 	}
-	x := &proxy{Stream: s, since: now, group: own[int(s.Proxy)%len(own)]}
+	x := &proxy{ProxyEvent: s, since: now, group: own[int(s.Proxy)%len(own)]}
 	all := offered(m.proxies, nil, every)
 	for c := range m.classes { // until it is seen it asks as the others do
 		part := 1 / float64(len(m.classes))
 		if all > 0 {
 			part = offered(m.proxies, nil, 1<<c) / all
 		}
-		x.rate = append(x.rate, s.Usual*part)
+		x.rate = append(x.rate, s.ExpectedRate*part)
 	}
 	m.proxies = append(m.proxies, x)
 	m.joined[s.Proxy] = x
 }
 
 // part makes groups where one table for all would fill the servers' connections, or the channel.
-func (m *Manager) part(first Zone) {
+func (m *Balancer) part(first Zone) {
 	zones := []Zone{first}
 	for _, o := range m.order {
 		zones = append(zones, o.Zone)
@@ -70,8 +70,8 @@
 	zones = slices.Compact(slices.Sorted(slices.Values(zones)))
 	proxies, servers := float64(m.fleet.Proxies), float64(len(m.order))
 	each := proxies / float64(max(m.fleet.Coordinators, 1)) // at one coordinator
-	parts := max(each*servers/max(m.channel.LinesPerSecond*anewIn, 1),
-		proxies/cmp.Or(m.fleet.LeastConnections*fullBy, math.Inf(1)))
+	parts := max(each*servers/max(m.channel.EntriesPerSecond*anewIn, 1),
+		proxies/cmp.Or(m.fleet.MinConnections*fullBy, math.Inf(1)))
 	if parts > 1 {
 		parts = max(parts, min(servers/width, each/fewest))
 	} else if !slices.ContainsFunc(m.reaches, func(r *reach) bool { return r.own }) {
@@ -89,7 +89,7 @@
 }
 
 // arcs lays the servers in a line, by zone, and gives each group the stretch that is its share of queries.
-func (m *Manager) arcs(r *reach, open []*server, intake []float64, total float64) (arcs [][]line) {
+func (m *Balancer) arcs(r *reach, open []*server, intake []float64, total float64) (arcs [][]line) {
 	shares, to := 0.0, 0.0
 	for _, g := range m.groups {
 		shares += g.share
@@ -126,11 +126,11 @@
 }
 
 // wanted gives each group's weights, on the scale of those held; taken is what narrower reaches ask of each.
-func (m *Manager) wanted(now float64, k int, taken map[Server]float64) (wants [][]line) {
+func (m *Balancer) wanted(now float64, k int, taken map[Server]float64) (wants [][]line) {
 	r, open := m.reaches[k], []*server(nil)
 	listed, mean, known, most := 0.0, 0.0, 0.0, 0.0
 	for _, s := range m.order {
-		if s.Phase == InService && s.within(r.zones) {
+		if s.Phase == Ready && s.within(r.zones) {
 			open, listed = append(open, s), listed+s.Weight
 			if s.met && m.ready(now, s) >= 1 {
 				mean, known = mean+s.intake, known+1
@@ -172,7 +172,7 @@
 	for i, arc := range m.arcs(r, open, intake, total) {
 		held, sum, largest, scale := 0.0, 0.0, 1e-9, usual/mean
 		for _, l := range m.holds(m.groups[i].pools[k]) {
-			if l.server.Phase == InService && l.server.within(r.zones) {
+			if l.server.Phase == Ready && l.server.within(r.zones) {
 				held += l.weight
 				sum += share(arc, l.server)
 			}
--- a/balancer/health.go
+++ b/balancer/health.go
@@ -19,12 +19,12 @@
 // Health: what servers bear, and their return.
 
 // bears is the intake that a server can surely stand. Proxies that avoid servers may avoid all but one.
-func (m *Manager) bears(now float64, s *server) float64 {
+func (m *Balancer) bears(now float64, s *server) float64 {
 	if part := m.cold(now, s); part < 1 {
-		if m.fleet.EjectAfter > 0 && (m.lossy || len(m.absent) > 0 || now-m.returned < settleFor) {
+		if m.fleet.EjectAfterFailures > 0 && (m.lossy || len(m.absent) > 0 || now-m.returned < settleFor) {
 			return 0
 		}
-		return part * m.answers.Mean() * min(heavy, m.promise.FallMultiple/2)
+		return part * m.answers.Mean() * min(heavy, m.promise.OverloadFactor/2)
 	}
 	if s.able || s.answers.Entries() == 0 {
 		return heavy * max(s.answers.Mean(), m.answers.Mean())
@@ -34,7 +34,7 @@
 
 // spread bounds every server's part of the tries by what it bears; what is over goes to others, at last the
 // warm. Guards against a withdrawal that pushes over the rest; it does harm where too many are dead.
-func (m *Manager) spread(now float64, open []*server, intake, bears []float64, tries float64) {
+func (m *Balancer) spread(now float64, open []*server, intake, bears []float64, tries float64) {
 	all, warm := 0.0, 0.0
 	for i, s := range open {
 		if all += bears[i]; m.cold(now, s) >= 1 {
@@ -50,40 +50,40 @@
 	}
 }
 
-func (m *Manager) cold(now float64, s *server) float64 { // the share of its capacity that it surely has
-	if age := max(now-s.Started, 0); s.Started > 0 && age < m.promise.ColdFor {
-		return m.promise.ColdShare + (1-m.promise.ColdShare)*age/m.promise.ColdFor
+func (m *Balancer) cold(now float64, s *server) float64 { // the share of its capacity that it surely has
+	if age := max(now-s.Started, 0); s.Started > 0 && age < m.promise.WarmupDuration {
+		return m.promise.WarmupStartFraction + (1-m.promise.WarmupStartFraction)*age/m.promise.WarmupDuration
 	}
 	return 1
 }
 
-func (m *Manager) ready(now float64, s *server) float64 { // the share of an average intake, with the ramp
-	return min(m.cold(now, s), m.promise.ColdShare+(now-s.known)/rampFor)
+func (m *Balancer) ready(now float64, s *server) float64 { // the share of an average intake, with the ramp
+	return min(m.cold(now, s), m.promise.WarmupStartFraction+(now-s.known)/rampFor)
 }
 
-func (m *Manager) follow(now float64, l List) {
+func (m *Balancer) follow(now float64, l EndpointList) {
 	for _, s := range m.order {
-		if l.Scope == Whole && !slices.ContainsFunc(l.Entries, func(e Entry) bool { return e.Server == s.Server }) {
-			l.Entries = append(slices.Clip(l.Entries), Entry{Server: s.Server, Phase: Gone})
+		if l.Scope == FullList && !slices.ContainsFunc(l.Endpoints, func(e Endpoint) bool { return e.Server == s.Server }) {
+			l.Endpoints = append(slices.Clip(l.Endpoints), Endpoint{Server: s.Server, Phase: Removed})
 		}
 	}
-	for _, e := range l.Entries {
+	for _, e := range l.Endpoints {
 		s := m.servers[e.Server]
 		switch {
-		case s == nil && e.Phase == Gone:
+		case s == nil && e.Phase == Removed:
 		case s == nil:
-			if s = (&server{Entry: e, known: now}); l.Scope == Cached {
+			if s = (&server{Endpoint: e, known: now}); l.Scope == CachedList {
 				s.known = math.Inf(-1)
 			}
 			m.servers[e.Server], m.order = s, append(m.order, s)
-		case e.Phase == Gone && m.promise.GoneIsAdvice && s.Phase == InService:
+		case e.Phase == Removed && m.promise.RemovalIsAdvisory && s.Phase == Ready:
 			s.dropped = true // the list may be wrong: it stays for as long as it answers
-		case e.Phase == Gone:
-			s.Phase = Gone
-		case e.Phase == InService && (e.Started != s.Started || s.Phase != InService): // another process
-			*s = server{Entry: e, known: now}
+		case e.Phase == Removed:
+			s.Phase = Removed
+		case e.Phase == Ready && (e.Started != s.Started || s.Phase != Ready): // another process
+			*s = server{Endpoint: e, known: now}
 		default:
-			s.Entry, s.dropped = e, false
+			s.Endpoint, s.dropped = e, false
 		}
 	}
 	slices.SortStableFunc(m.order, func(a, b *server) int { return cmp.Compare(a.Zone, b.Zone) })
--- a/balancer/interface.go
+++ b/balancer/interface.go
@@ -2,120 +2,120 @@
 
 // Each kind of id is a type of its own. Ids carry no meaning beyond identity.
 type (
-	Server      string // address of a server, handed back unaltered
-	Proxy       int    // number of a proxy
-	Table       int    // number of a table, chosen by the module
-	Class       int    // place of a query class among those handed at start
-	Classes     uint64 // a set of classes, bit k for class k; 0 stands for all
-	Zone        int    // place of a zone in the site's list
-	Kind        int    // kind of machine
-	Pod         int    // a few servers of one zone that fail, and drop repeats, together
-	Coordinator int    // number of a fellow coordinator
-	Mark        int    // number of a mark that proxies answer
-	Timer       int    // number of a wake-up call
+	Server        string // address of a server, handed back unaltered
+	Proxy         int    // number of a proxy
+	Table         int    // number of a table, chosen by the module
+	Class         int    // place of a query class among those handed at start
+	ClassSet      uint64 // a set of classes, bit k for class k; 0 stands for all
+	Zone          int    // place of a zone in the site's list
+	Kind          int    // kind of machine
+	FailureDomain int    // a few servers of one zone that fail, and drop repeats, together
+	Coordinator   int    // number of a fellow coordinator
+	AckID         int    // number of a mark that proxies answer
+	Timer         int    // number of a wake-up call
 )
 
-// Effect says what a repeat of a query may do.
-type Effect int
+// Idempotency says what a repeat of a query may do.
+type Idempotency int
 
 const (
-	Free       Effect = iota // safe to repeat
-	Guarded                  // repeats are dropped within a group of servers, for a while
-	SingleShot               // must never run twice
+	Idempotent    Idempotency = iota // safe to repeat
+	Keyed                            // repeats are dropped within a group of servers, for a while
+	NonIdempotent                    // must never run twice
 )
 
-// Group names the servers that drop each other's repeats of a guarded query.
-type Group int
+// DedupScope names the servers that drop each other's repeats of a guarded query.
+type DedupScope int
 
 const (
-	EveryServer Group = iota
+	EveryServer DedupScope = iota
 	SameZone
-	SamePod
+	SameFailureDomain
 )
 
-// QueryClass is what clients expect of one class of queries. Times are seconds.
-type QueryClass struct {
-	Benefit       float64 // of an answer within the goal time
-	LateBenefit   float64 // share of it that a later answer still earns
-	GoalTime      float64
-	GoalStretch   float64 // goal time grows by this multiple of the query's own work
-	ClientTimeout float64
-	Effect        Effect
-	Group         Group
-	Window        float64 // how long a guarded repeat is dropped
-	OnlyZones     []Zone  // the servers' zones it may go to; none named: all
-	OwnZone       bool    // it may go only to servers of the proxy's zone
-	Writes        bool
+// RequestClass is what clients expect of one class of queries. Times are seconds.
+type RequestClass struct {
+	PriorityWeight   float64 // of an answer within the goal time
+	LateWeight       float64 // share of it that a later answer still earns
+	LatencyObjective float64
+	ObjectiveStretch float64 // goal time grows by this multiple of the query's own work
+	ClientTimeout    float64
+	Idempotency      Idempotency
+	DedupScope       DedupScope
+	DedupWindow      float64 // how long a guarded repeat is dropped
+	AllowedZones     []Zone  // the servers' zones it may go to; none named: all
+	ZoneLocal        bool    // it may go only to servers of the proxy's zone
+	Writes           bool
 }
 
-// LevelKind says how the proxies understand a level.
-type LevelKind int
+// AdmissionMode says how the proxies understand a level.
+type AdmissionMode int
 
 const (
-	LevelsIgnored LevelKind = iota
-	LevelFraction           // share of a class that is let in
-	LevelRate               // queries a second let in at each proxy
+	AdmissionIgnored  AdmissionMode = iota
+	AdmissionFraction               // share of a class that is let in
+	AdmissionRate                   // queries a second let in at each proxy
 )
 
-// Dataplane describes the proxies.
-type Dataplane struct {
-	Proxies          int // over all coordinators
-	Coordinators     int
-	Self             Coordinator
-	StandingTable    int     // most servers in the table that a proxy starts with
-	EjectAfter       int     // failures in a row after which a proxy avoids a server; 0: never
-	UsualRepeats     Repeats // when none are ordered
-	LeastConnections float64 // that the smallest servers accept
-	TryGoals         float64 // goal times that a try waits before it is repeated
-	Levels           LevelKind
+// DataPlane describes the proxies.
+type DataPlane struct {
+	Proxies              int // over all coordinators
+	Coordinators         int
+	Self                 Coordinator
+	DefaultTableSize     int         // most servers in the table that a proxy starts with
+	EjectAfterFailures   int         // failures in a row after which a proxy avoids a server; 0: never
+	DefaultRetry         RetryPolicy // when none are ordered
+	MinConnections       float64     // that the smallest servers accept
+	AttemptTimeoutFactor float64     // goal times that a try waits before it is repeated
+	Admission            AdmissionMode
 }
 
 // Channel is the way from the coordinator to its proxies.
 type Channel struct {
-	LinesPerSecond float64
-	MessageLines   float64 // charged for each message besides its own lines
-	MostWaiting    float64 // lines that may wait
-	MeanWay        float64 // seconds from leaving the channel to the proxy
-	LongestWay     float64
-	MostMessages   int     // to one proxy within MessageWindow; 0: no limit
-	MessageWindow  float64 // seconds
+	EntriesPerSecond float64
+	MessageOverhead  float64 // charged for each message besides its own lines
+	MaxQueued        float64 // lines that may wait
+	MeanDelay        float64 // seconds from leaving the channel to the proxy
+	MaxDelay         float64
+	MaxMessages      int     // to one proxy within MessageWindow; 0: no limit
+	MessageWindow    float64 // seconds
 }
 
 // Guarantees are the figures of the rules.
 type Guarantees struct {
-	DrainWithin  float64 // seconds until no proxy sends to a server known to drain
-	BareWithin   float64 // seconds that a proxy may lack a line
-	ColdShare    float64 // of its capacity, at which a server starts at least
-	ColdFor      float64 // seconds after which it is warm at the latest
-	FallMultiple float64 // of its present capacity; more of it for FallWithin pushes it over
-	FallWithin   float64 // seconds
-	AskWithin    float64 // seconds that discovery may go unasked
-	GoneIsAdvice bool    // a server that merely left the list may stay in tables
+	DrainDeadline         float64 // seconds until no proxy sends to a server known to drain
+	EmptyTableDeadline    float64 // seconds that a proxy may lack a line
+	WarmupStartFraction   float64 // of its capacity, at which a server starts at least
+	WarmupDuration        float64 // seconds after which it is warm at the latest
+	OverloadFactor        float64 // of its present capacity; more of it for FallWithin pushes it over
+	OverloadWindow        float64 // seconds
+	DiscoveryPollDeadline float64 // seconds that discovery may go unasked
+	RemovalIsAdvisory     bool    // a server that merely left the list may stay in tables
 }
 
-// LoadFigure names a value of a server's load report.
-type LoadFigure int
+// LoadMetric names a value of a server's load report.
+type LoadMetric int
 
 const (
-	UnknownFigure LoadFigure = iota
+	UnknownMetric LoadMetric = iota
 	InProgress
-	Waiting
-	Busy
+	QueueLength
+	Utilization
 	ServiceTime // milliseconds
-	AnsweredRate
+	CompletionRate
 	ErrorRate
 )
 
 // Reporting is what the coordinator is given of its proxies' traffic.
 type Reporting struct {
-	Period         float64 // seconds
-	LinesPerSecond float64
-	Figures        []LoadFigure
-	OnAnswers      bool // load reports come with the traffic reports
+	Period           float64 // seconds
+	EntriesPerSecond float64
+	Metrics          []LoadMetric
+	Piggybacked      bool // load reports come with the traffic reports
 }
 
-// Probing says whether probes are allowed and what they cost.
-type Probing struct {
+// HealthChecking says whether probes are allowed and what they cost.
+type HealthChecking struct {
 	Allowed bool
 	Price   float64 // of one probe a query, in points
 	Timeout float64 // seconds that a proxy waits for a connection
@@ -125,148 +125,148 @@
 type WeightSource int
 
 const (
-	WeightsSilent WeightSource = iota
+	WeightsAbsent WeightSource = iota
 	WeightsNominal
-	WeightsRough
+	WeightsApproximate
 	WeightsLive // they move with the load
 )
 
 // Discovery says how the list of servers comes.
 type Discovery struct {
-	OnRequest bool
-	Weights   WeightSource
+	Polled  bool
+	Weights WeightSource
 }
 
 // Phase of a listed server.
 type Phase int
 
 const (
-	InService Phase = iota
-	Terminating
-	Gone
+	Ready Phase = iota
+	Draining
+	Removed
 )
 
-// Entry is one server of the list.
-type Entry struct {
-	Server  Server
-	Zone    Zone
-	Kind    Kind
-	Pod     Pod
-	Weight  float64
-	Phase   Phase
-	Started float64 // clock time of its last start; 0: long ago
+// Endpoint is one server of the list.
+type Endpoint struct {
+	Server        Server
+	Zone          Zone
+	Kind          Kind
+	FailureDomain FailureDomain
+	Weight        float64
+	Phase         Phase
+	Started       float64 // clock time of its last start; 0: long ago
 }
 
-// Scope of a list.
-type Scope int
+// ListScope of a list.
+type ListScope int
 
 const (
-	Cached Scope = iota // as last held, possibly outdated
-	Whole               // what is absent is gone
-	Changes
-	Failed // a call failed or the subscription broke; no entries
+	CachedList ListScope = iota // as last held, possibly outdated
+	FullList                    // what is absent is gone
+	DeltaList
+	ListFailed // a call failed or the subscription broke; no entries
 )
 
-// List is one word from discovery.
-type List struct {
-	Scope   Scope
-	Entries []Entry
+// EndpointList is one word from discovery.
+type EndpointList struct {
+	Scope     ListScope
+	Endpoints []Endpoint
 }
 
-// Stream is a proxy that joined or left.
-type Stream struct {
-	Proxy  Proxy
-	Joined bool
-	Zone   Zone
-	Usual  float64 // queries a second it usually gets
-	Fresh  bool    // it holds only its standing table
+// ProxyEvent is a proxy that joined or left.
+type ProxyEvent struct {
+	Proxy        Proxy
+	Joined       bool
+	Zone         Zone
+	ExpectedRate float64 // queries a second it usually gets
+	DefaultTable bool    // it holds only its standing table
 }
 
-// Traffic is what the joined proxies of a zone met at a server.
-type Traffic struct {
+// UpstreamReport is what the joined proxies of a zone met at a server.
+type UpstreamReport struct {
 	Server   Server
 	Zone     Zone
-	Tries    float64
-	Lost     float64   // tries with no good answer
+	Attempts float64
+	Failed   float64   // tries with no good answer
 	Latency  float64   // mean of the good ones, seconds
 	Interval float64   // seconds over which it was counted
 	Load     []float64 // newest load report, in the order of Reporting.Figures
 }
 
-// Demand is what came to one proxy for one class, refused and repeated queries included.
-type Demand struct {
+// DemandReport is what came to one proxy for one class, refused and repeated queries included.
+type DemandReport struct {
 	Proxy    Proxy
 	Class    Class
-	Queries  float64
-	Lost     float64 // let in, without an answer
+	Requests float64
+	Failed   float64 // let in, without an answer
 	Interval float64
 }
 
-// Applied says that a proxy has applied the message that carried a mark.
-type Applied struct {
-	Proxy Proxy
-	Mark  Mark
-	Took  float64
+// Ack says that a proxy has applied the message that carried a mark.
+type Ack struct {
+	Proxy   Proxy
+	ID      AckID
+	Latency float64
 }
 
-// Verdict is how a probe ended.
-type Verdict int
+// HealthStatus is how a probe ended.
+type HealthStatus int
 
 const (
-	ProbeGood Verdict = iota
-	ProbeError
-	ProbeRefused
-	ProbeTimeout
-	ProbeUnreachable
-	ProbeMoot
+	HealthOK HealthStatus = iota
+	HealthError
+	HealthRefused
+	HealthTimeout
+	HealthUnreachable
+	HealthInconclusive
 )
 
-// Probed is what a probe found.
-type Probed struct {
+// HealthCheckResult is what a probe found.
+type HealthCheckResult struct {
 	Server  Server
-	Verdict Verdict
-	Took    float64
+	Status  HealthStatus
+	Latency float64
 	Load    []float64
 }
 
-// Resent are orders that the channel may carry with one message more than was decided: they go again though they may have been
+// Redelivered are orders that the channel may carry with one message more than was decided: they go again though they may have been
 // carried out, or with another call than the rest of their round.
-type Resent struct {
+type Redelivered struct {
 	Tables  []Table // one for each weight or level
 	Proxies []Proxy // that are bound
 }
 
-// News is all that came in for one round, each slice in arrival order.
-type News struct {
-	Stalled bool // what was ordered does not reach the channel now, nor would anything else
-	Resent  Resent
-	Lists   []List
-	Streams []Stream
-	Traffic []Traffic
-	Demand  []Demand
-	Applied []Applied
-	Probed  []Probed
-	Woken   []Timer
+// Events is all that came in for one round, each slice in arrival order.
+type Events struct {
+	ChannelStalled bool // what was ordered does not reach the channel now, nor would anything else
+	Redelivered    Redelivered
+	Lists          []EndpointList
+	ProxyEvents    []ProxyEvent
+	Upstreams      []UpstreamReport
+	Demands        []DemandReport
+	Acks           []Ack
+	HealthChecks   []HealthCheckResult
+	FiredTimers    []Timer
 }
 
-// Repeats says when a proxy tries another server.
-type Repeats int
+// RetryPolicy says when a proxy tries another server.
+type RetryPolicy int
 
 const (
-	NoRepeat       Repeats = iota
-	AfterProof             // once, when the first try surely never ran
-	AfterFailure           // once, after any failure
-	TwiceOnFailure         // twice
+	RetryNever         RetryPolicy = iota
+	RetryIfNotExecuted             // once, when the first try surely never ran
+	RetryOnce                      // once, after any failure
+	RetryTwice                     // twice
 )
 
-// Writer takes the decisions of a round. All orders of a round to a proxy travel as one message.
-type Writer interface {
-	Weigh(Table, Server, float64) // sets a line; 0 removes it
-	Bind(Proxy, Table, Classes)
-	Admit(t Table, cs Classes, level float64, again Repeats)
-	Mark(Mark)
-	Probe(Server)
-	Watch()
-	Wake(after float64, t Timer)
-	Note(string)
+// CommandSink takes the decisions of a round. All orders of a round to a proxy travel as one message.
+type CommandSink interface {
+	SetWeight(Table, Server, float64) // sets a line; 0 removes it
+	AssignTable(Proxy, Table, ClassSet)
+	SetAdmission(t Table, cs ClassSet, level float64, again RetryPolicy)
+	RequestAck(AckID)
+	HealthCheck(Server)
+	PollDiscovery()
+	SetTimer(after float64, t Timer)
+	Log(string)
 }
--- a/balancer/limits_test.go
+++ b/balancer/limits_test.go
@@ -29,21 +29,21 @@
 
 const start = 100.0 // clock time at which a day begins
 
-func (d day) coordinator() *balancer.Manager {
+func (d day) coordinator() *balancer.Balancer {
 	return balancer.New(d.seed,
-		[]balancer.QueryClass{{Benefit: 3, GoalTime: 1.2, ClientTimeout: 4}, {Benefit: 2, GoalTime: 1.5, ClientTimeout: 5}},
-		balancer.Dataplane{Proxies: d.proxies * d.coordinators, Coordinators: d.coordinators, StandingTable: 6, EjectAfter: 8,
-			UsualRepeats: balancer.AfterProof, LeastConnections: 318, Levels: balancer.LevelFraction},
+		[]balancer.RequestClass{{PriorityWeight: 3, LatencyObjective: 1.2, ClientTimeout: 4}, {PriorityWeight: 2, LatencyObjective: 1.5, ClientTimeout: 5}},
+		balancer.DataPlane{Proxies: d.proxies * d.coordinators, Coordinators: d.coordinators, DefaultTableSize: 6, EjectAfterFailures: 8,
+			DefaultRetry: balancer.RetryIfNotExecuted, MinConnections: 318, Admission: balancer.AdmissionFraction},
 		d.channel,
-		balancer.Guarantees{DrainWithin: d.grace, BareWithin: 7.6, ColdShare: 0.16, ColdFor: 18, FallMultiple: 2.5, FallWithin: 1.5,
-			AskWithin: 10},
-		balancer.Reporting{Period: 0.5, LinesPerSecond: 120}, balancer.Probing{}, balancer.Discovery{})
+		balancer.Guarantees{DrainDeadline: d.grace, EmptyTableDeadline: 7.6, WarmupStartFraction: 0.16, WarmupDuration: 18, OverloadFactor: 2.5, OverloadWindow: 1.5,
+			DiscoveryPollDeadline: 10},
+		balancer.Reporting{Period: 0.5, EntriesPerSecond: 120}, balancer.HealthChecking{}, balancer.Discovery{})
 }
 
 func serverName(i int) balancer.Server { return balancer.Server(fmt.Sprintf("s-%04d", i)) }
 
-func (d day) entry(i int) balancer.Entry {
-	return balancer.Entry{Server: serverName(i), Zone: balancer.Zone(i % d.zones), Weight: 1}
+func (d day) entry(i int) balancer.Endpoint {
+	return balancer.Endpoint{Server: serverName(i), Zone: balancer.Zone(i % d.zones), Weight: 1}
 }
 
 // play plays a day and returns the relay with what the referee has seen.
@@ -59,23 +59,23 @@
 	}
 	r.now = start
 	m := d.coordinator()
-	news := balancer.News{Lists: []balancer.List{{Scope: balancer.Cached}}}
+	news := balancer.Events{Lists: []balancer.EndpointList{{Scope: balancer.CachedList}}}
 	var listed []balancer.Server
 	for i := range d.servers {
-		news.Lists[0].Entries = append(news.Lists[0].Entries, d.entry(i))
+		news.Lists[0].Endpoints = append(news.Lists[0].Endpoints, d.entry(i))
 		listed = append(listed, serverName(i))
 	}
 	joining := func(from, n int) {
 		for i := from; i < from+n; i++ {
 			r.join(balancer.Proxy(i), listed)
-			news.Streams = append(news.Streams, balancer.Stream{Proxy: balancer.Proxy(i), Joined: true, Zone: balancer.Zone(i % d.zones), Usual: 5})
+			news.ProxyEvents = append(news.ProxyEvents, balancer.ProxyEvent{Proxy: balancer.Proxy(i), Joined: true, Zone: balancer.Zone(i % d.zones), ExpectedRate: 5})
 		}
 	}
 	joining(0, d.proxies)
 	const tick = 0.1
 	step, joined, reportAt, leaveAt := 0, 0, start+1, 0.0
 	for at := start; at < start+d.seconds && r.broken == "" && r.late == ""; at += tick {
-		news.Applied = r.advance(at)
+		news.Acks = r.advance(at)
 		if step < d.steps && at >= start+d.releaseAt+float64(step)*d.stepEvery {
 			d.release(r, &news, step, at)
 			step++
@@ -90,24 +90,24 @@
 			for i := range d.joiners {
 				p := balancer.Proxy(d.proxies + (joined-1)*d.joiners + i)
 				r.leave(p)
-				news.Streams = append(news.Streams, balancer.Stream{Proxy: p})
+				news.ProxyEvents = append(news.ProxyEvents, balancer.ProxyEvent{Proxy: p})
 			}
 		}
 		if at >= reportAt {
 			reportAt += 0.5
 			d.report(r, &news)
 		}
-		m.Round(at, news, r)
+		m.Reconcile(at, news, r)
 		r.write()
-		news = balancer.News{}
+		news = balancer.Events{}
 	}
 	return r
 }
 
 // release replaces a part of the servers: new ones are listed, old ones drain.
-func (d day) release(r *relay, news *balancer.News, step int, at float64) {
+func (d day) release(r *relay, news *balancer.Events, step int, at float64) {
 	each := d.servers / (2 * d.steps)
-	list := balancer.List{Scope: balancer.Changes}
+	list := balancer.EndpointList{Scope: balancer.DeltaList}
 	slowed := 1.0
 	if at < start+d.slowUntil {
 		slowed = 1 / d.pace
@@ -115,26 +115,26 @@
 	for i := step * each; i < (step+1)*each; i++ {
 		e := d.entry(d.servers + i)
 		e.Started = at
-		list.Entries = append(list.Entries, e)
+		list.Endpoints = append(list.Endpoints, e)
 		e = d.entry(i * 7919 % d.servers) // a prime: they stand anywhere among the others
-		e.Phase = balancer.Terminating
-		list.Entries = append(list.Entries, e)
+		e.Phase = balancer.Draining
+		list.Endpoints = append(list.Endpoints, e)
 		r.drain(e.Server, slowed)
 	}
 	news.Lists = append(news.Lists, list)
 }
 
 // report says what proxies met at a part of the servers, whose answers take different times, and what came to a part of the proxies.
-func (d day) report(r *relay, news *balancer.News) {
+func (d day) report(r *relay, news *balancer.Events) {
 	for range 60 {
 		i := r.random.IntN(d.servers * 3 / 2)
-		news.Traffic = append(news.Traffic, balancer.Traffic{Server: serverName(i), Zone: balancer.Zone(i % d.zones), Tries: 12,
+		news.Upstreams = append(news.Upstreams, balancer.UpstreamReport{Server: serverName(i), Zone: balancer.Zone(i % d.zones), Attempts: 12,
 			Latency: 0.1 + 0.4*r.random.Float64(), Interval: 1})
 	}
 	for range min(60, len(r.order)) {
 		p := r.order[r.random.IntN(len(r.order))]
 		for c := range 2 {
-			news.Demand = append(news.Demand, balancer.Demand{Proxy: p.id, Class: balancer.Class(c), Queries: 3 * r.random.Float64(), Interval: 1})
+			news.Demands = append(news.Demands, balancer.DemandReport{Proxy: p.id, Class: balancer.Class(c), Requests: 3 * r.random.Float64(), Interval: 1})
 		}
 	}
 }
@@ -143,8 +143,8 @@
 // limit is half a minute of its pace.
 func customer() day {
 	return day{coordinators: 5, proxies: 441, servers: 200, zones: 3, grace: 35.3, seconds: 40, pace: 1, seed: 1,
-		channel: balancer.Channel{LinesPerSecond: 2500, MessageLines: 10, MostWaiting: 84100, MeanWay: 0.374, LongestWay: 0.935,
-			MostMessages: 30, MessageWindow: 10},
+		channel: balancer.Channel{EntriesPerSecond: 2500, MessageOverhead: 10, MaxQueued: 84100, MeanDelay: 0.374, MaxDelay: 0.935,
+			MaxMessages: 30, MessageWindow: 10},
 		steps: 5, stepEvery: 2.1, releaseAt: 8, joinAt: []float64{9, 15, 21}, joiners: 120}
 }
 
@@ -157,14 +157,14 @@
 	d.proxies = rapid.SampledFrom([]int{7, 60, 200, 480}).Draw(t, "proxies")
 	d.servers = rapid.SampledFrom([]int{24, 60, 200}).Draw(t, "servers")
 	d.proxies = max(min(d.proxies, 2400/d.coordinators), 2)
-	d.channel.LinesPerSecond = rapid.SampledFrom([]float64{1000, 1700, 2700}).Draw(t, "lines per second")
-	d.channel.MostWaiting = d.channel.LinesPerSecond * rapid.SampledFrom([]float64{1, 2, 3.3, 34}).Draw(t, "backlog in seconds")
-	d.channel.MessageLines = rapid.SampledFrom([]float64{3, 5, 10}).Draw(t, "head")
-	d.channel.MostMessages = rapid.SampledFrom([]int{0, 0, 1, 2, 3, 4, 5, 6, 8, 12, 30, 60}).Draw(t, "messages")
-	d.channel.MeanWay = rapid.Float64Range(0.08, 0.43).Draw(t, "way")
-	d.channel.LongestWay = 2.5 * d.channel.MeanWay
-	d.grace = d.channel.MostWaiting/d.channel.LinesPerSecond + rapid.Float64Range(1.2, 2).Draw(t, "grace over backlog")
-	fits := 0.4 * d.channel.MostWaiting / (d.channel.MessageLines + 4) // proxies that a step of a release can reach at once
+	d.channel.EntriesPerSecond = rapid.SampledFrom([]float64{1000, 1700, 2700}).Draw(t, "lines per second")
+	d.channel.MaxQueued = d.channel.EntriesPerSecond * rapid.SampledFrom([]float64{1, 2, 3.3, 34}).Draw(t, "backlog in seconds")
+	d.channel.MessageOverhead = rapid.SampledFrom([]float64{3, 5, 10}).Draw(t, "head")
+	d.channel.MaxMessages = rapid.SampledFrom([]int{0, 0, 1, 2, 3, 4, 5, 6, 8, 12, 30, 60}).Draw(t, "messages")
+	d.channel.MeanDelay = rapid.Float64Range(0.08, 0.43).Draw(t, "way")
+	d.channel.MaxDelay = 2.5 * d.channel.MeanDelay
+	d.grace = d.channel.MaxQueued/d.channel.EntriesPerSecond + rapid.Float64Range(1.2, 2).Draw(t, "grace over backlog")
+	fits := 0.4 * d.channel.MaxQueued / (d.channel.MessageOverhead + 4) // proxies that a step of a release can reach at once
 	d.proxies = min(d.proxies, int(fits*4/5))
 	d.joiners = max(d.proxies/4, 1)
 	d.lossOf = rapid.SampledFrom([]float64{0, 0.2, 0.5}).Draw(t, "lost acknowledgements")
@@ -182,11 +182,11 @@
 		table   = 20.0 // lines of a whole table, about
 		longest = 60.0 // seconds until the release begins
 	)
-	joining := float64(d.proxies) * (d.channel.MessageLines + table)
-	d.pace = max(d.pace, 2*joining/d.channel.LinesPerSecond/longest)
-	each := d.channel.LinesPerSecond * min(d.pace, 1)
-	release := float64(d.proxies+d.joiners) * (d.channel.MessageLines + 4) / each
-	joins := float64(d.joiners) * (d.channel.MessageLines + table) / each
+	joining := float64(d.proxies) * (d.channel.MessageOverhead + table)
+	d.pace = max(d.pace, 2*joining/d.channel.EntriesPerSecond/longest)
+	each := d.channel.EntriesPerSecond * min(d.pace, 1)
+	release := float64(d.proxies+d.joiners) * (d.channel.MessageOverhead + 4) / each
+	joins := float64(d.joiners) * (d.channel.MessageOverhead + table) / each
 	d.releaseAt = 8 + 2*joining/each
 	d.stepEvery = max(2.1, 2*(release+joins))
 	d.joinAt = nil
@@ -200,7 +200,7 @@
 // enough tells whether the limit on messages leaves one for each step of a release within its time.
 func (d day) enough() bool {
 	needed := 2 + 2 + d.channel.MessageWindow/d.stepEvery
-	return d.channel.MostMessages == 0 || float64(d.channel.MostMessages) >= needed
+	return d.channel.MaxMessages == 0 || float64(d.channel.MaxMessages) >= needed
 }
 
 const drawnDays = 16
@@ -233,7 +233,7 @@
 		d := customer()
 		d.pace, d.slowFrom, d.slowUntil = pace, 6, 100
 		r := d.play()
-		t.Logf("pace %.2f: most lines %.0f of %.0f, messages %d; %s", pace, r.mostWaiting, d.channel.MostWaiting, r.mostMessages, r.late)
+		t.Logf("pace %.2f: most lines %.0f of %.0f, messages %d; %s", pace, r.mostWaiting, d.channel.MaxQueued, r.mostMessages, r.late)
 		if r.broken != "" || pace == 1 && r.late != "" {
 			t.Errorf("pace %.2f: %s %s", pace, r.broken, r.late)
 		}
--- a/balancer/publish.go
+++ b/balancer/publish.go
@@ -15,7 +15,7 @@
 	urgentEvery  = 1.0  // seconds between two sendings then: time to gather others like it
 )
 
-func (m *Manager) publish(now float64, w Writer) {
+func (m *Balancer) publish(now float64, w CommandSink) {
 	taken := map[Server]float64{}
 	wants := make([][][]line, len(m.reaches))
 	for k := range m.reaches {
@@ -37,14 +37,14 @@
 }
 
 // join binds the proxies that have come to the tables of their groups.
-func (m *Manager) join(now float64, w Writer) {
+func (m *Balancer) join(now float64, w CommandSink) {
 	for _, x := range m.proxies {
 		lines := m.joins(x)
 		if x.bound || !m.channel.admitsJoin(now, lines) {
 			continue
 		}
 		for k, p := range x.group.pools {
-			w.Bind(x.Proxy, p.table, m.reaches[k].classes)
+			w.AssignTable(x.Proxy, p.table, m.reaches[k].classes)
 		}
 		x.bound, x.size = true, lines
 		x.group.users++
@@ -53,11 +53,11 @@
 }
 
 // weigh sends the weights of a table that moved, largest first, and at once what drains or has started again.
-func (m *Manager) weigh(now float64, g *group, p *pool, want []line, w Writer) {
+func (m *Balancer) weigh(now float64, g *group, p *pool, want []line, w CommandSink) {
 	pace, most, missing, wanted, serving, rides := weightsEvery, 0, 0.0, 0.0, 0.0, false
 	var moves []move
 	for _, v := range m.moves(p, want) {
-		if wanted += v.want; v.server.Phase == InService && (v.want > 0 || m.cold(now, v.server) >= 1) {
+		if wanted += v.want; v.server.Phase == Ready && (v.want > 0 || m.cold(now, v.server) >= 1) {
 			serving += v.held
 		}
 		if v.held == 0 {
@@ -87,13 +87,13 @@
 		most, p.weighed = n, now // a table that has lost much of its servers does not wait
 	}
 	for i, v := range moves {
-		if v.want == 0 && v.server.Phase == InService && m.cold(now, v.server) >= 1 && missing > 0 {
+		if v.want == 0 && v.server.Phase == Ready && m.cold(now, v.server) >= 1 && missing > 0 {
 			continue // it serves until others do
 		}
 		if i >= most && m.fit(now, g, m.pressure(now, v)) == 0 {
 			continue
 		}
-		w.Weigh(p.table, v.server.Server, v.want)
+		w.SetWeight(p.table, v.server.Server, v.want)
 		m.concern(now, g)
 		if p.held[v.server.Server] = v.want; v.held == 0 {
 			missing -= v.want
@@ -104,9 +104,9 @@
 }
 
 // pressure is how urgent a line's move is by itself, or that it waits for the table's turn.
-func (m *Manager) pressure(now float64, v move) urgency {
+func (m *Balancer) pressure(now float64, v move) urgency {
 	switch cold := m.cold(now, v.server) < 1; {
-	case v.server.Phase != InService, cold && v.want > 0 && v.want < v.held/2:
+	case v.server.Phase != Ready, cold && v.want > 0 && v.want < v.held/2:
 		return urgent
 	case cold && v.want == 0: // another table takes it over
 		return pressing
--- a/balancer/regulator.go
+++ b/balancer/regulator.go
@@ -16,7 +16,7 @@
 
 // regulate sets every server's intake = completion rate - gain x error / step, in which the mean work is
 // worked off. A failed try is no completion but work for a goal time; a rise is scaled by what succeeds.
-func (m *Manager) regulate(now, due, gain float64) {
+func (m *Balancer) regulate(now, due, gain float64) {
 	type state struct{ rate, now, work, late, good float64 }
 	states, rate, work, n, sent, kept := make([]state, len(m.order)), 0.0, 0.0, 0.0, 1e-9, 1e-9
 	for i, s := range m.order {
@@ -26,13 +26,13 @@
 			t, tries = l, latest
 		}
 		if s.dropped && t.good == 0 {
-			s.Phase = Gone
+			s.Phase = Removed
 		}
 		if !t.enough(tries) {
 			continue
 		}
 		states[i] = state{t.good, l.good, t.seconds + t.lost*m.goal, l.seconds + l.lost*m.goal, t.good / t.tries}
-		if s.Phase == InService && m.ready(now, s) >= 1 {
+		if s.Phase == Ready && m.ready(now, s) >= 1 {
 			rate, work, n = rate+t.good, work+states[i].work, n+1
 			if t.lost < t.tries/2 && t.seconds < calm*m.goal*t.good {
 				sent, kept = sent+t.tries, kept+t.good
--- a/balancer/relay_test.go
+++ b/balancer/relay_test.go
@@ -30,7 +30,7 @@
 	acks     []ack
 	round    map[balancer.Proxy]*message // of the round that is being written
 	written  []*message
-	mark     balancer.Mark
+	mark     balancer.AckID
 
 	mostWaiting  float64
 	mostMessages int
@@ -55,7 +55,7 @@
 	table   balancer.Table
 	server  balancer.Server
 	present bool
-	bind    balancer.Classes
+	bind    balancer.ClassSet
 	whole   []balancer.Server // of a table that the proxy is bound to
 }
 
@@ -63,14 +63,14 @@
 	to        *endpoint
 	remaining float64
 	changes   []change
-	mark      balancer.Mark
+	mark      balancer.AckID
 	issued    float64
 }
 
 type ack struct {
 	at    float64
 	after func() // what the message does to the proxy, once it has arrived
-	news  balancer.Applied
+	news  balancer.Ack
 	heard bool // it is answered
 }
 
@@ -132,7 +132,7 @@
 func (r *relay) to(p *endpoint) *message {
 	m := r.round[p.id]
 	if m == nil {
-		m = &message{to: p, remaining: r.channel.MessageLines, issued: r.now}
+		m = &message{to: p, remaining: r.channel.MessageOverhead, issued: r.now}
 		r.round[p.id] = m
 		r.written = append(r.written, m)
 	}
@@ -147,8 +147,8 @@
 	}
 }
 
-// Weigh of balancer.Writer.
-func (r *relay) Weigh(t balancer.Table, s balancer.Server, weight float64) {
+// SetWeight of balancer.CommandSink.
+func (r *relay) SetWeight(t balancer.Table, s balancer.Server, weight float64) {
 	if r.tables[t] == nil {
 		r.tables[t] = map[balancer.Server]bool{}
 	}
@@ -158,8 +158,8 @@
 	r.toUsers(t, change{table: t, server: s, present: weight > 0})
 }
 
-// Bind of balancer.Writer.
-func (r *relay) Bind(id balancer.Proxy, t balancer.Table, classes balancer.Classes) {
+// AssignTable of balancer.CommandSink.
+func (r *relay) AssignTable(id balancer.Proxy, t balancer.Table, classes balancer.ClassSet) {
 	p := r.proxies[id]
 	if p == nil {
 		r.fail("proxy %d is bound and has not joined", id)
@@ -180,8 +180,8 @@
 	r.users[t] = append(without(r.users[t], p), p)
 }
 
-// Admit of balancer.Writer.
-func (r *relay) Admit(t balancer.Table, classes balancer.Classes, _ float64, _ balancer.Repeats) {
+// SetAdmission of balancer.CommandSink.
+func (r *relay) SetAdmission(t balancer.Table, classes balancer.ClassSet, _ float64, _ balancer.RetryPolicy) {
 	for c := range r.classes {
 		if classes == 0 || classes>>c&1 == 1 {
 			if r.levels[t] == nil {
@@ -193,20 +193,20 @@
 	r.toUsers(t, change{})
 }
 
-// Mark of balancer.Writer.
-func (r *relay) Mark(m balancer.Mark) { r.mark = m }
+// RequestAck of balancer.CommandSink.
+func (r *relay) RequestAck(m balancer.AckID) { r.mark = m }
 
-// Probe of balancer.Writer.
-func (r *relay) Probe(balancer.Server) {}
+// HealthCheck of balancer.CommandSink.
+func (r *relay) HealthCheck(balancer.Server) {}
 
-// Watch of balancer.Writer.
-func (r *relay) Watch() {}
+// PollDiscovery of balancer.CommandSink.
+func (r *relay) PollDiscovery() {}
 
-// Wake of balancer.Writer.
-func (r *relay) Wake(float64, balancer.Timer) {}
+// SetTimer of balancer.CommandSink.
+func (r *relay) SetTimer(float64, balancer.Timer) {}
 
-// Note of balancer.Writer.
-func (r *relay) Note(string) {}
+// Log of balancer.CommandSink.
+func (r *relay) Log(string) {}
 
 // write puts the round's messages into the channel and counts both limits.
 func (r *relay) write() {
@@ -224,22 +224,22 @@
 			r.notes = append(r.notes, fmt.Sprintf("%.2f n=%d rem=%.0f %+v", r.now, n, m.remaining, m.changes))
 		}
 		r.mostMessages = max(r.mostMessages, n)
-		if most := r.channel.MostMessages; most > 0 && n > most {
+		if most := r.channel.MaxMessages; most > 0 && n > most {
 			r.fail("%d messages to proxy %d in a window, %d allowed", n, m.to.id, most)
 		}
 	}
 	r.queue = append(r.queue, r.written...)
 	r.mostWaiting = max(r.mostWaiting, r.waiting)
-	if r.waiting > r.channel.MostWaiting {
-		r.fail("%.0f lines wait, %.0f allowed", r.waiting, r.channel.MostWaiting)
+	if r.waiting > r.channel.MaxQueued {
+		r.fail("%.0f lines wait, %.0f allowed", r.waiting, r.channel.MaxQueued)
 	}
 	r.written, r.mark = nil, 0
 	clear(r.round)
 }
 
 // advance carries messages until a time, and gives what has been acknowledged by then.
-func (r *relay) advance(until float64) (applied []balancer.Applied) {
-	r.credit += (until - r.now) * r.channel.LinesPerSecond * r.pace(r.now)
+func (r *relay) advance(until float64) (applied []balancer.Ack) {
+	r.credit += (until - r.now) * r.channel.EntriesPerSecond * r.pace(r.now)
 	r.now = until
 	for len(r.queue) > 0 && r.credit > 0 {
 		m := r.queue[0]
@@ -282,17 +282,17 @@
 	if r.proxies[m.to.id] != m.to {
 		return
 	}
-	way := r.channel.MeanWay * (0.5 + r.random.Float64())
+	way := r.channel.MeanDelay * (0.5 + r.random.Float64())
 	if r.random.IntN(50) == 0 {
-		way = r.channel.LongestWay
+		way = r.channel.MaxDelay
 	}
-	at := max(r.now+min(way, r.channel.LongestWay), m.to.last)
+	at := max(r.now+min(way, r.channel.MaxDelay), m.to.last)
 	m.to.last = at
 	r.acks = append(r.acks, ack{at: at, after: func() { m.apply() }})
 	if m.mark != 0 {
 		back := at + 0.01
 		r.acks = append(r.acks, ack{at: back, heard: r.random.Float64() >= r.lossOf,
-			news: balancer.Applied{Proxy: m.to.id, Mark: m.mark, Took: at - m.issued}})
+			news: balancer.Ack{Proxy: m.to.id, ID: m.mark, Latency: at - m.issued}})
 	}
 }
 
--- a/balancer/state.go
+++ b/balancer/state.go
@@ -11,7 +11,7 @@
 )
 
 type server struct {
-	Entry
+	Endpoint
 	place   int                 // in the order of servers
 	known   float64             // when its present start was heard of, if not there from the first
 	rows    []row               // the latest of each zone, oldest first
@@ -39,7 +39,7 @@
 }
 
 type reach struct { // the servers open to some classes
-	classes Classes
+	classes ClassSet
 	zones   []Zone // of the servers; none: all
 	own     bool   // only servers of the proxies' zone
 }
@@ -65,26 +65,26 @@
 
 type order struct {
 	level float64
-	again Repeats
+	again RetryPolicy
 }
 
 type proxy struct {
-	Stream
+	ProxyEvent
 	group *group
 	bound bool
 	since float64   // when it joined
 	left  float64   // when it left
 	rate  []float64 // queries a second by class
 
-	mark Mark    // of the newest message to it that asks for an acknowledgement
+	mark AckID   // of the newest message to it that asks for an acknowledgement
 	size float64 // of that message, in lines
 }
 
-// Manager is one coordinator.
-type Manager struct {
-	classes  []QueryClass
+// Balancer is one coordinator.
+type Balancer struct {
+	classes  []RequestClass
 	all      []Class // most benefit first
-	fleet    Dataplane
+	fleet    DataPlane
 	channel  channel
 	promise  Guarantees
 	chance   random.PCG
@@ -110,7 +110,7 @@
 
 func (s *server) within(zones []Zone) bool { return len(zones) == 0 || slices.Contains(zones, s.Zone) }
 
-func offered(proxies []*proxy, g *group, set Classes) (sum float64) { // queries a second; g nil: of all
+func offered(proxies []*proxy, g *group, set ClassSet) (sum float64) { // queries a second; g nil: of all
 	for _, x := range proxies {
 		for c, r := range x.rate {
 			if set>>c&1 == 1 && (g == nil || g == x.group) {
--- a/internal/consensus/group_test.go
+++ b/internal/consensus/group_test.go
@@ -271,7 +271,7 @@
 	if w.unled > 0 {
 		t.Fatal("proxies are led by nobody at the start")
 	}
-	drain := []registry.Record{{Place: registry.Place{Server: "a"}, Phase: balancer.Terminating, Told: 77, Drained: true}}
+	drain := []registry.Record{{Place: registry.Place{Server: "a"}, Phase: balancer.Draining, Told: 77, Drained: true}}
 	w.peers[2].group.Keep(w.peers[2].clock(), drain)
 	w.run(0.5)
 	lead := w.peers[1].group.Node.Leader()
--- a/internal/consensus/measure_test.go
+++ b/internal/consensus/measure_test.go
@@ -36,7 +36,7 @@
 func records(n int) (all []registry.Record) {
 	for i := range n {
 		all = append(all, registry.Record{Place: registry.Place{Server: balancer.Server(fmt.Sprintf("10.1.%d.%d:8080", i/250, i%250)), Weight: 1,
-			Pod: balancer.Pod(i / 10)}, Phase: balancer.InService, Started: 1.7e9 + float64(i)})
+			Pod: balancer.FailureDomain(i / 10)}, Phase: balancer.Ready, Started: 1.7e9 + float64(i)})
 	}
 	return all
 }
--- a/internal/coordinator/adopt_test.go
+++ b/internal/coordinator/adopt_test.go
@@ -26,10 +26,10 @@
 	start := func() *coordinator.Coordinator {
 		life++
 		c, err := coordinator.New(net.Now(), coordinator.Setup{Site: controlplane.Site{Seed: 1, Names: []string{"search"}, Zones: []string{"a"},
-			Strangers: true, Classes: []balancer.QueryClass{{Benefit: 1, GoalTime: 1, ClientTimeout: 3}},
-			Dataplane:  balancer.Dataplane{Proxies: 1, Coordinators: 1, UsualRepeats: balancer.AfterProof},
-			Channel:    balancer.Channel{LinesPerSecond: 1e5, MessageLines: 3, MostWaiting: 1e5, MeanWay: 0.01, LongestWay: 0.2},
-			Guarantees: balancer.Guarantees{DrainWithin: 3, BareWithin: 2, ColdShare: 0.2, ColdFor: 10, FallMultiple: 3, FallWithin: 2},
+			Strangers: true, Classes: []balancer.RequestClass{{PriorityWeight: 1, LatencyObjective: 1, ClientTimeout: 3}},
+			Dataplane:  balancer.DataPlane{Proxies: 1, Coordinators: 1, DefaultRetry: balancer.RetryIfNotExecuted},
+			Channel:    balancer.Channel{EntriesPerSecond: 1e5, MessageOverhead: 3, MaxQueued: 1e5, MeanDelay: 0.01, MaxDelay: 0.2},
+			Guarantees: balancer.Guarantees{DrainDeadline: 3, EmptyTableDeadline: 2, WarmupStartFraction: 0.2, WarmupDuration: 10, OverloadFactor: 3, OverloadWindow: 2},
 			Reporting:  balancer.Reporting{Period: 0.5}, Limits: controlplane.UsualLimits}, SASP: at, Limits: saspsession.UsualLimits,
 			Policy: saspsession.Policy{FleetUID: "fleet", NewOnes: true}, Disk: disk, Life: life,
 			Group: &coordinator.GroupSetup{Self: 1, Weight: 1, Members: map[membership.Number]netip.AddrPort{1: peers}, Key: []byte("key"),
@@ -53,20 +53,20 @@
 	net.Add(server.Addr(), 0, false).Start(member)
 	net.Run(net.Now() + 1)
 	name := balancer.Server(server.String())
-	if phase, _ := c.Fleet.Roll.Phase(name); phase != balancer.Terminating {
+	if phase, _ := c.Fleet.Roll.Phase(name); phase != balancer.Draining {
 		t.Fatalf("it was told of a drain, and the roll says %v", phase)
 	}
 	host.Kill()
 	c = start()
 	net.Run(net.Now() + 2)
-	if rec, ok := c.Fleet.Roll.Find(name); !ok || rec.Phase != balancer.Terminating || !rec.Drained {
+	if rec, ok := c.Fleet.Roll.Find(name); !ok || rec.Phase != balancer.Draining || !rec.Drained {
 		t.Errorf("after its end it knows %+v", rec)
 	}
 }
 
 func TestWhatIsNewsToAll(t *testing.T) {
 	s := &membership.State{}
-	r := registry.Record{Place: registry.Place{Server: "a", Weight: 1}, Phase: balancer.InService, Started: 100}
+	r := registry.Record{Place: registry.Place{Server: "a", Weight: 1}, Phase: balancer.Ready, Started: 100}
 	if len(s.News([]registry.Record{r})) != 1 {
 		t.Error("a new server is no news")
 	}
@@ -79,7 +79,7 @@
 		t.Error("what another coordinator heard a second later is news")
 	}
 	for _, change := range []func(*registry.Record){func(r *registry.Record) { r.Started = 110 }, func(r *registry.Record) { r.Drained = true },
-		func(r *registry.Record) { r.Phase = balancer.Gone }, func(r *registry.Record) { r.Weight = 2 }} {
+		func(r *registry.Record) { r.Phase = balancer.Removed }, func(r *registry.Record) { r.Weight = 2 }} {
 		x := r
 		if change(&x); len(s.News([]registry.Record{x})) != 1 {
 			t.Errorf("%+v is no news", x)
--- a/internal/coordinator/coordinator.go
+++ b/internal/coordinator/coordinator.go
@@ -146,7 +146,7 @@
 	if setup.Group != nil {
 		g, d := *setup.Group, setup.Site.Dataplane
 		g.Lease.Rise = membership.RiseFor(d.Proxies, len(g.Members), float64(len(setup.Site.Servers)*len(setup.Site.Classes)),
-			setup.Site.Channel.LinesPerSecond)
+			setup.Site.Channel.EntriesPerSecond)
 		c.Member = NewMember(g, setup.Disk, setup.Life, c.Say)
 		c.Member.OnFail = setup.OnFail
 		c.Member.OnDrain, c.Member.OnSettled, c.Member.OnLearnt = c.drained, c.settled, c.learnt
@@ -356,7 +356,7 @@
 // learnt takes what another coordinator has heard of servers' starts.
 func (c *Coordinator) learnt(_ float64, records []registry.Record) {
 	for _, r := range records {
-		if r.Phase != balancer.Gone {
+		if r.Phase != balancer.Removed {
 			c.Fleet.Roll.Younger(r.Server, r.Started)
 		}
 	}
@@ -405,7 +405,7 @@
 func (c *Coordinator) agree(now float64) {
 	drains := c.peers.Drains()
 	for s := range drains {
-		if phase, _ := c.Fleet.Roll.Phase(s); phase == balancer.InService {
+		if phase, _ := c.Fleet.Roll.Phase(s); phase == balancer.Ready {
 			c.Fleet.Roll.Quiesce(now, s, true)
 		}
 	}
@@ -415,7 +415,7 @@
 	if !c.adopted { // servers that the others know and that have not dialled us yet
 		c.adopted = true
 		for _, r := range c.peers.Kept() {
-			if _, known := c.Fleet.Roll.Find(r.Server); known || r.Phase == balancer.Gone {
+			if _, known := c.Fleet.Roll.Find(r.Server); known || r.Phase == balancer.Removed {
 				continue
 			}
 			if err := c.Fleet.Roll.Restore(now, []registry.Record{r}); err != nil {
--- a/internal/coordinator/host_test.go
+++ b/internal/coordinator/host_test.go
@@ -256,7 +256,7 @@
 	k = s.from(0, setBalancer("t000/relay-0"), register("t000/relay-0"), setBalancer("t000/relay-0"))
 	s.run(3)
 	x, _ := s.host.Tenant("t000")
-	if d, _ := x.Program.Fleet.Drain("127.16.0.1:18080"); d.Phase != balancer.InService || len(k.rows) < 4 {
+	if d, _ := x.Program.Fleet.Drain("127.16.0.1:18080"); d.Phase != balancer.Ready || len(k.rows) < 4 {
 		t.Errorf("%+v, %d rows", d, len(k.rows))
 	}
 }
--- a/internal/core/admission/admit.go
+++ b/internal/core/admission/admit.go
@@ -36,7 +36,7 @@
 
 // Door lets queries in. Use New.
 type Door struct {
-	kind   balancer.LevelKind
+	kind   balancer.AdmissionMode
 	limits Limits
 	gates  []gate
 	inside int
@@ -48,11 +48,11 @@
 type Counts struct{ In, Levels, Busy int }
 
 // New makes a door for so many classes, all open.
-func New(kind balancer.LevelKind, classes int, limits Limits) *Door {
+func New(kind balancer.AdmissionMode, classes int, limits Limits) *Door {
 	d := &Door{kind: kind, limits: limits, gates: make([]gate, classes), at: map[balancer.Server]int{}}
 	for i := range d.gates {
 		d.gates[i].level = 1
-		if kind == balancer.LevelRate {
+		if kind == balancer.AdmissionRate {
 			d.gates[i].level = -1 // until one is ordered
 		}
 	}
@@ -77,13 +77,13 @@
 	}
 	g := &d.gates[c]
 	switch {
-	case d.kind == balancer.LevelFraction && g.level < 1:
+	case d.kind == balancer.AdmissionFraction && g.level < 1:
 		if g.credit += g.level; g.credit < 1 {
 			d.Counts.Levels++
 			return g.back, ErrLevel
 		}
 		g.credit--
-	case d.kind == balancer.LevelRate && g.level >= 0:
+	case d.kind == balancer.AdmissionRate && g.level >= 0:
 		g.tokens = min(max(1, g.level*rateBurst), g.tokens+(now-g.tokensAt)*g.level)
 		if g.tokensAt = now; g.tokens < 1 {
 			d.Counts.Levels++
--- a/internal/core/controlplane/figures.go
+++ b/internal/core/controlplane/figures.go
@@ -24,7 +24,7 @@
 }
 
 // count takes what is handed to the module of a period.
-func (f *Fleet) count(traffic []balancer.Traffic, demand []balancer.Demand) {
+func (f *Fleet) count(traffic []balancer.UpstreamReport, demand []balancer.DemandReport) {
 	if f.sums.servers == nil {
 		f.sums = sums{map[balancer.Server]*loadreport.Totals{}, make([]loadreport.Totals, len(f.site.Classes))}
 	}
@@ -41,14 +41,14 @@
 			s = &loadreport.Totals{}
 			f.sums.servers[t.Server] = s
 		}
-		s.Tries += t.Tries
-		s.Lost += t.Lost
-		s.Seconds += t.Latency * (t.Tries - t.Lost)
+		s.Tries += t.Attempts
+		s.Lost += t.Failed
+		s.Seconds += t.Latency * (t.Attempts - t.Failed)
 	}
 	for _, d := range demand {
 		if c := int(d.Class); c >= 0 && c < len(f.sums.classes) {
-			f.sums.classes[c].Tries += d.Queries
-			f.sums.classes[c].Lost += d.Lost
+			f.sums.classes[c].Tries += d.Requests
+			f.sums.classes[c].Lost += d.Failed
 		}
 	}
 }
@@ -83,12 +83,12 @@
 		phase, _ := f.Roll.Phase(s)
 		serves, drains, cold := 0.0, 0.0, 0.0
 		switch phase {
-		case balancer.InService:
+		case balancer.Ready:
 			serves = 1
-		case balancer.Terminating:
+		case balancer.Draining:
 			drains = 1
 		}
-		if f.Roll.Cold(now, s, f.site.Guarantees.ColdFor) {
+		if f.Roll.Cold(now, s, f.site.Guarantees.WarmupDuration) {
 			cold = 1
 		}
 		add("servers", string(s), "serves", serves, false)
--- a/internal/core/controlplane/fleet.go
+++ b/internal/core/controlplane/fleet.go
@@ -91,7 +91,7 @@
 }
 
 type mark struct {
-	mark  balancer.Mark
+	mark  balancer.AckID
 	given float64
 }
 
@@ -122,7 +122,7 @@
 // Fleet is one coordinator's state. Use New.
 type Fleet struct {
 	site    Site
-	manager *balancer.Manager
+	manager *balancer.Balancer
 	may     func(now float64, uid string) bool // nil: all relays are ours
 	lead    func() uint64
 	sent    func(now float64, uid string)
@@ -140,7 +140,7 @@
 	tables map[balancer.Table]*wanted
 	out    *pacing.Queue
 
-	news    balancer.News
+	news    balancer.Events
 	wakeAt  float64
 	ranAt   float64
 	closed  float64 // when reports were last handed over
@@ -197,7 +197,7 @@
 		proxies: map[balancer.Proxy]*Proxy{}, byUID: map[string]*Proxy{}, listed: map[string]Relay{},
 		tables: map[balancer.Table]*wanted{}, out: pacing.New(site.Channel, site.Without[GuardPace])}
 	f.manager = balancer.New(site.Seed, site.Classes, site.Dataplane, site.inTables(), site.Guarantees, site.Reporting,
-		balancer.Probing{}, balancer.Discovery{Weights: balancer.WeightsNominal})
+		balancer.HealthChecking{}, balancer.Discovery{Weights: balancer.WeightsNominal})
 	if !site.Without[GuardMemory] && len(records) > 0 {
 		f.known = true
 		if err := f.Roll.Restore(now, records); err != nil {
@@ -227,15 +227,15 @@
 	for i, q := range s.Classes {
 		n := 1
 		for _, o := range s.Classes[:i] {
-			if o.OwnZone == q.OwnZone && slices.Equal(o.OnlyZones, q.OnlyZones) {
+			if o.ZoneLocal == q.ZoneLocal && slices.Equal(o.AllowedZones, q.AllowedZones) {
 				n++
 			}
 		}
 		most = max(most, n)
 	}
-	c.LinesPerSecond /= float64(most)
-	c.MessageLines /= float64(most)
-	c.MostWaiting /= float64(most)
+	c.EntriesPerSecond /= float64(most)
+	c.MessageOverhead /= float64(most)
+	c.MaxQueued /= float64(most)
 	return c
 }
 
@@ -333,8 +333,8 @@
 	p.front, p.Pulls, p.Levels = front, false, false
 	p.Joined, p.offset, p.defies, p.taken = true, math.Inf(1), "", [keptTaken]delivered{}
 	f.joined++
-	f.news.Streams = append(f.news.Streams, balancer.Stream{Proxy: p.ID, Joined: true, Zone: p.Zone, Usual: p.Usual,
-		Fresh: fresh})
+	f.news.ProxyEvents = append(f.news.ProxyEvents, balancer.ProxyEvent{Proxy: p.ID, Joined: true, Zone: p.Zone, ExpectedRate: p.Usual,
+		DefaultTable: fresh})
 	return p, nil
 }
 
@@ -383,7 +383,7 @@
 		*h = Hold{}
 	}
 	f.out.Leave(p.ID)
-	f.news.Streams = append(f.news.Streams, balancer.Stream{Proxy: p.ID})
+	f.news.ProxyEvents = append(f.news.ProxyEvents, balancer.ProxyEvent{Proxy: p.ID})
 }
 
 func (f *Fleet) unbind(p *Proxy, h *Hold) {
@@ -400,7 +400,7 @@
 // forget makes room: relays that left long ago. A module that has not been told of their leaving is told first.
 func (f *Fleet) forget(now float64) {
 	for id, p := range f.proxies {
-		if !p.Joined && now-p.leftAt > f.site.Limits.KnowRelay && len(f.news.Streams) == 0 {
+		if !p.Joined && now-p.leftAt > f.site.Limits.KnowRelay && len(f.news.ProxyEvents) == 0 {
 			delete(f.proxies, id)
 			delete(f.byUID, p.UID)
 			f.Book.Leave(id)
@@ -434,7 +434,7 @@
 // nothing of a program that does not read them; what it does shows. Its clock is set against ours by the fastest of
 // its reports, so that late ones accuse nobody.
 func (f *Fleet) obeys(p *Proxy, s balancer.Server, since float64) {
-	if phase, _ := f.Roll.Phase(s); phase == balancer.InService {
+	if phase, _ := f.Roll.Phase(s); phase == balancer.Ready {
 		return
 	}
 	decided := 0.0 // when the last of its tables lost the line
@@ -486,38 +486,38 @@
 	if f.Roll.Waits() {
 		f.Persist()
 		entries, whole := f.Roll.Changes()
-		scope := balancer.Changes
+		scope := balancer.DeltaList
 		if f.first { // what the settings list as standing, and what a former life kept
-			scope = balancer.Cached
+			scope = balancer.CachedList
 		} else if whole {
-			scope = balancer.Whole
+			scope = balancer.FullList
 		}
 		if len(entries) > 0 || f.first {
-			f.news.Lists = append(f.news.Lists, balancer.List{Scope: scope, Entries: entries})
+			f.news.Lists = append(f.news.Lists, balancer.EndpointList{Scope: scope, Endpoints: entries})
 		}
 		f.first = false
 	}
 	if now-f.closed >= f.site.Reporting.Period && f.Book.Waits() {
 		f.closed = now
-		f.news.Traffic, f.news.Demand = f.Book.Close()
-		f.count(f.news.Traffic, f.news.Demand)
+		f.news.Upstreams, f.news.Demands = f.Book.Close()
+		f.count(f.news.Upstreams, f.news.Demands)
 	}
 	if now >= f.wakeAt && f.wakeAt > 0 {
-		f.news.Woken = append(f.news.Woken, 0)
+		f.news.FiredTimers = append(f.news.FiredTimers, 0)
 		f.wakeAt = 0
 	}
 	n := &f.news
-	if len(n.Lists)+len(n.Streams)+len(n.Traffic)+len(n.Demand)+len(n.Applied)+len(n.Woken) == 0 {
+	if len(n.Lists)+len(n.ProxyEvents)+len(n.Upstreams)+len(n.Demands)+len(n.Acks)+len(n.FiredTimers) == 0 {
 		f.Counts.Idle++
 		return false
 	}
 	f.ranAt = now
 	f.round++
 	f.Counts.Rounds++
-	f.counts = Order{Round: f.round, Lists: len(n.Lists), Streams: len(n.Streams), Traffic: len(n.Traffic),
-		Demands: len(n.Demand), Decided: now}
-	f.manager.Round(now, *n, &Writing{f: f, now: now})
-	f.news = balancer.News{}
+	f.counts = Order{Round: f.round, Lists: len(n.Lists), Streams: len(n.ProxyEvents), Traffic: len(n.Upstreams),
+		Demands: len(n.Demands), Decided: now}
+	f.manager.Reconcile(now, *n, &Writing{f: f, now: now})
+	f.news = balancer.Events{}
 	f.spread(now)
 	return true
 }
@@ -590,7 +590,7 @@
 	}
 	for l := range w.Since(0) {
 		phase, _ := f.Roll.Phase(l.Server)
-		if l.Weight > 0 && phase == balancer.InService && !f.Roll.Cold(now, l.Server, f.site.Guarantees.ColdFor) {
+		if l.Weight > 0 && phase == balancer.Ready && !f.Roll.Cold(now, l.Server, f.site.Guarantees.WarmupDuration) {
 			return
 		}
 	}
@@ -628,7 +628,7 @@
 	}
 }
 
-// Writing takes the decisions of one round; it is the balancer.Writer of a Fleet.
+// Writing takes the decisions of one round; it is the balancer.CommandSink of a Fleet.
 type Writing struct {
 	f   *Fleet
 	now float64
@@ -650,26 +650,26 @@
 	}
 }
 
-// Weigh sets a line of a table.
-func (w *Writing) Weigh(t balancer.Table, s balancer.Server, weight float64) {
+// SetWeight sets a line of a table.
+func (w *Writing) SetWeight(t balancer.Table, s balancer.Server, weight float64) {
 	x, before := w.table(t), w.table(t).Weight(s)
 	if !x.Set(w.now, s, weight) {
 		return
 	}
 	phase, _ := w.f.Roll.Phase(s)
-	cold := w.f.Roll.Cold(w.now, s, w.f.site.Guarantees.ColdFor)
-	if weight == 0 && phase == balancer.InService && !cold {
+	cold := w.f.Roll.Cold(w.now, s, w.f.site.Guarantees.WarmupDuration)
+	if weight == 0 && phase == balancer.Ready && !cold {
 		x.took = append(x.took, line{s, before})
 	}
-	if weight == 0 && phase != balancer.InService || cold && weight < urgentCold*before {
+	if weight == 0 && phase != balancer.Ready || cold && weight < urgentCold*before {
 		x.urgent = true
 	}
 	x.lines++
 	w.touch(x)
 }
 
-// Bind puts a proxy on a table for some classes; it is due the whole of it.
-func (w *Writing) Bind(id balancer.Proxy, t balancer.Table, classes balancer.Classes) {
+// AssignTable puts a proxy on a table for some classes; it is due the whole of it.
+func (w *Writing) AssignTable(id balancer.Proxy, t balancer.Table, classes balancer.ClassSet) {
 	p, x := w.f.proxies[id], w.table(t)
 	if p == nil || !p.Joined {
 		return
@@ -694,8 +694,8 @@
 	}
 }
 
-// Admit orders levels and repeats.
-func (w *Writing) Admit(t balancer.Table, classes balancer.Classes, level float64, again balancer.Repeats) {
+// SetAdmission orders levels and repeats.
+func (w *Writing) SetAdmission(t balancer.Table, classes balancer.ClassSet, level float64, again balancer.RetryPolicy) {
 	x := w.table(t)
 	for c := range w.f.site.Classes {
 		if classes == 0 || classes>>c&1 == 1 {
@@ -708,8 +708,8 @@
 	}
 }
 
-// Mark rides on the messages to all that this round concerns.
-func (w *Writing) Mark(m balancer.Mark) {
+// RequestAck rides on the messages to all that this round concerns.
+func (w *Writing) RequestAck(m balancer.AckID) {
 	for _, x := range w.f.touched {
 		for id := range x.users {
 			w.mark(w.f.proxies[id], m)
@@ -722,21 +722,21 @@
 	}
 }
 
-func (w *Writing) mark(p *Proxy, m balancer.Mark) {
+func (w *Writing) mark(p *Proxy, m balancer.AckID) {
 	if n := len(p.marks); n > 0 && p.marks[n-1].mark == m {
 		return
 	}
 	p.marks = append(p.marks[:0], mark{m, w.now}) // the module waits for the newest only
 }
 
-// Probe is never called: the module is told that probes are not allowed.
-func (w *Writing) Probe(balancer.Server) { w.f.Counts.Probes++ }
+// HealthCheck is never called: the module is told that probes are not allowed.
+func (w *Writing) HealthCheck(balancer.Server) { w.f.Counts.Probes++ }
 
-// Watch is never called: the roll tells its changes unasked.
-func (w *Writing) Watch() {}
+// PollDiscovery is never called: the roll tells its changes unasked.
+func (w *Writing) PollDiscovery() {}
 
-// Wake asks for another round.
-func (w *Writing) Wake(after float64, _ balancer.Timer) { w.f.wakeAt = w.now + after }
+// SetTimer asks for another round.
+func (w *Writing) SetTimer(after float64, _ balancer.Timer) { w.f.wakeAt = w.now + after }
 
-// Note counts what the module remarks.
-func (w *Writing) Note(string) { w.f.Counts.Notes++ }
+// Log counts what the module remarks.
+func (w *Writing) Log(string) { w.f.Counts.Notes++ }
--- a/internal/core/controlplane/fleet_test.go
+++ b/internal/core/controlplane/fleet_test.go
@@ -12,12 +12,12 @@
 
 func site(servers, relays int) Site {
 	s := Site{Seed: 1, Names: []string{"search", "introduce"}, Zones: []string{"a", "b", "c"},
-		Classes: []balancer.QueryClass{{Benefit: 1, GoalTime: 1, ClientTimeout: 3},
-			{Benefit: 3, GoalTime: 1, ClientTimeout: 3, Effect: balancer.Guarded, Window: 5}},
-		Dataplane: balancer.Dataplane{Proxies: relays, Coordinators: 1, StandingTable: 5, UsualRepeats: balancer.AfterProof},
-		Channel:   balancer.Channel{LinesPerSecond: 20000, MessageLines: 3, MostWaiting: 30000, MeanWay: 0.05, LongestWay: 0.2},
-		Guarantees: balancer.Guarantees{DrainWithin: 3, BareWithin: 2, ColdShare: 0.2, ColdFor: 10, FallMultiple: 3,
-			FallWithin: 2},
+		Classes: []balancer.RequestClass{{PriorityWeight: 1, LatencyObjective: 1, ClientTimeout: 3},
+			{PriorityWeight: 3, LatencyObjective: 1, ClientTimeout: 3, Idempotency: balancer.Keyed, DedupWindow: 5}},
+		Dataplane: balancer.DataPlane{Proxies: relays, Coordinators: 1, DefaultTableSize: 5, DefaultRetry: balancer.RetryIfNotExecuted},
+		Channel:   balancer.Channel{EntriesPerSecond: 20000, MessageOverhead: 3, MaxQueued: 30000, MeanDelay: 0.05, MaxDelay: 0.2},
+		Guarantees: balancer.Guarantees{DrainDeadline: 3, EmptyTableDeadline: 2, WarmupStartFraction: 0.2, WarmupDuration: 10, OverloadFactor: 3,
+			OverloadWindow: 2},
 		Reporting: balancer.Reporting{Period: 0.5}, Limits: UsualLimits}
 	s.Limits.KnowRelay = 5
 	for i := range servers {
--- a/internal/core/controlplane/out.go
+++ b/internal/core/controlplane/out.go
@@ -109,7 +109,7 @@
 // changed later would be left to it.
 func (f *Fleet) drainsAhead(p *Proxy) bool {
 	waiting, _ := f.out.Waiting()
-	if !p.urgent || waiting < f.site.Channel.LinesPerSecond*drainsFirst || f.out.Left(p.ID) < keepMessages {
+	if !p.urgent || waiting < f.site.Channel.EntriesPerSecond*drainsFirst || f.out.Left(p.ID) < keepMessages {
 		return false
 	}
 	for c := range p.Holds {
@@ -253,7 +253,7 @@
 		p.told = (p.told + 1) % keptTaken
 	}
 	for _, m := range p.riding {
-		f.news.Applied = append(f.news.Applied, balancer.Applied{Proxy: p.ID, Mark: m.mark, Took: now - m.given})
+		f.news.Acks = append(f.news.Acks, balancer.Ack{Proxy: p.ID, ID: m.mark, Latency: now - m.given})
 	}
 	if f.done(p, now); p.away {
 		p.away = false
@@ -303,7 +303,7 @@
 
 // Overdue tells whether a drain has waited for a proxy for most of its grace.
 func (f *Fleet) Overdue(now float64, p *Proxy) string {
-	if p.Joined && p.urgent && now-p.urgentAt > f.site.Limits.DrainPart*f.site.Guarantees.DrainWithin &&
+	if p.Joined && p.urgent && now-p.urgentAt > f.site.Limits.DrainPart*f.site.Guarantees.DrainDeadline &&
 		!f.site.Without[GuardOverdue] {
 		f.Counts.Overdue++
 		return "a drain has waited for most of its grace"
--- a/internal/core/controlplane/preview.go
+++ b/internal/core/controlplane/preview.go
@@ -13,21 +13,21 @@
 // hold the table that it has, or the one without them; where capacities are stated, what is left must bear the queries also once
 // they are gone. loseZone asks that any one zone could be lost besides.
 func (f *Fleet) Preview(now float64, drain []balancer.Server, loseZone bool) []tablecheck.Reason {
-	s := f.guarded(now, drain, balancer.Terminating, loseZone)
+	s := f.guarded(now, drain, balancer.Draining, loseZone)
 	reasons := s.Check()
 	if len(reasons) == 0 && len(f.site.Pools) > 0 {
-		reasons = f.guarded(now, drain, balancer.Gone, loseZone).Check()
+		reasons = f.guarded(now, drain, balancer.Removed, loseZone).Check()
 	}
 	return reasons
 }
 
 // guarded is the site as the guard sees it, with some servers in another phase.
 func (f *Fleet) guarded(now float64, drain []balancer.Server, phase balancer.Phase, loseZone bool) *tablecheck.Site {
-	s := &tablecheck.Site{Servers: map[balancer.Server]tablecheck.Server{}, ColdShare: f.site.Guarantees.ColdShare, LoseZone: loseZone}
+	s := &tablecheck.Site{Servers: map[balancer.Server]tablecheck.Server{}, ColdShare: f.site.Guarantees.WarmupStartFraction, LoseZone: loseZone}
 	for _, name := range f.Roll.Servers() {
 		rec, _ := f.Roll.Find(name)
-		v := tablecheck.Server{Zone: rec.Zone, Phase: rec.Phase, Cold: f.Roll.Cold(now, name, f.site.Guarantees.ColdFor)}
-		if v.Phase == balancer.InService && slices.Contains(drain, name) {
+		v := tablecheck.Server{Zone: rec.Zone, Phase: rec.Phase, Cold: f.Roll.Cold(now, name, f.site.Guarantees.WarmupDuration)}
+		if v.Phase == balancer.Ready && slices.Contains(drain, name) {
 			v.Phase = phase
 		}
 		if x := f.site.Pools[name]; x.Capacity > 0 {
@@ -50,13 +50,13 @@
 						continue
 					}
 					held[w].Lines[l.Server] = l.Weight
-					if s.Servers[l.Server].Phase == balancer.InService {
+					if s.Servers[l.Server].Phase == balancer.Ready {
 						next[w].Lines[l.Server] = l.Weight
 					}
 				}
 			}
 			states := []*tablecheck.Table{next[w]}
-			if phase != balancer.Gone { // by then all have followed
+			if phase != balancer.Removed { // by then all have followed
 				states = append(states, held[w])
 			}
 			s.Proxies = append(s.Proxies, tablecheck.Proxy{UID: p.UID, Class: balancer.Class(c),
@@ -91,7 +91,7 @@
 	if _, ok = f.Roll.Find(s); !ok {
 		return d, false
 	}
-	if d.Phase, d.Told = f.Roll.Phase(s); d.Phase == balancer.InService {
+	if d.Phase, d.Told = f.Roll.Phase(s); d.Phase == balancer.Ready {
 		d.Told = 0
 	}
 	for _, p := range f.sorted() {
--- a/internal/core/controlplane/revise.go
+++ b/internal/core/controlplane/revise.go
@@ -38,7 +38,7 @@
 		{"channel", old.Channel == next.Channel},
 		{"rules", old.Guarantees == next.Guarantees},
 		{"reports", old.Reporting.Period == next.Reporting.Period &&
-			slices.Equal(old.Reporting.Figures, next.Reporting.Figures)},
+			slices.Equal(old.Reporting.Metrics, next.Reporting.Metrics)},
 		{"limits", old.Limits == next.Limits},
 	} {
 		if !x.same {
@@ -76,13 +76,13 @@
 	return added, moved, removed
 }
 
-func sameClass(a, b balancer.QueryClass) bool {
-	if !slices.Equal(a.OnlyZones, b.OnlyZones) {
+func sameClass(a, b balancer.RequestClass) bool {
+	if !slices.Equal(a.AllowedZones, b.AllowedZones) {
 		return false
 	}
-	a.OnlyZones, b.OnlyZones = nil, nil
-	return a.Benefit == b.Benefit && a.LateBenefit == b.LateBenefit && a.GoalTime == b.GoalTime && a.ClientTimeout == b.ClientTimeout &&
-		a.Effect == b.Effect && a.Group == b.Group && a.Window == b.Window && a.OwnZone == b.OwnZone && a.Writes == b.Writes
+	a.AllowedZones, b.AllowedZones = nil, nil
+	return a.PriorityWeight == b.PriorityWeight && a.LateWeight == b.LateWeight && a.LatencyObjective == b.LatencyObjective && a.ClientTimeout == b.ClientTimeout &&
+		a.Idempotency == b.Idempotency && a.DedupScope == b.DedupScope && a.DedupWindow == b.DedupWindow && a.ZoneLocal == b.ZoneLocal && a.Writes == b.Writes
 }
 
 // Revise takes other settings whole, or not at all where the fleet would have to start anew. Relays that are not listed any more, or
--- a/internal/core/controlplane/revise_test.go
+++ b/internal/core/controlplane/revise_test.go
@@ -22,7 +22,7 @@
 			w := &Writing{f: f, now: now}
 			for number := range f.tables {
 				for _, s := range servers {
-					w.Weigh(number, s, 0)
+					w.SetWeight(number, s, 0)
 				}
 			}
 			f.spread(now)
@@ -89,7 +89,7 @@
 		t.Errorf("%+v is left to do", Compare(f.Site(), &next))
 	}
 	other := next
-	other.Guarantees.DrainWithin++
+	other.Guarantees.DrainDeadline++
 	if r, err := f.Revise(now, other); err == nil || r.Anew != "rules" {
 		t.Errorf("%+v, %v", r, err)
 	}
--- a/internal/core/controlplane/site.go
+++ b/internal/core/controlplane/site.go
@@ -42,17 +42,17 @@
 type Site struct {
 	Seed       uint64
 	Names      []string // of the classes, in the order of Classes
-	Classes    []balancer.QueryClass
+	Classes    []balancer.RequestClass
 	Zones      []string
 	Relays     []Relay
 	Strangers  bool          // relays that are not listed may join
 	StrangerIn balancer.Zone // the zone that they are held to be in
 	Servers    []registry.Place
-	Dataplane  balancer.Dataplane
+	Dataplane  balancer.DataPlane
 	Channel    balancer.Channel
 	Guarantees balancer.Guarantees
 	Reporting  balancer.Reporting
-	Repeats    []balancer.Repeats // by class: how relays repeat, as their settings say
+	Repeats    []balancer.RetryPolicy // by class: how relays repeat, as their settings say
 	Limits     Limits
 	Prefix     string // of the UIDs of all relays that may join; empty: any
 	Pools      map[balancer.Server]Pooled
@@ -92,9 +92,9 @@
 // SafeRepeats is how a class may be repeated at most, whatever the settings wish. Guards against an effect that
 // happens twice: a repeat after any failure may follow a try that ran. It does harm to nobody but those who wait for a
 // repeat that is not safe.
-func SafeRepeats(q balancer.QueryClass, wish balancer.Repeats, without map[Guard]bool) balancer.Repeats {
-	if q.Effect == balancer.Free || without[GuardRepeats] {
+func SafeRepeats(q balancer.RequestClass, wish balancer.RetryPolicy, without map[Guard]bool) balancer.RetryPolicy {
+	if q.Idempotency == balancer.Idempotent || without[GuardRepeats] {
 		return wish
 	}
-	return min(wish, balancer.AfterProof)
+	return min(wish, balancer.RetryIfNotExecuted)
 }
--- a/internal/core/forwarding/forward.go
+++ b/internal/core/forwarding/forward.go
@@ -71,10 +71,10 @@
 
 // Setup of a proxy.
 type Setup struct {
-	Classes []balancer.QueryClass
+	Classes []balancer.RequestClass
 	Names   []string
-	Ways    []balancer.Repeats // by class, until a coordinator orders otherwise
-	Levels  balancer.LevelKind
+	Ways    []balancer.RetryPolicy // by class, until a coordinator orders otherwise
+	Levels  balancer.AdmissionMode
 	Limits  admission.Limits
 	Avoid   outlier.Terms
 	Budget  retry.Budget
@@ -120,7 +120,7 @@
 	Tables  *tablecache.Tables
 	Door    *admission.Door
 	Avoid   *outlier.List
-	ways    []balancer.Repeats
+	ways    []balancer.RetryPolicy
 	budgets []retry.Budget
 	queries map[Query]*query
 	tries   map[Try]*query
@@ -139,7 +139,7 @@
 // New makes a proxy without a table.
 func New(now float64, s Setup) *Proxy {
 	p := &Proxy{setup: s, Tables: tablecache.New(s.Names, s.Make), Door: admission.New(s.Levels, len(s.Names), s.Limits),
-		Avoid: outlier.New(s.Avoid), ways: append([]balancer.Repeats(nil), s.Ways...), queries: map[Query]*query{}, tries: map[Try]*query{},
+		Avoid: outlier.New(s.Avoid), ways: append([]balancer.RetryPolicy(nil), s.Ways...), queries: map[Query]*query{}, tries: map[Try]*query{},
 		wheel: timingwheel.New[*query](now, tick), looks: timingwheel.New[*query](now, tick), keys: map[string]*keyed{},
 		served: map[balancer.Server]*loadreport.Totals{}, demand: make([]loadreport.Totals, len(s.Names))}
 	for range s.Names {
@@ -162,9 +162,9 @@
 
 // safe is how a class is repeated at most, whatever was ordered: a proxy that knows its classes does not follow an order that
 // could make an effect happen twice.
-func safe(q balancer.QueryClass, wish balancer.Repeats) balancer.Repeats {
-	if q.Effect == balancer.SingleShot {
-		return min(wish, balancer.AfterProof)
+func safe(q balancer.RequestClass, wish balancer.RetryPolicy) balancer.RetryPolicy {
+	if q.Idempotency == balancer.NonIdempotent {
+		return min(wish, balancer.RetryIfNotExecuted)
 	}
 	return wish
 }
@@ -212,8 +212,8 @@
 }
 
 // key looks whether a key is known: for the same query, whose client repeats it, or for another one, which is refused.
-func (p *Proxy) key(now float64, a Ask, class balancer.QueryClass) (*keyed, error) {
-	if a.Key == "" || class.Effect == balancer.Free {
+func (p *Proxy) key(now float64, a Ask, class balancer.RequestClass) (*keyed, error) {
+	if a.Key == "" || class.Idempotency == balancer.Idempotent {
 		return nil, nil
 	}
 	k := p.keys[a.Key]
@@ -230,7 +230,7 @@
 		delete(p.keys, p.order[0])
 		p.order = p.order[1:]
 	}
-	k = &keyed{key: a.Key, print: a.Print, until: now + class.ClientTimeout + class.Window}
+	k = &keyed{key: a.Key, print: a.Print, until: now + class.ClientTimeout + class.DedupWindow}
 	p.keys[a.Key] = k
 	return k, nil
 }
@@ -270,7 +270,7 @@
 	if m := p.met(s); m != nil {
 		m.Tries++
 	}
-	after := q.repeat.Class.GoalTime
+	after := q.repeat.Class.LatencyObjective
 	if p.hedges(q) {
 		after = p.setup.Hedge
 	}
@@ -352,7 +352,7 @@
 
 // remember notes under a query's key where it may have run, for its client's own repeats.
 func (p *Proxy) remember(q *query, x *try) {
-	if k := p.keys[q.ask.Key]; k != nil && q.ask.Key != "" && !k.ran && q.repeat.Class.Effect != balancer.Free {
+	if k := p.keys[q.ask.Key]; k != nil && q.ask.Key != "" && !k.ran && q.repeat.Class.Idempotency != balancer.Idempotent {
 		k.ran, k.first, k.at = true, p.place(x.server), x.sent
 	}
 }
@@ -428,7 +428,7 @@
 
 // hedges tells whether a query is to be tried beside its first try, once that has taken long.
 func (p *Proxy) hedges(q *query) bool {
-	return p.setup.Hedge > hedgeMin && !q.hedged && q.repeat.Class.Effect == balancer.Free
+	return p.setup.Hedge > hedgeMin && !q.hedged && q.repeat.Class.Idempotency == balancer.Idempotent
 }
 
 // slow looks at a query whose newest try has taken long: longer than a hedge waits, or than its goal time. In the second case
--- a/internal/core/forwarding/forward_test.go
+++ b/internal/core/forwarding/forward_test.go
@@ -29,15 +29,15 @@
 func server(i int) balancer.Server { return balancer.Server(fmt.Sprintf("10.0.0.%d:80", i)) }
 
 func setup(servers int) Setup {
-	s := Setup{Names: []string{"free", "guarded", "single"}, Ways: []balancer.Repeats{balancer.AfterFailure, balancer.AfterFailure, balancer.AfterFailure},
-		Classes: []balancer.QueryClass{{GoalTime: 1, ClientTimeout: 5}, {GoalTime: 1, ClientTimeout: 5, Effect: balancer.Guarded,
-			Group: balancer.SamePod, Window: 4}, {GoalTime: 1, ClientTimeout: 5, Effect: balancer.SingleShot}},
+	s := Setup{Names: []string{"free", "guarded", "single"}, Ways: []balancer.RetryPolicy{balancer.RetryOnce, balancer.RetryOnce, balancer.RetryOnce},
+		Classes: []balancer.RequestClass{{LatencyObjective: 1, ClientTimeout: 5}, {LatencyObjective: 1, ClientTimeout: 5, Idempotency: balancer.Keyed,
+			DedupScope: balancer.SameFailureDomain, DedupWindow: 4}, {LatencyObjective: 1, ClientTimeout: 5, Idempotency: balancer.NonIdempotent}},
 		Limits: admission.Limits{Queries: 100, ByServer: 20}, Avoid: outlier.Terms{After: 3, For: 4, Most: 30},
 		Budget: retry.Budget{Part: 0.2, Burst: 10}, Places: map[balancer.Server]retry.Place{},
 		Make: func(c int) picker.Table { return picker.NewEven(uint64(c)) }}
-	s.Levels = balancer.LevelFraction
+	s.Levels = balancer.AdmissionFraction
 	for i := range servers {
-		s.Places[server(i)] = retry.Place{Server: server(i), Zone: balancer.Zone(i % 2), Pod: balancer.Pod(i / 2)}
+		s.Places[server(i)] = retry.Place{Server: server(i), Zone: balancer.Zone(i % 2), Pod: balancer.FailureDomain(i / 2)}
 	}
 	return s
 }
@@ -432,7 +432,7 @@
 }
 
 func TestRates(t *testing.T) {
-	d := admission.New(balancer.LevelRate, 1, admission.UsualLimits)
+	d := admission.New(balancer.AdmissionRate, 1, admission.UsualLimits)
 	d.Level(1000, 0, 50, 1)
 	in := 0
 	for i := range 1000 { // 100 a second
--- a/internal/core/loadreport/measure.go
+++ b/internal/core/loadreport/measure.go
@@ -171,9 +171,9 @@
 
 // Close hands out all that has come in since the last time, in a fixed order. The interval of a sum is the mean of
 // what its parts cover, by their tries: relays that lost a report cover more than the others.
-func (b *Book) Close() (traffic []balancer.Traffic, demand []balancer.Demand) {
+func (b *Book) Close() (traffic []balancer.UpstreamReport, demand []balancer.DemandReport) {
 	for k, s := range b.traffic {
-		t := balancer.Traffic{Server: k.server, Zone: k.zone, Tries: s.Tries, Lost: s.Lost,
+		t := balancer.UpstreamReport{Server: k.server, Zone: k.zone, Attempts: s.Tries, Failed: s.Lost,
 			Interval: s.weighted / max(s.Tries, 1e-9)}
 		if good := s.Tries - s.Lost; good > 0 {
 			t.Latency = s.Seconds / good
@@ -182,14 +182,14 @@
 		delete(b.traffic, k)
 	}
 	for k, s := range b.demand {
-		demand = append(demand, balancer.Demand{Proxy: k.proxy, Class: k.class, Queries: s.Tries, Lost: s.Lost,
+		demand = append(demand, balancer.DemandReport{Proxy: k.proxy, Class: k.class, Requests: s.Tries, Failed: s.Lost,
 			Interval: s.covers})
 		delete(b.demand, k)
 	}
-	slices.SortFunc(traffic, func(a, b balancer.Traffic) int {
+	slices.SortFunc(traffic, func(a, b balancer.UpstreamReport) int {
 		return cmp.Or(cmp.Compare(a.Server, b.Server), cmp.Compare(a.Zone, b.Zone))
 	})
-	slices.SortFunc(demand, func(a, b balancer.Demand) int {
+	slices.SortFunc(demand, func(a, b balancer.DemandReport) int {
 		return cmp.Or(cmp.Compare(a.Proxy, b.Proxy), cmp.Compare(a.Class, b.Class))
 	})
 	return traffic, demand
--- a/internal/core/loadreport/measure_test.go
+++ b/internal/core/loadreport/measure_test.go
@@ -18,8 +18,8 @@
 	report(100.7, 50.2, 1005, 11, 302) // overtaken
 	report(101.5, 51.5, 1030, 12, 310) // one in between was lost
 	traffic, _ := b.Close()
-	want := balancer.Traffic{Server: "a", Zone: 2, Tries: 30, Lost: 2, Latency: 10.0 / 28, Interval: (10*0.5 + 20*1) / 30}
-	if len(traffic) != 1 || traffic[0].Tries != want.Tries || traffic[0].Lost != want.Lost ||
+	want := balancer.UpstreamReport{Server: "a", Zone: 2, Attempts: 30, Failed: 2, Latency: 10.0 / 28, Interval: (10*0.5 + 20*1) / 30}
+	if len(traffic) != 1 || traffic[0].Attempts != want.Attempts || traffic[0].Failed != want.Failed ||
 		math.Abs(traffic[0].Latency-want.Latency) > 1e-9 || math.Abs(traffic[0].Interval-want.Interval) > 1e-9 {
 		t.Errorf("%+v, want %+v", traffic, want)
 	}
@@ -56,7 +56,7 @@
 		t.Errorf("%d series", b.Len())
 	}
 	b.Demand(201, 201, 4, 0, Totals{Tries: 9, Lost: 2})
-	if _, d := b.Close(); len(d) != 1 || d[0].Queries != 8 || d[0].Lost != 2 || d[0].Interval != 1 {
+	if _, d := b.Close(); len(d) != 1 || d[0].Requests != 8 || d[0].Failed != 2 || d[0].Interval != 1 {
 		t.Errorf("%+v", d)
 	}
 	if b.Leave(4); b.Len() != 0 {
--- a/internal/core/longpoll/longpoll.go
+++ b/internal/core/longpoll/longpoll.go
@@ -44,7 +44,7 @@
 	Lines    []Line
 	Leveled  bool // level and again are said
 	Level    float64
-	Again    balancer.Repeats
+	Again    balancer.RetryPolicy
 	ComeBack float64 // seconds after which a client that was refused may come again
 }
 
@@ -409,7 +409,7 @@
 				continue
 			}
 			phase, _ := c.fleet.Roll.Phase(l.Server)
-			said.Lines = append(said.Lines, Line{l.Server, l.Weight, l.Weight == 0 && phase == balancer.Terminating})
+			said.Lines = append(said.Lines, Line{l.Server, l.Weight, l.Weight == 0 && phase == balancer.Draining})
 		}
 		// Lines that bring queries come before those that take them away, for whoever applies them one by one.
 		slices.SortStableFunc(said.Lines, func(a, b Line) int { return sign(b.Weight) - sign(a.Weight) })
--- a/internal/core/longpoll/longpoll_test.go
+++ b/internal/core/longpoll/longpoll_test.go
@@ -100,13 +100,13 @@
 
 func site(proxies int, without ...controlplane.Guard) controlplane.Site {
 	x := controlplane.Site{Seed: 3, Names: []string{"search", "introduce"}, Zones: []string{"a"}, Strangers: true,
-		Classes: []balancer.QueryClass{{Benefit: 1, GoalTime: 1, ClientTimeout: 3},
-			{Benefit: 3, GoalTime: 1, ClientTimeout: 3, Effect: balancer.SingleShot}},
-		Dataplane: balancer.Dataplane{Proxies: proxies, Coordinators: 1, UsualRepeats: balancer.AfterProof,
-			Levels: balancer.LevelFraction},
-		Channel: balancer.Channel{LinesPerSecond: 2000, MessageLines: 3, MostWaiting: 4000, MeanWay: 0.01, LongestWay: 0.2},
-		Guarantees: balancer.Guarantees{DrainWithin: 3, BareWithin: 2, ColdShare: 0.2, ColdFor: 10, FallMultiple: 3,
-			FallWithin: 2}, Reporting: balancer.Reporting{Period: 0.5}, Limits: controlplane.UsualLimits,
+		Classes: []balancer.RequestClass{{PriorityWeight: 1, LatencyObjective: 1, ClientTimeout: 3},
+			{PriorityWeight: 3, LatencyObjective: 1, ClientTimeout: 3, Idempotency: balancer.NonIdempotent}},
+		Dataplane: balancer.DataPlane{Proxies: proxies, Coordinators: 1, DefaultRetry: balancer.RetryIfNotExecuted,
+			Admission: balancer.AdmissionFraction},
+		Channel: balancer.Channel{EntriesPerSecond: 2000, MessageOverhead: 3, MaxQueued: 4000, MeanDelay: 0.01, MaxDelay: 0.2},
+		Guarantees: balancer.Guarantees{DrainDeadline: 3, EmptyTableDeadline: 2, WarmupStartFraction: 0.2, WarmupDuration: 10, OverloadFactor: 3,
+			OverloadWindow: 2}, Reporting: balancer.Reporting{Period: 0.5}, Limits: controlplane.UsualLimits,
 		Without: map[controlplane.Guard]bool{}}
 	for _, g := range without {
 		x.Without[g] = true
@@ -328,7 +328,7 @@
 	const n = 5000
 	limits := UsualLimits
 	x := site(n)
-	x.Channel.LinesPerSecond, x.Channel.MostWaiting = 20000, 30000
+	x.Channel.EntriesPerSecond, x.Channel.MaxQueued = 20000, 30000
 	s := open(t, x, limits)
 	var all []string
 	for i := range n {
@@ -366,7 +366,7 @@
 	for _, uid := range all {
 		lines += len(s.holds[uid].lines) + 3
 	}
-	took, least := s.now-begun, max(float64(lines)/x.Channel.LinesPerSecond, float64(away)/limits.Joins)
+	took, least := s.now-begun, max(float64(lines)/x.Channel.EntriesPerSecond, float64(away)/limits.Joins)
 	if s.fleet.Holding() != n || took > 1.5*least+2*limits.ComeBack {
 		t.Errorf("%d hold the tables after %.1f s; joins and channel need %.1f s", s.fleet.Holding(), took, least)
 	}
--- a/internal/core/membership/share.go
+++ b/internal/core/membership/share.go
@@ -281,7 +281,7 @@
 
 // merge keeps the earliest time at which a drain was told while it lasts: a takeover must not start its grace anew.
 func merge(old, r registry.Record) registry.Record {
-	if old.Phase != balancer.InService && r.Phase == old.Phase && old.Told > 0 {
+	if old.Phase != balancer.Ready && r.Phase == old.Phase && old.Told > 0 {
 		r.Told = min(r.Told, old.Told)
 	}
 	return r
--- a/internal/core/membership/share_test.go
+++ b/internal/core/membership/share_test.go
@@ -83,16 +83,16 @@
 
 func TestADrainKeepsItsTime(t *testing.T) {
 	s := group(t, 1)
-	r := registry.Record{Place: registry.Place{Server: "a"}, Phase: balancer.Terminating, Told: 100, Drained: true}
+	r := registry.Record{Place: registry.Place{Server: "a"}, Phase: balancer.Draining, Told: 100, Drained: true}
 	s.Apply(Command{Kind: Keep, Records: []registry.Record{r}})
 	r.Told = 107 // a successor heard of it later
 	s.Apply(Command{Kind: Keep, Records: []registry.Record{r}})
 	if got := s.Kept()[0].Told; got != 100 {
 		t.Errorf("told at %v", got)
 	}
-	r.Phase, r.Told, r.Drained = balancer.InService, 0, false
+	r.Phase, r.Told, r.Drained = balancer.Ready, 0, false
 	s.Apply(Command{Kind: Keep, Records: []registry.Record{r}})
-	r.Phase, r.Told = balancer.Terminating, 200
+	r.Phase, r.Told = balancer.Draining, 200
 	s.Apply(Command{Kind: Keep, Records: []registry.Record{r}})
 	if got := s.Kept()[0].Told; got != 200 {
 		t.Errorf("a new drain is told at %v", got)
--- a/internal/core/pacing/channel.go
+++ b/internal/core/pacing/channel.go
@@ -88,7 +88,7 @@
 		q.waiters[p] = w
 	}
 	if w.lines == 0 {
-		q.lines += q.limits.MessageLines
+		q.lines += q.limits.MessageOverhead
 		w.turn = turn
 	}
 	w.lines += lines
@@ -116,7 +116,7 @@
 
 // freeAt is when the limit on messages lets the proxy have one more.
 func (q *Queue) freeAt(w *waiter) float64 {
-	if n := q.limits.MostMessages; n > 0 && !q.unpaced && w.written >= n {
+	if n := q.limits.MaxMessages; n > 0 && !q.unpaced && w.written >= n {
 		return w.sent[w.at] + q.limits.MessageWindow
 	}
 	return 0
@@ -171,14 +171,14 @@
 
 func (q *Queue) settle(w *waiter) {
 	if w.lines > 0 {
-		q.lines -= w.lines + q.limits.MessageLines
+		q.lines -= w.lines + q.limits.MessageOverhead
 	}
 	w.lines = 0
 }
 
 func (q *Queue) refill(now float64) {
-	most := max(q.limits.LinesPerSecond*burstFor, 1)
-	q.tokens = min(most, q.tokens+max(0, now-q.at)*q.limits.LinesPerSecond)
+	most := max(q.limits.EntriesPerSecond*burstFor, 1)
+	q.tokens = min(most, q.tokens+max(0, now-q.at)*q.limits.EntriesPerSecond)
 	q.at = now
 }
 
@@ -209,8 +209,8 @@
 		q.waiters[p] = w
 	}
 	q.unqueue(w)
-	q.tokens -= lines + q.limits.MessageLines
-	if n := q.limits.MostMessages; n > 0 {
+	q.tokens -= lines + q.limits.MessageOverhead
+	if n := q.limits.MaxMessages; n > 0 {
 		if w.sent == nil {
 			w.sent = make([]float64, n)
 		}
@@ -220,14 +220,14 @@
 
 // Left is how many messages the limit lets a proxy have before its oldest ones no longer count.
 func (q *Queue) Left(p balancer.Proxy) int {
-	if w := q.waiters[p]; w != nil && q.limits.MostMessages > 0 {
+	if w := q.waiters[p]; w != nil && q.limits.MaxMessages > 0 {
 		n := 0
 		for _, at := range w.sent {
 			if at > 0 && at > q.at-q.limits.MessageWindow {
 				n++
 			}
 		}
-		return q.limits.MostMessages - n
+		return q.limits.MaxMessages - n
 	}
 	return math.MaxInt
 }
--- a/internal/core/pacing/channel_test.go
+++ b/internal/core/pacing/channel_test.go
@@ -12,7 +12,7 @@
 
 func TestMain(m *testing.M) { testseed.Main(m) }
 
-var limits = balancer.Channel{LinesPerSecond: 100, MessageLines: 3, MostWaiting: 1000, MostMessages: 3, MessageWindow: 10}
+var limits = balancer.Channel{EntriesPerSecond: 100, MessageOverhead: 3, MaxQueued: 1000, MaxMessages: 3, MessageWindow: 10}
 
 func drain(q *Queue, now float64, lines float64) (got []balancer.Proxy) {
 	for {
@@ -75,7 +75,7 @@
 			}
 			worst = max(worst, n)
 		}
-		if unpaced != (worst > limits.MostMessages) || !unpaced && len(sent) < 7 {
+		if unpaced != (worst > limits.MaxMessages) || !unpaced && len(sent) < 7 {
 			t.Errorf("unpaced %t: %d messages in a window, %d in all", unpaced, worst, len(sent))
 		}
 	}
@@ -85,7 +85,7 @@
 func TestPaceAndCount(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		l := limits
-		l.MostMessages = 0
+		l.MaxMessages = 0
 		q, now := New(l, false), 10.0
 		type sending struct{ at, lines float64 }
 		var sent []sending
@@ -114,14 +114,14 @@
 					if waits[p] == 0 {
 						rt.Fatalf("proxy %d waits for nothing", p)
 					}
-					sent = append(sent, sending{now, waits[p] + l.MessageLines})
+					sent = append(sent, sending{now, waits[p] + l.MessageOverhead})
 					q.Sent(now, p, waits[p])
 					delete(waits, p)
 				}
 			}
 			sum := 0.0
 			for _, n := range waits {
-				sum += n + l.MessageLines
+				sum += n + l.MessageOverhead
 			}
 			if got, _ := q.Waiting(); math.Abs(got-sum) > 1e-6 {
 				rt.Fatalf("%v lines wait, it says %v", sum, got)
@@ -130,7 +130,7 @@
 		for i := range sent {
 			lines := 0.0
 			for _, s := range sent[i:] {
-				if may := (s.at-sent[i].at)*l.LinesPerSecond + max(l.LinesPerSecond*burstFor, 1); lines > may+1e-6 {
+				if may := (s.at-sent[i].at)*l.EntriesPerSecond + max(l.EntriesPerSecond*burstFor, 1); lines > may+1e-6 {
 					rt.Fatalf("%v lines had left within %v s, %v may", lines, s.at-sent[i].at, may)
 				}
 				lines += s.lines
--- a/internal/core/platformstate/calls.go
+++ b/internal/core/platformstate/calls.go
@@ -17,7 +17,7 @@
 type about struct {
 	does    byte
 	table   balancer.Table
-	classes balancer.Classes
+	classes balancer.ClassSet
 	server  balancer.Server
 	proxy   balancer.Proxy
 }
@@ -46,7 +46,7 @@
 )
 
 // Calls are the orders on their way to the relay: one call at a time is out, what is decided meanwhile waits as the newest state
-// of all that is ordered, not as a queue, so it can't grow beyond tables, servers and proxies. It is the balancer.Writer's back.
+// of all that is ordered, not as a queue, so it can't grow beyond tables, servers and proxies. It is the balancer.CommandSink's back.
 type Calls struct {
 	names   jsonrpc.Names
 	waiting []order
@@ -55,7 +55,7 @@
 	id      uint64
 	flying  bool
 	tried   int // times in a row that a call was taken for malformed
-	resent  balancer.Resent
+	resent  balancer.Redelivered
 
 	Dropped uint64 // orders that the relay could not use, or that it took for malformed
 	Again   uint64 // calls that went again though they may have been carried out
@@ -90,24 +90,24 @@
 	c.waiting = kept
 }
 
-// Weigh of balancer.Writer.
-func (c *Calls) Weigh(t balancer.Table, s balancer.Server, weight float64) {
+// SetWeight of balancer.CommandSink.
+func (c *Calls) SetWeight(t balancer.Table, s balancer.Server, weight float64) {
 	c.put(about{does: weighs, table: t, server: s}, jsonrpc.AppendShare(nil, int(t), string(s), weight))
 }
 
-// Bind of balancer.Writer.
-func (c *Calls) Bind(p balancer.Proxy, t balancer.Table, classes balancer.Classes) {
+// AssignTable of balancer.CommandSink.
+func (c *Calls) AssignTable(p balancer.Proxy, t balancer.Table, classes balancer.ClassSet) {
 	c.put(about{does: binds, proxy: p, classes: classes}, c.names.AppendBind(nil, int(p), int(t), uint64(classes)))
 }
 
-// Admit of balancer.Writer.
-func (c *Calls) Admit(t balancer.Table, classes balancer.Classes, level float64, again balancer.Repeats) {
+// SetAdmission of balancer.CommandSink.
+func (c *Calls) SetAdmission(t balancer.Table, classes balancer.ClassSet, level float64, again balancer.RetryPolicy) {
 	c.put(about{does: admits, table: t, classes: classes}, c.names.AppendAdmit(nil, int(t), uint64(classes), level, int(again)))
 }
 
-// Mark of balancer.Writer. Who answers is whom the call concerns. A call carries one mark; where orders of several rounds wait for it,
+// RequestAck of balancer.CommandSink. Who answers is whom the call concerns. A call carries one mark; where orders of several rounds wait for it,
 // the oldest: that all before it has left the channel is true of whoever answers, of a newer one it would not be.
-func (c *Calls) Mark(m balancer.Mark) {
+func (c *Calls) RequestAck(m balancer.AckID) {
 	if _, waits := c.at[about{does: marks}]; !waits {
 		c.put(about{does: marks}, jsonrpc.AppendMark(nil, int64(m), false))
 	}
@@ -281,8 +281,8 @@
 }
 
 // Resent is what goes again though it may have been carried out, since the last time that this was asked.
-func (c *Calls) Resent() balancer.Resent {
+func (c *Calls) Resent() balancer.Redelivered {
 	r := c.resent
-	c.resent = balancer.Resent{}
+	c.resent = balancer.Redelivered{}
 	return r
 }
--- a/internal/core/platformstate/roster.go
+++ b/internal/core/platformstate/roster.go
@@ -18,7 +18,7 @@
 
 // joining is a proxy that is joined, as a link told it.
 type joining struct {
-	stream balancer.Stream
+	stream balancer.ProxyEvent
 	at     float64
 	listed bool // it was joined before the link was made
 }
@@ -57,7 +57,7 @@
 func (r *Roster) Joined() int { return len(r.joined) }
 
 // Streams are all that are.
-func (r *Roster) Streams() (list []balancer.Stream) {
+func (r *Roster) Streams() (list []balancer.ProxyEvent) {
 	for _, p := range slices.SortedFunc(maps.Keys(r.joined), cmp.Compare[balancer.Proxy]) {
 		list = append(list, r.joined[p].stream)
 	}
@@ -83,14 +83,14 @@
 }
 
 // Follow goes by another link from now on.
-func (r *Roster) Follow(now float64, x *Source, news *balancer.News) {
+func (r *Roster) Follow(now float64, x *Source, news *balancer.Events) {
 	if r.from = x; !x.listing {
 		r.settle(now, news)
 	}
 }
 
 // Attach says that by a link a proxy is joined. One that was joined joins anew: what it holds is not known.
-func (r *Roster) Attach(now float64, x *Source, s balancer.Stream, news *balancer.News) {
+func (r *Roster) Attach(now float64, x *Source, s balancer.ProxyEvent, news *balancer.Events) {
 	s.Joined = true
 	j := joining{s, now, x.listing}
 	x.joined[s.Proxy] = j
@@ -100,34 +100,34 @@
 }
 
 // Detach says that by a link a proxy has left.
-func (r *Roster) Detach(x *Source, p balancer.Proxy, news *balancer.News) {
+func (r *Roster) Detach(x *Source, p balancer.Proxy, news *balancer.Events) {
 	delete(x.joined, p)
 	if r.from == x {
 		r.leave(p, news)
 	}
 }
 
-func (r *Roster) join(j joining, news *balancer.News) {
+func (r *Roster) join(j joining, news *balancer.Events) {
 	r.joined[j.stream.Proxy] = j
-	news.Streams = append(news.Streams, j.stream)
+	news.ProxyEvents = append(news.ProxyEvents, j.stream)
 }
 
-func (r *Roster) leave(p balancer.Proxy, news *balancer.News) {
+func (r *Roster) leave(p balancer.Proxy, news *balancer.Events) {
 	if r.Has(p) {
 		delete(r.joined, p)
-		news.Streams = append(news.Streams, balancer.Stream{Proxy: p})
+		news.ProxyEvents = append(news.ProxyEvents, balancer.ProxyEvent{Proxy: p})
 	}
 }
 
 // Due ends a link's list when its time is over.
-func (r *Roster) Due(now float64, x *Source, news *balancer.News) {
+func (r *Roster) Due(now float64, x *Source, news *balancer.Events) {
 	if x.listing && now-x.since >= listFor {
 		r.Ends(now, x, news)
 	}
 }
 
 // Ends is the end of a link's list.
-func (r *Roster) Ends(now float64, x *Source, news *balancer.News) {
+func (r *Roster) Ends(now float64, x *Source, news *balancer.Events) {
 	if x.listing {
 		if x.listing = false; r.from == x {
 			r.settle(now, news)
@@ -136,7 +136,7 @@
 }
 
 // settle makes the roster what its link says. Those who are absent have left while nobody told.
-func (r *Roster) settle(now float64, news *balancer.News) {
+func (r *Roster) settle(now float64, news *balancer.Events) {
 	x := r.from
 	gap := x.since-r.until > gapMost
 	r.until = now
@@ -147,7 +147,7 @@
 	}
 	for _, p := range slices.SortedFunc(maps.Keys(x.joined), cmp.Compare[balancer.Proxy]) {
 		j, known := x.joined[p], r.joined[p]
-		again := gap && known.at < x.since || !j.listed && j.at > known.at+apartBy || j.listed && j.stream.Fresh && !known.stream.Fresh
+		again := gap && known.at < x.since || !j.listed && j.at > known.at+apartBy || j.listed && j.stream.DefaultTable && !known.stream.DefaultTable
 		if !r.Has(p) || again {
 			r.join(j, news)
 		}
--- a/internal/core/platformstate/servers.go
+++ b/internal/core/platformstate/servers.go
@@ -23,7 +23,7 @@
 // listed is a server as it was last told.
 type listed struct {
 	addr  netip.AddrPort
-	entry balancer.Entry
+	entry balancer.Endpoint
 }
 
 // NewServers makes an empty list. Zones and kinds go by name on the wire, and by place in the module.
@@ -56,19 +56,19 @@
 func (s *Servers) Len() int { return len(s.listed) }
 
 // Cached takes the list as it was last held.
-func (s *Servers) Cached(l *discovery.List, news *balancer.News) {
-	s.take(l, balancer.Cached, news)
+func (s *Servers) Cached(l *discovery.List, news *balancer.Events) {
+	s.take(l, balancer.CachedList, news)
 	s.whole, s.owed = s.version, false
 }
 
 // Take takes what discovery tells. A link's word that is older than what is known changes nothing, unless it is the whole list
 // and the first that the link says: discovery may have begun anew. Where an entry can't be used the rest counts, and what it told
 // is owed; the first word of a new link makes that good. Take tells whether nothing is.
-func (s *Servers) Take(l *discovery.List, first bool, news *balancer.News) bool {
+func (s *Servers) Take(l *discovery.List, first bool, news *balancer.Events) bool {
 	if first && l.Version >= s.version || l.Version > s.version || l.Full && (first || l.Version == s.version) {
-		scope := balancer.Changes
+		scope := balancer.DeltaList
 		if l.Full {
-			scope = balancer.Whole
+			scope = balancer.FullList
 		}
 		ok := s.take(l, scope, news)
 		if s.owed = !ok || s.owed && !first && !l.Full; !s.owed {
@@ -78,27 +78,27 @@
 	return !s.owed
 }
 
-func (s *Servers) take(l *discovery.List, scope balancer.Scope, news *balancer.News) (ok bool) {
+func (s *Servers) take(l *discovery.List, scope balancer.ListScope, news *balancer.Events) (ok bool) {
 	s.version = l.Version
-	list, former, spoilt := balancer.List{Scope: scope}, s.listed, s.Spoilt
+	list, former, spoilt := balancer.EndpointList{Scope: scope}, s.listed, s.Spoilt
 	s.Spoilt += uint64(l.Spoilt)
-	if scope == balancer.Whole && l.Spoilt > 0 { // nobody is gone for being in an entry that can't be read
-		list.Scope, scope = balancer.Changes, balancer.Changes
+	if scope == balancer.FullList && l.Spoilt > 0 { // nobody is gone for being in an entry that can't be read
+		list.Scope, scope = balancer.DeltaList, balancer.DeltaList
 	}
-	if scope != balancer.Changes {
+	if scope != balancer.DeltaList {
 		s.listed = map[balancer.Server]listed{}
 	}
 	for _, e := range l.Servers {
 		x, good := s.entry(e)
 		old, known := former[x.Server]
 		switch {
-		case good && x.Phase == balancer.Gone:
+		case good && x.Phase == balancer.Removed:
 			delete(s.listed, x.Server)
 		case good:
 			addr, _ := netip.ParseAddrPort(e.Addr) // one that can't be read is not probed
 			s.listed[x.Server] = listed{addr, x}
 		case known: // that it drains counts whatever else it says, and for the rest it is as it was
-			if s.Spoilt++; x.Phase == balancer.Terminating {
+			if s.Spoilt++; x.Phase == balancer.Draining {
 				old.entry.Phase = x.Phase
 			}
 			s.listed[x.Server], x = old, old.entry
@@ -107,21 +107,21 @@
 			continue
 		}
 		s.told = true
-		list.Entries = append(list.Entries, x)
+		list.Endpoints = append(list.Endpoints, x)
 	}
 	news.Lists = append(news.Lists, list)
 	return s.Spoilt == spoilt
 }
 
-func (s *Servers) entry(e discovery.Server) (balancer.Entry, bool) {
-	x := balancer.Entry{Server: balancer.Server(e.ID), Pod: balancer.Pod(e.Cell), Weight: e.Weight, Started: e.Started / 1000}
+func (s *Servers) entry(e discovery.Server) (balancer.Endpoint, bool) {
+	x := balancer.Endpoint{Server: balancer.Server(e.ID), FailureDomain: balancer.FailureDomain(e.Cell), Weight: e.Weight, Started: e.Started / 1000}
 	switch e.State {
 	case discovery.Ready:
-		x.Phase = balancer.InService
+		x.Phase = balancer.Ready
 	case discovery.Draining:
-		x.Phase = balancer.Terminating
+		x.Phase = balancer.Draining
 	case discovery.Gone:
-		x.Phase = balancer.Gone
+		x.Phase = balancer.Removed
 		return x, e.ID != "" // its other fields tell nothing
 	default:
 		return x, false
--- a/internal/core/platformstate/station_test.go
+++ b/internal/core/platformstate/station_test.go
@@ -61,7 +61,7 @@
 			for range rapid.IntRange(1, 5).Draw(t, "orders") {
 				g, h := rapid.IntRange(1, 3).Draw(t, "table"), fmt.Sprint("s-", rapid.IntRange(0, 9).Draw(t, "server"))
 				v := float64(rapid.IntRange(0, 255).Draw(t, "weight"))
-				c.Weigh(balancer.Table(g), balancer.Server(h), v)
+				c.SetWeight(balancer.Table(g), balancer.Server(h), v)
 				want[fmt.Sprint(g, h)] = v
 			}
 		}
@@ -117,10 +117,10 @@
 
 func TestAnOrderThatTheRelayCannotUseIsDroppedAndTheRestGoesOn(t *testing.T) {
 	c := NewCalls(jsonrpc.Names{"a"})
-	c.Weigh(1, "x", 1)
-	c.Bind(7, 1, 0)
-	c.Weigh(1, "y", 2)
-	c.Mark(3)
+	c.SetWeight(1, "x", 1)
+	c.AssignTable(7, 1, 0)
+	c.SetWeight(1, "y", 2)
+	c.RequestAck(3)
 	c.Next(nil)
 	if got := c.Answered(answer(1, `"result":{"accepted":1}`)); got != Partly || c.Dropped != 1 {
 		t.Fatalf("%v, %d dropped", got, c.Dropped)
@@ -147,24 +147,24 @@
 		}
 		return list
 	}
-	c.Weigh(1, "x", 1)
-	c.Mark(7)
-	c.Weigh(2, "x", 1)
-	c.Mark(8)
+	c.SetWeight(1, "x", 1)
+	c.RequestAck(7)
+	c.SetWeight(2, "x", 1)
+	c.RequestAck(8)
 	b, _ := c.Next(nil)
 	if got := stamps(b); !slices.Equal(got, []float64{7}) {
 		t.Errorf("a call of two rounds carries the marks %v, want the first round's", got)
 	}
-	c.Weigh(3, "x", 1)
-	c.Mark(9)
+	c.SetWeight(3, "x", 1)
+	c.RequestAck(9)
 	c.Broken() // the first call goes again, before what has been decided since
 	b, _ = c.Next(nil)
 	if got := stamps(b); !slices.Equal(got, []float64{7}) {
 		t.Errorf("a call that goes again carries the marks %v, want its own", got)
 	}
 	c.Answered(answer(2, `"result":{"accepted":4}`))
-	c.Weigh(4, "x", 1)
-	c.Mark(10)
+	c.SetWeight(4, "x", 1)
+	c.RequestAck(10)
 	b, _ = c.Next(nil)
 	if got := stamps(b); !slices.Equal(got, []float64{10}) {
 		t.Errorf("the next call carries the marks %v", got)
@@ -179,11 +179,11 @@
 		tables := 3000 / servers
 		for table := range tables {
 			for i := range servers {
-				c.Weigh(balancer.Table(table), balancer.Server(fmt.Sprintf("s-%08d", i)), 128.125)
+				c.SetWeight(balancer.Table(table), balancer.Server(fmt.Sprintf("s-%08d", i)), 128.125)
 			}
-			c.Admit(balancer.Table(table), 1, 0.5, balancer.NoRepeat)
+			c.SetAdmission(balancer.Table(table), 1, 0.5, balancer.RetryNever)
 		}
-		c.Mark(5)
+		c.RequestAck(5)
 		calls := map[float64]map[uint64]bool{}
 		marked := false
 		for !idle(c) {
@@ -213,15 +213,15 @@
 
 func TestWhatGoesAgainIsTold(t *testing.T) {
 	c := NewCalls(jsonrpc.Names{"a"})
-	c.Weigh(1, "x", 1)
-	c.Weigh(2, "x", 1)
-	c.Admit(3, 1, 0.5, balancer.NoRepeat)
-	c.Bind(7, 1, 0)
-	c.Bind(8, 1, 0)
-	c.Mark(3)
+	c.SetWeight(1, "x", 1)
+	c.SetWeight(2, "x", 1)
+	c.SetAdmission(3, 1, 0.5, balancer.RetryNever)
+	c.AssignTable(7, 1, 0)
+	c.AssignTable(8, 1, 0)
+	c.RequestAck(3)
 	c.Next(nil)
-	c.Weigh(2, "x", 2)
-	c.Bind(8, 2, 0)
+	c.SetWeight(2, "x", 2)
+	c.AssignTable(8, 2, 0)
 	c.Broken()
 	c.Broken() // nothing is out
 	if r := c.Resent(); !slices.Equal(r.Tables, []balancer.Table{1, 3}) || !slices.Equal(r.Proxies, []balancer.Proxy{7}) {
@@ -239,8 +239,8 @@
 // A proxy leaves while the call that binds it is out, and the call goes again: its next joining is not bound by it.
 func TestWhoLeavesWithinACallIsNotBoundWhenItGoesAgain(t *testing.T) {
 	c := NewCalls(jsonrpc.Names{"a"})
-	c.Bind(7, 1, 0)
-	c.Weigh(1, "x", 1)
+	c.AssignTable(7, 1, 0)
+	c.SetWeight(1, "x", 1)
 	c.Next(nil)
 	c.Left(7)
 	c.Broken()
@@ -256,26 +256,26 @@
 // silence everybody is.
 func TestAReplacedLinkLeavesNoGapWhereItStood(t *testing.T) {
 	for silent, anew := range map[float64]int{0.1: 0, 0.9: 0, 1.2: 0, 1.4: 1, 3: 1} {
-		r, news := NewRoster(), &balancer.News{}
+		r, news := NewRoster(), &balancer.Events{}
 		old := NewSource(10)
 		r.Follow(10, old, news)
-		r.Attach(10, old, balancer.Stream{Proxy: 1, Zone: 0}, news)
+		r.Attach(10, old, balancer.ProxyEvent{Proxy: 1, Zone: 0}, news)
 		r.Ends(10.1, old, news)
 		r.Heard(20, old)
 		at, next := 20+silent, NewSource(20+silent)
-		*news = balancer.News{}
+		*news = balancer.Events{}
 		r.Stood(at, old)
 		r.Follow(at, next, news)
-		r.Attach(at, next, balancer.Stream{Proxy: 1, Zone: 0}, news)
-		if r.Ends(at+0.1, next, news); len(news.Streams) != anew {
-			t.Errorf("after %.1f s without a word %d joined anew, want %d", silent, len(news.Streams), anew)
+		r.Attach(at, next, balancer.ProxyEvent{Proxy: 1, Zone: 0}, news)
+		if r.Ends(at+0.1, next, news); len(news.ProxyEvents) != anew {
+			t.Errorf("after %.1f s without a word %d joined anew, want %d", silent, len(news.ProxyEvents), anew)
 		}
 	}
 }
 
 // What an unusable entry told is asked for again: the version does not go on. A drain counts whatever else the entry says.
 func TestAListThatIsNotWholeIsOwed(t *testing.T) {
-	s, news := NewServers([]string{"a"}, nil), &balancer.News{}
+	s, news := NewServers([]string{"a"}, nil), &balancer.Events{}
 	entry := func(id, state string) discovery.Server {
 		return discovery.Server{ID: id, Addr: "127.0.0.1:1", Zone: "a", State: state, Weight: 1}
 	}
@@ -284,19 +284,19 @@
 	}
 	drains, strange := entry("x", "draining"), entry("z", "ready")
 	drains.Weight, strange.Zone = -1, "nowhere"
-	*news = balancer.News{}
+	*news = balancer.Events{}
 	if s.Take(&discovery.List{Version: 5, Servers: []discovery.Server{drains, strange}}, false, news) || s.Version() != 4 || s.Newest() != 5 || s.Spoilt != 2 {
 		t.Errorf("version %d, %d spoilt", s.Version(), s.Spoilt)
 	}
-	if l := news.Lists[0]; len(l.Entries) != 1 || l.Entries[0].Server != "x" || l.Entries[0].Phase != balancer.Terminating || l.Entries[0].Weight != 1 {
+	if l := news.Lists[0]; len(l.Endpoints) != 1 || l.Endpoints[0].Server != "x" || l.Endpoints[0].Phase != balancer.Draining || l.Endpoints[0].Weight != 1 {
 		t.Errorf("%+v", l)
 	}
 	if s.Take(&discovery.List{Version: 6, Servers: []discovery.Server{entry("y", "ready")}}, false, news) || s.Version() != 4 {
 		t.Errorf("a good list makes good what the one before owes: version %d", s.Version())
 	}
-	*news = balancer.News{}
+	*news = balancer.Events{}
 	whole := &discovery.List{Version: 6, Full: true, Servers: []discovery.Server{entry("x", "draining")}, Spoilt: 1} // perhaps y's
-	if s.Take(whole, false, news) || !s.Listed("y") || news.Lists[0].Scope != balancer.Changes {
+	if s.Take(whole, false, news) || !s.Listed("y") || news.Lists[0].Scope != balancer.DeltaList {
 		t.Errorf("y is listed: %v; %+v", s.Listed("y"), news.Lists)
 	}
 	if whole.Spoilt = 0; !s.Take(whole, false, news) || s.Listed("y") || s.Version() != 6 {
@@ -311,13 +311,13 @@
 func TestWhatWaitsIsTheNewestStateAndNotAQueue(t *testing.T) {
 	c := NewCalls(nil)
 	for i := range 10_000 {
-		c.Weigh(1, balancer.Server(fmt.Sprint("s-", i%20)), float64(i))
-		c.Mark(balancer.Mark(i))
+		c.SetWeight(1, balancer.Server(fmt.Sprint("s-", i%20)), float64(i))
+		c.RequestAck(balancer.AckID(i))
 	}
 	if c.Waiting() != 21 || len(c.waiting) > 200 {
 		t.Errorf("%d orders wait, %d are kept", c.Waiting(), len(c.waiting))
 	}
-	c.Bind(5, 1, 1)
+	c.AssignTable(5, 1, 1)
 	c.Left(5)
 	if b, _ := c.Next(nil); strings.Contains(string(b), "bind") {
 		t.Error("a proxy that has left is bound")
@@ -326,7 +326,7 @@
 
 func TestACallThatIsTakenForMalformedIsGivenUpAtLast(t *testing.T) {
 	c := NewCalls(nil)
-	c.Weigh(1, "x", 1)
+	c.SetWeight(1, "x", 1)
 	for i := range uint64(mostTried) {
 		c.Next(nil)
 		c.Answered(answer(i+1, `"error":"malformed"`))
@@ -336,21 +336,21 @@
 	}
 }
 
-func said(news *balancer.News) (s string) {
-	for _, x := range news.Streams {
+func said(news *balancer.Events) (s string) {
+	for _, x := range news.ProxyEvents {
 		s += map[bool]string{true: "+", false: "-"}[x.Joined] + fmt.Sprint(x.Proxy)
 	}
-	*news = balancer.News{}
+	*news = balancer.Events{}
 	return s
 }
 
 func TestAnotherLinkThatListenedTakesOverAndNobodyJoinsAnew(t *testing.T) {
-	r, news := NewRoster(), &balancer.News{}
+	r, news := NewRoster(), &balancer.Events{}
 	main, second := NewSource(0), NewSource(0)
 	r.Follow(0, main, news)
 	for _, x := range []*Source{main, second} {
 		for p := range 3 {
-			r.Attach(0.1, x, balancer.Stream{Proxy: balancer.Proxy(p), Fresh: true}, news)
+			r.Attach(0.1, x, balancer.ProxyEvent{Proxy: balancer.Proxy(p), DefaultTable: true}, news)
 		}
 		r.Heard(1, x)
 		r.Ends(1, x, news)
@@ -361,8 +361,8 @@
 	// Main falls silent; meanwhile 0 leaves, 1 leaves and comes back, 3 comes.
 	r.Detach(second, 0, news)
 	r.Detach(second, 1, news)
-	r.Attach(2.5, second, balancer.Stream{Proxy: 1}, news)
-	r.Attach(2.6, second, balancer.Stream{Proxy: 3}, news)
+	r.Attach(2.5, second, balancer.ProxyEvent{Proxy: 1}, news)
+	r.Attach(2.6, second, balancer.ProxyEvent{Proxy: 3}, news)
 	r.Heard(2.6, second)
 	if said(news) != "" || !second.Whole(2.7) || second.Whole(9) {
 		t.Fatal("the second link was followed before its time")
@@ -374,19 +374,19 @@
 
 func TestANewLinkAfterAGapMakesAllJoinAnew(t *testing.T) {
 	for _, gap := range []float64{0.01, 5} {
-		r, news := NewRoster(), &balancer.News{}
+		r, news := NewRoster(), &balancer.Events{}
 		x := NewSource(0)
 		r.Follow(0, x, news)
 		for p := range 3 {
-			r.Attach(0, x, balancer.Stream{Proxy: balancer.Proxy(p)}, news)
+			r.Attach(0, x, balancer.ProxyEvent{Proxy: balancer.Proxy(p)}, news)
 		}
 		r.Ends(1, x, news)
 		r.Heard(8, x)
 		said(news)
 		y := NewSource(8 + gap)
 		r.Follow(8+gap, y, news)
-		r.Attach(8+gap, y, balancer.Stream{Proxy: 1}, news)
-		r.Attach(8+gap, y, balancer.Stream{Proxy: 2}, news)
+		r.Attach(8+gap, y, balancer.ProxyEvent{Proxy: 1}, news)
+		r.Attach(8+gap, y, balancer.ProxyEvent{Proxy: 2}, news)
 		if got := said(news); got != "" {
 			t.Errorf("after %g s the list is not over, and %s", gap, got)
 		}
@@ -398,7 +398,7 @@
 }
 
 func TestListsThatAreOlderChangeNothing(t *testing.T) {
-	s, news := NewServers([]string{"z"}, nil), &balancer.News{}
+	s, news := NewServers([]string{"z"}, nil), &balancer.Events{}
 	list := func(version int64, full bool, state string, ids ...string) *discovery.List {
 		l := &discovery.List{Version: version, Full: full}
 		for _, id := range ids {
@@ -417,12 +417,12 @@
 		t.Error("an old list was taken")
 	}
 	s.Take(list(1, true, "ready", "a"), true, news) // discovery has begun anew
-	if !s.Listed("a") || s.Listed("b") || news.Lists[2].Scope != balancer.Whole {
+	if !s.Listed("a") || s.Listed("b") || news.Lists[2].Scope != balancer.FullList {
 		t.Error("the whole list of a new link was not taken")
 	}
 	spoilt := list(2, false, "strange", "x")
 	spoilt.Servers = append(spoilt.Servers, discovery.Server{ID: "y", Zone: "elsewhere", State: "ready"}, discovery.Server{State: "gone"})
-	if s.Take(spoilt, false, news); s.Spoilt != 3 || s.Len() != 1 || len(slices.Collect(slices.Values(news.Lists[3].Entries))) != 0 {
+	if s.Take(spoilt, false, news); s.Spoilt != 3 || s.Len() != 1 || len(slices.Collect(slices.Values(news.Lists[3].Endpoints))) != 0 {
 		t.Errorf("%d spoilt, %d listed", s.Spoilt, s.Len())
 	}
 }
--- a/internal/core/registry/roll.go
+++ b/internal/core/registry/roll.go
@@ -31,12 +31,12 @@
 
 // Place is what the settings say of a server.
 type Place struct {
-	Server   balancer.Server `json:"Server"`
-	Zone     balancer.Zone   `json:"Zone"`
-	Kind     balancer.Kind   `json:"Kind"`
-	Pod      balancer.Pod    `json:"Pod"`
-	Weight   float64         `json:"Weight"`
-	Standing bool            `json:"Standing"` // in service without registering
+	Server   balancer.Server        `json:"Server"`
+	Zone     balancer.Zone          `json:"Zone"`
+	Kind     balancer.Kind          `json:"Kind"`
+	Pod      balancer.FailureDomain `json:"Pod"`
+	Weight   float64                `json:"Weight"`
+	Standing bool                   `json:"Standing"` // in service without registering
 }
 
 // Record is what has to outlive the coordinator of one server.
@@ -91,7 +91,7 @@
 	if len(r.members) >= r.most {
 		return nil, fmt.Errorf("%w: %d servers", ErrFull, r.most)
 	}
-	m := &member{Record: Record{Place: Place{Server: s, Weight: 1}, Phase: balancer.Gone}}
+	m := &member{Record: Record{Place: Place{Server: s, Weight: 1}, Phase: balancer.Removed}}
 	r.members[s] = m
 	return m, nil
 }
@@ -99,7 +99,7 @@
 // forget makes room: servers that are gone for long and that no settings list.
 func (r *Roll) forget(now float64) {
 	for s, m := range r.members {
-		if !m.listed && m.Phase == balancer.Gone && now-m.Told > forgetsAfter {
+		if !m.listed && m.Phase == balancer.Removed && now-m.Told > forgetsAfter {
 			delete(r.members, s)
 			r.changed = slices.DeleteFunc(r.changed, func(o *member) bool { return o == m })
 		}
@@ -121,18 +121,18 @@
 // settle works out a member's phase after a fact. A drain outlives a broken connection: whoever comes again may be the
 // same process, behind a cut that has healed.
 func (r *Roll) settle(now float64, m *member) {
-	phase := balancer.InService
+	phase := balancer.Ready
 	switch {
 	case !m.present():
-		phase = balancer.Gone
+		phase = balancer.Removed
 	case m.Drained:
-		phase = balancer.Terminating
+		phase = balancer.Draining
 	}
 	if phase == m.Phase {
 		return
 	}
 	r.version++
-	if m.Phase = phase; phase == balancer.InService {
+	if m.Phase = phase; phase == balancer.Ready {
 		m.Told = 0
 	} else if m.Told == 0 {
 		m.Told = now
@@ -149,7 +149,7 @@
 			return err
 		}
 		m.Record = rec
-		if m.removed = rec.Phase == balancer.Gone; !m.removed {
+		if m.removed = rec.Phase == balancer.Removed; !m.removed {
 			m.restored, m.lostAt = true, now
 		}
 		r.touch(m)
@@ -244,7 +244,7 @@
 // ended.
 func (r *Roll) Quiesce(now float64, s balancer.Server, on bool) bool {
 	m := r.get(s)
-	if m == nil || m.Phase == balancer.Gone && !m.Drained {
+	if m == nil || m.Phase == balancer.Removed && !m.Drained {
 		return false
 	}
 	if m.Drained != on {
@@ -298,7 +298,7 @@
 }
 
 // Changes is what the module has not been told yet, by address, and whether it is the whole list.
-func (r *Roll) Changes() (entries []balancer.Entry, whole bool) {
+func (r *Roll) Changes() (entries []balancer.Endpoint, whole bool) {
 	whole, r.whole = r.whole, false
 	tell := r.changed
 	if whole {
@@ -311,15 +311,15 @@
 		m.touched = false
 	}
 	for _, m := range tell {
-		if m.Phase == balancer.Gone && !m.told {
+		if m.Phase == balancer.Removed && !m.told {
 			continue // never told of, so not to be taken back
 		}
-		m.told = m.Phase != balancer.Gone
-		entries = append(entries, balancer.Entry{Server: m.Server, Zone: m.Zone, Kind: m.Kind, Pod: m.Pod,
+		m.told = m.Phase != balancer.Removed
+		entries = append(entries, balancer.Endpoint{Server: m.Server, Zone: m.Zone, Kind: m.Kind, FailureDomain: m.Pod,
 			Weight: m.Weight, Phase: m.Phase, Started: m.Started})
 	}
 	r.changed = r.changed[:0]
-	slices.SortFunc(entries, func(a, b balancer.Entry) int { return cmp.Compare(a.Server, b.Server) })
+	slices.SortFunc(entries, func(a, b balancer.Endpoint) int { return cmp.Compare(a.Server, b.Server) })
 	return entries, whole
 }
 
@@ -344,7 +344,7 @@
 	if m := r.get(s); m != nil {
 		return m.Phase, m.Told
 	}
-	return balancer.Gone, math.Inf(-1)
+	return balancer.Removed, math.Inf(-1)
 }
 
 // Find is the record of a server.
--- a/internal/core/registry/roll_test.go
+++ b/internal/core/registry/roll_test.go
@@ -20,9 +20,9 @@
 	r.Register(100, "a", 1)
 	r.Lost(110, "a")
 	r.Tick(112)
-	phase(t, r, "a", balancer.InService)
+	phase(t, r, "a", balancer.Ready)
 	r.Tick(112.5)
-	phase(t, r, "a", balancer.Gone)
+	phase(t, r, "a", balancer.Removed)
 	if _, told := r.Phase("a"); told != 112.5 {
 		t.Errorf("told at %v", told)
 	}
@@ -78,28 +78,28 @@
 		t.Fatal(err)
 	}
 	r.Register(131, "a", 0) // its process says nothing of the drain
-	phase(t, r, "a", balancer.Terminating)
+	phase(t, r, "a", balancer.Draining)
 	if rec, _ := r.Find("a"); rec.Told != 120 || rec.Started != 100 {
 		t.Errorf("restored as %+v", rec)
 	}
 	r.Tick(133) // b was not heard of again
-	phase(t, r, "b", balancer.Gone)
+	phase(t, r, "b", balancer.Removed)
 	r.Lost(140, "a") // a cut
 	r.Tick(143)
-	phase(t, r, "a", balancer.Gone)
+	phase(t, r, "a", balancer.Removed)
 	r.Register(150, "a", 0) // it has healed
-	phase(t, r, "a", balancer.Terminating)
+	phase(t, r, "a", balancer.Draining)
 	r.Lost(160, "a")
 	r.Tick(163)
 	if !r.Quiesce(164, "a", false) || r.Quiesce(165, "a", false) { // the drain is ended while it is away, once
 		t.Error("a drain can't be ended while the server is away")
 	}
 	r.Register(170, "a", 0)
-	phase(t, r, "a", balancer.InService)
+	phase(t, r, "a", balancer.Ready)
 	r.Quiesce(171, "a", true)
 	r.Deregister(172, "a") // it goes for good
 	r.Register(173, "a", 0)
-	phase(t, r, "a", balancer.InService)
+	phase(t, r, "a", balancer.Ready)
 }
 
 func TestTheRollIsBounded(t *testing.T) {
@@ -121,9 +121,9 @@
 	r.Vouch(100, "a", 2, 1)
 	r.Vouch(101, "a", 2, 1)
 	r.Vouch(102, "a", 2, -1)
-	phase(t, r, "a", balancer.InService)
+	phase(t, r, "a", balancer.Ready)
 	r.Vouch(103, "a", 2, -1)
-	phase(t, r, "a", balancer.Gone)
+	phase(t, r, "a", balancer.Removed)
 }
 
 func TestWhatTheModuleIsTold(t *testing.T) {
--- a/internal/core/retry/repeat.go
+++ b/internal/core/retry/repeat.go
@@ -16,19 +16,19 @@
 type Place struct {
 	Server balancer.Server
 	Zone   balancer.Zone
-	Pod    balancer.Pod
+	Pod    balancer.FailureDomain
 }
 
 // Query is what is known of a query's tries.
 type Query struct {
-	Class   balancer.QueryClass
-	Way     balancer.Repeats // that the coordinator orders, or the settings
-	Until   float64          // clock time at which its client gives it up
-	Keyed   bool             // it carries a key by which servers know a repeat
-	Tries   int              // so far
-	Ran     bool             // one of them may have run
-	First   Place            // the first that may have run
-	FirstAt float64          // when that one was sent
+	Class   balancer.RequestClass
+	Way     balancer.RetryPolicy // that the coordinator orders, or the settings
+	Until   float64              // clock time at which its client gives it up
+	Keyed   bool                 // it carries a key by which servers know a repeat
+	Tries   int                  // so far
+	Ran     bool                 // one of them may have run
+	First   Place                // the first that may have run
+	FirstAt float64              // when that one was sent
 	tried   [keptTried]balancer.Server
 }
 
@@ -67,38 +67,38 @@
 func (q *Query) May(now float64, last Outcome) bool {
 	most := 1
 	switch q.Way {
-	case balancer.NoRepeat:
+	case balancer.RetryNever:
 		return false
-	case balancer.TwiceOnFailure:
+	case balancer.RetryTwice:
 		most = 2
 	}
-	if q.Tries > most || q.Until-now < leastLeft || last == MayHaveRun && q.Way == balancer.AfterProof {
+	if q.Tries > most || q.Until-now < leastLeft || last == MayHaveRun && q.Way == balancer.RetryIfNotExecuted {
 		return false
 	}
 	if !q.Ran {
 		return true
 	}
-	switch q.Class.Effect {
-	case balancer.Free:
+	switch q.Class.Idempotency {
+	case balancer.Idempotent:
 		return true
-	case balancer.Guarded:
-		return q.Keyed && now < q.FirstAt+q.Class.Window
+	case balancer.Keyed:
+		return q.Keyed && now < q.FirstAt+q.Class.DedupWindow
 	}
 	return false
 }
 
 // At tells whether a repeat may go to a server.
 func (q *Query) At(p Place) bool {
-	if q.Class.Effect == balancer.Free || !q.Ran {
+	if q.Class.Idempotency == balancer.Idempotent || !q.Ran {
 		return true
 	}
-	if q.Class.Effect == balancer.SingleShot {
+	if q.Class.Idempotency == balancer.NonIdempotent {
 		return false
 	}
-	switch q.Class.Group {
+	switch q.Class.DedupScope {
 	case balancer.SameZone:
 		return p.Zone == q.First.Zone
-	case balancer.SamePod:
+	case balancer.SameFailureDomain:
 		return p.Pod == q.First.Pod
 	}
 	return true
--- a/internal/core/saspsession/session.go
+++ b/internal/core/saspsession/session.go
@@ -485,7 +485,7 @@
 func (d *Desk) fallback(m *sasp.Message) {
 	kept := d.zeros[:0]
 	for _, r := range d.zeros {
-		if phase, _ := d.fleet.Roll.Phase(d.server(r.Address)); phase == balancer.InService && r.Flags&sasp.Quiesce == 0 {
+		if phase, _ := d.fleet.Roll.Phase(d.server(r.Address)); phase == balancer.Ready && r.Flags&sasp.Quiesce == 0 {
 			r.Weight = uint16(floorWeight * weightScale)
 			m.Rows = append(m.Rows, r)
 		} else {
@@ -504,10 +504,10 @@
 	if d.fleet.Roll.Registered(s) {
 		row.Flags |= sasp.Contact
 	}
-	if phase == balancer.InService {
+	if phase == balancer.Ready {
 		row.Flags |= sasp.Confident
 	}
-	if phase == balancer.Terminating && weight == 0 {
+	if phase == balancer.Draining && weight == 0 {
 		row.Flags |= sasp.Quiesce
 	}
 	if r != nil {
--- a/internal/core/saspsession/session_test.go
+++ b/internal/core/saspsession/session_test.go
@@ -73,12 +73,12 @@
 
 func testSite(without ...controlplane.Guard) controlplane.Site {
 	s := controlplane.Site{Seed: 1, Names: []string{"search", "introduce"}, Zones: []string{"a", "b"}, Strangers: true,
-		Classes: []balancer.QueryClass{{Benefit: 1, GoalTime: 1, ClientTimeout: 3},
-			{Benefit: 3, GoalTime: 1, ClientTimeout: 3, Effect: balancer.Guarded, Group: balancer.SamePod, Window: 5}},
-		Dataplane: balancer.Dataplane{Proxies: 8, Coordinators: 1, StandingTable: 4, UsualRepeats: balancer.AfterProof},
-		Channel: balancer.Channel{LinesPerSecond: 2000, MessageLines: 3, MostWaiting: 4000, MeanWay: 0.01, LongestWay: 0.2,
-			MostMessages: 40, MessageWindow: 10},
-		Guarantees: balancer.Guarantees{DrainWithin: 3, BareWithin: 2, ColdShare: 0.2, ColdFor: 10, FallMultiple: 3, FallWithin: 2},
+		Classes: []balancer.RequestClass{{PriorityWeight: 1, LatencyObjective: 1, ClientTimeout: 3},
+			{PriorityWeight: 3, LatencyObjective: 1, ClientTimeout: 3, Idempotency: balancer.Keyed, DedupScope: balancer.SameFailureDomain, DedupWindow: 5}},
+		Dataplane: balancer.DataPlane{Proxies: 8, Coordinators: 1, DefaultTableSize: 4, DefaultRetry: balancer.RetryIfNotExecuted},
+		Channel: balancer.Channel{EntriesPerSecond: 2000, MessageOverhead: 3, MaxQueued: 4000, MeanDelay: 0.01, MaxDelay: 0.2,
+			MaxMessages: 40, MessageWindow: 10},
+		Guarantees: balancer.Guarantees{DrainDeadline: 3, EmptyTableDeadline: 2, WarmupStartFraction: 0.2, WarmupDuration: 10, OverloadFactor: 3, OverloadWindow: 2},
 		Reporting:  balancer.Reporting{Period: 0.5}, Limits: controlplane.UsualLimits, Without: map[controlplane.Guard]bool{}}
 	for _, g := range without {
 		s.Without[g] = true
@@ -415,7 +415,7 @@
 func TestAMassOfRelaysIsPaced(t *testing.T) {
 	for _, without := range [][]controlplane.Guard{nil, {controlplane.GuardPace}} {
 		site := testSite(without...)
-		site.Dataplane.Proxies, site.Channel.LinesPerSecond, site.Channel.MostWaiting = 460, 4000, 9000
+		site.Dataplane.Proxies, site.Channel.EntriesPerSecond, site.Channel.MaxQueued = 460, 4000, 9000
 		p := start(t, site, UsualLimits, Policy{FleetUID: "fleet"})
 		var conns []Conn
 		for i := range 460 {
--- a/internal/core/saspsession/speak.go
+++ b/internal/core/saspsession/speak.go
@@ -332,7 +332,7 @@
 func (d *Desk) present(m *sasp.Message, drained bool) bool {
 	for _, r := range m.Rows {
 		rec, ok := d.fleet.Roll.Find(d.server(r.Address))
-		if !ok || rec.Phase == balancer.Gone && !(drained && rec.Drained) {
+		if !ok || rec.Phase == balancer.Removed && !(drained && rec.Drained) {
 			return false
 		}
 	}
@@ -525,7 +525,7 @@
 			lines += d.render(now, reply, b, g, true)
 		}
 	}
-	promise := d.fleet.Site().Guarantees.DrainWithin * d.fleet.Site().Limits.DrainPart
+	promise := d.fleet.Site().Guarantees.DrainDeadline * d.fleet.Site().Limits.DrainPart
 	reply.Interval = uint16(min(max(math.Floor(promise*askInterval), 1), math.MaxUint16))
 	d.send(now, c, reply)
 	if d.conns[c.id] == c && asked == len(b.order) && b.proxy != nil {
--- a/internal/core/tablecache/follow.go
+++ b/internal/core/tablecache/follow.go
@@ -35,7 +35,7 @@
 	Class    balancer.Class
 	Level    float64 // below 0: as before
 	ComeBack float64
-	Way      balancer.Repeats
+	Way      balancer.RetryPolicy
 	Ways     bool // Way is said
 }
 
@@ -158,8 +158,8 @@
 	return orders, t.left(now, touched), nil
 }
 
-var ways = map[string]balancer.Repeats{"none": balancer.NoRepeat, "proof": balancer.AfterProof, "failure": balancer.AfterFailure,
-	"twice": balancer.TwiceOnFailure}
+var ways = map[string]balancer.RetryPolicy{"none": balancer.RetryNever, "proof": balancer.RetryIfNotExecuted, "failure": balancer.RetryOnce,
+	"twice": balancer.RetryTwice}
 
 // Rows takes a class's rows as SASP sends them: each row is a line, set or taken away.
 func (t *Tables) Rows(now float64, class string, rows []sasp.Row, name func(sasp.Address) balancer.Server) ([]balancer.Server, error) {
--- a/internal/core/tablecheck/guard.go
+++ b/internal/core/tablecheck/guard.go
@@ -118,7 +118,7 @@
 		switch {
 		case !known || !(w > 0) || math.IsInf(w, 0):
 			reasons = append(reasons, Reason{Harm: Unknown, UID: p.UID, Class: p.Class, Server: name, Lost: NoZone})
-		case v.Phase != balancer.InService:
+		case v.Phase != balancer.Ready:
 			reasons = append(reasons, Reason{Harm: Drained, UID: p.UID, Class: p.Class, Server: name, Lost: NoZone})
 		}
 	}
@@ -159,7 +159,7 @@
 // open tells whether a server may take a query at all: proxies leave alone what does not answer, and go on to others.
 func (w *world) open(name balancer.Server) (Server, bool) {
 	v, ok := w.site.Servers[name]
-	return v, ok && v.Phase != balancer.Gone && v.Zone != w.lost
+	return v, ok && v.Phase != balancer.Removed && v.Zone != w.lost
 }
 
 // view of a table, worked out once.
@@ -175,7 +175,7 @@
 	for _, name := range names {
 		if v, ok := w.open(name); ok {
 			sum += t.Lines[name]
-			x.well = x.well || v.Phase == balancer.InService && !v.Cold && t.Lines[name] > 0
+			x.well = x.well || v.Phase == balancer.Ready && !v.Cold && t.Lines[name] > 0
 		}
 	}
 	for _, name := range names {
--- a/internal/core/tablecheck/guard_test.go
+++ b/internal/core/tablecheck/guard_test.go
@@ -30,7 +30,7 @@
 		for n, w := range p.States[0].Lines {
 			if v, ok := s.Servers[n]; !ok || w <= 0 {
 				harms[Unknown] = true
-			} else if v.Phase != balancer.InService {
+			} else if v.Phase != balancer.Ready {
 				harms[Drained] = true
 			}
 		}
@@ -54,7 +54,7 @@
 				if v.Cold {
 					c *= s.ColdShare
 				}
-				if v.Phase == balancer.Gone || v.Zone == lost {
+				if v.Phase == balancer.Removed || v.Zone == lost {
 					c = 0
 				}
 				room[v.Pool] += c
@@ -62,16 +62,16 @@
 			for i, p := range s.Proxies {
 				t, sum, well := p.States[picks[i]], 0.0, false
 				for n, w := range t.Lines {
-					if v, ok := s.Servers[n]; ok && v.Phase != balancer.Gone && v.Zone != lost {
+					if v, ok := s.Servers[n]; ok && v.Phase != balancer.Removed && v.Zone != lost {
 						sum += w
-						well = well || v.Phase == balancer.InService && !v.Cold
+						well = well || v.Phase == balancer.Ready && !v.Cold
 					}
 				}
 				if !well {
 					harms[Bare] = true
 				}
 				for n, w := range t.Lines {
-					if v, ok := s.Servers[n]; ok && v.Phase != balancer.Gone && v.Zone != lost {
+					if v, ok := s.Servers[n]; ok && v.Phase != balancer.Removed && v.Zone != lost {
 						load[v.Pool] += p.Demand * w / sum
 					}
 				}
@@ -116,7 +116,7 @@
 		n := rapid.IntRange(2, 6).Draw(r, "servers")
 		for i := range n {
 			s.Servers[name(i)] = Server{Zone: balancer.Zone(i % 3), Pool: []string{"a", "b", ""}[rapid.IntRange(0, 2).Draw(r, "pool")],
-				Phase: []balancer.Phase{balancer.InService, balancer.InService, balancer.InService, balancer.InService, balancer.Terminating, balancer.Gone}[rapid.IntRange(0, 5).Draw(r, "phase")],
+				Phase: []balancer.Phase{balancer.Ready, balancer.Ready, balancer.Ready, balancer.Ready, balancer.Draining, balancer.Removed}[rapid.IntRange(0, 5).Draw(r, "phase")],
 				Cold:  rapid.IntRange(0, 4).Draw(r, "cold") == 0, Capacity: float64(rapid.IntRange(0, 200).Draw(r, "capacity"))}
 		}
 		for i := range rapid.IntRange(1, 4).Draw(r, "proxies") {
@@ -127,7 +127,7 @@
 					if v == n && rapid.IntRange(0, 40).Draw(r, "unknown") > 0 {
 						continue
 					}
-					ok := s.Servers[name(v)].Phase == balancer.InService || k > 0 || rapid.IntRange(0, 9).Draw(r, "wrong") == 0
+					ok := s.Servers[name(v)].Phase == balancer.Ready || k > 0 || rapid.IntRange(0, 9).Draw(r, "wrong") == 0
 					if w := rapid.IntRange(-1, 5).Draw(r, "weight"); w > 0 && ok {
 						table.Lines[name(v)] = float64(w)
 					}
@@ -178,7 +178,7 @@
 	if r := s.Check(); len(r) != 2 || r[0].Harm != Loaded || r[0].Lost != 0 || r[1].Lost != 1 {
 		t.Fatalf("%v", r)
 	}
-	s.Servers["a"] = Server{Zone: 0, Pool: "x", Capacity: 10, Phase: balancer.Terminating}
+	s.Servers["a"] = Server{Zone: 0, Pool: "x", Capacity: 10, Phase: balancer.Draining}
 	if r := s.Check(); len(r) != 1 || r[0].Harm != Drained || !strings.Contains(r[0].String(), "takes none") {
 		t.Fatalf("%v", r)
 	}
--- a/internal/core/tables/tables.go
+++ b/internal/core/tables/tables.go
@@ -28,7 +28,7 @@
 type Level struct {
 	Class   balancer.Class
 	Level   float64
-	Again   balancer.Repeats
+	Again   balancer.RetryPolicy
 	Changed Version
 }
 
@@ -104,7 +104,7 @@
 }
 
 // SetLevel orders a level and a way of repeating for a class. It reports whether that is a change.
-func (t *Table) SetLevel(c balancer.Class, level float64, again balancer.Repeats) bool {
+func (t *Table) SetLevel(c balancer.Class, level float64, again balancer.RetryPolicy) bool {
 	for i := range t.levels {
 		if l := &t.levels[i]; l.Class == c {
 			if l.Level == level && l.Again == again {
--- a/internal/deployment/deployment.go
+++ b/internal/deployment/deployment.go
@@ -75,17 +75,17 @@
 }
 
 var (
-	effects = map[string]balancer.Effect{"free": balancer.Free, "guarded": balancer.Guarded,
-		"single_shot": balancer.SingleShot}
-	groups = map[string]balancer.Group{"all": balancer.EveryServer, "zone": balancer.SameZone,
-		"cell": balancer.SamePod}
-	levels = map[string]balancer.LevelKind{"silent": balancer.LevelsIgnored, "fraction": balancer.LevelFraction,
-		"per_second": balancer.LevelRate}
-	figures = map[string]balancer.LoadFigure{"rif": balancer.InProgress, "q": balancer.Waiting,
-		"busy": balancer.Busy, "lat_ms": balancer.ServiceTime, "rate": balancer.AnsweredRate,
+	effects = map[string]balancer.Idempotency{"free": balancer.Idempotent, "guarded": balancer.Keyed,
+		"single_shot": balancer.NonIdempotent}
+	groups = map[string]balancer.DedupScope{"all": balancer.EveryServer, "zone": balancer.SameZone,
+		"cell": balancer.SameFailureDomain}
+	levels = map[string]balancer.AdmissionMode{"silent": balancer.AdmissionIgnored, "fraction": balancer.AdmissionFraction,
+		"per_second": balancer.AdmissionRate}
+	figures = map[string]balancer.LoadMetric{"rif": balancer.InProgress, "q": balancer.QueueLength,
+		"busy": balancer.Utilization, "lat_ms": balancer.ServiceTime, "rate": balancer.CompletionRate,
 		"fail_rate": balancer.ErrorRate}
-	sources = map[string]balancer.WeightSource{"silent": balancer.WeightsSilent,
-		"nominal": balancer.WeightsNominal, "rough": balancer.WeightsRough, "live": balancer.WeightsLive}
+	sources = map[string]balancer.WeightSource{"silent": balancer.WeightsAbsent,
+		"nominal": balancer.WeightsNominal, "rough": balancer.WeightsApproximate, "live": balancer.WeightsLive}
 )
 
 // Read reads a settings object.
@@ -109,7 +109,7 @@
 }
 
 // Figures are those of a load report, in its order.
-func (d *Deployment) Figures() (list []balancer.LoadFigure) {
+func (d *Deployment) Figures() (list []balancer.LoadMetric) {
 	for _, n := range d.Report.Names {
 		list = append(list, figures[n])
 	}
@@ -117,33 +117,33 @@
 }
 
 // Coordinator makes the one of this deployment that the settings were given to.
-func (d *Deployment) Coordinator(seed uint64) *balancer.Manager {
+func (d *Deployment) Coordinator(seed uint64) *balancer.Balancer {
 	f, g := d.FamilyInfo, d.Guarantees
-	classes := make([]balancer.QueryClass, 0, len(d.Grades))
+	classes := make([]balancer.RequestClass, 0, len(d.Grades))
 	for k, c := range d.Grades {
-		q := balancer.QueryClass{Benefit: c.Points, LateBenefit: c.LateWorth, GoalTime: c.Aim,
-			GoalStretch: c.AimStretch, ClientTimeout: c.Deadline, Effect: effects[c.Effect], Group: groups[c.Group],
-			Window: c.Window, OwnZone: k < len(f.ClassOwnZone) && f.ClassOwnZone[k],
+		q := balancer.RequestClass{PriorityWeight: c.Points, LateWeight: c.LateWorth, LatencyObjective: c.Aim,
+			ObjectiveStretch: c.AimStretch, ClientTimeout: c.Deadline, Idempotency: effects[c.Effect], DedupScope: groups[c.Group],
+			DedupWindow: c.Window, ZoneLocal: k < len(f.ClassOwnZone) && f.ClassOwnZone[k],
 			Writes: k < len(f.ClassWrites) && f.ClassWrites[k]}
 		for _, z := range c.OnlyZones {
-			q.OnlyZones = append(q.OnlyZones, balancer.Zone(z))
+			q.AllowedZones = append(q.AllowedZones, balancer.Zone(z))
 		}
 		classes = append(classes, q)
 	}
-	reporting := balancer.Reporting{Period: f.Period, LinesPerSecond: f.ReportsPerS,
-		OnAnswers: d.Report.How == "piggyback", Figures: d.Figures()}
+	reporting := balancer.Reporting{Period: f.Period, EntriesPerSecond: f.ReportsPerS,
+		Piggybacked: d.Report.How == "piggyback", Metrics: d.Figures()}
 	return balancer.New(seed, classes,
-		balancer.Dataplane{Proxies: f.DataPlaneSize, Coordinators: d.Balancers,
-			Self: balancer.Coordinator(d.Ordinal), StandingTable: f.InitialSet, EjectAfter: f.OutlierAfter,
-			UsualRepeats: balancer.Repeats(f.DefaultRetry), TryGoals: f.TryAims, LeastConnections: f.SmallestConn, Levels: levels[f.LevelKind]},
-		balancer.Channel{LinesPerSecond: f.EgressPerS, MessageLines: f.PerMessage, MostWaiting: f.PendingMax,
-			MeanWay: f.Propagation, LongestWay: f.LateMost, MostMessages: f.ReloadsMax,
+		balancer.DataPlane{Proxies: f.DataPlaneSize, Coordinators: d.Balancers,
+			Self: balancer.Coordinator(d.Ordinal), DefaultTableSize: f.InitialSet, EjectAfterFailures: f.OutlierAfter,
+			DefaultRetry: balancer.RetryPolicy(f.DefaultRetry), AttemptTimeoutFactor: f.TryAims, MinConnections: f.SmallestConn, Admission: levels[f.LevelKind]},
+		balancer.Channel{EntriesPerSecond: f.EgressPerS, MessageOverhead: f.PerMessage, MaxQueued: f.PendingMax,
+			MeanDelay: f.Propagation, MaxDelay: f.LateMost, MaxMessages: f.ReloadsMax,
 			MessageWindow: f.UpdateWindow},
-		balancer.Guarantees{DrainWithin: g.StopSendingWithin, BareWithin: f.UnservedMax, ColdShare: g.ColdFrom,
-			ColdFor: g.Cold, FallMultiple: g.FallMultiple, FallWithin: g.Fall, AskWithin: g.AskWithin,
-			GoneIsAdvice: g.GoneIsAdvice},
+		balancer.Guarantees{DrainDeadline: g.StopSendingWithin, EmptyTableDeadline: f.UnservedMax, WarmupStartFraction: g.ColdFrom,
+			WarmupDuration: g.Cold, OverloadFactor: g.FallMultiple, OverloadWindow: g.Fall, DiscoveryPollDeadline: g.AskWithin,
+			RemovalIsAdvisory: g.GoneIsAdvice},
 		reporting,
-		balancer.Probing{Allowed: d.PolicyLimits.MayProbe, Price: d.Prices.Probe,
+		balancer.HealthChecking{Allowed: d.PolicyLimits.MayProbe, Price: d.Prices.Probe,
 			Timeout: d.PolicyLimits.ConnectTimeout},
-		balancer.Discovery{OnRequest: d.Discovery == "on_request", Weights: sources[d.WeightSource]})
+		balancer.Discovery{Polled: d.Discovery == "on_request", Weights: sources[d.WeightSource]})
 }
--- a/internal/deployment/deployment_test.go
+++ b/internal/deployment/deployment_test.go
@@ -11,21 +11,21 @@
 	"snowquay/balancer"
 )
 
-// ledger is a balancer.Writer that keeps what proxies hold.
+// ledger is a balancer.CommandSink that keeps what proxies hold.
 type ledger struct {
 	lines  map[balancer.Table]map[balancer.Server]float64
 	bound  map[balancer.Proxy]map[balancer.Class]balancer.Table
-	levels []balancer.Repeats // by class, the most that were ordered
+	levels []balancer.RetryPolicy // by class, the most that were ordered
 }
 
-func (l *ledger) Weigh(t balancer.Table, s balancer.Server, v float64) {
+func (l *ledger) SetWeight(t balancer.Table, s balancer.Server, v float64) {
 	if l.lines[t] == nil {
 		l.lines[t] = map[balancer.Server]float64{}
 	}
 	l.lines[t][s] = v
 }
 
-func (l *ledger) Bind(p balancer.Proxy, t balancer.Table, set balancer.Classes) {
+func (l *ledger) AssignTable(p balancer.Proxy, t balancer.Table, set balancer.ClassSet) {
 	if l.bound[p] == nil {
 		l.bound[p] = map[balancer.Class]balancer.Table{}
 	}
@@ -36,7 +36,7 @@
 	}
 }
 
-func (l *ledger) Admit(_ balancer.Table, set balancer.Classes, _ float64, again balancer.Repeats) {
+func (l *ledger) SetAdmission(_ balancer.Table, set balancer.ClassSet, _ float64, again balancer.RetryPolicy) {
 	for c := range l.levels {
 		if set == 0 || set>>c&1 == 1 {
 			l.levels[c] = max(l.levels[c], again)
@@ -44,11 +44,11 @@
 	}
 }
 
-func (l *ledger) Mark(balancer.Mark)           {}
-func (l *ledger) Probe(balancer.Server)        {}
-func (l *ledger) Watch()                       {}
-func (l *ledger) Wake(float64, balancer.Timer) {}
-func (l *ledger) Note(string)                  {}
+func (l *ledger) RequestAck(balancer.AckID)        {}
+func (l *ledger) HealthCheck(balancer.Server)      {}
+func (l *ledger) PollDiscovery()                   {}
+func (l *ledger) SetTimer(float64, balancer.Timer) {}
+func (l *ledger) Log(string)                       {}
 
 func site(t *testing.T, name string) (*Deployment, string) {
 	t.Helper()
@@ -71,12 +71,12 @@
 func TestOtherDeploymentsAreReadAndObeyed(t *testing.T) {
 	for _, want := range []struct {
 		name    string
-		effects []balancer.Effect
+		effects []balancer.Idempotency
 		own     []bool
 		drains  float64 // seconds, 0.2 and more over the site's figure
 	}{
-		{"harbour-tides", []balancer.Effect{balancer.Free, balancer.SingleShot}, []bool{false, false}, 2.5},
-		{"alpine-rescue", []balancer.Effect{balancer.Free, balancer.Guarded}, []bool{false, true}, 3},
+		{"harbour-tides", []balancer.Idempotency{balancer.Idempotent, balancer.NonIdempotent}, []bool{false, false}, 2.5},
+		{"alpine-rescue", []balancer.Idempotency{balancer.Idempotent, balancer.Keyed}, []bool{false, true}, 3},
 	} {
 		d, page := site(t, want.name)
 		var names []string
@@ -101,30 +101,30 @@
 
 func obeyed(t *testing.T, name string, d *Deployment, own []bool) {
 	t.Helper()
-	d.FamilyInfo.DefaultRetry = int(balancer.TwiceOnFailure) // orders of less are needed then
+	d.FamilyInfo.DefaultRetry = int(balancer.RetryTwice) // orders of less are needed then
 	m, l := d.Coordinator(7), &ledger{map[balancer.Table]map[balancer.Server]float64{}, map[balancer.Proxy]map[balancer.Class]balancer.Table{},
-		make([]balancer.Repeats, len(d.Grades))}
-	list, zone := balancer.List{Scope: balancer.Whole}, map[balancer.Server]balancer.Zone{}
-	var streams []balancer.Stream
+		make([]balancer.RetryPolicy, len(d.Grades))}
+	list, zone := balancer.EndpointList{Scope: balancer.FullList}, map[balancer.Server]balancer.Zone{}
+	var streams []balancer.ProxyEvent
 	for z := range d.Zones {
 		for i := range []int{40, 10, 10}[z] { // an even part of all servers is not what is in a zone
 			s := balancer.Server(fmt.Sprintf("s-%d-%d", z, i))
 			zone[s] = balancer.Zone(z)
-			list.Entries = append(list.Entries, balancer.Entry{Server: s, Zone: balancer.Zone(z), Weight: 1})
+			list.Endpoints = append(list.Endpoints, balancer.Endpoint{Server: s, Zone: balancer.Zone(z), Weight: 1})
 		}
-		streams = append(streams, balancer.Stream{Proxy: balancer.Proxy(z), Joined: true, Zone: balancer.Zone(z), Usual: 5})
+		streams = append(streams, balancer.ProxyEvent{Proxy: balancer.Proxy(z), Joined: true, Zone: balancer.Zone(z), ExpectedRate: 5})
 	}
-	m.Round(100, balancer.News{Lists: []balancer.List{list}, Streams: streams}, l)
+	m.Reconcile(100, balancer.Events{Lists: []balancer.EndpointList{list}, ProxyEvents: streams}, l)
 	for i := range 400 { // most tries fail at first, then none: repeats are ordered off, and on again
 		now := 100.1 + float64(i)/4
-		var traffic []balancer.Traffic
+		var traffic []balancer.UpstreamReport
 		for s, z := range zone {
 			if i%4 == 0 {
-				traffic = append(traffic, balancer.Traffic{Server: s, Zone: z, Tries: 8, Lost: []float64{6, 0}[i/200], Latency: 0.2, Interval: 1})
+				traffic = append(traffic, balancer.UpstreamReport{Server: s, Zone: z, Attempts: 8, Failed: []float64{6, 0}[i/200], Latency: 0.2, Interval: 1})
 			}
 		}
-		slices.SortFunc(traffic, func(a, b balancer.Traffic) int { return strings.Compare(string(a.Server), string(b.Server)) })
-		m.Round(now, balancer.News{Traffic: traffic}, l)
+		slices.SortFunc(traffic, func(a, b balancer.UpstreamReport) int { return strings.Compare(string(a.Server), string(b.Server)) })
+		m.Reconcile(now, balancer.Events{Upstreams: traffic}, l)
 	}
 	for _, s := range streams {
 		for c := range d.Grades {
@@ -143,11 +143,11 @@
 			}
 		}
 	}
-	if l.levels[0] != balancer.TwiceOnFailure {
+	if l.levels[0] != balancer.RetryTwice {
 		t.Errorf("%s: at most %d was ordered for the class that may run any time", name, l.levels[0])
 	}
 	for c, again := range l.levels {
-		if effects[d.Grades[c].Effect] != balancer.Free && again > balancer.AfterProof {
+		if effects[d.Grades[c].Effect] != balancer.Idempotent && again > balancer.RetryIfNotExecuted {
 			t.Errorf("%s: class %d may run twice: %d", name, c, again)
 		}
 	}
@@ -193,13 +193,13 @@
 			t.Errorf("%s: doubts %q, want %q", text, doubts, want)
 		}
 		m := d.Coordinator(1)
-		news := balancer.News{Lists: []balancer.List{{Entries: []balancer.Entry{{Server: "s", Weight: 1}}}},
-			Streams: []balancer.Stream{{Proxy: 1, Joined: true, Usual: 5}, {Proxy: 2, Joined: true, Usual: 5}}}
+		news := balancer.Events{Lists: []balancer.EndpointList{{Endpoints: []balancer.Endpoint{{Server: "s", Weight: 1}}}},
+			ProxyEvents: []balancer.ProxyEvent{{Proxy: 1, Joined: true, ExpectedRate: 5}, {Proxy: 2, Joined: true, ExpectedRate: 5}}}
 		l := ledger{lines: map[balancer.Table]map[balancer.Server]float64{}, bound: map[balancer.Proxy]map[balancer.Class]balancer.Table{},
-			levels: make([]balancer.Repeats, 1)}
+			levels: make([]balancer.RetryPolicy, 1)}
 		for i := range 30 {
-			m.Round(100+float64(i)/4, news, &l)
-			news = balancer.News{Applied: []balancer.Applied{{Proxy: 1, Mark: 1, Took: 0.1}}}
+			m.Reconcile(100+float64(i)/4, news, &l)
+			news = balancer.Events{Acks: []balancer.Ack{{Proxy: 1, ID: 1, Latency: 0.1}}}
 		}
 	}
 }
--- a/internal/emulator/asks.go
+++ b/internal/emulator/asks.go
@@ -183,7 +183,7 @@
 		r.levels[k] = *c.Level
 	}
 	if way := slices.Index([]string{"none", "proof", "failure", "twice"}, c.Again); way >= 0 {
-		r.again[k] = balancer.Repeats(way)
+		r.again[k] = balancer.RetryPolicy(way)
 	}
 	r.tell(now)
 }
--- a/internal/emulator/queue_test.go
+++ b/internal/emulator/queue_test.go
@@ -84,7 +84,7 @@
 			return mean * (0.5 + c.float())
 		}, func(l float64) float64 { return mean + l*mean*(13.0/12)/(2*(1-l)) }},
 	} {
-		classes := []Class{{Name: "q", Query: balancer.QueryClass{GoalTime: 1, ClientTimeout: 5}, Work: mean}}
+		classes := []Class{{Name: "q", Query: balancer.RequestClass{LatencyObjective: 1, ClientTimeout: 5}, Work: mean}}
 		ref := NewReferee(Rules{}, classes)
 		net := simnet.New(7, 1000)
 		addr := netip.MustParseAddrPort("127.0.9.1:80")
@@ -104,7 +104,7 @@
 
 // What servers are like besides: connections that are refused, their price, keys that are remembered, work that stops.
 func TestServersModel(t *testing.T) {
-	classes := []Class{{Name: "q", Query: balancer.QueryClass{GoalTime: 1, ClientTimeout: 5}}}
+	classes := []Class{{Name: "q", Query: balancer.RequestClass{LatencyObjective: 1, ClientTimeout: 5}}}
 	mean := func(change func(*ServerSetup), load float64) float64 {
 		ref := NewReferee(Rules{}, classes)
 		net := simnet.New(7, 1000)
--- a/internal/emulator/referee.go
+++ b/internal/emulator/referee.go
@@ -262,7 +262,7 @@
 func (f *Referee) bare(now float64) {
 	warm := false
 	for _, s := range f.servers {
-		warm = warm || s.up && s.listed && !s.draining && now-s.started >= f.rules.Promise.ColdFor
+		warm = warm || s.up && s.listed && !s.draining && now-s.started >= f.rules.Promise.WarmupDuration
 	}
 	for uid, r := range f.relays {
 		for k, has := range r.has {
@@ -274,7 +274,7 @@
 				r.bareFrom[k] = now
 			}
 			f.longestBare = max(f.longestBare, now-r.bareFrom[k])
-			if now-r.bareFrom[k] > f.rules.Promise.BareWithin+f.rules.Slack {
+			if now-r.bareFrom[k] > f.rules.Promise.EmptyTableDeadline+f.rules.Slack {
 				f.broken(1, now, "%s has had no line for %s for %.2f s", uid, f.classes[k].Name, now-r.bareFrom[k])
 			}
 		}
@@ -315,7 +315,7 @@
 	}
 	after := now - max(s.told, r.joinedAt)
 	f.latestDrain = max(f.latestDrain, after)
-	if after > f.rules.Promise.DrainWithin+f.rules.Slack {
+	if after > f.rules.Promise.DrainDeadline+f.rules.Slack {
 		f.broken(3, now, "%s sent to %s, %.2f s after it was told to drain", uid, a, after)
 	}
 }
@@ -335,10 +335,10 @@
 	r.messages = append(r.messages, now)
 	r.messages = slices.DeleteFunc(r.messages, func(t float64) bool { return t <= now-c.MessageWindow })
 	f.mostMessages = max(f.mostMessages, len(r.messages))
-	if c.MostMessages > 0 && len(r.messages) > c.MostMessages {
+	if c.MaxMessages > 0 && len(r.messages) > c.MaxMessages {
 		f.broken(5, now, "%d messages to %s within %.0f s", len(r.messages), uid, c.MessageWindow)
 	}
-	f.sent = append(f.sent, stamp{now, float64(lines) + c.MessageLines})
+	f.sent = append(f.sent, stamp{now, float64(lines) + c.MessageOverhead})
 	const span = 2.0 // seconds over which the pace is judged
 	f.sent = slices.DeleteFunc(f.sent, func(s stamp) bool { return s.at <= now-span })
 	sum, largest := 0.0, 0.0
@@ -346,7 +346,7 @@
 		sum, largest = sum+s.lines, max(largest, s.lines)
 	}
 	f.busiest = max(f.busiest, (sum-largest)/span)
-	if sum > c.LinesPerSecond*(span+f.rules.Slack)*paceSlack+largest {
+	if sum > c.EntriesPerSecond*(span+f.rules.Slack)*paceSlack+largest {
 		f.broken(5, now, "%.0f lines within %.0f s", sum, span)
 	}
 }
@@ -359,13 +359,13 @@
 func (f *Referee) Queue(now, peak float64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if peak > f.rules.Channel.MostWaiting {
-		f.broken(5, now, "%.0f lines waited, at most %.0f may", peak, f.rules.Channel.MostWaiting)
+	if peak > f.rules.Channel.MaxQueued {
+		f.broken(5, now, "%.0f lines waited, at most %.0f may", peak, f.rules.Channel.MaxQueued)
 	}
 }
 
 func (f *Referee) effect(now float64, a netip.AddrPort, id uint64, c Class) {
-	if c.Query.Effect == balancer.Free {
+	if c.Query.Idempotency == balancer.Idempotent {
 		return
 	}
 	f.mu.Lock()
@@ -385,7 +385,7 @@
 	for _, r := range f.relays {
 		if r.host == from && r.joinedAt > 0 && s.listed {
 			n := len(r.messages)
-			return now-s.listedAt > f.rules.Promise.DrainWithin ||
+			return now-s.listedAt > f.rules.Promise.DrainDeadline ||
 				n > 0 && r.messages[n-1] > s.listedAt+f.rules.Slack+roundSlack
 		}
 	}
@@ -409,7 +409,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.Asked[class]++
-	f.part(now).asked += f.classes[class].Query.Benefit
+	f.part(now).asked += f.classes[class].Query.PriorityWeight
 }
 
 // part of the day that a time is in.
@@ -428,9 +428,9 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.Answered[class]++
-	if took <= f.classes[class].Query.GoalTime {
+	if took <= f.classes[class].Query.LatencyObjective {
 		f.InTime[class]++
-		f.part(now - took).got += f.classes[class].Query.Benefit
+		f.part(now - took).got += f.classes[class].Query.PriorityWeight
 	}
 	_ = f.times[class].RecordValue(min(int64(took*1e6), mostTook)) // it is in its range
 }
@@ -461,7 +461,7 @@
 	defer f.mu.Unlock()
 	got, asked := 0.0, 0.0
 	for k, c := range f.classes {
-		got, asked = got+f.InTime[k]*c.Query.Benefit, asked+f.Asked[k]*c.Query.Benefit
+		got, asked = got+f.InTime[k]*c.Query.PriorityWeight, asked+f.Asked[k]*c.Query.PriorityWeight
 	}
 	return got / max(asked, 1)
 }
@@ -486,12 +486,12 @@
 	defer f.mu.Unlock()
 	p, c := f.rules.Promise, f.rules.Channel
 	all := []Verdict{
-		{1, "no relay without a line", false, fmt.Sprintf("longest %.2f s of %.2f s", f.longestBare, p.BareWithin), nil},
+		{1, "no relay without a line", false, fmt.Sprintf("longest %.2f s of %.2f s", f.longestBare, p.EmptyTableDeadline), nil},
 		{2, "no effect twice", false, fmt.Sprintf("%d doubled of %d", f.doubled, len(f.ran)), nil},
-		{3, "drains kept", false, fmt.Sprintf("last query %.2f s after the drain, %.2f s allowed", f.latestDrain, p.DrainWithin), nil},
+		{3, "drains kept", false, fmt.Sprintf("last query %.2f s after the drain, %.2f s allowed", f.latestDrain, p.DrainDeadline), nil},
 		{4, "no cold server pushed over", false, fmt.Sprintf("%d fell, %d more before relays could know", f.falls, f.unknowing), nil},
 		{5, "queue and messages within limits", false, fmt.Sprintf("busiest %.0f of %.0f lines a second, %d of %d messages",
-			f.busiest, c.LinesPerSecond, f.mostMessages, c.MostMessages), nil},
+			f.busiest, c.EntriesPerSecond, f.mostMessages, c.MaxMessages), nil},
 	}
 	for i := range all {
 		all[i].Reasons = f.reasons[all[i].Rule]
--- a/internal/emulator/relay.go
+++ b/internal/emulator/relay.go
@@ -129,7 +129,7 @@
 	beat    bool // its coordinator was asked whether it lives, and has not answered
 	asks    asker
 	levels  []float64
-	again   []balancer.Repeats
+	again   []balancer.RetryPolicy
 }
 
 // Popularity of keys by Zipf's law with an exponent: which part of the queries is for the first key, the first two, and so on. Relays of
@@ -590,7 +590,7 @@
 	t.totals.Tries++
 	t.under++
 	r.ref.try(now, r.UID, a)
-	r.io.Wake(now+r.Classes[q.class].Query.GoalTime, x.number)
+	r.io.Wake(now+r.Classes[q.class].Query.LatencyObjective, x.number)
 	if t.conn == 0 {
 		t.conn, t.open = r.io.Dial(a), false
 		r.byConn[t.conn] = a
@@ -633,9 +633,9 @@
 	if t.failures++; r.EjectAfter > 0 && t.failures >= r.EjectAfter {
 		t.failures, t.avoid = 0, now+r.EjectFor
 	}
-	most := map[balancer.Repeats]int{balancer.AfterProof: 1, balancer.AfterFailure: 1, balancer.TwiceOnFailure: 2}
+	most := map[balancer.RetryPolicy]int{balancer.RetryIfNotExecuted: 1, balancer.RetryOnce: 1, balancer.RetryTwice: 2}
 	way := r.again[x.class]
-	if x.tries <= most[way] && (a == full || way >= balancer.AfterFailure) {
+	if x.tries <= most[way] && (a == full || way >= balancer.RetryOnce) {
 		r.try(now, x.query)
 		return
 	}
