--- a/internal/emulator/server.go
+++ b/internal/emulator/server.go
@@ -240,8 +240,8 @@
 		s.answerAfter(now, failFastTakes, j)
 		return
 	}
-	if q := s.Classes[j.class].Query; q.Effect != 0 {
-		if at, ok := s.Pod.seen[j.id]; ok && now-at < q.Window { // a repeat: dropped, and answered as the first was
+	if q := s.Classes[j.class].Query; q.Idempotency != 0 {
+		if at, ok := s.Pod.seen[j.id]; ok && now-at < q.DedupWindow { // a repeat: dropped, and answered as the first was
 			s.reply(j, answered)
 			return
 		}
--- a/internal/emulator/standin.go
+++ b/internal/emulator/standin.go
@@ -14,10 +14,10 @@
 // Class is what stand-ins need to know of a query class.
 type Class struct {
 	Name    string
-	Query   balancer.QueryClass
+	Query   balancer.RequestClass
 	Share   float64 // of all queries
 	Work    float64 // mean seconds on a core of speed 1
-	Repeats balancer.Repeats
+	Repeats balancer.RetryPolicy
 }
 
 // A query between stand-ins: 24 bytes there, 9 back.
--- a/internal/experiment/lab.go
+++ b/internal/experiment/lab.go
@@ -153,10 +153,10 @@
 	scenario.Enlarge(d, c.Fleet.Servers, c.Fleet.Relays)
 	site := &d.Coordinator.Site
 	for i := range site.Servers { // servers of a pod stand in one zone, and restart together
-		site.Servers[i].Pod, site.Servers[i].Zone = balancer.Pod(i/podSize), balancer.Zone(i/podSize%len(site.Zones))
+		site.Servers[i].Pod, site.Servers[i].Zone = balancer.FailureDomain(i/podSize), balancer.Zone(i/podSize%len(site.Zones))
 	}
-	site.Channel.LinesPerSecond = max(160, float64(len(site.Classes)*c.Fleet.Servers*c.Fleet.Relays)/leastCross)
-	site.Channel.MostWaiting = 4 * site.Channel.LinesPerSecond
+	site.Channel.EntriesPerSecond = max(160, float64(len(site.Classes)*c.Fleet.Servers*c.Fleet.Relays)/leastCross)
+	site.Channel.MaxQueued = 4 * site.Channel.EntriesPerSecond
 	d.Cores, d.Queue, d.Slowest, d.Fastest = cores, queueEach, 0.7, 1.1
 	d.Rate, d.Spread, d.Keys = c.Fleet.Rate, c.Fleet.Spread, keysEach*c.Fleet.Servers
 	if d.Rate == 0 {
@@ -172,7 +172,7 @@
 		site.Reporting.Period = c.Arm.Period
 	}
 	if c.Arm.Levels == "fraction" || c.Arm.Levels == "rate" {
-		site.Dataplane.Levels = map[string]balancer.LevelKind{"fraction": balancer.LevelFraction, "rate": balancer.LevelRate}[c.Arm.Levels]
+		site.Dataplane.Admission = map[string]balancer.AdmissionMode{"fraction": balancer.AdmissionFraction, "rate": balancer.AdmissionRate}[c.Arm.Levels]
 		d.Coordinator.Policy.Members = true // SASP has no word for them
 	}
 	d.Troubles = nil
--- a/internal/feed/collectd/collect_test.go
+++ b/internal/feed/collectd/collect_test.go
@@ -11,7 +11,7 @@
 )
 
 func newFleet(t testing.TB) *controlplane.Fleet {
-	f, err := controlplane.New(1000, controlplane.Site{Names: []string{"search"}, Classes: []balancer.QueryClass{{GoalTime: 1}},
+	f, err := controlplane.New(1000, controlplane.Site{Names: []string{"search"}, Classes: []balancer.RequestClass{{LatencyObjective: 1}},
 		Strangers: true, Limits: controlplane.UsualLimits, Reporting: balancer.Reporting{Period: 0.5},
 		Servers: []registry.Place{{Server: "10.0.0.1:80", Weight: 1, Standing: true}}}, nil, nil)
 	if err != nil {
@@ -42,8 +42,8 @@
 			}
 		}
 		traffic, demand := f.Book.Close()
-		if len(traffic) != 1 || traffic[0].Tries != 20 || traffic[0].Latency != 0.25 || traffic[0].Interval != 0.5 ||
-			len(demand) != 1 || demand[0].Queries != 20 {
+		if len(traffic) != 1 || traffic[0].Attempts != 20 || traffic[0].Latency != 0.25 || traffic[0].Interval != 0.5 ||
+			len(demand) != 1 || demand[0].Requests != 20 {
 			t.Errorf("key %q: %+v, %+v", key, traffic, demand)
 		}
 		if f.Book.Rejected.Old != 2 {
--- a/internal/feed/collectd/text_test.go
+++ b/internal/feed/collectd/text_test.go
@@ -27,7 +27,7 @@
 		}
 	}
 	traffic, demand := f.Book.Close()
-	if len(traffic) != 1 || traffic[0].Tries != 20 || traffic[0].Interval != 0.5 || len(demand) != 1 || demand[0].Queries != 20 {
+	if len(traffic) != 1 || traffic[0].Attempts != 20 || traffic[0].Interval != 0.5 || len(demand) != 1 || demand[0].Requests != 20 {
 		t.Errorf("%+v, %+v", traffic, demand)
 	}
 	signed := New(f, "relays", "secret")
@@ -46,7 +46,7 @@
 // A stream with garbled, doubled and cut lines leads to what the clean one leads to: the same sums, hence the same decisions.
 func TestGarbledLinesDecideNothing(t *testing.T) {
 	c := rand.New(rand.NewPCG(1, 2))
-	run := func(dirty bool) (all [][]balancer.Traffic) {
+	run := func(dirty bool) (all [][]balancer.UpstreamReport) {
 		f := newFleet(t)
 		x := New(f, "", "")
 		for i := range 200 {
--- a/internal/frontend/admin/admin.go
+++ b/internal/frontend/admin/admin.go
@@ -216,15 +216,15 @@
 	return b
 }
 
-var phases = map[balancer.Phase]string{balancer.InService: "in service", balancer.Terminating: "drains", balancer.Gone: "gone"}
+var phases = map[balancer.Phase]string{balancer.Ready: "in service", balancer.Draining: "drains", balancer.Removed: "gone"}
 
 type serverRow struct {
-	Server  balancer.Server `json:"server"`
-	Phase   string          `json:"phase"`
-	Zone    string          `json:"zone"`
-	Pod     balancer.Pod    `json:"pod"`
-	Started float64         `json:"started"`
-	Cold    bool            `json:"cold"`
+	Server  balancer.Server        `json:"server"`
+	Phase   string                 `json:"phase"`
+	Zone    string                 `json:"zone"`
+	Pod     balancer.FailureDomain `json:"pod"`
+	Started float64                `json:"started"`
+	Cold    bool                   `json:"cold"`
 }
 
 func version(f *controlplane.Fleet) string { return fmt.Sprintf("%q", strconv.Itoa(f.Roll.Version())) }
@@ -236,7 +236,7 @@
 		for _, name := range f.Roll.Servers() {
 			rec, _ := f.Roll.Find(name)
 			rows = append(rows, serverRow{Server: name, Phase: phases[rec.Phase], Zone: zoneName(f, rec.Zone), Pod: rec.Pod,
-				Started: rec.Started, Cold: f.Roll.Cold(now, name, f.Site().Guarantees.ColdFor)})
+				Started: rec.Started, Cold: f.Roll.Cold(now, name, f.Site().Guarantees.WarmupDuration)})
 		}
 	}) {
 		return
@@ -263,7 +263,7 @@
 			return
 		}
 		if d, ok = f.Drain(s); ok {
-			row = drainRow{s, phases[d.Phase], d.Told, d.Joined, d.Holding, d.Waiting, d.Phase != balancer.InService && d.Holding == d.Joined}
+			row = drainRow{s, phases[d.Phase], d.Told, d.Joined, d.Holding, d.Waiting, d.Phase != balancer.Ready && d.Holding == d.Joined}
 		}
 	})
 	return row, ok
--- a/internal/frontend/eventloop/loop_test.go
+++ b/internal/frontend/eventloop/loop_test.go
@@ -21,10 +21,10 @@
 
 func setup(servers, relays int) coordinator.Setup {
 	s := controlplane.Site{Seed: 1, Names: []string{"search"}, Zones: []string{"a"}, Strangers: true,
-		Classes:    []balancer.QueryClass{{Benefit: 1, GoalTime: 1, ClientTimeout: 3}},
-		Dataplane:  balancer.Dataplane{Proxies: relays, Coordinators: 1, UsualRepeats: balancer.AfterProof},
-		Channel:    balancer.Channel{LinesPerSecond: 1e7, MessageLines: 3, MostWaiting: 2e7, MeanWay: 0.01, LongestWay: 0.2},
-		Guarantees: balancer.Guarantees{DrainWithin: 30, BareWithin: 2, ColdShare: 0.2, ColdFor: 10, FallMultiple: 3, FallWithin: 2},
+		Classes:    []balancer.RequestClass{{PriorityWeight: 1, LatencyObjective: 1, ClientTimeout: 3}},
+		Dataplane:  balancer.DataPlane{Proxies: relays, Coordinators: 1, DefaultRetry: balancer.RetryIfNotExecuted},
+		Channel:    balancer.Channel{EntriesPerSecond: 1e7, MessageOverhead: 3, MaxQueued: 2e7, MeanDelay: 0.01, MaxDelay: 0.2},
+		Guarantees: balancer.Guarantees{DrainDeadline: 30, EmptyTableDeadline: 2, WarmupStartFraction: 0.2, WarmupDuration: 10, OverloadFactor: 3, OverloadWindow: 2},
 		Reporting:  balancer.Reporting{Period: 0.5}, Limits: controlplane.UsualLimits}
 	for i := range servers {
 		a := netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, byte(i >> 8), byte(i)}), 80)
--- a/internal/frontend/longpollhttp/poll.go
+++ b/internal/frontend/longpollhttp/poll.go
@@ -324,8 +324,8 @@
 	return c
 }
 
-var ways = map[balancer.Repeats]string{balancer.NoRepeat: "none", balancer.AfterProof: "proof", balancer.AfterFailure: "failure",
-	balancer.TwiceOnFailure: "twice"}
+var ways = map[balancer.RetryPolicy]string{balancer.RetryNever: "none", balancer.RetryIfNotExecuted: "proof", balancer.RetryOnce: "failure",
+	balancer.RetryTwice: "twice"}
 
 // Answer of longpoll.Out.
 func (f *Front) Answer(w longpoll.Waiter, a *longpoll.Answer) {
--- a/internal/frontend/platform/callers.go
+++ b/internal/frontend/platform/callers.go
@@ -173,19 +173,19 @@
 // traffic takes what the proxies of a zone met at a server; false where it can't be used.
 func (p *Program) traffic(now float64, f *fields) bool {
 	zone := p.zone(f.text("az"))
-	t := balancer.Traffic{Server: balancer.Server(f.text("host")), Zone: zone, Tries: f.figure("n", mostTries),
-		Lost: f.figure("bad", mostTries), Interval: f.figure("window", mostWindow) / 1000}
-	if _, given := f.find("avg"); given || t.Lost < t.Tries { // with no good try there may be no mean
+	t := balancer.UpstreamReport{Server: balancer.Server(f.text("host")), Zone: zone, Attempts: f.figure("n", mostTries),
+		Failed: f.figure("bad", mostTries), Interval: f.figure("window", mostWindow) / 1000}
+	if _, given := f.find("avg"); given || t.Failed < t.Attempts { // with no good try there may be no mean
 		t.Latency = f.figure("avg", mostWindow) / 1000
 	}
 	if v, given := f.find("report"); given {
 		t.Load = p.load(f, v, ':')
 	}
-	if f.bad || zone < 0 || t.Lost > t.Tries || t.Interval <= 0 || !p.servers.Listed(t.Server) {
+	if f.bad || zone < 0 || t.Failed > t.Attempts || t.Interval <= 0 || !p.servers.Listed(t.Server) {
 		return false
 	}
 	p.counts.Reports++
-	p.news.Traffic = append(p.news.Traffic, t)
+	p.news.Upstreams = append(p.news.Upstreams, t)
 	p.dirty(now)
 	return true
 }
@@ -194,20 +194,20 @@
 func (p *Program) demand(now float64, f *fields) bool {
 	proxy, err := strconv.Atoi(f.text("sidecar"))
 	class := p.class(f.text("kind"))
-	d := balancer.Demand{Proxy: balancer.Proxy(proxy), Class: class, Queries: f.figure("n", mostTries),
-		Lost: f.figure("bad", mostTries), Interval: f.figure("window", mostWindow) / 1000}
-	if f.bad || err != nil || class < 0 || d.Lost > d.Queries || d.Interval <= 0 || !p.roster.Has(d.Proxy) {
+	d := balancer.DemandReport{Proxy: balancer.Proxy(proxy), Class: class, Requests: f.figure("n", mostTries),
+		Failed: f.figure("bad", mostTries), Interval: f.figure("window", mostWindow) / 1000}
+	if f.bad || err != nil || class < 0 || d.Failed > d.Requests || d.Interval <= 0 || !p.roster.Has(d.Proxy) {
 		return false
 	}
 	p.counts.Reports++
-	p.news.Demand = append(p.news.Demand, d)
+	p.news.Demands = append(p.news.Demands, d)
 	p.dirty(now)
 	return true
 }
 
 // words on sockets of the figures that the settings list.
-var words = map[balancer.LoadFigure]string{balancer.InProgress: "inflight", balancer.Waiting: "queue", balancer.Busy: "util",
-	balancer.ServiceTime: "latency_ms", balancer.AnsweredRate: "qps", balancer.ErrorRate: "eps"}
+var words = map[balancer.LoadMetric]string{balancer.InProgress: "inflight", balancer.QueueLength: "queue", balancer.Utilization: "util",
+	balancer.ServiceTime: "latency_ms", balancer.CompletionRate: "qps", balancer.ErrorRate: "eps"}
 
 // load reads a load report, in the order of the settings. Figures that they do not list are passed over; a report that lacks one
 // of those that they do is left out, and what it came with counts.
--- a/internal/frontend/platform/links.go
+++ b/internal/frontend/platform/links.go
@@ -361,7 +361,7 @@
 			p.counts.Spoilt++
 			return
 		}
-		p.roster.Attach(now, l.says, balancer.Stream{Proxy: proxy, Zone: zone, Usual: *x.Share, Fresh: *x.Standing}, &p.news)
+		p.roster.Attach(now, l.says, balancer.ProxyEvent{Proxy: proxy, Zone: zone, ExpectedRate: *x.Share, DefaultTable: *x.Standing}, &p.news)
 	case "detach":
 		p.roster.Detach(l.says, proxy, &p.news)
 	case "done":
@@ -372,7 +372,7 @@
 			p.counts.Spoilt++
 			return
 		}
-		p.news.Applied = append(p.news.Applied, balancer.Applied{Proxy: proxy, Mark: balancer.Mark(*x.Version), Took: *x.Lag / 1000})
+		p.news.Acks = append(p.news.Acks, balancer.Ack{Proxy: proxy, ID: balancer.AckID(*x.Version), Latency: *x.Lag / 1000})
 		p.dirty(now)
 	}
 }
--- a/internal/frontend/platform/platform.go
+++ b/internal/frontend/platform/platform.go
@@ -40,11 +40,11 @@
 	dep     *deployment.Deployment
 	names   jsonrpc.Names // of classes, by place
 	figures []string      // of load reports, in their order
-	manager *balancer.Manager
+	manager *balancer.Balancer
 	log     *slog.Logger
 	io      env.IO
 
-	news    balancer.News
+	news    balancer.Events
 	looked  int     // streams in them that were looked at for proxies that have left
 	untold  bool    // the module was not told who is joined
 	dirtyAt float64 // since when news wait for their round; 0: none do
@@ -182,7 +182,7 @@
 	case p.links[c] != nil:
 		p.broken(now, p.links[c])
 	case p.probes[c] != nil:
-		p.verdict(now, p.probes[c], balancer.ProbeUnreachable, nil)
+		p.verdict(now, p.probes[c], balancer.HealthUnreachable, nil)
 	}
 	p.rest(now)
 }
@@ -198,7 +198,7 @@
 	p.wakeAt = 0
 	for i := 0; i < len(p.wakes); i++ {
 		if w := p.wakes[i]; now >= w.at {
-			p.news.Woken = append(p.news.Woken, w.t)
+			p.news.FiredTimers = append(p.news.FiredTimers, w.t)
 			p.wakes = append(p.wakes[:i], p.wakes[i+1:]...)
 			i--
 			p.dirty(now - gather)
@@ -243,38 +243,38 @@
 // round hands the module all that has come, and writes what it decides.
 func (p *Program) round(now float64) {
 	news := p.news
-	news.Stalled, news.Resent = p.stalled(now), p.calls.Resent()
-	p.news, p.looked, p.dirtyAt, p.relay.held = balancer.News{}, 0, 0, news.Stalled
+	news.ChannelStalled, news.Redelivered = p.stalled(now), p.calls.Resent()
+	p.news, p.looked, p.dirtyAt, p.relay.held = balancer.Events{}, 0, 0, news.ChannelStalled
 	switch { // how proxies are grouped hangs on the servers: who joins before any is known is told with them
 	case !p.servers.Told():
-		news.Streams, p.untold = nil, true
+		news.ProxyEvents, p.untold = nil, true
 	case p.untold:
-		news.Streams, p.untold = p.roster.Streams(), false
+		news.ProxyEvents, p.untold = p.roster.Streams(), false
 	}
 	p.counts.Rounds++
-	p.manager.Round(now, news, &pen{p.calls, p, now})
+	p.manager.Reconcile(now, news, &pen{p.calls, p, now})
 }
 
-// pen is the balancer.Writer of a round: orders to the relay go into its calls, the rest is done at once.
+// pen is the balancer.CommandSink of a round: orders to the relay go into its calls, the rest is done at once.
 type pen struct {
 	*platformstate.Calls
 	p   *Program
 	now float64
 }
 
-// Probe of balancer.Writer.
-func (w *pen) Probe(s balancer.Server) { w.p.probe(w.now, s) }
+// HealthCheck of balancer.CommandSink.
+func (w *pen) HealthCheck(s balancer.Server) { w.p.probe(w.now, s) }
 
-// Watch of balancer.Writer. Discovery is watched all the time: nothing has to be asked.
-func (w *pen) Watch() {}
+// PollDiscovery of balancer.CommandSink. Discovery is watched all the time: nothing has to be asked.
+func (w *pen) PollDiscovery() {}
 
-// Wake of balancer.Writer.
-func (w *pen) Wake(after float64, t balancer.Timer) {
+// SetTimer of balancer.CommandSink.
+func (w *pen) SetTimer(after float64, t balancer.Timer) {
 	w.p.wakes = append(w.p.wakes, wake{w.now + after, t})
 }
 
-// Note of balancer.Writer.
-func (w *pen) Note(text string) { w.p.log.Info("decided", "note", text) }
+// Log of balancer.CommandSink.
+func (w *pen) Log(text string) { w.p.log.Info("decided", "note", text) }
 
 // tend looks at what is due by time alone.
 func (p *Program) tend(now float64) {
@@ -293,12 +293,12 @@
 
 // left: proxies that have left since the last look need no orders any more.
 func (p *Program) left(now float64) {
-	for _, s := range p.news.Streams[p.looked:] {
+	for _, s := range p.news.ProxyEvents[p.looked:] {
 		if p.dirty(now); !s.Joined {
 			p.calls.Left(s.Proxy)
 		}
 	}
-	p.looked = len(p.news.Streams)
+	p.looked = len(p.news.ProxyEvents)
 }
 
 // trace writes what passes on the links, where that is asked for.
--- a/internal/frontend/platform/probes.go
+++ b/internal/frontend/platform/probes.go
@@ -26,7 +26,7 @@
 func (p *Program) probe(now float64, s balancer.Server) {
 	to := p.servers.Addr(s)
 	if !p.dep.PolicyLimits.MayProbe || !to.IsValid() || p.asked[s] || len(p.probes) >= mostProbes {
-		p.news.Probed = append(p.news.Probed, balancer.Probed{Server: s, Verdict: balancer.ProbeMoot})
+		p.news.HealthChecks = append(p.news.HealthChecks, balancer.HealthCheckResult{Server: s, Status: balancer.HealthInconclusive})
 		p.dirty(now)
 		return
 	}
@@ -36,7 +36,7 @@
 
 func (p *Program) reached(now float64, x *probe, ok bool) {
 	if !ok {
-		p.verdict(now, x, balancer.ProbeUnreachable, nil)
+		p.verdict(now, x, balancer.HealthUnreachable, nil)
 		return
 	}
 	path := "/health/live"
@@ -48,7 +48,7 @@
 }
 
 // verdicts are what a server's answer means; any other status is an error.
-var verdicts = map[int]balancer.Verdict{http.StatusOK: balancer.ProbeGood, http.StatusServiceUnavailable: balancer.ProbeRefused}
+var verdicts = map[int]balancer.HealthStatus{http.StatusOK: balancer.HealthOK, http.StatusServiceUnavailable: balancer.HealthRefused}
 
 func (p *Program) answered(now float64, x *probe, b []byte) {
 	x.in = append(x.in, b...)
@@ -59,21 +59,21 @@
 	}
 	verdict, ok := verdicts[m.Status]
 	if err != nil || !ok {
-		verdict = balancer.ProbeError
+		verdict = balancer.HealthError
 	}
 	var f fields
 	var load []float64
-	if verdict == balancer.ProbeGood && len(m.Body) > 0 {
+	if verdict == balancer.HealthOK && len(m.Body) > 0 {
 		load = p.load(&f, m.Body, '=')
 	}
 	p.verdict(now, x, verdict, load)
 }
 
-func (p *Program) verdict(now float64, x *probe, v balancer.Verdict, load []float64) {
+func (p *Program) verdict(now float64, x *probe, v balancer.HealthStatus, load []float64) {
 	delete(p.probes, x.conn)
 	delete(p.asked, x.server)
 	p.io.Close(x.conn)
-	p.news.Probed = append(p.news.Probed, balancer.Probed{Server: x.server, Verdict: v, Took: now - x.at, Load: load})
+	p.news.HealthChecks = append(p.news.HealthChecks, balancer.HealthCheckResult{Server: x.server, Status: v, Latency: now - x.at, Load: load})
 	p.dirty(now)
 }
 
@@ -82,9 +82,9 @@
 		if now-x.at < probeWithin {
 			continue
 		}
-		v := balancer.ProbeTimeout
+		v := balancer.HealthTimeout
 		if !x.up {
-			v = balancer.ProbeUnreachable
+			v = balancer.HealthUnreachable
 		}
 		p.verdict(now, x, v, nil)
 	}
--- a/internal/proxy/hour_test.go
+++ b/internal/proxy/hour_test.go
@@ -89,7 +89,7 @@
 		x := &sums{base: base{net: net}, buf: map[env.Conn][]byte{}, ran: pods[i/2], chance: chance, at: name, town: all}
 		net.Add(serverAt(i).Addr(), 0, false).Start(x)
 	}
-	s.Forward.Classes[1].Group = balancer.SamePod
+	s.Forward.Classes[1].DedupScope = balancer.SameFailureDomain
 	s.Forward.Places = places(servers)
 	d := &desk{}
 	net.Add(at.Addr(), 0, false).Start(d)
--- a/internal/proxy/proxy_test.go
+++ b/internal/proxy/proxy_test.go
@@ -130,9 +130,9 @@
 
 func setup(servers int) Setup {
 	s := Setup{UID: "proxy-1", Routes: []Route{{"/search", 0}, {"/introduce", 1}, {"/once", 2}}, Limits: UsualLimits, Seed: 1,
-		Forward: forwarding.Setup{Names: []string{"search", "introduce", "once"}, Ways: []balancer.Repeats{balancer.AfterFailure, balancer.AfterFailure, balancer.AfterProof},
-			Classes: []balancer.QueryClass{{GoalTime: 1, ClientTimeout: 5}, {GoalTime: 1, ClientTimeout: 5, Effect: balancer.Guarded, Window: 4},
-				{GoalTime: 1, ClientTimeout: 5, Effect: balancer.SingleShot}},
+		Forward: forwarding.Setup{Names: []string{"search", "introduce", "once"}, Ways: []balancer.RetryPolicy{balancer.RetryOnce, balancer.RetryOnce, balancer.RetryIfNotExecuted},
+			Classes: []balancer.RequestClass{{LatencyObjective: 1, ClientTimeout: 5}, {LatencyObjective: 1, ClientTimeout: 5, Idempotency: balancer.Keyed, DedupWindow: 4},
+				{LatencyObjective: 1, ClientTimeout: 5, Idempotency: balancer.NonIdempotent}},
 			Limits: admission.UsualLimits, Avoid: outlier.UsualTerms, Budget: retry.Budget{Part: 1, Burst: 100},
 			Make: func(c int) picker.Table { return picker.NewEven(uint64(c)) }}}
 	for i := range servers {
@@ -454,7 +454,7 @@
 	at := map[balancer.Server]retry.Place{}
 	for i := range servers {
 		s := balancer.Server(serverAt(i).String())
-		at[s] = retry.Place{Server: s, Pod: balancer.Pod(i / 2)}
+		at[s] = retry.Place{Server: s, Pod: balancer.FailureDomain(i / 2)}
 	}
 	return at
 }
--- a/internal/scenario/draw.go
+++ b/internal/scenario/draw.go
@@ -91,14 +91,14 @@
 	for i := range servers {
 		a := netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 1, byte(i / 250), byte(1 + i%250)}), enlargedPort)
 		site.Servers = append(site.Servers, registry.Place{Server: balancer.Server(a.String()), Weight: 1,
-			Zone: balancer.Zone(i / podSize % zones), Pod: balancer.Pod(i / podSize)})
+			Zone: balancer.Zone(i / podSize % zones), Pod: balancer.FailureDomain(i / podSize)})
 	}
 	for i := range relays {
 		site.Relays = append(site.Relays, controlplane.Relay{UID: fmt.Sprint("relay-", i), Zone: balancer.Zone(i % zones), Usual: usualRate})
 	}
 	site.Dataplane.Proxies = relays
 	lines := float64(relays * servers * len(site.Classes))
-	site.Channel.LinesPerSecond = max(site.Channel.LinesPerSecond, lines/fullWithin)
-	site.Channel.MostWaiting = max(site.Channel.MostWaiting, 2*lines)
+	site.Channel.EntriesPerSecond = max(site.Channel.EntriesPerSecond, lines/fullWithin)
+	site.Channel.MaxQueued = max(site.Channel.MaxQueued, 2*lines)
 	d.Rate = min(perServer*float64(servers), mostQueries)
 }
--- a/internal/scenario/hosted.go
+++ b/internal/scenario/hosted.go
@@ -393,7 +393,7 @@
 		slack = socketSlack
 	}
 	p.rules = emulator.Rules{Promise: site.Guarantees, Channel: site.Channel, Hold: site.Limits.HoldServer + noticeMost, Slack: slack}
-	p.rules.Channel.LinesPerSecond *= float64(len(p.hosts)) // each has a channel of its own
+	p.rules.Channel.EntriesPerSecond *= float64(len(p.hosts)) // each has a channel of its own
 	x.ref = emulator.NewReferee(p.rules, x.classes)
 	p.tenants = append(p.tenants, x)
 	p.order(tenancy.Command{Kind: tenancy.Create, Name: x.name, Settings: text})
--- a/internal/scenario/rehearse.go
+++ b/internal/scenario/rehearse.go
@@ -163,7 +163,7 @@
 			Work: q.Work, Repeats: site.Repeats[k]})
 	}
 	rules := site.Channel
-	rules.LinesPerSecond *= float64(max(opts.Coordinators, 1)) // each has a channel of its own
+	rules.EntriesPerSecond *= float64(max(opts.Coordinators, 1)) // each has a channel of its own
 	slack := simSlack
 	if opts.Sockets {
 		slack = socketSlack
@@ -410,8 +410,8 @@
 	g := c.Site.Guarantees
 	speeds := rand.New(rand.NewPCG(p.opts.Seed, uint64(i)))
 	return emulator.ServerSetup{Addr: netip.MustParseAddrPort(string(s.Server)), Pod: pod, Cores: p.day.Cores,
-		Speed: p.day.Slowest + (p.day.Fastest-p.day.Slowest)*speeds.Float64(), Queue: p.day.Queue, ColdShare: g.ColdShare,
-		ColdFor: g.ColdFor, Multiple: g.FallMultiple, Within: g.FallWithin, Warm: warm, Coordinators: p.all(c.SASP),
+		Speed: p.day.Slowest + (p.day.Fastest-p.day.Slowest)*speeds.Float64(), Queue: p.day.Queue, ColdShare: g.WarmupStartFraction,
+		ColdFor: g.WarmupDuration, Multiple: g.OverloadFactor, Within: g.OverloadWindow, Warm: warm, Coordinators: p.all(c.SASP),
 		Collect: c.Measurements.Port(), User: c.User, Key: c.Key, FleetUID: c.Policy.FleetUID, Classes: p.classes,
 		Seed: p.chance.Uint64(), Connections: p.day.Model.Connections, ConnWork: p.day.Model.ConnWork, KeyFor: p.day.Model.KeyFor,
 		KeyLess: p.day.Model.KeyLess, KeyMost: p.day.Model.KeyMost, Stops: p.day.Model.Stops}
@@ -459,7 +459,7 @@
 	}
 	for i := range site.Relays {
 		setup := p.relaySetup(i, p.day.Rate*parts[i]/sum)
-		for range site.Dataplane.StandingTable { // servers of its zone if there are enough, as they come
+		for range site.Dataplane.DefaultTableSize { // servers of its zone if there are enough, as they come
 			s := site.Servers[p.chance.IntN(len(site.Servers))]
 			a := netip.MustParseAddrPort(string(s.Server))
 			if !contains(setup.Standing, a) {
@@ -501,7 +501,7 @@
 	}
 	return emulator.RelaySetup{Others: others, Asks: asks, UID: c.Site.Relays[i].UID, Host: relayAddr(i).Addr(), Coordinator: at, Collect: c.Measurements, User: c.User,
 		Key: c.Key, Flags: sasp.Push | sasp.Trust | sasp.NoChange, Classes: p.classes, Rate: rate,
-		Report: c.Site.Reporting.Period, EjectAfter: c.Site.Dataplane.EjectAfter, EjectFor: 4, Keys: p.day.Keys,
+		Report: c.Site.Reporting.Period, EjectAfter: c.Site.Dataplane.EjectAfterFailures, EjectFor: 4, Keys: p.day.Keys,
 		Seed: uint64(i+1) + p.opts.Seed<<16, Popular: p.popular, Again: p.day.Clients.Again, Wait: p.day.Clients.Wait,
 		Patience: p.day.Clients.Patience, Policy: p.opts.Policy, Every: p.every()}
 }
--- a/internal/settings/host.go
+++ b/internal/settings/host.go
@@ -124,7 +124,7 @@
 	if c.Key != "" && c.User == "" || c.Key == "" && c.User != "" {
 		r.wrong(root.one("reports"), "user and key belong together")
 	}
-	if s.Dataplane.Levels != balancer.LevelsIgnored && h.SASP.IsValid() {
+	if s.Dataplane.Admission != balancer.AdmissionIgnored && h.SASP.IsValid() {
 		c.Policy.Members = true
 		if !h.HTTP.IsValid() {
 			r.wrong(root.one("fleet"), "levels: SASP has no word for them, and this host speaks nothing else")
@@ -139,7 +139,7 @@
 		}
 	}
 	size := tenancy.Usual(tenancy.Size{Classes: len(s.Classes), Servers: len(s.Servers), Relays: max(len(s.Relays), s.Dataplane.Proxies),
-		Lines: s.Channel.LinesPerSecond, Period: s.Reporting.Period})
+		Lines: s.Channel.EntriesPerSecond, Period: s.Reporting.Period})
 	limits := root.one("limits")
 	take := func(name string, to *int, usual int) {
 		if limits == nil || limits.attrs[name] == "" {
@@ -170,12 +170,12 @@
 const mostUID = 255 // bytes on the wire
 
 // served tells whether a class has a server that may take it.
-func served(q balancer.QueryClass, s *controlplane.Site) bool {
+func served(q balancer.RequestClass, s *controlplane.Site) bool {
 	for _, v := range s.Servers {
-		if len(q.OnlyZones) == 0 {
+		if len(q.AllowedZones) == 0 {
 			return true
 		}
-		for _, z := range q.OnlyZones {
+		for _, z := range q.AllowedZones {
 			if v.Zone == z {
 				return true
 			}
--- a/internal/settings/host_test.go
+++ b/internal/settings/host_test.go
@@ -59,7 +59,7 @@
 	}
 	// Levels: relays then come by the long-poll API alone, and only servers speak SASP.
 	m, err = ParseTenant("first", []byte(strings.Replace(text, `<fleet relays`, `<fleet levels="fraction" relays`, 1)), h)
-	if err != nil || !m.Setup.Policy.Members || m.Setup.Site.Dataplane.Levels != balancer.LevelFraction {
+	if err != nil || !m.Setup.Policy.Members || m.Setup.Site.Dataplane.Admission != balancer.AdmissionFraction {
 		t.Error(err, m.Setup.Policy)
 	}
 }
--- a/internal/settings/proxy.go
+++ b/internal/settings/proxy.go
@@ -86,7 +86,7 @@
 		if _, twice := f.Places[s]; twice {
 			r.wrong(n, "%s is listed already", s)
 		}
-		f.Places[s] = retry.Place{Server: s, Zone: r.zone(n, "zone"), Pod: balancer.Pod(n.int("pod"))}
+		f.Places[s] = retry.Place{Server: s, Zone: r.zone(n, "zone"), Pod: balancer.FailureDomain(n.int("pod"))}
 		if n.bool("standing") {
 			p.Standing = append(p.Standing, s)
 		}
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -92,11 +92,11 @@
 }
 
 var (
-	levelKinds = map[string]balancer.LevelKind{"fraction": balancer.LevelFraction, "rate": balancer.LevelRate}
-	effects    = map[string]balancer.Effect{"free": balancer.Free, "guarded": balancer.Guarded, "single-shot": balancer.SingleShot}
-	groups     = map[string]balancer.Group{"all": balancer.EveryServer, "zone": balancer.SameZone, "pod": balancer.SamePod}
-	ways       = map[string]balancer.Repeats{"none": balancer.NoRepeat, "proof": balancer.AfterProof,
-		"failure": balancer.AfterFailure, "twice": balancer.TwiceOnFailure}
+	levelKinds = map[string]balancer.AdmissionMode{"fraction": balancer.AdmissionFraction, "rate": balancer.AdmissionRate}
+	effects    = map[string]balancer.Idempotency{"free": balancer.Idempotent, "guarded": balancer.Keyed, "single-shot": balancer.NonIdempotent}
+	groups     = map[string]balancer.DedupScope{"all": balancer.EveryServer, "zone": balancer.SameZone, "pod": balancer.SameFailureDomain}
+	ways       = map[string]balancer.RetryPolicy{"none": balancer.RetryNever, "proof": balancer.RetryIfNotExecuted,
+		"failure": balancer.RetryOnce, "twice": balancer.RetryTwice}
 )
 
 // LoadCoordinator reads a file; without names guards that are left out, for tests of them.
@@ -256,7 +256,7 @@
 	r.fleet(root, s)
 	c.Poll, c.Parking = longpollhttp.UsualLimits, longpoll.UsualLimits
 	if levels := root.one("fleet").attrs["levels"]; levels != "ignored" {
-		s.Dataplane.Levels = levelKinds[levels]
+		s.Dataplane.Admission = levelKinds[levels]
 	}
 	rep := root.one("reports")
 	s.Reporting = balancer.Reporting{Period: rep.number("period")}
@@ -367,16 +367,16 @@
 }
 
 func (r *reader) class(n *node, s *controlplane.Site) {
-	q := balancer.QueryClass{Benefit: n.number("benefit"), LateBenefit: n.number("late-benefit"),
-		GoalTime: n.number("goal-time"), ClientTimeout: n.number("client-timeout"), Effect: effects[n.attrs["effect"]],
-		Group: groups[n.attrs["same"]], Window: n.number("window"), OwnZone: n.bool("own-zone"), Writes: n.bool("writes")}
+	q := balancer.RequestClass{PriorityWeight: n.number("benefit"), LateWeight: n.number("late-benefit"),
+		LatencyObjective: n.number("goal-time"), ClientTimeout: n.number("client-timeout"), Idempotency: effects[n.attrs["effect"]],
+		DedupScope: groups[n.attrs["same"]], DedupWindow: n.number("window"), ZoneLocal: n.bool("own-zone"), Writes: n.bool("writes")}
 	if slices.Contains(s.Names, n.attrs["name"]) {
 		r.wrong(n, "there are two classes named %q", n.attrs["name"])
 	}
-	if q.GoalTime > q.ClientTimeout {
+	if q.LatencyObjective > q.ClientTimeout {
 		r.wrong(n, "the goal time is longer than the client timeout")
 	}
-	if q.Effect == balancer.Guarded && q.Window == 0 {
+	if q.Idempotency == balancer.Keyed && q.DedupWindow == 0 {
 		r.wrong(n, "a guarded class needs a window")
 	}
 	for _, z := range strings.Fields(n.attrs["zones"]) {
@@ -384,35 +384,35 @@
 		if !ok {
 			r.wrong(n, "zones: no zone is named %q", z)
 		}
-		q.OnlyZones = append(q.OnlyZones, zone)
+		q.AllowedZones = append(q.AllowedZones, zone)
 	}
-	slices.Sort(q.OnlyZones)
+	slices.Sort(q.AllowedZones)
 	s.Names, s.Classes = append(s.Names, n.attrs["name"]), append(s.Classes, q)
 	s.Repeats = append(s.Repeats, controlplane.SafeRepeats(q, ways[n.attrs["repeats"]], s.Without))
 }
 
 func (r *reader) fleet(root *node, s *controlplane.Site) {
 	f, c, g := root.one("fleet"), root.one("channel"), root.one("rules")
-	usual := balancer.TwiceOnFailure
+	usual := balancer.RetryTwice
 	for _, way := range s.Repeats {
 		usual = min(usual, way)
 	}
-	s.Dataplane = balancer.Dataplane{Proxies: f.int("relays"), Coordinators: 1, StandingTable: f.int("standing"),
-		EjectAfter: f.int("eject-after"), UsualRepeats: usual, LeastConnections: f.number("least-connections"),
-		Levels: balancer.LevelsIgnored} // SASP has no word for them
-	s.Channel = balancer.Channel{LinesPerSecond: c.number("lines-per-second"), MessageLines: c.number("message-lines"),
-		MostWaiting: c.number("most-waiting"), MeanWay: c.number("mean-way"), LongestWay: c.number("longest-way"),
-		MostMessages: c.int("most-messages"), MessageWindow: c.number("message-window")}
-	s.Guarantees = balancer.Guarantees{DrainWithin: g.number("drain-within"), BareWithin: g.number("bare-within"),
-		ColdShare: g.number("cold-share"), ColdFor: g.number("cold-for"), FallMultiple: g.number("fall-multiple"),
-		FallWithin: g.number("fall-within")}
-	if s.Channel.LongestWay < s.Channel.MeanWay {
+	s.Dataplane = balancer.DataPlane{Proxies: f.int("relays"), Coordinators: 1, DefaultTableSize: f.int("standing"),
+		EjectAfterFailures: f.int("eject-after"), DefaultRetry: usual, MinConnections: f.number("least-connections"),
+		Admission: balancer.AdmissionIgnored} // SASP has no word for them
+	s.Channel = balancer.Channel{EntriesPerSecond: c.number("lines-per-second"), MessageOverhead: c.number("message-lines"),
+		MaxQueued: c.number("most-waiting"), MeanDelay: c.number("mean-way"), MaxDelay: c.number("longest-way"),
+		MaxMessages: c.int("most-messages"), MessageWindow: c.number("message-window")}
+	s.Guarantees = balancer.Guarantees{DrainDeadline: g.number("drain-within"), EmptyTableDeadline: g.number("bare-within"),
+		WarmupStartFraction: g.number("cold-share"), WarmupDuration: g.number("cold-for"), OverloadFactor: g.number("fall-multiple"),
+		OverloadWindow: g.number("fall-within")}
+	if s.Channel.MaxDelay < s.Channel.MeanDelay {
 		r.wrong(c, "the longest way is shorter than the mean way")
 	}
-	if s.Channel.LongestWay >= s.Guarantees.DrainWithin {
-		r.wrong(g, "a drain can't be kept: an order may take %v s to arrive", s.Channel.LongestWay)
+	if s.Channel.MaxDelay >= s.Guarantees.DrainDeadline {
+		r.wrong(g, "a drain can't be kept: an order may take %v s to arrive", s.Channel.MaxDelay)
 	}
-	if most := s.Channel.MostMessages; most > 0 && most <= 5 {
+	if most := s.Channel.MaxMessages; most > 0 && most <= 5 {
 		r.wrong(c, "most-messages: 6 at least, five are kept for bursts, joins and what is late")
 	}
 }
@@ -438,7 +438,7 @@
 		}
 		seen[s] = k.line
 		c.Site.Servers = append(c.Site.Servers, registry.Place{Server: s, Zone: r.zone(k, "zone"), Kind: balancer.Kind(k.int("kind")),
-			Pod: balancer.Pod(k.int("pod")), Weight: k.number("weight"), Standing: k.bool("standing")})
+			Pod: balancer.FailureDomain(k.int("pod")), Weight: k.number("weight"), Standing: k.bool("standing")})
 	}
 }
 
@@ -593,15 +593,15 @@
 	}
 	fmt.Fprintf(&b, "measurements on %s (signed: %t), store %q\n", c.Measurements, c.Key != "", c.Store)
 	for i, q := range s.Classes {
-		fmt.Fprintf(&b, "class %s: benefit %g, goal time %g s, client timeout %g s, repeats %s\n", s.Names[i], q.Benefit,
-			q.GoalTime, q.ClientTimeout, nameOf(ways, s.Repeats[i]))
+		fmt.Fprintf(&b, "class %s: benefit %g, goal time %g s, client timeout %g s, repeats %s\n", s.Names[i], q.PriorityWeight,
+			q.LatencyObjective, q.ClientTimeout, nameOf(ways, s.Repeats[i]))
 	}
 	fmt.Fprintf(&b, "%d servers listed, %d relays listed (strangers: %t), %d zones\n", len(s.Servers), len(s.Relays),
 		s.Strangers, len(s.Zones))
-	fmt.Fprintf(&b, "channel: %g lines a second, %g may wait, %d messages to one relay in %g s\n", s.Channel.LinesPerSecond,
-		s.Channel.MostWaiting, s.Channel.MostMessages, s.Channel.MessageWindow)
-	fmt.Fprintf(&b, "drains within %g s: a relay that has not taken one after %.2f s is cut off\n", s.Guarantees.DrainWithin,
-		s.Guarantees.DrainWithin*s.Limits.DrainPart)
+	fmt.Fprintf(&b, "channel: %g lines a second, %g may wait, %d messages to one relay in %g s\n", s.Channel.EntriesPerSecond,
+		s.Channel.MaxQueued, s.Channel.MaxMessages, s.Channel.MessageWindow)
+	fmt.Fprintf(&b, "drains within %g s: a relay that has not taken one after %.2f s is cut off\n", s.Guarantees.DrainDeadline,
+		s.Guarantees.DrainDeadline*s.Limits.DrainPart)
 	fmt.Fprintf(&b, "limits: %d relays, %d servers, %d series, %d connections, %d bytes a message\n", s.Limits.Relays,
 		s.Limits.Servers, s.Limits.Series, c.Limits.Connections, c.Limits.Message)
 	return b.String()
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -24,15 +24,15 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if len(c.Site.Servers) != 4 || len(c.Site.Relays) != 2 || c.Site.Guarantees.DrainWithin != 3 || !c.Policy.NewOnes ||
-		c.Site.Classes[1].Effect != balancer.Guarded || c.Site.Servers[2].Zone != 1 || !c.Metrics.IsValid() {
+	if len(c.Site.Servers) != 4 || len(c.Site.Relays) != 2 || c.Site.Guarantees.DrainDeadline != 3 || !c.Policy.NewOnes ||
+		c.Site.Classes[1].Idempotency != balancer.Keyed || c.Site.Servers[2].Zone != 1 || !c.Metrics.IsValid() {
 		t.Errorf("%+v", c)
 	}
-	if c.Site.Repeats[0] != balancer.AfterFailure || c.Site.Repeats[1] != balancer.AfterProof {
+	if c.Site.Repeats[0] != balancer.RetryOnce || c.Site.Repeats[1] != balancer.RetryIfNotExecuted {
 		t.Errorf("repeats %v: a guarded class must not be repeated after a failure", c.Site.Repeats)
 	}
 	c, err = ParseCoordinator("example.xml", []byte(example(t)), controlplane.GuardRepeats)
-	if err != nil || c.Site.Repeats[1] != balancer.AfterFailure {
+	if err != nil || c.Site.Repeats[1] != balancer.RetryOnce {
 		t.Errorf("without the guard: %v, %v", c.Site.Repeats, err)
 	}
 	if text := c.String(); !strings.Contains(text, "4 servers listed") || !strings.Contains(text, "introduce") {
--- a/internal/settings/write.go
+++ b/internal/settings/write.go
@@ -77,12 +77,12 @@
 				x.kids = append(x.kids, &node{name: "relay", attrs: map[string]string{"uid": r.UID, "zone": site.Zones[r.Zone], "usual": num(r.Usual)}})
 			}
 		case "fleet":
-			x.attrs["relays"], x.attrs["levels"] = fmt.Sprint(site.Dataplane.Proxies), nameOf(levelKinds, site.Dataplane.Levels)
-			if site.Dataplane.Levels == balancer.LevelsIgnored {
+			x.attrs["relays"], x.attrs["levels"] = fmt.Sprint(site.Dataplane.Proxies), nameOf(levelKinds, site.Dataplane.Admission)
+			if site.Dataplane.Admission == balancer.AdmissionIgnored {
 				x.attrs["levels"] = "ignored"
 			}
 		case "channel":
-			x.attrs["lines-per-second"], x.attrs["most-waiting"] = num(site.Channel.LinesPerSecond), num(site.Channel.MostWaiting)
+			x.attrs["lines-per-second"], x.attrs["most-waiting"] = num(site.Channel.EntriesPerSecond), num(site.Channel.MaxQueued)
 		case "reports":
 			x.attrs["period"] = num(site.Reporting.Period)
 		}
--- a/internal/simwire/host.go
+++ b/internal/simwire/host.go
@@ -19,8 +19,8 @@
 // instance is one coordinator and what came in for it in the batch at hand.
 type instance struct {
 	number  int
-	manager *balancer.Manager
-	news    balancer.News
+	manager *balancer.Balancer
+	news    balancer.Events
 	waiting bool
 }
 
@@ -78,12 +78,12 @@
 				i = &instance{number: *l.Coordinator}
 				instances[i.number] = i
 			}
-			i.manager, i.news = manager, balancer.News{}
+			i.manager, i.news = manager, balancer.Events{}
 		case "Destroy":
 			if i == nil || i.manager == nil {
 				return fmt.Errorf("line %d: Destroy for instance %d, which does not run", at, *l.Coordinator)
 			}
-			i.manager, i.news = nil, balancer.News{}
+			i.manager, i.news = nil, balancer.Events{}
 			continue
 		default:
 			if i == nil || i.manager == nil {
@@ -105,8 +105,8 @@
 			continue
 		}
 		reply.instance = i.number
-		i.manager.Round(*b.Clock, i.news, reply)
-		i.news = balancer.News{}
+		i.manager.Reconcile(*b.Clock, i.news, reply)
+		i.news = balancer.Events{}
 	}
 	return nil
 }
--- a/internal/simwire/read.go
+++ b/internal/simwire/read.go
@@ -46,17 +46,17 @@
 }
 
 var (
-	scopes = map[string]balancer.Scope{"Persisted": balancer.Cached, "Complete": balancer.Whole,
-		"Partial": balancer.Changes, "Error": balancer.Failed}
-	phases = map[string]balancer.Phase{"in_service": balancer.InService, "terminating": balancer.Terminating,
-		"terminated": balancer.Gone}
-	verdicts = map[string]balancer.Verdict{"GOOD": balancer.ProbeGood, "BAD": balancer.ProbeError,
-		"FULL": balancer.ProbeRefused, "LATE": balancer.ProbeTimeout, "NOCONN": balancer.ProbeUnreachable,
-		"RST": balancer.ProbeUnreachable, "CXL": balancer.ProbeMoot, "NOP": balancer.ProbeMoot}
+	scopes = map[string]balancer.ListScope{"Persisted": balancer.CachedList, "Complete": balancer.FullList,
+		"Partial": balancer.DeltaList, "Error": balancer.ListFailed}
+	phases = map[string]balancer.Phase{"in_service": balancer.Ready, "terminating": balancer.Draining,
+		"terminated": balancer.Removed}
+	verdicts = map[string]balancer.HealthStatus{"GOOD": balancer.HealthOK, "BAD": balancer.HealthError,
+		"FULL": balancer.HealthRefused, "LATE": balancer.HealthTimeout, "NOCONN": balancer.HealthUnreachable,
+		"RST": balancer.HealthUnreachable, "CXL": balancer.HealthInconclusive, "NOP": balancer.HealthInconclusive}
 )
 
 // provision builds an instance from its start message.
-func provision(l line) (*balancer.Manager, error) {
+func provision(l line) (*balancer.Balancer, error) {
 	if len(l.BootInfo) == 0 {
 		return nil, errors.New("provision without boot-info")
 	}
@@ -68,7 +68,7 @@
 }
 
 // add puts one event into the news of its instance.
-func add(n *balancer.News, l line) error {
+func add(n *balancer.Events, l line) error {
 	for _, v := range append([]float64{l.Size, l.Elapsed, l.PeriodLen, l.Lost, l.Tries}, l.Stats...) {
 		if v < 0 || math.IsInf(v, 0) {
 			return fmt.Errorf("%s holds the impossible figure %v", l.Type, v)
@@ -80,41 +80,41 @@
 		if !ok {
 			return fmt.Errorf("announce has the unknown scope %q", l.Scope)
 		}
-		list := balancer.List{Scope: scope}
+		list := balancer.EndpointList{Scope: scope}
 		for _, e := range l.Entries {
 			phase, ok := phases[e.Phase]
 			if !ok {
 				return fmt.Errorf("%q has the unknown phase %q", e.Backend, e.Phase)
 			}
-			list.Entries = append(list.Entries, balancer.Entry{Server: balancer.Server(e.Backend),
-				Zone: balancer.Zone(e.Campus), Kind: balancer.Kind(e.Shape), Pod: balancer.Pod(e.Pod),
+			list.Endpoints = append(list.Endpoints, balancer.Endpoint{Server: balancer.Server(e.Backend),
+				Zone: balancer.Zone(e.Campus), Kind: balancer.Kind(e.Shape), FailureDomain: balancer.FailureDomain(e.Pod),
 				Weight: e.Size, Phase: phase, Started: e.BootTime})
 		}
 		n.Lists = append(n.Lists, list)
 	case "Enrolled":
-		n.Streams = append(n.Streams, balancer.Stream{Proxy: balancer.Proxy(l.Px), Joined: true,
-			Zone: balancer.Zone(l.Campus), Usual: l.Size, Fresh: l.Flag})
+		n.ProxyEvents = append(n.ProxyEvents, balancer.ProxyEvent{Proxy: balancer.Proxy(l.Px), Joined: true,
+			Zone: balancer.Zone(l.Campus), ExpectedRate: l.Size, DefaultTable: l.Flag})
 	case "Detached":
-		n.Streams = append(n.Streams, balancer.Stream{Proxy: balancer.Proxy(l.Px)})
+		n.ProxyEvents = append(n.ProxyEvents, balancer.ProxyEvent{Proxy: balancer.Proxy(l.Px)})
 	case "TrafficReport":
-		n.Traffic = append(n.Traffic, balancer.Traffic{Server: balancer.Server(l.Backend),
-			Zone: balancer.Zone(l.Campus), Tries: l.Tries, Lost: l.Lost, Latency: l.Elapsed,
+		n.Upstreams = append(n.Upstreams, balancer.UpstreamReport{Server: balancer.Server(l.Backend),
+			Zone: balancer.Zone(l.Campus), Attempts: l.Tries, Failed: l.Lost, Latency: l.Elapsed,
 			Interval: l.PeriodLen, Load: l.Stats})
 	case "OfferedLoad":
-		n.Demand = append(n.Demand, balancer.Demand{Proxy: balancer.Proxy(l.Px), Class: balancer.Class(l.Class),
-			Queries: l.Tries, Lost: l.Lost, Interval: l.PeriodLen})
+		n.Demands = append(n.Demands, balancer.DemandReport{Proxy: balancer.Proxy(l.Px), Class: balancer.Class(l.Class),
+			Requests: l.Tries, Failed: l.Lost, Interval: l.PeriodLen})
 	case "TookEffect":
-		n.Applied = append(n.Applied, balancer.Applied{Proxy: balancer.Proxy(l.Px), Mark: balancer.Mark(l.Number),
-			Took: l.Elapsed})
+		n.Acks = append(n.Acks, balancer.Ack{Proxy: balancer.Proxy(l.Px), ID: balancer.AckID(l.Number),
+			Latency: l.Elapsed})
 	case "PingResult":
 		verdict, ok := verdicts[l.Code]
 		if !ok {
 			return fmt.Errorf("PingResult has the unknown code %q", l.Code)
 		}
-		n.Probed = append(n.Probed, balancer.Probed{Server: balancer.Server(l.Backend), Verdict: verdict,
-			Took: l.Elapsed, Load: l.Stats})
+		n.HealthChecks = append(n.HealthChecks, balancer.HealthCheckResult{Server: balancer.Server(l.Backend), Status: verdict,
+			Latency: l.Elapsed, Load: l.Stats})
 	case "Fired":
-		n.Woken = append(n.Woken, balancer.Timer(l.Nonce))
+		n.FiredTimers = append(n.FiredTimers, balancer.Timer(l.Nonce))
 	case "SliceLoad", "Leased", "StoredLine", "Message":
 		// Slices and words from fellow coordinators: nothing here is decided by them yet.
 	default:
--- a/internal/simwire/write.go
+++ b/internal/simwire/write.go
@@ -49,7 +49,7 @@
 
 func (p *pen) end() { p.out = append(p.out, '}') }
 
-func (p *pen) Weigh(t balancer.Table, s balancer.Server, weight float64) {
+func (p *pen) SetWeight(t balancer.Table, s balancer.Server, weight float64) {
 	p.begin("Weigh")
 	p.figure("size", weight)
 	p.text("backend", string(s))
@@ -57,7 +57,7 @@
 	p.end()
 }
 
-func (p *pen) Bind(px balancer.Proxy, t balancer.Table, classes balancer.Classes) {
+func (p *pen) AssignTable(px balancer.Proxy, t balancer.Table, classes balancer.ClassSet) {
 	p.begin("HandTable")
 	p.number("px", int(px))
 	p.number("sheet", int(t))
@@ -65,7 +65,7 @@
 	p.end()
 }
 
-func (p *pen) Admit(t balancer.Table, classes balancer.Classes, level float64, again balancer.Repeats) {
+func (p *pen) SetAdmission(t balancer.Table, classes balancer.ClassSet, level float64, again balancer.RetryPolicy) {
 	p.begin("Ration")
 	p.number("sheet", int(t))
 	p.number("for-classes", int(classes))
@@ -74,7 +74,7 @@
 	p.end()
 }
 
-func (p *pen) Mark(m balancer.Mark) {
+func (p *pen) RequestAck(m balancer.AckID) {
 	p.begin("Seal")
 	p.number("number", int(m))
 	p.key("flag")
@@ -82,27 +82,27 @@
 	p.end()
 }
 
-func (p *pen) Probe(s balancer.Server) {
+func (p *pen) HealthCheck(s balancer.Server) {
 	p.begin("SoundOut")
 	p.text("backend", string(s))
 	p.end()
 }
 
-func (p *pen) Watch() {
+func (p *pen) PollDiscovery() {
 	p.begin("Listen")
 	p.key("flag")
 	p.out = append(p.out, "true"...)
 	p.end()
 }
 
-func (p *pen) Wake(after float64, t balancer.Timer) {
+func (p *pen) SetTimer(after float64, t balancer.Timer) {
 	p.begin("Defer")
 	p.number("nonce", int(t))
 	p.figure("sleep-for", after)
 	p.end()
 }
 
-func (p *pen) Note(text string) {
+func (p *pen) Log(text string) {
 	p.begin("Emit")
 	p.text("note-text", text)
 	p.end()
--- a/internal/store/golden_test.go
+++ b/internal/store/golden_test.go
@@ -19,7 +19,7 @@
 
 func goldenRecords() []registry.Record {
 	return []registry.Record{
-		{Place: registry.Place{Server: "127.0.1.2:8080", Zone: 1, Kind: 2, Pod: 3, Weight: 1.5, Standing: true}, Phase: balancer.Terminating,
+		{Place: registry.Place{Server: "127.0.1.2:8080", Zone: 1, Kind: 2, Pod: 3, Weight: 1.5, Standing: true}, Phase: balancer.Draining,
 			Started: 1000.25, Told: 2000.5, Drained: true},
 		{Place: registry.Place{Server: "127.0.1.3:8080", Weight: 1}},
 	}
--- a/internal/store/keep_test.go
+++ b/internal/store/keep_test.go
@@ -13,7 +13,7 @@
 )
 
 func record(s string, told float64) registry.Record {
-	return registry.Record{Place: registry.Place{Server: balancer.Server(s), Zone: 2, Weight: 1.5}, Phase: balancer.Terminating, Told: told}
+	return registry.Record{Place: registry.Place{Server: balancer.Server(s), Zone: 2, Weight: 1.5}, Phase: balancer.Draining, Told: told}
 }
 
 func TestRecordsOutliveTheProcess(t *testing.T) {
