--- a/internal/coordinator/coordinator.go
+++ b/internal/coordinator/coordinator.go
@@ -168,7 +168,7 @@
 	if c.Member != nil {
 		c.Member.begin(now, io)
 	}
-	io.Wake(now, 0)
+	io.SetTimer(now, 0)
 }
 
 // Opened of env.Program.
@@ -229,8 +229,8 @@
 	c.Desk.Closed(now, saspsession.Conn(id))
 }
 
-// Taken of env.Program.
-func (c *Coordinator) Taken(now float64, id env.Conn, total uint64) {
+// Delivered of env.Program.
+func (c *Coordinator) Delivered(now float64, id env.Conn, total uint64) {
 	if c.figures != nil && c.figures.Taken(now, id, total) {
 		return
 	}
@@ -251,8 +251,8 @@
 	}
 }
 
-// Woken of env.Program.
-func (c *Coordinator) Woken(now float64, _ int) {
+// TimerFired of env.Program.
+func (c *Coordinator) TimerFired(now float64, _ int) {
 	c.tick(now)
 	if c.figures != nil {
 		c.figures.Tick(now, func() {
@@ -267,10 +267,10 @@
 		}
 	}
 	if c.setup.Stir != nil && c.Rests() {
-		c.io.Wake(now+restEvery, 0)
+		c.io.SetTimer(now+restEvery, 0)
 		return
 	}
-	c.io.Wake(now+tickEvery, 0)
+	c.io.SetTimer(now+tickEvery, 0)
 }
 
 // Figures are what is sent to a receiver of figures; nil: nothing is.
--- a/internal/coordinator/guards_test.go
+++ b/internal/coordinator/guards_test.go
@@ -137,9 +137,9 @@
 func (x *tool) Start(_ float64, io env.IO)                   { x.io = io; io.Dial(x.to) }
 func (x *tool) Opened(float64, env.Conn, netip.Addr, uint16) {}
 func (x *tool) Closed(float64, env.Conn)                     { x.closed = true }
-func (x *tool) Taken(float64, env.Conn, uint64)              {}
+func (x *tool) Delivered(float64, env.Conn, uint64)          {}
 func (x *tool) Datagram(float64, []byte)                     {}
-func (x *tool) Woken(float64, int)                           {}
+func (x *tool) TimerFired(float64, int)                      {}
 func (x *tool) Connected(_ float64, c env.Conn, _ bool) {
 	if x.key == "" {
 		x.key = "key"
--- a/internal/coordinator/host.go
+++ b/internal/coordinator/host.go
@@ -256,8 +256,8 @@
 // Datagram of env.IO: a tenant's coordinator sends none.
 func (t *tenantIO) Datagram(netip.AddrPort, []byte) {}
 
-// Wake of env.IO.
-func (t *tenantIO) Wake(at float64, _ int) { t.h.Turns.Wake(t.x.Name, at) }
+// SetTimer of env.IO.
+func (t *tenantIO) SetTimer(at float64, _ int) { t.h.Turns.Wake(t.x.Name, at) }
 
 // Start of env.Program.
 func (h *Host) Start(now float64, io env.IO) {
@@ -273,7 +273,7 @@
 			}
 		}
 	}
-	h.io.Wake(now, 0)
+	h.io.SetTimer(now, 0)
 }
 
 // ours tells whether a port is that by which hosts speak to each other.
@@ -421,8 +421,8 @@
 	}
 }
 
-// Taken of env.Program.
-func (h *Host) Taken(now float64, c env.Conn, total uint64) {
+// Delivered of env.Program.
+func (h *Host) Delivered(now float64, c env.Conn, total uint64) {
 	if h.figures != nil && h.figures.Taken(now, c, total) {
 		return
 	}
@@ -430,7 +430,7 @@
 		return
 	}
 	if x := h.known(c); x != nil {
-		x.Program.Taken(now, c, total)
+		x.Program.Delivered(now, c, total)
 	}
 }
 
@@ -451,8 +451,8 @@
 	h.came(now, x, len(b))
 }
 
-// Woken of env.Program.
-func (h *Host) Woken(now float64, _ int) {
+// TimerFired of env.Program.
+func (h *Host) TimerFired(now float64, _ int) {
 	if now-h.checked >= checkEvery {
 		h.checked = now
 		for _, c := range h.Entry.Late(now) {
@@ -474,7 +474,7 @@
 			h.say("", "records not kept", "error", err)
 		}
 	}
-	h.io.Wake(now+hostEvery, 0)
+	h.io.SetTimer(now+hostEvery, 0)
 }
 
 // sample makes figures of the host and of each tenant that runs.
@@ -527,7 +527,7 @@
 // look gives a tenant its turn, and counts what it took.
 func (h *Host) look(now float64, x *Hosted) {
 	p := x.Program
-	p.Woken(now, 0)
+	p.TimerFired(now, 0)
 	x.rests = p.Rests()
 	c := p.Fleet.Counts
 	h.Turns.Spent(x.Name, tenancy.Did{Rounds: c.Rounds - x.counted.Rounds, Messages: c.Messages - x.counted.Messages,
--- a/internal/coordinator/host_test.go
+++ b/internal/coordinator/host_test.go
@@ -106,9 +106,9 @@
 }
 func (k *talker) Closed(float64, env.Conn)                     { k.closed++ }
 func (k *talker) Opened(float64, env.Conn, netip.Addr, uint16) {}
-func (k *talker) Taken(float64, env.Conn, uint64)              {}
+func (k *talker) Delivered(float64, env.Conn, uint64)          {}
 func (k *talker) Datagram(float64, []byte)                     {}
-func (k *talker) Woken(float64, int)                           {}
+func (k *talker) TimerFired(float64, int)                      {}
 
 func setBalancer(uid string) *sasp.Message {
 	return &sasp.Message{Kind: sasp.SetBalancer, UID: []byte(uid), Flags: sasp.Push | sasp.Trust}
--- a/internal/coordinator/member.go
+++ b/internal/coordinator/member.go
@@ -53,7 +53,7 @@
 // Start of env.Program.
 func (m *Member) Start(now float64, io env.IO) {
 	if m.begin(now, io); m.Failed == nil {
-		io.Wake(now, 0)
+		io.SetTimer(now, 0)
 	}
 }
 
@@ -266,16 +266,16 @@
 // Closed of env.Program.
 func (m *Member) Closed(_ float64, c env.Conn) { m.peers.closed(c) }
 
-// Taken of env.Program.
-func (m *Member) Taken(_ float64, c env.Conn, total uint64) { m.peers.taken(c, total) }
+// Delivered of env.Program.
+func (m *Member) Delivered(_ float64, c env.Conn, total uint64) { m.peers.taken(c, total) }
 
 // Datagram of env.Program.
 func (m *Member) Datagram(float64, []byte) {}
 
-// Woken of env.Program.
-func (m *Member) Woken(now float64, _ int) {
+// TimerFired of env.Program.
+func (m *Member) TimerFired(now float64, _ int) {
 	if m.tick(now); m.Failed == nil {
-		m.io.Wake(now+memberTick, 0)
+		m.io.SetTimer(now+memberTick, 0)
 	}
 }
 
--- a/internal/core/platformstate/calls.go
+++ b/internal/core/platformstate/calls.go
@@ -38,17 +38,17 @@
 type Outcome int
 
 const (
-	Taken    Outcome = iota // all orders stand
-	Partly                  // the relay could not use one; it was dropped, the rest goes on
-	Refused                 // surely not carried out; it goes again
-	Unclear                 // carried out whole or not at all; it goes again
-	Stranger                // an answer to no call that waits for one
+	Applied          Outcome = iota // all orders stand
+	PartiallyApplied                // the relay could not use one; it was dropped, the rest goes on
+	Rejected                        // surely not carried out; it goes again
+	Indeterminate                   // carried out whole or not at all; it goes again
+	Unsolicited                     // an answer to no call that waits for one
 )
 
-// Calls are the orders on their way to the relay: one call at a time is out, what is decided meanwhile waits as the newest state
+// CommandBuffer are the orders on their way to the relay: one call at a time is out, what is decided meanwhile waits as the newest state
 // of all that is ordered, not as a queue, so it can't grow beyond tables, servers and proxies. It is the balancer.CommandSink's back.
-type Calls struct {
-	names   jsonrpc.Names
+type CommandBuffer struct {
+	names   jsonrpc.ClassNames
 	waiting []order
 	at      map[about]int // in waiting
 	out     []order       // of the call that is out
@@ -58,15 +58,15 @@
 	resent  balancer.Redelivered
 
 	Dropped uint64 // orders that the relay could not use, or that it took for malformed
-	Again   uint64 // calls that went again though they may have been carried out
+	Resends uint64 // calls that went again though they may have been carried out
 }
 
-// NewCalls makes the way to the relay. Classes go by names on it.
-func NewCalls(names jsonrpc.Names) *Calls {
-	return &Calls{names: names, at: map[about]int{}}
+// NewCommandBuffer makes the way to the relay. Classes go by names on it.
+func NewCommandBuffer(names jsonrpc.ClassNames) *CommandBuffer {
+	return &CommandBuffer{names: names, at: map[about]int{}}
 }
 
-func (c *Calls) put(a about, text []byte) {
+func (c *CommandBuffer) put(a about, text []byte) {
 	if i, ok := c.at[a]; ok {
 		c.waiting[i].text = nil
 	}
@@ -78,7 +78,7 @@
 }
 
 // pack takes out what newer orders have replaced.
-func (c *Calls) pack() {
+func (c *CommandBuffer) pack() {
 	kept := c.waiting[:0]
 	for _, o := range c.waiting {
 		if o.text != nil {
@@ -91,30 +91,30 @@
 }
 
 // SetWeight of balancer.CommandSink.
-func (c *Calls) SetWeight(t balancer.Table, s balancer.Server, weight float64) {
-	c.put(about{does: weighs, table: t, server: s}, jsonrpc.AppendShare(nil, int(t), string(s), weight))
+func (c *CommandBuffer) SetWeight(t balancer.Table, s balancer.Server, weight float64) {
+	c.put(about{does: weighs, table: t, server: s}, jsonrpc.AppendWeight(nil, int(t), string(s), weight))
 }
 
 // AssignTable of balancer.CommandSink.
-func (c *Calls) AssignTable(p balancer.Proxy, t balancer.Table, classes balancer.ClassSet) {
-	c.put(about{does: binds, proxy: p, classes: classes}, c.names.AppendBind(nil, int(p), int(t), uint64(classes)))
+func (c *CommandBuffer) AssignTable(p balancer.Proxy, t balancer.Table, classes balancer.ClassSet) {
+	c.put(about{does: binds, proxy: p, classes: classes}, c.names.AppendAssignment(nil, int(p), int(t), uint64(classes)))
 }
 
 // SetAdmission of balancer.CommandSink.
-func (c *Calls) SetAdmission(t balancer.Table, classes balancer.ClassSet, level float64, again balancer.RetryPolicy) {
-	c.put(about{does: admits, table: t, classes: classes}, c.names.AppendAdmit(nil, int(t), uint64(classes), level, int(again)))
+func (c *CommandBuffer) SetAdmission(t balancer.Table, classes balancer.ClassSet, level float64, again balancer.RetryPolicy) {
+	c.put(about{does: admits, table: t, classes: classes}, c.names.AppendAdmission(nil, int(t), uint64(classes), level, int(again)))
 }
 
 // RequestAck of balancer.CommandSink. Who answers is whom the call concerns. A call carries one mark; where orders of several rounds wait for it,
 // the oldest: that all before it has left the channel is true of whoever answers, of a newer one it would not be.
-func (c *Calls) RequestAck(m balancer.AckID) {
+func (c *CommandBuffer) RequestAck(m balancer.AckID) {
 	if _, waits := c.at[about{does: marks}]; !waits {
-		c.put(about{does: marks}, jsonrpc.AppendMark(nil, int64(m), false))
+		c.put(about{does: marks}, jsonrpc.AppendAckRequest(nil, int64(m), false))
 	}
 }
 
-// Left drops what waits for a proxy that has left: the relay could not use it.
-func (c *Calls) Left(p balancer.Proxy) {
+// ProxyLeft drops what waits for a proxy that has left: the relay could not use it.
+func (c *CommandBuffer) ProxyLeft(p balancer.Proxy) {
 	for i, o := range c.waiting {
 		if o.text != nil && o.about.does == binds && o.about.proxy == p {
 			c.waiting[i].text = nil
@@ -128,14 +128,14 @@
 	}
 }
 
-// Flying tells whether a call is out.
-func (c *Calls) Flying() bool { return c.flying }
+// InFlight tells whether a call is out.
+func (c *CommandBuffer) InFlight() bool { return c.flying }
 
-// Waiting is how many orders wait for their call.
-func (c *Calls) Waiting() int { return len(c.at) }
+// Pending is how many orders wait for their call.
+func (c *CommandBuffer) Pending() int { return len(c.at) }
 
-// Next writes the next call, if none is out and something waits.
-func (c *Calls) Next(b []byte) ([]byte, bool) {
+// NextCall writes the next call, if none is out and something waits.
+func (c *CommandBuffer) NextCall(b []byte) ([]byte, bool) {
 	if c.flying || len(c.at) == 0 {
 		return b, false
 	}
@@ -166,10 +166,10 @@
 }
 
 // fitting is how many of the orders that wait one call can hold.
-func (c *Calls) fitting() (n int) {
+func (c *CommandBuffer) fitting() (n int) {
 	size := 0
 	for _, o := range c.waiting {
-		if size += len(o.text) + 1; size > jsonrpc.MostOrders-framing {
+		if size += len(o.text) + 1; size > jsonrpc.MaxCallBytes-framing {
 			return n
 		}
 		n++
@@ -179,7 +179,7 @@
 
 // cut moves the end of a call that can't hold all to where orders for another table or proxy begin: each call is a message of its
 // own to whom it concerns, and messages are limited. A mark is not left alone, since it would reach nobody.
-func (c *Calls) cut(most int) int {
+func (c *CommandBuffer) cut(most int) int {
 	n := most
 	if n == len(c.waiting)-1 && c.waiting[n].about.does == marks {
 		n--
@@ -205,7 +205,7 @@
 }
 
 // back puts orders that are not carried out, or not surely, before those that wait. What was decided since stands.
-func (c *Calls) back(orders []order) {
+func (c *CommandBuffer) back(orders []order) {
 	all := make([]order, 0, len(orders)+len(c.waiting))
 	for _, o := range orders {
 		i, newer := c.at[o.about]
@@ -228,14 +228,14 @@
 	c.out, c.flying = nil, false
 }
 
-// Answered takes the relay's answer. What can't be read is unclear, and so is an answer to another call.
-func (c *Calls) Answered(m *jsonrpc.Message) Outcome {
+// HandleAnswer takes the relay's answer. What can't be read is unclear, and so is an answer to another call.
+func (c *CommandBuffer) HandleAnswer(m *jsonrpc.Message) Outcome {
 	if !c.flying || m.Answer && m.ID < c.id { // late, on a link that was not given up
-		return Stranger
+		return Unsolicited
 	}
 	if !m.Answer || m.ID != c.id {
-		c.Broken()
-		return Unclear
+		c.ConnectionLost()
+		return Indeterminate
 	}
 	if m.Error != "" {
 		if m.Error != "malformed" {
@@ -245,29 +245,29 @@
 			c.tried, c.out = 0, nil
 		}
 		c.back(c.out)
-		return Refused
+		return Rejected
 	}
-	n, ok := m.Accepted()
+	n, ok := m.AcceptedCount()
 	if !ok || n > len(c.out) {
-		c.Broken()
-		return Unclear
+		c.ConnectionLost()
+		return Indeterminate
 	}
 	c.tried = 0
 	if n < len(c.out) {
 		c.Dropped++
 		c.back(c.out[n+1:])
-		return Partly
+		return PartiallyApplied
 	}
 	c.out, c.flying = nil, false
-	return Taken
+	return Applied
 }
 
-// Broken says that the call that is out may or may not have been carried out.
-func (c *Calls) Broken() {
+// ConnectionLost says that the call that is out may or may not have been carried out.
+func (c *CommandBuffer) ConnectionLost() {
 	if !c.flying {
 		return
 	}
-	c.Again++
+	c.Resends++
 	for _, o := range c.out {
 		switch _, newer := c.at[o.about]; {
 		case newer, o.text == nil:
@@ -280,8 +280,8 @@
 	c.back(c.out)
 }
 
-// Resent is what goes again though it may have been carried out, since the last time that this was asked.
-func (c *Calls) Resent() balancer.Redelivered {
+// TakeRedelivered is what goes again though it may have been carried out, since the last time that this was asked.
+func (c *CommandBuffer) TakeRedelivered() balancer.Redelivered {
 	r := c.resent
 	c.resent = balancer.Redelivered{}
 	return r
--- a/internal/core/platformstate/roster.go
+++ b/internal/core/platformstate/roster.go
@@ -36,98 +36,98 @@
 	return &Source{joined: map[balancer.Proxy]joining{}, listing: true, since: now, heard: now}
 }
 
-// Whole tells whether the list of those who were joined is over, and the link is heard of.
-func (x *Source) Whole(now float64) bool { return !x.listing && now-x.heard <= staleFor }
+// Complete tells whether the list of those who were joined is over, and the link is heard of.
+func (x *Source) Complete(now float64) bool { return !x.listing && now-x.heard <= staleFor }
 
-// Roster is who is joined, by the news of one link at a time. Another link that has listened all along can take its place at any
+// ProxyRegistry is who is joined, by the news of one link at a time. Another link that has listened all along can take its place at any
 // time, and nobody has to be told anything again; if there was none, whoever is joined may have left and come back meanwhile, and
 // joins anew.
-type Roster struct {
+type ProxyRegistry struct {
 	joined map[balancer.Proxy]joining
 	from   *Source
 	until  float64 // up to when news were heard
 }
 
-// NewRoster makes an empty one.
-func NewRoster() *Roster {
-	return &Roster{joined: map[balancer.Proxy]joining{}}
+// NewProxyRegistry makes an empty one.
+func NewProxyRegistry() *ProxyRegistry {
+	return &ProxyRegistry{joined: map[balancer.Proxy]joining{}}
 }
 
-// Joined is how many are.
-func (r *Roster) Joined() int { return len(r.joined) }
+// Len is how many are.
+func (r *ProxyRegistry) Len() int { return len(r.joined) }
 
-// Streams are all that are.
-func (r *Roster) Streams() (list []balancer.ProxyEvent) {
+// JoinEvents are all that are.
+func (r *ProxyRegistry) JoinEvents() (list []balancer.ProxyEvent) {
 	for _, p := range slices.SortedFunc(maps.Keys(r.joined), cmp.Compare[balancer.Proxy]) {
 		list = append(list, r.joined[p].stream)
 	}
 	return list
 }
 
-// Has tells whether a proxy is joined.
-func (r *Roster) Has(p balancer.Proxy) bool { _, ok := r.joined[p]; return ok }
+// Contains tells whether a proxy is joined.
+func (r *ProxyRegistry) Contains(p balancer.Proxy) bool { _, ok := r.joined[p]; return ok }
 
-// Heard says that a link has said something.
-func (r *Roster) Heard(now float64, x *Source) {
+// Touch says that a link has said something.
+func (r *ProxyRegistry) Touch(now float64, x *Source) {
 	if x.heard = now; r.from == x && !x.listing {
 		r.until = now
 	}
 }
 
-// Stood says that a link is replaced while it still stands. If its last sign of life is not overdue it would have told of whoever
+// MarkReplaced says that a link is replaced while it still stands. If its last sign of life is not overdue it would have told of whoever
 // left or joined: there was no gap. Guards against binding everybody anew with each new link, which fills the channel.
-func (r *Roster) Stood(now float64, x *Source) {
+func (r *ProxyRegistry) MarkReplaced(now float64, x *Source) {
 	if x != nil && r.from == x && !x.listing && now-x.heard <= lifeFor {
 		r.until = now
 	}
 }
 
-// Follow goes by another link from now on.
-func (r *Roster) Follow(now float64, x *Source, news *balancer.Events) {
+// SwitchSource goes by another link from now on.
+func (r *ProxyRegistry) SwitchSource(now float64, x *Source, news *balancer.Events) {
 	if r.from = x; !x.listing {
 		r.settle(now, news)
 	}
 }
 
-// Attach says that by a link a proxy is joined. One that was joined joins anew: what it holds is not known.
-func (r *Roster) Attach(now float64, x *Source, s balancer.ProxyEvent, news *balancer.Events) {
+// ProxyJoined says that by a link a proxy is joined. One that was joined joins anew: what it holds is not known.
+func (r *ProxyRegistry) ProxyJoined(now float64, x *Source, s balancer.ProxyEvent, news *balancer.Events) {
 	s.Joined = true
 	j := joining{s, now, x.listing}
 	x.joined[s.Proxy] = j
-	if r.from == x && (!x.listing || !r.Has(s.Proxy)) {
+	if r.from == x && (!x.listing || !r.Contains(s.Proxy)) {
 		r.join(j, news)
 	}
 }
 
-// Detach says that by a link a proxy has left.
-func (r *Roster) Detach(x *Source, p balancer.Proxy, news *balancer.Events) {
+// ProxyLeft says that by a link a proxy has left.
+func (r *ProxyRegistry) ProxyLeft(x *Source, p balancer.Proxy, news *balancer.Events) {
 	delete(x.joined, p)
 	if r.from == x {
 		r.leave(p, news)
 	}
 }
 
-func (r *Roster) join(j joining, news *balancer.Events) {
+func (r *ProxyRegistry) join(j joining, news *balancer.Events) {
 	r.joined[j.stream.Proxy] = j
 	news.ProxyEvents = append(news.ProxyEvents, j.stream)
 }
 
-func (r *Roster) leave(p balancer.Proxy, news *balancer.Events) {
-	if r.Has(p) {
+func (r *ProxyRegistry) leave(p balancer.Proxy, news *balancer.Events) {
+	if r.Contains(p) {
 		delete(r.joined, p)
 		news.ProxyEvents = append(news.ProxyEvents, balancer.ProxyEvent{Proxy: p})
 	}
 }
 
-// Due ends a link's list when its time is over.
-func (r *Roster) Due(now float64, x *Source, news *balancer.Events) {
+// ExpireList ends a link's list when its time is over.
+func (r *ProxyRegistry) ExpireList(now float64, x *Source, news *balancer.Events) {
 	if x.listing && now-x.since >= listFor {
-		r.Ends(now, x, news)
+		r.EndList(now, x, news)
 	}
 }
 
-// Ends is the end of a link's list.
-func (r *Roster) Ends(now float64, x *Source, news *balancer.Events) {
+// EndList is the end of a link's list.
+func (r *ProxyRegistry) EndList(now float64, x *Source, news *balancer.Events) {
 	if x.listing {
 		if x.listing = false; r.from == x {
 			r.settle(now, news)
@@ -136,7 +136,7 @@
 }
 
 // settle makes the roster what its link says. Those who are absent have left while nobody told.
-func (r *Roster) settle(now float64, news *balancer.Events) {
+func (r *ProxyRegistry) settle(now float64, news *balancer.Events) {
 	x := r.from
 	gap := x.since-r.until > gapMost
 	r.until = now
@@ -148,7 +148,7 @@
 	for _, p := range slices.SortedFunc(maps.Keys(x.joined), cmp.Compare[balancer.Proxy]) {
 		j, known := x.joined[p], r.joined[p]
 		again := gap && known.at < x.since || !j.listed && j.at > known.at+apartBy || j.listed && j.stream.DefaultTable && !known.stream.DefaultTable
-		if !r.Has(p) || again {
+		if !r.Contains(p) || again {
 			r.join(j, news)
 		}
 	}
--- a/internal/core/platformstate/station_test.go
+++ b/internal/core/platformstate/station_test.go
@@ -30,7 +30,7 @@
 	if err := json.Unmarshal(b, &c); err != nil {
 		t.Fatalf("%v: %s", err, b)
 	}
-	if len(b) > jsonrpc.MostOrders {
+	if len(b) > jsonrpc.MaxCallBytes {
 		t.Fatalf("a call of %d bytes", len(b))
 	}
 	return c
@@ -44,7 +44,7 @@
 	}
 }
 
-func idle(c *Calls) bool { return !c.Flying() && c.Waiting() == 0 }
+func idle(c *CommandBuffer) bool { return !c.InFlight() && c.Pending() == 0 }
 
 func answer(id uint64, text string) *jsonrpc.Message {
 	var m jsonrpc.Message
@@ -55,7 +55,7 @@
 // Whatever becomes of calls, the relay ends with what was decided last: nothing is lost, nothing newer is overtaken.
 func TestTheRelayEndsWithWhatWasDecidedLast(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		c, d := NewCalls(jsonrpc.Names{"a", "b"}), &desk{map[string]float64{}}
+		c, d := NewCommandBuffer(jsonrpc.ClassNames{"a", "b"}), &desk{map[string]float64{}}
 		want := map[string]float64{}
 		decide := func() {
 			for range rapid.IntRange(1, 5).Draw(t, "orders") {
@@ -71,41 +71,41 @@
 			case 0, 1:
 				decide()
 			case 2, 3:
-				if b, ok := c.Next(nil); ok {
+				if b, ok := c.NextCall(nil); ok {
 					out = d.read(t, b)
 				}
 			case 4: // carried out and answered
-				if c.Flying() {
+				if c.InFlight() {
 					d.apply(out.Params.Changes)
-					if got := c.Answered(answer(out.ID, fmt.Sprintf(`"result":{"accepted":%d}`, len(out.Params.Changes)))); got != Taken {
+					if got := c.HandleAnswer(answer(out.ID, fmt.Sprintf(`"result":{"accepted":%d}`, len(out.Params.Changes)))); got != Applied {
 						t.Fatalf("%v", got)
 					}
 				}
 			case 5: // carried out or not, and not answered so that it can be read
-				if c.Flying() {
+				if c.InFlight() {
 					if rapid.Bool().Draw(t, "done") {
 						d.apply(out.Params.Changes)
 					}
 					spoilt := rapid.SampledFrom([]string{`"result":{}`, `"result":{"accepted":-1}`, `"result":{"accepted":1e9}`,
 						`"result":{"accepted":"2"}`, `"result":7`, `"nothing":1`}).Draw(t, "spoilt")
-					if got := c.Answered(answer(out.ID, spoilt)); got != Unclear {
+					if got := c.HandleAnswer(answer(out.ID, spoilt)); got != Indeterminate {
 						t.Fatalf("%s is %v", spoilt, got)
 					}
 				}
 			case 6:
-				c.Broken()
+				c.ConnectionLost()
 			case 7:
-				if c.Flying() {
-					c.Answered(answer(out.ID, `"error":{"code":-32000,"message":"limit"}`))
+				if c.InFlight() {
+					c.HandleAnswer(answer(out.ID, `"error":{"code":-32000,"message":"limit"}`))
 				}
 			}
 		}
 		for !idle(c) {
-			if b, ok := c.Next(nil); ok {
+			if b, ok := c.NextCall(nil); ok {
 				out = d.read(t, b)
 			}
 			d.apply(out.Params.Changes)
-			c.Answered(answer(out.ID, fmt.Sprintf(`"result":{"accepted":%d}`, len(out.Params.Changes))))
+			c.HandleAnswer(answer(out.ID, fmt.Sprintf(`"result":{"accepted":%d}`, len(out.Params.Changes))))
 		}
 		for k, v := range want {
 			if d.lines[k] != v {
@@ -116,20 +116,20 @@
 }
 
 func TestAnOrderThatTheRelayCannotUseIsDroppedAndTheRestGoesOn(t *testing.T) {
-	c := NewCalls(jsonrpc.Names{"a"})
+	c := NewCommandBuffer(jsonrpc.ClassNames{"a"})
 	c.SetWeight(1, "x", 1)
 	c.AssignTable(7, 1, 0)
 	c.SetWeight(1, "y", 2)
 	c.RequestAck(3)
-	c.Next(nil)
-	if got := c.Answered(answer(1, `"result":{"accepted":1}`)); got != Partly || c.Dropped != 1 {
+	c.NextCall(nil)
+	if got := c.HandleAnswer(answer(1, `"result":{"accepted":1}`)); got != PartiallyApplied || c.Dropped != 1 {
 		t.Fatalf("%v, %d dropped", got, c.Dropped)
 	}
-	b, _ := c.Next(nil)
+	b, _ := c.NextCall(nil)
 	if s := string(b); strings.Contains(s, "bind") || !strings.Contains(s, `"y"`) || !strings.Contains(s, "mark") || strings.Contains(s, `"x"`) {
 		t.Error(s)
 	}
-	if got := c.Answered(answer(1, `"result":{"accepted":4}`)); got != Stranger || !c.Flying() {
+	if got := c.HandleAnswer(answer(1, `"result":{"accepted":4}`)); got != Unsolicited || !c.InFlight() {
 		t.Errorf("a late answer to a former call is %v", got)
 	}
 }
@@ -138,7 +138,7 @@
 // Guards against an account of the channel that holds too little to wait: whoever answers a newer round's mark has not got its message
 // after all of an older round's, where both went with one call.
 func TestTheOldestMarkOfSeveralRoundsStands(t *testing.T) {
-	c := NewCalls(jsonrpc.Names{"a"})
+	c := NewCommandBuffer(jsonrpc.ClassNames{"a"})
 	stamps := func(b []byte) (list []float64) {
 		for _, o := range (&desk{}).read(t, b).Params.Changes {
 			if o["do"] == "mark" {
@@ -151,21 +151,21 @@
 	c.RequestAck(7)
 	c.SetWeight(2, "x", 1)
 	c.RequestAck(8)
-	b, _ := c.Next(nil)
+	b, _ := c.NextCall(nil)
 	if got := stamps(b); !slices.Equal(got, []float64{7}) {
 		t.Errorf("a call of two rounds carries the marks %v, want the first round's", got)
 	}
 	c.SetWeight(3, "x", 1)
 	c.RequestAck(9)
-	c.Broken() // the first call goes again, before what has been decided since
-	b, _ = c.Next(nil)
+	c.ConnectionLost() // the first call goes again, before what has been decided since
+	b, _ = c.NextCall(nil)
 	if got := stamps(b); !slices.Equal(got, []float64{7}) {
 		t.Errorf("a call that goes again carries the marks %v, want its own", got)
 	}
-	c.Answered(answer(2, `"result":{"accepted":4}`))
+	c.HandleAnswer(answer(2, `"result":{"accepted":4}`))
 	c.SetWeight(4, "x", 1)
 	c.RequestAck(10)
-	b, _ = c.Next(nil)
+	b, _ = c.NextCall(nil)
 	if got := stamps(b); !slices.Equal(got, []float64{10}) {
 		t.Errorf("the next call carries the marks %v", got)
 	}
@@ -175,7 +175,7 @@
 // unless its table alone is larger than a call. Then that is told.
 func TestALargeRoundIsCutBetweenTables(t *testing.T) {
 	for _, servers := range []int{5, 300, 1024} {
-		c := NewCalls(jsonrpc.Names{"a"})
+		c := NewCommandBuffer(jsonrpc.ClassNames{"a"})
 		tables := 3000 / servers
 		for table := range tables {
 			for i := range servers {
@@ -187,7 +187,7 @@
 		calls := map[float64]map[uint64]bool{}
 		marked := false
 		for !idle(c) {
-			b, _ := c.Next(nil)
+			b, _ := c.NextCall(nil)
 			m := (&desk{}).read(t, b)
 			if marked = len(m.Params.Changes) == 1 && m.Params.Changes[0]["do"] == "mark"; marked {
 				t.Error("a call holds nothing but the mark: nobody answers it")
@@ -200,9 +200,9 @@
 					calls[g][m.ID] = true
 				}
 			}
-			c.Answered(answer(m.ID, fmt.Sprintf(`"result":{"accepted":%d}`, len(m.Params.Changes))))
+			c.HandleAnswer(answer(m.ID, fmt.Sprintf(`"result":{"accepted":%d}`, len(m.Params.Changes))))
 		}
-		told := c.Resent().Tables
+		told := c.TakeRedelivered().Tables
 		for g, ids := range calls {
 			if len(ids) > 1 && (servers < 900 || !slices.Contains(told, balancer.Table(g))) {
 				t.Errorf("%d servers: table %.0f goes with %d calls; told of %v", servers, g, len(ids), told)
@@ -212,42 +212,42 @@
 }
 
 func TestWhatGoesAgainIsTold(t *testing.T) {
-	c := NewCalls(jsonrpc.Names{"a"})
+	c := NewCommandBuffer(jsonrpc.ClassNames{"a"})
 	c.SetWeight(1, "x", 1)
 	c.SetWeight(2, "x", 1)
 	c.SetAdmission(3, 1, 0.5, balancer.RetryNever)
 	c.AssignTable(7, 1, 0)
 	c.AssignTable(8, 1, 0)
 	c.RequestAck(3)
-	c.Next(nil)
+	c.NextCall(nil)
 	c.SetWeight(2, "x", 2)
 	c.AssignTable(8, 2, 0)
-	c.Broken()
-	c.Broken() // nothing is out
-	if r := c.Resent(); !slices.Equal(r.Tables, []balancer.Table{1, 3}) || !slices.Equal(r.Proxies, []balancer.Proxy{7}) {
+	c.ConnectionLost()
+	c.ConnectionLost() // nothing is out
+	if r := c.TakeRedelivered(); !slices.Equal(r.Tables, []balancer.Table{1, 3}) || !slices.Equal(r.Proxies, []balancer.Proxy{7}) {
 		t.Errorf("%+v", r)
 	}
-	if r := c.Resent(); len(r.Tables)+len(r.Proxies) > 0 {
+	if r := c.TakeRedelivered(); len(r.Tables)+len(r.Proxies) > 0 {
 		t.Errorf("told twice: %+v", r)
 	}
-	c.Next(nil)
-	if c.Answered(answer(2, `"error":"limit"`)); len(c.Resent().Tables) > 0 {
+	c.NextCall(nil)
+	if c.HandleAnswer(answer(2, `"error":"limit"`)); len(c.TakeRedelivered().Tables) > 0 {
 		t.Error("what was refused was surely not carried out")
 	}
 }
 
 // A proxy leaves while the call that binds it is out, and the call goes again: its next joining is not bound by it.
 func TestWhoLeavesWithinACallIsNotBoundWhenItGoesAgain(t *testing.T) {
-	c := NewCalls(jsonrpc.Names{"a"})
+	c := NewCommandBuffer(jsonrpc.ClassNames{"a"})
 	c.AssignTable(7, 1, 0)
 	c.SetWeight(1, "x", 1)
-	c.Next(nil)
-	c.Left(7)
-	c.Broken()
-	if r := c.Resent(); len(r.Proxies) > 0 || len(r.Tables) != 1 {
+	c.NextCall(nil)
+	c.ProxyLeft(7)
+	c.ConnectionLost()
+	if r := c.TakeRedelivered(); len(r.Proxies) > 0 || len(r.Tables) != 1 {
 		t.Errorf("told to go again: %+v", r)
 	}
-	if b, ok := c.Next(nil); !ok || strings.Contains(string(b), "bind") || !strings.Contains(string(b), `"x"`) {
+	if b, ok := c.NextCall(nil); !ok || strings.Contains(string(b), "bind") || !strings.Contains(string(b), `"x"`) {
 		t.Errorf("%s", b)
 	}
 }
@@ -256,18 +256,18 @@
 // silence everybody is.
 func TestAReplacedLinkLeavesNoGapWhereItStood(t *testing.T) {
 	for silent, anew := range map[float64]int{0.1: 0, 0.9: 0, 1.2: 0, 1.4: 1, 3: 1} {
-		r, news := NewRoster(), &balancer.Events{}
+		r, news := NewProxyRegistry(), &balancer.Events{}
 		old := NewSource(10)
-		r.Follow(10, old, news)
-		r.Attach(10, old, balancer.ProxyEvent{Proxy: 1, Zone: 0}, news)
-		r.Ends(10.1, old, news)
-		r.Heard(20, old)
+		r.SwitchSource(10, old, news)
+		r.ProxyJoined(10, old, balancer.ProxyEvent{Proxy: 1, Zone: 0}, news)
+		r.EndList(10.1, old, news)
+		r.Touch(20, old)
 		at, next := 20+silent, NewSource(20+silent)
 		*news = balancer.Events{}
-		r.Stood(at, old)
-		r.Follow(at, next, news)
-		r.Attach(at, next, balancer.ProxyEvent{Proxy: 1, Zone: 0}, news)
-		if r.Ends(at+0.1, next, news); len(news.ProxyEvents) != anew {
+		r.MarkReplaced(at, old)
+		r.SwitchSource(at, next, news)
+		r.ProxyJoined(at, next, balancer.ProxyEvent{Proxy: 1, Zone: 0}, news)
+		if r.EndList(at+0.1, next, news); len(news.ProxyEvents) != anew {
 			t.Errorf("after %.1f s without a word %d joined anew, want %d", silent, len(news.ProxyEvents), anew)
 		}
 	}
@@ -275,64 +275,64 @@
 
 // What an unusable entry told is asked for again: the version does not go on. A drain counts whatever else the entry says.
 func TestAListThatIsNotWholeIsOwed(t *testing.T) {
-	s, news := NewServers([]string{"a"}, nil), &balancer.Events{}
+	s, news := NewEndpointSet([]string{"a"}, nil), &balancer.Events{}
 	entry := func(id, state string) discovery.Server {
-		return discovery.Server{ID: id, Addr: "127.0.0.1:1", Zone: "a", State: state, Weight: 1}
+		return discovery.Server{ID: id, Address: "127.0.0.1:1", Zone: "a", State: state, Weight: 1}
 	}
-	if !s.Take(&discovery.List{Version: 4, Full: true, Servers: []discovery.Server{entry("x", "ready"), entry("y", "ready")}}, true, news) {
+	if !s.Apply(&discovery.List{Version: 4, Full: true, Servers: []discovery.Server{entry("x", "ready"), entry("y", "ready")}}, true, news) {
 		t.Fatal("a good list is not whole")
 	}
 	drains, strange := entry("x", "draining"), entry("z", "ready")
 	drains.Weight, strange.Zone = -1, "nowhere"
 	*news = balancer.Events{}
-	if s.Take(&discovery.List{Version: 5, Servers: []discovery.Server{drains, strange}}, false, news) || s.Version() != 4 || s.Newest() != 5 || s.Spoilt != 2 {
-		t.Errorf("version %d, %d spoilt", s.Version(), s.Spoilt)
+	if s.Apply(&discovery.List{Version: 5, Servers: []discovery.Server{drains, strange}}, false, news) || s.CompleteVersion() != 4 || s.NewestVersion() != 5 || s.Malformed != 2 {
+		t.Errorf("version %d, %d spoilt", s.CompleteVersion(), s.Malformed)
 	}
 	if l := news.Lists[0]; len(l.Endpoints) != 1 || l.Endpoints[0].Server != "x" || l.Endpoints[0].Phase != balancer.Draining || l.Endpoints[0].Weight != 1 {
 		t.Errorf("%+v", l)
 	}
-	if s.Take(&discovery.List{Version: 6, Servers: []discovery.Server{entry("y", "ready")}}, false, news) || s.Version() != 4 {
-		t.Errorf("a good list makes good what the one before owes: version %d", s.Version())
+	if s.Apply(&discovery.List{Version: 6, Servers: []discovery.Server{entry("y", "ready")}}, false, news) || s.CompleteVersion() != 4 {
+		t.Errorf("a good list makes good what the one before owes: version %d", s.CompleteVersion())
 	}
 	*news = balancer.Events{}
-	whole := &discovery.List{Version: 6, Full: true, Servers: []discovery.Server{entry("x", "draining")}, Spoilt: 1} // perhaps y's
-	if s.Take(whole, false, news) || !s.Listed("y") || news.Lists[0].Scope != balancer.DeltaList {
-		t.Errorf("y is listed: %v; %+v", s.Listed("y"), news.Lists)
+	whole := &discovery.List{Version: 6, Full: true, Servers: []discovery.Server{entry("x", "draining")}, Malformed: 1} // perhaps y's
+	if s.Apply(whole, false, news) || !s.Contains("y") || news.Lists[0].Scope != balancer.DeltaList {
+		t.Errorf("y is listed: %v; %+v", s.Contains("y"), news.Lists)
 	}
-	if whole.Spoilt = 0; !s.Take(whole, false, news) || s.Listed("y") || s.Version() != 6 {
-		t.Errorf("y is listed: %v at version %d", s.Listed("y"), s.Version())
+	if whole.Malformed = 0; !s.Apply(whole, false, news) || s.Contains("y") || s.CompleteVersion() != 6 {
+		t.Errorf("y is listed: %v at version %d", s.Contains("y"), s.CompleteVersion())
 	}
-	s.Owe()
-	if s.Take(&discovery.List{Version: 7}, false, news) || s.Version() != 6 || !s.Take(&discovery.List{Version: 7}, true, news) || s.Version() != 7 {
-		t.Errorf("version %d after a line that could not be read and a new link's first", s.Version())
+	s.MarkIncomplete()
+	if s.Apply(&discovery.List{Version: 7}, false, news) || s.CompleteVersion() != 6 || !s.Apply(&discovery.List{Version: 7}, true, news) || s.CompleteVersion() != 7 {
+		t.Errorf("version %d after a line that could not be read and a new link's first", s.CompleteVersion())
 	}
 }
 
 func TestWhatWaitsIsTheNewestStateAndNotAQueue(t *testing.T) {
-	c := NewCalls(nil)
+	c := NewCommandBuffer(nil)
 	for i := range 10_000 {
 		c.SetWeight(1, balancer.Server(fmt.Sprint("s-", i%20)), float64(i))
 		c.RequestAck(balancer.AckID(i))
 	}
-	if c.Waiting() != 21 || len(c.waiting) > 200 {
-		t.Errorf("%d orders wait, %d are kept", c.Waiting(), len(c.waiting))
+	if c.Pending() != 21 || len(c.waiting) > 200 {
+		t.Errorf("%d orders wait, %d are kept", c.Pending(), len(c.waiting))
 	}
 	c.AssignTable(5, 1, 1)
-	c.Left(5)
-	if b, _ := c.Next(nil); strings.Contains(string(b), "bind") {
+	c.ProxyLeft(5)
+	if b, _ := c.NextCall(nil); strings.Contains(string(b), "bind") {
 		t.Error("a proxy that has left is bound")
 	}
 }
 
 func TestACallThatIsTakenForMalformedIsGivenUpAtLast(t *testing.T) {
-	c := NewCalls(nil)
+	c := NewCommandBuffer(nil)
 	c.SetWeight(1, "x", 1)
 	for i := range uint64(mostTried) {
-		c.Next(nil)
-		c.Answered(answer(i+1, `"error":"malformed"`))
+		c.NextCall(nil)
+		c.HandleAnswer(answer(i+1, `"error":"malformed"`))
 	}
 	if !idle(c) || c.Dropped != 1 {
-		t.Errorf("%d dropped, %d wait", c.Dropped, c.Waiting())
+		t.Errorf("%d dropped, %d wait", c.Dropped, c.Pending())
 	}
 }
 
@@ -345,52 +345,52 @@
 }
 
 func TestAnotherLinkThatListenedTakesOverAndNobodyJoinsAnew(t *testing.T) {
-	r, news := NewRoster(), &balancer.Events{}
+	r, news := NewProxyRegistry(), &balancer.Events{}
 	main, second := NewSource(0), NewSource(0)
-	r.Follow(0, main, news)
+	r.SwitchSource(0, main, news)
 	for _, x := range []*Source{main, second} {
 		for p := range 3 {
-			r.Attach(0.1, x, balancer.ProxyEvent{Proxy: balancer.Proxy(p), DefaultTable: true}, news)
+			r.ProxyJoined(0.1, x, balancer.ProxyEvent{Proxy: balancer.Proxy(p), DefaultTable: true}, news)
 		}
-		r.Heard(1, x)
-		r.Ends(1, x, news)
+		r.Touch(1, x)
+		r.EndList(1, x, news)
 	}
 	if got := said(news); got != "+0+1+2" {
 		t.Fatal(got)
 	}
 	// Main falls silent; meanwhile 0 leaves, 1 leaves and comes back, 3 comes.
-	r.Detach(second, 0, news)
-	r.Detach(second, 1, news)
-	r.Attach(2.5, second, balancer.ProxyEvent{Proxy: 1}, news)
-	r.Attach(2.6, second, balancer.ProxyEvent{Proxy: 3}, news)
-	r.Heard(2.6, second)
-	if said(news) != "" || !second.Whole(2.7) || second.Whole(9) {
+	r.ProxyLeft(second, 0, news)
+	r.ProxyLeft(second, 1, news)
+	r.ProxyJoined(2.5, second, balancer.ProxyEvent{Proxy: 1}, news)
+	r.ProxyJoined(2.6, second, balancer.ProxyEvent{Proxy: 3}, news)
+	r.Touch(2.6, second)
+	if said(news) != "" || !second.Complete(2.7) || second.Complete(9) {
 		t.Fatal("the second link was followed before its time")
 	}
-	if r.Follow(2.7, second, news); said(news) != "-0+1+3" || r.Joined() != 3 {
+	if r.SwitchSource(2.7, second, news); said(news) != "-0+1+3" || r.Len() != 3 {
 		t.Error("not what has changed")
 	}
 }
 
 func TestANewLinkAfterAGapMakesAllJoinAnew(t *testing.T) {
 	for _, gap := range []float64{0.01, 5} {
-		r, news := NewRoster(), &balancer.Events{}
+		r, news := NewProxyRegistry(), &balancer.Events{}
 		x := NewSource(0)
-		r.Follow(0, x, news)
+		r.SwitchSource(0, x, news)
 		for p := range 3 {
-			r.Attach(0, x, balancer.ProxyEvent{Proxy: balancer.Proxy(p)}, news)
+			r.ProxyJoined(0, x, balancer.ProxyEvent{Proxy: balancer.Proxy(p)}, news)
 		}
-		r.Ends(1, x, news)
-		r.Heard(8, x)
+		r.EndList(1, x, news)
+		r.Touch(8, x)
 		said(news)
 		y := NewSource(8 + gap)
-		r.Follow(8+gap, y, news)
-		r.Attach(8+gap, y, balancer.ProxyEvent{Proxy: 1}, news)
-		r.Attach(8+gap, y, balancer.ProxyEvent{Proxy: 2}, news)
+		r.SwitchSource(8+gap, y, news)
+		r.ProxyJoined(8+gap, y, balancer.ProxyEvent{Proxy: 1}, news)
+		r.ProxyJoined(8+gap, y, balancer.ProxyEvent{Proxy: 2}, news)
 		if got := said(news); got != "" {
 			t.Errorf("after %g s the list is not over, and %s", gap, got)
 		}
-		r.Due(8+gap+listFor, y, news)
+		r.ExpireList(8+gap+listFor, y, news)
 		if got, want := said(news), map[float64]string{0.01: "-0", 5: "-0+1+2"}[gap]; got != want {
 			t.Errorf("after %g s %q, want %q", gap, got, want)
 		}
@@ -398,31 +398,31 @@
 }
 
 func TestListsThatAreOlderChangeNothing(t *testing.T) {
-	s, news := NewServers([]string{"z"}, nil), &balancer.Events{}
+	s, news := NewEndpointSet([]string{"z"}, nil), &balancer.Events{}
 	list := func(version int64, full bool, state string, ids ...string) *discovery.List {
 		l := &discovery.List{Version: version, Full: full}
 		for _, id := range ids {
-			l.Servers = append(l.Servers, discovery.Server{ID: id, Zone: "z", State: state, Addr: "10.0.0.1:80"})
+			l.Servers = append(l.Servers, discovery.Server{ID: id, Zone: "z", State: state, Address: "10.0.0.1:80"})
 		}
 		return l
 	}
-	s.Cached(list(4, true, "ready", "a", "b", "c"), news)
-	s.Take(list(6, false, "gone", "a"), true, news)
-	s.Take(list(5, false, "ready", "a"), false, news)
-	if s.Listed("a") || !s.Listed("b") || s.Version() != 6 || len(news.Lists) != 2 {
-		t.Errorf("version %d, %d lists", s.Version(), len(news.Lists))
+	s.LoadCached(list(4, true, "ready", "a", "b", "c"), news)
+	s.Apply(list(6, false, "gone", "a"), true, news)
+	s.Apply(list(5, false, "ready", "a"), false, news)
+	if s.Contains("a") || !s.Contains("b") || s.CompleteVersion() != 6 || len(news.Lists) != 2 {
+		t.Errorf("version %d, %d lists", s.CompleteVersion(), len(news.Lists))
 	}
-	s.Take(list(1, true, "ready", "a"), false, news) // not the first word of its link
-	if s.Listed("a") {
+	s.Apply(list(1, true, "ready", "a"), false, news) // not the first word of its link
+	if s.Contains("a") {
 		t.Error("an old list was taken")
 	}
-	s.Take(list(1, true, "ready", "a"), true, news) // discovery has begun anew
-	if !s.Listed("a") || s.Listed("b") || news.Lists[2].Scope != balancer.FullList {
+	s.Apply(list(1, true, "ready", "a"), true, news) // discovery has begun anew
+	if !s.Contains("a") || s.Contains("b") || news.Lists[2].Scope != balancer.FullList {
 		t.Error("the whole list of a new link was not taken")
 	}
 	spoilt := list(2, false, "strange", "x")
 	spoilt.Servers = append(spoilt.Servers, discovery.Server{ID: "y", Zone: "elsewhere", State: "ready"}, discovery.Server{State: "gone"})
-	if s.Take(spoilt, false, news); s.Spoilt != 3 || s.Len() != 1 || len(slices.Collect(slices.Values(news.Lists[3].Endpoints))) != 0 {
-		t.Errorf("%d spoilt, %d listed", s.Spoilt, s.Len())
+	if s.Apply(spoilt, false, news); s.Malformed != 3 || s.Len() != 1 || len(slices.Collect(slices.Values(news.Lists[3].Endpoints))) != 0 {
+		t.Errorf("%d spoilt, %d listed", s.Malformed, s.Len())
 	}
 }
--- a/internal/deployment/deployment.go
+++ b/internal/deployment/deployment.go
@@ -108,16 +108,16 @@
 	return d, nil
 }
 
-// Figures are those of a load report, in its order.
-func (d *Deployment) Figures() (list []balancer.LoadMetric) {
+// LoadMetrics are those of a load report, in its order.
+func (d *Deployment) LoadMetrics() (list []balancer.LoadMetric) {
 	for _, n := range d.Report.Names {
 		list = append(list, figures[n])
 	}
 	return list
 }
 
-// Coordinator makes the one of this deployment that the settings were given to.
-func (d *Deployment) Coordinator(seed uint64) *balancer.Balancer {
+// NewBalancer makes the one of this deployment that the settings were given to.
+func (d *Deployment) NewBalancer(seed uint64) *balancer.Balancer {
 	f, g := d.FamilyInfo, d.Guarantees
 	classes := make([]balancer.RequestClass, 0, len(d.Grades))
 	for k, c := range d.Grades {
@@ -131,7 +131,7 @@
 		classes = append(classes, q)
 	}
 	reporting := balancer.Reporting{Period: f.Period, EntriesPerSecond: f.ReportsPerS,
-		Piggybacked: d.Report.How == "piggyback", Metrics: d.Figures()}
+		Piggybacked: d.Report.How == "piggyback", Metrics: d.LoadMetrics()}
 	return balancer.New(seed, classes,
 		balancer.DataPlane{Proxies: f.DataPlaneSize, Coordinators: d.Balancers,
 			Self: balancer.Coordinator(d.Ordinal), DefaultTableSize: f.InitialSet, EjectAfterFailures: f.OutlierAfter,
--- a/internal/deployment/deployment_test.go
+++ b/internal/deployment/deployment_test.go
@@ -102,7 +102,7 @@
 func obeyed(t *testing.T, name string, d *Deployment, own []bool) {
 	t.Helper()
 	d.FamilyInfo.DefaultRetry = int(balancer.RetryTwice) // orders of less are needed then
-	m, l := d.Coordinator(7), &ledger{map[balancer.Table]map[balancer.Server]float64{}, map[balancer.Proxy]map[balancer.Class]balancer.Table{},
+	m, l := d.NewBalancer(7), &ledger{map[balancer.Table]map[balancer.Server]float64{}, map[balancer.Proxy]map[balancer.Class]balancer.Table{},
 		make([]balancer.RetryPolicy, len(d.Grades))}
 	list, zone := balancer.EndpointList{Scope: balancer.FullList}, map[balancer.Server]balancer.Zone{}
 	var streams []balancer.ProxyEvent
@@ -188,11 +188,11 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		doubts := strings.Join(d.Doubts(), "; ")
+		doubts := strings.Join(d.Warnings(), "; ")
 		if !strings.Contains(doubts, want) || (doubts == "") != (want == "") {
 			t.Errorf("%s: doubts %q, want %q", text, doubts, want)
 		}
-		m := d.Coordinator(1)
+		m := d.NewBalancer(1)
 		news := balancer.Events{Lists: []balancer.EndpointList{{Endpoints: []balancer.Endpoint{{Server: "s", Weight: 1}}}},
 			ProxyEvents: []balancer.ProxyEvent{{Proxy: 1, Joined: true, ExpectedRate: 5}, {Proxy: 2, Joined: true, ExpectedRate: 5}}}
 		l := ledger{lines: map[balancer.Table]map[balancer.Server]float64{}, bound: map[balancer.Proxy]map[balancer.Class]balancer.Table{},
--- a/internal/deployment/limits.go
+++ b/internal/deployment/limits.go
@@ -54,8 +54,8 @@
 	return nil
 }
 
-// Doubts names settings under which a coordinator runs, but can't keep every rule.
-func (d *Deployment) Doubts() (doubts []string) {
+// Warnings names settings under which a coordinator runs, but can't keep every rule.
+func (d *Deployment) Warnings() (doubts []string) {
 	f := d.FamilyInfo
 	if f.EgressPerS == 0 {
 		doubts = append(doubts, "family-info.egress-per-s: no lines a second: only what is acknowledged makes room for more")
--- a/internal/emulator/asks.go
+++ b/internal/emulator/asks.go
@@ -81,7 +81,7 @@
 func (r *Relay) answer(now float64, head *http.Response, body []byte) {
 	r.asks.out = false
 	asked := r.asks.polls
-	r.io.Wake(now+askBetween, relayBetween+asked)
+	r.io.SetTimer(now+askBetween, relayBetween+asked)
 	switch head.StatusCode {
 	case http.StatusOK:
 		var t delta.Tables
@@ -123,7 +123,7 @@
 		if err != nil {
 			after = relayRedial
 		}
-		r.io.Wake(now+after, relayAsk)
+		r.io.SetTimer(now+after, relayAsk)
 		return
 	}
 	r.ask(now)
--- a/internal/emulator/crowd.go
+++ b/internal/emulator/crowd.go
@@ -62,11 +62,11 @@
 }
 
 func (c *Crowd) arrive(now float64) {
-	c.io.Wake(now-math.Log(1-c.chance.float())/max(c.Rate*c.Load, 1e-3), crowdArrival)
+	c.io.SetTimer(now-math.Log(1-c.chance.float())/max(c.Rate*c.Load, 1e-3), crowdArrival)
 }
 
-// Woken of env.Program.
-func (c *Crowd) Woken(now float64, what int) {
+// TimerFired of env.Program.
+func (c *Crowd) TimerFired(now float64, what int) {
 	if what == crowdArrival {
 		c.arrive(now)
 		c.ask(now)
@@ -100,7 +100,7 @@
 		conn = c.io.Dial(c.To)
 	}
 	c.calls[conn], c.timers[x.timer] = x, conn
-	c.io.Wake(now+c.Classes[k].Query.ClientTimeout, x.timer)
+	c.io.SetTimer(now+c.Classes[k].Query.ClientTimeout, x.timer)
 }
 
 // Connected of env.Program.
@@ -125,7 +125,7 @@
 	}
 	x.buf = append(x.buf, b...)
 	var m http1.Message
-	n, err := http1.Response(x.buf, "POST", http1.UsualLimits, &m)
+	n, err := http1.Response(x.buf, "POST", http1.DefaultLimits, &m)
 	switch {
 	case err != nil:
 		c.ref.complain(now, "a client can't follow: %v", err)
@@ -162,8 +162,8 @@
 // Opened of env.Program.
 func (c *Crowd) Opened(float64, env.Conn, netip.Addr, uint16) {}
 
-// Taken of env.Program.
-func (c *Crowd) Taken(float64, env.Conn, uint64) {}
+// Delivered of env.Program.
+func (c *Crowd) Delivered(float64, env.Conn, uint64) {}
 
 // Datagram of env.Program.
 func (c *Crowd) Datagram(float64, []byte) {}
@@ -173,7 +173,7 @@
 	b = append(s.parts[c], b...)
 	s.parts[c] = b
 	var m http1.Message
-	n, err := http1.Request(b, http1.UsualLimits, &m)
+	n, err := http1.Request(b, http1.DefaultLimits, &m)
 	if err != nil {
 		s.ref.complain(now, "server %s can't follow: %v", s.Addr, err)
 		s.io.Close(c)
--- a/internal/emulator/flood.go
+++ b/internal/emulator/flood.go
@@ -34,17 +34,17 @@
 // Start of env.Program.
 func (f *Flood) Start(now float64, io env.IO) {
 	f.io, f.chance, f.web, f.speak = io, newChance(f.Seed), map[env.Conn]bool{}, map[env.Conn]*speaker{}
-	io.Wake(now, 0)
+	io.SetTimer(now, 0)
 }
 
 const floodEvery = 0.01 // seconds between two bursts
 
-// Woken of env.Program.
-func (f *Flood) Woken(now float64, _ int) {
+// TimerFired of env.Program.
+func (f *Flood) TimerFired(now float64, _ int) {
 	for range int(f.Rate * floodEvery) {
 		f.act(now)
 	}
-	f.io.Wake(now+floodEvery, 0)
+	f.io.SetTimer(now+floodEvery, 0)
 }
 
 func (f *Flood) act(now float64) {
@@ -126,8 +126,8 @@
 	delete(f.speak, c)
 }
 
-// Taken of env.Program.
-func (f *Flood) Taken(float64, env.Conn, uint64) {}
+// Delivered of env.Program.
+func (f *Flood) Delivered(float64, env.Conn, uint64) {}
 
 // Datagram of env.Program.
 func (f *Flood) Datagram(float64, []byte) {}
--- a/internal/emulator/queue_test.go
+++ b/internal/emulator/queue_test.go
@@ -31,8 +31,8 @@
 	p.io, p.sent, p.conn = io, map[uint64]float64{}, io.Dial(p.to)
 }
 func (p *probe) Connected(now float64, _ env.Conn, _ bool) { p.wake(now) }
-func (p *probe) wake(now float64)                          { p.io.Wake(now-math.Log(1-p.chance.float())/p.rate, 0) }
-func (p *probe) Woken(now float64, _ int) {
+func (p *probe) wake(now float64)                          { p.io.SetTimer(now-math.Log(1-p.chance.float())/p.rate, 0) }
+func (p *probe) TimerFired(now float64, _ int) {
 	p.wake(now)
 	p.next++
 	p.sent[p.next] = now
@@ -51,7 +51,7 @@
 }
 func (p *probe) Opened(float64, env.Conn, netip.Addr, uint16) {}
 func (p *probe) Closed(float64, env.Conn)                     {}
-func (p *probe) Taken(float64, env.Conn, uint64)              {}
+func (p *probe) Delivered(float64, env.Conn, uint64)          {}
 func (p *probe) Datagram(float64, []byte)                     {}
 
 // erlangC is the chance that a query has to wait, with c cores and an offered load of a.
--- a/internal/emulator/receiver.go
+++ b/internal/emulator/receiver.go
@@ -59,11 +59,11 @@
 // Closed of env.Program: a line that was cut off is none.
 func (r *Receiver) Closed(_ float64, c env.Conn) { delete(r.parts, c) }
 
-// Taken of env.Program.
-func (r *Receiver) Taken(float64, env.Conn, uint64) {}
+// Delivered of env.Program.
+func (r *Receiver) Delivered(float64, env.Conn, uint64) {}
 
 // Datagram of env.Program.
 func (r *Receiver) Datagram(float64, []byte) {}
 
-// Woken of env.Program.
-func (r *Receiver) Woken(float64, int) {}
+// TimerFired of env.Program.
+func (r *Receiver) TimerFired(float64, int) {}
--- a/internal/emulator/relay.go
+++ b/internal/emulator/relay.go
@@ -176,10 +176,10 @@
 	r.ref.relayAt(r.UID, r.Host)
 	r.sasp = io.Dial(r.Coordinator)
 	if len(r.Others) > 0 {
-		io.Wake(now+relayBeats, relayBeat)
+		io.SetTimer(now+relayBeats, relayBeat)
 	}
 	r.arrive(now)
-	io.Wake(now+r.Report*r.chance.float(), relayReport)
+	io.SetTimer(now+r.Report*r.chance.float(), relayReport)
 }
 
 // Lines are the servers that its tables have lines to.
@@ -194,7 +194,7 @@
 
 func (r *Relay) arrive(now float64) {
 	rate := max(r.Rate*r.Load, 1e-3)
-	r.io.Wake(now-math.Log(1-r.chance.float())/rate, relayArrival)
+	r.io.SetTimer(now-math.Log(1-r.chance.float())/rate, relayArrival)
 }
 
 // Opened of env.Program.
@@ -204,7 +204,7 @@
 func (r *Relay) Connected(now float64, c env.Conn, ok bool) {
 	if c == r.sasp {
 		if !ok {
-			r.io.Wake(now+r.pause(), relayDial)
+			r.io.SetTimer(now+r.pause(), relayDial)
 			return
 		}
 		if r.Asks {
@@ -258,7 +258,7 @@
 	if c == r.sasp {
 		if r.deaf {
 			if r.asks.out = false; r.Asks {
-				r.io.Wake(now+askBetween, relayBetween+r.asks.polls)
+				r.io.SetTimer(now+askBetween, relayBetween+r.asks.polls)
 			}
 			return
 		}
@@ -298,7 +298,7 @@
 		r.ref.joined(now, r.UID)
 		r.tell(now)
 		if r.Flags&sasp.Push == 0 {
-			r.io.Wake(now, relayPoll)
+			r.io.SetTimer(now, relayPoll)
 		}
 	case sasp.SendWeights, sasp.GetWeightsReply:
 		r.ref.message(now, r.UID, len(m.Rows))
@@ -314,7 +314,7 @@
 			}
 		}
 		if m.Kind == sasp.GetWeightsReply {
-			r.io.Wake(now+float64(m.Interval), relayPoll)
+			r.io.SetTimer(now+float64(m.Interval), relayPoll)
 		}
 	}
 }
@@ -364,7 +364,7 @@
 	if c == r.sasp {
 		r.joined = false
 		r.ref.left(now, r.UID)
-		r.io.Wake(now+r.pause(), relayDial)
+		r.io.SetTimer(now+r.pause(), relayDial)
 		return
 	}
 	a := r.byConn[c]
@@ -403,23 +403,23 @@
 	return numbers
 }
 
-// Taken of env.Program.
-func (r *Relay) Taken(float64, env.Conn, uint64) {}
+// Delivered of env.Program.
+func (r *Relay) Delivered(float64, env.Conn, uint64) {}
 
 // Datagram of env.Program.
 func (r *Relay) Datagram(float64, []byte) {}
 
-// Woken of env.Program.
-func (r *Relay) Woken(now float64, what int) {
+// TimerFired of env.Program.
+func (r *Relay) TimerFired(now float64, what int) {
 	switch what {
 	case relayArrival:
 		r.arrive(now)
 		r.query(now)
 	case relayReport:
 		r.report(now)
-		r.io.Wake(now+r.Report, relayReport)
+		r.io.SetTimer(now+r.Report, relayReport)
 	case relayBeat: // one that is paused answers nothing, and its connection stands
-		r.io.Wake(now+relayBeats, relayBeat)
+		r.io.SetTimer(now+relayBeats, relayBeat)
 		switch {
 		case !r.joined:
 		case r.beat || r.Asks && r.asks.out && now-r.asks.since > askShort+relayBeats:
@@ -515,7 +515,7 @@
 	r.nextID++
 	r.asked++
 	r.again0[r.asked] = &query{id: r.nextID, class: q.class, key: q.key, came: q.came, work: q.work, asks: q.asks + 1}
-	r.io.Wake(now+r.Wait*(0.5+r.chance.float()), relayAgain+r.asked)
+	r.io.SetTimer(now+r.Wait*(0.5+r.chance.float()), relayAgain+r.asked)
 }
 
 // pick is evenly by weight, past servers that it avoids, unless it avoids all; not one that the query has tried.
@@ -590,7 +590,7 @@
 	t.totals.Tries++
 	t.under++
 	r.ref.try(now, r.UID, a)
-	r.io.Wake(now+r.Classes[q.class].Query.LatencyObjective, x.number)
+	r.io.SetTimer(now+r.Classes[q.class].Query.LatencyObjective, x.number)
 	if t.conn == 0 {
 		t.conn, t.open = r.io.Dial(a), false
 		r.byConn[t.conn] = a
--- a/internal/emulator/server.go
+++ b/internal/emulator/server.go
@@ -119,7 +119,7 @@
 	for i := range s.Coordinators {
 		s.dial(i)
 	}
-	io.Wake(now+serverReport*s.chance.float(), wakeReport)
+	io.SetTimer(now+serverReport*s.chance.float(), wakeReport)
 }
 
 func (s *Server) dial(i int) { s.sasp[s.io.Dial(s.Coordinators[i])] = &registrar{at: i} }
@@ -148,7 +148,7 @@
 	}
 	if !ok {
 		delete(s.sasp, c)
-		s.io.Wake(now+serverDial*(0.5+s.chance.float()), wakeDial+r.at)
+		s.io.SetTimer(now+serverDial*(0.5+s.chance.float()), wakeDial+r.at)
 		return
 	}
 	m := &sasp.Message{Kind: sasp.Registration}
@@ -211,12 +211,12 @@
 		if s.registered == 0 {
 			s.ref.serverUnheard(now, s.Addr)
 		}
-		s.io.Wake(now+serverDial*(0.3+0.7*s.chance.float()), wakeDial+r.at)
+		s.io.SetTimer(now+serverDial*(0.3+0.7*s.chance.float()), wakeDial+r.at)
 	}
 }
 
-// Taken of env.Program.
-func (s *Server) Taken(float64, env.Conn, uint64) {}
+// Delivered of env.Program.
+func (s *Server) Delivered(float64, env.Conn, uint64) {}
 
 // Datagram of env.Program.
 func (s *Server) Datagram(float64, []byte) {}
@@ -308,7 +308,7 @@
 	s.nextJob++
 	j.class = -1 - j.class // it fails
 	s.running[s.nextJob] = j
-	s.io.Wake(now+after, s.nextJob)
+	s.io.SetTimer(now+after, s.nextJob)
 }
 
 func (s *Server) run(now float64, j job) {
@@ -324,7 +324,7 @@
 	if s.Tail > 0 && s.chance.float() < s.Tail {
 		work *= tailTakes
 	}
-	s.io.Wake(now+work/(s.Speed*s.part(now)), s.nextJob)
+	s.io.SetTimer(now+work/(s.Speed*s.part(now)), s.nextJob)
 }
 
 const tailTakes = 10.0 // times its work that a query of a heavy tail takes
@@ -351,8 +351,8 @@
 	}
 }
 
-// Woken of env.Program.
-func (s *Server) Woken(now float64, what int) {
+// TimerFired of env.Program.
+func (s *Server) TimerFired(now float64, what int) {
 	switch {
 	case s.fallen:
 	case what == wakeReport:
@@ -363,7 +363,7 @@
 		})
 		p.Uptime(now - s.started)
 		p.Flush()
-		s.io.Wake(now+serverReport, wakeReport)
+		s.io.SetTimer(now+serverReport, wakeReport)
 	case what >= wakeDial && what < wakeJobs:
 		s.dial(what - wakeDial)
 	default:
@@ -428,7 +428,7 @@
 // Connected of env.Program.
 func (a *Agent) Connected(now float64, c env.Conn, ok bool) {
 	if !ok {
-		a.io.Wake(now+0.2, 0)
+		a.io.SetTimer(now+0.2, 0)
 		return
 	}
 	row := sasp.Row{Address: sasp.AddressOf(a.Server)}
@@ -456,18 +456,18 @@
 // Closed of env.Program.
 func (a *Agent) Closed(now float64, _ env.Conn) {
 	if !a.done {
-		a.io.Wake(now+0.2, 0)
+		a.io.SetTimer(now+0.2, 0)
 	}
 }
 
-// Taken of env.Program.
-func (a *Agent) Taken(float64, env.Conn, uint64) {}
+// Delivered of env.Program.
+func (a *Agent) Delivered(float64, env.Conn, uint64) {}
 
 // Datagram of env.Program.
 func (a *Agent) Datagram(float64, []byte) {}
 
-// Woken of env.Program: it tries again.
-func (a *Agent) Woken(float64, int) {
+// TimerFired of env.Program: it tries again.
+func (a *Agent) TimerFired(float64, int) {
 	if !a.done {
 		a.at++
 		a.io.Dial(a.Coordinators[a.at%len(a.Coordinators)])
--- a/internal/env/simnet/sim.go
+++ b/internal/env/simnet/sim.go
@@ -371,7 +371,7 @@
 	life := p.host.life
 	n.At(n.now+n.oneWay(e.host, p.host), func() {
 		if p.host.life == life && !p.closed && p.host.up {
-			p.host.program.Taken(n.now, p.id, total)
+			p.host.program.Delivered(n.now, p.id, total)
 		}
 	})
 	if e.host.stall > n.now || len(e.inbox) > 0 {
@@ -437,16 +437,16 @@
 	return 0
 }
 
-// Wake of env.IO.
-func (h *Host) Wake(at float64, what int) {
+// SetTimer of env.IO.
+func (h *Host) SetTimer(at float64, what int) {
 	life := h.life
 	h.net.At(at, func() {
 		switch {
 		case h.life != life:
 		case h.frozen > h.net.now:
-			h.Wake(h.frozen, what)
+			h.SetTimer(h.frozen, what)
 		default:
-			h.program.Woken(h.net.now, what)
+			h.program.TimerFired(h.net.now, what)
 		}
 	})
 }
--- a/internal/env/socketnet/sockets.go
+++ b/internal/env/socketnet/sockets.go
@@ -343,16 +343,16 @@
 	send()
 }
 
-// Wake of env.IO.
-func (h *Host) Wake(at float64, what int) {
+// SetTimer of env.IO.
+func (h *Host) SetTimer(at float64, what int) {
 	life := h.life
 	h.net.At(at, func() {
 		switch {
 		case h.life != life:
 		case h.frozen > h.net.clock():
-			h.Wake(h.frozen, what)
+			h.SetTimer(h.frozen, what)
 		default:
-			h.program.Woken(h.net.clock(), what)
+			h.program.TimerFired(h.net.clock(), what)
 		}
 	})
 }
--- a/internal/env/world.go
+++ b/internal/env/world.go
@@ -15,8 +15,8 @@
 	Send(Conn, []byte)
 	Close(Conn)
 	Datagram(to netip.AddrPort, b []byte)
-	// Wake calls Woken at a clock time.
-	Wake(at float64, what int)
+	// SetTimer calls Woken at a clock time.
+	SetTimer(at float64, what int)
 }
 
 // Program is called by one goroutine at a time. now is clock time in seconds; it never runs backwards.
@@ -29,8 +29,8 @@
 	Receive(now float64, c Conn, b []byte)
 	// Closed: the peer or the network ended it. Own closes are not told.
 	Closed(now float64, c Conn)
-	// Taken: so many bytes of all that were sent have reached the peer's host.
-	Taken(now float64, c Conn, total uint64)
+	// Delivered: so many bytes of all that were sent have reached the peer's host.
+	Delivered(now float64, c Conn, total uint64)
 	Datagram(now float64, b []byte)
-	Woken(now float64, what int)
+	TimerFired(now float64, what int)
 }
--- a/internal/frontend/eventloop/loop.go
+++ b/internal/frontend/eventloop/loop.go
@@ -80,21 +80,21 @@
 	return func() float64 { return base + time.Since(start).Seconds() }
 }
 
-// Blind is a program whose Taken does nothing: the kernel is not asked for it.
-type Blind interface{ Blind() }
+// DeliveryIgnorer is a program whose Taken does nothing: the kernel is not asked for it.
+type DeliveryIgnorer interface{ IgnoreDelivery() }
 
-// Bounded is a program whose peers may leave only so many bytes unread, besides what the kernel holds: then their connection is reset.
-type Bounded interface{ MostUnread() int }
+// UnreadLimiter is a program whose peers may leave only so many bytes unread, besides what the kernel holds: then their connection is reset.
+type UnreadLimiter interface{ MaxUnread() int }
 
 // Listen starts a program and returns when it can be dialled, on TCP by proxies or
 // peers, and on UDP by those who measure unless that address is not valid.
 func Listen(program env.Program, tcp []netip.AddrPort, measurements netip.AddrPort, clock func() float64) (*Server,
 	error) {
-	_, blind := program.(Blind)
+	_, blind := program.(DeliveryIgnorer)
 	s := &Server{program: program, clock: clock, blind: blind, conns: map[env.Conn]*conn{}, untaken: map[env.Conn]*conn{},
 		booted: make(chan struct{}), running: make(chan struct{}), done: make(chan error, 1)}
-	if bounded, ok := program.(Bounded); ok {
-		s.unread = bounded.MostUnread()
+	if bounded, ok := program.(UnreadLimiter); ok {
+		s.unread = bounded.MaxUnread()
 	}
 	// gnet does not tell of a port that is taken until it runs; this tells it plainly.
 	var addrs []string
@@ -321,9 +321,9 @@
 	s.ask()
 	if now := s.clock(); s.wakeAt > 0 && now >= s.wakeAt {
 		s.wakeAt = 0
-		s.program.Woken(now, s.what)
+		s.program.TimerFired(now, s.what)
 	} else if s.blind && s.wakeAt > 0 { // the timer was early
-		s.Wake(s.wakeAt, s.what)
+		s.SetTimer(s.wakeAt, s.what)
 	}
 }
 
@@ -342,7 +342,7 @@
 			delete(s.untaken, id)
 		}
 		if uint64(left) <= x.sent {
-			s.program.Taken(now, id, x.sent-uint64(left))
+			s.program.Delivered(now, id, x.sent-uint64(left))
 		}
 	}
 }
@@ -416,8 +416,8 @@
 	}
 }
 
-// Wake of env.IO. A program that listens has one wake-up at a time.
-func (s *Server) Wake(at float64, what int) {
+// SetTimer of env.IO. A program that listens has one wake-up at a time.
+func (s *Server) SetTimer(at float64, what int) {
 	s.wakeAt, s.what = at, what
 	if s.blind {
 		s.timer.Reset(max(time.Duration((at-s.clock())*float64(time.Second)), 0) + time.Microsecond)
--- a/internal/frontend/eventloop/loop_test.go
+++ b/internal/frontend/eventloop/loop_test.go
@@ -175,7 +175,7 @@
 				b.StartTimer()
 				s.Do(func(now float64) {
 					program.Fleet.Roll.Quiesce(now, program.Fleet.Roll.Servers()[next], true)
-					program.Woken(now, 0)
+					program.TimerFired(now, 0)
 				})
 				for bytes.Load() < before+least {
 					time.Sleep(50 * time.Microsecond)
@@ -257,9 +257,9 @@
 func (l *late) Opened(float64, env.Conn, netip.Addr, uint16) {}
 func (l *late) Connected(float64, env.Conn, bool)            {}
 func (l *late) Closed(float64, env.Conn)                     { l.closed.Add(1) }
-func (l *late) Taken(float64, env.Conn, uint64)              {}
+func (l *late) Delivered(float64, env.Conn, uint64)          {}
 func (l *late) Datagram(float64, []byte)                     {}
-func (l *late) Woken(float64, int)                           {}
+func (l *late) TimerFired(float64, int)                      {}
 func (l *late) Receive(_ float64, c env.Conn, b []byte) {
 	if b[0] == 'x' {
 		time.Sleep(50 * time.Millisecond) // until the reset is here; it decides nothing but whether the test tests
--- a/internal/frontend/longpollhttp/poll_test.go
+++ b/internal/frontend/longpollhttp/poll_test.go
@@ -365,7 +365,7 @@
 					next++
 					s.Do(func(now float64) {
 						program.Fleet.Roll.Quiesce(now, server(next%199), true)
-						program.Woken(now, 0)
+						program.TimerFired(now, 0)
 					})
 					all()
 				}
--- a/internal/frontend/platform/callers.go
+++ b/internal/frontend/platform/callers.go
@@ -21,7 +21,7 @@
 	mostTries    = 1e6     // in one report
 )
 
-var callerLimits = resp.Limits{Bytes: 1 << 20, Words: 512} // a message's bytes are the platform's; reports have some 20 words
+var callerLimits = resp.Limits{Bytes: 1 << 20, Elements: 512} // a message's bytes are the platform's; reports have some 20 words
 
 // caller is somebody who has connected.
 type caller struct {
@@ -90,7 +90,7 @@
 			return
 		}
 	}
-	if !x.joined && x.in.Held() > mostHeld {
+	if !x.joined && x.in.Buffered() > mostHeld {
 		p.refuse(x)
 	}
 }
@@ -181,7 +181,7 @@
 	if v, given := f.find("report"); given {
 		t.Load = p.load(f, v, ':')
 	}
-	if f.bad || zone < 0 || t.Failed > t.Attempts || t.Interval <= 0 || !p.servers.Listed(t.Server) {
+	if f.bad || zone < 0 || t.Failed > t.Attempts || t.Interval <= 0 || !p.servers.Contains(t.Server) {
 		return false
 	}
 	p.counts.Reports++
@@ -196,7 +196,7 @@
 	class := p.class(f.text("kind"))
 	d := balancer.DemandReport{Proxy: balancer.Proxy(proxy), Class: class, Requests: f.figure("n", mostTries),
 		Failed: f.figure("bad", mostTries), Interval: f.figure("window", mostWindow) / 1000}
-	if f.bad || err != nil || class < 0 || d.Failed > d.Requests || d.Interval <= 0 || !p.roster.Has(d.Proxy) {
+	if f.bad || err != nil || class < 0 || d.Failed > d.Requests || d.Interval <= 0 || !p.roster.Contains(d.Proxy) {
 		return false
 	}
 	p.counts.Reports++
--- a/internal/frontend/platform/crossing_test.go
+++ b/internal/frontend/platform/crossing_test.go
@@ -289,7 +289,7 @@
 			continue
 		}
 		o.mu.Lock()
-		if o.asked = append(o.asked, path); path == discovery.All {
+		if o.asked = append(o.asked, path); path == discovery.ListPath {
 			_, _ = fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(o.whole), o.whole)
 		} else {
 			_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
@@ -347,7 +347,7 @@
 	known := discovery.List{Full: true, Version: 5, Servers: []discovery.Server{server("s-1", "ready"), server("s-2", "ready"), server("s-3", "ready")}}
 	text, _ := json.Marshal(known)
 	g := &ground{counter: openCounter(t, 1), office: openOffice(t, string(text), "")}
-	g.program = New(Place{Discovery: address(t, g.office.Listener), Hub: address(t, g.counter.Listener), Sockets: 256, Known: &known, Seed: 7,
+	g.program = New(Config{Discovery: address(t, g.office.Listener), Relay: address(t, g.counter.Listener), Sockets: 256, Known: &known, Seed: 7,
 		Deployment: d}, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	free, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -361,8 +361,8 @@
 	t.Cleanup(func() { _ = g.server.Stop() })
 	g.until(t, "binds proxy 1", func(c call) bool { return slices.Contains(c.binds(), 1) }).answer(t)
 	g.eventually(t, "two links to the relay and one to discovery", func(p *Program) bool {
-		return p.relay.main.cur != nil && p.relay.second.cur != nil && p.listing.cur != nil && !p.calls.Flying() && p.roster.Has(1) &&
-			p.relay.second.cur.says.Whole(p.relay.second.cur.heard) && p.relay.main.cur.says.Whole(p.relay.main.cur.heard)
+		return p.relay.main.cur != nil && p.relay.second.cur != nil && p.listing.cur != nil && !p.calls.InFlight() && p.roster.Contains(1) &&
+			p.relay.second.cur.says.Complete(p.relay.second.cur.heard) && p.relay.main.cur.says.Complete(p.relay.main.cur.heard)
 	})
 	return g
 }
@@ -421,20 +421,22 @@
 	g.drain("s-3")
 	out := g.until(t, "takes s-3 out", takes("s-3"))
 	next := openCounter(t, 1)
-	g.see(func(now float64, p *Program) { p.Move(now, address(t, g.office.Listener), address(t, next.Listener)) })
+	g.see(func(now float64, p *Program) {
+		p.SetAddresses(now, address(t, g.office.Listener), address(t, next.Listener))
+	})
 	g.patient() // the answer is in time, however long the test takes
 	for end := time.Now().Add(bound); next.open() < 2 && time.Now().Before(end); time.Sleep(time.Millisecond) {
 	}
 	g.see(func(now float64, p *Program) {
-		if !p.calls.Flying() || p.relay.parting == nil {
+		if !p.calls.InFlight() || p.relay.parting == nil {
 			t.Error("the call is not awaited on the link that it was made on")
 		}
 	})
 	out.answer(t)
-	g.eventually(t, "the answer is taken, the old link gone", func(p *Program) bool { return !p.calls.Flying() && p.relay.parting == nil })
+	g.eventually(t, "the answer is taken, the old link gone", func(p *Program) bool { return !p.calls.InFlight() && p.relay.parting == nil })
 	g.see(func(_ float64, p *Program) {
-		if p.calls.Again != 0 {
-			t.Errorf("%d calls went again", p.calls.Again)
+		if p.calls.Resends != 0 {
+			t.Errorf("%d calls went again", p.calls.Resends)
 		}
 	})
 	next.none(t, "it goes to the new relay once more, or binds anew", func(c call) bool { return takes("s-3")(c) || len(c.binds()) > 0 })
@@ -448,10 +450,10 @@
 	g.cut()
 	again := g.until(t, "takes s-3 out again", takes("s-3"))
 	again.answer(t)
-	g.eventually(t, "it is known to be out", func(p *Program) bool { return !p.calls.Flying() && p.calls.Waiting() == 0 })
+	g.eventually(t, "it is known to be out", func(p *Program) bool { return !p.calls.InFlight() && p.calls.Pending() == 0 })
 	g.see(func(_ float64, p *Program) {
-		if p.calls.Again != 1 || !p.roster.Has(1) {
-			t.Errorf("%d calls went again; joined: %v", p.calls.Again, p.roster.Has(1))
+		if p.calls.Resends != 1 || !p.roster.Contains(1) {
+			t.Errorf("%d calls went again; joined: %v", p.calls.Resends, p.roster.Contains(1))
 		}
 	})
 }
@@ -475,13 +477,13 @@
 	g.see(func(now float64, p *Program) { p.cut(now, p.relay.second.cur) }) // a new second link is made
 	g.eventually(t, "the second link lists", func(p *Program) bool { return p.relay.second.cur != nil })
 	g.see(func(now float64, p *Program) {
-		p.relay.second.cur.says.Whole(now)
+		p.relay.second.cur.says.Complete(now)
 		p.cut(now, p.relay.main.cur) // in the same moment, list or no list
 	})
 	g.join(2)
 	g.until(t, "binds proxy 2", func(c call) bool { return slices.Contains(c.binds(), 2) }).answer(t)
 	g.eventually(t, "two links", func(p *Program) bool {
-		return p.relay.main.cur != nil && p.relay.second.cur != nil && p.roster.Has(1) && p.roster.Has(2)
+		return p.relay.main.cur != nil && p.relay.second.cur != nil && p.roster.Contains(1) && p.roster.Contains(2)
 	})
 }
 
@@ -489,11 +491,11 @@
 	g := stand(t)
 	dumb, next := openCounter(t), openCounter(t, 1)
 	disc, first := address(t, g.office.Listener), address(t, g.counter.Listener)
-	g.see(func(now float64, p *Program) { p.Move(now, disc, address(t, dumb.Listener)) })
+	g.see(func(now float64, p *Program) { p.SetAddresses(now, disc, address(t, dumb.Listener)) })
 	g.eventually(t, "links to the dumb relay are up", func(p *Program) bool { return p.relay.main.next != nil && p.relay.main.next.up })
 	g.see(func(now float64, p *Program) { // twice more within a moment: back, and on
-		p.Move(now, disc, first)
-		p.Move(now, disc, address(t, next.Listener))
+		p.SetAddresses(now, disc, first)
+		p.SetAddresses(now, disc, address(t, next.Listener))
 		if n := p.relay.main.next; n == nil || n.to != address(t, next.Listener) {
 			t.Errorf("the new address is not dialled at once: %+v", n)
 		}
@@ -501,7 +503,7 @@
 	g.eventually(t, "links to the new relay", func(p *Program) bool {
 		return p.relay.main.cur != nil && p.relay.main.cur.to == address(t, next.Listener) && p.relay.second.cur.to == p.relay.main.cur.to
 	})
-	g.see(func(now float64, p *Program) { p.Move(now, disc, first) })
+	g.see(func(now float64, p *Program) { p.SetAddresses(now, disc, first) })
 	g.eventually(t, "links to the first relay again", func(p *Program) bool { return p.relay.main.cur.to == first && p.relay.second.cur.to == first })
 	g.none(t, "proxies are bound anew", func(c call) bool { return len(c.binds()) > 0 })
 }
@@ -523,9 +525,11 @@
 	g := stand(t)
 	whole := line(2, true, server("s-1", discovery.Ready), server("s-2", discovery.Ready))
 	next := openOffice(t, whole, line(2, false))
-	g.see(func(now float64, p *Program) { p.Move(now, address(t, next.Listener), address(t, g.counter.Listener)) })
+	g.see(func(now float64, p *Program) {
+		p.SetAddresses(now, address(t, next.Listener), address(t, g.counter.Listener))
+	})
 	g.until(t, "takes s-3 out, which the new list lacks", takes("s-3")).answer(t)
-	g.eventually(t, "the new watch stands", func(p *Program) bool { return len(next.paths()) == 2 && p.servers.Version() == 2 })
+	g.eventually(t, "the new watch stands", func(p *Program) bool { return len(next.paths()) == 2 && p.servers.CompleteVersion() == 2 })
 	next.say(line(3, false, server("s-2", discovery.Draining)) + "\n")
 	g.until(t, "takes s-2 out", takes("s-2")).answer(t)
 }
@@ -535,9 +539,9 @@
 	g.join(2)
 	out := g.until(t, "binds proxy 2", func(c call) bool { return slices.Contains(c.binds(), 2) })
 	g.tell(`{"jsonrpc":"2.0","method":"detach","params":{"sidecar":2}}`)
-	g.eventually(t, "it has left", func(p *Program) bool { return !p.roster.Has(2) })
+	g.eventually(t, "it has left", func(p *Program) bool { return !p.roster.Contains(2) })
 	g.tell(attach(2))
-	g.eventually(t, "it has joined again", func(p *Program) bool { return p.roster.Has(2) })
+	g.eventually(t, "it has joined again", func(p *Program) bool { return p.roster.Contains(2) })
 	_ = out.on.Close() // and what became of the call is not known
 	bound := 0
 	for range 5 {
@@ -560,7 +564,7 @@
 	out := g.until(t, "takes s-3 out", takes("s-3"))
 	g.join(2)
 	g.drain("s-2")
-	g.eventually(t, "the newer is known", func(p *Program) bool { return p.roster.Has(2) && p.servers.Version() == 7 })
+	g.eventually(t, "the newer is known", func(p *Program) bool { return p.roster.Contains(2) && p.servers.CompleteVersion() == 7 })
 	out.say(t, `{"jsonrpc":"2.0","id":%d,"result":{"accepted":"all"}}`, out.id)
 	bound, gone := false, map[string]bool{}
 	for !bound || !gone["s-2"] || !gone["s-3"] {
@@ -597,7 +601,9 @@
 	half := len(many)/2 + 7 // within a message
 	_, _ = c.Write(many[:half])
 	next := openCounter(t, 1)
-	g.see(func(now float64, p *Program) { p.Move(now, address(t, g.office.Listener), address(t, next.Listener)) })
+	g.see(func(now float64, p *Program) {
+		p.SetAddresses(now, address(t, g.office.Listener), address(t, next.Listener))
+	})
 	_, _ = c.Write(many[half:])
 	g.eventually(t, "500 reports at once, over a hand-over", func(p *Program) bool { return p.counts.Reports == 501 && p.counts.Spoilt == 500 })
 }
@@ -630,12 +636,12 @@
 	hello := resp.Append(nil, "telemetry", "az", "a")
 	_, _ = c.Write(hello[:9])
 	g.eventually(t, "half a message has come", func(p *Program) bool {
-		return len(p.unjoined) == 1 && p.callers[p.unjoined[0].conn] != nil && p.unjoined[0].in.Held() == 9
+		return len(p.unjoined) == 1 && p.callers[p.unjoined[0].conn] != nil && p.unjoined[0].in.Buffered() == 9
 	})
 	g.see(func(now float64, p *Program) {
 		x := p.unjoined[0]
 		p.Receive(x.since+joinWithin, x.conn, hello[9:]) // the read comes first
-		p.Woken(x.since+joinWithin+tendEvery, 0)
+		p.TimerFired(x.since+joinWithin+tendEvery, 0)
 		if !x.joined || p.callers[x.conn] != x || len(p.unjoined) != 0 {
 			t.Errorf("joined %v, kept %v", x.joined, p.callers[x.conn] == x)
 		}
--- a/internal/frontend/platform/links.go
+++ b/internal/frontend/platform/links.go
@@ -120,7 +120,7 @@
 // take puts the new link into the place of the old one.
 func (p *Program) take(now float64, w *watch) {
 	if w.cur != nil {
-		p.roster.Stood(now, w.cur.says)
+		p.roster.MarkReplaced(now, w.cur.says)
 	}
 	p.retire(w.cur)
 	w.cur, w.next, w.pause = w.next, nil, 0
@@ -147,9 +147,9 @@
 
 // list asks discovery for the whole list where that is owed, else for what changes.
 func (p *Program) list(l *link) {
-	path := discovery.Watch(p.servers.Version())
+	path := discovery.WatchPath(p.servers.CompleteVersion())
 	if l.whole = l.of.whole; l.whole {
-		path = discovery.All
+		path = discovery.ListPath
 	}
 	p.io.Send(l.conn, []byte("GET "+path+" HTTP/1.1\r\nHost: "+l.to.String()+"\r\n\r\n"))
 }
@@ -158,7 +158,7 @@
 func (p *Program) broken(now float64, l *link) {
 	delete(p.links, l.conn)
 	w := l.of
-	p.log.Debug("broken", "to", l.to, "second", w == &p.relay.second, "flying", p.calls.Flying(), "next", w.next == l)
+	p.log.Debug("broken", "to", l.to, "second", w == &p.relay.second, "flying", p.calls.InFlight(), "next", w.next == l)
 	if w.next == l {
 		p.fail(now, w)
 		return
@@ -187,11 +187,11 @@
 // promote puts the second link to the relay into the first one's place, if it has listened all along.
 func (p *Program) promote(now float64) {
 	r := &p.relay
-	if s := r.second.cur; s != nil && s.says.Whole(now) {
+	if s := r.second.cur; s != nil && s.says.Complete(now) {
 		p.retire(r.main.cur)
 		r.main.cur, r.second.cur, r.missing = s, nil, now
 		s.of = &r.main
-		p.roster.Follow(now, s.says, &p.news)
+		p.roster.SwitchSource(now, s.says, &p.news)
 		p.tendLink(now, &r.second, 0)
 	}
 }
@@ -201,7 +201,7 @@
 	for _, w := range []*watch{&r.main, &r.second} {
 		p.tendLink(now, w, pingWithin)
 		if w.cur != nil {
-			p.roster.Due(now, w.cur.says, &p.news)
+			p.roster.ExpireList(now, w.cur.says, &p.news)
 		}
 	}
 	if r.main.cur != nil && now-r.main.cur.heard > pingWithin {
@@ -233,18 +233,18 @@
 // say writes the next call, and gives up one that is not answered.
 func (p *Program) say(now float64) {
 	r := &p.relay
-	if p.calls.Flying() && now >= r.saidAt+answerWithin {
+	if p.calls.InFlight() && now >= r.saidAt+answerWithin {
 		p.log.Warn("relay does not answer", "to", r.main.to)
 		p.unfit(now)
 	}
 	l := p.sayOn(now)
-	if l == nil || p.calls.Flying() || now < r.sayAt {
+	if l == nil || p.calls.InFlight() || now < r.sayAt {
 		return
 	}
 	if r.held { // what waits was decided before the relay was out of reach
 		p.round(now)
 	}
-	if call, ok := p.calls.Next(nil); ok {
+	if call, ok := p.calls.NextCall(nil); ok {
 		p.counts.Calls++
 		r.on, r.saidAt = l, now
 		p.io.Send(l.conn, call)
@@ -268,15 +268,15 @@
 // stalled tells whether orders do not reach the channel: the relay is out of reach, refuses them, or leaves them unanswered.
 func (p *Program) stalled(now float64) bool {
 	r := &p.relay
-	if p.calls.Flying() {
+	if p.calls.InFlight() {
 		return now >= r.saidAt+answerUsual
 	}
-	return p.sayOn(now) == nil || now < r.sayAt && p.calls.Waiting() > 0
+	return p.sayOn(now) == nil || now < r.sayAt && p.calls.Pending() > 0
 }
 
 // unclear: it will not be known whether the call that is out was carried out.
 func (p *Program) unclear(now float64) {
-	p.calls.Broken()
+	p.calls.ConnectionLost()
 	p.over()
 	p.dirty(now)
 }
@@ -296,17 +296,17 @@
 
 // answer takes what came on the link that a call is out on.
 func (p *Program) answer(now float64, m *jsonrpc.Message) {
-	switch p.calls.Answered(m) {
-	case platformstate.Refused:
+	switch p.calls.HandleAnswer(m) {
+	case platformstate.Rejected:
 		p.log.Debug("relay refuses", "why", m.Error)
 		p.relay.sayAt = now + againFirst
 		p.over()
-	case platformstate.Partly:
+	case platformstate.PartiallyApplied:
 		p.log.Warn("relay could not use an order", "dropped", p.calls.Dropped)
 		p.over()
-	case platformstate.Taken:
+	case platformstate.Applied:
 		p.over()
-	case platformstate.Unclear:
+	case platformstate.Indeterminate:
 		p.log.Warn("relay's answer cannot be read")
 		p.unfit(now)
 	}
@@ -322,7 +322,7 @@
 				l.says = platformstate.NewSource(now)
 				p.take(now, l.of)
 				if l.of == &p.relay.main {
-					p.roster.Follow(now, l.says, &p.news)
+					p.roster.SwitchSource(now, l.says, &p.news)
 				}
 			case l == p.relay.on:
 				p.answer(now, &m)
@@ -332,7 +332,7 @@
 			return
 		}
 		if l.says != nil && p.links[l.conn] == l {
-			p.roster.Heard(now, l.says)
+			p.roster.Touch(now, l.says)
 			p.told(now, l, &m)
 		}
 	})
@@ -346,33 +346,33 @@
 	x := &m.Params
 	if m.Method == "ping" {
 		l.mute = false
-		p.roster.Ends(now, l.says, &p.news)
+		p.roster.EndList(now, l.says, &p.news)
 		return
 	}
-	if x.Sidecar == nil || *x.Sidecar < 0 || *x.Sidecar >= p.dep.FamilyInfo.DataPlaneSize {
+	if x.Proxy == nil || *x.Proxy < 0 || *x.Proxy >= p.dep.FamilyInfo.DataPlaneSize {
 		p.counts.Spoilt++
 		return
 	}
-	proxy := balancer.Proxy(*x.Sidecar)
+	proxy := balancer.Proxy(*x.Proxy)
 	switch m.Method {
 	case "attach":
 		zone := p.zone(x.Zone)
-		if zone < 0 || x.Share == nil || *x.Share < 0 || x.Standing == nil {
+		if zone < 0 || x.ExpectedRate == nil || *x.ExpectedRate < 0 || x.DefaultTable == nil {
 			p.counts.Spoilt++
 			return
 		}
-		p.roster.Attach(now, l.says, balancer.ProxyEvent{Proxy: proxy, Zone: zone, ExpectedRate: *x.Share, DefaultTable: *x.Standing}, &p.news)
+		p.roster.ProxyJoined(now, l.says, balancer.ProxyEvent{Proxy: proxy, Zone: zone, ExpectedRate: *x.ExpectedRate, DefaultTable: *x.DefaultTable}, &p.news)
 	case "detach":
-		p.roster.Detach(l.says, proxy, &p.news)
+		p.roster.ProxyLeft(l.says, proxy, &p.news)
 	case "done":
 		if l != p.relay.main.cur {
 			return // main tells it too
 		}
-		if x.Version == nil || x.Lag == nil || *x.Lag < 0 {
+		if x.AckID == nil || x.LatencyMS == nil || *x.LatencyMS < 0 {
 			p.counts.Spoilt++
 			return
 		}
-		p.news.Acks = append(p.news.Acks, balancer.Ack{Proxy: proxy, ID: balancer.AckID(*x.Version), Latency: *x.Lag / 1000})
+		p.news.Acks = append(p.news.Acks, balancer.Ack{Proxy: proxy, ID: balancer.AckID(*x.AckID), Latency: *x.LatencyMS / 1000})
 		p.dirty(now)
 	}
 }
@@ -385,7 +385,7 @@
 	if l.body == nil {
 		l.head = append(l.head, b...)
 		var m http1.Message
-		n, body, err := http1.Opened(l.head, headLimits, &m)
+		n, body, err := http1.ResponseHead(l.head, headLimits, &m)
 		if err != nil || n > 0 && m.Status != 200 {
 			p.log.Warn("discovery's answer cannot be used", "status", m.Status, "error", err)
 			p.cut(now, l)
@@ -446,14 +446,14 @@
 		switch {
 		case err != nil:
 			p.counts.Spoilt++
-			p.servers.Owe()
-		case !l.first && !l.whole && !list.Full && list.Version < p.servers.Newest(): // not the numbers that we know
+			p.servers.MarkIncomplete()
+		case !l.first && !l.whole && !list.Full && list.Version < p.servers.NewestVersion(): // not the numbers that we know
 			w.whole = true
 			p.cut(now, l)
 			return
 		default:
 			p.trace("list", line)
-			p.servers.Take(list, !l.first, &p.news)
+			p.servers.Apply(list, !l.first, &p.news)
 			p.dirty(now)
 		}
 		l.first = true
@@ -467,7 +467,7 @@
 // owing has what could not be read asked for again: the longer that goes on, the later.
 func (p *Program) owing(now float64, l *link) {
 	switch w := l.of; {
-	case !p.servers.Owed():
+	case !p.servers.Incomplete():
 		if w.againAt = 0; now-l.since > againUnread { // not what a new link is told first
 			w.unread = 0
 		}
--- a/internal/frontend/platform/platform.go
+++ b/internal/frontend/platform/platform.go
@@ -25,21 +25,21 @@
 	mostUnread = 128 << 10 // bytes; the platform's
 )
 
-// Place is what a coordinator is told of where it runs.
-type Place struct {
-	Discovery, Hub netip.AddrPort
-	Sockets        int             // descriptors that it may hold
-	Known          *discovery.List // nil where it can't be read
-	KnownWrong     error           // and why
-	Seed           uint64
-	Deployment     *deployment.Deployment
+// Config is what a coordinator is told of where it runs.
+type Config struct {
+	Discovery, Relay netip.AddrPort
+	Sockets          int             // descriptors that it may hold
+	Known            *discovery.List // nil where it can't be read
+	KnownErr         error           // and why
+	Seed             uint64
+	Deployment       *deployment.Deployment
 }
 
 // Program is one coordinator. Use New.
 type Program struct {
 	dep     *deployment.Deployment
-	names   jsonrpc.Names // of classes, by place
-	figures []string      // of load reports, in their order
+	names   jsonrpc.ClassNames // of classes, by place
+	figures []string           // of load reports, in their order
 	manager *balancer.Balancer
 	log     *slog.Logger
 	io      env.IO
@@ -49,9 +49,9 @@
 	untold  bool    // the module was not told who is joined
 	dirtyAt float64 // since when news wait for their round; 0: none do
 	wakes   []wake  // that the module has asked for
-	roster  *platformstate.Roster
-	servers *platformstate.Servers
-	calls   *platformstate.Calls
+	roster  *platformstate.ProxyRegistry
+	servers *platformstate.EndpointSet
+	calls   *platformstate.CommandBuffer
 
 	callers  map[env.Conn]*caller
 	unjoined []*caller // oldest first, with some that have joined or gone
@@ -63,11 +63,11 @@
 	asked    map[balancer.Server]bool // being probed
 
 	tendAt, tellAt, wakeAt float64
-	counts                 Counts
+	counts                 Stats
 }
 
-// Counts are what has come and gone, for the line that says how it stands.
-type Counts struct {
+// Stats are what has come and gone, for the line that says how it stands.
+type Stats struct {
 	Rounds, Calls, Reports, Spoilt, Refused, Closed uint64
 }
 
@@ -77,35 +77,35 @@
 }
 
 // New makes a coordinator; it does nothing until Start.
-func New(p Place, log *slog.Logger) *Program {
+func New(p Config, log *slog.Logger) *Program {
 	d := p.Deployment
-	var names jsonrpc.Names
+	var names jsonrpc.ClassNames
 	for _, c := range d.Grades {
 		names = append(names, c.Name)
 	}
 	var figures []string
-	for _, f := range d.Figures() {
+	for _, f := range d.LoadMetrics() {
 		figures = append(figures, words[f])
 	}
-	x := &Program{dep: d, names: names, figures: figures, manager: d.Coordinator(p.Seed), log: log, roster: platformstate.NewRoster(),
-		servers: platformstate.NewServers(d.Zones, d.HostTypes), calls: platformstate.NewCalls(names),
+	x := &Program{dep: d, names: names, figures: figures, manager: d.NewBalancer(p.Seed), log: log, roster: platformstate.NewProxyRegistry(),
+		servers: platformstate.NewEndpointSet(d.Zones, d.HostTypes), calls: platformstate.NewCommandBuffer(names),
 		callers: map[env.Conn]*caller{}, most: max(p.Sockets-reserve, leastCallers), links: map[env.Conn]*link{},
 		probes: map[env.Conn]*probe{}, asked: map[balancer.Server]bool{}}
-	x.relay.main.to, x.relay.second.to, x.listing.to = p.Hub, p.Hub, p.Discovery
+	x.relay.main.to, x.relay.second.to, x.listing.to = p.Relay, p.Relay, p.Discovery
 	x.relay.main.receive, x.relay.second.receive, x.listing.receive = (*Program).fromRelay, (*Program).fromRelay, (*Program).fromListing
 	if p.Known != nil {
-		x.servers.Cached(p.Known, &x.news)
-	} else if p.KnownWrong != nil {
-		log.Warn("starts without a list of servers", "known", p.KnownWrong)
+		x.servers.LoadCached(p.Known, &x.news)
+	} else if p.KnownErr != nil {
+		log.Warn("starts without a list of servers", "known", p.KnownErr)
 	}
 	return x
 }
 
-// Blind of eventloop.Blind: nobody needs to know what peers' hosts have taken.
-func (p *Program) Blind() {}
+// IgnoreDelivery of eventloop.Blind: nobody needs to know what peers' hosts have taken.
+func (p *Program) IgnoreDelivery() {}
 
-// MostUnread of eventloop.Bounded: whoever leaves more unread is cut off. A relay reads a call before it answers, and none is larger than that.
-func (p *Program) MostUnread() int { return mostUnread }
+// MaxUnread of eventloop.Bounded: whoever leaves more unread is cut off. A relay reads a call before it answers, and none is larger than that.
+func (p *Program) MaxUnread() int { return mostUnread }
 
 // Start of env.Program.
 func (p *Program) Start(now float64, io env.IO) {
@@ -115,8 +115,8 @@
 	p.rest(now)
 }
 
-// Move makes links to other addresses of relay and discovery; the old ones stand until the new ones do.
-func (p *Program) Move(now float64, discovery, hub netip.AddrPort) {
+// SetAddresses makes links to other addresses of relay and discovery; the old ones stand until the new ones do.
+func (p *Program) SetAddresses(now float64, discovery, hub netip.AddrPort) {
 	for i, w := range []*watch{&p.relay.main, &p.relay.second, &p.listing} {
 		to := []netip.AddrPort{hub, hub, discovery}[i]
 		w.whole = w.whole || w.to != to // versions of one discovery say nothing about another's
@@ -187,14 +187,14 @@
 	p.rest(now)
 }
 
-// Taken of env.Program.
-func (p *Program) Taken(float64, env.Conn, uint64) {}
+// Delivered of env.Program.
+func (p *Program) Delivered(float64, env.Conn, uint64) {}
 
 // Datagram of env.Program.
 func (p *Program) Datagram(float64, []byte) {}
 
-// Woken of env.Program.
-func (p *Program) Woken(now float64, _ int) {
+// TimerFired of env.Program.
+func (p *Program) TimerFired(now float64, _ int) {
 	p.wakeAt = 0
 	for i := 0; i < len(p.wakes); i++ {
 		if w := p.wakes[i]; now >= w.at {
@@ -231,25 +231,25 @@
 	for _, w := range p.wakes {
 		at = min(at, w.at)
 	}
-	if p.calls.Flying() {
+	if p.calls.InFlight() {
 		at = min(at, p.relay.saidAt+answerWithin)
 	}
 	if p.wakeAt == 0 || at < p.wakeAt {
 		p.wakeAt = at
-		p.io.Wake(at, 0)
+		p.io.SetTimer(at, 0)
 	}
 }
 
 // round hands the module all that has come, and writes what it decides.
 func (p *Program) round(now float64) {
 	news := p.news
-	news.ChannelStalled, news.Redelivered = p.stalled(now), p.calls.Resent()
+	news.ChannelStalled, news.Redelivered = p.stalled(now), p.calls.TakeRedelivered()
 	p.news, p.looked, p.dirtyAt, p.relay.held = balancer.Events{}, 0, 0, news.ChannelStalled
 	switch { // how proxies are grouped hangs on the servers: who joins before any is known is told with them
-	case !p.servers.Told():
+	case !p.servers.EverListed():
 		news.ProxyEvents, p.untold = nil, true
 	case p.untold:
-		news.ProxyEvents, p.untold = p.roster.Streams(), false
+		news.ProxyEvents, p.untold = p.roster.JoinEvents(), false
 	}
 	p.counts.Rounds++
 	p.manager.Reconcile(now, news, &pen{p.calls, p, now})
@@ -257,7 +257,7 @@
 
 // pen is the balancer.CommandSink of a round: orders to the relay go into its calls, the rest is done at once.
 type pen struct {
-	*platformstate.Calls
+	*platformstate.CommandBuffer
 	p   *Program
 	now float64
 }
@@ -284,9 +284,9 @@
 	p.tendProbes(now)
 	if now >= p.tellAt {
 		p.tellAt = now + tellEvery
-		p.log.Info("state", "joined", p.roster.Joined(), "servers", p.servers.Len(), "callers", len(p.callers),
-			"rounds", p.counts.Rounds, "calls", p.counts.Calls, "waiting", p.calls.Waiting(), "again", p.calls.Again,
-			"dropped", p.calls.Dropped, "reports", p.counts.Reports, "spoilt", p.counts.Spoilt+p.servers.Spoilt,
+		p.log.Info("state", "joined", p.roster.Len(), "servers", p.servers.Len(), "callers", len(p.callers),
+			"rounds", p.counts.Rounds, "calls", p.counts.Calls, "waiting", p.calls.Pending(), "again", p.calls.Resends,
+			"dropped", p.calls.Dropped, "reports", p.counts.Reports, "spoilt", p.counts.Spoilt+p.servers.Malformed,
 			"refused", p.counts.Refused, "closed", p.counts.Closed)
 	}
 }
@@ -295,7 +295,7 @@
 func (p *Program) left(now float64) {
 	for _, s := range p.news.ProxyEvents[p.looked:] {
 		if p.dirty(now); !s.Joined {
-			p.calls.Left(s.Proxy)
+			p.calls.ProxyLeft(s.Proxy)
 		}
 	}
 	p.looked = len(p.news.ProxyEvents)
--- a/internal/frontend/platform/platform_test.go
+++ b/internal/frontend/platform/platform_test.go
@@ -47,9 +47,9 @@
 func (p *plain) Connected(float64, env.Conn, bool)            {}
 func (p *plain) Receive(float64, env.Conn, []byte)            {}
 func (p *plain) Closed(float64, env.Conn)                     {}
-func (p *plain) Taken(float64, env.Conn, uint64)              {}
+func (p *plain) Delivered(float64, env.Conn, uint64)          {}
 func (p *plain) Datagram(float64, []byte)                     {}
-func (p *plain) Woken(float64, int)                           {}
+func (p *plain) TimerFired(float64, int)                      {}
 
 // desk is a relay: what its proxies were told, by call.
 type desk struct {
@@ -75,15 +75,15 @@
 		lines: map[string]float64{}, tables: map[int]map[string]float64{}, on: map[int]int{}}
 }
 
-func (d *desk) Start(now float64, io env.IO) { d.io = io; io.Wake(now+1, 0) }
+func (d *desk) Start(now float64, io env.IO) { d.io = io; io.SetTimer(now+1, 0) }
 
-func (d *desk) Woken(now float64, _ int) {
+func (d *desk) TimerFired(now float64, _ int) {
 	for c := range d.watch {
 		if !d.away {
 			d.io.Send(c, []byte(`{"jsonrpc":"2.0","method":"ping","params":{}}`+"\n"))
 		}
 	}
-	d.io.Wake(now+1, 0)
+	d.io.SetTimer(now+1, 0)
 }
 
 func (d *desk) Opened(_ float64, c env.Conn, _ netip.Addr, _ uint16) {
@@ -212,7 +212,7 @@
 
 func (a *agent) Start(now float64, io env.IO) {
 	a.io, a.watch, a.in = io, map[env.Conn]bool{}, map[env.Conn]string{}
-	io.Wake(now+2, 0)
+	io.SetTimer(now+2, 0)
 }
 
 func (a *agent) chunk(c env.Conn, text string) {
@@ -221,11 +221,11 @@
 	}
 }
 
-func (a *agent) Woken(now float64, _ int) {
+func (a *agent) TimerFired(now float64, _ int) {
 	for c := range a.watch {
 		a.chunk(c, "\n")
 	}
-	a.io.Wake(now+2, 0)
+	a.io.SetTimer(now+2, 0)
 }
 
 func (a *agent) Closed(_ float64, c env.Conn) { delete(a.watch, c) }
@@ -312,7 +312,7 @@
 }
 
 func server(id, state string) discovery.Server {
-	return discovery.Server{ID: id, Addr: "10.1.0.18:8000", Zone: "a", Kind: "m", State: state, Weight: 1}
+	return discovery.Server{ID: id, Address: "10.1.0.18:8000", Zone: "a", Kind: "m", State: state, Weight: 1}
 }
 
 func begin(t interface{ Fatal(...any) }, seed uint64, sockets int) *scene {
@@ -327,7 +327,7 @@
 	s := &scene{net: simnet.New(seed, 1000), desk: newDesk(), agent: &agent{}, caller: newDialler(), host: map[string]*simnet.Host{}}
 	known := &discovery.List{Full: true, Servers: servers}
 	s.agent.list = *known
-	s.program = New(Place{Discovery: discoveryAddress, Hub: hub, Sockets: sockets, Known: known, Seed: 7, Deployment: d},
+	s.program = New(Config{Discovery: discoveryAddress, Relay: hub, Sockets: sockets, Known: known, Seed: 7, Deployment: d},
 		slog.New(slog.NewTextHandler(io.Discard, nil)))
 	for name, x := range map[string]struct {
 		at netip.AddrPort
@@ -488,14 +488,14 @@
 	s.desk.away = true
 	s.agent.tell(false, server("s-3", "draining"))
 	s.net.Run(1002.02)
-	if !s.program.calls.Flying() || s.program.stalled(1002.02) {
+	if !s.program.calls.InFlight() || s.program.stalled(1002.02) {
 		t.Error("a call that may still be answered is given up")
 	}
 	s.net.Run(1004)
-	waiting := s.program.calls.Waiting()
+	waiting := s.program.calls.Pending()
 	s.agent.tell(false, server("s-2", "draining"))
-	if s.net.Run(1005); !s.program.stalled(1005) || s.program.calls.Waiting() > waiting || !s.program.relay.held {
-		t.Errorf("%d orders wait, %d before; held %v", s.program.calls.Waiting(), waiting, s.program.relay.held)
+	if s.net.Run(1005); !s.program.stalled(1005) || s.program.calls.Pending() > waiting || !s.program.relay.held {
+		t.Errorf("%d orders wait, %d before; held %v", s.program.calls.Pending(), waiting, s.program.relay.held)
 	}
 }
 
@@ -516,17 +516,17 @@
 	if send == nil {
 		t.Fatal("no call came")
 	}
-	s.program.Move(s.net.Now(), discoveryAddress, otherHub)
+	s.program.SetAddresses(s.net.Now(), discoveryAddress, otherHub)
 	for at := s.net.Now(); len(desk.watch) < 2 && at < 1003.2; at += 0.001 {
 		s.net.Run(at)
 	}
-	if len(desk.watch) != 2 || !s.program.calls.Flying() || len(s.desk.in) != 1 {
-		t.Fatalf("%d new links, %d old ones, a call is out: %v", len(desk.watch), len(s.desk.in), s.program.calls.Flying())
+	if len(desk.watch) != 2 || !s.program.calls.InFlight() || len(s.desk.in) != 1 {
+		t.Fatalf("%d new links, %d old ones, a call is out: %v", len(desk.watch), len(s.desk.in), s.program.calls.InFlight())
 	}
 	send()
 	s.net.Run(s.net.Now() + 0.05)
-	if s.program.calls.Flying() || s.program.calls.Again != 0 || len(s.desk.in) != 0 {
-		t.Errorf("after the answer a call is out: %v; %d went again, %d old links", s.program.calls.Flying(), s.program.calls.Again, len(s.desk.in))
+	if s.program.calls.InFlight() || s.program.calls.Resends != 0 || len(s.desk.in) != 0 {
+		t.Errorf("after the answer a call is out: %v; %d went again, %d old links", s.program.calls.InFlight(), s.program.calls.Resends, len(s.desk.in))
 	}
 }
 
@@ -540,7 +540,7 @@
 		desk := newDesk()
 		desk.joined, desk.lines = s.desk.joined, s.desk.lines
 		s.net.Add(otherHub.Addr(), 0, false).Start(desk)
-		s.program.Move(s.net.Now(), discoveryAddress, otherHub)
+		s.program.SetAddresses(s.net.Now(), discoveryAddress, otherHub)
 		if s.net.Run(1006); len(desk.watch) != 2 || len(desk.bound) > 0 {
 			t.Errorf("%.2f s after a second: %d new links, %d proxies bound anew", after, len(desk.watch), len(desk.bound))
 		}
@@ -574,7 +574,7 @@
 	desk.joined = s.desk.joined
 	s.net.Add(otherHub.Addr(), 0, false).Start(desk)
 	s.net.Add(otherList.Addr(), 0, false).Start(agent)
-	s.program.Move(s.net.Now(), otherList, otherHub)
+	s.program.SetAddresses(s.net.Now(), otherList, otherHub)
 	if s.net.Run(1002.5); len(desk.watch) != 2 || len(agent.watch) != 1 {
 		t.Errorf("0.2 s after SIGHUP %d links to the new relay, %d to discovery", len(desk.watch), len(agent.watch))
 	}
@@ -647,7 +647,7 @@
 		agent := &agent{list: discovery.List{Version: version, Full: true, Servers: []discovery.Server{server("s-1", "ready"), server("s-2", "ready")}}}
 		agent.first = line(version, false)
 		s.net.Add(otherList.Addr(), 0, false).Start(agent)
-		s.program.Move(s.net.Now(), otherList, hub)
+		s.program.SetAddresses(s.net.Now(), otherList, hub)
 		s.net.Run(1003)
 		if _, there := s.desk.lines["s-3"]; there || agent.wholes != 1 {
 			t.Errorf("version %d: s-3, which the new list does not have, is in the table: %v; %d whole lists", version, there, agent.wholes)
@@ -667,7 +667,7 @@
 	s.net.Run(1002)
 	next := &agent{list: discovery.List{Version: 9, Servers: []discovery.Server{server("s-1", "ready")}}, spoilt: true}
 	s.net.Add(otherList.Addr(), 0, false).Start(next)
-	s.program.Move(s.net.Now(), otherList, hub)
+	s.program.SetAddresses(s.net.Now(), otherList, hub)
 	if s.net.Run(1007); next.wholes < 5 || next.wholes > 30 || len(next.asked) > 0 || len(s.desk.lines) != 3 {
 		t.Errorf("in 5 s it was asked for %d times, %d watches; the table is %v", next.wholes, len(next.asked), s.desk.lines)
 	}
@@ -705,7 +705,7 @@
 	}
 	d.FamilyInfo.ClassOwnZone = []bool{true}
 	s := &scene{net: simnet.New(1, 1000), desk: newDesk(), agent: &agent{mute: true}, caller: newDialler(), host: map[string]*simnet.Host{}}
-	s.program = New(Place{Discovery: discoveryAddress, Hub: hub, Sockets: 256, Seed: 7, Deployment: d}, slog.New(slog.NewTextHandler(io.Discard, nil)))
+	s.program = New(Config{Discovery: discoveryAddress, Relay: hub, Sockets: 256, Seed: 7, Deployment: d}, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	s.net.Add(hub.Addr(), 0, false).Start(s.desk)
 	s.net.Add(discoveryAddress.Addr(), 0, false).Start(s.agent)
 	s.net.Add(self.Addr(), 0, false).Start(s.program)
@@ -816,7 +816,7 @@
 	desk.joined, desk.lines, desk.bound = s.desk.joined, s.desk.lines, s.desk.bound
 	s.net.Add(otherHub.Addr(), 0, false).Start(desk)
 	s.net.Add(otherList.Addr(), 0, false).Start(agent)
-	s.program.Move(s.net.Now(), otherList, otherHub)
+	s.program.SetAddresses(s.net.Now(), otherList, otherHub)
 	s.net.Run(1003)
 	if len(s.desk.in) != 0 || len(s.agent.watch) != 0 || len(desk.watch) != 2 || len(agent.watch) != 1 {
 		t.Fatalf("old links %d and %d, new ones %d and %d", len(s.desk.in), len(s.agent.watch), len(desk.watch), len(agent.watch))
--- a/internal/frontend/platform/probes.go
+++ b/internal/frontend/platform/probes.go
@@ -24,7 +24,7 @@
 
 // probe asks a server how it is. One that can't be asked now is moot.
 func (p *Program) probe(now float64, s balancer.Server) {
-	to := p.servers.Addr(s)
+	to := p.servers.Address(s)
 	if !p.dep.PolicyLimits.MayProbe || !to.IsValid() || p.asked[s] || len(p.probes) >= mostProbes {
 		p.news.HealthChecks = append(p.news.HealthChecks, balancer.HealthCheckResult{Server: s, Status: balancer.HealthInconclusive})
 		p.dirty(now)
@@ -44,7 +44,7 @@
 		path = "/stats"
 	}
 	x.up = true
-	p.io.Send(x.conn, []byte("GET "+path+" HTTP/1.1\r\nHost: "+p.servers.Addr(x.server).String()+"\r\nConnection: close\r\n\r\n"))
+	p.io.Send(x.conn, []byte("GET "+path+" HTTP/1.1\r\nHost: "+p.servers.Address(x.server).String()+"\r\nConnection: close\r\n\r\n"))
 }
 
 // verdicts are what a server's answer means; any other status is an error.
--- a/internal/frontend/platform/scale_test.go
+++ b/internal/frontend/platform/scale_test.go
@@ -52,7 +52,7 @@
 			x.State = "draining"
 			drained[x.ID] = true
 			n := server(fmt.Sprintf("n-%04d", i), "ready")
-			n.Zone, n.Started = x.Zone, (at)*1000
+			n.Zone, n.StartedMS = x.Zone, (at)*1000
 			list = append(list, x, n)
 		}
 		s.agent.tell(false, list...)
@@ -63,7 +63,7 @@
 		s.net.Run(at)
 	}
 	s.net.Run(at + 11.3)
-	if n := len(s.program.roster.Streams()); n != own+joiners {
+	if n := len(s.program.roster.JoinEvents()); n != own+joiners {
 		t.Errorf("%d proxies are held to have joined, want %d", n, own+joiners)
 	}
 	for p := range s.desk.joined {
@@ -78,7 +78,7 @@
 			}
 		}
 	}
-	if s.desk.most > jsonrpc.MostOrders || s.program.calls.Dropped > 0 || s.program.counts.Spoilt+s.program.servers.Spoilt > 0 {
+	if s.desk.most > jsonrpc.MaxCallBytes || s.program.calls.Dropped > 0 || s.program.counts.Spoilt+s.program.servers.Malformed > 0 {
 		t.Errorf("a call of %d bytes, %d orders dropped, %d messages spoilt", s.desk.most, s.program.calls.Dropped, s.program.counts.Spoilt)
 	}
 }
--- a/internal/platform/crossing_test.go
+++ b/internal/platform/crossing_test.go
@@ -244,7 +244,7 @@
 		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		if _, _, place, err := read(path); err != nil || place.Known != nil || place.KnownWrong == nil {
+		if _, _, place, err := read(path); err != nil || place.Known != nil || place.KnownErr == nil {
 			t.Errorf("%s: %v, %+v", known, err, place.Known)
 		}
 	}
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -49,23 +49,23 @@
 }
 
 // read reads the file whole; an error names it and the key.
-func read(path string) (listen netip.AddrPort, memory float64, place front.Place, err error) {
+func read(path string) (listen netip.AddrPort, memory float64, place front.Config, err error) {
 	b, err := os.ReadFile(path)
 	if err != nil {
 		return listen, 0, place, err
 	}
-	wrong := func(format string, args ...any) (netip.AddrPort, float64, front.Place, error) {
+	wrong := func(format string, args ...any) (netip.AddrPort, float64, front.Config, error) {
 		return listen, 0, place, fmt.Errorf("%s: %w", path, fmt.Errorf(format, args...))
 	}
 	var c configuration
 	if err := json.Unmarshal(b, &c); err != nil {
 		return wrong("%w", err)
 	}
-	place = front.Place{Sockets: c.Limits.Sockets}
+	place = front.Config{Sockets: c.Limits.Sockets}
 	for _, a := range []struct {
 		key, text string
 		to        *netip.AddrPort
-	}{{"listen", c.Listen, &listen}, {"discovery", c.Discovery, &place.Discovery}, {"hub.address", c.Hub.Address, &place.Hub}} {
+	}{{"listen", c.Listen, &listen}, {"discovery", c.Discovery, &place.Discovery}, {"hub.address", c.Hub.Address, &place.Relay}} {
 		if *a.to, err = netip.ParseAddrPort(a.text); err != nil {
 			return wrong("%s: no address and port: %q", a.key, a.text)
 		}
@@ -80,7 +80,7 @@
 		return wrong("settings: %w", err)
 	}
 	if len(c.Known) > 0 { // it may be out of date as it is: where it can't be read discovery tells all
-		place.Known, place.KnownWrong = discovery.Parse(c.Known)
+		place.Known, place.KnownErr = discovery.Parse(c.Known)
 	}
 	return listen, c.Limits.Memory, place, nil
 }
@@ -97,7 +97,7 @@
 	if err != nil {
 		return err
 	}
-	for _, doubt := range place.Deployment.Doubts() {
+	for _, doubt := range place.Deployment.Warnings() {
 		log.Warn("the settings do not allow to keep every rule", "key", doubt)
 	}
 	runtime.GOMAXPROCS(1)
@@ -109,7 +109,7 @@
 	if err != nil {
 		return err
 	}
-	log.Info("coordinator runs", "listen", listen, "discovery", place.Discovery, "hub", place.Hub, "memory_mb", memory,
+	log.Info("coordinator runs", "listen", listen, "discovery", place.Discovery, "hub", place.Relay, "memory_mb", memory,
 		"sockets", place.Sockets)
 	for {
 		select {
@@ -126,8 +126,8 @@
 				log.Error("configuration stands as it was", "error", err)
 				continue
 			}
-			log.Info("configuration read again", "discovery", place.Discovery, "hub", place.Hub)
-			server.Do(func(now float64) { program.Move(now, place.Discovery, place.Hub) })
+			log.Info("configuration read again", "discovery", place.Discovery, "hub", place.Relay)
+			server.Do(func(now float64) { program.SetAddresses(now, place.Discovery, place.Relay) })
 		}
 	}
 }
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -40,7 +40,7 @@
 }
 
 // UsualLimits are those that settings start from.
-var UsualLimits = Limits{Clients: 20000, ByServer: 64, Silent: 75, HTTP: http1.UsualLimits}
+var UsualLimits = Limits{Clients: 20000, ByServer: 64, Silent: 75, HTTP: http1.DefaultLimits}
 
 // Setup is what a proxy is made of. Times are seconds.
 type Setup struct {
@@ -178,7 +178,7 @@
 	}
 	p.session.start(now, p)
 	p.report = now + p.setup.Report*p.float()
-	io.Wake(now+wakeEvery, 0)
+	io.SetTimer(now+wakeEvery, 0)
 }
 
 // Opened of env.Program.
@@ -522,7 +522,7 @@
 		return
 	}
 	if u := p.ups[id]; u != nil {
-		if u.try != 0 && u.msg.Until && http1.Ended(u.buf, &u.msg) == nil {
+		if u.try != 0 && u.msg.UntilClose && http1.ResponseAtEOF(u.buf, &u.msg) == nil {
 			u.msg.Close = true
 			p.answered(now, u, len(u.buf))
 			return
@@ -533,8 +533,8 @@
 	p.session.closed(now, id)
 }
 
-// Taken of env.Program.
-func (p *Proxy) Taken(float64, env.Conn, uint64) {}
+// Delivered of env.Program.
+func (p *Proxy) Delivered(float64, env.Conn, uint64) {}
 
 // Reconnect breaks the connection to the coordinator from this side.
 func (p *Proxy) Reconnect(now float64) {
@@ -549,8 +549,8 @@
 // Datagram of env.Program.
 func (p *Proxy) Datagram(float64, []byte) {}
 
-// Woken of env.Program.
-func (p *Proxy) Woken(now float64, _ int) {
+// TimerFired of env.Program.
+func (p *Proxy) TimerFired(now float64, _ int) {
 	p.obey(now, p.Core.Tick(now))
 	p.session.tick(now)
 	if p.setup.Collect != 0 && now >= p.report {
@@ -567,7 +567,7 @@
 			p.io.Close(c.id)
 		}
 	}
-	p.io.Wake(now+wakeEvery, 0)
+	p.io.SetTimer(now+wakeEvery, 0)
 }
 
 func (p *Proxy) silent(now float64) (list []*client) {
--- a/internal/proxy/proxy_test.go
+++ b/internal/proxy/proxy_test.go
@@ -28,9 +28,9 @@
 func (b *base) Opened(float64, env.Conn, netip.Addr, uint16) {}
 func (b *base) Connected(float64, env.Conn, bool)            {}
 func (b *base) Closed(float64, env.Conn)                     {}
-func (b *base) Taken(float64, env.Conn, uint64)              {}
+func (b *base) Delivered(float64, env.Conn, uint64)          {}
 func (b *base) Datagram(float64, []byte)                     {}
-func (b *base) Woken(float64, int)                           {}
+func (b *base) TimerFired(float64, int)                      {}
 func (b *base) Receive(float64, env.Conn, []byte)            {}
 
 // httpd is a server that behaves as it is told.
@@ -52,7 +52,7 @@
 	}
 	h.buf[c] = append(h.buf[c], b...)
 	var m http1.Message
-	n, err := http1.Request(h.buf[c], http1.UsualLimits, &m)
+	n, err := http1.Request(h.buf[c], http1.DefaultLimits, &m)
 	if err != nil {
 		panic(err)
 	}
@@ -336,7 +336,7 @@
 	d.conn = c
 	d.buf = append(d.buf, b...)
 	var m http1.Message
-	if n, err := http1.Request(d.buf, http1.UsualLimits, &m); err == nil && n > 0 {
+	if n, err := http1.Request(d.buf, http1.DefaultLimits, &m); err == nil && n > 0 {
 		d.asked = append(d.asked, m.Target)
 		d.buf = d.buf[n:]
 	}
--- a/internal/simwire/read.go
+++ b/internal/simwire/read.go
@@ -64,7 +64,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("boot-info: %v", err)
 	}
-	return d.Coordinator(l.Seed), nil
+	return d.NewBalancer(l.Seed), nil
 }
 
 // add puts one event into the news of its instance.
--- a/internal/wire/discovery/registry.go
+++ b/internal/wire/discovery/registry.go
@@ -9,34 +9,34 @@
 
 // List is the whole list of servers, or what has changed of it.
 type List struct {
-	Version int64    `json:"version"`
-	Full    bool     `json:"full"`
-	Servers []Server `json:"servers"`
-	Spoilt  int      `json:"-"` // entries that can't be read; they are left out
+	Version   int64    `json:"version"`
+	Full      bool     `json:"full"`
+	Servers   []Server `json:"servers"`
+	Malformed int      `json:"-"` // entries that can't be read; they are left out
 }
 
 // Server is an entry of a list.
 type Server struct {
-	ID      string  `json:"id"`
-	Addr    string  `json:"addr"`
-	Zone    string  `json:"zone"`
-	Kind    string  `json:"kind"`
-	Cell    int     `json:"cell"`
-	State   string  `json:"state"`
-	Weight  float64 `json:"weight"`
-	Started float64 `json:"started_ms"` // Unix time in milliseconds; 0: long ago
-	Bad     bool    `json:"-"`          // a field is of another type
+	ID            string  `json:"id"`
+	Address       string  `json:"addr"`
+	Zone          string  `json:"zone"`
+	Kind          string  `json:"kind"`
+	FailureDomain int     `json:"cell"`
+	State         string  `json:"state"`
+	Weight        float64 `json:"weight"`
+	StartedMS     float64 `json:"started_ms"` // Unix time in milliseconds; 0: long ago
+	Malformed     bool    `json:"-"`          // a field is of another type
 }
 
 // States of a server.
 const (
 	Ready    = "ready"
 	Draining = "draining"
-	Gone     = "gone"
+	Removed  = "gone"
 )
 
-// ErrNone is an object that is no list.
-var ErrNone = errors.New("no list of servers")
+// ErrNotList is an object that is no list.
+var ErrNotList = errors.New("no list of servers")
 
 // Parse reads a list.
 func Parse(line []byte) (*List, error) {
@@ -49,16 +49,16 @@
 		return nil, err
 	}
 	if l.Version == nil || l.Servers == nil {
-		return nil, ErrNone
+		return nil, ErrNotList
 	}
 	l.List.Version, l.List.Servers = *l.Version, make([]Server, 0, len(*l.Servers))
 	for _, text := range *l.Servers {
 		var s Server
 		var field *json.UnmarshalTypeError
 		if err := json.Unmarshal(text, &s); errors.As(err, &field) && s.ID != "" {
-			s.Bad = true
+			s.Malformed = true
 		} else if err != nil {
-			l.Spoilt++
+			l.Malformed++
 			continue
 		}
 		l.List.Servers = append(l.List.Servers, s)
@@ -66,10 +66,10 @@
 	return &l.List, nil
 }
 
-// All is the path of the whole list.
-const All = "/registry/instances"
+// ListPath is the path of the whole list.
+const ListPath = "/registry/instances"
 
-// Watch is the path of a watch of what changes after a version.
-func Watch(version int64) string {
-	return All + "?stream=1&index=" + strconv.FormatInt(version, 10)
+// WatchPath is the path of a watch of what changes after a version.
+func WatchPath(version int64) string {
+	return ListPath + "?stream=1&index=" + strconv.FormatInt(version, 10)
 }
--- a/internal/wire/discovery/registry_test.go
+++ b/internal/wire/discovery/registry_test.go
@@ -24,7 +24,7 @@
 // An entry that can't be read does not take the others with it. One whose server is named counts for what can be read of it.
 func TestEntriesThatCannotBeRead(t *testing.T) {
 	l, err := Parse([]byte(`{"version":1,"servers":[{"id":7},7,null,{"id":"s-1","state":"draining","weight":"1"},{"id":"s-2","state":"ready"}]}`))
-	if err != nil || l.Spoilt != 2 || len(l.Servers) != 3 || l.Servers[1] != (Server{ID: "s-1", State: Draining, Bad: true}) || l.Servers[2].Bad {
+	if err != nil || l.Malformed != 2 || len(l.Servers) != 3 || l.Servers[1] != (Server{ID: "s-1", State: Draining, Malformed: true}) || l.Servers[2].Malformed {
 		t.Errorf("%+v, %v", l, err)
 	}
 }
--- a/internal/wire/http1/http1.go
+++ b/internal/wire/http1/http1.go
@@ -19,8 +19,8 @@
 	Fields int // header fields
 }
 
-// UsualLimits are those that settings start from.
-var UsualLimits = Limits{Head: 16 << 10, Body: 1 << 20, Fields: 100}
+// DefaultLimits are those that settings start from.
+var DefaultLimits = Limits{Head: 16 << 10, Body: 1 << 20, Fields: 100}
 
 // Error says what is wrong with a message, and with which status a server answers it.
 type Error struct {
@@ -34,8 +34,8 @@
 	return &Error{status, fmt.Sprintf(format, args...)}
 }
 
-// ErrShort is no error of a message: the peer ended in the middle of it.
-var ErrShort = errors.New("the message ends in the middle")
+// ErrUnexpectedEnd is no error of a message: the peer ended in the middle of it.
+var ErrUnexpectedEnd = errors.New("the message ends in the middle")
 
 // Field of a head.
 type Field struct{ Name, Value string }
@@ -49,7 +49,7 @@
 	Body           []byte
 	Close          bool // the connection ends after it
 	Continue       bool // its sender waits for 100 (Continue) before it sends the body
-	Until          bool // its body goes on until the connection ends
+	UntilClose     bool // its body goes on until the connection ends
 }
 
 // Get is a field's value; empty if there is none.
@@ -226,7 +226,7 @@
 		return n, nil
 	}
 	if length == -2 {
-		if m.Until, m.Close = true, true; len(b)-n > l.Body {
+		if m.UntilClose, m.Close = true, true; len(b)-n > l.Body {
 			return 0, wrong(502, "a body of over %d bytes", l.Body)
 		}
 		return 0, nil
@@ -237,18 +237,18 @@
 	return n, nil
 }
 
-// Ended reads a response whose body went on until the connection ended, of all the bytes that came.
-func Ended(b []byte, m *Message) error {
-	if !m.Until {
-		return ErrShort
+// ResponseAtEOF reads a response whose body went on until the connection ended, of all the bytes that came.
+func ResponseAtEOF(b []byte, m *Message) error {
+	if !m.UntilClose {
+		return ErrUnexpectedEnd
 	}
 	m.Body = b[bytes.Index(b, []byte("\r\n\r\n"))+4:]
 	return nil
 }
 
-// Opened reads the head of a response whose body may never end. n is its length; 0 where more is needed. What follows is the
+// ResponseHead reads the head of a response whose body may never end. n is its length; 0 where more is needed. What follows is the
 // body, and is read by Body.
-func Opened(b []byte, l Limits, m *Message) (n int, body Body, err error) {
+func ResponseHead(b []byte, l Limits, m *Message) (n int, body Body, err error) {
 	lines, n, err := head(b, l)
 	if n == 0 || err != nil {
 		return 0, Body{}, err
--- a/internal/wire/jsonrpc/rpc.go
+++ b/internal/wire/jsonrpc/rpc.go
@@ -9,8 +9,8 @@
 	"strings"
 )
 
-// MostOrders is how many bytes of orders one call may hold; the relay's.
-const MostOrders = 60_000
+// MaxCallBytes is how many bytes of orders one call may hold; the relay's.
+const MaxCallBytes = 60_000
 
 // Message is a line from the relay: an answer, which has an id, or a notification, which has a method.
 type Message struct {
@@ -24,16 +24,16 @@
 
 // Params are those of notifications; what is absent is nil.
 type Params struct {
-	Sidecar  *int     `json:"sidecar"`
-	Zone     string   `json:"az"`
-	Share    *float64 `json:"share"`
-	Standing *bool    `json:"standing"`
-	Version  *int64   `json:"version"`
-	Lag      *float64 `json:"lag_ms"`
+	Proxy        *int     `json:"sidecar"`
+	Zone         string   `json:"az"`
+	ExpectedRate *float64 `json:"share"`
+	DefaultTable *bool    `json:"standing"`
+	AckID        *int64   `json:"version"`
+	LatencyMS    *float64 `json:"lag_ms"`
 }
 
-// ErrNone is a line that is neither.
-var ErrNone = errors.New("neither an answer nor a notification")
+// ErrUnknownLine is a line that is neither.
+var ErrUnknownLine = errors.New("neither an answer nor a notification")
 
 // Parse reads a line.
 func Parse(line []byte, m *Message) error {
@@ -62,7 +62,7 @@
 		}
 		return nil
 	}
-	return ErrNone
+	return ErrUnknownLine
 }
 
 // word is what an error says: itself, or the words in its object.
@@ -81,8 +81,8 @@
 	return string(b)
 }
 
-// Accepted reads the result of an apply call; ok is false where it can't be read.
-func (m *Message) Accepted() (n int, ok bool) {
+// AcceptedCount reads the result of an apply call; ok is false where it can't be read.
+func (m *Message) AcceptedCount() (n int, ok bool) {
 	var r struct {
 		Accepted *int `json:"accepted"`
 	}
@@ -108,8 +108,8 @@
 	return append(b, "]}}\n"...)
 }
 
-// Names are the classes by place, as orders name them.
-type Names []string
+// ClassNames are the classes by place, as orders name them.
+type ClassNames []string
 
 func text(b []byte, s string) []byte {
 	quoted, _ := json.Marshal(s) // a string always has a JSON form
@@ -126,7 +126,7 @@
 	return strconv.AppendFloat(b, v, 'f', -1, 64)
 }
 
-func (n Names) set(b []byte, classes uint64) []byte {
+func (n ClassNames) set(b []byte, classes uint64) []byte {
 	if classes == 0 { // all
 		return b
 	}
@@ -143,31 +143,31 @@
 	return append(b, ']')
 }
 
-// AppendShare writes an order that sets a table's line; a share of 0 removes it.
-func AppendShare(b []byte, group int, host string, share float64) []byte {
+// AppendWeight writes an order that sets a table's line; a share of 0 removes it.
+func AppendWeight(b []byte, group int, host string, share float64) []byte {
 	b = number(b, `{"do":"share","group":`, int64(group))
 	b = append(b, `,"host":`...)
 	b = text(b, host)
 	return append(figure(b, `,"share":`, share), '}')
 }
 
-// AppendBind writes an order that gives a proxy a table for classes, a set of their places; 0 stands for all.
-func (n Names) AppendBind(b []byte, sidecar, group int, classes uint64) []byte {
+// AppendAssignment writes an order that gives a proxy a table for classes, a set of their places; 0 stands for all.
+func (n ClassNames) AppendAssignment(b []byte, sidecar, group int, classes uint64) []byte {
 	b = number(b, `{"do":"bind","sidecar":`, int64(sidecar))
 	b = number(b, `,"group":`, int64(group))
 	return append(n.set(b, classes), '}')
 }
 
-// AppendAdmit writes an order that sets a level and the way of trying again.
-func (n Names) AppendAdmit(b []byte, group int, classes uint64, gate float64, again int) []byte {
+// AppendAdmission writes an order that sets a level and the way of trying again.
+func (n ClassNames) AppendAdmission(b []byte, group int, classes uint64, gate float64, again int) []byte {
 	b = number(b, `{"do":"admit","group":`, int64(group))
 	b = n.set(b, classes)
 	b = figure(b, `,"gate":`, gate)
 	return append(number(b, `,"again":`, int64(again)), '}')
 }
 
-// AppendMark writes an order that asks for an answer: of all proxies, or of those that the call concerns.
-func AppendMark(b []byte, stamp int64, all bool) []byte {
+// AppendAckRequest writes an order that asks for an answer: of all proxies, or of those that the call concerns.
+func AppendAckRequest(b []byte, stamp int64, all bool) []byte {
 	b = number(b, `{"do":"mark","stamp":`, stamp)
 	if all {
 		return append(b, `,"yes":1}`...)
--- a/internal/wire/jsonrpc/rpc_test.go
+++ b/internal/wire/jsonrpc/rpc_test.go
@@ -6,15 +6,15 @@
 )
 
 func TestOrdersAreAsTheRelayReadsThem(t *testing.T) {
-	n := Names{"lookup", `od"d`}
+	n := ClassNames{"lookup", `od"d`}
 	for want, got := range map[string][]byte{
-		`{"do":"share","group":4,"host":"s-5be2a07c","share":1.5}`:                         AppendShare(nil, 4, "s-5be2a07c", 1.5),
-		`{"do":"bind","sidecar":17,"group":4,"for":["lookup"]}`:                            n.AppendBind(nil, 17, 4, 1),
-		`{"do":"bind","sidecar":17,"group":4}`:                                             n.AppendBind(nil, 17, 4, 0),
-		`{"do":"bind","sidecar":1,"group":2,"for":["lookup","od\"d"]}`:                     n.AppendBind(nil, 1, 2, 3),
-		`{"do":"admit","group":4,"for":["lookup"],"gate":0.9,"again":1}`:                   n.AppendAdmit(nil, 4, 1, 0.9, 1),
-		`{"do":"mark","stamp":905,"yes":1}`:                                                AppendMark(nil, 905, true),
-		`{"do":"mark","stamp":905,"yes":0}`:                                                AppendMark(nil, 905, false),
+		`{"do":"share","group":4,"host":"s-5be2a07c","share":1.5}`:                         AppendWeight(nil, 4, "s-5be2a07c", 1.5),
+		`{"do":"bind","sidecar":17,"group":4,"for":["lookup"]}`:                            n.AppendAssignment(nil, 17, 4, 1),
+		`{"do":"bind","sidecar":17,"group":4}`:                                             n.AppendAssignment(nil, 17, 4, 0),
+		`{"do":"bind","sidecar":1,"group":2,"for":["lookup","od\"d"]}`:                     n.AppendAssignment(nil, 1, 2, 3),
+		`{"do":"admit","group":4,"for":["lookup"],"gate":0.9,"again":1}`:                   n.AppendAdmission(nil, 4, 1, 0.9, 1),
+		`{"do":"mark","stamp":905,"yes":1}`:                                                AppendAckRequest(nil, 905, true),
+		`{"do":"mark","stamp":905,"yes":0}`:                                                AppendAckRequest(nil, 905, false),
 		`{"jsonrpc":"2.0","id":8,"method":"relay.apply","params":{"changes":[{}]}}` + "\n": AppendApply(nil, 8, []byte("{}")),
 		`{"jsonrpc":"2.0","id":10,"method":"relay.watch"}` + "\n":                          AppendWatch(nil, 10),
 	} {
@@ -43,13 +43,13 @@
 		if err := Parse([]byte(line), &m); err != nil || !m.Answer || m.ID != 8 || m.Error != want.err {
 			t.Errorf("%s: %+v, %v", line, m, err)
 		}
-		if n, ok := m.Accepted(); n != want.accepted || ok != want.ok {
+		if n, ok := m.AcceptedCount(); n != want.accepted || ok != want.ok {
 			t.Errorf("%s: %d, %v", line, n, ok)
 		}
 	}
 	var m Message
 	if err := Parse([]byte(`{"method":"done","params":{"sidecar":17,"version":905,"lag_ms":310.4,"more":[]}}`), &m); err != nil || m.Answer ||
-		*m.Params.Sidecar != 17 || *m.Params.Version != 905 || *m.Params.Lag != 310.4 || m.Params.Share != nil {
+		*m.Params.Proxy != 17 || *m.Params.AckID != 905 || *m.Params.LatencyMS != 310.4 || m.Params.ExpectedRate != nil {
 		t.Errorf("%+v, %v", m, err)
 	}
 	for _, line := range []string{"", "{}", "7", `{"id":-1,"result":1}`, `{"id":1}`, `{"method":"done","params":{"sidecar":"x"}}`, `{"method":7}`} {
@@ -67,7 +67,7 @@
 		if err := Parse(line, &m); err != nil {
 			return
 		}
-		if n, ok := m.Accepted(); ok && (n < 0 || m.Error != "") {
+		if n, ok := m.AcceptedCount(); ok && (n < 0 || m.Error != "") {
 			t.Fatalf("%d accepted, error %q", n, m.Error)
 		}
 	})
--- a/internal/wire/lines/lines.go
+++ b/internal/wire/lines/lines.go
@@ -6,8 +6,8 @@
 	"errors"
 )
 
-// ErrLong is a line beyond the limit; nothing after it can be read.
-var ErrLong = errors.New("a line beyond the limit")
+// ErrTooLong is a line beyond the limit; nothing after it can be read.
+var ErrTooLong = errors.New("a line beyond the limit")
 
 // Reader holds what has come of a line. The zero value is ready.
 type Reader struct{ held []byte }
@@ -18,7 +18,7 @@
 		end := bytes.IndexByte(b, '\n')
 		if end < 0 {
 			if len(r.held)+len(b) > most {
-				return ErrLong
+				return ErrTooLong
 			}
 			r.held = append(r.held, b...)
 			return nil
@@ -29,7 +29,7 @@
 			r.held = nil
 		}
 		if len(line) > most {
-			return ErrLong
+			return ErrTooLong
 		}
 		take(bytes.TrimSuffix(line, []byte("\r")))
 		b = b[end+1:]
--- a/internal/wire/resp/resp.go
+++ b/internal/wire/resp/resp.go
@@ -10,8 +10,8 @@
 
 // Limits of a message.
 type Limits struct {
-	Bytes int // with its framing
-	Words int
+	Bytes    int // with its framing
+	Elements int
 }
 
 const longest = 10 // digits of a length: more than any that fits a message
@@ -19,7 +19,7 @@
 // Errors that no further byte can mend.
 var (
 	ErrFraming = errors.New("no array of bulk strings")
-	ErrLong    = errors.New("a message beyond the limit")
+	ErrTooLong = errors.New("a message beyond the limit")
 )
 
 // Reader takes a connection apart into messages. The zero value is ready.
@@ -51,8 +51,8 @@
 	r.buf = append(r.buf, b...)
 }
 
-// Held is how many bytes wait for the rest of their message.
-func (r *Reader) Held() int { return len(r.buf) - r.from }
+// Buffered is how many bytes wait for the rest of their message.
+func (r *Reader) Buffered() int { return len(r.buf) - r.from }
 
 // Next is the next whole message, appended to words; its bytes stay until the next Feed. Without ok more bytes are needed. An
 // error is final.
@@ -83,8 +83,8 @@
 		if !ok || err != nil {
 			return false, err
 		}
-		if n < 1 || n > l.Words {
-			return false, ErrLong
+		if n < 1 || n > l.Elements {
+			return false, ErrTooLong
 		}
 		r.open, r.left = true, n
 	}
@@ -95,7 +95,7 @@
 			return false, err
 		}
 		if r.at-r.from+n+2 > l.Bytes {
-			return false, ErrLong
+			return false, ErrTooLong
 		}
 		if len(r.buf) < r.at+n+2 {
 			r.at = start
--- a/internal/wire/resp/resp_test.go
+++ b/internal/wire/resp/resp_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-var limits = Limits{Bytes: 1 << 20, Words: 512}
+var limits = Limits{Bytes: 1 << 20, Elements: 512}
 
 // read takes b apart as it comes in pieces of a size.
 func read(b []byte, size int) (messages [][]string, err error) {
@@ -46,8 +46,8 @@
 
 func TestWhatIsNoMessageIsRefusedAtOnce(t *testing.T) {
 	for b, want := range map[string]error{"GET /": ErrFraming, "{": ErrFraming, "*x": ErrFraming, "*-1\r\n": ErrFraming, "*1\n": ErrFraming, "*1\r\n:": ErrFraming,
-		"*1\r\n$2\r\nabcd": ErrFraming, "*0\r\n": ErrLong, "*513\r\n": ErrLong, "*1\r\n$1048577\r\n": ErrLong, "*12345678901234": ErrFraming,
-		"*1\r\n$-1\r\n": ErrFraming, "*9999999999\r\n": ErrLong} {
+		"*1\r\n$2\r\nabcd": ErrFraming, "*0\r\n": ErrTooLong, "*513\r\n": ErrTooLong, "*1\r\n$1048577\r\n": ErrTooLong, "*12345678901234": ErrFraming,
+		"*1\r\n$-1\r\n": ErrFraming, "*9999999999\r\n": ErrTooLong} {
 		if _, err := read([]byte(b), 1); err != want {
 			t.Errorf("%q: %v, want %v", b, err, want)
 		}
