--- a/balancer/health.go
+++ b/balancer/health.go
@@ -63,7 +63,8 @@
 
 func (m *Balancer) follow(now float64, l EndpointList) {
 	for _, s := range m.order {
-		if l.Scope == FullList && !slices.ContainsFunc(l.Endpoints, func(e Endpoint) bool { return e.Server == s.Server }) {
+		named := func(e Endpoint) bool { return e.Server == s.Server }
+		if l.Scope == FullList && !slices.ContainsFunc(l.Endpoints, named) {
 			l.Endpoints = append(slices.Clip(l.Endpoints), Endpoint{Server: s.Server, Phase: Removed})
 		}
 	}
