--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -171,10 +171,10 @@
 	if err != nil {
 		return err
 	}
-	b, err := service.Call(c, idempotency.Staff, "POST", "/v1/drains", map[string]any{"server": d.Server, "on": !d.End, "force": d.Force,
+	b, err := service.Call(c, idempotency.RoleStaff, "POST", "/v1/drains", map[string]any{"server": d.Server, "on": !d.End, "force": d.Force,
 		"lose-zone": d.LoseZone})
 	if err == nil && !d.End && d.Follow > 0 {
-		b, err = service.Call(c, idempotency.Viewer, "GET", fmt.Sprintf("/v1/drains/%s?wait=%g", service.Escape(d.Server), d.Follow), nil)
+		b, err = service.Call(c, idempotency.RoleViewer, "GET", fmt.Sprintf("/v1/drains/%s?wait=%g", service.Escape(d.Server), d.Follow), nil)
 	}
 	if err != nil {
 		return err
@@ -194,7 +194,7 @@
 	if err != nil {
 		return err
 	}
-	b, err := service.Call(c, idempotency.Viewer, "POST", "/v1/preview", map[string]any{"drain": p.Server, "lose-zone": p.LoseZone})
+	b, err := service.Call(c, idempotency.RoleViewer, "POST", "/v1/preview", map[string]any{"drain": p.Server, "lose-zone": p.LoseZone})
 	if err != nil {
 		return err
 	}
@@ -226,7 +226,7 @@
 	if err != nil {
 		return err
 	}
-	b, err := service.Call(c, idempotency.Viewer, "GET", "/v1/orders?relay="+url.QueryEscape(x.Proxy), nil)
+	b, err := service.Call(c, idempotency.RoleViewer, "GET", "/v1/orders?relay="+url.QueryEscape(x.Proxy), nil)
 	if err != nil {
 		return err
 	}
@@ -263,7 +263,7 @@
 	if err != nil {
 		return err
 	}
-	b, err := service.Call(c, idempotency.Viewer, "GET", "/v1/servers", nil)
+	b, err := service.Call(c, idempotency.RoleViewer, "GET", "/v1/servers", nil)
 	if err != nil {
 		return err
 	}
@@ -324,7 +324,7 @@
 		for _, k := range slices.Sorted(maps.Keys(s.Seats)) {
 			m, seat := s.Members[s.Seats[k].Peer], s.Seats[k]
 			state := "lives"
-			if seat.Gone {
+			if seat.Removed {
 				state = "taken out"
 			} else if !m.Alive {
 				state = "does not renew"
@@ -352,7 +352,7 @@
 	if err != nil {
 		return err
 	}
-	if err := service.GroupRemove(setup, membership.Number(g.Number), g.Wait); err != nil {
+	if err := service.GroupRemove(setup, membership.MemberID(g.Number), g.Wait); err != nil {
 		return err
 	}
 	_, err = fmt.Fprintf(e.out, "%d is taken out\n", g.Number)
--- a/internal/cli/host.go
+++ b/internal/cli/host.go
@@ -62,7 +62,7 @@
 	if err != nil {
 		return nil, err
 	}
-	if _, err := tenancy.Check(a.Tenant); err != nil {
+	if _, err := tenancy.ParseName(a.Tenant); err != nil {
 		return nil, err
 	}
 	return service.CallHost(c, needs, method, "/v1/tenants/"+a.Tenant+path, body)
@@ -77,7 +77,7 @@
 	if err != nil {
 		return err
 	}
-	b, err := service.CallHost(c, idempotency.Viewer, "GET", "/v1/tenants", nil)
+	b, err := service.CallHost(c, idempotency.RoleViewer, "GET", "/v1/tenants", nil)
 	if err != nil {
 		return err
 	}
@@ -111,12 +111,12 @@
 }
 
 func (s *tenantShow) Run(e *env) error {
-	path, needs := "/"+s.What, idempotency.Viewer
+	path, needs := "/"+s.What, idempotency.RoleViewer
 	switch s.What {
 	case "state":
 		path = ""
 	case "settings", "audit":
-		needs = idempotency.Staff
+		needs = idempotency.RoleStaff
 	}
 	return s.call(e, needs, "GET", path, nil)
 }
@@ -140,7 +140,7 @@
 	if p.Force {
 		q.Set("force", "true")
 	}
-	return p.call(e, idempotency.Host, "PUT", "?"+q.Encode(), text)
+	return p.call(e, idempotency.RoleHost, "PUT", "?"+q.Encode(), text)
 }
 
 type tenantRemove struct {
@@ -149,7 +149,7 @@
 }
 
 func (r *tenantRemove) Run(e *env) error {
-	return r.call(e, idempotency.Host, "DELETE", fmt.Sprintf("?force=%t", r.Force), nil)
+	return r.call(e, idempotency.RoleHost, "DELETE", fmt.Sprintf("?force=%t", r.Force), nil)
 }
 
 type tenantCheck struct {
@@ -163,7 +163,7 @@
 	if err != nil {
 		return err
 	}
-	name, err := tenancy.Check(c.Tenant)
+	name, err := tenancy.ParseName(c.Tenant)
 	if err != nil {
 		return err
 	}
@@ -194,7 +194,7 @@
 }
 
 func (s *tenantServer) Run(e *env) error {
-	return s.call(e, idempotency.Staff, "POST", fmt.Sprintf("/servers?force=%t", s.Force), settings.Edit{Server: s.Server, Remove: s.Remove, Zone: s.Zone, Pod: s.Pod,
+	return s.call(e, idempotency.RoleStaff, "POST", fmt.Sprintf("/servers?force=%t", s.Force), settings.Edit{Server: s.Server, Remove: s.Remove, Zone: s.Zone, Pod: s.Pod,
 		Weight: s.Weight, Capacity: s.Capacity, Standing: s.Standing})
 }
 
@@ -208,9 +208,9 @@
 }
 
 func (d *tenantDrain) Run(e *env) error {
-	b, err := d.ask(idempotency.Staff, "POST", "/drains", map[string]any{"server": d.Server, "on": !d.End, "force": d.Force, "lose-zone": d.LoseZone})
+	b, err := d.ask(idempotency.RoleStaff, "POST", "/drains", map[string]any{"server": d.Server, "on": !d.End, "force": d.Force, "lose-zone": d.LoseZone})
 	if err == nil && !d.End && d.Follow > 0 {
-		b, err = d.ask(idempotency.Viewer, "GET", fmt.Sprintf("/drains/%s?wait=%g", service.Escape(d.Server), d.Follow), nil)
+		b, err = d.ask(idempotency.RoleViewer, "GET", fmt.Sprintf("/drains/%s?wait=%g", service.Escape(d.Server), d.Follow), nil)
 	}
 	if err != nil {
 		return err
@@ -226,7 +226,7 @@
 }
 
 func (x *tenantExplain) Run(e *env) error {
-	b, err := x.ask(idempotency.Viewer, "GET", "/orders?relay="+url.QueryEscape(x.Relay), nil)
+	b, err := x.ask(idempotency.RoleViewer, "GET", "/orders?relay="+url.QueryEscape(x.Relay), nil)
 	if err != nil {
 		return err
 	}
--- a/internal/consensus/change_test.go
+++ b/internal/consensus/change_test.go
@@ -13,16 +13,16 @@
 // join starts a coordinator that a running group is to take in; its seat is asked for by another one, as the transport
 // does for it.
 func (w *town) join(id, by ID) *peer {
-	p := &peer{town: w, id: id, rate: 1, disk: &Memory{Own: uint64(id) * 7}}
+	p := &peer{town: w, id: id, rate: 1, disk: &MemoryStorage{OwnDataDirID: uint64(id) * 7}}
 	w.peers[id] = p
 	w.members = append(w.members, id)
 	p.start()
-	w.peers[by].group.Propose(w.peers[by].clock(), p.group.Sit())
+	w.peers[by].group.Propose(w.peers[by].clock(), p.group.RegisterCommand())
 	return p
 }
 
 func (w *town) unseat(id, by ID) {
-	w.peers[by].group.Propose(w.peers[by].clock(), membership.Command{Kind: membership.Unseat, Number: membership.Number(id)})
+	w.peers[by].group.Propose(w.peers[by].clock(), membership.Command{Kind: membership.RemoveRegistration, MemberID: membership.MemberID(id)})
 }
 
 func (w *town) voters(t *testing.T) int {
@@ -36,7 +36,7 @@
 	}
 	for _, id := range w.members {
 		if p := w.peers[id]; p.group != nil {
-			t.Logf("%d: conf %v, seats %v, commit %d, term %d", id, p.group.Node.conf, p.group.State.Seats, p.group.Node.Commit(),
+			t.Logf("%d: conf %v, seats %v, commit %d, term %d", id, p.group.Node.conf, p.group.State.Registrations, p.group.Node.CommitIndex(),
 				p.group.Node.raw.BasicStatus().GetTerm())
 		} else {
 			t.Logf("%d has ended", id)
@@ -57,21 +57,21 @@
 	w.unseat(3, 1)
 	p := w.join(4, 1)
 	w.run(8)
-	if n := w.voters(t); n != 3 || w.unled > 0 || len(p.group.State.Living()) != 3 || !p.group.Lease.Holds(p.clock()) {
-		t.Fatalf("%d voters, living %v, unled for %.1f s", n, p.group.State.Living(), w.unled)
+	if n := w.voters(t); n != 3 || w.unled > 0 || len(p.group.State.AliveMembers()) != 3 || !p.group.Lease.Valid(p.clock()) {
+		t.Fatalf("%d voters, living %v, unled for %.1f s", n, p.group.State.AliveMembers(), w.unled)
 	}
 	w.peers[1].group = nil // a majority of the new three is left
 	if w.run(9); w.unled > 0 || w.double != "" {
 		t.Errorf("unled for %.1f s, %s", w.unled, w.double)
 	}
 	w.peers[3].start() // the lost one turns up again, with all that it had
-	if w.run(9); w.peers[3].group != nil && w.peers[3].group.Lease.Holds(w.peers[3].clock()) || w.double != "" {
+	if w.run(9); w.peers[3].group != nil && w.peers[3].group.Lease.Valid(w.peers[3].clock()) || w.double != "" {
 		t.Error("one that was taken out leads again")
 	}
 	w.unseat(3, 4) // twice does no harm
-	lost := w.peers[4].group.Counts.Senseless
+	lost := w.peers[4].group.Stats.Invalid
 	w.run(2)
-	if w.peers[4].group.Counts.Senseless == lost {
+	if w.peers[4].group.Stats.Invalid == lost {
 		t.Error("a number that is gone was taken out again")
 	}
 }
@@ -83,7 +83,7 @@
 	w.run(6)
 	lead := w.peers[1].group.Node.Leader()
 	w.unseat(lead, lead) // the leader of consensus, at that
-	if w.run(8); w.peers[lead].group != nil && w.peers[lead].group.Lease.Holds(w.peers[lead].clock()) {
+	if w.run(8); w.peers[lead].group != nil && w.peers[lead].group.Lease.Valid(w.peers[lead].clock()) {
 		t.Error("it goes on")
 	}
 	if n := w.voters(t); n != 4 || w.unled > 0 || w.double != "" {
@@ -160,7 +160,7 @@
 			}
 		}
 	}
-	if !errors.Is(err, ErrBehind) {
+	if !errors.Is(err, ErrLogTruncated) {
 		t.Errorf("it goes on with a log that lacks what it had confirmed: %v", err)
 	}
 }
@@ -214,7 +214,7 @@
 	late := w.members[2]
 	w.cut[[2]ID{w.members[0], late}], w.cut[[2]ID{w.members[1], late}] = true, true
 	for i := range 300 { // it misses more than the log keeps, so it needs a snapshot
-		w.peers[w.members[0]].group.Keep(w.peers[w.members[0]].clock(), []registry.Record{{Place: registry.Place{Server: balancer.Server(fmt.Sprint(i))}}})
+		w.peers[w.members[0]].group.StoreRecords(w.peers[w.members[0]].clock(), []registry.Record{{ServerConfig: registry.ServerConfig{Server: balancer.Server(fmt.Sprint(i))}}})
 		w.run(0.02)
 	}
 	clear(w.cut)
--- a/internal/consensus/consensus.go
+++ b/internal/consensus/consensus.go
@@ -19,26 +19,26 @@
 // ID of a node. Numbers are never used twice in a group: an emptied folder needs a new one.
 type ID uint64
 
-// Saved is what a disk holds.
-type Saved struct {
-	Hard     *raftpb.HardState
-	Entries  []*raftpb.Entry
-	Snapshot *raftpb.Snapshot
+// PersistentState is what a disk holds.
+type PersistentState struct {
+	HardState *raftpb.HardState
+	Entries   []*raftpb.Entry
+	Snapshot  *raftpb.Snapshot
 }
 
-// Disk keeps what a node must not forget. Save returns when it is durable; an error is final for the node.
-type Disk interface {
-	Save(Saved) error
-	Load() (Saved, error)
-	// Mark is the folder's own, drawn when it was made.
-	Mark() uint64
-	// Pin keeps by which folder another number speaks.
-	Pin(id ID, mark uint64) error
-	Pins() map[ID]uint64
+// Storage keeps what a node must not forget. Save returns when it is durable; an error is final for the node.
+type Storage interface {
+	Save(PersistentState) error
+	Load() (PersistentState, error)
+	// DataDirID is the folder's own, drawn when it was made.
+	DataDirID() uint64
+	// SavePeerDataDir keeps by which folder another number speaks.
+	SavePeerDataDir(id ID, mark uint64) error
+	PeerDataDirs() map[ID]uint64
 }
 
-// Out takes what a Node orders.
-type Out interface {
+// Handler takes what a Node orders.
+type Handler interface {
 	Send(to ID, b []byte)
 	// Committed tells of a command, once and in order. data is nil for the raft library's own entries.
 	Committed(now float64, index uint64, data []byte)
@@ -46,36 +46,36 @@
 	Restored(now float64, index uint64, data []byte)
 }
 
-// Terms of a group. Times are seconds.
-type Terms struct {
-	Heartbeat float64 // between two of a leader's
-	Election  float64 // without a leader's word, after which a node stands for election, at least; up to twice that
-	Log       uint64  // entries after which the state is put into a snapshot
-	Keep      uint64  // entries before a snapshot that stay for nodes that are a little behind
-	Message   int     // bytes of entries in one message
+// Config of a group. Times are seconds.
+type Config struct {
+	HeartbeatInterval float64 // between two of a leader's
+	ElectionTimeout   float64 // without a leader's word, after which a node stands for election, at least; up to twice that
+	SnapshotEntries   uint64  // entries after which the state is put into a snapshot
+	TrailingEntries   uint64  // entries before a snapshot that stay for nodes that are a little behind
+	MaxMessageBytes   int     // bytes of entries in one message
 }
 
-// UsualTerms are those that settings start from.
-var UsualTerms = Terms{
-	Heartbeat: 0.1,
-	Election:  0.5, // five heartbeats
-	Log:       4096,
-	Keep:      512,
-	Message:   256 << 10,
+// DefaultConfig are those that settings start from.
+var DefaultConfig = Config{
+	HeartbeatInterval: 0.1,
+	ElectionTimeout:   0.5, // five heartbeats
+	SnapshotEntries:   4096,
+	TrailingEntries:   512,
+	MaxMessageBytes:   256 << 10,
 }
 
 // neverTicks is more ticks than are ever given: the library's own election timer, whose chance is not ours, never rings.
 const neverTicks = 1 << 30
 
 var (
-	// ErrDisk says that the node can't go on since it could not save.
-	ErrDisk = errors.New("consensus: the disk failed")
-	// ErrMessage says that a message could not be read; it changed nothing.
-	ErrMessage = errors.New("consensus: message not read")
-	// ErrBehind says that the node's log lacks what it had confirmed: its folder is an old copy, or damaged.
-	ErrBehind = errors.New("consensus: the log lacks what this node has confirmed")
-	// ErrLeaderless says that no leader is known, so that a command goes nowhere.
-	ErrLeaderless = errors.New("consensus: no leader is known")
+	// ErrStorage says that the node can't go on since it could not save.
+	ErrStorage = errors.New("consensus: the disk failed")
+	// ErrInvalidMessage says that a message could not be read; it changed nothing.
+	ErrInvalidMessage = errors.New("consensus: message not read")
+	// ErrLogTruncated says that the node's log lacks what it had confirmed: its folder is an old copy, or damaged.
+	ErrLogTruncated = errors.New("consensus: the log lacks what this node has confirmed")
+	// ErrNoLeader says that no leader is known, so that a command goes nowhere.
+	ErrNoLeader = errors.New("consensus: no leader is known")
 )
 
 // Node is one member. Use New.
@@ -83,9 +83,9 @@
 	id       ID
 	raw      *raft.RawNode
 	storage  *raft.MemoryStorage
-	disk     Disk
-	out      Out
-	terms    Terms
+	disk     Storage
+	out      Handler
+	terms    Config
 	chance   uint64
 	electAt  float64
 	beatAt   float64
@@ -100,24 +100,24 @@
 
 // New starts a node from its disk. With an empty disk it is one of a group's first members; without members it waits until
 // a running group takes it in. image gives the state machine's snapshot.
-func New(now float64, id ID, members []ID, seed uint64, disk Disk, out Out, image func() ([]byte, error), terms Terms) (*Node,
+func New(now float64, id ID, members []ID, seed uint64, disk Storage, out Handler, image func() ([]byte, error), terms Config) (*Node,
 	error) {
 	n := &Node{id: id, storage: raft.NewMemoryStorage(), disk: disk, out: out, terms: terms, image: image,
 		chance: seed*2 + uint64(id)*2 + 1}
 	saved, err := disk.Load()
 	if err != nil {
-		return nil, fmt.Errorf("%w: %v", ErrDisk, err)
+		return nil, fmt.Errorf("%w: %v", ErrStorage, err)
 	}
-	if saved.Snapshot == nil && saved.Hard == nil && len(members) > 0 {
+	if saved.Snapshot == nil && saved.HardState == nil && len(members) > 0 {
 		voters := make([]uint64, len(members))
 		for i, m := range members {
 			voters[i] = uint64(m)
 		}
 		saved.Snapshot = &raftpb.Snapshot{Metadata: &raftpb.SnapshotMetadata{Index: proto.Uint64(1), Term: proto.Uint64(1),
 			ConfState: &raftpb.ConfState{Voters: voters}}}
-		saved.Hard = &raftpb.HardState{Term: proto.Uint64(1), Commit: proto.Uint64(1)}
+		saved.HardState = &raftpb.HardState{Term: proto.Uint64(1), Commit: proto.Uint64(1)}
 		if err := disk.Save(saved); err != nil {
-			return nil, fmt.Errorf("%w: %v", ErrDisk, err)
+			return nil, fmt.Errorf("%w: %v", ErrStorage, err)
 		}
 	}
 	if saved.Snapshot != nil {
@@ -136,14 +136,14 @@
 	if n.conf == nil {
 		n.conf = &raftpb.ConfState{}
 	}
-	if saved.Hard != nil {
-		if err := n.storage.SetHardState(saved.Hard); err != nil {
+	if saved.HardState != nil {
+		if err := n.storage.SetHardState(saved.HardState); err != nil {
 			return nil, err
 		}
 	}
 	n.raw, err = raft.NewRawNode(&raft.Config{ID: uint64(id), ElectionTick: neverTicks, HeartbeatTick: 1, Storage: n.storage,
-		Applied: n.applied, MaxSizePerMsg: uint64(terms.Message), MaxInflightMsgs: 64, Logger: silent{}, PreVote: true,
-		MaxUncommittedEntriesSize: uint64(terms.Message) * 16})
+		Applied: n.applied, MaxSizePerMsg: uint64(terms.MaxMessageBytes), MaxInflightMsgs: 64, Logger: silent{}, PreVote: true,
+		MaxUncommittedEntriesSize: uint64(terms.MaxMessageBytes) * 16})
 	if err != nil {
 		return nil, err
 	}
@@ -154,42 +154,42 @@
 
 func (n *Node) later(now float64) {
 	n.chance = n.chance*6364136223846793005 + 1442695040888963407
-	n.electAt = now + n.terms.Election*(1+float64(n.chance>>40)/(1<<24))
+	n.electAt = now + n.terms.ElectionTimeout*(1+float64(n.chance>>40)/(1<<24))
 }
 
-// Leads tells whether the node takes itself for the leader. A leader that is cut off does so until it hears otherwise:
+// IsLeader tells whether the node takes itself for the leader. A leader that is cut off does so until it hears otherwise:
 // nothing but commands that were committed may follow from it.
-func (n *Node) Leads() bool { return n.raw.BasicStatus().RaftState == raft.StateLeader }
+func (n *Node) IsLeader() bool { return n.raw.BasicStatus().RaftState == raft.StateLeader }
 
 // Leader is the node that is taken for the leader; 0: none.
 func (n *Node) Leader() ID { return ID(n.raw.BasicStatus().Lead) }
 
-// Applied is the index of the newest command that was handed out.
-func (n *Node) Applied() uint64 { return n.applied }
+// AppliedIndex is the index of the newest command that was handed out.
+func (n *Node) AppliedIndex() uint64 { return n.applied }
 
 // Includes tells whether a number takes part in consensus, as far as this node knows.
 func (n *Node) Includes(id ID) bool {
 	return slices.Contains(n.conf.GetVoters(), uint64(id)) || slices.Contains(n.conf.GetLearners(), uint64(id))
 }
 
-// Commit is the index up to which the node knows, durably, that entries are agreed on.
-func (n *Node) Commit() uint64 { return n.raw.BasicStatus().GetCommit() }
+// CommitIndex is the index up to which the node knows, durably, that entries are agreed on.
+func (n *Node) CommitIndex() uint64 { return n.raw.BasicStatus().GetCommit() }
 
 // Config is who takes part, as the leader knows it; ok is false elsewhere.
-func (n *Node) Config() (c membership.Config, ok bool) {
-	if !n.Leads() || n.failed != nil {
+func (n *Node) Config() (c membership.ConsensusConfig, ok bool) {
+	if !n.IsLeader() || n.failed != nil {
 		return c, false
 	}
 	s := n.raw.Status()
-	c.Match, c.Commit, c.Changing = map[membership.Number]uint64{}, s.GetCommit(), n.changing > n.applied
+	c.Match, c.Commit, c.ChangePending = map[membership.MemberID]uint64{}, s.GetCommit(), n.changing > n.applied
 	for id, p := range s.Progress {
-		c.Match[membership.Number(id)] = p.Match
+		c.Match[membership.MemberID(id)] = p.Match
 	}
 	for _, id := range n.conf.GetVoters() {
-		c.Voters = append(c.Voters, membership.Number(id))
+		c.Voters = append(c.Voters, membership.MemberID(id))
 	}
 	for _, id := range n.conf.GetLearners() {
-		c.Learners = append(c.Learners, membership.Number(id))
+		c.Learners = append(c.Learners, membership.MemberID(id))
 	}
 	return c, true
 }
@@ -198,7 +198,7 @@
 // copy of a folder brings about: nothing may follow from such a log.
 func (n *Node) guard(err *error) {
 	if r := recover(); r != nil {
-		n.failed = fmt.Errorf("%w: %v", ErrBehind, r)
+		n.failed = fmt.Errorf("%w: %v", ErrLogTruncated, r)
 		*err = n.failed
 	}
 }
@@ -209,10 +209,10 @@
 		return n.failed
 	}
 	defer n.guard(&err)
-	if n.Leads() {
+	if n.IsLeader() {
 		n.later(now)
 		if now >= n.beatAt {
-			n.beatAt = now + n.terms.Heartbeat
+			n.beatAt = now + n.terms.HeartbeatInterval
 			n.raw.Tick()
 		}
 	} else if now >= n.electAt {
@@ -232,10 +232,10 @@
 	defer n.guard(&err)
 	var m raftpb.Message
 	if err := proto.Unmarshal(b, &m); err != nil {
-		return fmt.Errorf("%w: %v", ErrMessage, err)
+		return fmt.Errorf("%w: %v", ErrInvalidMessage, err)
 	}
 	if ID(m.GetTo()) != n.id || m.GetFrom() == 0 {
-		return fmt.Errorf("%w: from %d to %d", ErrMessage, m.GetFrom(), m.GetTo())
+		return fmt.Errorf("%w: from %d to %d", ErrInvalidMessage, m.GetFrom(), m.GetTo())
 	}
 	switch m.GetType() {
 	case raftpb.MessageType_MsgApp, raftpb.MessageType_MsgHeartbeat, raftpb.MessageType_MsgSnap:
@@ -244,7 +244,7 @@
 		}
 	}
 	if err := n.raw.Step(&m); err != nil && !errors.Is(err, raft.ErrProposalDropped) {
-		return fmt.Errorf("%w: %v", ErrMessage, err)
+		return fmt.Errorf("%w: %v", ErrInvalidMessage, err)
 	}
 	return n.ready(now)
 }
@@ -256,7 +256,7 @@
 		return n.failed
 	}
 	if err := n.raw.Propose(data); err != nil {
-		return fmt.Errorf("%w: %v", ErrLeaderless, err)
+		return fmt.Errorf("%w: %v", ErrNoLeader, err)
 	}
 	return n.ready(now)
 }
@@ -265,13 +265,13 @@
 func (n *Node) ready(now float64) error {
 	for n.raw.HasReady() {
 		r := n.raw.Ready()
-		saved := Saved{Hard: r.HardState, Entries: r.Entries}
+		saved := PersistentState{HardState: r.HardState, Entries: r.Entries}
 		if !raft.IsEmptySnap(r.Snapshot) {
 			saved.Snapshot = r.Snapshot
 		}
-		if saved.Hard != nil || len(saved.Entries) > 0 || saved.Snapshot != nil {
+		if saved.HardState != nil || len(saved.Entries) > 0 || saved.Snapshot != nil {
 			if err := n.disk.Save(saved); err != nil {
-				n.failed = fmt.Errorf("%w: %v", ErrDisk, err)
+				n.failed = fmt.Errorf("%w: %v", ErrStorage, err)
 				return n.failed // nothing follows from what is not durable
 			}
 		}
@@ -337,7 +337,7 @@
 
 // compact puts the state into a snapshot when the log is long.
 func (n *Node) compact() error {
-	if n.applied-n.snapped < n.terms.Log && !n.snapNow {
+	if n.applied-n.snapped < n.terms.SnapshotEntries && !n.snapNow {
 		return nil
 	}
 	n.snapNow = false
@@ -349,36 +349,36 @@
 	if err != nil {
 		return err
 	}
-	if err := n.disk.Save(Saved{Snapshot: s}); err != nil {
-		n.failed = fmt.Errorf("%w: %v", ErrDisk, err)
+	if err := n.disk.Save(PersistentState{Snapshot: s}); err != nil {
+		n.failed = fmt.Errorf("%w: %v", ErrStorage, err)
 		return n.failed
 	}
 	n.snapped = n.applied
-	if n.applied <= n.terms.Keep {
+	if n.applied <= n.terms.TrailingEntries {
 		return nil
 	}
-	if err := n.storage.Compact(n.applied - n.terms.Keep); err != nil && !errors.Is(err, raft.ErrCompacted) {
+	if err := n.storage.Compact(n.applied - n.terms.TrailingEntries); err != nil && !errors.Is(err, raft.ErrCompacted) {
 		return err
 	}
 	return nil
 }
 
-// Change proposes one change of who takes part.
-func (n *Node) Change(now float64, id membership.Number, what membership.Change) error {
+// ProposeConfChange proposes one change of who takes part.
+func (n *Node) ProposeConfChange(now float64, id membership.MemberID, what membership.ConfChange) error {
 	if n.failed != nil {
 		return n.failed
 	}
 	kind := raftpb.ConfChangeType_ConfChangeRemoveNode
 	switch what {
-	case membership.Learn:
+	case membership.AddLearner:
 		kind = raftpb.ConfChangeType_ConfChangeAddLearnerNode
-	case membership.Promote:
+	case membership.PromoteLearner:
 		kind = raftpb.ConfChangeType_ConfChangeAddNode
 	}
 	err := n.raw.ProposeConfChange(&raftpb.ConfChangeV2{Changes: []*raftpb.ConfChangeSingle{{Type: &kind,
 		NodeId: proto.Uint64(uint64(id))}}})
 	if err != nil {
-		return fmt.Errorf("%w: %v", ErrLeaderless, err)
+		return fmt.Errorf("%w: %v", ErrNoLeader, err)
 	}
 	n.changing, _ = n.storage.LastIndex()
 	n.changing++
--- a/internal/consensus/disk.go
+++ b/internal/consensus/disk.go
@@ -27,20 +27,20 @@
 	markKey   = []byte("mark")
 	pinBucket = []byte("pins") // marks of other folders, by number
 
-	// ErrDamaged says that a record is not what was written. The node must be replaced: what it has promised is not known.
-	ErrDamaged = errors.New("consensus: a record is damaged")
-	// ErrOwner says that the folder is another node's.
-	ErrOwner = errors.New("consensus: the folder belongs to another node")
+	// ErrCorrupt says that a record is not what was written. The node must be replaced: what it has promised is not known.
+	ErrCorrupt = errors.New("consensus: a record is damaged")
+	// ErrWrongOwner says that the folder is another node's.
+	ErrWrongOwner = errors.New("consensus: the folder belongs to another node")
 )
 
-// File is a Disk on an embedded store. Every record has a checksum of its own beside those of the store.
-type File struct {
+// FileStorage is a Disk on an embedded store. Every record has a checksum of its own beside those of the store.
+type FileStorage struct {
 	db   *bolt.DB
 	mark uint64
 }
 
-// OpenFile opens or makes a node's file.
-func OpenFile(path string, id ID) (*File, error) {
+// OpenFileStorage opens or makes a node's file.
+func OpenFileStorage(path string, id ID) (*FileStorage, error) {
 	if err := whole(path); err != nil {
 		return nil, err
 	}
@@ -48,7 +48,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("consensus: %s: %w", path, err)
 	}
-	f := &File{db: db}
+	f := &FileStorage{db: db}
 	err = db.Update(func(tx *bolt.Tx) error {
 		if _, err := tx.CreateBucketIfNotExists(logBucket); err != nil {
 			return err
@@ -59,7 +59,7 @@
 		}
 		own := binary.BigEndian.AppendUint64(nil, uint64(id))
 		if v := b.Get(ownerKey); v != nil && string(v) != string(own) {
-			return fmt.Errorf("%w: %x, not %d", ErrOwner, v, id)
+			return fmt.Errorf("%w: %x, not %d", ErrWrongOwner, v, id)
 		}
 		if _, err := tx.CreateBucketIfNotExists(pinBucket); err != nil {
 			return err
@@ -67,7 +67,7 @@
 		if v := b.Get(markKey); len(v) == 8 {
 			f.mark = binary.BigEndian.Uint64(v)
 		} else {
-			f.mark = Draw()
+			f.mark = RandomID()
 			if err := b.Put(markKey, binary.BigEndian.AppendUint64(nil, f.mark)); err != nil {
 				return err
 			}
@@ -92,36 +92,36 @@
 	}
 	db, err := bolt.Open(path, 0o600, &bolt.Options{Timeout: lockWait, ReadOnly: true})
 	if err != nil {
-		return fmt.Errorf("%w: %s: %v", ErrDamaged, path, err)
+		return fmt.Errorf("%w: %s: %v", ErrCorrupt, path, err)
 	}
 	err = db.View(func(tx *bolt.Tx) error {
 		if size := tx.Size(); size > info.Size() {
-			return fmt.Errorf("%w: %s has %d bytes of %d", ErrDamaged, path, info.Size(), size)
+			return fmt.Errorf("%w: %s has %d bytes of %d", ErrCorrupt, path, info.Size(), size)
 		}
 		return nil
 	})
 	return errors.Join(err, db.Close())
 }
 
-// Draw is a number that nobody else has: of a folder, or a process.
-func Draw() uint64 {
+// RandomID is a number that nobody else has: of a folder, or a process.
+func RandomID() uint64 {
 	var b [8]byte
 	_, _ = rand.Read(b[:]) // it does not fail, by its documentation
 	return binary.BigEndian.Uint64(b[:]) | 1
 }
 
-// Mark of Disk.
-func (f *File) Mark() uint64 { return f.mark }
+// DataDirID of Disk.
+func (f *FileStorage) DataDirID() uint64 { return f.mark }
 
-// Pin of Disk.
-func (f *File) Pin(id ID, mark uint64) error {
+// SavePeerDataDir of Disk.
+func (f *FileStorage) SavePeerDataDir(id ID, mark uint64) error {
 	return f.db.Update(func(tx *bolt.Tx) error {
 		return tx.Bucket(pinBucket).Put(at(uint64(id)), binary.BigEndian.AppendUint64(nil, mark))
 	})
 }
 
-// Pins of Disk.
-func (f *File) Pins() map[ID]uint64 {
+// PeerDataDirs of Disk.
+func (f *FileStorage) PeerDataDirs() map[ID]uint64 {
 	pins := map[ID]uint64{}
 	_ = f.db.View(func(tx *bolt.Tx) error { // it reads what is in memory
 		return tx.Bucket(pinBucket).ForEach(func(k, v []byte) error {
@@ -135,7 +135,7 @@
 }
 
 // Close the file.
-func (f *File) Close() error { return f.db.Close() }
+func (f *FileStorage) Close() error { return f.db.Close() }
 
 func put(b *bolt.Bucket, key []byte, m proto.Message) error {
 	data, err := proto.Marshal(m)
@@ -147,7 +147,7 @@
 
 func get(key, v []byte, m proto.Message) error {
 	if len(v) < 4 || crc32.ChecksumIEEE(v[4:]) != binary.BigEndian.Uint32(v) {
-		return fmt.Errorf("%w: %x", ErrDamaged, key)
+		return fmt.Errorf("%w: %x", ErrCorrupt, key)
 	}
 	return proto.Unmarshal(v[4:], m)
 }
@@ -155,7 +155,7 @@
 func at(index uint64) []byte { return binary.BigEndian.AppendUint64(nil, index) }
 
 // Save of Disk, in one transaction. Entries replace those of their indexes and all after them.
-func (f *File) Save(s Saved) error {
+func (f *FileStorage) Save(s PersistentState) error {
 	return f.db.Update(func(tx *bolt.Tx) error {
 		log, one := tx.Bucket(logBucket), tx.Bucket(oneBucket)
 		if s.Snapshot != nil {
@@ -182,20 +182,20 @@
 				return err
 			}
 		}
-		if s.Hard != nil {
-			return put(one, hardKey, s.Hard)
+		if s.HardState != nil {
+			return put(one, hardKey, s.HardState)
 		}
 		return nil
 	})
 }
 
 // Load of Disk. A damaged record, or a log with a hole, is an error: nothing is half taken.
-func (f *File) Load() (s Saved, err error) {
+func (f *FileStorage) Load() (s PersistentState, err error) {
 	err = f.db.View(func(tx *bolt.Tx) error {
 		log, one := tx.Bucket(logBucket), tx.Bucket(oneBucket)
 		if v := one.Get(hardKey); v != nil {
-			s.Hard = &raftpb.HardState{}
-			if err := get(hardKey, v, s.Hard); err != nil {
+			s.HardState = &raftpb.HardState{}
+			if err := get(hardKey, v, s.HardState); err != nil {
 				return err
 			}
 		}
@@ -213,7 +213,7 @@
 				return err
 			}
 			if e.GetIndex() != last+1 {
-				return fmt.Errorf("%w: entry %d follows %d", ErrDamaged, e.GetIndex(), last)
+				return fmt.Errorf("%w: entry %d follows %d", ErrCorrupt, e.GetIndex(), last)
 			}
 			last = e.GetIndex()
 			s.Entries = append(s.Entries, e)
@@ -223,19 +223,19 @@
 	return s, err
 }
 
-// Memory is a Disk that outlives a node but not the process.
-type Memory struct {
-	saved Saved
-	Fails error // what Save returns instead of saving
-	Own   uint64
-	pins  map[ID]uint64
+// MemoryStorage is a Disk that outlives a node but not the process.
+type MemoryStorage struct {
+	saved        PersistentState
+	SaveError    error // what Save returns instead of saving
+	OwnDataDirID uint64
+	pins         map[ID]uint64
 }
 
-// Mark of Disk.
-func (m *Memory) Mark() uint64 { return m.Own }
+// DataDirID of Disk.
+func (m *MemoryStorage) DataDirID() uint64 { return m.OwnDataDirID }
 
-// Pin of Disk.
-func (m *Memory) Pin(id ID, mark uint64) error {
+// SavePeerDataDir of Disk.
+func (m *MemoryStorage) SavePeerDataDir(id ID, mark uint64) error {
 	if m.pins == nil {
 		m.pins = map[ID]uint64{}
 	}
@@ -243,20 +243,20 @@
 	return nil
 }
 
-// Pins of Disk.
-func (m *Memory) Pins() map[ID]uint64 { return maps.Clone(m.pins) }
+// PeerDataDirs of Disk.
+func (m *MemoryStorage) PeerDataDirs() map[ID]uint64 { return maps.Clone(m.pins) }
 
 // Copy is the disk as it is now, to be put back later.
-func (m *Memory) Copy() Memory {
+func (m *MemoryStorage) Copy() MemoryStorage {
 	c := *m
 	c.saved.Entries, c.pins = slices.Clone(m.saved.Entries), maps.Clone(m.pins)
 	return c
 }
 
 // Save of Disk.
-func (m *Memory) Save(s Saved) error {
-	if m.Fails != nil {
-		return m.Fails
+func (m *MemoryStorage) Save(s PersistentState) error {
+	if m.SaveError != nil {
+		return m.SaveError
 	}
 	if s.Snapshot != nil {
 		m.saved.Snapshot = s.Snapshot
@@ -269,14 +269,14 @@
 		m.saved.Entries = slices.DeleteFunc(m.saved.Entries, func(e *raftpb.Entry) bool { return e.GetIndex() >= first })
 		m.saved.Entries = append(m.saved.Entries, s.Entries...)
 	}
-	if s.Hard != nil {
-		m.saved.Hard = s.Hard
+	if s.HardState != nil {
+		m.saved.HardState = s.HardState
 	}
 	return nil
 }
 
 // Load of Disk.
-func (m *Memory) Load() (Saved, error) {
+func (m *MemoryStorage) Load() (PersistentState, error) {
 	s := m.saved
 	s.Entries = slices.Clone(s.Entries)
 	return s, nil
--- a/internal/consensus/golden_test.go
+++ b/internal/consensus/golden_test.go
@@ -19,9 +19,9 @@
 
 const goldenMark = 0x0102030405060708
 
-func goldenSaved(t *testing.T) Saved {
+func goldenSaved(t *testing.T) PersistentState {
 	t.Helper()
-	command, err := membership.Command{Kind: membership.Drain, Server: "127.0.1.2:8080", On: true, ID: 101, Told: 2000.5}.Encode()
+	command, err := membership.Command{Kind: membership.DrainServer, Server: "127.0.1.2:8080", Draining: true, ID: 101, OrderedAt: 2000.5}.Encode()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -29,8 +29,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	return Saved{
-		Hard: &raftpb.HardState{Term: new(uint64(4)), Vote: new(uint64(2)), Commit: new(uint64(12))},
+	return PersistentState{
+		HardState: &raftpb.HardState{Term: new(uint64(4)), Vote: new(uint64(2)), Commit: new(uint64(12))},
 		Snapshot: &raftpb.Snapshot{Data: state, Metadata: &raftpb.SnapshotMetadata{ConfState: &raftpb.ConfState{Voters: []uint64{1, 2, 3}},
 			Index: new(uint64(11)), Term: new(uint64(3))}},
 		Entries: []*raftpb.Entry{{Term: new(uint64(4)), Index: new(uint64(12)), Data: command}, {Term: new(uint64(4)), Index: new(uint64(13)), Data: command}},
@@ -39,14 +39,14 @@
 
 func TestStoredLog(t *testing.T) {
 	fill := func(path string) {
-		f, err := OpenFile(path, 1)
+		f, err := OpenFileStorage(path, 1)
 		if err != nil {
 			t.Fatal(err)
 		}
 		if err := f.Save(goldenSaved(t)); err != nil {
 			t.Fatal(err)
 		}
-		if err := f.Pin(2, 0x22); err != nil {
+		if err := f.SavePeerDataDir(2, 0x22); err != nil {
 			t.Fatal(err)
 		}
 		// The mark of a new file is drawn by chance.
@@ -74,7 +74,7 @@
 	if err := os.WriteFile(path, golden.Read(t, "raft.db"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	f, err := OpenFile(path, 1)
+	f, err := OpenFileStorage(path, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -88,7 +88,7 @@
 		t.Fatal(err)
 	}
 	want := goldenSaved(t)
-	if !proto.Equal(got.Hard, want.Hard) || !proto.Equal(got.Snapshot, want.Snapshot) || len(got.Entries) != len(want.Entries) {
+	if !proto.Equal(got.HardState, want.HardState) || !proto.Equal(got.Snapshot, want.Snapshot) || len(got.Entries) != len(want.Entries) {
 		t.Errorf("%+v, want %+v", got, want)
 	}
 	for i, e := range got.Entries {
@@ -96,8 +96,8 @@
 			t.Errorf("entry %d: %+v", i, e)
 		}
 	}
-	if f.Mark() != goldenMark || !maps.Equal(f.Pins(), map[ID]uint64{2: 0x22}) {
-		t.Errorf("mark %x, pins %v", f.Mark(), f.Pins())
+	if f.DataDirID() != goldenMark || !maps.Equal(f.PeerDataDirs(), map[ID]uint64{2: 0x22}) {
+		t.Errorf("mark %x, pins %v", f.DataDirID(), f.PeerDataDirs())
 	}
 }
 
--- a/internal/consensus/group.go
+++ b/internal/consensus/group.go
@@ -13,50 +13,50 @@
 // Group is one coordinator's part in a group that shares a fleet: its node, the state that all agree on, and its lease.
 // It has no I/O of its own. Use NewGroup.
 type Group struct {
-	Node    *Node
-	State   *membership.State
-	Lease   *membership.Lease
-	Pledges *membership.Pledges
-	Seekers *membership.Seekers
-	number  membership.Number
-	seat    membership.Seat
-	out     Messenger
-	pending [][]byte // commands that no leader has taken yet
-	left    bool
-	satAt   float64 // when our seat was last proposed
-	Counts  GroupCounts
+	Node             *Node
+	State            *membership.State
+	Lease            *membership.Lease
+	PendingOrders    *membership.PendingOrders
+	MisroutedProxies *membership.MisroutedProxies
+	number           membership.MemberID
+	seat             membership.Registration
+	out              Messenger
+	pending          [][]byte // commands that no leader has taken yet
+	left             bool
+	satAt            float64 // when our seat was last proposed
+	Stats            GroupStats
 }
 
 // Messenger carries messages to other coordinators and hears of changes.
 type Messenger interface {
 	Send(to ID, b []byte)
-	// Moved: proxies may have changed hands. It is called after the state has changed.
-	Moved(now float64, s *membership.State)
-	// Drained: a drain was agreed on, or its end.
-	Drained(now float64, c membership.Command)
-	// Learnt: records of servers were agreed on, ours among them.
-	Learnt(now float64, records []registry.Record)
-	// Settled: drains that were told here are kept, or refused.
-	Settled(now float64, kept, refused []membership.Ticket)
+	// OwnershipChanged: proxies may have changed hands. It is called after the state has changed.
+	OwnershipChanged(now float64, s *membership.State)
+	// DrainCommitted: a drain was agreed on, or its end.
+	DrainCommitted(now float64, c membership.Command)
+	// RecordsCommitted: records of servers were agreed on, ours among them.
+	RecordsCommitted(now float64, records []registry.Record)
+	// OrdersCompleted: drains that were told here are kept, or refused.
+	OrdersCompleted(now float64, kept, refused []membership.Ticket)
 }
 
-// Tenants is a Messenger that hears of tenants.
-type Tenants interface {
-	// Tenanted: a change of a tenant was agreed on; with a ticket it was told here, and had that outcome. No name: any of them may have
+// TenantObserver is a Messenger that hears of tenants.
+type TenantObserver interface {
+	// TenantChanged: a change of a tenant was agreed on; with a ticket it was told here, and had that outcome. No name: any of them may have
 	// changed.
-	Tenanted(now float64, n tenancy.Name, told membership.Ticket, o tenancy.Outcome)
+	TenantChanged(now float64, n tenancy.Name, told membership.Ticket, o tenancy.Outcome)
 }
 
-// Part is what a coordinator is in its group.
-type Part struct {
-	Number  membership.Number
-	Seat    membership.Seat
-	Weight  float64
-	Members []ID   // the first ones; none: a running group will take us in
-	Seed    uint64 // of this process: no former one had it
-	Terms   Terms
-	Lease   membership.Terms
-	Room    tenancy.Room // of a host of many tenants
+// GroupConfig is what a coordinator is in its group.
+type GroupConfig struct {
+	ID           membership.MemberID
+	Registration membership.Registration
+	Weight       float64
+	Members      []ID   // the first ones; none: a running group will take us in
+	Seed         uint64 // of this process: no former one had it
+	Consensus    Config
+	Lease        membership.LeaseConfig
+	Capacity     tenancy.Capacity // of a host of many tenants
 }
 
 // ErrRemoved says that the group has taken this coordinator out for good.
@@ -66,20 +66,20 @@
 
 const sitAgain = 1.0 // seconds between two proposals of our seat
 
-// GroupCounts is what happened, for metrics.
-type GroupCounts struct{ Applied, Senseless, Moves, Restored, Dropped, Kept, Refused, Changes int }
+// GroupStats is what happened, for metrics.
+type GroupStats struct{ Applied, Invalid, OwnershipChanges, Restored, Dropped, Confirmed, Rejected, ConfChanges int }
 
 const mostPending = 256 // commands that wait for a leader; the oldest are dropped, and their proposers propose anew
 
 // NewGroup makes a coordinator's part. seed must differ from those of its former processes. Its lease starts empty: it orders nothing before it has renewed.
-func NewGroup(now float64, p Part, disk Disk, out Messenger) (*Group, error) {
-	g := &Group{State: &membership.State{Directory: tenancy.Directory{Room: p.Room}}, out: out, number: p.Number, seat: p.Seat, Seekers: membership.NewSeekers(), Pledges: membership.NewPledges(p.Seed, 2*p.Lease.Dead())}
-	node, err := New(now, ID(p.Number), p.Members, p.Seed, disk, g, func() ([]byte, error) { return g.State.Snapshot() }, p.Terms)
+func NewGroup(now float64, p GroupConfig, disk Storage, out Messenger) (*Group, error) {
+	g := &Group{State: &membership.State{Directory: tenancy.Directory{Capacity: p.Capacity}}, out: out, number: p.ID, seat: p.Registration, MisroutedProxies: membership.NewMisroutedProxies(), PendingOrders: membership.NewPendingOrders(p.Seed, 2*p.Lease.ExpiryTimeout())}
+	node, err := New(now, ID(p.ID), p.Members, p.Seed, disk, g, func() ([]byte, error) { return g.State.Snapshot() }, p.Consensus)
 	if err != nil {
 		return nil, err
 	}
 	g.Node = node
-	g.Lease = membership.NewLease(now, p.Seat.Peer, p.Seed, p.Weight, g.State.Members[p.Seat.Peer].Renewal, p.Lease)
+	g.Lease = membership.NewLease(now, p.Registration.Peer, p.Seed, p.Weight, g.State.Members[p.Registration.Peer].Renewal, p.Lease)
 	return g, nil
 }
 
@@ -88,39 +88,39 @@
 
 // Committed of Out.
 func (g *Group) Committed(now float64, _ uint64, data []byte) {
-	g.Counts.Applied++
+	g.Stats.Applied++
 	c, err := membership.Decode(data)
 	if err != nil {
-		g.Counts.Senseless++ // by everybody alike
+		g.Stats.Invalid++ // by everybody alike
 		return
 	}
 	moved, err := g.State.Apply(c)
 	if err != nil {
-		g.Counts.Senseless++
+		g.Stats.Invalid++
 		return
 	}
 	if g.Lease != nil { // while the log is played at the start there is none, and nothing may follow
-		g.Lease.Applied(now, c, g.State)
+		g.Lease.ObserveCommand(now, c, g.State)
 	}
-	if c.Kind == membership.Keep && g.Lease != nil {
-		g.out.Learnt(now, c.Records)
+	if c.Kind == membership.StoreRecords && g.Lease != nil {
+		g.out.RecordsCommitted(now, c.Records)
 	}
-	if c.Kind == membership.Drain {
-		g.Pledges.Applied(c, g.State)
-		g.out.Drained(now, c)
+	if c.Kind == membership.DrainServer {
+		g.PendingOrders.ObserveCommand(c, g.State)
+		g.out.DrainCommitted(now, c)
 	}
-	if c.Kind == membership.Tenants {
-		ticket := g.Pledges.Applied(c, g.State)
-		if t, ok := g.out.(Tenants); ok {
-			t.Tenanted(now, c.Tenant.Name, ticket, g.State.Outcome())
+	if c.Kind == membership.ChangeTenant {
+		ticket := g.PendingOrders.ObserveCommand(c, g.State)
+		if t, ok := g.out.(TenantObserver); ok {
+			t.TenantChanged(now, c.Tenant.Name, ticket, g.State.TenantOutcome())
 		}
 	}
 	if moved {
-		g.Counts.Moves++
+		g.Stats.OwnershipChanges++
 		if g.Lease != nil {
-			g.Lease.Hurry()
+			g.Lease.RenewNow()
 		}
-		g.out.Moved(now, g.State)
+		g.out.OwnershipChanged(now, g.State)
 	}
 }
 
@@ -128,18 +128,18 @@
 func (g *Group) Restored(now float64, _ uint64, data []byte) {
 	var s membership.State
 	if err := s.Restore(data); err != nil {
-		g.Counts.Senseless++
+		g.Stats.Invalid++
 		return
 	}
-	g.Counts.Restored++
+	g.Stats.Restored++
 	*g.State = s
 	for server, told := range s.Drains {
-		g.out.Drained(now, membership.Command{Kind: membership.Drain, Server: server, On: true, Told: told})
+		g.out.DrainCommitted(now, membership.Command{Kind: membership.DrainServer, Server: server, Draining: true, OrderedAt: told})
 	}
-	if t, ok := g.out.(Tenants); ok {
-		t.Tenanted(now, "", 0, tenancy.Outcome{})
+	if t, ok := g.out.(TenantObserver); ok {
+		t.TenantChanged(now, "", 0, tenancy.Outcome{})
 	}
-	g.out.Moved(now, g.State)
+	g.out.OwnershipChanged(now, g.State)
 }
 
 // Step takes a message.
@@ -150,76 +150,76 @@
 	if err := g.Node.Tick(now); err != nil {
 		return err
 	}
-	if g.State.Seats[g.number].Gone {
+	if g.State.Registrations[g.number].Removed {
 		if !g.left { // it orders nothing more, and votes until the others can do without it
 			g.left = true
-			g.Propose(now, g.Lease.Retire())
+			g.Propose(now, g.Lease.Release())
 		}
 		if !g.Node.Includes(ID(g.number)) {
 			return ErrRemoved
 		}
 	}
-	for _, c := range g.Lease.Propose(now, g.State) {
+	for _, c := range g.Lease.DueCommands(now, g.State) {
 		g.Propose(now, c)
 	}
-	for _, c := range g.Pledges.Due(now) {
+	for _, c := range g.PendingOrders.DueCommands(now) {
 		g.Propose(now, c)
 	}
-	if g.Lease.Holds(now) {
-		for _, c := range g.Seekers.Due(now, g.seat.Peer, g.State) {
+	if g.Lease.Valid(now) {
+		for _, c := range g.MisroutedProxies.DueClaims(now, g.seat.Peer, g.State) {
 			g.Propose(now, c)
 		}
 	}
-	if s := g.State.Seats[g.number]; s != g.seat && !s.Gone && now-g.satAt >= sitAgain {
+	if s := g.State.Registrations[g.number]; s != g.seat && !s.Removed && now-g.satAt >= sitAgain {
 		g.satAt = now
-		g.Propose(now, g.Sit())
+		g.Propose(now, g.RegisterCommand())
 	}
 	if c, ok := g.Node.Config(); ok {
-		if n, what := g.State.NextChange(c); what != membership.NoChange {
-			g.Counts.Changes++
-			if err := g.Node.Change(now, n, what); err != nil && g.Node.failed != nil {
+		if n, what := g.State.NextConfChange(c); what != membership.NoChange {
+			g.Stats.ConfChanges++
+			if err := g.Node.ProposeConfChange(now, n, what); err != nil && g.Node.failed != nil {
 				return g.Node.failed
 			}
 		}
 	}
-	if kept, refused := g.Pledges.Settled(now, g.seat.Peer, g.State); len(kept)+len(refused) > 0 {
-		g.Counts.Kept += len(kept)
-		g.Counts.Refused += len(refused)
-		g.out.Settled(now, kept, refused)
+	if kept, refused := g.PendingOrders.TakeCompleted(now, g.seat.Peer, g.State); len(kept)+len(refused) > 0 {
+		g.Stats.Confirmed += len(kept)
+		g.Stats.Rejected += len(refused)
+		g.out.OrdersCompleted(now, kept, refused)
 	}
 	return g.flush(now)
 }
 
-// Out tells whether a number was taken out of the group and is not needed any more.
-func (g *Group) Out(n membership.Number) bool {
-	return g.State.Seats[n].Gone && !g.Node.Includes(ID(n))
+// Removed tells whether a number was taken out of the group and is not needed any more.
+func (g *Group) Removed(n membership.MemberID) bool {
+	return g.State.Registrations[n].Removed && !g.Node.Includes(ID(n))
 }
 
-// Sit is the command that gives us our place.
-func (g *Group) Sit() membership.Command {
-	return membership.Command{Kind: membership.Sit, Number: g.number, Peer: g.seat.Peer, Address: g.seat.Address}
+// RegisterCommand is the command that gives us our place.
+func (g *Group) RegisterCommand() membership.Command {
+	return membership.Command{Kind: membership.RegisterMember, MemberID: g.number, Peer: g.seat.Peer, Address: g.seat.Address}
 }
 
-// Seated tells whether the group knows us.
-func (g *Group) Seated() bool { return g.State.Seats[g.number] == g.seat }
+// Registered tells whether the group knows us.
+func (g *Group) Registered() bool { return g.State.Registrations[g.number] == g.seat }
 
-// Keep makes records outlive this coordinator. They count when they are committed: Kept tells.
-func (g *Group) Keep(now float64, records []registry.Record) {
+// StoreRecords makes records outlive this coordinator. They count when they are committed: Kept tells.
+func (g *Group) StoreRecords(now float64, records []registry.Record) {
 	for batch := range slices.Chunk(records, keepAtOnce) {
-		g.Propose(now, membership.Command{Kind: membership.Keep, Records: batch})
+		g.Propose(now, membership.Command{Kind: membership.StoreRecords, Records: batch})
 	}
 	_ = g.flush(now) // what fails is tried again with the next tick
 }
 
 // Drain makes a drain, or its end, known to all. Settled tells when it is; ok is false where too many wait.
 func (g *Group) Drain(now float64, server balancer.Server, on bool) (ticket membership.Ticket, ok bool) {
-	return g.Tell(now, membership.Command{Kind: membership.Drain, Server: server, On: on})
+	return g.SubmitOrder(now, membership.Command{Kind: membership.DrainServer, Server: server, Draining: on})
 }
 
-// Tell makes an order known to all, as Drain does.
-func (g *Group) Tell(now float64, c membership.Command) (ticket membership.Ticket, ok bool) {
-	if ticket, ok = g.Pledges.Tell(now, c); ok {
-		for _, c := range g.Pledges.Due(now) {
+// SubmitOrder makes an order known to all, as Drain does.
+func (g *Group) SubmitOrder(now float64, c membership.Command) (ticket membership.Ticket, ok bool) {
+	if ticket, ok = g.PendingOrders.Submit(now, c); ok {
+		for _, c := range g.PendingOrders.DueCommands(now) {
 			g.Propose(now, c)
 		}
 		_ = g.flush(now) // what fails is tried again with the next tick
@@ -227,9 +227,9 @@
 	return ticket, ok
 }
 
-// Retire gives our part up.
-func (g *Group) Retire(now float64) error {
-	g.Propose(now, g.Lease.Retire())
+// ReleaseLease gives our part up.
+func (g *Group) ReleaseLease(now float64) error {
+	g.Propose(now, g.Lease.Release())
 	return g.flush(now)
 }
 
@@ -237,11 +237,11 @@
 func (g *Group) Propose(_ float64, c membership.Command) {
 	b, err := c.Encode()
 	if err != nil { // only figures that are not finite have no form, and they are refused before
-		g.Counts.Senseless++
+		g.Stats.Invalid++
 		return
 	}
 	if len(g.pending) >= mostPending {
-		g.Counts.Dropped++
+		g.Stats.Dropped++
 		g.pending = g.pending[1:]
 	}
 	g.pending = append(g.pending, b)
@@ -257,17 +257,17 @@
 			if g.Node.failed != nil {
 				return g.Node.failed
 			}
-			g.Counts.Dropped++
+			g.Stats.Dropped++
 		}
 	}
 	return g.Node.failed
 }
 
-// Kept tells whether records are agreed on, as they were handed to Keep or with an earlier time of a drain.
-func (g *Group) Kept(records []registry.Record) bool {
+// RecordsStored tells whether records are agreed on, as they were handed to Keep or with an earlier time of a drain.
+func (g *Group) RecordsStored(records []registry.Record) bool {
 	for _, r := range records {
 		k, ok := g.State.Records[r.Server]
-		if !ok || k.Phase != r.Phase || k.Started != r.Started || k.Drained != r.Drained {
+		if !ok || k.Phase != r.Phase || k.Started != r.Started || k.DrainOrdered != r.DrainOrdered {
 			return false
 		}
 	}
--- a/internal/consensus/group_test.go
+++ b/internal/consensus/group_test.go
@@ -32,7 +32,7 @@
 	double   string // two that led one proxy at a time
 	unled    float64
 	longest  float64
-	terms    membership.Terms
+	terms    membership.LeaseConfig
 }
 
 type letter struct {
@@ -45,24 +45,24 @@
 	town          *town
 	id            ID
 	rate          float64
-	disk          *Memory
+	disk          *MemoryStorage
 	group         *Group
 	paused        float64
 	first         []ID // the group's first members, as its settings have them
 	kept, refused []membership.Ticket
 }
 
-func (p *peer) Settled(_ float64, kept, refused []membership.Ticket) {
+func (p *peer) OrdersCompleted(_ float64, kept, refused []membership.Ticket) {
 	p.kept, p.refused = append(p.kept, kept...), append(p.refused, refused...)
 }
-func (p *peer) Learnt(float64, []registry.Record) {}
-func (p *peer) seat() membership.Seat {
-	return membership.Seat{Peer: p.name(), Address: netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, byte(p.id)}), 7000)}
+func (p *peer) RecordsCommitted(float64, []registry.Record) {}
+func (p *peer) seat() membership.Registration {
+	return membership.Registration{Peer: p.name(), Address: netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, byte(p.id)}), 7000)}
 }
-func (p *peer) clock() float64                      { return 1000 + p.town.now*p.rate }
-func (p *peer) name() membership.Peer               { return membership.Peer(fmt.Sprint("c", p.id)) }
-func (p *peer) Moved(float64, *membership.State)    {}
-func (p *peer) Drained(float64, membership.Command) {}
+func (p *peer) clock() float64                              { return 1000 + p.town.now*p.rate }
+func (p *peer) name() membership.Peer                       { return membership.Peer(fmt.Sprint("c", p.id)) }
+func (p *peer) OwnershipChanged(float64, *membership.State) {}
+func (p *peer) DrainCommitted(float64, membership.Command)  {}
 func (p *peer) Send(to ID, b []byte) {
 	t := p.town
 	if t.cut[[2]ID{p.id, to}] || t.chance.Float64() < t.lossy {
@@ -72,25 +72,25 @@
 }
 
 func (p *peer) start() {
-	g, err := NewGroup(p.clock(), Part{Number: membership.Number(p.id), Seat: p.seat(), Weight: 1, Members: p.first,
-		Seed: p.town.chance.Uint64(), Terms: Terms{Heartbeat: 0.1, Election: 0.5, Log: 200, Keep: 20, Message: 64 << 10},
+	g, err := NewGroup(p.clock(), GroupConfig{ID: membership.MemberID(p.id), Registration: p.seat(), Weight: 1, Members: p.first,
+		Seed: p.town.chance.Uint64(), Consensus: Config{HeartbeatInterval: 0.1, ElectionTimeout: 0.5, SnapshotEntries: 200, TrailingEntries: 20, MaxMessageBytes: 64 << 10},
 		Lease: p.town.terms}, p.disk, p)
 	if err != nil {
 		p.town.t.Fatal(err)
 	}
 	p.kept, p.refused = nil, nil // their tickets are of this process
 	if p.group = g; p.town.careless {
-		g.Lease.Careless()
+		g.Lease.DisablePauseGuard()
 	}
 }
 
 func found(t testing.TB, n int, seed uint64) *town {
-	w := &town{t: t, chance: rand.New(rand.NewPCG(seed, 9)), peers: map[ID]*peer{}, cut: map[[2]ID]bool{}, lossy: 0.01, terms: membership.UsualTerms}
+	w := &town{t: t, chance: rand.New(rand.NewPCG(seed, 9)), peers: map[ID]*peer{}, cut: map[[2]ID]bool{}, lossy: 0.01, terms: membership.DefaultLeaseConfig}
 	for i := range n {
 		w.members = append(w.members, ID(i+1))
 	}
 	for _, id := range w.members { // clocks apart by up to 1.6%
-		w.peers[id] = &peer{town: w, id: id, rate: 0.992 + 0.016*w.chance.Float64(), disk: &Memory{}, first: w.members}
+		w.peers[id] = &peer{town: w, id: id, rate: 0.992 + 0.016*w.chance.Float64(), disk: &MemoryStorage{}, first: w.members}
 	}
 	return w
 }
@@ -121,12 +121,12 @@
 			switch {
 			case l.at > w.now || p != nil && p.paused > w.now:
 				later = append(later, l)
-			case p != nil && p.group != nil && p.group.Out(membership.Number(l.from)): // as the transport does
+			case p != nil && p.group != nil && p.group.Removed(membership.MemberID(l.from)): // as the transport does
 				if q := w.peers[l.from]; q.group != nil {
 					q.group = nil
 				}
 			case p != nil && p.group != nil && !w.cut[[2]ID{l.from, l.to}]:
-				if err := p.group.Step(p.clock(), l.b); err != nil && errors.Is(err, ErrDisk) {
+				if err := p.group.Step(p.clock(), l.b); err != nil && errors.Is(err, ErrStorage) {
 					p.group = nil
 				}
 			}
@@ -151,7 +151,7 @@
 		var who []ID
 		for _, id := range w.members {
 			p := w.peers[id]
-			if p.group != nil && p.paused <= w.now && p.group.Lease.Leads(p.clock(), p.group.State, uid) {
+			if p.group != nil && p.paused <= w.now && p.group.Lease.Owns(p.clock(), p.group.State, uid) {
 				who = append(who, id)
 			}
 		}
@@ -162,7 +162,7 @@
 				for _, id := range w.members {
 					if p := w.peers[id]; p.group != nil {
 						b, _ := p.group.State.Snapshot()
-						fmt.Printf("%d clock %.2f paused %.2f lease %+v applied %d %s\n", id, p.clock(), p.paused, *p.group.Lease, p.group.Node.Applied(), b)
+						fmt.Printf("%d clock %.2f paused %.2f lease %+v applied %d %s\n", id, p.clock(), p.paused, *p.group.Lease, p.group.Node.AppliedIndex(), b)
 					}
 				}
 			}
@@ -246,7 +246,7 @@
 		first, _ := w.peers[1].group.State.Snapshot()
 		for _, id := range w.members {
 			g := w.peers[id].group
-			if other, _ := g.State.Snapshot(); g.Node.Applied() == w.peers[1].group.Node.Applied() && string(other) != string(first) {
+			if other, _ := g.State.Snapshot(); g.Node.AppliedIndex() == w.peers[1].group.Node.AppliedIndex() && string(other) != string(first) {
 				t.Errorf("seed %d: %d knows another state:\n%s\n%s", seed, id, other, first)
 			}
 		}
@@ -271,8 +271,8 @@
 	if w.unled > 0 {
 		t.Fatal("proxies are led by nobody at the start")
 	}
-	drain := []registry.Record{{Place: registry.Place{Server: "a"}, Phase: balancer.Draining, Told: 77, Drained: true}}
-	w.peers[2].group.Keep(w.peers[2].clock(), drain)
+	drain := []registry.Record{{ServerConfig: registry.ServerConfig{Server: "a"}, Phase: balancer.Draining, NotifiedAt: 77, DrainOrdered: true}}
+	w.peers[2].group.StoreRecords(w.peers[2].clock(), drain)
 	w.run(0.5)
 	lead := w.peers[1].group.Node.Leader()
 	w.peers[lead].group = nil
@@ -282,13 +282,13 @@
 		t.Errorf("some proxies were led by nobody for %.1f s", w.longest)
 	}
 	for _, id := range w.members {
-		if g := w.peers[id].group; g != nil && (!g.Kept(drain) || g.State.Kept()[0].Told != 77) {
-			t.Errorf("%d has lost the drain: %+v", id, g.State.Kept())
+		if g := w.peers[id].group; g != nil && (!g.RecordsStored(drain) || g.State.ServerRecords()[0].NotifiedAt != 77) {
+			t.Errorf("%d has lost the drain: %+v", id, g.State.ServerRecords())
 		}
 	}
 	other := w.members[int(lead)%3]
 	w.longest = 0
-	if err := w.peers[other].group.Retire(w.peers[other].clock()); err != nil { // one more goes, by its own will
+	if err := w.peers[other].group.ReleaseLease(w.peers[other].clock()); err != nil { // one more goes, by its own will
 		t.Fatal(err)
 	}
 	w.run(1)
@@ -305,12 +305,12 @@
 	w := found(t, 3, 2)
 	w.heal()
 	w.run(4)
-	w.peers[1].disk.Fails = errors.New("disk full")
+	w.peers[1].disk.SaveError = errors.New("disk full")
 	w.run(6)
 	if w.peers[1].group != nil {
 		t.Error("it goes on though it can't save")
 	}
-	w.peers[1].disk.Fails = nil
+	w.peers[1].disk.SaveError = nil
 	w.heal()
 	w.run(8)
 	if w.unled > 0 || w.double != "" {
@@ -322,16 +322,16 @@
 	path := filepath.Join(t.TempDir(), "log.db")
 	w := found(t, 1, 3)
 	p := w.peers[1]
-	open := func(id ID) *File {
-		f, err := OpenFile(path, id)
+	open := func(id ID) *FileStorage {
+		f, err := OpenFileStorage(path, id)
 		if err != nil {
 			t.Fatal(err)
 		}
 		return f
 	}
-	run := func(f *File) *Group {
-		g, err := NewGroup(p.clock(), Part{Number: 1, Seat: p.seat(), Weight: 1, Members: []ID{1}, Seed: 5, Lease: membership.UsualTerms,
-			Terms: Terms{Heartbeat: 0.1, Election: 0.5, Log: 10, Keep: 3, Message: 1 << 16}}, f, p)
+	run := func(f *FileStorage) *Group {
+		g, err := NewGroup(p.clock(), GroupConfig{ID: 1, Registration: p.seat(), Weight: 1, Members: []ID{1}, Seed: 5, Lease: membership.DefaultLeaseConfig,
+			Consensus: Config{HeartbeatInterval: 0.1, ElectionTimeout: 0.5, SnapshotEntries: 10, TrailingEntries: 3, MaxMessageBytes: 1 << 16}}, f, p)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -345,7 +345,7 @@
 	}
 	f := open(1)
 	g := run(f)
-	before, renewal := g.Node.Applied(), g.State.Members["c1"].Renewal
+	before, renewal := g.Node.AppliedIndex(), g.State.Members["c1"].Renewal
 	if before < 30 || renewal < 20 {
 		t.Fatalf("%d commands, %d renewals", before, renewal)
 	}
@@ -353,13 +353,13 @@
 		t.Fatal(err)
 	}
 	f = open(1)
-	if g = run(f); g.Node.Applied() <= before || g.State.Members["c1"].Renewal <= renewal || g.Counts.Restored != 1 {
-		t.Errorf("after a restart: %d commands, renewal %d, %+v", g.Node.Applied(), g.State.Members["c1"].Renewal, g.Counts)
+	if g = run(f); g.Node.AppliedIndex() <= before || g.State.Members["c1"].Renewal <= renewal || g.Stats.Restored != 1 {
+		t.Errorf("after a restart: %d commands, renewal %d, %+v", g.Node.AppliedIndex(), g.State.Members["c1"].Renewal, g.Stats)
 	}
 	if err := f.Close(); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := OpenFile(path, 2); !errors.Is(err, ErrOwner) {
+	if _, err := OpenFileStorage(path, 2); !errors.Is(err, ErrWrongOwner) {
 		t.Errorf("another node's folder: %v", err)
 	}
 	good, err := os.ReadFile(path)
@@ -371,7 +371,7 @@
 		if err := os.WriteFile(torn, good[:part], 0o600); err != nil {
 			t.Fatal(err)
 		}
-		f, err := OpenFile(torn, 1)
+		f, err := OpenFileStorage(torn, 1)
 		if err == nil {
 			_, err = f.Load()
 			_ = f.Close()
@@ -388,7 +388,7 @@
 		v[len(v)-1] ^= 1
 		return b.Put(hardKey, v)
 	})
-	if _, load := f.Load(); err != nil || !errors.Is(load, ErrDamaged) {
+	if _, load := f.Load(); err != nil || !errors.Is(load, ErrCorrupt) {
 		t.Errorf("a flipped bit: %v, %v", load, err)
 	}
 }
--- a/internal/consensus/history_test.go
+++ b/internal/consensus/history_test.go
@@ -118,7 +118,7 @@
 	for _, id := range h.members {
 		p := h.peers[id]
 		for _, uid := range uids[:6] {
-			if p.group == nil || p.paused > h.now || h.chance.Float64() > 0.03 || !p.group.Lease.Leads(p.clock(), p.group.State, uid) {
+			if p.group == nil || p.paused > h.now || h.chance.Float64() > 0.03 || !p.group.Lease.Owns(p.clock(), p.group.State, uid) {
 				continue
 			}
 			o := order{uid, p.name(), p.group.State.Epoch}
@@ -172,10 +172,10 @@
 	}
 	for _, id := range h.members {
 		p := h.peers[id]
-		if p.group == nil || p.paused > h.now || h.chance.Float64() > 0.05 || !p.group.Lease.Holds(p.clock()) {
+		if p.group == nil || p.paused > h.now || h.chance.Float64() > 0.05 || !p.group.Lease.Valid(p.clock()) {
 			continue
 		}
-		since := min(h.now, (p.group.Lease.Since()-1000)/p.rate)
+		since := min(h.now, (p.group.Lease.RenewedAt()-1000)/p.rate)
 		for _, x := range h.told[max(0, len(h.told)-8):] {
 			_, drains := p.group.State.Drains[x.server]
 			h.record(&h.known, drainOp{x.server, true}, drains, since, h.now)
--- a/internal/consensus/measure_test.go
+++ b/internal/consensus/measure_test.go
@@ -15,11 +15,11 @@
 
 // counting is a disk that counts what is saved.
 type counting struct {
-	Disk
+	Storage
 	saves, bytes int
 }
 
-func (c *counting) Save(s Saved) error {
+func (c *counting) Save(s PersistentState) error {
 	c.saves++
 	for _, e := range s.Entries {
 		c.bytes += proto.Size(e)
@@ -27,16 +27,16 @@
 	if s.Snapshot != nil {
 		c.bytes += proto.Size(s.Snapshot)
 	}
-	if s.Hard != nil {
-		c.bytes += proto.Size(s.Hard)
+	if s.HardState != nil {
+		c.bytes += proto.Size(s.HardState)
 	}
-	return c.Disk.Save(s)
+	return c.Storage.Save(s)
 }
 
 func records(n int) (all []registry.Record) {
 	for i := range n {
-		all = append(all, registry.Record{Place: registry.Place{Server: balancer.Server(fmt.Sprintf("10.1.%d.%d:8080", i/250, i%250)), Weight: 1,
-			Pod: balancer.FailureDomain(i / 10)}, Phase: balancer.Ready, Started: 1.7e9 + float64(i)})
+		all = append(all, registry.Record{ServerConfig: registry.ServerConfig{Server: balancer.Server(fmt.Sprintf("10.1.%d.%d:8080", i/250, i%250)), Weight: 1,
+			FailureDomain: balancer.FailureDomain(i / 10)}, Phase: balancer.Ready, Started: 1.7e9 + float64(i)})
 	}
 	return all
 }
@@ -48,15 +48,15 @@
 			w := found(b, 1, 3)
 			p, path := w.peers[1], filepath.Join(b.TempDir(), "log.db")
 			open := func() *counting {
-				f, err := OpenFile(path, 1)
+				f, err := OpenFileStorage(path, 1)
 				if err != nil {
 					b.Fatal(err)
 				}
-				return &counting{Disk: f}
+				return &counting{Storage: f}
 			}
-			start := func(d Disk) *Group {
-				g, err := NewGroup(p.clock(), Part{Number: 1, Seat: p.seat(), Weight: 1, Members: []ID{1}, Seed: 5, Lease: membership.UsualTerms,
-					Terms: UsualTerms}, d, p)
+			start := func(d Storage) *Group {
+				g, err := NewGroup(p.clock(), GroupConfig{ID: 1, Registration: p.seat(), Weight: 1, Members: []ID{1}, Seed: 5, Lease: membership.DefaultLeaseConfig,
+					Consensus: DefaultConfig}, d, p)
 				if err != nil {
 					b.Fatal(err)
 				}
@@ -70,7 +70,7 @@
 					b.Fatal(err)
 				}
 			}
-			g.Keep(p.clock(), records(n))
+			g.StoreRecords(p.clock(), records(n))
 			const calm = 600 // seconds
 			d.saves, d.bytes = 0, 0
 			for range int(calm / 0.05) {
@@ -85,7 +85,7 @@
 			}
 			perDay, perSecond := float64(d.bytes)/calm*86400/1e6, float64(d.saves)/calm
 			for b.Loop() {
-				if err := d.Disk.(*File).Close(); err != nil {
+				if err := d.Storage.(*FileStorage).Close(); err != nil {
 					b.Fatal(err)
 				}
 				d = open()
@@ -99,7 +99,7 @@
 			if info, err := os.Stat(path); err == nil {
 				b.ReportMetric(float64(info.Size())/1e3, "file-KB")
 			}
-			_ = d.Disk.(*File).Close()
+			_ = d.Storage.(*FileStorage).Close()
 		})
 	}
 }
@@ -108,7 +108,7 @@
 	for _, n := range []int{300, 1000, 5000} {
 		b.Run(fmt.Sprint(n, "-servers"), func(b *testing.B) {
 			s := &membership.State{}
-			if _, err := s.Apply(membership.Command{Kind: membership.Keep, Records: records(n)}); err != nil {
+			if _, err := s.Apply(membership.Command{Kind: membership.StoreRecords, Records: records(n)}); err != nil {
 				b.Fatal(err)
 			}
 			for b.Loop() {
--- a/internal/coordinator/adopt_test.go
+++ b/internal/coordinator/adopt_test.go
@@ -20,7 +20,7 @@
 	net := simnet.New(1, 1000)
 	at, peers := netip.MustParseAddrPort("10.0.0.1:3860"), netip.MustParseAddrPort("10.0.0.1:7000")
 	server := netip.MustParseAddrPort("10.0.0.9:80")
-	disk := &consensus.Memory{Own: 5}
+	disk := &consensus.MemoryStorage{OwnDataDirID: 5}
 	host := net.Add(at.Addr(), 0, false)
 	life := uint64(0)
 	start := func() *coordinator.Coordinator {
@@ -32,8 +32,8 @@
 			Guarantees: balancer.Guarantees{DrainDeadline: 3, EmptyTableDeadline: 2, WarmupStartFraction: 0.2, WarmupDuration: 10, OverloadFactor: 3, OverloadWindow: 2},
 			Reporting:  balancer.Reporting{Period: 0.5}, Limits: controlplane.UsualLimits}, SASP: at, Limits: saspsession.UsualLimits,
 			Policy: saspsession.Policy{FleetUID: "fleet", NewOnes: true}, Disk: disk, Life: life,
-			Group: &coordinator.GroupSetup{Self: 1, Weight: 1, Members: map[membership.Number]netip.AddrPort{1: peers}, Key: []byte("key"),
-				Terms: consensus.UsualTerms, Lease: membership.UsualTerms}}, nil)
+			Group: &coordinator.GroupSetup{Self: 1, Weight: 1, Members: map[membership.MemberID]netip.AddrPort{1: peers}, Key: []byte("key"),
+				Terms: consensus.DefaultConfig, Lease: membership.DefaultLeaseConfig}}, nil)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -59,29 +59,29 @@
 	host.Kill()
 	c = start()
 	net.Run(net.Now() + 2)
-	if rec, ok := c.Fleet.Roll.Find(name); !ok || rec.Phase != balancer.Draining || !rec.Drained {
+	if rec, ok := c.Fleet.Roll.Find(name); !ok || rec.Phase != balancer.Draining || !rec.DrainOrdered {
 		t.Errorf("after its end it knows %+v", rec)
 	}
 }
 
 func TestWhatIsNewsToAll(t *testing.T) {
 	s := &membership.State{}
-	r := registry.Record{Place: registry.Place{Server: "a", Weight: 1}, Phase: balancer.Ready, Started: 100}
-	if len(s.News([]registry.Record{r})) != 1 {
+	r := registry.Record{ServerConfig: registry.ServerConfig{Server: "a", Weight: 1}, Phase: balancer.Ready, Started: 100}
+	if len(s.ChangedRecords([]registry.Record{r})) != 1 {
 		t.Error("a new server is no news")
 	}
-	if _, err := s.Apply(membership.Command{Kind: membership.Keep, Records: []registry.Record{r}}); err != nil {
+	if _, err := s.Apply(membership.Command{Kind: membership.StoreRecords, Records: []registry.Record{r}}); err != nil {
 		t.Fatal(err)
 	}
 	later := r
 	later.Started = 101
-	if len(s.News([]registry.Record{r, later})) != 0 {
+	if len(s.ChangedRecords([]registry.Record{r, later})) != 0 {
 		t.Error("what another coordinator heard a second later is news")
 	}
-	for _, change := range []func(*registry.Record){func(r *registry.Record) { r.Started = 110 }, func(r *registry.Record) { r.Drained = true },
+	for _, change := range []func(*registry.Record){func(r *registry.Record) { r.Started = 110 }, func(r *registry.Record) { r.DrainOrdered = true },
 		func(r *registry.Record) { r.Phase = balancer.Removed }, func(r *registry.Record) { r.Weight = 2 }} {
 		x := r
-		if change(&x); len(s.News([]registry.Record{x})) != 1 {
+		if change(&x); len(s.ChangedRecords([]registry.Record{x})) != 1 {
 			t.Errorf("%+v is no news", x)
 		}
 	}
--- a/internal/coordinator/coordinator.go
+++ b/internal/coordinator/coordinator.go
@@ -42,7 +42,7 @@
 	OnFail   func(error)              // nil: nobody is told that it orders nothing any more
 	OnOrder  func(controlplane.Order) // nil: nobody traces
 	Group    *GroupSetup              // nil: it shares its fleet with nobody
-	Disk     consensus.Disk           // of the group
+	Disk     consensus.Storage        // of the group
 	Life     uint64                   // of this process in the group: no former one has had it
 	Peers    Peers                    // that it shares its fleet with, where a host speaks to them for all its tenants; nil: Group says
 	Graphite *graphite.Setup          // nil: no figures are sent
@@ -72,7 +72,7 @@
 
 // Store keeps the records that outlive a coordinator.
 type Store interface {
-	controlplane.Keeper
+	controlplane.RecordStore
 	Load() ([]registry.Record, error)
 }
 
@@ -80,18 +80,18 @@
 // server itself, what it does not know yet it holds for cold, and drains have an agreement of their own.
 type both struct {
 	c   *Coordinator
-	own controlplane.Keeper // nil: there is no disk of our own
+	own controlplane.RecordStore // nil: there is no disk of our own
 }
 
-// Keep of controlplane.Keeper.
-func (b *both) Keep(records []registry.Record) error {
+// Save of controlplane.Keeper.
+func (b *both) Save(records []registry.Record) error {
 	if p := b.c.peers; p.Ready() {
 		p.Keep(b.c.now, records)
 	}
 	if b.own == nil {
 		return nil
 	}
-	return b.own.Keep(records)
+	return b.own.Save(records)
 }
 
 // Coordinator is a env.Program.
@@ -118,7 +118,7 @@
 func New(now float64, setup Setup, store Store) (*Coordinator, error) {
 	c := &Coordinator{setup: setup, store: store}
 	var records []registry.Record
-	var keeper controlplane.Keeper
+	var keeper controlplane.RecordStore
 	if store != nil {
 		var err error
 		if records, err = store.Load(); err != nil {
@@ -145,7 +145,7 @@
 	}
 	if setup.Group != nil {
 		g, d := *setup.Group, setup.Site.Dataplane
-		g.Lease.Rise = membership.RiseFor(d.Proxies, len(g.Members), float64(len(setup.Site.Servers)*len(setup.Site.Classes)),
+		g.Lease.RampUp = membership.RampUpFor(d.Proxies, len(g.Members), float64(len(setup.Site.Servers)*len(setup.Site.Classes)),
 			setup.Site.Channel.EntriesPerSecond)
 		c.Member = NewMember(g, setup.Disk, setup.Life, c.Say)
 		c.Member.OnFail = setup.OnFail
@@ -208,7 +208,7 @@
 		return
 	}
 	c.Desk.Receive(now, saspsession.Conn(id), b)
-	if c.Fleet.Roll.Waits() { // a drain does not wait for the next look
+	if c.Fleet.Roll.HasChanges() { // a drain does not wait for the next look
 		c.hurry(now)
 	}
 }
@@ -350,14 +350,14 @@
 
 // drained takes a drain that was agreed on.
 func (c *Coordinator) drained(now float64, d membership.Command) {
-	c.Fleet.Roll.Quiesce(now, d.Server, d.On)
+	c.Fleet.Roll.SetDrain(now, d.Server, d.Draining)
 }
 
 // learnt takes what another coordinator has heard of servers' starts.
 func (c *Coordinator) learnt(_ float64, records []registry.Record) {
 	for _, r := range records {
 		if r.Phase != balancer.Removed {
-			c.Fleet.Roll.Younger(r.Server, r.Started)
+			c.Fleet.Roll.ObserveLaterStart(r.Server, r.Started)
 		}
 	}
 }
@@ -393,7 +393,7 @@
 		}
 		c.ordered[ticket] = done
 	default:
-		ok = c.Fleet.Roll.Quiesce(now, s, on)
+		ok = c.Fleet.Roll.SetDrain(now, s, on)
 		kept := c.Fleet.Persist()
 		c.tick(now)
 		done(ok && kept)
@@ -406,7 +406,7 @@
 	drains := c.peers.Drains()
 	for s := range drains {
 		if phase, _ := c.Fleet.Roll.Phase(s); phase == balancer.Ready {
-			c.Fleet.Roll.Quiesce(now, s, true)
+			c.Fleet.Roll.SetDrain(now, s, true)
 		}
 	}
 	if !c.peers.Holds(now) || now < c.agreedAt {
@@ -424,9 +424,9 @@
 		}
 	}
 	c.agreedAt = now + agreeEvery
-	for _, s := range c.Fleet.Roll.Drained() {
+	for _, s := range c.Fleet.Roll.OrderedDrains() {
 		if _, ok := drains[s]; !ok {
-			c.Fleet.Roll.Quiesce(now, s, false)
+			c.Fleet.Roll.SetDrain(now, s, false)
 		}
 	}
 }
--- a/internal/coordinator/graphite_test.go
+++ b/internal/coordinator/graphite_test.go
@@ -29,7 +29,7 @@
 	}
 	change(set.Graphite)
 	set.Make = func(x tenancy.Tenant) (coordinator.Made, error) { return settings.ParseTenant(x.Name, x.Settings, set) }
-	s := &site{t: t, set: set, store: &store.HostedMemory{}, net: simnet.New(1, 1000)}
+	s := &site{t: t, set: set, store: &store.MemoryTenantStore{}, net: simnet.New(1, 1000)}
 	s.place = s.net.Add(set.SASP.Addr(), 0, false)
 	s.start()
 	for i, text := range texts(2) {
--- a/internal/coordinator/guards_test.go
+++ b/internal/coordinator/guards_test.go
@@ -18,45 +18,45 @@
 // town is three members over a net in virtual time, with disks in memory.
 type town struct {
 	net     *simnet.Net
-	at      map[membership.Number]netip.AddrPort
-	hosts   map[membership.Number]*simnet.Host
-	disks   map[membership.Number]*consensus.Memory
-	members map[membership.Number]*coordinator.Member
+	at      map[membership.MemberID]netip.AddrPort
+	hosts   map[membership.MemberID]*simnet.Host
+	disks   map[membership.MemberID]*consensus.MemoryStorage
+	members map[membership.MemberID]*coordinator.Member
 	said    []string
 	lives   uint64
 }
 
 func newTown(seed uint64, count int) *town {
-	w := &town{net: simnet.New(seed, 1000), at: map[membership.Number]netip.AddrPort{}, hosts: map[membership.Number]*simnet.Host{},
-		disks: map[membership.Number]*consensus.Memory{}, members: map[membership.Number]*coordinator.Member{}}
-	for n := membership.Number(1); n <= membership.Number(count); n++ {
+	w := &town{net: simnet.New(seed, 1000), at: map[membership.MemberID]netip.AddrPort{}, hosts: map[membership.MemberID]*simnet.Host{},
+		disks: map[membership.MemberID]*consensus.MemoryStorage{}, members: map[membership.MemberID]*coordinator.Member{}}
+	for n := membership.MemberID(1); n <= membership.MemberID(count); n++ {
 		w.at[n] = netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, byte(n)}), 7000)
 		w.place(n)
 	}
-	for n := membership.Number(1); n <= membership.Number(count); n++ {
+	for n := membership.MemberID(1); n <= membership.MemberID(count); n++ {
 		w.start(n, coordinator.GroupSetup{Members: w.at})
 	}
 	w.net.Run(w.net.Now() + 5)
 	return w
 }
 
-func (w *town) place(n membership.Number) {
+func (w *town) place(n membership.MemberID) {
 	w.hosts[n] = w.net.Add(netip.AddrFrom4([4]byte{10, 0, 0, byte(n)}), int(n), false)
-	w.disks[n] = &consensus.Memory{Own: uint64(n) * 11}
+	w.disks[n] = &consensus.MemoryStorage{OwnDataDirID: uint64(n) * 11}
 }
 
-func (w *town) start(n membership.Number, g coordinator.GroupSetup) {
+func (w *town) start(n membership.MemberID, g coordinator.GroupSetup) {
 	w.lives++
-	g.Self, g.Weight, g.Key, g.Terms, g.Lease = n, 1, []byte("key"), consensus.UsualTerms, membership.UsualTerms
+	g.Self, g.Weight, g.Key, g.Terms, g.Lease = n, 1, []byte("key"), consensus.DefaultConfig, membership.DefaultLeaseConfig
 	w.members[n] = coordinator.NewMember(g, w.disks[n], w.lives, func(event string, pairs ...any) {
 		w.said = append(w.said, fmt.Sprint(n, " ", event, " ", pairs))
 	})
 	w.hosts[n].Start(w.members[n])
 }
 
-func (w *town) holds(n membership.Number) bool {
+func (w *town) holds(n membership.MemberID) bool {
 	m := w.members[n]
-	return m.Failed == nil && m.Group.Lease.Holds(w.net.Now())
+	return m.Failed == nil && m.Group.Lease.Valid(w.net.Now())
 }
 
 func (w *town) heard(what string) bool {
@@ -77,7 +77,7 @@
 	}
 	w.hosts[3].Kill()
 	w.hosts[2].Kill()
-	w.disks[3] = &consensus.Memory{Own: 999}
+	w.disks[3] = &consensus.MemoryStorage{OwnDataDirID: 999}
 	w.start(2, coordinator.GroupSetup{Members: w.at})
 	w.start(3, coordinator.GroupSetup{Members: w.at})
 	w.net.Run(w.net.Now() + 8)
@@ -92,7 +92,7 @@
 	delete(w.at, 3)
 	w.start(4, coordinator.GroupSetup{Members: w.at, Joins: true})
 	w.net.Run(w.net.Now() + 8)
-	if !w.holds(4) || !w.members[4].Group.Seated() {
+	if !w.holds(4) || !w.members[4].Group.Registered() {
 		t.Errorf("under a new number it is not taken in: %v", w.members[4].Failed)
 	}
 	w.hosts[1].Kill() // the three of four that are left: 2, 4 and nobody; so the lost one must be taken out first
@@ -115,8 +115,8 @@
 	}
 }
 
-func unseat(t *testing.T, n membership.Number) []byte {
-	b, err := membership.Command{Kind: membership.Unseat, Number: n}.Encode()
+func unseat(t *testing.T, n membership.MemberID) []byte {
+	b, err := membership.Command{Kind: membership.RemoveRegistration, MemberID: n}.Encode()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -184,7 +184,7 @@
 	if !other.closed || !w.heard("this version's with") {
 		t.Error("another version's peer is not told apart")
 	}
-	for n := membership.Number(1); n <= 3; n++ {
+	for n := membership.MemberID(1); n <= 3; n++ {
 		if !w.holds(n) || w.members[n].Group.State.Members["c1"].Renewal > 1000 {
 			t.Errorf("%d does not go on", n)
 		}
--- a/internal/coordinator/host.go
+++ b/internal/coordinator/host.go
@@ -34,9 +34,9 @@
 // Made is a tenant's settings, ready to act.
 type Made struct {
 	Setup    Setup
-	Callers  []authz.Key
+	Callers  []authz.Credential
 	Weight   float64
-	Needs    tenancy.Needs
+	Needs    tenancy.Requirements
 	Most     int            // connections
 	Networks []netip.Prefix // that its relays and servers come from; none: any
 }
@@ -44,15 +44,15 @@
 // HostSetup is what a host of many tenants is made of.
 type HostSetup struct {
 	SASP, HTTP netip.AddrPort // where relays and servers of all tenants come; not valid: it is not spoken
-	Room       tenancy.Room
-	Entry      tenancy.EntryLimits
+	Room       tenancy.Capacity
+	Entry      tenancy.RouterLimits
 	Turns      fairqueue.Terms
 	Make       func(tenancy.Tenant) (Made, error)                          // reads a tenant's settings
 	Log        func(tenancy.Name) *slog.Logger                             // of a tenant, or of the host itself for the empty name; nil: nobody listens
 	OnOrder    func(tenancy.Name, tenancy.Incarnation, controlplane.Order) // nil: nobody traces
 	Graphite   *graphite.Setup                                             // nil: no figures are sent
 	Group      *GroupSetup                                                 // nil: it shares its tenants with no other host
-	Disk       consensus.Disk                                              // of the group
+	Disk       consensus.Storage                                           // of the group
 	Life       uint64                                                      // of this process in the group: no former one has had it
 	OnFail     func(error)                                                 // nil: nobody is told that it orders nothing any more
 }
@@ -63,8 +63,8 @@
 	Directory() (tenancy.Directory, error)
 	// Save keeps what the latest change of a tenant made of the directory. The roll of an incarnation that is over may be forgotten.
 	Save(d *tenancy.Directory, of tenancy.Name, over tenancy.Incarnation) error
-	// Roll keeps the servers of one incarnation of a tenant. Drains are durable when Keep returns, all else by the next Flush.
-	Roll(tenancy.Incarnation) Store
+	// ServerStore keeps the servers of one incarnation of a tenant. Drains are durable when Keep returns, all else by the next Flush.
+	ServerStore(tenancy.Incarnation) Store
 	// Flush makes durable what waits for it.
 	Flush() error
 }
@@ -87,9 +87,9 @@
 	store   HostStore
 	io      env.IO
 	Dir     *tenancy.Directory
-	Entry   *tenancy.Entry
+	Entry   *tenancy.ConnectionRouter
 	Turns   *fairqueue.Turns[tenancy.Name]
-	Keys    authz.Keys
+	Keys    authz.Credentials
 	tenants map[tenancy.Name]*Hosted
 	users   map[string]tenancy.Name // of signed measurements
 	starts  []tenancy.Name          // that are to be started, next first
@@ -120,8 +120,8 @@
 func NewHost(now float64, setup HostSetup, store HostStore) (*Host, error) {
 	h := &Host{setup: setup, store: store, tenants: map[tenancy.Name]*Hosted{}, users: map[string]tenancy.Name{},
 		froms: map[env.Conn]netip.Addr{}, Turns: fairqueue.New[tenancy.Name](now, setup.Turns)}
-	h.Entry = tenancy.NewEntry(now, setup.Entry, map[tenancy.Front]tenancy.Speaker{
-		tenancy.SASP: func(b []byte) (string, bool, error) { return sasp.Speaker(b, setup.Entry.Bytes) }, tenancy.HTTP: longpollhttp.Speaker})
+	h.Entry = tenancy.NewConnectionRouter(now, setup.Entry, map[tenancy.Frontend]tenancy.IdentityParser{
+		tenancy.SASP: func(b []byte) (string, bool, error) { return sasp.Speaker(b, setup.Entry.UnidentifiedBytes) }, tenancy.HTTP: longpollhttp.Speaker})
 	if setup.Graphite != nil {
 		h.figures = graphite.New(now, *setup.Graphite, rand.New(rand.NewPCG(setup.Life, 0x67a)).Float64)
 	}
@@ -135,7 +135,7 @@
 		return nil, err
 	}
 	h.Dir = &kept
-	h.Dir.Room = setup.Room
+	h.Dir.Capacity = setup.Room
 	for _, t := range h.Dir.All() {
 		h.begin(now, *t)
 	}
@@ -213,7 +213,7 @@
 	if h.setup.OnOrder != nil {
 		s.OnOrder = func(o controlplane.Order) { h.setup.OnOrder(name, life, o) }
 	}
-	p, err := New(now, s, h.store.Roll(life))
+	p, err := New(now, s, h.store.ServerStore(life))
 	if err == nil {
 		err = h.admit(now, x, true)
 	}
@@ -229,7 +229,7 @@
 
 // end stops a tenant at once: its connections are closed. Its relays go on by the tables that they hold.
 func (h *Host) end(x *Hosted) {
-	for _, c := range h.Entry.Drop(x.Name) {
+	for _, c := range h.Entry.Remove(x.Name) {
 		h.io.Close(env.Conn(c))
 	}
 	x.Program = nil
@@ -291,7 +291,7 @@
 	if h.setup.HTTP.IsValid() && port == h.setup.HTTP.Port() {
 		f = tenancy.HTTP
 	}
-	if why := h.Entry.Opened(now, tenancy.Conn(c), from, f); why != tenancy.NoReason {
+	if why := h.Entry.Opened(now, tenancy.Conn(c), from, f); why != tenancy.NotRejected {
 		h.io.Close(c)
 		return
 	}
@@ -310,7 +310,7 @@
 
 // known is the tenant of a connection.
 func (h *Host) known(c env.Conn) *Hosted {
-	n, ok := h.Entry.Of(tenancy.Conn(c))
+	n, ok := h.Entry.Tenant(tenancy.Conn(c))
 	if !ok {
 		return nil
 	}
@@ -343,7 +343,7 @@
 
 // came counts what has come in for a tenant against its turns, and sees to it that it is looked at soon.
 func (h *Host) came(now float64, x *Hosted, n int) {
-	h.Turns.Spent(x.Name, tenancy.Did{Comings: 1, Bytes: n}.Work())
+	h.Turns.Spent(x.Name, tenancy.Usage{Arrivals: 1, Bytes: n}.CPUSeconds())
 	if x.rests {
 		x.rests = false
 		h.Turns.Wake(x.Name, now+tickEvery)
@@ -360,21 +360,21 @@
 		return nil, nil
 	}
 	r := h.Entry.Receive(now, tenancy.Conn(c), b)
-	if r.Why == tenancy.NoReason && r.Tenant == "" {
+	if r.Reason == tenancy.NotRejected && r.Tenant == "" {
 		return nil, nil
 	}
 	delete(h.froms, c)
 	x := h.tenants[r.Tenant]
-	if r.Why == tenancy.NoReason && x != nil && x.Program != nil {
-		x.Program.Opened(now, c, from, h.port(r.Front))
+	if r.Reason == tenancy.NotRejected && x != nil && x.Program != nil {
+		x.Program.Opened(now, c, from, h.port(r.Frontend))
 		return x, r.Bytes
 	}
-	if r.Why == tenancy.Starting && x != nil && x.Wrong == nil { // those that somebody asks for come first
+	if r.Reason == tenancy.TenantStarting && x != nil && x.Wrong == nil { // those that somebody asks for come first
 		if i := slices.Index(h.starts, r.Tenant); i > 0 {
 			h.starts = slices.Insert(slices.Delete(h.starts, i, i+1), 0, r.Tenant)
 		}
 	}
-	if r.Front == tenancy.HTTP {
+	if r.Frontend == tenancy.HTTP {
 		h.io.Send(c, refusal(r))
 	}
 	h.Entry.Closed(tenancy.Conn(c))
@@ -382,26 +382,26 @@
 	return nil, nil
 }
 
-func (h *Host) port(f tenancy.Front) uint16 {
+func (h *Host) port(f tenancy.Frontend) uint16 {
 	if f == tenancy.HTTP {
 		return h.setup.HTTP.Port()
 	}
 	return h.setup.SASP.Port()
 }
 
-var refusals = map[tenancy.Reason]struct {
+var refusals = map[tenancy.RejectReason]struct {
 	status int
 	kind   string
 }{
-	tenancy.Senseless: {http.StatusNotFound, "not-found"}, tenancy.Nobody: {http.StatusNotFound, "no-tenant"},
-	tenancy.Outside:  {http.StatusForbidden, "outside"},
-	tenancy.Starting: {http.StatusServiceUnavailable, "starting"}, tenancy.Full: {http.StatusServiceUnavailable, "crowded"},
-	tenancy.TooFast: {http.StatusTooManyRequests, "too-often"},
+	tenancy.MalformedIdentity: {http.StatusNotFound, "not-found"}, tenancy.UnknownTenant: {http.StatusNotFound, "no-tenant"},
+	tenancy.NetworkNotAllowed: {http.StatusForbidden, "outside"},
+	tenancy.TenantStarting:    {http.StatusServiceUnavailable, "starting"}, tenancy.TenantConnectionsFull: {http.StatusServiceUnavailable, "crowded"},
+	tenancy.AcceptRateExceeded: {http.StatusTooManyRequests, "too-often"},
 }
 
-func refusal(r tenancy.Comes) []byte {
-	x := refusals[r.Why]
-	return longpollhttp.Refusal(x.status, x.kind, r.Why.String(), r.After)
+func refusal(r tenancy.RouteResult) []byte {
+	x := refusals[r.Reason]
+	return longpollhttp.Refusal(x.status, x.kind, r.Reason.String(), r.RetryAfter)
 }
 
 // Closed of env.Program.
@@ -455,7 +455,7 @@
 func (h *Host) TimerFired(now float64, _ int) {
 	if now-h.checked >= checkEvery {
 		h.checked = now
-		for _, c := range h.Entry.Late(now) {
+		for _, c := range h.Entry.TakeExpired(now) {
 			delete(h.froms, env.Conn(c))
 			h.io.Close(env.Conn(c))
 		}
@@ -530,8 +530,8 @@
 	p.TimerFired(now, 0)
 	x.rests = p.Rests()
 	c := p.Fleet.Counts
-	h.Turns.Spent(x.Name, tenancy.Did{Rounds: c.Rounds - x.counted.Rounds, Messages: c.Messages - x.counted.Messages,
-		Lines: c.Lines - x.counted.Lines, Servers: p.Fleet.Roll.Len(), Relays: p.Fleet.Joined()}.Work())
+	h.Turns.Spent(x.Name, tenancy.Usage{Rounds: c.Rounds - x.counted.Rounds, Messages: c.Messages - x.counted.Messages,
+		Lines: c.Lines - x.counted.Lines, Servers: p.Fleet.Roll.Len(), Relays: p.Fleet.Joined()}.CPUSeconds())
 	x.counted = c
 }
 
@@ -594,7 +594,7 @@
 		return
 	}
 	was, _ := h.Dir.Get(c.Name)
-	before := h.Dir.Before(c.Name)
+	before := h.Dir.Checkpoint(c.Name)
 	o := h.Dir.Apply(c)
 	if o.Err() != nil {
 		done(o, nil)
@@ -607,7 +607,7 @@
 	if err := h.store.Save(h.Dir, c.Name, over); err != nil {
 		// Guards against a change that is confirmed and forgotten by the next start; it does harm where a disk is full: tenants
 		// can't be changed then, while those that run go on.
-		h.Dir.Undo(before)
+		h.Dir.Rollback(before)
 		h.Counts.SaveFailed++
 		done(tenancy.Outcome{}, fmt.Errorf("%w: %w", ErrNotKept, err))
 		return
@@ -622,7 +622,7 @@
 		done(tenancy.Outcome{}, ErrNotAgreed)
 		return
 	}
-	ticket, ok := h.member.Group.Tell(now, membership.Command{Kind: membership.Tenants, Tenant: &c})
+	ticket, ok := h.member.Group.SubmitOrder(now, membership.Command{Kind: membership.ChangeTenant, Tenant: &c})
 	if !ok {
 		done(tenancy.Outcome{}, ErrNotAgreed)
 		return
@@ -637,7 +637,7 @@
 var ErrNotKept = errors.New("the change could not be made durable")
 
 func (h *Host) answered(before tenancy.Outcome, c tenancy.Command) tenancy.Outcome {
-	if before.Print != c.Print {
+	if before.Fingerprint != c.Fingerprint {
 		return h.Dir.Apply(c) // it says so
 	}
 	return before
@@ -650,7 +650,7 @@
 	if x != nil && (!ok || t.Incarnation != x.Incarnation) {
 		h.Counts.Ends++
 		h.end(x)
-		h.Keys.Drop(n)
+		h.Keys.Remove(n)
 		delete(h.users, x.user)
 		h.Turns.Remove(n)
 		delete(h.lives, x.Incarnation)
--- a/internal/coordinator/host_test.go
+++ b/internal/coordinator/host_test.go
@@ -53,14 +53,14 @@
 
 func (s *site) run(seconds float64) { s.net.Run(s.net.Now() + seconds) }
 
-func (s *site) order(kind tenancy.Kind, n tenancy.Name, text []byte, id uint64) (out tenancy.Outcome, err error) {
-	c := tenancy.Command{Kind: kind, Name: n, Settings: text, ID: id, At: s.net.Now()}
+func (s *site) order(kind tenancy.CommandKind, n tenancy.Name, text []byte, id uint64) (out tenancy.Outcome, err error) {
+	c := tenancy.Command{Kind: kind, Name: n, Settings: text, ID: id, Time: s.net.Now()}
 	if text != nil {
 		m, err := settings.ParseTenant(n, text, s.set)
 		if err != nil {
 			s.t.Fatal(err)
 		}
-		c.Weight, c.Needs = m.Weight, m.Needs
+		c.Weight, c.Requirements = m.Weight, m.Needs
 	}
 	s.host.Order(s.net.Now(), c, func(o tenancy.Outcome, e error) { out, err = o, errors.Join(e, o.Err()) })
 	return out, err
@@ -137,12 +137,12 @@
 // one publishes what was confirmed, and answers the repeated call in the same way.
 func TestHostKilledBetween(t *testing.T) {
 	for _, file := range []bool{false, true} {
-		var disk coordinator.HostStore = &store.HostedMemory{}
+		var disk coordinator.HostStore = &store.MemoryTenantStore{}
 		open := func() {}
 		if file {
 			path := filepath.Join(t.TempDir(), "tenants.db")
 			open = func() {
-				f, err := store.OpenHosted(path)
+				f, err := store.OpenTenantStore(path)
 				if err != nil {
 					t.Fatal(err)
 				}
@@ -158,7 +158,7 @@
 		}
 		restart := func() {
 			s.place.Kill()
-			if f, ok := disk.(*store.Hosted); ok {
+			if f, ok := disk.(*store.TenantStore); ok {
 				if err := f.Close(); err != nil {
 					t.Fatal(err)
 				}
@@ -194,7 +194,7 @@
 		if len(k.rows) == 0 || weight != 0 {
 			t.Errorf("the drain is forgotten: %d rows, weight %d", len(k.rows), weight)
 		}
-		if f, ok := disk.(*store.Hosted); ok {
+		if f, ok := disk.(*store.TenantStore); ok {
 			if err := f.Close(); err != nil {
 				t.Fatal(err)
 			}
@@ -204,13 +204,13 @@
 
 // A change that can't be made durable has not happened, whoever asks.
 func TestHostDiskFails(t *testing.T) {
-	store := &store.HostedMemory{}
+	store := &store.MemoryTenantStore{}
 	s := newSite(t, store)
 	text := texts(2)
 	if _, err := s.order(tenancy.Create, "t000", text[0], 1); err != nil {
 		t.Fatal(err)
 	}
-	store.Fails = errors.New("the disk is full")
+	store.SaveError = errors.New("the disk is full")
 	if _, err := s.order(tenancy.Create, "t001", text[1], 2); !errors.Is(err, coordinator.ErrNotKept) {
 		t.Error(err)
 	}
@@ -220,7 +220,7 @@
 	if _, ok := s.host.Tenant("t001"); ok || len(s.host.Tenants()) != 1 {
 		t.Error("it has happened all the same")
 	}
-	store.Fails = nil
+	store.SaveError = nil
 	if _, err := s.order(tenancy.Create, "t001", text[1], 2); err != nil {
 		t.Error(err)
 	}
@@ -229,7 +229,7 @@
 // A tenant that is removed and made again is another one: connections of the former are closed, drains that it was told are not the
 // new one's, and what its relays hold is replaced.
 func TestHostMadeAgain(t *testing.T) {
-	s := newSite(t, &store.HostedMemory{})
+	s := newSite(t, &store.MemoryTenantStore{})
 	text := texts(1)[0]
 	if _, err := s.order(tenancy.Create, "t000", text, 0); err != nil {
 		t.Fatal(err)
@@ -245,10 +245,10 @@
 	if s.run(1); k.closed != 1 {
 		t.Error("its relay's connection is still open")
 	}
-	if _, err := s.order(tenancy.Create, "t000", text, 0); !errors.Is(err, tenancy.ErrRests) {
+	if _, err := s.order(tenancy.Create, "t000", text, 0); !errors.Is(err, tenancy.ErrNameQuarantined) {
 		t.Error(err)
 	}
-	s.run(tenancy.RestFor)
+	s.run(tenancy.NameQuarantine)
 	if o, err := s.order(tenancy.Create, "t000", text, 0); err != nil || o.Incarnation != 2 {
 		t.Fatal(o, err)
 	}
@@ -264,7 +264,7 @@
 // Servers and relays of a tenant come and go while it runs; what its decision module is handed at the start makes it start anew. A
 // file that can't be read changes nothing.
 func TestHostRevises(t *testing.T) {
-	s := newSite(t, &store.HostedMemory{})
+	s := newSite(t, &store.MemoryTenantStore{})
 	text := string(texts(1)[0])
 	if _, err := s.order(tenancy.Create, "t000", []byte(text), 0); err != nil {
 		t.Fatal(err)
@@ -316,7 +316,7 @@
 
 // Many tenants that start at once do so in the time that looks at those that run leave, those first that somebody asks for.
 func TestHostStartsMany(t *testing.T) {
-	store := &store.HostedMemory{}
+	store := &store.MemoryTenantStore{}
 	s := newSite(t, store)
 	n := 200
 	for i, text := range texts(n)[:n] {
--- a/internal/coordinator/hostmeasure_test.go
+++ b/internal/coordinator/hostmeasure_test.go
@@ -25,7 +25,7 @@
 			for b.Loop() {
 				t := &testing.T{}
 				before := heap()
-				s := newSite(t, &store.HostedMemory{})
+				s := newSite(t, &store.MemoryTenantStore{})
 				d := scenario.UsualHostedDay()
 				for i := range n {
 					s.host.Order(s.net.Now(), func() tenancy.Command {
@@ -34,7 +34,7 @@
 						if err != nil {
 							b.Fatal(err)
 						}
-						return tenancy.Command{Kind: tenancy.Create, Name: name, Settings: text, At: 1000, Weight: m.Weight, Needs: m.Needs}
+						return tenancy.Command{Kind: tenancy.Create, Name: name, Settings: text, Time: 1000, Weight: m.Weight, Requirements: m.Needs}
 					}(), func(o tenancy.Outcome, err error) {
 						if err != nil || o.Err() != nil {
 							b.Fatal(err, o.Err())
@@ -54,7 +54,7 @@
 
 // What the start of a tenant takes, of which as many as a host has come after it was killed.
 func BenchmarkStartTenant(b *testing.B) {
-	s := newSite(&testing.T{}, &store.HostedMemory{})
+	s := newSite(&testing.T{}, &store.MemoryTenantStore{})
 	d := scenario.UsualHostedDay()
 	text := d.TenantSettings(0)
 	b.Run("read", func(b *testing.B) {
--- a/internal/coordinator/hosts_test.go
+++ b/internal/coordinator/hosts_test.go
@@ -23,7 +23,7 @@
 	set   *settings.Host
 	place [3]*simnet.Host
 	host  [3]*coordinator.Host
-	disk  [3]consensus.Memory
+	disk  [3]consensus.MemoryStorage
 	lives uint64
 }
 
@@ -32,7 +32,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	set.Room.Tenants = tenants
+	set.Room.MaxTenants = tenants
 	set.Make = func(x tenancy.Tenant) (coordinator.Made, error) { return settings.ParseTenant(x.Name, x.Settings, set) }
 	h := &three{t: t, net: simnet.New(1, 1000), set: set}
 	for i := range h.place {
@@ -46,14 +46,14 @@
 func (h *three) start(i int) {
 	h.lives++
 	setup := h.set.HostSetup
-	h.disk[i].Own = uint64(i + 1)
+	h.disk[i].OwnDataDirID = uint64(i + 1)
 	setup.Disk, setup.Life = &h.disk[i], h.lives*10+uint64(i)
-	setup.Group = &coordinator.GroupSetup{Self: membership.Number(i + 1), Weight: 1, Members: map[membership.Number]netip.AddrPort{}, Key: []byte("a key for three hosts"),
-		Terms: consensus.UsualTerms, Lease: membership.UsualTerms}
+	setup.Group = &coordinator.GroupSetup{Self: membership.MemberID(i + 1), Weight: 1, Members: map[membership.MemberID]netip.AddrPort{}, Key: []byte("a key for three hosts"),
+		Terms: consensus.DefaultConfig, Lease: membership.DefaultLeaseConfig}
 	for k := range h.place {
-		setup.Group.Members[membership.Number(k+1)] = netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 0, 0, byte(1 + k)}), 13900)
+		setup.Group.Members[membership.MemberID(k+1)] = netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 0, 0, byte(1 + k)}), 13900)
 	}
-	x, err := coordinator.NewHost(h.net.Now(), setup, &store.HostedMemory{})
+	x, err := coordinator.NewHost(h.net.Now(), setup, &store.MemoryTenantStore{})
 	if err != nil {
 		h.t.Fatal(err)
 	}
@@ -65,13 +65,13 @@
 func (h *three) order(i int, c tenancy.Command) (answer *error, out *tenancy.Outcome) {
 	answer, out = new(error), new(tenancy.Outcome)
 	*answer = errWaits
-	c.At = h.net.Now()
+	c.Time = h.net.Now()
 	if c.Settings != nil {
 		m, err := settings.ParseTenant(c.Name, c.Settings, h.set)
 		if err != nil {
 			h.t.Fatal(err)
 		}
-		c.Weight, c.Needs = m.Weight, m.Needs
+		c.Weight, c.Requirements = m.Weight, m.Needs
 	}
 	h.host[i].Order(h.net.Now(), c, func(o tenancy.Outcome, err error) { *answer, *out = errors.Join(err, o.Err()), o })
 	return answer, out
@@ -148,7 +148,7 @@
 	for _, a := range answers {
 		if *a == nil {
 			made++
-		} else if !errors.Is(*a, tenancy.ErrRoom) && !errors.Is(*a, errWaits) && !errors.Is(*a, coordinator.ErrNotAgreed) {
+		} else if !errors.Is(*a, tenancy.ErrNoCapacity) && !errors.Is(*a, errWaits) && !errors.Is(*a, coordinator.ErrNotAgreed) {
 			t.Error(*a)
 		}
 	}
--- a/internal/coordinator/member.go
+++ b/internal/coordinator/member.go
@@ -25,12 +25,12 @@
 // knows which proxies are its to order.
 type Member struct {
 	setup     GroupSetup
-	disk      consensus.Disk
+	disk      consensus.Storage
 	life      uint64
 	say       func(event string, pairs ...any)
 	peers     *peers
 	io        env.IO
-	folders   *membership.Folders
+	folders   *membership.DataDirs
 	joinAt    float64
 	Group     *consensus.Group
 	Failed    error // why it orders nothing any more, for good
@@ -46,7 +46,7 @@
 var ErrRefused = errors.New("refused by another coordinator")
 
 // NewMember makes a member; it does nothing until Start. life must differ from those of its former processes.
-func NewMember(setup GroupSetup, disk consensus.Disk, life uint64, say func(string, ...any)) *Member {
+func NewMember(setup GroupSetup, disk consensus.Storage, life uint64, say func(string, ...any)) *Member {
 	return &Member{setup: setup, disk: disk, life: life, say: say}
 }
 
@@ -59,13 +59,13 @@
 
 func (m *Member) begin(now float64, io env.IO) {
 	m.io, m.peers = io, newPeers(m, io)
-	kept := map[membership.Number]uint64{}
-	for id, mark := range m.disk.Pins() {
-		kept[membership.Number(id)] = mark
+	kept := map[membership.MemberID]uint64{}
+	for id, mark := range m.disk.PeerDataDirs() {
+		kept[membership.MemberID(id)] = mark
 	}
-	m.folders = membership.NewFolders(kept)
-	part := consensus.Part{Number: m.setup.Self, Seat: membership.Seat{Peer: Name(m.setup.Self), Address: m.setup.Members[m.setup.Self]},
-		Weight: m.setup.Weight, Seed: m.life, Terms: m.setup.Terms, Lease: m.setup.Lease, Room: m.setup.Room}
+	m.folders = membership.NewDataDirs(kept)
+	part := consensus.GroupConfig{ID: m.setup.Self, Registration: membership.Registration{Peer: Name(m.setup.Self), Address: m.setup.Members[m.setup.Self]},
+		Weight: m.setup.Weight, Seed: m.life, Consensus: m.setup.Terms, Lease: m.setup.Lease, Capacity: m.setup.Room}
 	if !m.setup.Joins {
 		for _, n := range sortedNumbers(m.setup.Members) {
 			part.Members = append(part.Members, consensus.ID(n))
@@ -77,24 +77,24 @@
 	}
 }
 
-func sortedNumbers[V any](of map[membership.Number]V) []membership.Number {
-	all := make([]membership.Number, 0, len(of))
+func sortedNumbers[V any](of map[membership.MemberID]V) []membership.MemberID {
+	all := make([]membership.MemberID, 0, len(of))
 	for n := range of {
 		all = append(all, n)
 	}
-	slices.SortFunc(all, cmp.Compare[membership.Number])
+	slices.SortFunc(all, cmp.Compare[membership.MemberID])
 	return all
 }
 
 // addresses are where the others are: as the settings say, and as they have agreed since.
-func (m *Member) addresses() map[membership.Number]netip.AddrPort {
-	at := make(map[membership.Number]netip.AddrPort, len(m.setup.Members))
+func (m *Member) addresses() map[membership.MemberID]netip.AddrPort {
+	at := make(map[membership.MemberID]netip.AddrPort, len(m.setup.Members))
 	for n, a := range m.setup.Members {
 		at[n] = a
 	}
 	if m.Group != nil {
-		for n, s := range m.Group.State.Seats {
-			if at[n] = s.Address; m.Group.Node != nil && m.Group.Out(n) {
+		for n, s := range m.Group.State.Registrations {
+			if at[n] = s.Address; m.Group.Node != nil && m.Group.Removed(n) {
 				delete(at, n)
 			}
 		}
@@ -107,7 +107,7 @@
 	if m.Group == nil || m.Group.Node == nil { // while the log is played at the start
 		return 0
 	}
-	return m.Group.Node.Commit()
+	return m.Group.Node.CommitIndex()
 }
 
 // heard takes a frame. An error closes its connection.
@@ -120,7 +120,7 @@
 	}
 	if f.From != 0 {
 		if err := m.admit(f); err != nil {
-			m.io.Send(c, m.peers.frame(membership.Number(f.From), peer.Refusal, []byte(err.Error())))
+			m.io.Send(c, m.peers.frame(membership.MemberID(f.From), peer.Refusal, []byte(err.Error())))
 			return err
 		}
 	}
@@ -129,7 +129,7 @@
 		if f.From == 0 {
 			return peer.ErrFrame
 		}
-		if err := m.Group.Step(now, f.Message); errors.Is(err, consensus.ErrMessage) {
+		if err := m.Group.Step(now, f.Message); errors.Is(err, consensus.ErrInvalidMessage) {
 			m.say("peer's message", "error", err)
 		} else if err != nil {
 			m.fail(err)
@@ -139,33 +139,33 @@
 		if err != nil {
 			return err
 		}
-		if x.Kind != membership.Sit && x.Kind != membership.Unseat { // the rest is for those who are in the group to say by consensus
-			return fmt.Errorf("%w: kind %d", membership.ErrCommand, x.Kind)
+		if x.Kind != membership.RegisterMember && x.Kind != membership.RemoveRegistration { // the rest is for those who are in the group to say by consensus
+			return fmt.Errorf("%w: kind %d", membership.ErrInvalidCommand, x.Kind)
 		}
-		m.say("asked to change the group", "kind", x.Kind, "number", x.Number, "address", x.Address)
+		m.say("asked to change the group", "kind", x.Kind, "number", x.MemberID, "address", x.Address)
 		m.Group.Propose(now, x)
 	case peer.Ask:
 		b, err := m.status(now)
 		if err != nil {
 			return err
 		}
-		m.io.Send(c, m.peers.frame(membership.Number(f.From), peer.Tell, b))
+		m.io.Send(c, m.peers.frame(membership.MemberID(f.From), peer.Tell, b))
 	}
 	return nil
 }
 
 // admit looks whether a number speaks from the folder that it always had.
 func (m *Member) admit(f peer.Frame) error {
-	n := membership.Number(f.From)
-	if m.Group != nil && m.Group.Out(n) {
+	n := membership.MemberID(f.From)
+	if m.Group != nil && m.Group.Removed(n) {
 		return fmt.Errorf("number %d: %w", n, consensus.ErrRemoved)
 	}
-	first, err := m.folders.Admit(n, f.Mark, f.Commit)
+	first, err := m.folders.Verify(n, f.Mark, f.Commit)
 	if err != nil || !first {
 		return err
 	}
-	if err := m.disk.Pin(consensus.ID(n), f.Mark); err != nil {
-		m.fail(fmt.Errorf("%w: %v", consensus.ErrDisk, err))
+	if err := m.disk.SavePeerDataDir(consensus.ID(n), f.Mark); err != nil {
+		m.fail(fmt.Errorf("%w: %v", consensus.ErrStorage, err))
 	}
 	return m.Failed
 }
@@ -184,7 +184,7 @@
 func (m *Member) Leave(now float64) (known bool) {
 	if !m.leaving {
 		m.leaving = true
-		if err := m.Group.Retire(now); err != nil {
+		if err := m.Group.ReleaseLease(now); err != nil {
 			m.fail(err)
 			return true
 		}
@@ -194,37 +194,37 @@
 
 // Send of consensus.Messenger.
 func (m *Member) Send(to consensus.ID, b []byte) {
-	m.peers.send(membership.Number(to), peer.Consensus, b)
+	m.peers.send(membership.MemberID(to), peer.Consensus, b)
 }
 
-// Moved of consensus.Messenger.
-func (m *Member) Moved(_ float64, s *membership.State) {
-	m.say("proxies change hands", "epoch", s.Epoch, "living", s.Living())
+// OwnershipChanged of consensus.Messenger.
+func (m *Member) OwnershipChanged(_ float64, s *membership.State) {
+	m.say("proxies change hands", "epoch", s.Epoch, "living", s.AliveMembers())
 }
 
-// Drained of consensus.Messenger.
-func (m *Member) Drained(now float64, c membership.Command) {
+// DrainCommitted of consensus.Messenger.
+func (m *Member) DrainCommitted(now float64, c membership.Command) {
 	if m.OnDrain != nil {
 		m.OnDrain(now, c)
 	}
 }
 
-// Learnt of consensus.Messenger.
-func (m *Member) Learnt(now float64, records []registry.Record) {
+// RecordsCommitted of consensus.Messenger.
+func (m *Member) RecordsCommitted(now float64, records []registry.Record) {
 	if m.OnLearnt != nil {
 		m.OnLearnt(now, records)
 	}
 }
 
-// Tenanted of consensus.Tenants.
-func (m *Member) Tenanted(now float64, n tenancy.Name, told membership.Ticket, o tenancy.Outcome) {
+// TenantChanged of consensus.Tenants.
+func (m *Member) TenantChanged(now float64, n tenancy.Name, told membership.Ticket, o tenancy.Outcome) {
 	if m.OnTenant != nil {
 		m.OnTenant(now, n, told, o)
 	}
 }
 
-// Settled of consensus.Messenger.
-func (m *Member) Settled(now float64, kept, refused []membership.Ticket) {
+// OrdersCompleted of consensus.Messenger.
+func (m *Member) OrdersCompleted(now float64, kept, refused []membership.Ticket) {
 	if m.OnSettled != nil {
 		m.OnSettled(now, kept, refused)
 	}
@@ -232,13 +232,13 @@
 
 // Leads tells whether a proxy may be ordered now.
 func (m *Member) Leads(now float64, uid string) bool {
-	return m.Failed == nil && m.Group != nil && m.Group.Lease.Leads(now, m.Group.State, uid)
+	return m.Failed == nil && m.Group != nil && m.Group.Lease.Owns(now, m.Group.State, uid)
 }
 
 // Sent notes that a proxy asked us and was sent away, since another one leads it.
 func (m *Member) Sent(now float64, uid string) {
 	if m.Group != nil {
-		m.Group.Seekers.Asked(now, uid)
+		m.Group.MisroutedProxies.Observe(now, uid)
 	}
 }
 
@@ -288,9 +288,9 @@
 		m.fail(err)
 		return
 	}
-	if m.setup.Joins && !m.Group.Seated() && now >= m.joinAt { // nobody hears our proposals before we are taken in
+	if m.setup.Joins && !m.Group.Registered() && now >= m.joinAt { // nobody hears our proposals before we are taken in
 		m.joinAt = now + joinAgain
-		if b, err := m.Group.Sit().Encode(); err == nil {
+		if b, err := m.Group.RegisterCommand().Encode(); err == nil {
 			m.peers.broadcast(peer.Command, b)
 		}
 	}
@@ -300,7 +300,7 @@
 func (m *Member) Ready() bool { return m.Failed == nil && m.Group != nil }
 
 // Holds of Peers.
-func (m *Member) Holds(now float64) bool { return m.Ready() && m.Group.Lease.Holds(now) }
+func (m *Member) Holds(now float64) bool { return m.Ready() && m.Group.Lease.Valid(now) }
 
 // Drain of Peers.
 func (m *Member) Drain(now float64, s balancer.Server, on bool) (ticket uint64, ok bool) {
@@ -312,11 +312,11 @@
 func (m *Member) Drains() map[balancer.Server]float64 { return m.Group.State.Drains }
 
 // Kept of Peers.
-func (m *Member) Kept() []registry.Record { return m.Group.State.Kept() }
+func (m *Member) Kept() []registry.Record { return m.Group.State.ServerRecords() }
 
 // Keep of Peers: a round does not wait for the group.
 func (m *Member) Keep(now float64, records []registry.Record) {
-	if news := m.Group.State.News(records); len(news) > 0 {
-		m.Group.Keep(now, news)
+	if news := m.Group.State.ChangedRecords(records); len(news) > 0 {
+		m.Group.StoreRecords(now, news)
 	}
 }
--- a/internal/coordinator/member_sockets_test.go
+++ b/internal/coordinator/member_sockets_test.go
@@ -16,22 +16,22 @@
 // The same members on event loops over loopback: all proxies are led, one member ends without a word, and the others lead
 // its proxies.
 func TestMembersOverSockets(t *testing.T) {
-	order, at := []membership.Number{1, 2, 3}, map[membership.Number]netip.AddrPort{}
+	order, at := []membership.MemberID{1, 2, 3}, map[membership.MemberID]netip.AddrPort{}
 	for _, id := range order {
 		at[id] = netip.MustParseAddrPort(fmt.Sprint("127.0.0.1:", 14900+int(id)))
 	}
-	members, loops := map[membership.Number]*coordinator.Member{}, map[membership.Number]*eventloop.Server{}
+	members, loops := map[membership.MemberID]*coordinator.Member{}, map[membership.MemberID]*eventloop.Server{}
 	clock, dir := eventloop.Clock(), t.TempDir()
 	for _, id := range order {
-		f, err := consensus.OpenFile(filepath.Join(dir, fmt.Sprint(id)), consensus.ID(id))
+		f, err := consensus.OpenFileStorage(filepath.Join(dir, fmt.Sprint(id)), consensus.ID(id))
 		if err != nil {
 			t.Fatal(err)
 		}
 		defer f.Close()
-		lease := membership.UsualTerms
-		lease.For, lease.Every, lease.Margin = 1.2, 0.3, 0.2
+		lease := membership.DefaultLeaseConfig
+		lease.Duration, lease.RenewInterval, lease.SafetyMargin = 1.2, 0.3, 0.2
 		members[id] = coordinator.NewMember(coordinator.GroupSetup{Self: id, Weight: 1, Members: at,
-			Key: []byte("key"), Terms: consensus.UsualTerms, Lease: lease}, f, uint64(clock()*1e6), func(string, ...any) {})
+			Key: []byte("key"), Terms: consensus.DefaultConfig, Lease: lease}, f, uint64(clock()*1e6), func(string, ...any) {})
 		s, err := eventloop.Listen(members[id], []netip.AddrPort{at[id]}, netip.AddrPort{}, clock)
 		if err != nil {
 			t.Fatal(err)
@@ -41,7 +41,7 @@
 	led := func() (n int) {
 		for i := range 20 {
 			for _, s := range loops {
-				id := membership.Number(0)
+				id := membership.MemberID(0)
 				for k, v := range loops {
 					if v == s {
 						id = k
--- a/internal/coordinator/member_test.go
+++ b/internal/coordinator/member_test.go
@@ -16,25 +16,25 @@
 func TestMembersOverANet(t *testing.T) {
 	net := simnet.New(5, 1000)
 	net.Faults.Split = 0.1
-	dir, order := t.TempDir(), []membership.Number{1, 2, 3}
-	at := map[membership.Number]netip.AddrPort{}
+	dir, order := t.TempDir(), []membership.MemberID{1, 2, 3}
+	at := map[membership.MemberID]netip.AddrPort{}
 	for _, id := range order {
 		at[id] = netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, byte(id)}), 7000)
 	}
-	hosts, members, files := map[membership.Number]*simnet.Host{}, map[membership.Number]*coordinator.Member{}, map[membership.Number]*consensus.File{}
+	hosts, members, files := map[membership.MemberID]*simnet.Host{}, map[membership.MemberID]*coordinator.Member{}, map[membership.MemberID]*consensus.FileStorage{}
 	life := uint64(0)
-	start := func(id membership.Number, key string) {
-		f, err := consensus.OpenFile(filepath.Join(dir, fmt.Sprint(id)), consensus.ID(id))
+	start := func(id membership.MemberID, key string) {
+		f, err := consensus.OpenFileStorage(filepath.Join(dir, fmt.Sprint(id)), consensus.ID(id))
 		if err != nil {
 			t.Fatal(err)
 		}
 		life++
 		files[id] = f
 		members[id] = coordinator.NewMember(coordinator.GroupSetup{Self: id, Weight: 1, Members: at,
-			Key: []byte(key), Terms: consensus.UsualTerms, Lease: membership.UsualTerms}, f, life, func(string, ...any) {})
+			Key: []byte(key), Terms: consensus.DefaultConfig, Lease: membership.DefaultLeaseConfig}, f, life, func(string, ...any) {})
 		hosts[id].Start(members[id])
 	}
-	kill := func(id membership.Number) {
+	kill := func(id membership.MemberID) {
 		hosts[id].Kill()
 		if err := files[id].Close(); err != nil {
 			t.Fatal(err)
@@ -82,7 +82,7 @@
 	play(9)
 	net.Cut(2, 3, true) // the third is alone in its zone
 	play(8)
-	if members[3].Leads(net.Now(), "relay-1") || members[3].Group.Lease.Holds(net.Now()) {
+	if members[3].Leads(net.Now(), "relay-1") || members[3].Group.Lease.Valid(net.Now()) {
 		t.Error("one without a majority goes on leading")
 	}
 	net.Cut(2, 3, false)
@@ -92,7 +92,7 @@
 	kill(2)
 	start(2, "another key")
 	epoch := members[1].Group.State.Epoch
-	if play(8); members[2].Group.Lease.Holds(net.Now()) || led != 20 || members[1].Group.State.Epoch == epoch {
+	if play(8); members[2].Group.Lease.Valid(net.Now()) || led != 20 || members[1].Group.State.Epoch == epoch {
 		t.Error("one with another key takes part")
 	}
 }
--- a/internal/coordinator/peers.go
+++ b/internal/coordinator/peers.go
@@ -14,18 +14,18 @@
 
 // GroupSetup is what a coordinator that shares its fleet is told of the others.
 type GroupSetup struct {
-	Self    membership.Number
+	Self    membership.MemberID
 	Weight  float64
-	Members map[membership.Number]netip.AddrPort // of the group as far as it is known, ourselves among them
-	Joins   bool                                 // the group runs already, and is to take us in
+	Members map[membership.MemberID]netip.AddrPort // of the group as far as it is known, ourselves among them
+	Joins   bool                                   // the group runs already, and is to take us in
 	Key     []byte
-	Terms   consensus.Terms
-	Lease   membership.Terms
-	Room    tenancy.Room // of a host of many tenants
+	Terms   consensus.Config
+	Lease   membership.LeaseConfig
+	Room    tenancy.Capacity // of a host of many tenants
 }
 
 // Name of a coordinator by its number.
-func Name(n membership.Number) membership.Peer { return membership.Peer(fmt.Sprint("c", n)) }
+func Name(n membership.MemberID) membership.Peer { return membership.Peer(fmt.Sprint("c", n)) }
 
 const (
 	peerRedial = 0.25    // seconds between two dials of a coordinator that does not answer
@@ -35,7 +35,7 @@
 
 // link is our connection to another coordinator, for what we say to it.
 type link struct {
-	id     membership.Number
+	id     membership.MemberID
 	conn   env.Conn
 	up     bool
 	dialAt float64
@@ -49,14 +49,14 @@
 type peers struct {
 	member *Member
 	io     env.IO
-	links  map[membership.Number]*link
+	links  map[membership.MemberID]*link
 	byOut  map[env.Conn]*link
 	in     map[env.Conn][]byte // of connections that others dialled
 	bytes  []byte
 }
 
 func newPeers(m *Member, io env.IO) *peers {
-	return &peers{member: m, io: io, links: map[membership.Number]*link{}, byOut: map[env.Conn]*link{}, in: map[env.Conn][]byte{}}
+	return &peers{member: m, io: io, links: map[membership.MemberID]*link{}, byOut: map[env.Conn]*link{}, in: map[env.Conn][]byte{}}
 }
 
 // tick dials those that are to be spoken to, where they are now, and lets go of those that are not in the group any more.
@@ -86,14 +86,14 @@
 }
 
 // frame is what we say, with what tells our folder.
-func (p *peers) frame(to membership.Number, kind peer.Kind, b []byte) []byte {
+func (p *peers) frame(to membership.MemberID, kind peer.Kind, b []byte) []byte {
 	m := p.member
-	p.bytes = peer.Append(p.bytes[:0], m.setup.Key, peer.Frame{From: uint64(m.setup.Self), To: uint64(to), Mark: m.disk.Mark(),
+	p.bytes = peer.Append(p.bytes[:0], m.setup.Key, peer.Frame{From: uint64(m.setup.Self), To: uint64(to), Mark: m.disk.DataDirID(),
 		Commit: m.commit(), Kind: kind, Message: b})
 	return p.bytes
 }
 
-func (p *peers) send(to membership.Number, kind peer.Kind, b []byte) {
+func (p *peers) send(to membership.MemberID, kind peer.Kind, b []byte) {
 	l := p.links[to]
 	if l == nil || !l.up || l.sent-l.taken > peerUnread {
 		return
@@ -194,23 +194,23 @@
 
 // Status is how a group is, as one coordinator sees it.
 type Status struct {
-	Number  membership.Number                     `json:"number"`
-	Leader  membership.Number                     `json:"consensus-leader"` // 0: none is known
-	Commit  uint64                                `json:"commit"`
-	Epoch   membership.Epoch                      `json:"epoch"`
-	Leads   bool                                  `json:"holds-lease"`
-	Failed  string                                `json:"failed,omitempty"` // why it orders nothing any more
-	Seats   map[membership.Number]membership.Seat `json:"seats"`
-	Members map[membership.Peer]membership.Member `json:"members"`
-	Drains  int                                   `json:"drains"`
+	Number  membership.MemberID                             `json:"number"`
+	Leader  membership.MemberID                             `json:"consensus-leader"` // 0: none is known
+	Commit  uint64                                          `json:"commit"`
+	Epoch   membership.Epoch                                `json:"epoch"`
+	Leads   bool                                            `json:"holds-lease"`
+	Failed  string                                          `json:"failed,omitempty"` // why it orders nothing any more
+	Seats   map[membership.MemberID]membership.Registration `json:"seats"`
+	Members map[membership.Peer]membership.Member           `json:"members"`
+	Drains  int                                             `json:"drains"`
 }
 
 func (m *Member) status(now float64) ([]byte, error) {
 	g := m.Group
 	s := Status{Number: m.setup.Self}
 	if g != nil {
-		s.Leader, s.Commit, s.Epoch, s.Leads = membership.Number(g.Node.Leader()), m.commit(), g.State.Epoch, m.Failed == nil && g.Lease.Holds(now)
-		s.Seats, s.Members, s.Drains = g.State.Seats, g.State.Members, len(g.State.Drains)
+		s.Leader, s.Commit, s.Epoch, s.Leads = membership.MemberID(g.Node.Leader()), m.commit(), g.State.Epoch, m.Failed == nil && g.Lease.Valid(now)
+		s.Seats, s.Members, s.Drains = g.State.Registrations, g.State.Members, len(g.State.Drains)
 	}
 	if m.Failed != nil {
 		s.Failed = m.Failed.Error()
--- a/internal/coordinator/scope.go
+++ b/internal/coordinator/scope.go
@@ -21,7 +21,7 @@
 }
 
 func (h *Host) scope(x *Hosted) *scope {
-	return &scope{h: h, life: x.Incarnation, prefix: membership.Scope(x.Incarnation)}
+	return &scope{h: h, life: x.Incarnation, prefix: membership.ScopePrefix(x.Incarnation)}
 }
 
 // Ready of Peers.
@@ -58,7 +58,7 @@
 // Kept of Peers.
 func (s *scope) Kept() (records []registry.Record) {
 	for _, r := range s.h.member.Kept() {
-		if life, own, ok := membership.Scoped(r.Server); ok && life == s.life {
+		if life, own, ok := membership.SplitScoped(r.Server); ok && life == s.life {
 			r.Server = own
 			records = append(records, r)
 		}
@@ -79,12 +79,12 @@
 // drained is what was agreed on of drains, by tenant; worked out anew when it has changed.
 func (h *Host) drained() map[tenancy.Incarnation]map[balancer.Server]float64 {
 	state := h.member.Group.State
-	if h.byLife != nil && h.drainsOf == state.Orders {
+	if h.byLife != nil && h.drainsOf == state.OrderCount {
 		return h.byLife
 	}
-	h.byLife, h.drainsOf = map[tenancy.Incarnation]map[balancer.Server]float64{}, state.Orders
+	h.byLife, h.drainsOf = map[tenancy.Incarnation]map[balancer.Server]float64{}, state.OrderCount
 	for s, told := range state.Drains {
-		life, own, ok := membership.Scoped(s)
+		life, own, ok := membership.SplitScoped(s)
 		if !ok {
 			continue
 		}
@@ -97,7 +97,7 @@
 }
 
 // shared makes the host a member of a group of hosts.
-func (h *Host) shared(g GroupSetup, disk consensus.Disk) {
+func (h *Host) shared(g GroupSetup, disk consensus.Storage) {
 	g.Room = h.setup.Room
 	m := NewMember(g, disk, h.setup.Life, func(event string, pairs ...any) { h.say("", event, pairs...) })
 	m.OnFail = h.setup.OnFail
@@ -115,7 +115,7 @@
 // onDrain takes a drain that was agreed on.
 func (h *Host) onDrain(now float64, c membership.Command) {
 	h.byLife = nil
-	life, own, ok := membership.Scoped(c.Server)
+	life, own, ok := membership.SplitScoped(c.Server)
 	if x := h.lives[life]; ok && x != nil && x.Program != nil {
 		c.Server = own
 		x.Program.drained(now, c)
@@ -126,7 +126,7 @@
 // onLearnt takes what another host has heard of servers' starts.
 func (h *Host) onLearnt(now float64, records []registry.Record) {
 	for _, r := range records {
-		life, own, ok := membership.Scoped(r.Server)
+		life, own, ok := membership.SplitScoped(r.Server)
 		if x := h.lives[life]; ok && x != nil && x.Program != nil {
 			r.Server = own
 			x.Program.learnt(now, []registry.Record{r})
--- a/internal/core/authz/gate.go
+++ b/internal/core/authz/gate.go
@@ -2,10 +2,10 @@
 
 import "crypto/sha256"
 
-// Gate lets those in at once who were known lately, and others no faster than a rate: what is behind it, finding out who somebody is,
+// LookupLimiter lets those in at once who were known lately, and others no faster than a rate: what is behind it, finding out who somebody is,
 // takes a turn of the event loop that all tenants share. Guards against a flood of calls with keys of nobody; it does harm to callers
 // who come for the first time amid such a flood: they are told to come back. The zero value lets nobody in but those that are known.
-type Gate struct {
+type LookupLimiter struct {
 	Rate   float64 // unknown credentials a second
 	Burst  float64 // at once
 	known  map[digest]bool
@@ -15,8 +15,8 @@
 
 const mostKnown = 8192 // credentials that are remembered; more, and all are found out anew
 
-// Pass tells whether a credential may be looked up now; else after is when to come back, in seconds.
-func (g *Gate) Pass(now float64, credential string) (after float64, ok bool) {
+// Allow tells whether a credential may be looked up now; else after is when to come back, in seconds.
+func (g *LookupLimiter) Allow(now float64, credential string) (after float64, ok bool) {
 	if g.known[sha256.Sum256([]byte(credential))] {
 		return 0, true
 	}
@@ -32,8 +32,8 @@
 	return 0, true
 }
 
-// Found says whether a credential turned out to be somebody's.
-func (g *Gate) Found(credential string, known bool) {
+// Observe says whether a credential turned out to be somebody's.
+func (g *LookupLimiter) Observe(credential string, known bool) {
 	d := digest(sha256.Sum256([]byte(credential)))
 	if !known {
 		delete(g.known, d)
--- a/internal/core/controlplane/figures.go
+++ b/internal/core/controlplane/figures.go
@@ -88,7 +88,7 @@
 		case balancer.Draining:
 			drains = 1
 		}
-		if f.Roll.Cold(now, s, f.site.Guarantees.WarmupDuration) {
+		if f.Roll.WarmingUp(now, s, f.site.Guarantees.WarmupDuration) {
 			cold = 1
 		}
 		add("servers", string(s), "serves", serves, false)
--- a/internal/core/controlplane/fleet.go
+++ b/internal/core/controlplane/fleet.go
@@ -114,9 +114,9 @@
 	Displaced(now float64, p *Proxy)
 }
 
-// Keeper keeps records for the next life. What it returns without an error is durable.
-type Keeper interface {
-	Keep([]registry.Record) error
+// RecordStore keeps records for the next life. What it returns without an error is durable.
+type RecordStore interface {
+	Save([]registry.Record) error
 }
 
 // Fleet is one coordinator's state. Use New.
@@ -126,9 +126,9 @@
 	may     func(now float64, uid string) bool // nil: all relays are ours
 	lead    func() uint64
 	sent    func(now float64, uid string)
-	Roll    *registry.Roll
+	Roll    *registry.Registry
 	Book    *loadreport.Book
-	keeper  Keeper
+	keeper  RecordStore
 
 	proxies map[balancer.Proxy]*Proxy
 	byUID   map[string]*Proxy
@@ -187,7 +187,7 @@
 
 // New makes a coordinator. records are those of its former life, none if there was none. The error says what of the
 // site cannot be taken.
-func New(now float64, site Site, records []registry.Record, keeper Keeper) (*Fleet, error) {
+func New(now float64, site Site, records []registry.Record, keeper RecordStore) (*Fleet, error) {
 	if len(site.Classes) == 0 || len(site.Classes) > 64 || len(site.Names) != len(site.Classes) {
 		return nil, fmt.Errorf("%d classes with %d names; 1 to 64 are possible", len(site.Classes), len(site.Names))
 	}
@@ -205,8 +205,8 @@
 		}
 	}
 	for _, s := range site.Servers {
-		f.known = f.known || s.Standing
-		if err := f.Roll.Place(now, s); err != nil {
+		f.known = f.known || s.Static
+		if err := f.Roll.Configure(now, s); err != nil {
 			return nil, err
 		}
 	}
@@ -472,20 +472,20 @@
 		f.Counts.UnknownServer++
 		return
 	}
-	f.Roll.Uptime(now, s, up)
+	f.Roll.ObserveUptime(now, s, up)
 }
 
 // Round hands the module all that came in, if anything did or it asked to be woken, and takes what it decides. It
 // reports whether the module was called. What must outlive the coordinator is kept before it is acted on; if that
 // fails a drain goes out all the same, since a drain that is forgotten later is better than one not begun.
 func (f *Fleet) Round(now float64) bool {
-	f.Roll.Tick(now)
+	f.Roll.ExpireHolds(now)
 	if now-f.ranAt < f.site.Limits.RoundEvery || f.gathers(now) {
 		return false
 	}
-	if f.Roll.Waits() {
+	if f.Roll.HasChanges() {
 		f.Persist()
-		entries, whole := f.Roll.Changes()
+		entries, whole := f.Roll.TakeChanges()
 		scope := balancer.DeltaList
 		if f.first { // what the settings list as standing, and what a former life kept
 			scope = balancer.CachedList
@@ -525,16 +525,16 @@
 // Persist makes what has changed on the roll durable now, not with the next round. Guards against a drain that was confirmed and is
 // forgotten by a process that dies before its next round.
 func (f *Fleet) Persist() (ok bool) {
-	if f.keeper == nil || f.site.Without[GuardMemory] || !f.Roll.Unkept() {
+	if f.keeper == nil || f.site.Without[GuardMemory] || !f.Roll.NeedsPersist() {
 		return true
 	}
-	if records := f.Roll.Changed(); len(records) > 0 {
-		if err := f.keeper.Keep(records); err != nil {
+	if records := f.Roll.ChangedRecords(); len(records) > 0 {
+		if err := f.keeper.Save(records); err != nil {
 			f.Counts.KeepFailed++
 			return false
 		}
 	}
-	f.Roll.Kept()
+	f.Roll.MarkPersisted()
 	return true
 }
 
@@ -590,7 +590,7 @@
 	}
 	for l := range w.Since(0) {
 		phase, _ := f.Roll.Phase(l.Server)
-		if l.Weight > 0 && phase == balancer.Ready && !f.Roll.Cold(now, l.Server, f.site.Guarantees.WarmupDuration) {
+		if l.Weight > 0 && phase == balancer.Ready && !f.Roll.WarmingUp(now, l.Server, f.site.Guarantees.WarmupDuration) {
 			return
 		}
 	}
@@ -657,7 +657,7 @@
 		return
 	}
 	phase, _ := w.f.Roll.Phase(s)
-	cold := w.f.Roll.Cold(w.now, s, w.f.site.Guarantees.WarmupDuration)
+	cold := w.f.Roll.WarmingUp(w.now, s, w.f.site.Guarantees.WarmupDuration)
 	if weight == 0 && phase == balancer.Ready && !cold {
 		x.took = append(x.took, line{s, before})
 	}
--- a/internal/core/controlplane/fleet_test.go
+++ b/internal/core/controlplane/fleet_test.go
@@ -21,7 +21,7 @@
 		Reporting: balancer.Reporting{Period: 0.5}, Limits: UsualLimits}
 	s.Limits.KnowRelay = 5
 	for i := range servers {
-		s.Servers = append(s.Servers, registry.Place{Server: name(i), Zone: balancer.Zone(i % 3), Weight: 1, Standing: true})
+		s.Servers = append(s.Servers, registry.ServerConfig{Server: name(i), Zone: balancer.Zone(i % 3), Weight: 1, Static: true})
 	}
 	for i := range relays {
 		s.Relays = append(s.Relays, Relay{UID: fmt.Sprint("r", i), Zone: balancer.Zone(i % 3), Usual: 10})
@@ -109,7 +109,7 @@
 
 type failing struct{ calls int }
 
-func (k *failing) Keep([]registry.Record) error { k.calls++; return errors.New("disk full") }
+func (k *failing) Save([]registry.Record) error { k.calls++; return errors.New("disk full") }
 
 // A drain that can't be kept goes out all the same, and the failure is counted.
 func TestADrainDoesNotWaitForABrokenDisk(t *testing.T) {
@@ -125,7 +125,7 @@
 	for now := 1000.1; now < 1002; now += 0.05 {
 		step(f, now)
 	}
-	f.Roll.Quiesce(1002, name(1), true)
+	f.Roll.SetDrain(1002, name(1), true)
 	step(f, 1002.1)
 	if f.Weight(p, 0, name(1)) != 0 || f.Counts.KeepFailed < 1 || k.calls < 1 {
 		t.Errorf("weight %v, %+v", f.Weight(p, 0, name(1)), f.Counts)
@@ -135,7 +135,7 @@
 func TestOrdersAreTraced(t *testing.T) {
 	f, now := running(t, 3, 2)
 	f.Orders()
-	f.Roll.Quiesce(now, name(1), true)
+	f.Roll.SetDrain(now, name(1), true)
 	step(f, now+0.1)
 	o := f.Orders()
 	if len(o) != 2 || o[0].Lists != 1 || !o[0].Urgent || o[0].Round == 0 || o[0].Decided != now+0.1 || o[0].Held == 0 {
--- a/internal/core/controlplane/preview.go
+++ b/internal/core/controlplane/preview.go
@@ -26,7 +26,7 @@
 	s := &tablecheck.Site{Servers: map[balancer.Server]tablecheck.Server{}, ColdShare: f.site.Guarantees.WarmupStartFraction, LoseZone: loseZone}
 	for _, name := range f.Roll.Servers() {
 		rec, _ := f.Roll.Find(name)
-		v := tablecheck.Server{Zone: rec.Zone, Phase: rec.Phase, Cold: f.Roll.Cold(now, name, f.site.Guarantees.WarmupDuration)}
+		v := tablecheck.Server{Zone: rec.Zone, Phase: rec.Phase, Cold: f.Roll.WarmingUp(now, name, f.site.Guarantees.WarmupDuration)}
 		if v.Phase == balancer.Ready && slices.Contains(drain, name) {
 			v.Phase = phase
 		}
--- a/internal/core/controlplane/revise.go
+++ b/internal/core/controlplane/revise.go
@@ -46,7 +46,7 @@
 			return r
 		}
 	}
-	r.Added, r.Moved, r.Removed = differ(old.Servers, next.Servers, func(p registry.Place) balancer.Server { return p.Server })
+	r.Added, r.Moved, r.Removed = differ(old.Servers, next.Servers, func(p registry.ServerConfig) balancer.Server { return p.Server })
 	var elsewhere, gone []string
 	r.Welcomed, elsewhere, gone = differ(old.Relays, next.Relays, func(x Relay) string { return x.UID })
 	r.Sent = slices.Sorted(slices.Values(append(elsewhere, gone...)))
@@ -96,10 +96,10 @@
 		return r, fmt.Errorf("%w: %d servers are kept, %d come", registry.ErrFull, have, len(r.Added))
 	}
 	for _, s := range r.Removed {
-		f.Roll.Unplace(now, s)
+		f.Roll.Unconfigure(now, s)
 	}
 	for _, s := range next.Servers {
-		if err := f.Roll.Place(now, s); err != nil { // what must be kept of removed ones takes room
+		if err := f.Roll.Configure(now, s); err != nil { // what must be kept of removed ones takes room
 			return r, err
 		}
 	}
--- a/internal/core/controlplane/revise_test.go
+++ b/internal/core/controlplane/revise_test.go
@@ -49,7 +49,7 @@
 		if without {
 			continue
 		}
-		f.Roll.Quiesce(now, name(3), true)
+		f.Roll.SetDrain(now, name(3), true)
 		if take(name(3)); left() != 2 {
 			t.Errorf("a server that drains has its line still: %d", left())
 		}
@@ -61,7 +61,7 @@
 	next := site(4, 4)
 	next.Dataplane.Proxies = 3
 	next.Servers = slices.Delete(next.Servers, 1, 2)
-	next.Servers = append(next.Servers, registry.Place{Server: name(9), Zone: 1, Weight: 1, Standing: true})
+	next.Servers = append(next.Servers, registry.ServerConfig{Server: name(9), Zone: 1, Weight: 1, Static: true})
 	next.Servers[0].Zone = 2
 	next.Relays = slices.Delete(next.Relays, 0, 1)
 	gone := &door{f: f}
@@ -82,7 +82,7 @@
 			t.Errorf("weights %v and %v", w.Weight(name(1)), w.Weight(name(9)))
 		}
 	}
-	if _, known := f.Roll.Find(name(1)); known || !slices.Contains(f.Roll.Ever(), name(1)) {
+	if _, known := f.Roll.Find(name(1)); known || !slices.Contains(f.Roll.KnownServers(), name(1)) {
 		t.Error("a server that is not listed any more is known, or cannot be told of")
 	}
 	if !Compare(f.Site(), &next).Nothing() {
@@ -132,7 +132,7 @@
 // Figures say of each server whether it serves, and its mean weight over the tables that joined proxies use; totals grow with reports.
 func TestFigures(t *testing.T) {
 	f, now := running(t, 3, 2)
-	f.Roll.Quiesce(now, name(2), true)
+	f.Roll.SetDrain(now, name(2), true)
 	for i := range 40 {
 		now += 0.5
 		for r := range 2 {
--- a/internal/core/controlplane/site.go
+++ b/internal/core/controlplane/site.go
@@ -47,7 +47,7 @@
 	Relays     []Relay
 	Strangers  bool          // relays that are not listed may join
 	StrangerIn balancer.Zone // the zone that they are held to be in
-	Servers    []registry.Place
+	Servers    []registry.ServerConfig
 	Dataplane  balancer.DataPlane
 	Channel    balancer.Channel
 	Guarantees balancer.Guarantees
--- a/internal/core/idempotency/change.go
+++ b/internal/core/idempotency/change.go
@@ -11,21 +11,21 @@
 type Role int
 
 const (
-	Nobody Role = iota
-	Viewer      // may look
-	Staff       // may change what belongs to its tenant
-	Host        // may do all
+	RoleNone   Role = iota
+	RoleViewer      // may look
+	RoleStaff       // may change what belongs to its tenant
+	RoleHost        // may do all
 )
 
 var (
-	// ErrRole says that the caller may not do that.
-	ErrRole = errors.New("the caller may not do that")
-	// ErrStale says that what was to be changed has changed since the caller looked.
-	ErrStale = errors.New("it has changed since")
-	// ErrKey says that a key was used for another call.
-	ErrKey = errors.New("the key was used for another call")
-	// ErrBusy says that a call with this key is under way.
-	ErrBusy = errors.New("a call with this key is under way")
+	// ErrForbidden says that the caller may not do that.
+	ErrForbidden = errors.New("the caller may not do that")
+	// ErrVersionMismatch says that what was to be changed has changed since the caller looked.
+	ErrVersionMismatch = errors.New("it has changed since")
+	// ErrKeyReused says that a key was used for another call.
+	ErrKeyReused = errors.New("the key was used for another call")
+	// ErrInProgress says that a call with this key is under way.
+	ErrInProgress = errors.New("a call with this key is under way")
 )
 
 const (
@@ -34,8 +34,8 @@
 	mostAudit = 4096    // changes that can be asked for; the log has them all
 )
 
-// Answer of a call.
-type Answer struct {
+// Response of a call.
+type Response struct {
 	Status int
 	Body   []byte
 }
@@ -45,11 +45,11 @@
 	print  uint64
 	at     float64
 	done   bool
-	answer Answer
+	answer Response
 }
 
-// Entry of the audit.
-type Entry struct {
+// AuditEntry of the audit.
+type AuditEntry struct {
 	At     float64 `json:"at"` // clock time
 	Who    string  `json:"who"`
 	What   string  `json:"what"`
@@ -57,16 +57,16 @@
 	Result string  `json:"result"`
 }
 
-// Book keeps calls and changes. The zero value is an empty one.
-type Book struct {
+// Log keeps calls and changes. The zero value is an empty one.
+type Log struct {
 	calls map[string]*call
 	order []string
-	audit []Entry
+	audit []AuditEntry
 }
 
 // Begin takes a call of somebody with a key; print is a hash of what is asked. known says that it was answered before, with
 // that answer. Guards against a call whose answer was lost and that is repeated; without a key each call counts.
-func (b *Book) Begin(now float64, who, key string, print uint64) (a Answer, known bool, err error) {
+func (b *Log) Begin(now float64, who, key string, print uint64) (a Response, known bool, err error) {
 	if key == "" {
 		return a, false, nil
 	}
@@ -74,9 +74,9 @@
 	if c := b.calls[name]; c != nil && now-c.at < keptFor {
 		switch {
 		case c.print != print:
-			return a, false, ErrKey
+			return a, false, ErrKeyReused
 		case !c.done:
-			return a, false, ErrBusy
+			return a, false, ErrInProgress
 		}
 		return c.answer, true, nil
 	}
@@ -96,7 +96,7 @@
 }
 
 // End keeps a call's answer. Only what changed something is kept: whoever was refused may call again.
-func (b *Book) End(who, key string, a Answer, keep bool) {
+func (b *Log) End(who, key string, a Response, keep bool) {
 	name := who + "\x00" + key
 	c := b.calls[name]
 	if c == nil || key == "" {
@@ -112,8 +112,8 @@
 	c.done, c.answer = true, a
 }
 
-// Note a change, or one that was refused.
-func (b *Book) Note(e Entry) {
+// RecordAudit a change, or one that was refused.
+func (b *Log) RecordAudit(e AuditEntry) {
 	if len(b.audit) >= mostAudit {
 		b.audit = slices.Delete(b.audit, 0, len(b.audit)-mostAudit+1)
 	}
@@ -121,25 +121,25 @@
 }
 
 // Audit is the latest changes, newest first.
-func (b *Book) Audit(most int) []Entry {
+func (b *Log) Audit(most int) []AuditEntry {
 	all := slices.Clone(b.audit[max(0, len(b.audit)-most):])
 	slices.Reverse(all)
 	return all
 }
 
-// Match holds a caller's condition against a version; empty: none. Guards against two who change one thing at once, each by
+// CheckVersion holds a caller's condition against a version; empty: none. Guards against two who change one thing at once, each by
 // what it saw.
-func Match(condition, version string) error {
+func CheckVersion(condition, version string) error {
 	if condition == "" || condition == "*" || condition == version {
 		return nil
 	}
-	return ErrStale
+	return ErrVersionMismatch
 }
 
-// May tells whether a role is enough.
-func May(is, needs Role) error {
+// RequireRole tells whether a role is enough.
+func RequireRole(is, needs Role) error {
 	if is < needs {
-		return ErrRole
+		return ErrForbidden
 	}
 	return nil
 }
--- a/internal/core/idempotency/golden_test.go
+++ b/internal/core/idempotency/golden_test.go
@@ -7,5 +7,5 @@
 )
 
 func TestAuditEntryOnTheWire(t *testing.T) {
-	golden.JSON(t, "entry.json", Entry{At: 1000.5, Who: "anna", What: "drain", Of: "127.0.1.2:8080", Result: "agreed"})
+	golden.JSON(t, "entry.json", AuditEntry{At: 1000.5, Who: "anna", What: "drain", Of: "127.0.1.2:8080", Result: "agreed"})
 }
--- a/internal/core/longpoll/longpoll_test.go
+++ b/internal/core/longpoll/longpoll_test.go
@@ -112,7 +112,7 @@
 		x.Without[g] = true
 	}
 	for i := range 6 {
-		x.Servers = append(x.Servers, registry.Place{Server: server(i), Weight: 1, Standing: true})
+		x.Servers = append(x.Servers, registry.ServerConfig{Server: server(i), Weight: 1, Static: true})
 	}
 	return x
 }
@@ -172,7 +172,7 @@
 	}
 }
 
-func (s *shop) drain(i int, on bool) { s.fleet.Roll.Quiesce(s.now, server(i), on) }
+func (s *shop) drain(i int, on bool) { s.fleet.Roll.SetDrain(s.now, server(i), on) }
 
 // check compares what a proxy holds with the tables that the module wants.
 func (s *shop) check(uid string) string {
--- a/internal/core/membership/golden_test.go
+++ b/internal/core/membership/golden_test.go
@@ -13,42 +13,42 @@
 )
 
 func goldenRecord() registry.Record {
-	return registry.Record{Place: registry.Place{Server: "127.0.1.2:8080", Zone: 1, Kind: 2, Pod: 3, Weight: 1.5, Standing: true},
-		Phase: balancer.Draining, Started: 1000.25, Told: 2000.5, Drained: true}
+	return registry.Record{ServerConfig: registry.ServerConfig{Server: "127.0.1.2:8080", Zone: 1, Kind: 2, FailureDomain: 3, Weight: 1.5, Static: true},
+		Phase: balancer.Draining, Started: 1000.25, NotifiedAt: 2000.5, DrainOrdered: true}
 }
 
-func goldenNeeds() tenancy.Needs {
-	return tenancy.Needs{Memory: 1 << 20, Lines: 250.5, Connections: 40, Work: 0.125}
+func goldenNeeds() tenancy.Requirements {
+	return tenancy.Requirements{Memory: 1 << 20, Lines: 250.5, Connections: 40, Work: 0.125}
 }
 
 func goldenState() State {
-	view := View{Epoch: 4, Weights: map[Peer]float64{"c1": 1, "c2": 0.5}, Claims: map[string]Held{"relay-8": {Peer: "c1", Since: 3}}}
+	view := View{Epoch: 4, Weights: map[Peer]float64{"c1": 1, "c2": 0.5}, Claims: map[string]Ownership{"relay-8": {Peer: "c1", Since: 3}}}
 	return State{
 		Epoch: 5,
-		Members: map[Peer]Member{"c1": {Weight: 1, Renewal: 20, Life: 77, Alive: true, Seen: 5, Knows: 9},
-			"c2": {Weight: 0.5, Renewal: 30, Life: 78, Alive: true, Seen: 4, Knows: 8}},
-		Records: map[balancer.Server]registry.Record{"127.0.1.2:8080": goldenRecord()},
-		Drains:  map[balancer.Server]float64{"127.0.1.2:8080": 2000.5},
-		Past:    []View{view},
-		Orders:  9,
-		Seats: map[Number]Seat{1: {Peer: "c1", Address: netip.MustParseAddrPort("127.0.0.1:7001"), Gone: true},
-			2: {Peer: "c2", Address: netip.MustParseAddrPort("127.0.0.2:7002"), Gone: true}},
-		Claims: map[string]Held{"relay-9": {Peer: "c2", Since: 5}},
-		Done:   []uint64{101, 102},
-		Directory: tenancy.Directory{Version: 2, Given: 1,
+		Members: map[Peer]Member{"c1": {Weight: 1, Renewal: 20, Incarnation: 77, Alive: true, SeenEpoch: 5, AppliedOrders: 9},
+			"c2": {Weight: 0.5, Renewal: 30, Incarnation: 78, Alive: true, SeenEpoch: 4, AppliedOrders: 8}},
+		Records:    map[balancer.Server]registry.Record{"127.0.1.2:8080": goldenRecord()},
+		Drains:     map[balancer.Server]float64{"127.0.1.2:8080": 2000.5},
+		PastViews:  []View{view},
+		OrderCount: 9,
+		Registrations: map[MemberID]Registration{1: {Peer: "c1", Address: netip.MustParseAddrPort("127.0.0.1:7001"), Removed: true},
+			2: {Peer: "c2", Address: netip.MustParseAddrPort("127.0.0.2:7002"), Removed: true}},
+		Claims:         map[string]Ownership{"relay-9": {Peer: "c2", Since: 5}},
+		RecentOrderIDs: []uint64{101, 102},
+		Directory: tenancy.Directory{Version: 2, LastIncarnation: 1,
 			Tenants: map[tenancy.Name]*tenancy.Tenant{"one": {Name: "one", Incarnation: 1, Version: 2, Settings: []byte("<coordinator/>"), Weight: 2,
-				Needs: goldenNeeds(), Made: 1000, Changed: 1500.5}},
-			Resting: map[tenancy.Name]float64{"three": 1550.25},
-			Done:    []tenancy.Outcome{{ID: 11, Print: 12, Code: 3, Detail: "stale", Version: 2, Incarnation: 1}}},
+				Requirements: goldenNeeds(), CreatedAt: 1000, ChangedAt: 1500.5}},
+			Quarantined: map[tenancy.Name]float64{"three": 1550.25},
+			Outcomes:    []tenancy.Outcome{{ID: 11, Fingerprint: 12, Code: 3, Detail: "stale", Version: 2, Incarnation: 1}}},
 	}
 }
 
 func TestStoredCommand(t *testing.T) {
-	command := Command{Kind: Tenants, Peer: "c1", Weight: 1.5, Renewal: 20, Life: 77, Seen: 5, Records: []registry.Record{goldenRecord()},
-		Server: "127.0.1.2:8080", On: true, ID: 101, Told: 2000.5, Knows: 9, UIDs: []string{"relay-9"}, Number: 2,
+	command := Command{Kind: ChangeTenant, Peer: "c1", Weight: 1.5, Renewal: 20, Incarnation: 77, SeenEpoch: 5, Records: []registry.Record{goldenRecord()},
+		Server: "127.0.1.2:8080", Draining: true, ID: 101, OrderedAt: 2000.5, AppliedOrders: 9, UIDs: []string{"relay-9"}, MemberID: 2,
 		Address: netip.MustParseAddrPort("127.0.0.2:7002"),
-		Tenant: &tenancy.Command{Kind: tenancy.Change, Name: "one", If: 4, Settings: []byte("<coordinator/>"), Weight: 2, Needs: goldenNeeds(),
-			At: 1500.5, ID: 13, Print: 14}}
+		Tenant: &tenancy.Command{Kind: tenancy.Change, Name: "one", IfVersion: 4, Settings: []byte("<coordinator/>"), Weight: 2, Requirements: goldenNeeds(),
+			Time: 1500.5, ID: 13, Fingerprint: 14}}
 	golden.JSON(t, "command.json", command)
 	b, err := command.Encode()
 	if err != nil {
@@ -63,8 +63,8 @@
 
 // Commands are stored by these numbers.
 func TestStoredKinds(t *testing.T) {
-	for i, kind := range []Kind{Renew, Expire, Retire, Keep, Drain, Sit, Unseat, Claim, Tenants} {
-		if kind != Kind(i+1) {
+	for i, kind := range []CommandKind{RenewLease, ExpireLease, ReleaseLease, StoreRecords, DrainServer, RegisterMember, RemoveRegistration, ClaimProxies, ChangeTenant} {
+		if kind != CommandKind(i+1) {
 			t.Errorf("kind %d has the number %d", i+1, kind)
 		}
 	}
--- a/internal/core/membership/pledge.go
+++ b/internal/core/membership/pledge.go
@@ -24,42 +24,44 @@
 	order   uint64  // its number among the agreed ones; 0: not yet
 }
 
-// Pledges are orders that were told here and not answered yet: drains, their ends, changes of tenants. One is kept when it was agreed on and every living
+// PendingOrders are orders that were told here and not answered yet: drains, their ends, changes of tenants. One is kept when it was agreed on and every living
 // coordinator has renewed since it applied it: from then on no order that any of them gives ignores it, and it outlives
 // any minority. Guards against a drain that is confirmed and then forgotten by a takeover, or unknown to a coordinator that
 // is cut off but still holds its lease; the cost is that an answer takes some round trips, and after a death a lease.
-type Pledges struct {
+type PendingOrders struct {
 	list []*pledge
 	next Ticket
 	life uint64
 	wait float64
 }
 
-// NewPledges makes an empty list for a process of its own number. wait is how long an order may take to be kept, in seconds; then it is refused. It must be
+// NewPendingOrders makes an empty list for a process of its own number. wait is how long an order may take to be kept, in seconds; then it is refused. It must be
 // longer than it takes to hold a dead coordinator for dead.
-func NewPledges(life uint64, wait float64) *Pledges { return &Pledges{life: life, wait: wait} }
+func NewPendingOrders(life uint64, wait float64) *PendingOrders {
+	return &PendingOrders{life: life, wait: wait}
+}
 
-// Tell takes an order, a command of kind Drain or Tenants. ok is false where too many wait.
-func (p *Pledges) Tell(now float64, c Command) (Ticket, bool) {
+// Submit takes an order, a command of kind Drain or Tenants. ok is false where too many wait.
+func (p *PendingOrders) Submit(now float64, c Command) (Ticket, bool) {
 	if len(p.list) >= mostPledges {
 		return 0, false
 	}
 	p.next++
-	c.ID, c.Told = p.id(p.next), now
+	c.ID, c.OrderedAt = p.id(p.next), now
 	p.list = append(p.list, &pledge{ticket: p.next, command: c, since: now, last: now - pledgeAgain})
 	return p.next, true
 }
 
 // id is an order's own among all that any coordinator is ever told.
-func (p *Pledges) id(t Ticket) uint64 {
+func (p *PendingOrders) id(t Ticket) uint64 {
 	var b [16]byte
 	binary.BigEndian.PutUint64(b[:], p.life)
 	binary.BigEndian.PutUint64(b[8:], uint64(t))
 	return xxhash.Sum64(b[:])
 }
 
-// Due are the commands to be proposed now.
-func (p *Pledges) Due(now float64) (due []Command) {
+// DueCommands are the commands to be proposed now.
+func (p *PendingOrders) DueCommands(now float64) (due []Command) {
 	for _, x := range p.list {
 		if x.order == 0 && now-x.last >= pledgeAgain {
 			x.last = now
@@ -69,19 +71,19 @@
 	return due
 }
 
-// Applied tells of an order that was agreed on, after the state has taken it. It returns the ticket if it was told here.
-func (p *Pledges) Applied(c Command, s *State) (told Ticket) {
+// ObserveCommand tells of an order that was agreed on, after the state has taken it. It returns the ticket if it was told here.
+func (p *PendingOrders) ObserveCommand(c Command, s *State) (told Ticket) {
 	for _, x := range p.list {
 		if x.order == 0 && x.command.ID == c.ID {
-			x.order, told = s.Orders, x.ticket
+			x.order, told = s.OrderCount, x.ticket
 		}
 	}
 	return told
 }
 
-// Settled takes those that have come to an end off the list: kept, or refused since they took too long. A refused one may
+// TakeCompleted takes those that have come to an end off the list: kept, or refused since they took too long. A refused one may
 // still come true; who told it tells it again, which does no harm.
-func (p *Pledges) Settled(now float64, self Peer, s *State) (kept, refused []Ticket) {
+func (p *PendingOrders) TakeCompleted(now float64, self Peer, s *State) (kept, refused []Ticket) {
 	known := s.knownByAll(self)
 	p.list = slices.DeleteFunc(p.list, func(x *pledge) bool {
 		switch {
@@ -99,10 +101,10 @@
 
 // knownByAll is the newest order that every living coordinator is known to have applied; we ourselves have all.
 func (s *State) knownByAll(self Peer) uint64 {
-	known := s.Orders
+	known := s.OrderCount
 	for p, m := range s.Members {
 		if m.Alive && p != self {
-			known = min(known, m.Knows)
+			known = min(known, m.AppliedOrders)
 		}
 	}
 	return known
--- a/internal/core/membership/seats.go
+++ b/internal/core/membership/seats.go
@@ -7,32 +7,32 @@
 	"slices"
 )
 
-// Number of a coordinator in the group's consensus. A number whose seat was taken away never comes back.
-type Number uint64
+// MemberID of a coordinator in the group's consensus. A number whose seat was taken away never comes back.
+type MemberID uint64
 
-// Seat is a coordinator's place in the group.
-type Seat struct {
+// Registration is a coordinator's place in the group.
+type Registration struct {
 	Peer    Peer           `json:"peer"`
 	Address netip.AddrPort `json:"address"` // that the others dial
-	Gone    bool           `json:"gone,omitempty"`
+	Removed bool           `json:"gone,omitempty"`
 }
 
-// Config is who takes part in consensus, as its leader knows it.
-type Config struct {
-	Voters, Learners []Number
-	Match            map[Number]uint64 // newest entry that each is known to have
+// ConsensusConfig is who takes part in consensus, as its leader knows it.
+type ConsensusConfig struct {
+	Voters, Learners []MemberID
+	Match            map[MemberID]uint64 // newest entry that each is known to have
 	Commit           uint64
-	Changing         bool // a change is under way
+	ChangePending    bool // a change is under way
 }
 
-// Change is what the leader is to do next about who takes part.
-type Change int
+// ConfChange is what the leader is to do next about who takes part.
+type ConfChange int
 
 const (
-	NoChange Change = iota
-	Learn           // take a newcomer in without a vote
-	Promote         // give it a vote: it has caught up
-	Remove
+	NoChange       ConfChange = iota
+	AddLearner                // take a newcomer in without a vote
+	PromoteLearner            // give it a vote: it has caught up
+	RemoveMember
 )
 
 const (
@@ -42,53 +42,53 @@
 )
 
 func (s *State) seat(c Command) error {
-	old, known := s.Seats[c.Number]
+	old, known := s.Registrations[c.MemberID]
 	switch {
-	case c.Number == 0 || c.Peer == "" || !c.Address.IsValid():
-		return fmt.Errorf("%w: %+v", ErrCommand, c)
-	case known && (old.Gone || old.Peer != c.Peer):
-		return fmt.Errorf("%w: number %d was %s's; a newcomer needs a new one", ErrCommand, c.Number, old.Peer)
-	case !known && len(s.Seats) >= mostSeats:
-		return fmt.Errorf("%w: %d seats were given", ErrCommand, mostSeats)
+	case c.MemberID == 0 || c.Peer == "" || !c.Address.IsValid():
+		return fmt.Errorf("%w: %+v", ErrInvalidCommand, c)
+	case known && (old.Removed || old.Peer != c.Peer):
+		return fmt.Errorf("%w: number %d was %s's; a newcomer needs a new one", ErrInvalidCommand, c.MemberID, old.Peer)
+	case !known && len(s.Registrations) >= mostSeats:
+		return fmt.Errorf("%w: %d seats were given", ErrInvalidCommand, mostSeats)
 	}
-	for n, o := range s.Seats {
-		if n != c.Number && o.Peer == c.Peer && !o.Gone {
-			return fmt.Errorf("%w: %s has number %d", ErrCommand, c.Peer, n)
+	for n, o := range s.Registrations {
+		if n != c.MemberID && o.Peer == c.Peer && !o.Removed {
+			return fmt.Errorf("%w: %s has number %d", ErrInvalidCommand, c.Peer, n)
 		}
 	}
-	if s.Seats == nil {
-		s.Seats = map[Number]Seat{}
+	if s.Registrations == nil {
+		s.Registrations = map[MemberID]Registration{}
 	}
-	s.Seats[c.Number] = Seat{Peer: c.Peer, Address: c.Address}
+	s.Registrations[c.MemberID] = Registration{Peer: c.Peer, Address: c.Address}
 	return nil
 }
 
 // unseat takes a coordinator out for good. One that still lives stops when it hears of it, or when its lease ends: it can't
 // be renewed any more, so the others take its proxies over as from one that died.
-func (s *State) unseat(n Number) error {
-	old, known := s.Seats[n]
+func (s *State) unseat(n MemberID) error {
+	old, known := s.Registrations[n]
 	left := 0
-	for _, o := range s.Seats {
-		if !o.Gone {
+	for _, o := range s.Registrations {
+		if !o.Removed {
 			left++
 		}
 	}
-	if !known || old.Gone {
-		return fmt.Errorf("%w: nobody has number %d", ErrCommand, n)
+	if !known || old.Removed {
+		return fmt.Errorf("%w: nobody has number %d", ErrInvalidCommand, n)
 	}
 	if left <= 1 {
-		return fmt.Errorf("%w: number %d is the last one", ErrCommand, n)
+		return fmt.Errorf("%w: number %d is the last one", ErrInvalidCommand, n)
 	}
-	old.Gone = true
-	s.Seats[n] = old
+	old.Removed = true
+	s.Registrations[n] = old
 	return nil
 }
 
 // seated tells whether a peer may renew: it may not once its seat was taken away.
 func (s *State) seated(p Peer) bool {
 	gone := false
-	for _, o := range s.Seats {
-		if o.Peer == p && !o.Gone {
+	for _, o := range s.Registrations {
+		if o.Peer == p && !o.Removed {
 			return true
 		}
 		gone = gone || o.Peer == p
@@ -96,75 +96,75 @@
 	return !gone
 }
 
-// NextChange is what the leader of consensus is to do about who takes part. It follows from the state and the
+// NextConfChange is what the leader of consensus is to do about who takes part. It follows from the state and the
 // configuration alone, so that a new leader goes on where a former one stopped. A newcomer learns before it votes: with a
 // vote and an empty log it would have to be waited for by every agreement.
-func (s *State) NextChange(c Config) (Number, Change) {
-	if c.Changing {
+func (s *State) NextConfChange(c ConsensusConfig) (MemberID, ConfChange) {
+	if c.ChangePending {
 		return 0, NoChange
 	}
-	numbers := make([]Number, 0, len(s.Seats))
-	for n := range s.Seats {
+	numbers := make([]MemberID, 0, len(s.Registrations))
+	for n := range s.Registrations {
 		numbers = append(numbers, n)
 	}
 	slices.Sort(numbers)
 	for _, n := range numbers { // those who go first: a majority of fewer is easier to reach
-		if s.Seats[n].Gone && (slices.Contains(c.Voters, n) || slices.Contains(c.Learners, n)) {
-			return n, Remove
+		if s.Registrations[n].Removed && (slices.Contains(c.Voters, n) || slices.Contains(c.Learners, n)) {
+			return n, RemoveMember
 		}
 	}
 	for _, n := range numbers {
 		switch {
-		case s.Seats[n].Gone || slices.Contains(c.Voters, n):
+		case s.Registrations[n].Removed || slices.Contains(c.Voters, n):
 		case slices.Contains(c.Learners, n):
 			if c.Match[n]+learnerLags >= c.Commit && c.Match[n] > 0 && len(c.Voters) < mostVoters {
-				return n, Promote
+				return n, PromoteLearner
 			}
 		default:
-			return n, Learn
+			return n, AddLearner
 		}
 	}
 	return 0, NoChange
 }
 
 var (
-	// ErrEmptied says that a coordinator speaks under a number whose folder was another one.
-	ErrEmptied = errors.New("its folder is not the one that it had under this number: it needs a new number")
-	// ErrOlder says that a coordinator's folder is older than it was.
-	ErrOlder = errors.New("its folder is older than it was: it needs a new number")
+	// ErrDataDirReplaced says that a coordinator speaks under a number whose folder was another one.
+	ErrDataDirReplaced = errors.New("its folder is not the one that it had under this number: it needs a new number")
+	// ErrDataDirOutdated says that a coordinator's folder is older than it was.
+	ErrDataDirOutdated = errors.New("its folder is older than it was: it needs a new number")
 )
 
 const mostFolders = mostSeats // that are remembered; a number beyond is refused
 
-// Folders knows by which folder each number speaks, and how far it had got. A folder that was emptied, or put back from a
+// DataDirs knows by which folder each number speaks, and how far it had got. A folder that was emptied, or put back from a
 // copy, has forgotten whom it has voted for and what it has confirmed: with its vote, what was agreed on could be lost.
 // Guards against that; it does harm where somebody moves a number to a new folder on purpose, who is told to take a new
 // number.
-type Folders struct {
-	marks   map[Number]uint64
-	commits map[Number]uint64
+type DataDirs struct {
+	marks   map[MemberID]uint64
+	commits map[MemberID]uint64
 }
 
-// NewFolders goes on with the marks that were kept.
-func NewFolders(kept map[Number]uint64) *Folders {
-	f := &Folders{marks: map[Number]uint64{}, commits: map[Number]uint64{}}
+// NewDataDirs goes on with the marks that were kept.
+func NewDataDirs(kept map[MemberID]uint64) *DataDirs {
+	f := &DataDirs{marks: map[MemberID]uint64{}, commits: map[MemberID]uint64{}}
 	for n, m := range kept {
 		f.marks[n] = m
 	}
 	return f
 }
 
-// Admit tells whether a number may speak by a folder's mark, with its newest durable agreement. first says that the mark
+// Verify tells whether a number may speak by a folder's mark, with its newest durable agreement. first says that the mark
 // is new, and to be kept before anything follows from it.
-func (f *Folders) Admit(n Number, mark, commit uint64) (first bool, err error) {
+func (f *DataDirs) Verify(n MemberID, mark, commit uint64) (first bool, err error) {
 	known, ok := f.marks[n]
 	switch {
 	case ok && known != mark:
-		return false, fmt.Errorf("number %d: %w", n, ErrEmptied)
+		return false, fmt.Errorf("number %d: %w", n, ErrDataDirReplaced)
 	case commit < f.commits[n]:
-		return false, fmt.Errorf("number %d: %w", n, ErrOlder)
+		return false, fmt.Errorf("number %d: %w", n, ErrDataDirOutdated)
 	case !ok && len(f.marks) >= mostFolders:
-		return false, fmt.Errorf("%w: over %d numbers", ErrCommand, mostFolders)
+		return false, fmt.Errorf("%w: over %d numbers", ErrInvalidCommand, mostFolders)
 	}
 	f.marks[n], f.commits[n] = mark, commit
 	return !ok, nil
--- a/internal/core/membership/seek.go
+++ b/internal/core/membership/seek.go
@@ -19,16 +19,16 @@
 	times       int
 }
 
-// Seekers are proxies that ask us although another one leads them. One that goes on asking does not reach its own
+// MisroutedProxies are proxies that ask us although another one leads them. One that goes on asking does not reach its own
 // coordinator, which reaches the group and so goes on holding it: then we claim it. Guards against a coordinator that is
 // cut off from proxies but not from the others; it does harm where a proxy dials us for fun, which then moves to us.
-type Seekers struct{ by map[string]*seeker }
+type MisroutedProxies struct{ by map[string]*seeker }
 
-// NewSeekers makes an empty list.
-func NewSeekers() *Seekers { return &Seekers{by: map[string]*seeker{}} }
+// NewMisroutedProxies makes an empty list.
+func NewMisroutedProxies() *MisroutedProxies { return &MisroutedProxies{by: map[string]*seeker{}} }
 
-// Asked notes that a proxy asked us and was sent away.
-func (k *Seekers) Asked(now float64, uid string) {
+// Observe notes that a proxy asked us and was sent away.
+func (k *MisroutedProxies) Observe(now float64, uid string) {
 	x := k.by[uid]
 	switch {
 	case x == nil && len(k.by) >= mostSeekers:
@@ -41,15 +41,15 @@
 	x.times++
 }
 
-// Due are the commands that claim those who have asked for long enough; s is what is agreed on, self who we are.
-func (k *Seekers) Due(now float64, self Peer, s *State) []Command {
+// DueClaims are the commands that claim those who have asked for long enough; s is what is agreed on, self who we are.
+func (k *MisroutedProxies) DueClaims(now float64, self Peer, s *State) []Command {
 	var uids []string
 	for uid, x := range k.by {
 		if now-x.last > seekGap {
 			delete(k.by, uid)
 			continue
 		}
-		if holder, ok := s.Holder(uid); x.times >= seekTimes && x.last-x.first >= seekFor && ok && holder != self {
+		if holder, ok := s.Owner(uid); x.times >= seekTimes && x.last-x.first >= seekFor && ok && holder != self {
 			uids = append(uids, uid)
 			delete(k.by, uid) // it has to ask for as long again if the claim comes to nothing
 		}
@@ -58,25 +58,25 @@
 		return nil
 	}
 	slices.Sort(uids)
-	return []Command{{Kind: Claim, Peer: self, Seen: s.Epoch, UIDs: uids}}
+	return []Command{{Kind: ClaimProxies, Peer: self, SeenEpoch: s.Epoch, UIDs: uids}}
 }
 
 // claim moves proxies to a living peer that they have asked. One that was decided before somebody else's claim was known
 // is ignored.
 func (s *State) claim(c Command) (moved bool, err error) {
-	if !s.Members[c.Peer].Alive || c.Seen > s.Epoch {
-		return false, fmt.Errorf("%w: %s claims, and holds no part", ErrCommand, c.Peer)
+	if !s.Members[c.Peer].Alive || c.SeenEpoch > s.Epoch {
+		return false, fmt.Errorf("%w: %s claims, and holds no part", ErrInvalidCommand, c.Peer)
 	}
 	claims := maps.Clone(s.Claims)
 	if claims == nil {
-		claims = map[string]Held{}
+		claims = map[string]Ownership{}
 	}
 	for _, uid := range c.UIDs {
 		old, ok := claims[uid]
-		if ok && old.Since > c.Seen || uid == "" || !ok && len(claims) >= mostClaims {
+		if ok && old.Since > c.SeenEpoch || uid == "" || !ok && len(claims) >= mostClaims {
 			continue
 		}
-		claims[uid] = Held{Peer: c.Peer, Since: s.Epoch + 1}
+		claims[uid] = Ownership{Peer: c.Peer, Since: s.Epoch + 1}
 		moved = true
 	}
 	if moved {
@@ -85,8 +85,8 @@
 	return moved, nil
 }
 
-// Held says who has claimed a proxy, in which epoch.
-type Held struct {
+// Ownership says who has claimed a proxy, in which epoch.
+type Ownership struct {
 	Peer  Peer  `json:"peer"`
 	Since Epoch `json:"since"`
 }
@@ -94,14 +94,14 @@
 // release lets go of what a peer had claimed: it is not there any more.
 func (s *State) release(p Peer) {
 	left := maps.Clone(s.Claims)
-	maps.DeleteFunc(left, func(_ string, h Held) bool { return h.Peer == p })
+	maps.DeleteFunc(left, func(_ string, h Ownership) bool { return h.Peer == p })
 	if len(left) != len(s.Claims) {
 		s.Claims = left
 	}
 }
 
 // holder of a proxy by a view: who has claimed it, or else by hashing.
-func holder(weights map[Peer]float64, claims map[string]Held, uid string) (Peer, bool) {
+func holder(weights map[Peer]float64, claims map[string]Ownership, uid string) (Peer, bool) {
 	if h, ok := claims[uid]; ok {
 		if _, lives := weights[h.Peer]; lives {
 			return h.Peer, true
--- a/internal/core/registry/roll.go
+++ b/internal/core/registry/roll.go
@@ -29,23 +29,23 @@
 // ErrFull says that no further server is taken.
 var ErrFull = errors.New("the roll is full")
 
-// Place is what the settings say of a server.
-type Place struct {
-	Server   balancer.Server        `json:"Server"`
-	Zone     balancer.Zone          `json:"Zone"`
-	Kind     balancer.Kind          `json:"Kind"`
-	Pod      balancer.FailureDomain `json:"Pod"`
-	Weight   float64                `json:"Weight"`
-	Standing bool                   `json:"Standing"` // in service without registering
+// ServerConfig is what the settings say of a server.
+type ServerConfig struct {
+	Server        balancer.Server        `json:"Server"`
+	Zone          balancer.Zone          `json:"Zone"`
+	Kind          balancer.Kind          `json:"Kind"`
+	FailureDomain balancer.FailureDomain `json:"Pod"`
+	Weight        float64                `json:"Weight"`
+	Static        bool                   `json:"Standing"` // in service without registering
 }
 
 // Record is what has to outlive the coordinator of one server.
 type Record struct {
-	Place
-	Phase   balancer.Phase `json:"Phase"`
-	Started float64        `json:"Started"` // clock time; 0: long ago
-	Told    float64        `json:"Told"`    // when it was heard that it drains or is gone; 0: it serves
-	Drained bool           `json:"Drained"` // somebody ordered the drain; a registration does not undo it
+	ServerConfig
+	Phase        balancer.Phase `json:"Phase"`
+	Started      float64        `json:"Started"` // clock time; 0: long ago
+	NotifiedAt   float64        `json:"Told"`    // when it was heard that it drains or is gone; 0: it serves
+	DrainOrdered bool           `json:"Drained"` // somebody ordered the drain; a registration does not undo it
 }
 
 type member struct {
@@ -61,8 +61,8 @@
 	removed    bool    // nobody lists it any more, and it has not registered since
 }
 
-// Roll is the list. Use New.
-type Roll struct {
+// Registry is the list. Use New.
+type Registry struct {
 	members map[balancer.Server]*member
 	changed []*member // since the last Changes
 	hold    float64
@@ -75,13 +75,13 @@
 
 // New makes an empty roll. hold is how long, in seconds, a server stays when the connection that registered it breaks;
 // most bounds the servers. ageless leaves out the guard of cold servers, for tests of the guard.
-func New(hold float64, most int, ageless bool) *Roll {
-	return &Roll{members: map[balancer.Server]*member{}, hold: hold, most: most, ageless: ageless, whole: true}
+func New(hold float64, most int, ageless bool) *Registry {
+	return &Registry{members: map[balancer.Server]*member{}, hold: hold, most: most, ageless: ageless, whole: true}
 }
 
-func (r *Roll) get(s balancer.Server) *member { return r.members[s] }
+func (r *Registry) get(s balancer.Server) *member { return r.members[s] }
 
-func (r *Roll) add(now float64, s balancer.Server) (*member, error) {
+func (r *Registry) add(now float64, s balancer.Server) (*member, error) {
 	if m := r.members[s]; m != nil {
 		return m, nil
 	}
@@ -91,22 +91,22 @@
 	if len(r.members) >= r.most {
 		return nil, fmt.Errorf("%w: %d servers", ErrFull, r.most)
 	}
-	m := &member{Record: Record{Place: Place{Server: s, Weight: 1}, Phase: balancer.Removed}}
+	m := &member{Record: Record{ServerConfig: ServerConfig{Server: s, Weight: 1}, Phase: balancer.Removed}}
 	r.members[s] = m
 	return m, nil
 }
 
 // forget makes room: servers that are gone for long and that no settings list.
-func (r *Roll) forget(now float64) {
+func (r *Registry) forget(now float64) {
 	for s, m := range r.members {
-		if !m.listed && m.Phase == balancer.Removed && now-m.Told > forgetsAfter {
+		if !m.listed && m.Phase == balancer.Removed && now-m.NotifiedAt > forgetsAfter {
 			delete(r.members, s)
 			r.changed = slices.DeleteFunc(r.changed, func(o *member) bool { return o == m })
 		}
 	}
 }
 
-func (r *Roll) touch(m *member) {
+func (r *Registry) touch(m *member) {
 	r.unkept = true
 	if !m.touched {
 		m.touched, r.changed = true, append(r.changed, m)
@@ -116,16 +116,16 @@
 	}
 }
 
-func (m *member) present() bool { return m.registered || m.Standing || m.restored || m.vouched > 0 }
+func (m *member) present() bool { return m.registered || m.Static || m.restored || m.vouched > 0 }
 
 // settle works out a member's phase after a fact. A drain outlives a broken connection: whoever comes again may be the
 // same process, behind a cut that has healed.
-func (r *Roll) settle(now float64, m *member) {
+func (r *Registry) settle(now float64, m *member) {
 	phase := balancer.Ready
 	switch {
 	case !m.present():
 		phase = balancer.Removed
-	case m.Drained:
+	case m.DrainOrdered:
 		phase = balancer.Draining
 	}
 	if phase == m.Phase {
@@ -133,16 +133,16 @@
 	}
 	r.version++
 	if m.Phase = phase; phase == balancer.Ready {
-		m.Told = 0
-	} else if m.Told == 0 {
-		m.Told = now
+		m.NotifiedAt = 0
+	} else if m.NotifiedAt == 0 {
+		m.NotifiedAt = now
 	}
 	r.touch(m)
 }
 
 // Restore takes the records of a former life, before any other fact. Servers in service are held to run until the
 // hold is over; drains go on from when they were told.
-func (r *Roll) Restore(now float64, records []Record) error {
+func (r *Registry) Restore(now float64, records []Record) error {
 	for _, rec := range records {
 		m, err := r.add(now, rec.Server)
 		if err != nil {
@@ -157,29 +157,29 @@
 	return nil
 }
 
-// Place takes what the settings list. A server whose place changed is told anew.
-func (r *Roll) Place(now float64, p Place) error {
+// Configure takes what the settings list. A server whose place changed is told anew.
+func (r *Registry) Configure(now float64, p ServerConfig) error {
 	m, err := r.add(now, p.Server)
 	if err != nil {
 		return err
 	}
 	m.removed = false
-	if m.listed = true; m.Place != p {
-		m.Place = p
+	if m.listed = true; m.ServerConfig != p {
+		m.ServerConfig = p
 		r.touch(m)
 	}
 	r.settle(now, m)
 	return nil
 }
 
-// Unplace says that the settings do not list s any more: it is gone, whatever connection it has. It may come back by registering,
+// Unconfigure says that the settings do not list s any more: it is gone, whatever connection it has. It may come back by registering,
 // where the settings let servers do so that they do not list.
-func (r *Roll) Unplace(now float64, s balancer.Server) {
+func (r *Registry) Unconfigure(now float64, s balancer.Server) {
 	m := r.get(s)
 	if m == nil {
 		return
 	}
-	m.listed, m.Standing, m.Drained, m.removed = false, false, false, true
+	m.listed, m.Static, m.DrainOrdered, m.removed = false, false, false, true
 	m.registered, m.restored, m.vouched, m.lostAt = false, false, 0, 0
 	r.touch(m)
 	r.settle(now, m)
@@ -189,7 +189,7 @@
 // taken for servers that the settings do not list. A process that was gone, or whose connection broke, has started anew
 // as far as anybody can tell, and is cold from now on; its uptime may correct that. Guards against a cold server that
 // is taken for a warm one; it does harm where connections break without a restart and no uptime is reported.
-func (r *Roll) Register(now float64, s balancer.Server, zone balancer.Zone) error {
+func (r *Registry) Register(now float64, s balancer.Server, zone balancer.Zone) error {
 	m, err := r.add(now, s)
 	if err != nil {
 		return err
@@ -208,9 +208,9 @@
 	return nil
 }
 
-// Vouch says that one balancer more (n = 1) or less (n = -1) has s among its members, where the site believes them.
+// AdjustVouchers says that one balancer more (n = 1) or less (n = -1) has s among its members, where the site believes them.
 // A server that nobody knew starts now, as with Register.
-func (r *Roll) Vouch(now float64, s balancer.Server, zone balancer.Zone, n int) error {
+func (r *Registry) AdjustVouchers(now float64, s balancer.Server, zone balancer.Zone, n int) error {
 	m, err := r.add(now, s)
 	if err != nil {
 		return err
@@ -229,10 +229,10 @@
 }
 
 // Deregister says that the process at s is going away for good; a drain of it ends with it.
-func (r *Roll) Deregister(now float64, s balancer.Server) {
+func (r *Registry) Deregister(now float64, s balancer.Server) {
 	if m := r.get(s); m != nil {
-		if m.Drained {
-			m.Drained = false
+		if m.DrainOrdered {
+			m.DrainOrdered = false
 			r.touch(m)
 		}
 		m.registered, m.restored, m.lostAt = false, false, 0
@@ -240,32 +240,32 @@
 	}
 }
 
-// Quiesce orders a drain of s, or ends it. It reports whether s is known and present, or else whether a drain of it was
+// SetDrain orders a drain of s, or ends it. It reports whether s is known and present, or else whether a drain of it was
 // ended.
-func (r *Roll) Quiesce(now float64, s balancer.Server, on bool) bool {
+func (r *Registry) SetDrain(now float64, s balancer.Server, on bool) bool {
 	m := r.get(s)
-	if m == nil || m.Phase == balancer.Removed && !m.Drained {
+	if m == nil || m.Phase == balancer.Removed && !m.DrainOrdered {
 		return false
 	}
-	if m.Drained != on {
-		m.Drained = on
+	if m.DrainOrdered != on {
+		m.DrainOrdered = on
 		r.touch(m)
 	}
 	r.settle(now, m)
 	return true
 }
 
-// Lost says that the connection which registered s broke. It stays for the hold.
-func (r *Roll) Lost(now float64, s balancer.Server) {
+// ConnectionLost says that the connection which registered s broke. It stays for the hold.
+func (r *Registry) ConnectionLost(now float64, s balancer.Server) {
 	if m := r.get(s); m != nil && m.registered && m.lostAt == 0 {
 		m.lostAt = now
 	}
 }
 
-// Uptime takes seconds since the start of the process at s, from a measurement. It moves the start of a registered
+// ObserveUptime takes seconds since the start of the process at s, from a measurement. It moves the start of a registered
 // server only: a report alone brings nobody into service. A report that falls is of a new process; one that says the
 // process is older than was thought warms it. Frozen or garbled ones change nothing.
-func (r *Roll) Uptime(now float64, s balancer.Server, up float64) {
+func (r *Registry) ObserveUptime(now float64, s balancer.Server, up float64) {
 	m := r.get(s)
 	if m == nil || !m.registered && m.vouched == 0 || r.ageless || !(up >= 0) || up > longestRun || up == m.uptime {
 		return
@@ -277,18 +277,18 @@
 	}
 }
 
-// Younger says that another coordinator has heard that s started later than we think. Guards against a cold server that is
+// ObserveLaterStart says that another coordinator has heard that s started later than we think. Guards against a cold server that is
 // taken for a warm one by a coordinator that it has not dialled again yet; it does harm where clocks of coordinators are
 // apart by more than the slack, until the server's next report of its uptime.
-func (r *Roll) Younger(s balancer.Server, started float64) {
+func (r *Registry) ObserveLaterStart(s balancer.Server, started float64) {
 	if m := r.get(s); m != nil && m.present() && !r.ageless && started > m.Started+youngMeans {
 		m.Started = started
 		r.touch(m)
 	}
 }
 
-// Tick ends the hold of servers whose connection broke.
-func (r *Roll) Tick(now float64) {
+// ExpireHolds ends the hold of servers whose connection broke.
+func (r *Registry) ExpireHolds(now float64) {
 	for _, m := range r.members {
 		if m.lostAt > 0 && now-m.lostAt >= r.hold {
 			m.registered, m.restored, m.lostAt = false, false, 0
@@ -297,8 +297,8 @@
 	}
 }
 
-// Changes is what the module has not been told yet, by address, and whether it is the whole list.
-func (r *Roll) Changes() (entries []balancer.Endpoint, whole bool) {
+// TakeChanges is what the module has not been told yet, by address, and whether it is the whole list.
+func (r *Registry) TakeChanges() (entries []balancer.Endpoint, whole bool) {
 	whole, r.whole = r.whole, false
 	tell := r.changed
 	if whole {
@@ -315,7 +315,7 @@
 			continue // never told of, so not to be taken back
 		}
 		m.told = m.Phase != balancer.Removed
-		entries = append(entries, balancer.Endpoint{Server: m.Server, Zone: m.Zone, Kind: m.Kind, FailureDomain: m.Pod,
+		entries = append(entries, balancer.Endpoint{Server: m.Server, Zone: m.Zone, Kind: m.Kind, FailureDomain: m.FailureDomain,
 			Weight: m.Weight, Phase: m.Phase, Started: m.Started})
 	}
 	r.changed = r.changed[:0]
@@ -323,9 +323,9 @@
 	return entries, whole
 }
 
-// Changed is the records of all servers that have something new, to be kept before it is acted on. It must be asked
+// ChangedRecords is the records of all servers that have something new, to be kept before it is acted on. It must be asked
 // before Changes.
-func (r *Roll) Changed() (records []Record) {
+func (r *Registry) ChangedRecords() (records []Record) {
 	for _, m := range r.changed {
 		records = append(records, m.Record)
 	}
@@ -333,22 +333,22 @@
 	return records
 }
 
-// Unkept tells whether something has changed since Kept, which says that what Changed has named is durable.
-func (r *Roll) Unkept() bool { return r.unkept }
+// NeedsPersist tells whether something has changed since Kept, which says that what Changed has named is durable.
+func (r *Registry) NeedsPersist() bool { return r.unkept }
 
-// Kept is the answer to Unkept.
-func (r *Roll) Kept() { r.unkept = false }
+// MarkPersisted is the answer to Unkept.
+func (r *Registry) MarkPersisted() { r.unkept = false }
 
 // Phase of a server, Gone where it is unknown, and when it was told of its drain or end.
-func (r *Roll) Phase(s balancer.Server) (balancer.Phase, float64) {
+func (r *Registry) Phase(s balancer.Server) (balancer.Phase, float64) {
 	if m := r.get(s); m != nil {
-		return m.Phase, m.Told
+		return m.Phase, m.NotifiedAt
 	}
 	return balancer.Removed, math.Inf(-1)
 }
 
 // Find is the record of a server.
-func (r *Roll) Find(s balancer.Server) (Record, bool) {
+func (r *Registry) Find(s balancer.Server) (Record, bool) {
 	if m := r.get(s); m != nil && !m.removed {
 		return m.Record, true
 	}
@@ -356,10 +356,10 @@
 }
 
 // Version grows whenever a server comes into service or leaves it.
-func (r *Roll) Version() int { return r.version }
+func (r *Registry) Version() int { return r.version }
 
 // Servers are all that are kept, by address.
-func (r *Roll) Servers() []balancer.Server {
+func (r *Registry) Servers() []balancer.Server {
 	all := make([]balancer.Server, 0, len(r.members))
 	for s, m := range r.members {
 		if !m.removed {
@@ -370,15 +370,15 @@
 	return all
 }
 
-// Ever are all that are remembered, by address, also those that nobody lists any more: a proxy may still hold a line to them.
-func (r *Roll) Ever() []balancer.Server {
+// KnownServers are all that are remembered, by address, also those that nobody lists any more: a proxy may still hold a line to them.
+func (r *Registry) KnownServers() []balancer.Server {
 	return slices.Sorted(maps.Keys(r.members))
 }
 
-// Drained are the servers with a drain that somebody ordered, by address.
-func (r *Roll) Drained() (all []balancer.Server) {
+// OrderedDrains are the servers with a drain that somebody ordered, by address.
+func (r *Registry) OrderedDrains() (all []balancer.Server) {
 	for s, m := range r.members {
-		if m.Drained {
+		if m.DrainOrdered {
 			all = append(all, s)
 		}
 	}
@@ -387,19 +387,19 @@
 }
 
 // Registered tells whether the process at s has a connection that stands.
-func (r *Roll) Registered(s balancer.Server) bool {
+func (r *Registry) Registered(s balancer.Server) bool {
 	m := r.get(s)
 	return m != nil && m.registered && m.lostAt == 0
 }
 
-// Cold tells whether a server in service started less than coldFor ago.
-func (r *Roll) Cold(now float64, s balancer.Server, coldFor float64) bool {
+// WarmingUp tells whether a server in service started less than coldFor ago.
+func (r *Registry) WarmingUp(now float64, s balancer.Server, coldFor float64) bool {
 	m := r.get(s)
 	return m != nil && m.Started > 0 && now-m.Started < coldFor
 }
 
 // Len is the number of servers kept, gone ones among them.
-func (r *Roll) Len() int { return len(r.members) }
+func (r *Registry) Len() int { return len(r.members) }
 
-// Waits tells whether there is something to keep and to tell.
-func (r *Roll) Waits() bool { return len(r.changed) > 0 || r.whole }
+// HasChanges tells whether there is something to keep and to tell.
+func (r *Registry) HasChanges() bool { return len(r.changed) > 0 || r.whole }
--- a/internal/core/registry/roll_test.go
+++ b/internal/core/registry/roll_test.go
@@ -8,7 +8,7 @@
 	"snowquay/balancer"
 )
 
-func phase(t *testing.T, r *Roll, s balancer.Server, want balancer.Phase) {
+func phase(t *testing.T, r *Registry, s balancer.Server, want balancer.Phase) {
 	t.Helper()
 	if got, _ := r.Phase(s); got != want {
 		t.Errorf("%s is in phase %d, want %d", s, got, want)
@@ -18,21 +18,21 @@
 func TestAConnectionThatBreaksIsNoDeath(t *testing.T) {
 	r := New(2.5, 10, false)
 	r.Register(100, "a", 1)
-	r.Lost(110, "a")
-	r.Tick(112)
+	r.ConnectionLost(110, "a")
+	r.ExpireHolds(112)
 	phase(t, r, "a", balancer.Ready)
-	r.Tick(112.5)
+	r.ExpireHolds(112.5)
 	phase(t, r, "a", balancer.Removed)
 	if _, told := r.Phase("a"); told != 112.5 {
 		t.Errorf("told at %v", told)
 	}
-	if r.Quiesce(113, "a", true) {
+	if r.SetDrain(113, "a", true) {
 		t.Error("a server that is gone was drained")
 	}
 }
 
 func TestStarts(t *testing.T) {
-	started := func(r *Roll) float64 { rec, _ := r.Find("a"); return rec.Started }
+	started := func(r *Registry) float64 { rec, _ := r.Find("a"); return rec.Started }
 	for _, ageless := range []bool{false, true} {
 		r := New(2.5, 10, ageless)
 		r.Register(100, "a", 0)
@@ -42,24 +42,24 @@
 		if ageless {
 			continue
 		}
-		r.Uptime(101, "a", 500) // it was older than could be known
+		r.ObserveUptime(101, "a", 500) // it was older than could be known
 		if got := started(r); got != -399 {
 			t.Errorf("after its uptime: %v", got)
 		}
-		r.Uptime(105, "a", 500) // frozen
-		r.Uptime(106, "a", -1)
-		r.Uptime(106, "b", 3)
-		r.Lost(110, "a")
+		r.ObserveUptime(105, "a", 500) // frozen
+		r.ObserveUptime(106, "a", -1)
+		r.ObserveUptime(106, "b", 3)
+		r.ConnectionLost(110, "a")
 		r.Register(111, "a", 0) // the connection came again, of the same process or of another
 		if got := started(r); got != 111 {
 			t.Errorf("after a break: %v", got)
 		}
-		r.Uptime(112, "a", 511)
+		r.ObserveUptime(112, "a", 511)
 		if got := started(r); got != -399 {
 			t.Errorf("the same process: %v", got)
 		}
-		r.Uptime(120, "a", 0.2) // another one, whose registration was not seen to be new
-		if got := started(r); got != 119.8 || !r.Cold(121, "a", 10) {
+		r.ObserveUptime(120, "a", 0.2) // another one, whose registration was not seen to be new
+		if got := started(r); got != 119.8 || !r.WarmingUp(121, "a", 10) {
 			t.Errorf("another process: %v", got)
 		}
 	}
@@ -69,9 +69,9 @@
 	r := New(2.5, 10, false)
 	r.Register(100, "a", 0)
 	r.Register(100, "b", 0)
-	r.Quiesce(120, "a", true)
-	kept := r.Changed()
-	r.Changes()
+	r.SetDrain(120, "a", true)
+	kept := r.ChangedRecords()
+	r.TakeChanges()
 
 	r = New(2.5, 10, false)
 	if err := r.Restore(130, kept); err != nil {
@@ -79,24 +79,24 @@
 	}
 	r.Register(131, "a", 0) // its process says nothing of the drain
 	phase(t, r, "a", balancer.Draining)
-	if rec, _ := r.Find("a"); rec.Told != 120 || rec.Started != 100 {
+	if rec, _ := r.Find("a"); rec.NotifiedAt != 120 || rec.Started != 100 {
 		t.Errorf("restored as %+v", rec)
 	}
-	r.Tick(133) // b was not heard of again
+	r.ExpireHolds(133) // b was not heard of again
 	phase(t, r, "b", balancer.Removed)
-	r.Lost(140, "a") // a cut
-	r.Tick(143)
+	r.ConnectionLost(140, "a") // a cut
+	r.ExpireHolds(143)
 	phase(t, r, "a", balancer.Removed)
 	r.Register(150, "a", 0) // it has healed
 	phase(t, r, "a", balancer.Draining)
-	r.Lost(160, "a")
-	r.Tick(163)
-	if !r.Quiesce(164, "a", false) || r.Quiesce(165, "a", false) { // the drain is ended while it is away, once
+	r.ConnectionLost(160, "a")
+	r.ExpireHolds(163)
+	if !r.SetDrain(164, "a", false) || r.SetDrain(165, "a", false) { // the drain is ended while it is away, once
 		t.Error("a drain can't be ended while the server is away")
 	}
 	r.Register(170, "a", 0)
 	phase(t, r, "a", balancer.Ready)
-	r.Quiesce(171, "a", true)
+	r.SetDrain(171, "a", true)
 	r.Deregister(172, "a") // it goes for good
 	r.Register(173, "a", 0)
 	phase(t, r, "a", balancer.Ready)
@@ -118,33 +118,33 @@
 
 func TestBalancersVouch(t *testing.T) {
 	r := New(1, 3, false)
-	r.Vouch(100, "a", 2, 1)
-	r.Vouch(101, "a", 2, 1)
-	r.Vouch(102, "a", 2, -1)
+	r.AdjustVouchers(100, "a", 2, 1)
+	r.AdjustVouchers(101, "a", 2, 1)
+	r.AdjustVouchers(102, "a", 2, -1)
 	phase(t, r, "a", balancer.Ready)
-	r.Vouch(103, "a", 2, -1)
+	r.AdjustVouchers(103, "a", 2, -1)
 	phase(t, r, "a", balancer.Removed)
 }
 
 func TestWhatTheModuleIsTold(t *testing.T) {
 	r := New(1, 1000, false)
-	r.Place(100, Place{Server: "a", Zone: 1, Weight: 2, Standing: true})
-	r.Place(100, Place{Server: "b", Weight: 1})
-	e, whole := r.Changes()
+	r.Configure(100, ServerConfig{Server: "a", Zone: 1, Weight: 2, Static: true})
+	r.Configure(100, ServerConfig{Server: "b", Weight: 1})
+	e, whole := r.TakeChanges()
 	if len(e) != 1 || !whole || e[0].Server != "a" || e[0].Zone != 1 || e[0].Weight != 2 {
 		t.Errorf("%+v, whole %t", e, whole)
 	}
 	r.Register(101, "b", 7)
-	if e, whole = r.Changes(); len(e) != 1 || whole || e[0].Server != "b" || e[0].Zone != 0 {
+	if e, whole = r.TakeChanges(); len(e) != 1 || whole || e[0].Server != "b" || e[0].Zone != 0 {
 		t.Errorf("%+v, whole %t", e, whole)
 	}
 	for i := range tellAtMost + 1 {
 		r.Register(102, balancer.Server(fmt.Sprint(i)), 0)
 	}
-	if e, whole = r.Changes(); len(e) != tellAtMost+3 || !whole {
+	if e, whole = r.TakeChanges(); len(e) != tellAtMost+3 || !whole {
 		t.Errorf("%d entries, whole %t", len(e), whole)
 	}
-	if e, _ = r.Changes(); len(e) != 0 {
+	if e, _ = r.TakeChanges(); len(e) != 0 {
 		t.Errorf("told twice: %+v", e)
 	}
 }
@@ -155,17 +155,17 @@
 	if err := r.Register(1000, "a", 0); err != nil {
 		t.Fatal(err)
 	}
-	r.Uptime(1001, "a", 500)
-	r.Younger("a", 400)
+	r.ObserveUptime(1001, "a", 500)
+	r.ObserveLaterStart("a", 400)
 	if rec, _ := r.Find("a"); rec.Started != 501 {
 		t.Errorf("an older start is taken: %v", rec.Started)
 	}
-	r.Younger("a", 1010)
-	if rec, _ := r.Find("a"); rec.Started != 1010 || !r.Cold(1012, "a", 18) {
+	r.ObserveLaterStart("a", 1010)
+	if rec, _ := r.Find("a"); rec.Started != 1010 || !r.WarmingUp(1012, "a", 18) {
 		t.Errorf("a younger start is not taken: %v", rec.Started)
 	}
-	r.Younger("b", 1010) // nobody knows it
-	if r.Uptime(1012, "a", 511); r.Cold(1012, "a", 18) {
+	r.ObserveLaterStart("b", 1010) // nobody knows it
+	if r.ObserveUptime(1012, "a", 511); r.WarmingUp(1012, "a", 18) {
 		t.Error("its own word does not warm it again")
 	}
 }
--- a/internal/core/saspsession/session.go
+++ b/internal/core/saspsession/session.go
@@ -204,7 +204,7 @@
 	delete(d.conns, c.id)
 	d.buffered -= len(c.buf)
 	for s := range c.servers {
-		d.fleet.Roll.Lost(now, s)
+		d.fleet.Roll.ConnectionLost(now, s)
 	}
 	b := d.balancers[c.uid]
 	if c.role != balancerRole || b == nil || b.conn != c {
@@ -229,7 +229,7 @@
 
 func (d *Desk) unvouch(now float64, b *loadBalancer, r *registration, s balancer.Server) {
 	if r.balancer && d.policy.Vouching {
-		_ = d.fleet.Roll.Vouch(now, s, d.zone(b), -1) // it is on the roll, so there is room
+		_ = d.fleet.Roll.AdjustVouchers(now, s, d.zone(b), -1) // it is on the roll, so there is room
 	}
 }
 
@@ -456,7 +456,7 @@
 		add(l.Server, r, l.Weight)
 	}
 	if trusts && d.fleet.Lapsed(b.proxy, g.class) {
-		for _, s := range d.fleet.Roll.Ever() {
+		for _, s := range d.fleet.Roll.KnownServers() {
 			if g.members[s] == nil && d.fleet.Weight(b.proxy, g.class, s) == 0 {
 				add(s, nil, 0)
 			}
--- a/internal/core/saspsession/session_test.go
+++ b/internal/core/saspsession/session_test.go
@@ -84,8 +84,8 @@
 		s.Without[g] = true
 	}
 	for i := range usualServers {
-		s.Servers = append(s.Servers, registry.Place{Server: balancer.Server(address(i).String()), Zone: balancer.Zone(i % 2), Weight: 1,
-			Standing: i < 4})
+		s.Servers = append(s.Servers, registry.ServerConfig{Server: balancer.Server(address(i).String()), Zone: balancer.Zone(i % 2), Weight: 1,
+			Static: i < 4})
 	}
 	for i := range 500 {
 		s.Relays = append(s.Relays, controlplane.Relay{UID: fmt.Sprintf("r%d", i), Usual: 20})
@@ -322,7 +322,7 @@
 	}
 	p.pass(1.5)
 	p.stuck[first] = true // it breaks in the middle of an update, unnoticed
-	p.desk.fleet.Roll.Quiesce(p.now, balancer.Server(address(1).String()), true)
+	p.desk.fleet.Roll.SetDrain(p.now, balancer.Server(address(1).String()), true)
 	p.pass(0.2)
 	third := p.relay("r1", wants, 0, 1, 2)
 	p.pass(1)
@@ -367,7 +367,7 @@
 	p.stuck[c] = true
 	for i := range 100 {
 		s := balancer.Server(address(1 + i%3).String())
-		p.fleet.Roll.Quiesce(p.now, s, i/3%2 == 0)
+		p.fleet.Roll.SetDrain(p.now, s, i/3%2 == 0)
 		p.pass(0.1)
 	}
 	if p.pushes-before > 1 || p.sent[c]-sent > 600 {
@@ -383,7 +383,7 @@
 	}
 	p.stuck[c] = false
 	pushes := p.pushes
-	p.fleet.Roll.Quiesce(p.now, balancer.Server(address(2).String()), true)
+	p.fleet.Roll.SetDrain(p.now, balancer.Server(address(2).String()), true)
 	if p.pass(0.5); p.pushes-pushes > 3 {
 		t.Errorf("%d messages to catch up", p.pushes-pushes)
 	}
@@ -425,7 +425,7 @@
 		most, last := 0.0, p.lines
 		for i := range 125 {
 			if p.pass(0.04); i == 10 {
-				p.fleet.Roll.Quiesce(p.now, balancer.Server(address(1).String()), true)
+				p.fleet.Roll.SetDrain(p.now, balancer.Server(address(1).String()), true)
 			}
 			most, last = max(most, p.lines-last), p.lines
 		}
@@ -519,7 +519,7 @@
 		t.Errorf("it is to ask again after %d s", reply.Interval)
 	}
 	p.pass(0.2)
-	p.fleet.Roll.Quiesce(p.now, balancer.Server(address(1).String()), true)
+	p.fleet.Roll.SetDrain(p.now, balancer.Server(address(1).String()), true)
 	if p.pass(1.5); p.ended[c] {
 		t.Errorf("cut off before it should ask: %q", p.log)
 	}
@@ -545,7 +545,7 @@
 			p.pass(0.5)
 			report(p.now - 500) // its clock is another
 		}
-		p.fleet.Roll.Quiesce(p.now, s, true)
+		p.fleet.Roll.SetDrain(p.now, s, true)
 		drained := p.now
 		for p.now < drained+3 {
 			p.pass(0.5)
@@ -598,7 +598,7 @@
 					}
 				}
 			case 4:
-				p.fleet.Roll.Quiesce(p.now, balancer.Server(address(s).String()), rapid.Bool().Draw(rt, "on"))
+				p.fleet.Roll.SetDrain(p.now, balancer.Server(address(s).String()), rapid.Bool().Draw(rt, "on"))
 			case 5:
 				_ = p.fleet.Roll.Register(p.now, balancer.Server(address(4+s%2).String()), 0)
 			case 6:
--- a/internal/core/saspsession/speak.go
+++ b/internal/core/saspsession/speak.go
@@ -289,7 +289,7 @@
 	for _, r := range m.Rows[g.From:g.To] {
 		s := d.server(r.Address)
 		if d.policy.Vouching {
-			if err := d.fleet.Roll.Vouch(now, s, d.zone(b), 1); err != nil {
+			if err := d.fleet.Roll.AdjustVouchers(now, s, d.zone(b), 1); err != nil {
 				d.out.Say("server refused", "server", s, "error", err)
 				return sasp.NotAccepted
 			}
@@ -332,7 +332,7 @@
 func (d *Desk) present(m *sasp.Message, drained bool) bool {
 	for _, r := range m.Rows {
 		rec, ok := d.fleet.Roll.Find(d.server(r.Address))
-		if !ok || rec.Phase == balancer.Removed && !(drained && rec.Drained) {
+		if !ok || rec.Phase == balancer.Removed && !(drained && rec.DrainOrdered) {
 			return false
 		}
 	}
@@ -352,7 +352,7 @@
 		for _, r := range m.Rows {
 			s := d.server(r.Address)
 			delete(c.servers, s)
-			if rec, _ := d.fleet.Roll.Find(s); rec.Drained { // it ends everywhere; if it can't be said, the next one to look says so
+			if rec, _ := d.fleet.Roll.Find(s); rec.DrainOrdered { // it ends everywhere; if it can't be said, the next one to look says so
 				_, _ = d.out.Drain(now, s, false)
 			}
 			d.fleet.Roll.Deregister(now, s)
@@ -442,7 +442,7 @@
 		case !ok:
 			t.wrong = true
 		case ticket == 0:
-			d.fleet.Roll.Quiesce(now, s, on)
+			d.fleet.Roll.SetDrain(now, s, on)
 		default:
 			t.left++
 			d.waiting[ticket] = t
--- a/internal/core/tenancy/golden_test.go
+++ b/internal/core/tenancy/golden_test.go
@@ -7,29 +7,31 @@
 	"snowquay/internal/golden"
 )
 
-func goldenNeeds() Needs { return Needs{Memory: 1 << 20, Lines: 250.5, Connections: 40, Work: 0.125} }
+func goldenNeeds() Requirements {
+	return Requirements{Memory: 1 << 20, Lines: 250.5, Connections: 40, Work: 0.125}
+}
 
 func goldenDirectory() Directory {
 	return Directory{
-		Version: 7, Given: 3,
+		Version: 7, LastIncarnation: 3,
 		Tenants: map[Name]*Tenant{
-			"one": {Name: "one", Incarnation: 1, Version: 5, Settings: []byte("<coordinator/>"), Weight: 2, Needs: goldenNeeds(), Made: 1000, Changed: 1500.5},
-			"two": {Name: "two", Incarnation: 3, Version: 7, Settings: []byte("<coordinator />"), Weight: 0.5, Needs: goldenNeeds(), Made: 1600, Changed: 1600},
+			"one": {Name: "one", Incarnation: 1, Version: 5, Settings: []byte("<coordinator/>"), Weight: 2, Requirements: goldenNeeds(), CreatedAt: 1000, ChangedAt: 1500.5},
+			"two": {Name: "two", Incarnation: 3, Version: 7, Settings: []byte("<coordinator />"), Weight: 0.5, Requirements: goldenNeeds(), CreatedAt: 1600, ChangedAt: 1600},
 		},
-		Resting: map[Name]float64{"three": 1550.25},
-		Done:    []Outcome{{ID: 11, Print: 12, Code: 3, Detail: "it is at version 4, not 3", Version: 4, Incarnation: 2}, {ID: 13, Print: 14, Version: 7, Incarnation: 3}},
+		Quarantined: map[Name]float64{"three": 1550.25},
+		Outcomes:    []Outcome{{ID: 11, Fingerprint: 12, Code: 3, Detail: "it is at version 4, not 3", Version: 4, Incarnation: 2}, {ID: 13, Fingerprint: 14, Version: 7, Incarnation: 3}},
 	}
 }
 
 func TestStoredTenantAndOutcome(t *testing.T) {
 	d := goldenDirectory()
 	golden.JSON(t, "tenant.json", *d.Tenants["one"])
-	golden.JSON(t, "outcome.json", d.Done[0])
+	golden.JSON(t, "outcome.json", d.Outcomes[0])
 }
 
 func TestStoredCommand(t *testing.T) {
-	golden.JSON(t, "command.json", Command{Kind: Change, Name: "one", If: 4, Settings: []byte("<coordinator/>"), Weight: 2, Needs: goldenNeeds(),
-		At: 1500.5, ID: 13, Print: 14})
+	golden.JSON(t, "command.json", Command{Kind: Change, Name: "one", IfVersion: 4, Settings: []byte("<coordinator/>"), Weight: 2, Requirements: goldenNeeds(),
+		Time: 1500.5, ID: 13, Fingerprint: 14})
 }
 
 func TestStoredDirectory(t *testing.T) {
@@ -50,7 +52,7 @@
 
 // The outcomes of calls are stored by these numbers.
 func TestStoredErrorNumbers(t *testing.T) {
-	for code, want := range []error{nil, ErrExists, ErrUnknown, ErrStale, ErrRests, ErrKey, ErrCommand, ErrRoom} {
+	for code, want := range []error{nil, ErrExists, ErrUnknown, ErrVersionMismatch, ErrNameQuarantined, ErrKeyReused, ErrInvalidCommand, ErrNoCapacity} {
 		if errs[code] != want {
 			t.Errorf("%d stands for %v, want %v", code, errs[code], want)
 		}
--- a/internal/core/tenancy/tenancy_test.go
+++ b/internal/core/tenancy/tenancy_test.go
@@ -12,33 +12,33 @@
 )
 
 func TestNames(t *testing.T) {
-	for _, ok := range []string{"a", "7", "north-1", strings.Repeat("x", LongestName)} {
-		if n, err := Check(ok); err != nil || string(n) != ok {
+	for _, ok := range []string{"a", "7", "north-1", strings.Repeat("x", MaxNameLength)} {
+		if n, err := ParseName(ok); err != nil || string(n) != ok {
 			t.Errorf("%q: %v", ok, err)
 		}
 	}
 	// Case, length, Unicode forms (composed, decomposed, full width, a letter of another script that looks alike), and what a path or
 	// a UID would take apart.
-	for _, wrong := range []string{"", "A", "north ", "-a", "a-", "a/b", "a.b", "ä", "a\u0308", "ａ", "а", "a\x00", "%61", strings.Repeat("x", LongestName+1)} {
-		if n, err := Check(wrong); !errors.Is(err, ErrName) || n != "" {
+	for _, wrong := range []string{"", "A", "north ", "-a", "a-", "a/b", "a.b", "ä", "a\u0308", "ａ", "а", "a\x00", "%61", strings.Repeat("x", MaxNameLength+1)} {
+		if n, err := ParseName(wrong); !errors.Is(err, ErrInvalidName) || n != "" {
 			t.Errorf("%q is taken for %q", wrong, n)
 		}
 	}
 	for uid, want := range map[string]Name{"a/relay": "a", "a/b/c": "a", "A/relay": "", "a/": "", "a": "", "/relay": "", "a /x": ""} {
-		if n, local, ok := Split(uid); n != want && ok || ok != (want != "") || ok && n.UID(local) != uid {
+		if n, local, ok := SplitUID(uid); n != want && ok || ok != (want != "") || ok && n.UID(local) != uid {
 			t.Errorf("%q belongs to %q, %v", uid, n, ok)
 		}
 	}
 }
 
-func need(v float64) Needs { return Needs{v, v, v, v} }
+func need(v float64) Requirements { return Requirements{v, v, v, v} }
 
-func command(k Kind, n Name, at float64) Command {
-	return Command{Kind: k, Name: n, At: at, Settings: []byte("x"), Weight: 1, Needs: need(1)}
+func command(k CommandKind, n Name, at float64) Command {
+	return Command{Kind: k, Name: n, Time: at, Settings: []byte("x"), Weight: 1, Requirements: need(1)}
 }
 
 func TestDirectory(t *testing.T) {
-	d := &Directory{Room: Room{Needs: need(3), WorkTimes: 1, Tenants: 10}}
+	d := &Directory{Capacity: Capacity{Requirements: need(3), WorkOvercommit: 1, MaxTenants: 10}}
 	apply := func(c Command, want error) Outcome {
 		t.Helper()
 		o := d.Apply(c)
@@ -49,35 +49,35 @@
 	}
 	a := apply(command(Create, "a", 1), nil)
 	apply(command(Create, "a", 2), ErrExists)
-	apply(command(Create, "B", 2), ErrCommand)
+	apply(command(Create, "B", 2), ErrInvalidCommand)
 	large := command(Create, "large", 2)
-	large.Needs = need(2.5)
-	if o := apply(large, ErrRoom); !strings.Contains(o.Err().Error(), "memory") {
+	large.Requirements = need(2.5)
+	if o := apply(large, ErrNoCapacity); !strings.Contains(o.Err().Error(), "memory") {
 		t.Errorf("it does not say what is missing: %v", o.Err())
 	}
 	// Two change one tenant by what they saw: the later one is told so.
 	x := command(Change, "a", 3)
-	x.If, x.Settings = a.Version, []byte("first")
+	x.IfVersion, x.Settings = a.Version, []byte("first")
 	b := apply(x, nil)
 	x.Settings = []byte("second")
-	apply(x, ErrStale)
+	apply(x, ErrVersionMismatch)
 	if got, _ := d.Get("a"); string(got.Settings) != "first" || b.Incarnation != a.Incarnation {
 		t.Errorf("%+v", got)
 	}
 	apply(command(Change, "none", 3), ErrUnknown)
 	apply(command(Remove, "none", 3), ErrUnknown)
 	r := command(Remove, "a", 5)
-	r.If = a.Version
-	apply(r, ErrStale)
-	r.If = b.Version
+	r.IfVersion = a.Version
+	apply(r, ErrVersionMismatch)
+	r.IfVersion = b.Version
 	apply(r, nil)
-	apply(command(Create, "a", 5+RestFor-0.1), ErrRests)
-	if again := apply(command(Create, "a", 5+RestFor), nil); again.Incarnation == a.Incarnation {
+	apply(command(Create, "a", 5+NameQuarantine-0.1), ErrNameQuarantined)
+	if again := apply(command(Create, "a", 5+NameQuarantine), nil); again.Incarnation == a.Incarnation {
 		t.Error("another tenant has the former one's incarnation")
 	}
 	for _, c := range []Command{{Kind: 9, Name: "a", Weight: 1, Settings: []byte("x")}, {Kind: Create, Name: "c", Weight: -1, Settings: []byte("x")},
-		{Kind: Create, Name: "c", Weight: 1, Needs: need(-1), Settings: []byte("x")}, {Kind: Create, Name: "c", Weight: 1}} {
-		apply(c, ErrCommand)
+		{Kind: Create, Name: "c", Weight: 1, Requirements: need(-1), Settings: []byte("x")}, {Kind: Create, Name: "c", Weight: 1}} {
+		apply(c, ErrInvalidCommand)
 	}
 }
 
@@ -85,8 +85,8 @@
 // directory that goes on in the same way.
 func TestDirectoryModel(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
-		room := Room{Needs: need(6), WorkTimes: 1, Tenants: 4}
-		d := &Directory{Room: room}
+		room := Capacity{Requirements: need(6), WorkOvercommit: 1, MaxTenants: 4}
+		d := &Directory{Capacity: room}
 		model := map[Name]uint64{} // by the ID of the call that made or changed it
 		answers := map[uint64]Outcome{}
 		prints := map[uint64]uint64{}
@@ -95,15 +95,15 @@
 		for range rapid.IntRange(1, 60).Draw(r, "calls") {
 			at += rapid.Float64Range(0, 6).Draw(r, "later")
 			n := Name(rapid.SampledFrom([]string{"a", "b", "c", "d", "e"}).Draw(r, "name"))
-			c := command(Kind(rapid.IntRange(1, 3).Draw(r, "kind")), n, at)
-			c.Needs = need(float64(rapid.IntRange(1, 3).Draw(r, "needs")))
-			c.ID, c.Print = uint64(rapid.IntRange(1, 40).Draw(r, "id")), uint64(rapid.IntRange(1, 2).Draw(r, "print"))
+			c := command(CommandKind(rapid.IntRange(1, 3).Draw(r, "kind")), n, at)
+			c.Requirements = need(float64(rapid.IntRange(1, 3).Draw(r, "needs")))
+			c.ID, c.Fingerprint = uint64(rapid.IntRange(1, 40).Draw(r, "id")), uint64(rapid.IntRange(1, 2).Draw(r, "print"))
 			before, _ := d.Snapshot()
-			undo := d.Before(n)
+			undo := d.Checkpoint(n)
 			o := d.Apply(c)
 			after, _ := d.Snapshot()
 			if was, known := answers[c.ID]; known {
-				if prints[c.ID] == c.Print && !reflect.DeepEqual(o, was) || prints[c.ID] != c.Print && !errors.Is(o.Err(), ErrKey) {
+				if prints[c.ID] == c.Fingerprint && !reflect.DeepEqual(o, was) || prints[c.ID] != c.Fingerprint && !errors.Is(o.Err(), ErrKeyReused) {
 					r.Fatalf("call %d again: %+v, it was answered with %+v", c.ID, o, was)
 				}
 				if string(before) != string(after) {
@@ -112,13 +112,13 @@
 				continue
 			}
 			if o.Err() != nil {
-				if string(before) != string(after) && len(d.Resting) == 0 {
+				if string(before) != string(after) && len(d.Quarantined) == 0 {
 					r.Fatalf("what was refused has changed something: %v", o.Err())
 				}
 				continue
 			}
 			if rapid.IntRange(0, 5).Draw(r, "undone") == 0 {
-				if d.Undo(undo); d.Version != undo.version {
+				if d.Rollback(undo); d.Version != undo.version {
 					r.Fatal("not taken back")
 				}
 				undone, _ := d.Snapshot()
@@ -127,7 +127,7 @@
 				}
 				continue
 			}
-			answers[c.ID], prints[c.ID] = o, c.Print
+			answers[c.ID], prints[c.ID] = o, c.Fingerprint
 			switch c.Kind {
 			case Create:
 				if seen[o.Incarnation] {
@@ -141,7 +141,7 @@
 				delete(model, n)
 			}
 			if rapid.IntRange(0, 3).Draw(r, "restored") == 0 {
-				next := &Directory{Room: room}
+				next := &Directory{Capacity: room}
 				if err := next.Restore(after); err != nil {
 					r.Fatal(err)
 				}
@@ -149,17 +149,17 @@
 			}
 			sum := 0.0
 			for _, t := range d.All() {
-				sum += t.Needs.Memory
+				sum += t.Requirements.Memory
 			}
-			if len(d.Tenants) != len(model) || sum > room.Memory || d.Taken().Memory != sum {
-				r.Fatalf("%d tenants that need %v, %d in the model; %v are reckoned", len(d.Tenants), sum, len(model), d.Taken().Memory)
+			if len(d.Tenants) != len(model) || sum > room.Memory || d.Used().Memory != sum {
+				r.Fatalf("%d tenants that need %v, %d in the model; %v are reckoned", len(d.Tenants), sum, len(model), d.Used().Memory)
 			}
 		}
 	})
 }
 
 func TestRestoreOfNonsense(t *testing.T) {
-	d := &Directory{Room: UsualRoom}
+	d := &Directory{Capacity: DefaultCapacity}
 	d.Apply(command(Create, "a", 1))
 	for _, b := range []string{"", "{", `{"tenants":{"x":null}}`, `{"tenants":{"x":{"name":"y","weight":1}}}`, `{"tenants":{"x":{"name":"x","weight":1,"incarnation":3}}}`} {
 		if err := d.Restore([]byte(b)); err == nil {
@@ -182,9 +182,9 @@
 }
 
 func TestEntry(t *testing.T) {
-	l := UsualEntryLimits
-	l.Strangers, l.OfNet, l.Bytes, l.Buffered, l.Comes, l.Burst = 4, 3, 50, 100, 20, 20
-	e := NewEntry(1, l, map[Front]Speaker{SASP: named})
+	l := DefaultRouterLimits
+	l.Unidentified, l.UnidentifiedPerNetwork, l.UnidentifiedBytes, l.TotalBuffered, l.AcceptRate, l.AcceptBurst = 4, 3, 50, 100, 20, 20
+	e := NewConnectionRouter(1, l, map[Frontend]IdentityParser{SASP: named})
 	from := func(i byte) netip.Addr { return netip.AddrFrom4([4]byte{127, 0, i, 1}) }
 	if err := errors.Join(e.Set(1, "a", 1, 2, nil, true), e.Set(1, "b", 1, 9, []netip.Prefix{netip.MustParsePrefix("127.0.7.0/24")}, true),
 		e.Set(1, "late", 1, 9, nil, false)); err != nil {
@@ -193,60 +193,60 @@
 	next := Conn(0)
 	open := func(now float64, at byte) Conn {
 		next++
-		if why := e.Opened(now, next, from(at), SASP); why != NoReason {
+		if why := e.Opened(now, next, from(at), SASP); why != NotRejected {
 			t.Fatalf("refused: %s", why)
 		}
 		return next
 	}
-	say := func(c Conn, text string, want Reason, of Name) Comes {
+	say := func(c Conn, text string, want RejectReason, of Name) RouteResult {
 		t.Helper()
 		r := e.Receive(1, c, []byte(text))
-		if r.Why != want || r.Tenant != of {
-			t.Errorf("%q: %v for %q, wanted %v for %q", text, r.Why, r.Tenant, want, of)
+		if r.Reason != want || r.Tenant != of {
+			t.Errorf("%q: %v for %q, wanted %v for %q", text, r.Reason, r.Tenant, want, of)
 		}
 		return r
 	}
 	c := open(1, 1)
-	say(c, "a/re", NoReason, "") // in two pieces
-	if r := say(c, "lay.", NoReason, "a"); string(r.Bytes) != "a/relay." {
+	say(c, "a/re", NotRejected, "") // in two pieces
+	if r := say(c, "lay.", NotRejected, "a"); string(r.Bytes) != "a/relay." {
 		t.Errorf("its tenant is handed %q", r.Bytes)
 	}
-	if n, ok := e.Of(c); !ok || n != "a" {
+	if n, ok := e.Tenant(c); !ok || n != "a" {
 		t.Error("it is not known")
 	}
-	say(open(1, 1), "!", Senseless, "")
-	say(open(1, 1), "A/relay.", Senseless, "")
-	say(open(1, 1), "none/relay.", Nobody, "")
-	say(open(1, 1), "late/relay.", Starting, "late")
-	say(open(1, 1), strings.Repeat("x", 60), Senseless, "")
-	say(open(1, 1), "b/relay.", Outside, "")
-	say(open(1, 7), "b/relay.", NoReason, "b")
-	say(open(1, 1), "a/other.", NoReason, "a")
-	say(open(1, 1), "a/third.", Full, "")
+	say(open(1, 1), "!", MalformedIdentity, "")
+	say(open(1, 1), "A/relay.", MalformedIdentity, "")
+	say(open(1, 1), "none/relay.", UnknownTenant, "")
+	say(open(1, 1), "late/relay.", TenantStarting, "late")
+	say(open(1, 1), strings.Repeat("x", 60), MalformedIdentity, "")
+	say(open(1, 1), "b/relay.", NetworkNotAllowed, "")
+	say(open(1, 7), "b/relay.", NotRejected, "b")
+	say(open(1, 1), "a/other.", NotRejected, "a")
+	say(open(1, 1), "a/third.", TenantConnectionsFull, "")
 	e.Closed(c)
-	say(open(1, 1), "a/third.", NoReason, "a")
+	say(open(1, 1), "a/third.", NotRejected, "a")
 	if known, strangers, buffered := e.Count(); known != 3 || strangers != 0 || buffered != 0 {
 		t.Errorf("%d known, %d strangers, %d bytes", known, strangers, buffered)
 	}
-	if conns := e.Drop("a"); len(conns) != 2 {
+	if conns := e.Remove("a"); len(conns) != 2 {
 		t.Errorf("%v were a's", conns)
 	}
-	say(open(1, 1), "a/relay.", Nobody, "")
+	say(open(1, 1), "a/relay.", UnknownTenant, "")
 	// One network that only dials leaves room for another; all together have their limit, and their time.
 	for range 3 {
 		open(2, 1)
 	}
-	if e.Opened(2, 100, from(1), SASP) != Crowded {
+	if e.Opened(2, 100, from(1), SASP) != TooManyUnidentified {
 		t.Error("one network takes all the room")
 	}
 	open(2, 2)
-	if e.Opened(2, 101, from(3), SASP) != Crowded {
+	if e.Opened(2, 101, from(3), SASP) != TooManyUnidentified {
 		t.Error("there is no limit")
 	}
-	if late := e.Late(2 + l.Silent/2); len(late) != 0 {
+	if late := e.TakeExpired(2 + l.IdentifyTimeout/2); len(late) != 0 {
 		t.Error("too soon", late)
 	}
-	if late := e.Late(2.1 + l.Silent); len(late) != 4 {
+	if late := e.TakeExpired(2.1 + l.IdentifyTimeout); len(late) != 4 {
 		t.Error("still there", late)
 	}
 	open(9, 1)
@@ -254,9 +254,9 @@
 
 // Relays of one tenant that come in a storm are slowed; those of another are let in.
 func TestEntryStorm(t *testing.T) {
-	l := UsualEntryLimits
-	l.Comes, l.Burst = 100, 100
-	e := NewEntry(1, l, map[Front]Speaker{SASP: named})
+	l := DefaultRouterLimits
+	l.AcceptRate, l.AcceptBurst = 100, 100
+	e := NewConnectionRouter(1, l, map[Frontend]IdentityParser{SASP: named})
 	for _, n := range []Name{"a", "b"} {
 		if err := e.Set(1, n, 1, 1<<20, nil, true); err != nil {
 			t.Fatal(err)
@@ -274,9 +274,9 @@
 			}
 			next++
 			e.Opened(now, next, from, SASP)
-			if r := e.Receive(now, next, fmt.Appendf(nil, "%s/x.", n)); r.Why == NoReason {
+			if r := e.Receive(now, next, fmt.Appendf(nil, "%s/x.", n)); r.Reason == NotRejected {
 				in[n]++
-			} else if r.Why == TooFast && r.After > 0 {
+			} else if r.Reason == AcceptRateExceeded && r.RetryAfter > 0 {
 				slowed[n]++
 			}
 		}
