--- a/internal/experiment/lab.go
+++ b/internal/experiment/lab.go
@@ -153,7 +153,7 @@
 	scenario.Enlarge(d, c.Fleet.Servers, c.Fleet.Relays)
 	site := &d.Coordinator.Site
 	for i := range site.Servers { // servers of a pod stand in one zone, and restart together
-		site.Servers[i].Pod, site.Servers[i].Zone = balancer.FailureDomain(i/podSize), balancer.Zone(i/podSize%len(site.Zones))
+		site.Servers[i].FailureDomain, site.Servers[i].Zone = balancer.FailureDomain(i/podSize), balancer.Zone(i/podSize%len(site.Zones))
 	}
 	site.Channel.EntriesPerSecond = max(160, float64(len(site.Classes)*c.Fleet.Servers*c.Fleet.Relays)/leastCross)
 	site.Channel.MaxQueued = 4 * site.Channel.EntriesPerSecond
@@ -178,7 +178,7 @@
 	d.Troubles = nil
 	for _, t := range c.Case.Troubles {
 		t.Server, t.Relay = t.Server%len(site.Servers), t.Relay%len(site.Relays)
-		t.Pod = t.Pod % (int(site.Servers[len(site.Servers)-1].Pod) + 1)
+		t.Pod = t.Pod % (int(site.Servers[len(site.Servers)-1].FailureDomain) + 1)
 		d.Troubles = append(d.Troubles, t)
 	}
 	if c.Case.Drawn > 0 {
@@ -276,7 +276,7 @@
 func Trouble(d *settings.Day, c *rand.Rand, kind string) settings.Trouble {
 	site := &d.Coordinator.Site
 	t := settings.Trouble{Kind: kind, Server: c.IntN(len(site.Servers)), Relay: c.IntN(len(site.Relays)), Factor: 1,
-		Zone: site.Servers[c.IntN(len(site.Servers))].Zone, Pod: int(site.Servers[c.IntN(len(site.Servers))].Pod)}
+		Zone: site.Servers[c.IntN(len(site.Servers))].Zone, Pod: int(site.Servers[c.IntN(len(site.Servers))].FailureDomain)}
 	t.At = firstTrouble + c.Float64()*max(d.Seconds-troubleFree-firstTrouble, 1)
 	between := func(a, b float64) float64 { return a + (b-a)*c.Float64() }
 	t.For = between(5, 20)
--- a/internal/feed/collectd/collect_test.go
+++ b/internal/feed/collectd/collect_test.go
@@ -13,7 +13,7 @@
 func newFleet(t testing.TB) *controlplane.Fleet {
 	f, err := controlplane.New(1000, controlplane.Site{Names: []string{"search"}, Classes: []balancer.RequestClass{{LatencyObjective: 1}},
 		Strangers: true, Limits: controlplane.UsualLimits, Reporting: balancer.Reporting{Period: 0.5},
-		Servers: []registry.Place{{Server: "10.0.0.1:80", Weight: 1, Standing: true}}}, nil, nil)
+		Servers: []registry.ServerConfig{{Server: "10.0.0.1:80", Weight: 1, Static: true}}}, nil, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/frontend/admin/admin.go
+++ b/internal/frontend/admin/admin.go
@@ -42,7 +42,7 @@
 	Drain(now float64, of tenancy.Name, s balancer.Server, on bool, done func(ok bool))
 	// Orders are the latest ones of a tenant, newest first; those to one relay if it is named.
 	Orders(of tenancy.Name, relay string) []map[string]any
-	authz.Callers
+	authz.Authenticator
 }
 
 const (
@@ -67,10 +67,10 @@
 	program Program
 	hosted  Hosted            // nil: there is one tenant, without a name
 	shares  *fairshare.Shares // as all below only touched within Program.Do
-	books   map[tenancy.Name]*idempotency.Book
+	books   map[tenancy.Name]*idempotency.Log
 	say     func(string, ...any)
 	mu      sync.Mutex // of the gate, which stands before the program
-	gate    authz.Gate
+	gate    authz.LookupLimiter
 	began   time.Time
 	http.ServeMux
 }
@@ -79,13 +79,13 @@
 func (a *API) pass(credential string) (after float64, ok bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.gate.Pass(1+time.Since(a.began).Seconds(), credential)
+	return a.gate.Allow(1+time.Since(a.began).Seconds(), credential)
 }
 
 func (a *API) found(credential string, known bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.gate.Found(credential, known)
+	a.gate.Observe(credential, known)
 }
 
 // New makes the API of a coordinator.
@@ -96,8 +96,8 @@
 }
 
 func newAPI(now float64, program Program, terms fairshare.Terms, say func(string, ...any)) *API {
-	a := &API{program: program, shares: fairshare.New(now, terms), books: map[tenancy.Name]*idempotency.Book{}, say: say,
-		gate: authz.Gate{Rate: strangers, Burst: strangers}, began: time.Now()}
+	a := &API{program: program, shares: fairshare.New(now, terms), books: map[tenancy.Name]*idempotency.Log{}, say: say,
+		gate: authz.LookupLimiter{Rate: strangers, Burst: strangers}, began: time.Now()}
 	a.HandleFunc("GET /openapi.json", func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Type", "application/json")
 		_, _ = w.Write(OpenAPI) // a reader that went away needs no answer
@@ -107,20 +107,20 @@
 
 // tenant serves the calls about one tenant's fleet below a path.
 func (a *API) tenant(path string) {
-	a.HandleFunc("GET "+path+"/servers", a.with(idempotency.Viewer, costLook, false, a.servers))
-	a.HandleFunc("GET "+path+"/relays", a.with(idempotency.Viewer, costLook, false, a.relays))
-	a.HandleFunc("GET "+path+"/drains/{server}", a.with(idempotency.Viewer, costLook, false, a.follow))
-	a.HandleFunc("GET "+path+"/orders", a.with(idempotency.Viewer, costLook, false, a.orders))
-	a.HandleFunc("GET "+path+"/audit", a.with(idempotency.Staff, costLook, false, a.audit))
-	a.HandleFunc("POST "+path+"/preview", a.with(idempotency.Viewer, costPreview, false, a.preview))
-	a.HandleFunc("POST "+path+"/drains", a.with(idempotency.Staff, costDrain, true, a.drain))
+	a.HandleFunc("GET "+path+"/servers", a.with(idempotency.RoleViewer, costLook, false, a.servers))
+	a.HandleFunc("GET "+path+"/relays", a.with(idempotency.RoleViewer, costLook, false, a.relays))
+	a.HandleFunc("GET "+path+"/drains/{server}", a.with(idempotency.RoleViewer, costLook, false, a.follow))
+	a.HandleFunc("GET "+path+"/orders", a.with(idempotency.RoleViewer, costLook, false, a.orders))
+	a.HandleFunc("GET "+path+"/audit", a.with(idempotency.RoleStaff, costLook, false, a.audit))
+	a.HandleFunc("POST "+path+"/preview", a.with(idempotency.RoleViewer, costPreview, false, a.preview))
+	a.HandleFunc("POST "+path+"/drains", a.with(idempotency.RoleStaff, costDrain, true, a.drain))
 }
 
 // book of a tenant's calls and changes.
-func (a *API) book(of tenancy.Name) *idempotency.Book {
+func (a *API) book(of tenancy.Name) *idempotency.Log {
 	b := a.books[of]
 	if b == nil {
-		b = &idempotency.Book{}
+		b = &idempotency.Log{}
 		a.books[of] = b
 	}
 	return b
@@ -136,12 +136,12 @@
 
 // call is a request that was let in.
 type call struct {
-	authz.Who
+	authz.Principal
 	of tenancy.Name // the tenant that it is about; empty: none, or the only one
 }
 
 // as says whose share of calls somebody takes: that of its tenant's, and there its own.
-func as(w authz.Who) (fairshare.Tenant, fairshare.Group) {
+func as(w authz.Principal) (fairshare.Tenant, fairshare.Group) {
 	return fairshare.Tenant(string(w.Tenant) + "/" + w.Name), fairshare.Group(w.Tenant)
 }
 
@@ -158,14 +158,14 @@
 		after, known, in := 0.0, false, false
 		var err error
 		a.program.Do(func(now float64) {
-			if c.Who, known = a.program.Identify(credential); !known || !bearer {
+			if c.Principal, known = a.program.Identify(credential); !known || !bearer {
 				known = false
 				return
 			}
-			if err = authz.May(c.Who, authz.Act{Needs: needs, Tenant: c.of}); err != nil {
+			if err = authz.Authorize(c.Principal, authz.Action{Role: needs, Tenant: c.of}); err != nil {
 				return
 			}
-			name, group := as(c.Who)
+			name, group := as(c.Principal)
 			if err = a.shares.Set(now, name, group, 1); err == nil {
 				after, in, err = a.shares.Take(now, name, cost, urgent)
 			}
@@ -235,8 +235,8 @@
 		tag = version(f)
 		for _, name := range f.Roll.Servers() {
 			rec, _ := f.Roll.Find(name)
-			rows = append(rows, serverRow{Server: name, Phase: phases[rec.Phase], Zone: zoneName(f, rec.Zone), Pod: rec.Pod,
-				Started: rec.Started, Cold: f.Roll.Cold(now, name, f.Site().Guarantees.WarmupDuration)})
+			rows = append(rows, serverRow{Server: name, Phase: phases[rec.Phase], Zone: zoneName(f, rec.Zone), Pod: rec.FailureDomain,
+				Started: rec.Started, Cold: f.Roll.WarmingUp(now, name, f.Site().Guarantees.WarmupDuration)})
 		}
 	}) {
 		return
@@ -291,7 +291,7 @@
 }
 
 func (a *API) audit(w http.ResponseWriter, _ *http.Request, c call) {
-	entries := []idempotency.Entry{}
+	entries := []idempotency.AuditEntry{}
 	a.program.Do(func(float64) {
 		if b := a.books[c.of]; b != nil {
 			entries = b.Audit(mostEntries)
@@ -396,7 +396,7 @@
 	}
 	key := r.Header.Get("Idempotency-Key")
 	var (
-		before  idempotency.Answer
+		before  idempotency.Response
 		known   bool
 		err     error
 		status  int
@@ -406,14 +406,14 @@
 	if !a.fleet(w, who, func(now float64, f *controlplane.Fleet) {
 		if before, known, err = a.book(who.of).Begin(now, who.Name, key, xxhash.Sum64(body)); err != nil || known {
 			status = http.StatusUnprocessableEntity
-			if errors.Is(err, idempotency.ErrBusy) {
+			if errors.Is(err, idempotency.ErrInProgress) {
 				status = http.StatusConflict
 			}
 			return
 		}
 		if _, there := f.Roll.Find(c.Server); !there {
 			status, err = http.StatusNotFound, fmt.Errorf("no server %q is known", c.Server)
-		} else if err = idempotency.Match(r.Header.Get("If-Match"), version(f)); err != nil {
+		} else if err = idempotency.CheckVersion(r.Header.Get("If-Match"), version(f)); err != nil {
 			status = http.StatusPreconditionFailed
 		} else if c.On && !c.Force {
 			if reasons = f.Preview(now, []balancer.Server{c.Server}, c.LoseZone); len(reasons) > 0 {
@@ -423,7 +423,7 @@
 		if err == nil {
 			a.program.Drain(now, who.of, c.Server, c.On, func(ok bool) { done <- ok })
 		} else {
-			a.book(who.of).End(who.Name, key, idempotency.Answer{}, false)
+			a.book(who.of).End(who.Name, key, idempotency.Response{}, false)
 			a.noteDrain(now, who, c, "refused: "+err.Error())
 		}
 	}) {
@@ -450,7 +450,7 @@
 	}
 	text, _ := json.Marshal(row) // figures are finite
 	a.program.Do(func(now float64) {
-		a.book(who.of).End(who.Name, key, idempotency.Answer{Status: http.StatusAccepted, Body: text}, agreed)
+		a.book(who.of).End(who.Name, key, idempotency.Response{Status: http.StatusAccepted, Body: text}, agreed)
 		a.noteDrain(now, who, c, map[bool]string{true: "agreed", false: "not agreed in time"}[agreed])
 	})
 	if !agreed {
@@ -474,6 +474,6 @@
 
 // note keeps who changed what, or was refused to.
 func (a *API) note(now float64, who call, what, of, result string) {
-	a.book(who.of).Note(idempotency.Entry{At: now, Who: who.Name, What: what, Of: of, Result: result})
+	a.book(who.of).RecordAudit(idempotency.AuditEntry{At: now, Who: who.Name, What: what, Of: of, Result: result})
 	a.say("administration", "tenant", who.of, "who", who.Name, "of-tenant", who.Tenant, "what", what, "of", of, "result", result)
 }
--- a/internal/frontend/admin/hosted.go
+++ b/internal/frontend/admin/hosted.go
@@ -38,25 +38,25 @@
 
 // TenantRow tells of a tenant.
 type TenantRow struct {
-	Name        tenancy.Name        `json:"name"`
-	Incarnation tenancy.Incarnation `json:"incarnation"`
-	Version     tenancy.Version     `json:"version"`
-	Weight      float64             `json:"weight"`
-	Needs       tenancy.Needs       `json:"needs"`
-	Runs        bool                `json:"runs"`
-	Wrong       string              `json:"wrong,omitempty"` // why it does not, or goes on by former settings
-	Servers     int                 `json:"servers"`
-	Relays      int                 `json:"relays"`  // that are joined
-	Newest      int                 `json:"newest"`  // of them, known to hold the newest tables
-	Work        float64             `json:"work"`    // seconds of a core that it was reckoned at
-	Longest     float64             `json:"longest"` // seconds that it was due and waited for its turn
-	Waiting     float64             `json:"waiting"` // lines in its channel
+	Name        tenancy.Name         `json:"name"`
+	Incarnation tenancy.Incarnation  `json:"incarnation"`
+	Version     tenancy.Version      `json:"version"`
+	Weight      float64              `json:"weight"`
+	Needs       tenancy.Requirements `json:"needs"`
+	Runs        bool                 `json:"runs"`
+	Wrong       string               `json:"wrong,omitempty"` // why it does not, or goes on by former settings
+	Servers     int                  `json:"servers"`
+	Relays      int                  `json:"relays"`  // that are joined
+	Newest      int                  `json:"newest"`  // of them, known to hold the newest tables
+	Work        float64              `json:"work"`    // seconds of a core that it was reckoned at
+	Longest     float64              `json:"longest"` // seconds that it was due and waited for its turn
+	Waiting     float64              `json:"waiting"` // lines in its channel
 }
 
 // Seen is what would follow from settings.
 type Seen struct {
 	Weight   float64               `json:"weight"`
-	Needs    tenancy.Needs         `json:"needs"`
+	Needs    tenancy.Requirements  `json:"needs"`
 	Anew     string                `json:"starts-anew-for,omitempty"` // what can't be changed while it runs
 	Added    int                   `json:"servers-added"`
 	Removed  []string              `json:"servers-removed,omitempty"`
@@ -75,13 +75,13 @@
 	a := newAPI(now, hosted, hostedTerms, say)
 	a.hosted = hosted
 	a.tenant("/v1/tenants/{tenant}")
-	a.HandleFunc("GET /v1/tenants", a.with(idempotency.Viewer, costList, false, a.list))
-	a.HandleFunc("GET /v1/audit", a.with(idempotency.Staff, costLook, false, a.audit))
-	a.HandleFunc("GET /v1/tenants/{tenant}", a.with(idempotency.Viewer, costLook, false, a.show))
-	a.HandleFunc("GET /v1/tenants/{tenant}/settings", a.with(idempotency.Staff, costLook, false, a.settings))
-	a.HandleFunc("PUT /v1/tenants/{tenant}", a.with(idempotency.Staff, costTenant, false, a.put))
-	a.HandleFunc("POST /v1/tenants/{tenant}/servers", a.with(idempotency.Staff, costTenant, false, a.edit))
-	a.HandleFunc("DELETE /v1/tenants/{tenant}", a.with(idempotency.Host, costTenant, false, a.remove))
+	a.HandleFunc("GET /v1/tenants", a.with(idempotency.RoleViewer, costList, false, a.list))
+	a.HandleFunc("GET /v1/audit", a.with(idempotency.RoleStaff, costLook, false, a.audit))
+	a.HandleFunc("GET /v1/tenants/{tenant}", a.with(idempotency.RoleViewer, costLook, false, a.show))
+	a.HandleFunc("GET /v1/tenants/{tenant}/settings", a.with(idempotency.RoleStaff, costLook, false, a.settings))
+	a.HandleFunc("PUT /v1/tenants/{tenant}", a.with(idempotency.RoleStaff, costTenant, false, a.put))
+	a.HandleFunc("POST /v1/tenants/{tenant}/servers", a.with(idempotency.RoleStaff, costTenant, false, a.edit))
+	a.HandleFunc("DELETE /v1/tenants/{tenant}", a.with(idempotency.RoleHost, costTenant, false, a.remove))
 	return a
 }
 
@@ -211,9 +211,9 @@
 	dry, force := q.Get("dry-run") == "true", q.Get("force") == "true"
 	end := a.ordered(func(now float64, done func(decided)) {
 		row, there := a.hosted.Row(who.of)
-		c := tenancy.Command{Kind: tenancy.Change, Name: who.of, If: must, ID: id(r, who), Print: fingerprint(r, body), At: now}
+		c := tenancy.Command{Kind: tenancy.Change, Name: who.of, IfVersion: must, ID: id(r, who), Fingerprint: fingerprint(r, body), Time: now}
 		switch {
-		case !there && authz.May(who.Who, authz.Act{Needs: idempotency.Host}) != nil:
+		case !there && authz.Authorize(who.Principal, authz.Action{Role: idempotency.RoleHost}) != nil:
 			done(decided{status: http.StatusForbidden, err: errors.New("only the host may make tenants")})
 			return
 		case !there && must != 0:
@@ -238,10 +238,10 @@
 			done(d)
 			return
 		}
-		c.Weight, c.Needs = d.seen.Weight, d.seen.Needs
-		if c.Kind == tenancy.Change && who.Role < idempotency.Host {
+		c.Weight, c.Requirements = d.seen.Weight, d.seen.Needs
+		if c.Kind == tenancy.Change && who.Role < idempotency.RoleHost {
 			// What a tenant may take is the host's to say: its staff may ask for less, not for more.
-			if err := c.Needs.Within(row.Needs); err != nil || c.Weight > row.Weight {
+			if err := c.Requirements.CheckWithin(row.Needs); err != nil || c.Weight > row.Weight {
 				done(decided{status: http.StatusForbidden, seen: d.seen, err: fmt.Errorf("only the host may raise what a tenant takes: weight %g to %g; %v",
 					row.Weight, c.Weight, err)})
 				return
@@ -283,7 +283,7 @@
 			done(decided{status: http.StatusConflict, err: fmt.Errorf("%d relays are joined, and would go on by the tables that they hold: force=true", row.Relays)})
 			return
 		}
-		a.order(now, tenancy.Command{Kind: tenancy.Remove, Name: who.of, If: must, ID: id(r, who), Print: fingerprint(r, nil), At: now}, decided{}, func(d decided) {
+		a.order(now, tenancy.Command{Kind: tenancy.Remove, Name: who.of, IfVersion: must, ID: id(r, who), Fingerprint: fingerprint(r, nil), Time: now}, decided{}, func(d decided) {
 			if d.err == nil {
 				a.gone(who.of)
 			}
@@ -308,9 +308,9 @@
 var statuses = []struct {
 	err    error
 	status int
-}{{tenancy.ErrUnknown, http.StatusNotFound}, {tenancy.ErrExists, http.StatusPreconditionFailed}, {tenancy.ErrStale, http.StatusPreconditionFailed},
-	{tenancy.ErrRests, http.StatusConflict}, {tenancy.ErrKey, http.StatusUnprocessableEntity}, {tenancy.ErrRoom, http.StatusInsufficientStorage},
-	{tenancy.ErrCommand, http.StatusBadRequest}}
+}{{tenancy.ErrUnknown, http.StatusNotFound}, {tenancy.ErrExists, http.StatusPreconditionFailed}, {tenancy.ErrVersionMismatch, http.StatusPreconditionFailed},
+	{tenancy.ErrNameQuarantined, http.StatusConflict}, {tenancy.ErrKeyReused, http.StatusUnprocessableEntity}, {tenancy.ErrNoCapacity, http.StatusInsufficientStorage},
+	{tenancy.ErrInvalidCommand, http.StatusBadRequest}}
 
 func (a *API) order(now float64, c tenancy.Command, d decided, done func(decided)) {
 	a.hosted.Order(now, c, func(o tenancy.Outcome, err error) {
@@ -344,7 +344,7 @@
 		a.note(now, host, what, string(who.of), result)
 	})
 	if d.err != nil {
-		if d.status == http.StatusServiceUnavailable || d.status == http.StatusConflict && errors.Is(d.err, tenancy.ErrRests) {
+		if d.status == http.StatusServiceUnavailable || d.status == http.StatusConflict && errors.Is(d.err, tenancy.ErrNameQuarantined) {
 			w.Header().Set("Retry-After", "1")
 		}
 		problem(w, d.status, "%v", d.err)
--- a/internal/frontend/eventloop/loop_test.go
+++ b/internal/frontend/eventloop/loop_test.go
@@ -28,7 +28,7 @@
 		Reporting:  balancer.Reporting{Period: 0.5}, Limits: controlplane.UsualLimits}
 	for i := range servers {
 		a := netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, byte(i >> 8), byte(i)}), 80)
-		s.Servers = append(s.Servers, registry.Place{Server: balancer.Server(a.String()), Weight: 1, Standing: true})
+		s.Servers = append(s.Servers, registry.ServerConfig{Server: balancer.Server(a.String()), Weight: 1, Static: true})
 	}
 	return coordinator.Setup{Site: s, Limits: saspsession.UsualLimits, Policy: saspsession.Policy{FleetUID: "fleet"}}
 }
@@ -109,7 +109,7 @@
 	holding := func() (n int) { s.Do(func(float64) { n = program.Fleet.Holding() }); return n }
 	until(t, "the kernel's word that it was taken", func() bool { return holding() == 1 })
 	s.Do(func(now float64) {
-		program.Fleet.Roll.Quiesce(now, "10.0.0.3:80", true)
+		program.Fleet.Roll.SetDrain(now, "10.0.0.3:80", true)
 	})
 	if err := read(c, &m); err != nil || len(m.Rows) != 1 || m.Rows[0].Weight != 0 || m.Rows[0].Flags&sasp.Quiesce == 0 {
 		t.Errorf("the drain: %+v, %v", m.Rows, err)
@@ -174,7 +174,7 @@
 				before := bytes.Load()
 				b.StartTimer()
 				s.Do(func(now float64) {
-					program.Fleet.Roll.Quiesce(now, program.Fleet.Roll.Servers()[next], true)
+					program.Fleet.Roll.SetDrain(now, program.Fleet.Roll.Servers()[next], true)
 					program.TimerFired(now, 0)
 				})
 				for bytes.Load() < before+least {
--- a/internal/frontend/longpollhttp/poll_test.go
+++ b/internal/frontend/longpollhttp/poll_test.go
@@ -41,7 +41,7 @@
 		Guarantees: balancer.Guarantees{DrainDeadline: 30, EmptyTableDeadline: 2, WarmupStartFraction: 0.2, WarmupDuration: 10, OverloadFactor: 3, OverloadWindow: 2},
 		Reporting:  balancer.Reporting{Period: 0.5}, Limits: controlplane.UsualLimits, Without: map[controlplane.Guard]bool{}}
 	for i := range servers {
-		s.Servers = append(s.Servers, registry.Place{Server: server(i), Weight: 1, Standing: true})
+		s.Servers = append(s.Servers, registry.ServerConfig{Server: server(i), Weight: 1, Static: true})
 	}
 	limits := longpoll.UsualLimits
 	limits.Joins, limits.Burst = 1e6, 1e6
@@ -154,7 +154,7 @@
 		if program.Fleet.Holding() != 1 {
 			t.Errorf("%d hold the newest tables", program.Fleet.Holding())
 		}
-		program.Fleet.Roll.Quiesce(now, server(2), true)
+		program.Fleet.Roll.SetDrain(now, server(2), true)
 	})
 	resp, body = c.do("GET", "/v1/proxies/r1/tables?wait=5&"+at, delta.CBOR)
 	if resp.StatusCode != 200 {
@@ -364,7 +364,7 @@
 				for b.Loop() {
 					next++
 					s.Do(func(now float64) {
-						program.Fleet.Roll.Quiesce(now, server(next%199), true)
+						program.Fleet.Roll.SetDrain(now, server(next%199), true)
 						program.TimerFired(now, 0)
 					})
 					all()
--- a/internal/scenario/draw.go
+++ b/internal/scenario/draw.go
@@ -46,7 +46,7 @@
 	for range 2 + c.IntN(mostTroubles-1) {
 		t := settings.Trouble{Kind: kinds[c.IntN(len(kinds))], Server: c.IntN(len(site.Servers)),
 			Relay: c.IntN(len(site.Relays)), Zone: site.Servers[c.IntN(len(site.Servers))].Zone,
-			Pod: int(site.Servers[c.IntN(len(site.Servers))].Pod)}
+			Pod: int(site.Servers[c.IntN(len(site.Servers))].FailureDomain)}
 		t.At = firstTrouble + c.Float64()*(d.Seconds-troubleFree-firstTrouble)
 		between := func(a, b float64) float64 { return a + (b-a)*c.Float64() }
 		switch t.Kind {
@@ -90,8 +90,8 @@
 	zones := len(site.Zones)
 	for i := range servers {
 		a := netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 1, byte(i / 250), byte(1 + i%250)}), enlargedPort)
-		site.Servers = append(site.Servers, registry.Place{Server: balancer.Server(a.String()), Weight: 1,
-			Zone: balancer.Zone(i / podSize % zones), Pod: balancer.FailureDomain(i / podSize)})
+		site.Servers = append(site.Servers, registry.ServerConfig{Server: balancer.Server(a.String()), Weight: 1,
+			Zone: balancer.Zone(i / podSize % zones), FailureDomain: balancer.FailureDomain(i / podSize)})
 	}
 	for i := range relays {
 		site.Relays = append(site.Relays, controlplane.Relay{UID: fmt.Sprint("relay-", i), Zone: balancer.Zone(i % zones), Usual: usualRate})
--- a/internal/scenario/hosted.go
+++ b/internal/scenario/hosted.go
@@ -72,7 +72,7 @@
 	Turns    turnsSeen
 	AllLed   float64 // seconds from the host's start, or its latest restart, until all relays of all tenants were told their tables; 0: never
 	Events   int
-	Refused  map[tenancy.Reason]int
+	Refused  map[tenancy.RejectReason]int
 	Memory   float64
 	Problems []string
 }
@@ -169,7 +169,7 @@
 	program *coordinator.Host
 	up      bool
 	store   coordinator.HostStore
-	disk    consensus.Memory
+	disk    consensus.MemoryStorage
 	lives   uint64
 }
 
@@ -200,7 +200,7 @@
 	for range max(day.Hosts, 1) {
 		o := &aHost{store: day.Store}
 		if o.store == nil {
-			o.store = &store.HostedMemory{}
+			o.store = &store.MemoryTenantStore{}
 		}
 		p.hosts = append(p.hosts, o)
 	}
@@ -271,7 +271,7 @@
 		o.lives++
 		setup.SASP, setup.HTTP = hostAddr(i, hostPort), hostAddr(i, hostPoll)
 		setup.Disk, setup.Life = &o.disk, o.lives*100+uint64(i)
-		o.disk.Own = uint64(i + 1)
+		o.disk.OwnDataDirID = uint64(i + 1)
 		setup.Group = groupOf(n, i, func(k int) netip.Addr { return hostAddr(k, 0).Addr() })
 	}
 	h, err := coordinator.NewHost(now, setup, o.store)
@@ -326,9 +326,9 @@
 	r.Turns.Urgent += t.Urgent
 	r.Turns.Held += t.Held
 	if r.Refused == nil {
-		r.Refused = map[tenancy.Reason]int{}
+		r.Refused = map[tenancy.RejectReason]int{}
 	}
-	for why, n := range o.program.Entry.Refused {
+	for why, n := range o.program.Entry.Rejected {
 		r.Refused[why] += n
 	}
 }
@@ -358,14 +358,14 @@
 
 func (p *hostedPlay) order(c tenancy.Command) {
 	p.on(func(now float64, h *coordinator.Host) {
-		c.At = now
+		c.Time = now
 		if c.Kind != tenancy.Remove {
 			m, err := settings.ParseTenant(c.Name, c.Settings, p.host)
 			if err != nil {
 				p.fail(err)
 				return
 			}
-			c.Weight, c.Needs = m.Weight, m.Needs
+			c.Weight, c.Requirements = m.Weight, m.Needs
 		}
 		h.Order(now, c, func(o tenancy.Outcome, err error) {
 			if err = errors.Join(err, o.Err()); err != nil {
@@ -489,7 +489,7 @@
 			x.ref.Forget()
 			p.order(tenancy.Command{Kind: tenancy.Remove, Name: x.name})
 		})
-		p.stage.At(start+0.5*d.Seconds+tenancy.RestFor+0.5, func() {
+		p.stage.At(start+0.5*d.Seconds+tenancy.NameQuarantine+0.5, func() {
 			p.order(tenancy.Command{Kind: tenancy.Create, Name: x.name, Settings: d.TenantSettings(x.number)})
 		})
 	}
@@ -549,7 +549,7 @@
 		}
 		p.result.Tenants = append(p.result.Tenants, r)
 	}
-	p.result.Memory = p.hosts[0].program.Dir.Taken().Memory
+	p.result.Memory = p.hosts[0].program.Dir.Used().Memory
 	if p.sim != nil {
 		p.result.Events = p.sim.Events
 	}
@@ -587,7 +587,7 @@
 	if drain > 0 {
 		fmt.Fprintf(&b, "last query to a server that drains %.2f s after it was ordered\n", drain)
 	}
-	for _, why := range []tenancy.Reason{tenancy.Crowded, tenancy.Silent, tenancy.Senseless, tenancy.Nobody, tenancy.Starting, tenancy.Full, tenancy.TooFast, tenancy.Outside} {
+	for _, why := range []tenancy.RejectReason{tenancy.TooManyUnidentified, tenancy.IdentifyTimedOut, tenancy.MalformedIdentity, tenancy.UnknownTenant, tenancy.TenantStarting, tenancy.TenantConnectionsFull, tenancy.AcceptRateExceeded, tenancy.NetworkNotAllowed} {
 		if k := r.Refused[why]; k > 0 {
 			fmt.Fprintf(&b, "%d connections refused: %s\n", k, why)
 		}
--- a/internal/scenario/proxies.go
+++ b/internal/scenario/proxies.go
@@ -56,7 +56,7 @@
 		s.Routes = append(s.Routes, proxy.Route{Prefix: "/" + name, Class: balancer.Class(k)})
 	}
 	for _, v := range site.Servers {
-		s.Forward.Places[v.Server] = retry.Place{Server: v.Server, Zone: v.Zone, Pod: v.Pod}
+		s.Forward.Places[v.Server] = retry.Place{Server: v.Server, Zone: v.Zone, Pod: v.FailureDomain}
 	}
 	at := c.SASP
 	if s.SASP = !(p.opts.Front == "http" || p.opts.Front == "both" && i%2 == 1); !s.SASP {
--- a/internal/scenario/rehearse.go
+++ b/internal/scenario/rehearse.go
@@ -118,8 +118,8 @@
 	program *coordinator.Coordinator
 	host    host
 	up      bool
-	store   store.Memory
-	disk    consensus.Memory
+	store   store.MemoryStore
+	disk    consensus.MemoryStorage
 	lives   uint64
 }
 
@@ -312,7 +312,7 @@
 	if n := p.opts.Coordinators; n > 1 {
 		setup.Site.Dataplane.Coordinators, setup.Site.Dataplane.Self = n, balancer.Coordinator(i)
 		o.lives++
-		o.disk.Own = uint64(i + 1)
+		o.disk.OwnDataDirID = uint64(i + 1)
 		setup.Disk, setup.Life = &o.disk, o.lives*100+uint64(i)
 		setup.Group = groupOf(n, i, func(k int) netip.Addr { return p.at(k, c.SASP).Addr() })
 	}
@@ -337,10 +337,10 @@
 
 // groupOf is what the i-th of n that share a fleet, or tenants, is told of the others.
 func groupOf(n, i int, at func(k int) netip.Addr) *coordinator.GroupSetup {
-	g := &coordinator.GroupSetup{Self: membership.Number(i + 1), Weight: 1, Members: map[membership.Number]netip.AddrPort{},
-		Key: []byte("a key for rehearsals"), Terms: consensus.UsualTerms, Lease: membership.UsualTerms}
+	g := &coordinator.GroupSetup{Self: membership.MemberID(i + 1), Weight: 1, Members: map[membership.MemberID]netip.AddrPort{},
+		Key: []byte("a key for rehearsals"), Terms: consensus.DefaultConfig, Lease: membership.DefaultLeaseConfig}
 	for k := range n {
-		g.Members[membership.Number(k+1)] = netip.AddrPortFrom(at(k), peerPort)
+		g.Members[membership.MemberID(k+1)] = netip.AddrPortFrom(at(k), peerPort)
 	}
 	return g
 }
@@ -402,10 +402,10 @@
 func (p *play) serverSetup(i int, warm bool) emulator.ServerSetup {
 	c := p.day.Coordinator
 	s := c.Site.Servers[i]
-	pod := p.pods[int(s.Pod)]
+	pod := p.pods[int(s.FailureDomain)]
 	if pod == nil {
 		pod = emulator.NewPod()
-		p.pods[int(s.Pod)] = pod
+		p.pods[int(s.FailureDomain)] = pod
 	}
 	g := c.Site.Guarantees
 	speeds := rand.New(rand.NewPCG(p.opts.Seed, uint64(i)))
@@ -541,7 +541,7 @@
 		later(func() { p.restartServer(t.Server) })
 	case "mass_restart":
 		for i, s := range p.day.Coordinator.Site.Servers {
-			if int(s.Pod) == t.Pod {
+			if int(s.FailureDomain) == t.Pod {
 				p.killServer(i)
 				later(func() { p.restartServer(i) })
 			}
@@ -606,7 +606,7 @@
 		during(&p.servers[t.Server].Room, 0)
 	case "shared_slow":
 		for i, v := range p.day.Coordinator.Site.Servers {
-			if int(v.Pod) == t.Pod {
+			if int(v.FailureDomain) == t.Pod {
 				during(&p.servers[i].Slow, 1)
 			}
 		}
--- a/internal/scenario/takeover.go
+++ b/internal/scenario/takeover.go
@@ -58,7 +58,7 @@
 	for at := killFrom; at < d.Seconds-killAfter; at += otherEvery * (0.5 + c.Float64()) {
 		i := c.IntN(len(site.Servers))
 		t := settings.Trouble{Kind: kinds[c.IntN(len(kinds))], Server: i, Relay: c.IntN(len(site.Relays)),
-			Pod: int(site.Servers[i].Pod), Zone: site.Servers[i].Zone, At: at, For: 0.5 + 5*c.Float64(), Factor: 3}
+			Pod: int(site.Servers[i].FailureDomain), Zone: site.Servers[i].Zone, At: at, For: 0.5 + 5*c.Float64(), Factor: 3}
 		if t.Kind == "drain" {
 			t.For += 4
 		}
@@ -88,13 +88,13 @@
 func (p *play) startProcess(i int) (host, error) {
 	x, c, n := p.opts.Processes, p.day.Coordinator, p.opts.Coordinators
 	file := func(what string) string { return filepath.Join(x.Folder, fmt.Sprintf("%d.%s", i+1, what)) }
-	m := settings.Member{Number: membership.Number(i + 1), SASP: p.at(i, c.SASP), Measurements: p.at(i, c.Measurements),
-		Store: file("db"), GroupStore: file("group"), Key: processKey, Peers: map[membership.Number]netip.AddrPort{}}
+	m := settings.Member{Number: membership.MemberID(i + 1), SASP: p.at(i, c.SASP), Measurements: p.at(i, c.Measurements),
+		Store: file("db"), GroupStore: file("group"), Key: processKey, Peers: map[membership.MemberID]netip.AddrPort{}}
 	if c.HTTP.IsValid() {
 		m.HTTP = p.at(i, c.HTTP)
 	}
 	for k := range n {
-		m.Peers[membership.Number(k+1)] = netip.AddrPortFrom(p.at(k, c.SASP).Addr(), peerPort)
+		m.Peers[membership.MemberID(k+1)] = netip.AddrPortFrom(p.at(k, c.SASP).Addr(), peerPort)
 	}
 	text, err := p.day.Settings(m)
 	if err != nil {
--- a/internal/service/admin.go
+++ b/internal/service/admin.go
@@ -30,7 +30,7 @@
 	return call(c.Admin, c.Callers, needs, method, path, body)
 }
 
-func call(admin netip.AddrPort, callers []authz.Key, needs idempotency.Role, method, path string, body any) (json.RawMessage, error) {
+func call(admin netip.AddrPort, callers []authz.Credential, needs idempotency.Role, method, path string, body any) (json.RawMessage, error) {
 	if !admin.IsValid() {
 		return nil, errors.New("the settings have no <listen admin>")
 	}
@@ -58,7 +58,7 @@
 	}
 	r.Header.Set("Authorization", "Bearer "+key)
 	if method != http.MethodGet {
-		r.Header.Set("Idempotency-Key", fmt.Sprintf("%x", consensus.Draw()))
+		r.Header.Set("Idempotency-Key", fmt.Sprintf("%x", consensus.RandomID()))
 	}
 	answer, err := (&http.Client{Timeout: callWithin}).Do(r)
 	if err != nil {
--- a/internal/service/admin_test.go
+++ b/internal/service/admin_test.go
@@ -62,7 +62,10 @@
 			t.Fatal(err)
 		}
 		s := serveOne(settled)
-		eventually(t, "it does not run", func() bool { _, err := Call(settled, idempotency.Viewer, "GET", "/v1/servers", nil); return err == nil })
+		eventually(t, "it does not run", func() bool {
+			_, err := Call(settled, idempotency.RoleViewer, "GET", "/v1/servers", nil)
+			return err == nil
+		})
 		relay, err := net.Dial("tcp", "127.0.0.1:15841")
 		if err != nil {
 			t.Fatal(err)
@@ -118,7 +121,7 @@
 		status, got, _ = asked(t, staff, "POST", "/v1/drains", two)
 		want("the last one", status, 409, got, "would do harm")
 		eventually(t, "why orders were given is not told", func() bool { // an order is told of when it is known to be held
-			raw, err := Call(settled, idempotency.Viewer, "GET", "/v1/orders?relay=relay-1", nil)
+			raw, err := Call(settled, idempotency.RoleViewer, "GET", "/v1/orders?relay=relay-1", nil)
 			return err == nil && strings.Contains(string(raw), `"facts.lists"`)
 		})
 		refused := 0
@@ -133,8 +136,11 @@
 			t.Error("a flood of calls is not slowed: the test tests nothing")
 		}
 		var raw json.RawMessage
-		eventually(t, "the audit", func() bool { raw, err = Call(settled, idempotency.Staff, "GET", "/v1/audit", nil); return err == nil })
-		var entries []idempotency.Entry
+		eventually(t, "the audit", func() bool {
+			raw, err = Call(settled, idempotency.RoleStaff, "GET", "/v1/audit", nil)
+			return err == nil
+		})
+		var entries []idempotency.AuditEntry
 		if err != nil || json.Unmarshal(raw, &entries) != nil || len(entries) < 5 || entries[0].Who != "ann" || entries[0].What != "drain by force" {
 			t.Errorf("audit %s, %v", raw, err)
 		}
@@ -142,7 +148,7 @@
 		s.end(t)
 		s = serveOne(settled) // what was confirmed outlives it
 		eventually(t, "the drain is forgotten", func() bool {
-			b, err := Call(settled, idempotency.Viewer, "GET", "/v1/drains/127.0.1.1:8080", nil)
+			b, err := Call(settled, idempotency.RoleViewer, "GET", "/v1/drains/127.0.1.1:8080", nil)
 			return err == nil && strings.Contains(string(b), `"phase":"drains"`)
 		})
 		s.end(t)
--- a/internal/service/group.go
+++ b/internal/service/group.go
@@ -26,7 +26,7 @@
 
 // GroupRemove takes a coordinator out for good, by way of any of the others. A command may be lost while a leader is
 // elected, so it is given again until one of them says that it is agreed on.
-func GroupRemove(g *coordinator.GroupSetup, gone membership.Number, wait time.Duration) error {
+func GroupRemove(g *coordinator.GroupSetup, gone membership.MemberID, wait time.Duration) error {
 	for end := time.Now().Add(wait); ; time.Sleep(removeAsk) {
 		var last error
 		for _, n := range slices.Sorted(maps.Keys(g.Members)) {
@@ -34,14 +34,14 @@
 				continue
 			}
 			s, err := ask(g.Members[n], g.Key, nil)
-			if err == nil && s.Seats[gone].Gone {
+			if err == nil && s.Seats[gone].Removed {
 				return nil
 			}
 			if _, known := s.Seats[gone]; err == nil && !known {
 				return fmt.Errorf("nobody has number %d", gone)
 			}
 			if err == nil {
-				_, err = ask(g.Members[n], g.Key, &membership.Command{Kind: membership.Unseat, Number: gone})
+				_, err = ask(g.Members[n], g.Key, &membership.Command{Kind: membership.RemoveRegistration, MemberID: gone})
 			}
 			if last = err; err == nil {
 				break
--- a/internal/service/group_test.go
+++ b/internal/service/group_test.go
@@ -110,7 +110,7 @@
 		all[n] = serveOne(groupXML(t, dir, n, 3, false))
 	}
 	status := func(n int) (living, drains int, leads bool) {
-		s, err := GroupStatus(all[n].c.Group.Members[membership.Number(n)], []byte(groupKey))
+		s, err := GroupStatus(all[n].c.Group.Members[membership.MemberID(n)], []byte(groupKey))
 		if err != nil {
 			return 0, 0, false
 		}
--- a/internal/service/host.go
+++ b/internal/service/host.go
@@ -32,7 +32,7 @@
 
 // ServeHost runs a host of many tenants until something comes on stop.
 func ServeHost(c *settings.Host, log *slog.Logger, stop <-chan os.Signal) (err error) {
-	store, err := store.OpenHosted(c.Store)
+	store, err := store.OpenTenantStore(c.Store)
 	if err != nil {
 		return err
 	}
@@ -106,7 +106,7 @@
 func (h *hosted) Do(f func(now float64)) { h.server.Do(f) }
 
 // Identify of authz.Callers.
-func (h *hosted) Identify(credential string) (authz.Who, bool) {
+func (h *hosted) Identify(credential string) (authz.Principal, bool) {
 	return h.program.Keys.Identify(credential)
 }
 
@@ -142,7 +142,7 @@
 }
 
 func (h *hosted) row(x *coordinator.Hosted) admin.TenantRow {
-	r := admin.TenantRow{Name: x.Name, Incarnation: x.Incarnation, Version: x.Version, Weight: x.Weight, Needs: x.Needs, Runs: x.Program != nil}
+	r := admin.TenantRow{Name: x.Name, Incarnation: x.Incarnation, Version: x.Version, Weight: x.Weight, Needs: x.Requirements, Runs: x.Program != nil}
 	if x.Wrong != nil {
 		r.Wrong = x.Wrong.Error()
 	}
@@ -366,7 +366,7 @@
 		gauge, count := figures("snowquay_host_", out)
 		spooled(h.Figures(), gauge, count)
 		known, strangers, buffered := h.Entry.Count()
-		taken := h.Dir.Taken()
+		taken := h.Dir.Used()
 		gauge("tenants", "Tenants that there are.", float64(len(h.Dir.Tenants)))
 		gauge("tenants_starting", "Of them, still to be started.", float64(h.Starting()))
 		gauge("connections", "Connections whose tenant is known.", float64(known))
@@ -385,7 +385,7 @@
 		count("save_failed", "Changes and records that could not be made durable.", h.Counts.SaveFailed)
 		count("measurements_unsigned", "Measurement packets that nobody signed.", h.Counts.Unsigned)
 		count("measurements_foreign", "Those signed by nobody who is known.", h.Counts.Foreign)
-		for why, n := range h.Entry.Refused {
+		for why, n := range h.Entry.Rejected {
 			out <- prometheus.MustNewConstMetric(refusedDesc, prometheus.CounterValue, float64(n), why.String())
 		}
 		for _, x := range h.Tenants() {
--- a/internal/service/host_test.go
+++ b/internal/service/host_test.go
@@ -45,7 +45,10 @@
 	}
 	h := &hostOf{t, set, make(chan os.Signal, 1), make(chan error, 1)}
 	go func() { h.done <- ServeHost(set, slog.New(slog.DiscardHandler), h.stop) }()
-	eventually(t, "the host does not run", func() bool { _, err := CallHost(set, idempotency.Viewer, "GET", "/v1/tenants", nil); return err == nil })
+	eventually(t, "the host does not run", func() bool {
+		_, err := CallHost(set, idempotency.RoleViewer, "GET", "/v1/tenants", nil)
+		return err == nil
+	})
 	return h
 }
 
@@ -268,7 +271,7 @@
 		_ = c.Close()
 	}
 	text, _ := h.want(200, "", hostsKey, "GET", "/v1/audit", "")
-	var entries []idempotency.Entry
+	var entries []idempotency.AuditEntry
 	if err := json.Unmarshal([]byte(text), &entries); err != nil || len(entries) < 3 || entries[0].Of != "one" {
 		t.Errorf("%v %s", err, text)
 	}
--- a/internal/service/service.go
+++ b/internal/service/service.go
@@ -39,7 +39,7 @@
 func Serve(c *settings.Coordinator, log *slog.Logger, stop <-chan os.Signal) (err error) {
 	var records coordinator.Store
 	if c.Store != "" {
-		var s *store.Store
+		var s *store.FileStore
 		if s, err = store.Open(c.Store); err != nil {
 			return err
 		}
@@ -78,7 +78,7 @@
 	}
 	if c.Admin.IsValid() {
 		own := &administered{server: server, program: program, watch: watch}
-		if err = own.Keys.Set("", c.Callers); err != nil {
+		if err = own.Credentials.Set("", c.Callers); err != nil {
 			return err
 		}
 		api := admin.New(clock(), own, log.Info)
@@ -100,11 +100,11 @@
 
 // groupPart is what this process is in a group, if it is in one.
 type groupPart struct {
-	disk   consensus.Disk
+	disk   consensus.Storage
 	life   uint64
 	ports  []netip.AddrPort // on which the others dial it
 	failed chan error
-	file   *consensus.File
+	file   *consensus.FileStorage
 }
 
 // openGroup opens what a member of a group must not forget; without a group there is nothing to open.
@@ -113,11 +113,11 @@
 	if g == nil {
 		return p, nil
 	}
-	f, err := consensus.OpenFile(store, consensus.ID(g.Self))
+	f, err := consensus.OpenFileStorage(store, consensus.ID(g.Self))
 	if err != nil {
 		return nil, err
 	}
-	p.file, p.disk, p.life, p.ports = f, f, consensus.Draw(), []netip.AddrPort{g.Members[g.Self]}
+	p.file, p.disk, p.life, p.ports = f, f, consensus.RandomID(), []netip.AddrPort{g.Members[g.Self]}
 	return p, nil
 }
 
@@ -190,7 +190,7 @@
 
 // administered is a coordinator as its administration API sees it.
 type administered struct {
-	authz.Keys
+	authz.Credentials
 	server  *eventloop.Server
 	program *coordinator.Coordinator
 	watch   *watch
@@ -249,19 +249,19 @@
 		count("unsaid", "Levels and ways of repeating that SASP has no word for.", f.Counts.Unsaid)
 		if m := s.program.Member; m != nil && m.Group != nil {
 			g, leads := m.Group, 0.0
-			if m.Failed == nil && g.Lease.Holds(now) {
+			if m.Failed == nil && g.Lease.Valid(now) {
 				leads = 1
 			}
 			gauge("group_lease", "1 while this coordinator may order.", leads)
 			gauge("group_epoch", "Epoch of who leads what.", float64(g.State.Epoch))
-			gauge("group_living", "Coordinators that hold a lease.", float64(len(g.State.Living())))
+			gauge("group_living", "Coordinators that hold a lease.", float64(len(g.State.AliveMembers())))
 			gauge("group_leader", "Number of the leader of consensus; 0: none is known.", float64(g.Node.Leader()))
-			gauge("group_commit", "Entries agreed on.", float64(g.Node.Commit()))
+			gauge("group_commit", "Entries agreed on.", float64(g.Node.CommitIndex()))
 			gauge("group_drains", "Drains agreed on.", float64(len(g.State.Drains)))
-			count("group_moves", "Changes of who leads what.", g.Counts.Moves)
-			count("group_drains_kept", "Drains told here and confirmed.", g.Counts.Kept)
-			count("group_drains_refused", "Drains told here on which nobody could agree in time.", g.Counts.Refused)
-			count("group_dropped", "Commands that found no leader.", g.Counts.Dropped)
+			count("group_moves", "Changes of who leads what.", g.Stats.OwnershipChanges)
+			count("group_drains_kept", "Drains told here and confirmed.", g.Stats.Confirmed)
+			count("group_drains_refused", "Drains told here on which nobody could agree in time.", g.Stats.Rejected)
+			count("group_dropped", "Commands that found no leader.", g.Stats.Dropped)
 			count("relays_evicted", "Relays that another coordinator leads now.", f.Counts.Evicted)
 		}
 		spooled(s.program.Figures(), gauge, count)
--- a/internal/settings/host.go
+++ b/internal/settings/host.go
@@ -26,7 +26,7 @@
 	Metrics      netip.AddrPort // not valid: none
 	Admin        netip.AddrPort
 	Store        string
-	Callers      []authz.Key
+	Callers      []authz.Credential
 	GroupStore   string // file of what a host that shares its tenants must not forget
 }
 
@@ -57,10 +57,10 @@
 	if !h.SASP.IsValid() && !h.HTTP.IsValid() {
 		r.wrong(l, "neither sasp nor http: no proxy could join")
 	}
-	h.Room, h.Entry, h.Turns = tenancy.UsualRoom, tenancy.UsualEntryLimits, fairqueue.UsualTerms
+	h.Room, h.Entry, h.Turns = tenancy.DefaultCapacity, tenancy.DefaultRouterLimits, fairqueue.UsualTerms
 	if n := root.one("room"); n != nil {
 		for name, to := range map[string]*float64{"lines-per-second": &h.Room.Lines, "connections": &h.Room.Connections, "work": &h.Room.Work,
-			"work-times": &h.Room.WorkTimes} {
+			"work-times": &h.Room.WorkOvercommit} {
 			if v := n.number(name); v > 0 {
 				*to = v
 			}
@@ -69,19 +69,19 @@
 			h.Room.Memory = v * (1 << 20)
 		}
 		if v := n.int("tenants"); v > 0 {
-			h.Room.Tenants = v
+			h.Room.MaxTenants = v
 		}
-		h.Turns.Rate, h.Entry.Tenants = h.Room.Work, h.Room.Tenants
+		h.Turns.Rate, h.Entry.MaxTenants = h.Room.Work, h.Room.MaxTenants
 	}
 	if n := root.one("entry"); n != nil {
 		if v := n.int("strangers"); v > 0 {
-			h.Entry.Strangers = v
+			h.Entry.Unidentified = v
 		}
 		if v := n.number("comes-per-second"); v > 0 {
-			h.Entry.Comes, h.Entry.Burst = v, v
+			h.Entry.AcceptRate, h.Entry.AcceptBurst = v, v
 		}
 		if v := n.number("silent-for"); v > 0 {
-			h.Entry.Silent = v
+			h.Entry.IdentifyTimeout = v
 		}
 	}
 	c := &Coordinator{}
@@ -109,7 +109,7 @@
 	c := r.basis(root, nil)
 	r.callers(root, c)
 	for i, x := range c.Callers {
-		if x.Role == idempotency.Host {
+		if x.Role == idempotency.RoleHost {
 			r.wrong(root.all("caller")[i], "role: the host's callers are in the host's settings")
 		}
 	}
@@ -138,7 +138,7 @@
 			r.wrong(root.all("class")[i], "no server is listed in a zone that may take it")
 		}
 	}
-	size := tenancy.Usual(tenancy.Size{Classes: len(s.Classes), Servers: len(s.Servers), Relays: max(len(s.Relays), s.Dataplane.Proxies),
+	size := tenancy.DefaultSize(tenancy.Size{Classes: len(s.Classes), Servers: len(s.Servers), Relays: max(len(s.Relays), s.Dataplane.Proxies),
 		Lines: s.Channel.EntriesPerSecond, Period: s.Reporting.Period})
 	limits := root.one("limits")
 	take := func(name string, to *int, usual int) {
@@ -163,7 +163,7 @@
 		}
 		m.Networks = append(m.Networks, p)
 	}
-	return coordinator.Made{Networks: m.Networks, Setup: c.Setup, Callers: c.Callers, Weight: root.number("weight"), Needs: tenancy.Of(size), Most: c.Limits.Connections},
+	return coordinator.Made{Networks: m.Networks, Setup: c.Setup, Callers: c.Callers, Weight: root.number("weight"), Needs: tenancy.RequirementsFor(size), Most: c.Limits.Connections},
 		errors.Join(r.errs...)
 }
 
@@ -324,10 +324,10 @@
 	}
 	fmt.Fprintf(&b, "administration on %s, measurements on %s, store %q\n", h.Admin, h.Measurements, h.Store)
 	if g := h.Group; g != nil {
-		fmt.Fprintf(&b, "number %d of a group of %d hosts; a lease of %g s, taken over %.1f s after a death\n", g.Self, len(g.Members), g.Lease.For,
-			g.Lease.Dead())
+		fmt.Fprintf(&b, "number %d of a group of %d hosts; a lease of %g s, taken over %.1f s after a death\n", g.Self, len(g.Members), g.Lease.Duration,
+			g.Lease.ExpiryTimeout())
 	}
-	fmt.Fprintf(&b, "room for %d tenants: %.0f MB, %.0f lines a second, %.0f connections, %.2f of a core promised %g times\n", h.Room.Tenants,
-		h.Room.Memory/(1<<20), h.Room.Lines, h.Room.Connections, h.Room.Work, h.Room.WorkTimes)
+	fmt.Fprintf(&b, "room for %d tenants: %.0f MB, %.0f lines a second, %.0f connections, %.2f of a core promised %g times\n", h.Room.MaxTenants,
+		h.Room.Memory/(1<<20), h.Room.Lines, h.Room.Connections, h.Room.Work, h.Room.WorkOvercommit)
 	return b.String()
 }
--- a/internal/settings/host_test.go
+++ b/internal/settings/host_test.go
@@ -24,7 +24,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if h.Room.Memory != 4096<<20 || h.Room.Tenants != 5000 || len(h.Callers) != 1 || !strings.Contains(h.String(), "5000 tenants") {
+	if h.Room.Memory != 4096<<20 || h.Room.MaxTenants != 5000 || len(h.Callers) != 1 || !strings.Contains(h.String(), "5000 tenants") {
 		t.Errorf("%+v", h)
 	}
 	text := readDoc(t, "example-tenant.xml")
@@ -34,7 +34,7 @@
 	}
 	s := &m.Setup.Site
 	if s.Relays[0].UID != "first/relay-1" || m.Setup.Policy.FleetUID != "first/fleet" || s.Prefix != "first/" || len(m.Networks) != 1 ||
-		s.Pools["127.0.1.1:8080"].Capacity != 50 || m.Needs.Within(h.Room.Needs) != nil || !m.Needs.Sane() || s.Limits.Series > 1000 {
+		s.Pools["127.0.1.1:8080"].Capacity != 50 || m.Needs.CheckWithin(h.Room.Requirements) != nil || !m.Needs.Valid() || s.Limits.Series > 1000 {
 		t.Errorf("%+v", m)
 	}
 	for _, c := range [][3]string{
@@ -95,7 +95,7 @@
 		t.Fatal(err)
 	}
 	m, err := ParseTenant(tenancy.Name("first"), next, h)
-	if err != nil || len(m.Setup.Site.Servers) != 4 || m.Setup.Site.Servers[3].Weight != 2.5 || m.Setup.Site.Servers[3].Pod != 1 {
+	if err != nil || len(m.Setup.Site.Servers) != 4 || m.Setup.Site.Servers[3].Weight != 2.5 || m.Setup.Site.Servers[3].FailureDomain != 1 {
 		t.Errorf("%v %+v", err, m.Setup.Site.Servers)
 	}
 	if next, err = (Edit{Server: "127.0.1.9:8080", Remove: true}).Apply(next); err != nil {
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -37,7 +37,7 @@
 	Metrics      netip.AddrPort // not valid: none
 	Store        string         // empty: nothing outlives the coordinator
 	Admin        netip.AddrPort // not valid: none
-	Callers      []authz.Key
+	Callers      []authz.Credential
 	GroupStore   string // file of what a coordinator that shares its fleet must not forget
 }
 
@@ -275,12 +275,12 @@
 	if n == nil {
 		return
 	}
-	g := &coordinator.GroupSetup{Self: membership.Number(n.int("number")), Weight: n.number("weight"), Joins: n.bool("joins"),
-		Members: map[membership.Number]netip.AddrPort{}, Key: []byte(n.attrs["key"]), Terms: consensus.UsualTerms,
-		Lease: membership.UsualTerms}
+	g := &coordinator.GroupSetup{Self: membership.MemberID(n.int("number")), Weight: n.number("weight"), Joins: n.bool("joins"),
+		Members: map[membership.MemberID]netip.AddrPort{}, Key: []byte(n.attrs["key"]), Terms: consensus.DefaultConfig,
+		Lease: membership.DefaultLeaseConfig}
 	seen := map[netip.AddrPort]bool{}
 	for _, p := range n.all("peer") {
-		number, a := membership.Number(p.int("number")), r.endpoint(p, "address")
+		number, a := membership.MemberID(p.int("number")), r.endpoint(p, "address")
 		if _, twice := g.Members[number]; twice {
 			r.wrong(p, "there are two peers with number %d", number)
 		}
@@ -296,18 +296,18 @@
 		r.wrong(n, "key: %d bytes, %d at least: whoever has it may speak for a coordinator", len(g.Key), leastKey)
 	}
 	if v := n.number("lease"); v > 0 {
-		g.Lease.For, g.Lease.Every = v, v/membership.Renewals
+		g.Lease.Duration, g.Lease.RenewInterval = v, v/membership.RenewalsPerLease
 	}
 	if v := n.number("margin"); v > 0 {
-		g.Lease.Margin = v
+		g.Lease.SafetyMargin = v
 	}
 	if n.attrs["drift"] != "" {
-		g.Lease.Drift = n.number("drift")
+		g.Lease.MaxClockDrift = n.number("drift")
 	}
-	if least := 4 * g.Terms.Election; g.Lease.For < least {
-		r.wrong(n, "lease: %g s, %g at least: an election may take half of that", g.Lease.For, least)
+	if least := 4 * g.Terms.ElectionTimeout; g.Lease.Duration < least {
+		r.wrong(n, "lease: %g s, %g at least: an election may take half of that", g.Lease.Duration, least)
 	}
-	if g.Lease.Drift >= 0.5 {
+	if g.Lease.MaxClockDrift >= 0.5 {
 		r.wrong(n, "drift: clocks that run apart by a half are no clocks")
 	}
 	c.Group, c.GroupStore = g, n.attrs["store"]
@@ -348,12 +348,12 @@
 
 const leastKey = 16 // bytes of a group's key, or a caller's
 
-var roles = map[string]idempotency.Role{"viewer": idempotency.Viewer, "staff": idempotency.Staff, "host": idempotency.Host}
+var roles = map[string]idempotency.Role{"viewer": idempotency.RoleViewer, "staff": idempotency.RoleStaff, "host": idempotency.RoleHost}
 
 // callers reads who may use the administration API.
 func (r *reader) callers(root *node, c *Coordinator) {
 	for _, n := range root.all("caller") {
-		x := authz.Key{Who: authz.Who{Name: n.attrs["name"], Role: roles[n.attrs["role"]]}, Secret: n.attrs["key"]}
+		x := authz.Credential{Principal: authz.Principal{Name: n.attrs["name"], Role: roles[n.attrs["role"]]}, Secret: n.attrs["key"]}
 		if len(x.Secret) < leastKey {
 			r.wrong(n, "key: %d bytes, %d at least", len(x.Secret), leastKey)
 		}
@@ -437,8 +437,8 @@
 			r.wrong(k, "%s is listed already, in line %d", s, line)
 		}
 		seen[s] = k.line
-		c.Site.Servers = append(c.Site.Servers, registry.Place{Server: s, Zone: r.zone(k, "zone"), Kind: balancer.Kind(k.int("kind")),
-			Pod: balancer.FailureDomain(k.int("pod")), Weight: k.number("weight"), Standing: k.bool("standing")})
+		c.Site.Servers = append(c.Site.Servers, registry.ServerConfig{Server: s, Zone: r.zone(k, "zone"), Kind: balancer.Kind(k.int("kind")),
+			FailureDomain: balancer.FailureDomain(k.int("pod")), Weight: k.number("weight"), Static: k.bool("standing")})
 	}
 }
 
@@ -556,7 +556,7 @@
 	most("relay", &t.Relay, len(d.Coordinator.Site.Relays))
 	if n.attrs["pod"] != "" {
 		t.Pod = n.int("pod")
-		if !slices.ContainsFunc(d.Coordinator.Site.Servers, func(p registry.Place) bool { return int(p.Pod) == t.Pod }) {
+		if !slices.ContainsFunc(d.Coordinator.Site.Servers, func(p registry.ServerConfig) bool { return int(p.FailureDomain) == t.Pod }) {
 			r.wrong(n, "no server is of pod %d", t.Pod)
 		}
 	}
@@ -586,7 +586,7 @@
 			how = "to be taken in by those that run"
 		}
 		fmt.Fprintf(&b, "number %d of a group of %d, %s; a lease of %g s, taken over %.1f s after a death; store %q\n", g.Self,
-			len(g.Members), how, g.Lease.For, g.Lease.Dead(), c.GroupStore)
+			len(g.Members), how, g.Lease.Duration, g.Lease.ExpiryTimeout(), c.GroupStore)
 	}
 	if g := c.Graphite; g != nil {
 		fmt.Fprintf(&b, "figures to %s each %g s, below %s; room for %d values while it is away\n", g.To, g.Every, g.Prefix, g.Terms.Values)
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -137,7 +137,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if d := c.Site.Dataplane; d.Coordinators != 3 || d.Self != 1 || len(c.Group.Members) != 3 || c.Group.Lease.For != 3 || c.GroupStore != "g.db" {
+	if d := c.Site.Dataplane; d.Coordinators != 3 || d.Self != 1 || len(c.Group.Members) != 3 || c.Group.Lease.Duration != 3 || c.GroupStore != "g.db" {
 		t.Errorf("%+v, %+v", c.Group, d)
 	}
 	if text := c.String(); !strings.Contains(text, "number 2 of a group of 3") || !strings.Contains(text, "3.6 s after a death") {
--- a/internal/settings/write.go
+++ b/internal/settings/write.go
@@ -15,11 +15,11 @@
 
 // Member of a group, for settings that a rehearsal writes.
 type Member struct {
-	Number                   membership.Number
+	Number                   membership.MemberID
 	SASP, HTTP, Measurements netip.AddrPort // HTTP not valid: it is not spoken
 	Metrics                  netip.AddrPort // likewise
 	Store, GroupStore, Key   string
-	Peers                    map[membership.Number]netip.AddrPort
+	Peers                    map[membership.MemberID]netip.AddrPort
 }
 
 // Settings are those of one coordinator of a group on a day, as a file for serve.
@@ -69,7 +69,7 @@
 			x.kids = nil
 			for _, s := range site.Servers {
 				x.kids = append(x.kids, &node{name: "server", attrs: map[string]string{"address": string(s.Server), "zone": site.Zones[s.Zone],
-					"pod": fmt.Sprint(s.Pod), "kind": fmt.Sprint(s.Kind), "weight": num(s.Weight), "standing": fmt.Sprint(s.Standing)}})
+					"pod": fmt.Sprint(s.FailureDomain), "kind": fmt.Sprint(s.Kind), "weight": num(s.Weight), "standing": fmt.Sprint(s.Static)}})
 			}
 		case "relays":
 			x.kids = nil
--- a/internal/store/golden_test.go
+++ b/internal/store/golden_test.go
@@ -19,9 +19,9 @@
 
 func goldenRecords() []registry.Record {
 	return []registry.Record{
-		{Place: registry.Place{Server: "127.0.1.2:8080", Zone: 1, Kind: 2, Pod: 3, Weight: 1.5, Standing: true}, Phase: balancer.Draining,
-			Started: 1000.25, Told: 2000.5, Drained: true},
-		{Place: registry.Place{Server: "127.0.1.3:8080", Weight: 1}},
+		{ServerConfig: registry.ServerConfig{Server: "127.0.1.2:8080", Zone: 1, Kind: 2, FailureDomain: 3, Weight: 1.5, Static: true}, Phase: balancer.Draining,
+			Started: 1000.25, NotifiedAt: 2000.5, DrainOrdered: true},
+		{ServerConfig: registry.ServerConfig{Server: "127.0.1.3:8080", Weight: 1}},
 	}
 }
 
@@ -76,7 +76,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if err := s.Keep(goldenRecords()); err != nil {
+		if err := s.Save(goldenRecords()); err != nil {
 			t.Fatal(err)
 		}
 		if err := s.Close(); err != nil {
@@ -102,12 +102,12 @@
 
 func goldenTenant(version tenancy.Version) tenancy.Command {
 	return tenancy.Command{Kind: tenancy.Create, Name: "one", Settings: []byte("<coordinator/>"), Weight: 2,
-		Needs: tenancy.Needs{Memory: 1 << 20, Lines: 250.5, Connections: 40, Work: 0.125}, At: 1500.5, ID: 13 + uint64(version), Print: 14}
+		Requirements: tenancy.Requirements{Memory: 1 << 20, Lines: 250.5, Connections: 40, Work: 0.125}, Time: 1500.5, ID: 13 + uint64(version), Fingerprint: 14}
 }
 
 func TestStoredTenants(t *testing.T) {
 	var want []byte
-	change := func(h *Hosted, d *tenancy.Directory, c tenancy.Command) {
+	change := func(h *TenantStore, d *tenancy.Directory, c tenancy.Command) {
 		over := d.Tenants[c.Name]
 		if o := d.Apply(c); o.Err() != nil {
 			t.Fatal(o.Err())
@@ -121,17 +121,17 @@
 		}
 	}
 	fill := func(path string) {
-		h, err := OpenHosted(path)
+		h, err := OpenTenantStore(path)
 		if err != nil {
 			t.Fatal(err)
 		}
-		d := tenancy.Directory{Room: tenancy.UsualRoom}
+		d := tenancy.Directory{Capacity: tenancy.DefaultCapacity}
 		first := goldenTenant(0)
 		first.Name = "two"
 		change(h, &d, first)
 		change(h, &d, goldenTenant(1))
-		change(h, &d, tenancy.Command{Kind: tenancy.Remove, Name: "two", At: 1600.5, ID: 99, Print: 15})
-		if err := h.Roll(d.Tenants["one"].Incarnation).Keep(goldenRecords()); err != nil {
+		change(h, &d, tenancy.Command{Kind: tenancy.Remove, Name: "two", Time: 1600.5, ID: 99, Fingerprint: 15})
+		if err := h.ServerStore(d.Tenants["one"].Incarnation).Save(goldenRecords()); err != nil {
 			t.Fatal(err)
 		}
 		if want, err = d.Snapshot(); err != nil {
@@ -146,7 +146,7 @@
 	golden.Bytes(t, "tenants.txt", dump(t, fresh))
 	golden.Bytes(t, "tenants-directory.json", want)
 	path := copied(t, "tenants.db", fill)
-	h, err := OpenHosted(path)
+	h, err := OpenTenantStore(path)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -164,7 +164,7 @@
 		t.Fatal(err)
 	}
 	golden.Bytes(t, "tenants-directory.json", b)
-	records, err := h.Roll(d.Tenants["one"].Incarnation).Load()
+	records, err := h.ServerStore(d.Tenants["one"].Incarnation).Load()
 	if err != nil || !reflect.DeepEqual(records, goldenRecords()) {
 		t.Errorf("%+v, %v", records, err)
 	}
--- a/internal/store/hosted.go
+++ b/internal/store/hosted.go
@@ -29,8 +29,8 @@
 	Resting map[tenancy.Name]float64 `json:"Resting"`
 }
 
-// Hosted is the file of a host of many tenants: the directory, a record a tenant, and the roll of each. Use OpenHosted.
-type Hosted struct {
+// TenantStore is the file of a host of many tenants: the directory, a record a tenant, and the roll of each. Use OpenHosted.
+type TenantStore struct {
 	db      *bolt.DB
 	waiting map[tenancy.Incarnation]map[string][]byte // records that the next transaction keeps
 	drains  map[tenancy.Incarnation]map[string]bool   // servers whose kept record says that they drain
@@ -40,19 +40,19 @@
 
 const mostWaitingRecords = 65536 // that wait for a flush; more, and they are kept at once
 
-// OpenHosted opens or makes the file. It fails where another process has it open.
-func OpenHosted(path string) (*Hosted, error) {
+// OpenTenantStore opens or makes the file. It fails where another process has it open.
+func OpenTenantStore(path string) (*TenantStore, error) {
 	db, err := open(path, tenantsBucket, outcomesBucket, rollsBucket)
 	if err != nil {
 		return nil, err
 	}
-	return &Hosted{db: db, waiting: map[tenancy.Incarnation]map[string][]byte{}, drains: map[tenancy.Incarnation]map[string]bool{}}, nil
+	return &TenantStore{db: db, waiting: map[tenancy.Incarnation]map[string][]byte{}, drains: map[tenancy.Incarnation]map[string]bool{}}, nil
 }
 
 func number(n uint64) []byte { return binary.BigEndian.AppendUint64(nil, n) }
 
 // Directory of coordinator.HostStore. Rolls of tenants that are not in it, which a crash has left, are removed.
-func (h *Hosted) Directory() (d tenancy.Directory, err error) {
+func (h *TenantStore) Directory() (d tenancy.Directory, err error) {
 	err = h.db.Update(func(tx *bolt.Tx) error {
 		var x head
 		if b := tx.Bucket(about).Get(headKey); b != nil {
@@ -60,12 +60,12 @@
 				return fmt.Errorf("directory of tenants: %w", err)
 			}
 		}
-		d = tenancy.Directory{Version: x.Version, Given: x.Given, Resting: x.Resting, Tenants: map[tenancy.Name]*tenancy.Tenant{}}
+		d = tenancy.Directory{Version: x.Version, LastIncarnation: x.Given, Quarantined: x.Resting, Tenants: map[tenancy.Name]*tenancy.Tenant{}}
 		lives := map[tenancy.Incarnation]bool{}
 		if err := tx.Bucket(tenantsBucket).ForEach(func(k, v []byte) error {
 			t := &tenancy.Tenant{}
 			if err := json.Unmarshal(v, t); err != nil || string(t.Name) != string(k) {
-				return fmt.Errorf("tenant %q: %w", k, errors.Join(err, ErrFormat))
+				return fmt.Errorf("tenant %q: %w", k, errors.Join(err, ErrUnknownFormat))
 			}
 			d.Tenants[t.Name], lives[t.Incarnation] = t, true
 			return nil
@@ -77,7 +77,7 @@
 			if err := json.Unmarshal(v, &o); err != nil {
 				return fmt.Errorf("outcome %x: %w", k, err)
 			}
-			d.Done, h.saved = append(d.Done, o), int(binary.BigEndian.Uint64(k))
+			d.Outcomes, h.saved = append(d.Outcomes, o), int(binary.BigEndian.Uint64(k))
 			return nil
 		}); err != nil {
 			return err
@@ -102,10 +102,10 @@
 }
 
 // Save of coordinator.HostStore.
-func (h *Hosted) Save(d *tenancy.Directory, of tenancy.Name, over tenancy.Incarnation) error {
+func (h *TenantStore) Save(d *tenancy.Directory, of tenancy.Name, over tenancy.Incarnation) error {
 	saved := h.saved
 	err := h.db.Update(func(tx *bolt.Tx) error {
-		b, err := json.Marshal(head{d.Version, d.Given, d.Resting})
+		b, err := json.Marshal(head{d.Version, d.LastIncarnation, d.Quarantined})
 		if err != nil {
 			return err
 		}
@@ -124,8 +124,8 @@
 			return err
 		}
 		outcomes := tx.Bucket(outcomesBucket)
-		if n := len(d.Done); n > 0 && d.Done[n-1].Version == d.Version {
-			if b, err = json.Marshal(d.Done[n-1]); err != nil {
+		if n := len(d.Outcomes); n > 0 && d.Outcomes[n-1].Version == d.Version {
+			if b, err = json.Marshal(d.Outcomes[n-1]); err != nil {
 				return err
 			}
 			saved++
@@ -156,11 +156,13 @@
 	return err
 }
 
-// Roll of coordinator.HostStore.
-func (h *Hosted) Roll(life tenancy.Incarnation) coordinator.Store { return &tenantRoll{h, life} }
+// ServerStore of coordinator.HostStore.
+func (h *TenantStore) ServerStore(life tenancy.Incarnation) coordinator.Store {
+	return &tenantRoll{h, life}
+}
 
 // Flush of coordinator.HostStore.
-func (h *Hosted) Flush() error {
+func (h *TenantStore) Flush() error {
 	if h.count == 0 {
 		return nil
 	}
@@ -186,17 +188,17 @@
 }
 
 // Close the file.
-func (h *Hosted) Close() error { return errors.Join(h.Flush(), h.db.Close()) }
+func (h *TenantStore) Close() error { return errors.Join(h.Flush(), h.db.Close()) }
 
 // tenantRoll keeps the servers of one incarnation.
 type tenantRoll struct {
-	h    *Hosted
+	h    *TenantStore
 	life tenancy.Incarnation
 }
 
-// Keep of coordinator.Store. A drain, and the end of one, are durable when it returns. All else, such as starts and registrations, waits for
+// Save of coordinator.Store. A drain, and the end of one, are durable when it returns. All else, such as starts and registrations, waits for
 // the next flush, so that a thousand tenants that start at once do not write a thousand times: what of it is lost is heard again.
-func (r *tenantRoll) Keep(records []registry.Record) error {
+func (r *tenantRoll) Save(records []registry.Record) error {
 	at, drains := r.h.waiting[r.life], r.h.drains[r.life]
 	if at == nil {
 		at = map[string][]byte{}
@@ -217,8 +219,8 @@
 			r.h.count++
 		}
 		at[name] = text
-		urgent = urgent || x.Drained != drains[name]
-		if drains[name] = x.Drained; !x.Drained {
+		urgent = urgent || x.DrainOrdered != drains[name]
+		if drains[name] = x.DrainOrdered; !x.DrainOrdered {
 			delete(drains, name)
 		}
 	}
@@ -244,7 +246,7 @@
 			if err := json.Unmarshal(v, &x); err != nil {
 				return fmt.Errorf("server %s: %w", k, err)
 			}
-			if x.Drained {
+			if x.DrainOrdered {
 				drains[string(k)] = true
 			}
 			records = append(records, x)
@@ -255,16 +257,16 @@
 	return records, err
 }
 
-// HostedMemory is a host's store that outlives a host but not the process.
-type HostedMemory struct {
-	text  []byte
-	rolls map[tenancy.Incarnation]*Memory
-	Fails error // what Save returns instead of saving
-	Saves int
+// MemoryTenantStore is a host's store that outlives a host but not the process.
+type MemoryTenantStore struct {
+	text      []byte
+	rolls     map[tenancy.Incarnation]*MemoryStore
+	SaveError error // what Save returns instead of saving
+	Saves     int
 }
 
 // Directory of coordinator.HostStore.
-func (m *HostedMemory) Directory() (d tenancy.Directory, err error) {
+func (m *MemoryTenantStore) Directory() (d tenancy.Directory, err error) {
 	if m.text != nil {
 		err = d.Restore(m.text)
 	}
@@ -272,9 +274,9 @@
 }
 
 // Save of coordinator.HostStore.
-func (m *HostedMemory) Save(d *tenancy.Directory, _ tenancy.Name, over tenancy.Incarnation) (err error) {
-	if m.Fails != nil {
-		return m.Fails
+func (m *MemoryTenantStore) Save(d *tenancy.Directory, _ tenancy.Name, over tenancy.Incarnation) (err error) {
+	if m.SaveError != nil {
+		return m.SaveError
 	}
 	m.Saves++
 	delete(m.rolls, over)
@@ -282,16 +284,16 @@
 	return err
 }
 
-// Roll of coordinator.HostStore.
-func (m *HostedMemory) Roll(life tenancy.Incarnation) coordinator.Store {
+// ServerStore of coordinator.HostStore.
+func (m *MemoryTenantStore) ServerStore(life tenancy.Incarnation) coordinator.Store {
 	if m.rolls == nil {
-		m.rolls = map[tenancy.Incarnation]*Memory{}
+		m.rolls = map[tenancy.Incarnation]*MemoryStore{}
 	}
 	if m.rolls[life] == nil {
-		m.rolls[life] = &Memory{}
+		m.rolls[life] = &MemoryStore{}
 	}
 	return m.rolls[life]
 }
 
 // Flush of coordinator.HostStore.
-func (m *HostedMemory) Flush() error { return nil }
+func (m *MemoryTenantStore) Flush() error { return nil }
--- a/internal/store/keep.go
+++ b/internal/store/keep.go
@@ -20,20 +20,20 @@
 var (
 	bucket = []byte("servers")
 	about  = []byte("about")
-	// ErrFormat says that the file was written by another version.
-	ErrFormat = errors.New("the store has another format")
+	// ErrUnknownFormat says that the file was written by another version.
+	ErrUnknownFormat = errors.New("the store has another format")
 )
 
-// Store is a file. Use Open.
-type Store struct{ db *bolt.DB }
+// FileStore is a file. Use Open.
+type FileStore struct{ db *bolt.DB }
 
 // Open opens or makes the file. It fails where another process has it open.
-func Open(path string) (*Store, error) {
+func Open(path string) (*FileStore, error) {
 	db, err := open(path, bucket)
 	if err != nil {
 		return nil, err
 	}
-	return &Store{db}, nil
+	return &FileStore{db}, nil
 }
 
 // open opens or makes a file with buckets.
@@ -48,7 +48,7 @@
 			return err
 		}
 		if v := b.Get([]byte("format")); v != nil && string(v) != format {
-			return fmt.Errorf("%w: %q, wanted %q", ErrFormat, v, format)
+			return fmt.Errorf("%w: %q, wanted %q", ErrUnknownFormat, v, format)
 		}
 		for _, name := range buckets {
 			if _, err := tx.CreateBucketIfNotExists(name); err != nil {
@@ -63,8 +63,8 @@
 	return db, nil
 }
 
-// Keep writes records and returns when they are durable.
-func (s *Store) Keep(records []registry.Record) error {
+// Save writes records and returns when they are durable.
+func (s *FileStore) Save(records []registry.Record) error {
 	return s.db.Update(func(tx *bolt.Tx) error {
 		b := tx.Bucket(bucket)
 		for _, r := range records {
@@ -81,7 +81,7 @@
 }
 
 // Load reads all records, by server.
-func (s *Store) Load() (records []registry.Record, err error) {
+func (s *FileStore) Load() (records []registry.Record, err error) {
 	err = s.db.View(func(tx *bolt.Tx) error {
 		return tx.Bucket(bucket).ForEach(func(k, v []byte) error {
 			var r registry.Record
@@ -96,18 +96,18 @@
 }
 
 // Close the file.
-func (s *Store) Close() error { return s.db.Close() }
+func (s *FileStore) Close() error { return s.db.Close() }
 
-// Memory is a store that outlives a coordinator but not the process.
-type Memory struct {
-	records map[string]registry.Record
-	Fails   error // what Keep returns instead of keeping
+// MemoryStore is a store that outlives a coordinator but not the process.
+type MemoryStore struct {
+	records   map[string]registry.Record
+	SaveError error // what Keep returns instead of keeping
 }
 
-// Keep of coordinator.Store.
-func (m *Memory) Keep(records []registry.Record) error {
-	if m.Fails != nil {
-		return m.Fails
+// Save of coordinator.Store.
+func (m *MemoryStore) Save(records []registry.Record) error {
+	if m.SaveError != nil {
+		return m.SaveError
 	}
 	if m.records == nil {
 		m.records = map[string]registry.Record{}
@@ -119,7 +119,7 @@
 }
 
 // Load of coordinator.Store.
-func (m *Memory) Load() (records []registry.Record, err error) {
+func (m *MemoryStore) Load() (records []registry.Record, err error) {
 	for _, r := range m.records {
 		records = append(records, r)
 	}
--- a/internal/store/keep_test.go
+++ b/internal/store/keep_test.go
@@ -13,7 +13,7 @@
 )
 
 func record(s string, told float64) registry.Record {
-	return registry.Record{Place: registry.Place{Server: balancer.Server(s), Zone: 2, Weight: 1.5}, Phase: balancer.Draining, Told: told}
+	return registry.Record{ServerConfig: registry.ServerConfig{Server: balancer.Server(s), Zone: 2, Weight: 1.5}, Phase: balancer.Draining, NotifiedAt: told}
 }
 
 func TestRecordsOutliveTheProcess(t *testing.T) {
@@ -30,7 +30,7 @@
 		if err != nil || len(got) != min(life, 1) || life > 0 && got[0] != record("a", float64(life-1)) {
 			t.Errorf("life %d: %+v, %v", life, got, err)
 		}
-		if err := errors.Join(s.Keep([]registry.Record{record("a", float64(life))}), s.Close()); err != nil {
+		if err := errors.Join(s.Save([]registry.Record{record("a", float64(life))}), s.Close()); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -62,7 +62,7 @@
 	if err := s.Close(); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := Open(path); !errors.Is(err, ErrFormat) {
+	if _, err := Open(path); !errors.Is(err, ErrUnknownFormat) {
 		t.Errorf("another format: %v", err)
 	}
 }
