--- a/internal/frontend/platform/platform.go
+++ b/internal/frontend/platform/platform.go
@@ -101,10 +101,10 @@
 	return x
 }
 
-// IgnoreDelivery of eventloop.Blind: nobody needs to know what peers' hosts have taken.
+// IgnoreDelivery of eventloop.DeliveryIgnorer: nobody needs to know what peers' hosts have taken.
 func (p *Program) IgnoreDelivery() {}
 
-// MaxUnread of eventloop.Bounded: whoever leaves more unread is cut off. A relay reads a call before it answers, and none is larger than that.
+// MaxUnread of eventloop.UnreadLimiter: whoever leaves more unread is cut off. A relay reads a call before it answers, and none is larger than that.
 func (p *Program) MaxUnread() int { return mostUnread }
 
 // Start of env.Program.
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -543,8 +543,8 @@
 	}
 }
 
-// Blind of eventloop.Blind: the proxy does not ask what clients have taken.
-func (p *Proxy) Blind() {}
+// IgnoreDelivery of eventloop.DeliveryIgnorer: the proxy does not ask what clients have taken.
+func (p *Proxy) IgnoreDelivery() {}
 
 // Datagram of env.Program.
 func (p *Proxy) Datagram(float64, []byte) {}
