--- a/balancer/account.go
+++ b/balancer/account.go
@@ -50,7 +50,7 @@
 func (m *Balancer) mark(now, size float64, w CommandSink) {
 	c := &m.channel
 	c.newest = c.newest%mostMark + 1
-	if !c.queue.Number(int(c.newest), size) {
+	if !c.queue.MarkBatch(int(c.newest), size) {
 		return
 	}
 	w.RequestAck(c.newest)
--- a/balancer/channel.go
+++ b/balancer/channel.go
@@ -59,7 +59,7 @@
 type channel struct {
 	Channel
 	grace  float64 // of drains, seconds
-	queue  inflight.Queue
+	queue  inflight.Window
 	pace   float64 // of the promised one, by the latest acknowledgements
 	newest AckID
 	at     float64 // when unacknowledged lines were last forgiven
@@ -77,7 +77,7 @@
 // room is how many lines an update may still put into the channel. Ordinary ones leave a slow channel
 // short, for what comes after them.
 func (c *channel) room(now float64, u urgency) float64 {
-	c.queue.Assume(forgiven * c.EntriesPerSecond * (now - c.at))
+	c.queue.AssumeDelivered(forgiven * c.EntriesPerSecond * (now - c.at))
 	c.at = now
 	limit := queueParts[u] * c.MaxQueued
 	if u < urgent { // acknowledgements are as late as the way is long
--- a/balancer/choice_test.go
+++ b/balancer/choice_test.go
@@ -599,7 +599,7 @@
 		if c.charge(now, lines); lines > 0 {
 			sent = lines
 			c.newest++
-			c.queue.Number(int(c.newest), lines)
+			c.queue.MarkBatch(int(c.newest), lines)
 		}
 		if waiting = max(0, waiting-0.5*part*ch.EntriesPerSecond) + lines; waiting > ch.MaxQueued {
 			t.Fatalf("at %.2f %.0f lines wait", now, waiting)
@@ -667,7 +667,7 @@
 		}
 		if written > 0 {
 			c.newest = mark
-			c.queue.Number(int(mark), written)
+			c.queue.MarkBatch(int(mark), written)
 		}
 		if waiting > ch.MaxQueued {
 			t.Fatalf("at a part of %.2f, after %.2f s %.0f lines wait", part, now-100, waiting)
--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -294,7 +294,7 @@
 	Settings string `arg:"" type:"existingfile" help:"Settings file (XML) of any of them."`
 }
 
-func loadGroup(path string) (*coordinator.GroupSetup, error) {
+func loadGroup(path string) (*coordinator.GroupConfig, error) {
 	c, err := settings.LoadCoordinator(path)
 	if err != nil {
 		return nil, err
@@ -320,9 +320,9 @@
 		}
 		heard++
 		fmt.Fprintf(e.out, "%d at %s: holds its lease: %t; epoch %d; consensus leader %d, %d agreed; %d drains\n", n,
-			setup.Members[n], s.Leads, s.Epoch, s.Leader, s.Commit, s.Drains)
-		for _, k := range slices.Sorted(maps.Keys(s.Seats)) {
-			m, seat := s.Members[s.Seats[k].Peer], s.Seats[k]
+			setup.Members[n], s.HoldsLease, s.Epoch, s.Leader, s.Commit, s.Drains)
+		for _, k := range slices.Sorted(maps.Keys(s.Registrations)) {
+			m, seat := s.Members[s.Registrations[k].Peer], s.Registrations[k]
 			state := "lives"
 			if seat.Removed {
 				state = "taken out"
@@ -431,7 +431,7 @@
 	if err != nil {
 		return err
 	}
-	if err := result.Print(e.out, day.Coordinator.Site.Names); err != nil {
+	if err := result.Print(e.out, day.Coordinator.Site.ClassNames); err != nil {
 		return err
 	}
 	if !result.Kept() {
--- a/internal/cli/host.go
+++ b/internal/cli/host.go
@@ -175,9 +175,9 @@
 	if err != nil {
 		return err
 	}
-	s := &m.Setup.Site
+	s := &m.Config.Site
 	_, err = fmt.Fprintf(e.out, "tenant %s: %d classes, %d servers, %d relays listed; weight %g\ntakes at most %.1f MB, %.0f lines a second, %.0f connections, %.4f of a core\n",
-		name, len(s.Classes), len(s.Servers), len(s.Relays), m.Weight, m.Needs.Memory/(1<<20), m.Needs.Lines, m.Needs.Connections, m.Needs.Work)
+		name, len(s.Classes), len(s.Servers), len(s.Relays), m.Weight, m.Requirements.Memory/(1<<20), m.Requirements.Lines, m.Requirements.Connections, m.Requirements.Work)
 	return err
 }
 
--- a/internal/coordinator/adopt_test.go
+++ b/internal/coordinator/adopt_test.go
@@ -25,15 +25,15 @@
 	life := uint64(0)
 	start := func() *coordinator.Coordinator {
 		life++
-		c, err := coordinator.New(net.Now(), coordinator.Setup{Site: controlplane.Site{Seed: 1, Names: []string{"search"}, Zones: []string{"a"},
-			Strangers: true, Classes: []balancer.RequestClass{{PriorityWeight: 1, LatencyObjective: 1, ClientTimeout: 3}},
-			Dataplane:  balancer.DataPlane{Proxies: 1, Coordinators: 1, DefaultRetry: balancer.RetryIfNotExecuted},
+		c, err := coordinator.New(net.Now(), coordinator.Config{Site: controlplane.Site{Seed: 1, ClassNames: []string{"search"}, Zones: []string{"a"},
+			AllowUnlisted: true, Classes: []balancer.RequestClass{{PriorityWeight: 1, LatencyObjective: 1, ClientTimeout: 3}},
+			DataPlane:  balancer.DataPlane{Proxies: 1, Coordinators: 1, DefaultRetry: balancer.RetryIfNotExecuted},
 			Channel:    balancer.Channel{EntriesPerSecond: 1e5, MessageOverhead: 3, MaxQueued: 1e5, MeanDelay: 0.01, MaxDelay: 0.2},
 			Guarantees: balancer.Guarantees{DrainDeadline: 3, EmptyTableDeadline: 2, WarmupStartFraction: 0.2, WarmupDuration: 10, OverloadFactor: 3, OverloadWindow: 2},
-			Reporting:  balancer.Reporting{Period: 0.5}, Limits: controlplane.UsualLimits}, SASP: at, Limits: saspsession.UsualLimits,
-			Policy: saspsession.Policy{FleetUID: "fleet", NewOnes: true}, Disk: disk, Life: life,
-			Group: &coordinator.GroupSetup{Self: 1, Weight: 1, Members: map[membership.MemberID]netip.AddrPort{1: peers}, Key: []byte("key"),
-				Terms: consensus.DefaultConfig, Lease: membership.DefaultLeaseConfig}}, nil)
+			Reporting:  balancer.Reporting{Period: 0.5}, Limits: controlplane.DefaultLimits}, SASP: at, Limits: saspsession.UsualLimits,
+			Policy: saspsession.Policy{FleetUID: "fleet", NewOnes: true}, Storage: disk, Incarnation: life,
+			Group: &coordinator.GroupConfig{Self: 1, Weight: 1, Members: map[membership.MemberID]netip.AddrPort{1: peers}, Key: []byte("key"),
+				Consensus: consensus.DefaultConfig, Lease: membership.DefaultLeaseConfig}}, nil)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -53,13 +53,13 @@
 	net.Add(server.Addr(), 0, false).Start(member)
 	net.Run(net.Now() + 1)
 	name := balancer.Server(server.String())
-	if phase, _ := c.Fleet.Roll.Phase(name); phase != balancer.Draining {
+	if phase, _ := c.Fleet.Registry.Phase(name); phase != balancer.Draining {
 		t.Fatalf("it was told of a drain, and the roll says %v", phase)
 	}
 	host.Kill()
 	c = start()
 	net.Run(net.Now() + 2)
-	if rec, ok := c.Fleet.Roll.Find(name); !ok || rec.Phase != balancer.Draining || !rec.DrainOrdered {
+	if rec, ok := c.Fleet.Registry.Find(name); !ok || rec.Phase != balancer.Draining || !rec.DrainOrdered {
 		t.Errorf("after its end it knows %+v", rec)
 	}
 }
--- a/internal/coordinator/coordinator.go
+++ b/internal/coordinator/coordinator.go
@@ -27,47 +27,47 @@
 	agreeEvery = 1.0  // seconds between two looks for drains that have ended without us
 )
 
-// Setup is what a coordinator is made of.
-type Setup struct {
-	Site     controlplane.Site
-	Limits   saspsession.Limits
-	Policy   saspsession.Policy
-	Poll     longpollhttp.Limits
-	Parking  longpoll.Limits
-	SASP     netip.AddrPort // not valid: it is not spoken
-	HTTP     netip.AddrPort // likewise
-	User     string         // of signed measurements
-	Key      string         // empty: they need not be signed
-	Log      *slog.Logger
-	OnFail   func(error)              // nil: nobody is told that it orders nothing any more
-	OnOrder  func(controlplane.Order) // nil: nobody traces
-	Group    *GroupSetup              // nil: it shares its fleet with nobody
-	Disk     consensus.Storage        // of the group
-	Life     uint64                   // of this process in the group: no former one has had it
-	Peers    Peers                    // that it shares its fleet with, where a host speaks to them for all its tenants; nil: Group says
-	Graphite *graphite.Setup          // nil: no figures are sent
-	Stir     func(now float64)        // nil: what is urgent is done at once; else a host is asked for a turn, and wakes it
+// Config is what a coordinator is made of.
+type Config struct {
+	Site        controlplane.Site
+	Limits      saspsession.Limits
+	Policy      saspsession.Policy
+	LongPoll    longpollhttp.Limits
+	Parking     longpoll.Limits
+	SASP        netip.AddrPort // not valid: it is not spoken
+	HTTP        netip.AddrPort // likewise
+	User        string         // of signed measurements
+	Key         string         // empty: they need not be signed
+	Log         *slog.Logger
+	OnFail      func(error)                     // nil: nobody is told that it orders nothing any more
+	OnOrder     func(controlplane.MessageTrace) // nil: nobody traces
+	Group       *GroupConfig                    // nil: it shares its fleet with nobody
+	Storage     consensus.Storage               // of the group
+	Incarnation uint64                          // of this process in the group: no former one has had it
+	Peers       Peers                           // that it shares its fleet with, where a host speaks to them for all its tenants; nil: Group says
+	Graphite    *graphite.Setup                 // nil: no figures are sent
+	RequestTurn func(now float64)               // nil: what is urgent is done at once; else a host is asked for a turn, and wakes it
 }
 
 // Peers are the coordinators that one shares its fleet with, as it sees them.
 type Peers interface {
 	// Ready tells whether anything can be agreed on.
 	Ready() bool
-	// Holds tells whether this coordinator holds a lease, hence has heard all that was agreed on before it.
-	Holds(now float64) bool
-	// Leads tells whether a proxy may be ordered now, Epoch by whose lead.
-	Leads(now float64, uid string) bool
+	// HoldsLease tells whether this coordinator holds a lease, hence has heard all that was agreed on before it.
+	HoldsLease(now float64) bool
+	// Owns tells whether a proxy may be ordered now, Epoch by whose lead.
+	Owns(now float64, uid string) bool
 	Epoch() uint64
-	// Sent notes that a proxy was sent away.
-	Sent(now float64, uid string)
+	// ProxyRedirected notes that a proxy was sent away.
+	ProxyRedirected(now float64, uid string)
 	// Drain makes a drain known to all; Settled tells by its ticket when it is. ok is false where it can't be taken.
 	Drain(now float64, s balancer.Server, on bool) (ticket uint64, ok bool)
 	// Drains are those that were agreed on, and when they were told. It must not be changed.
 	Drains() map[balancer.Server]float64
-	// Kept are the records of servers that are agreed on, by server.
-	Kept() []registry.Record
-	// Keep proposes what is new of records.
-	Keep(now float64, records []registry.Record)
+	// ServerRecords are the records of servers that are agreed on, by server.
+	ServerRecords() []registry.Record
+	// StoreRecords proposes what is new of records.
+	StoreRecords(now float64, records []registry.Record)
 }
 
 // Store keeps the records that outlive a coordinator.
@@ -86,7 +86,7 @@
 // Save of controlplane.Keeper.
 func (b *both) Save(records []registry.Record) error {
 	if p := b.c.peers; p.Ready() {
-		p.Keep(b.c.now, records)
+		p.StoreRecords(b.c.now, records)
 	}
 	if b.own == nil {
 		return nil
@@ -96,26 +96,26 @@
 
 // Coordinator is a env.Program.
 type Coordinator struct {
-	setup Setup
+	setup Config
 	store Store
 	io    env.IO
 
-	Fleet    *controlplane.Fleet
-	Desk     *saspsession.Desk
-	Poll     *longpollhttp.Front
-	Member   *Member           // nil: it is in no group of its own
-	peers    Peers             // nil: it shares its fleet with nobody
-	figures  *graphite.Sender  // nil: none are sent
-	polls    map[env.Conn]bool // connections of the long-poll front
-	Collect  *collectd.Collector
-	now      float64 // of the latest look
-	adopted  bool
-	ordered  map[uint64]func(bool) // administrators' drains on their way, by ticket
-	agreedAt float64
+	Fleet     *controlplane.Fleet
+	SASP      *saspsession.Desk
+	LongPoll  *longpollhttp.Front
+	Member    *Member           // nil: it is in no group of its own
+	peers     Peers             // nil: it shares its fleet with nobody
+	figures   *graphite.Sender  // nil: none are sent
+	polls     map[env.Conn]bool // connections of the long-poll front
+	Collector *collectd.Collector
+	now       float64 // of the latest look
+	adopted   bool
+	ordered   map[uint64]func(bool) // administrators' drains on their way, by ticket
+	agreedAt  float64
 }
 
 // New makes a coordinator; it does nothing until Start. store may be nil: nothing outlives it then.
-func New(now float64, setup Setup, store Store) (*Coordinator, error) {
+func New(now float64, setup Config, store Store) (*Coordinator, error) {
 	c := &Coordinator{setup: setup, store: store}
 	var records []registry.Record
 	var keeper controlplane.RecordStore
@@ -134,28 +134,28 @@
 		return nil, err
 	}
 	c.Fleet = f
-	c.Desk = saspsession.New(f, c, setup.Limits, setup.Policy)
+	c.SASP = saspsession.New(f, c, setup.Limits, setup.Policy)
 	c.polls = map[env.Conn]bool{}
-	c.Poll = longpollhttp.New(c, setup.Poll, setup.Site.Names)
+	c.LongPoll = longpollhttp.New(c, setup.LongPoll, setup.Site.ClassNames)
 	// An epoch of microseconds: a life begins later than the one before it.
-	c.Poll.Counter = longpoll.New(now, uint64(now*1e6)|1, f, c.Poll, setup.Parking)
-	c.Collect = collectd.New(f, setup.User, setup.Key)
+	c.LongPoll.Counter = longpoll.New(now, uint64(now*1e6)|1, f, c.LongPoll, setup.Parking)
+	c.Collector = collectd.New(f, setup.User, setup.Key)
 	if setup.Graphite != nil {
 		c.figures = graphite.New(now, *setup.Graphite, rand.New(rand.NewPCG(setup.Site.Seed, 0x67a)).Float64)
 	}
 	if setup.Group != nil {
-		g, d := *setup.Group, setup.Site.Dataplane
+		g, d := *setup.Group, setup.Site.DataPlane
 		g.Lease.RampUp = membership.RampUpFor(d.Proxies, len(g.Members), float64(len(setup.Site.Servers)*len(setup.Site.Classes)),
 			setup.Site.Channel.EntriesPerSecond)
-		c.Member = NewMember(g, setup.Disk, setup.Life, c.Say)
+		c.Member = NewMember(g, setup.Storage, setup.Incarnation, c.Say)
 		c.Member.OnFail = setup.OnFail
-		c.Member.OnDrain, c.Member.OnSettled, c.Member.OnLearnt = c.drained, c.settled, c.learnt
+		c.Member.OnDrain, c.Member.OnOrdersCompleted, c.Member.OnRecords = c.drained, c.settled, c.learnt
 		c.peers = c.Member
 	} else if setup.Peers != nil {
 		c.peers = setup.Peers
 	}
 	if c.peers != nil {
-		f.Govern(c.peers.Leads, c.peers.Epoch, c.peers.Sent)
+		f.SetOwnership(c.peers.Owns, c.peers.Epoch, c.peers.ProxyRedirected)
 	}
 	return c, nil
 }
@@ -179,10 +179,10 @@
 	}
 	if c.setup.HTTP.IsValid() && port == c.setup.HTTP.Port() {
 		c.polls[id] = true
-		c.Poll.Opened(now, longpollhttp.Conn(id), from)
+		c.LongPoll.Opened(now, longpollhttp.Conn(id), from)
 		return
 	}
-	c.Desk.Opened(now, saspsession.Conn(id), from)
+	c.SASP.Opened(now, saspsession.Conn(id), from)
 }
 
 // Connected of env.Program: a coordinator dials those that it shares its fleet with.
@@ -204,11 +204,11 @@
 		return
 	}
 	if c.polls[id] {
-		c.Poll.Receive(now, longpollhttp.Conn(id), b)
+		c.LongPoll.Receive(now, longpollhttp.Conn(id), b)
 		return
 	}
-	c.Desk.Receive(now, saspsession.Conn(id), b)
-	if c.Fleet.Roll.HasChanges() { // a drain does not wait for the next look
+	c.SASP.Receive(now, saspsession.Conn(id), b)
+	if c.Fleet.Registry.HasChanges() { // a drain does not wait for the next look
 		c.hurry(now)
 	}
 }
@@ -223,10 +223,10 @@
 	}
 	if c.polls[id] {
 		delete(c.polls, id)
-		c.Poll.Closed(now, longpollhttp.Conn(id))
+		c.LongPoll.Closed(now, longpollhttp.Conn(id))
 		return
 	}
-	c.Desk.Closed(now, saspsession.Conn(id))
+	c.SASP.Closed(now, saspsession.Conn(id))
 }
 
 // Delivered of env.Program.
@@ -238,15 +238,15 @@
 		return
 	}
 	if c.polls[id] {
-		c.Poll.Taken(now, longpollhttp.Conn(id), total)
+		c.LongPoll.Taken(now, longpollhttp.Conn(id), total)
 		return
 	}
-	c.Desk.Taken(now, saspsession.Conn(id), total)
+	c.SASP.Taken(now, saspsession.Conn(id), total)
 }
 
 // Datagram of env.Program.
 func (c *Coordinator) Datagram(now float64, b []byte) {
-	if err := c.Collect.Packet(now, b); err != nil && c.setup.Log != nil {
+	if err := c.Collector.Packet(now, b); err != nil && c.setup.Log != nil {
 		c.setup.Log.Debug("measurement", "error", err)
 	}
 }
@@ -256,36 +256,36 @@
 	c.tick(now)
 	if c.figures != nil {
 		c.figures.Tick(now, func() {
-			for _, x := range c.Fleet.Figures(now) {
-				c.figures.Add(x.Grows, x.Value, x.Path()...)
+			for _, x := range c.Fleet.Metrics(now) {
+				c.figures.Add(x.Cumulative, x.Value, x.Path()...)
 			}
 		})
 	}
-	for _, o := range c.Fleet.Orders() {
+	for _, o := range c.Fleet.TakeTraces() {
 		if c.setup.OnOrder != nil {
 			c.setup.OnOrder(o)
 		}
 	}
-	if c.setup.Stir != nil && c.Rests() {
+	if c.setup.RequestTurn != nil && c.Idle() {
 		c.io.SetTimer(now+restEvery, 0)
 		return
 	}
 	c.io.SetTimer(now+tickEvery, 0)
 }
 
-// Figures are what is sent to a receiver of figures; nil: nothing is.
-func (c *Coordinator) Figures() *graphite.Sender { return c.figures }
+// GraphiteSender are what is sent to a receiver of figures; nil: nothing is.
+func (c *Coordinator) GraphiteSender() *graphite.Sender { return c.figures }
 
-// Rests tells whether nobody is connected, so that nothing is urgent before somebody comes.
-func (c *Coordinator) Rests() bool {
-	n, _ := c.Desk.Connections()
-	return n == 0 && c.Poll.Connections() == 0
+// Idle tells whether nobody is connected, so that nothing is urgent before somebody comes.
+func (c *Coordinator) Idle() bool {
+	n, _ := c.SASP.Connections()
+	return n == 0 && c.LongPoll.Connections() == 0
 }
 
 // hurry looks at what is due now, or asks the host for a turn to do so.
 func (c *Coordinator) hurry(now float64) {
-	if c.setup.Stir != nil {
-		c.setup.Stir(now)
+	if c.setup.RequestTurn != nil {
+		c.setup.RequestTurn(now)
 		return
 	}
 	c.tick(now)
@@ -297,14 +297,14 @@
 		c.Member.tick(now)
 	}
 	if c.peers != nil {
-		if c.Fleet.Evict(now); c.peers.Ready() {
+		if c.Fleet.EvictForeign(now); c.peers.Ready() {
 			c.agree(now)
 		}
 	}
-	c.Fleet.Round(now)
-	c.Desk.Tick(now)
-	c.Poll.Tick(now)
-	c.Fleet.Push(now)
+	c.Fleet.RunRound(now)
+	c.SASP.Tick(now)
+	c.LongPoll.Tick(now)
+	c.Fleet.SendDue(now)
 }
 
 // Send of saspsession.Out.
@@ -328,7 +328,7 @@
 }
 
 // Ports are those that proxies dial.
-func (s *Setup) Ports() (all []netip.AddrPort) {
+func (s *Config) Ports() (all []netip.AddrPort) {
 	for _, a := range []netip.AddrPort{s.SASP, s.HTTP} {
 		if a.IsValid() {
 			all = append(all, a)
@@ -350,14 +350,14 @@
 
 // drained takes a drain that was agreed on.
 func (c *Coordinator) drained(now float64, d membership.Command) {
-	c.Fleet.Roll.SetDrain(now, d.Server, d.Draining)
+	c.Fleet.Registry.SetDrain(now, d.Server, d.Draining)
 }
 
 // learnt takes what another coordinator has heard of servers' starts.
 func (c *Coordinator) learnt(_ float64, records []registry.Record) {
 	for _, r := range records {
 		if r.Phase != balancer.Removed {
-			c.Fleet.Roll.ObserveLaterStart(r.Server, r.Started)
+			c.Fleet.Registry.ObserveLaterStart(r.Server, r.Started)
 		}
 	}
 }
@@ -378,11 +378,11 @@
 		done(ok)
 		return
 	}
-	c.Desk.Settled(now, ticket, ok)
+	c.SASP.Settled(now, ticket, ok)
 }
 
-// Order takes a drain, or its end, of an administrator. done is called once, when it is agreed on and durable, or refused.
-func (c *Coordinator) Order(now float64, s balancer.Server, on bool, done func(ok bool)) {
+// RequestDrain takes a drain, or its end, of an administrator. done is called once, when it is agreed on and durable, or refused.
+func (c *Coordinator) RequestDrain(now float64, s balancer.Server, on bool, done func(ok bool)) {
 	ticket, ok := c.Drain(now, s, on)
 	switch {
 	case !ok:
@@ -393,7 +393,7 @@
 		}
 		c.ordered[ticket] = done
 	default:
-		ok = c.Fleet.Roll.SetDrain(now, s, on)
+		ok = c.Fleet.Registry.SetDrain(now, s, on)
 		kept := c.Fleet.Persist()
 		c.tick(now)
 		done(ok && kept)
@@ -405,28 +405,28 @@
 func (c *Coordinator) agree(now float64) {
 	drains := c.peers.Drains()
 	for s := range drains {
-		if phase, _ := c.Fleet.Roll.Phase(s); phase == balancer.Ready {
-			c.Fleet.Roll.SetDrain(now, s, true)
+		if phase, _ := c.Fleet.Registry.Phase(s); phase == balancer.Ready {
+			c.Fleet.Registry.SetDrain(now, s, true)
 		}
 	}
-	if !c.peers.Holds(now) || now < c.agreedAt {
+	if !c.peers.HoldsLease(now) || now < c.agreedAt {
 		return // what has ended without us is known when we have heard of all that was agreed on before we renewed
 	}
 	if !c.adopted { // servers that the others know and that have not dialled us yet
 		c.adopted = true
-		for _, r := range c.peers.Kept() {
-			if _, known := c.Fleet.Roll.Find(r.Server); known || r.Phase == balancer.Removed {
+		for _, r := range c.peers.ServerRecords() {
+			if _, known := c.Fleet.Registry.Find(r.Server); known || r.Phase == balancer.Removed {
 				continue
 			}
-			if err := c.Fleet.Roll.Restore(now, []registry.Record{r}); err != nil {
+			if err := c.Fleet.Registry.Restore(now, []registry.Record{r}); err != nil {
 				c.Say("server not taken from the group", "server", r.Server, "error", err)
 			}
 		}
 	}
 	c.agreedAt = now + agreeEvery
-	for _, s := range c.Fleet.Roll.OrderedDrains() {
+	for _, s := range c.Fleet.Registry.OrderedDrains() {
 		if _, ok := drains[s]; !ok {
-			c.Fleet.Roll.SetDrain(now, s, false)
+			c.Fleet.Registry.SetDrain(now, s, false)
 		}
 	}
 }
--- a/internal/coordinator/graphite_test.go
+++ b/internal/coordinator/graphite_test.go
@@ -28,7 +28,9 @@
 		t.Fatal(err)
 	}
 	change(set.Graphite)
-	set.Make = func(x tenancy.Tenant) (coordinator.Made, error) { return settings.ParseTenant(x.Name, x.Settings, set) }
+	set.ParseTenant = func(x tenancy.Tenant) (coordinator.TenantConfig, error) {
+		return settings.ParseTenant(x.Name, x.Settings, set)
+	}
 	s := &site{t: t, set: set, store: &store.MemoryTenantStore{}, net: simnet.New(1, 1000)}
 	s.place = s.net.Add(set.SASP.Addr(), 0, false)
 	s.start()
@@ -120,7 +122,7 @@
 	if x.Program.Fleet.Joined() != 1 {
 		t.Error("a relay was lost by it")
 	}
-	if f := s.host.Figures(); f.Broken < 12 || f.State() != spool.Here {
+	if f := s.host.GraphiteSender(); f.Broken < 12 || f.State() != spool.Here {
 		t.Errorf("broken %d times, state %d: the test tests nothing", f.Broken, f.State())
 	}
 }
--- a/internal/coordinator/guards_test.go
+++ b/internal/coordinator/guards_test.go
@@ -34,7 +34,7 @@
 		w.place(n)
 	}
 	for n := membership.MemberID(1); n <= membership.MemberID(count); n++ {
-		w.start(n, coordinator.GroupSetup{Members: w.at})
+		w.start(n, coordinator.GroupConfig{Members: w.at})
 	}
 	w.net.Run(w.net.Now() + 5)
 	return w
@@ -45,9 +45,9 @@
 	w.disks[n] = &consensus.MemoryStorage{OwnDataDirID: uint64(n) * 11}
 }
 
-func (w *town) start(n membership.MemberID, g coordinator.GroupSetup) {
+func (w *town) start(n membership.MemberID, g coordinator.GroupConfig) {
 	w.lives++
-	g.Self, g.Weight, g.Key, g.Terms, g.Lease = n, 1, []byte("key"), consensus.DefaultConfig, membership.DefaultLeaseConfig
+	g.Self, g.Weight, g.Key, g.Consensus, g.Lease = n, 1, []byte("key"), consensus.DefaultConfig, membership.DefaultLeaseConfig
 	w.members[n] = coordinator.NewMember(g, w.disks[n], w.lives, func(event string, pairs ...any) {
 		w.said = append(w.said, fmt.Sprint(n, " ", event, " ", pairs))
 	})
@@ -78,8 +78,8 @@
 	w.hosts[3].Kill()
 	w.hosts[2].Kill()
 	w.disks[3] = &consensus.MemoryStorage{OwnDataDirID: 999}
-	w.start(2, coordinator.GroupSetup{Members: w.at})
-	w.start(3, coordinator.GroupSetup{Members: w.at})
+	w.start(2, coordinator.GroupConfig{Members: w.at})
+	w.start(3, coordinator.GroupConfig{Members: w.at})
 	w.net.Run(w.net.Now() + 8)
 	if !errors.Is(w.members[3].Failed, coordinator.ErrRefused) || !strings.Contains(w.members[3].Failed.Error(), "new number") {
 		t.Errorf("it goes on under its old number: %v\n%s", w.members[3].Failed, strings.Join(w.said, "\n"))
@@ -90,7 +90,7 @@
 	w.place(4)
 	w.at[4] = netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, 4}), 7000)
 	delete(w.at, 3)
-	w.start(4, coordinator.GroupSetup{Members: w.at, Joins: true})
+	w.start(4, coordinator.GroupConfig{Members: w.at, Join: true})
 	w.net.Run(w.net.Now() + 8)
 	if !w.holds(4) || !w.members[4].Group.Registered() {
 		t.Errorf("under a new number it is not taken in: %v", w.members[4].Failed)
@@ -100,7 +100,7 @@
 	if w.holds(2) || w.holds(4) {
 		t.Error("two of four voters lead")
 	}
-	w.start(1, coordinator.GroupSetup{Members: w.at})
+	w.start(1, coordinator.GroupConfig{Members: w.at})
 	w.net.Run(w.net.Now() + 8)
 	tool := &tool{to: w.at[2], frames: []peer.Frame{{Kind: peer.Command, Message: unseat(t, 3)}, {Kind: peer.Ask}}}
 	w.net.Add(netip.AddrFrom4([4]byte{10, 0, 0, 99}), 9, false).Start(tool)
--- a/internal/coordinator/host.go
+++ b/internal/coordinator/host.go
@@ -31,30 +31,30 @@
 	startTakes = 1e-3 // seconds of work that the start of a tenant is reckoned at: its settings are read, its roll, its module made
 )
 
-// Made is a tenant's settings, ready to act.
-type Made struct {
-	Setup    Setup
-	Callers  []authz.Credential
-	Weight   float64
-	Needs    tenancy.Requirements
-	Most     int            // connections
-	Networks []netip.Prefix // that its relays and servers come from; none: any
-}
-
-// HostSetup is what a host of many tenants is made of.
-type HostSetup struct {
-	SASP, HTTP netip.AddrPort // where relays and servers of all tenants come; not valid: it is not spoken
-	Room       tenancy.Capacity
-	Entry      tenancy.RouterLimits
-	Turns      fairqueue.Terms
-	Make       func(tenancy.Tenant) (Made, error)                          // reads a tenant's settings
-	Log        func(tenancy.Name) *slog.Logger                             // of a tenant, or of the host itself for the empty name; nil: nobody listens
-	OnOrder    func(tenancy.Name, tenancy.Incarnation, controlplane.Order) // nil: nobody traces
-	Graphite   *graphite.Setup                                             // nil: no figures are sent
-	Group      *GroupSetup                                                 // nil: it shares its tenants with no other host
-	Disk       consensus.Storage                                           // of the group
-	Life       uint64                                                      // of this process in the group: no former one has had it
-	OnFail     func(error)                                                 // nil: nobody is told that it orders nothing any more
+// TenantConfig is a tenant's settings, ready to act.
+type TenantConfig struct {
+	Config         Config
+	Callers        []authz.Credential
+	Weight         float64
+	Requirements   tenancy.Requirements
+	MaxConnections int            // connections
+	Networks       []netip.Prefix // that its relays and servers come from; none: any
+}
+
+// HostConfig is what a host of many tenants is made of.
+type HostConfig struct {
+	SASP, HTTP  netip.AddrPort // where relays and servers of all tenants come; not valid: it is not spoken
+	Capacity    tenancy.Capacity
+	Router      tenancy.RouterLimits
+	Scheduler   fairqueue.Config
+	ParseTenant func(tenancy.Tenant) (TenantConfig, error)                         // reads a tenant's settings
+	Log         func(tenancy.Name) *slog.Logger                                    // of a tenant, or of the host itself for the empty name; nil: nobody listens
+	OnOrder     func(tenancy.Name, tenancy.Incarnation, controlplane.MessageTrace) // nil: nobody traces
+	Graphite    *graphite.Setup                                                    // nil: no figures are sent
+	Group       *GroupConfig                                                       // nil: it shares its tenants with no other host
+	Storage     consensus.Storage                                                  // of the group
+	Incarnation uint64                                                             // of this process in the group: no former one has had it
+	OnFail      func(error)                                                        // nil: nobody is told that it orders nothing any more
 }
 
 // HostStore keeps what outlives a host. What returns without an error is durable, but for rolls: see there.
@@ -69,90 +69,90 @@
 	Flush() error
 }
 
-// Hosted is a tenant that runs, or is to be started.
-type Hosted struct {
+// TenantRuntime is a tenant that runs, or is to be started.
+type TenantRuntime struct {
 	tenancy.Tenant
 	Program *Coordinator // nil: it is not started yet, or its settings can't be read
-	Wrong   error        // why it does not run
-	made    Made
-	user    string              // of its signed measurements, as the host knows it
-	rests   bool                // nobody is connected: it is looked at now and then
-	counted controlplane.Counts // up to the latest look
+	Err     error        // why it does not run
+	made    TenantConfig
+	user    string             // of its signed measurements, as the host knows it
+	rests   bool               // nobody is connected: it is looked at now and then
+	counted controlplane.Stats // up to the latest look
 }
 
 // Host runs many tenants in one process: each has a coordinator of its own, with its own decisions, tables, limits and waiting
 // lines. The host gives them their connections, their turns, and nothing of each other. It is a env.Program.
 type Host struct {
-	setup   HostSetup
-	store   HostStore
-	io      env.IO
-	Dir     *tenancy.Directory
-	Entry   *tenancy.ConnectionRouter
-	Turns   *fairqueue.Turns[tenancy.Name]
-	Keys    authz.Credentials
-	tenants map[tenancy.Name]*Hosted
-	users   map[string]tenancy.Name // of signed measurements
-	starts  []tenancy.Name          // that are to be started, next first
-	froms   map[env.Conn]netip.Addr // of connections whose tenant is not known
-	checked float64
-	flushed float64
-	stirred bool // somebody asked for a turn at once
+	setup       HostConfig
+	store       HostStore
+	io          env.IO
+	Directory   *tenancy.Directory
+	Router      *tenancy.ConnectionRouter
+	Scheduler   *fairqueue.Queue[tenancy.Name]
+	Credentials authz.Credentials
+	tenants     map[tenancy.Name]*TenantRuntime
+	users       map[string]tenancy.Name // of signed measurements
+	starts      []tenancy.Name          // that are to be started, next first
+	froms       map[env.Conn]netip.Addr // of connections whose tenant is not known
+	checked     float64
+	flushed     float64
+	stirred     bool // somebody asked for a turn at once
 
 	figures  *graphite.Sender                          // nil: none are sent
 	member   *Member                                   // nil: it shares its tenants with nobody
-	lives    map[tenancy.Incarnation]*Hosted           // those that are known here
+	lives    map[tenancy.Incarnation]*TenantRuntime    // those that are known here
 	drains   map[membership.Ticket]tenancy.Incarnation // told here, and not settled yet
 	orders   map[membership.Ticket]*waiting
 	byLife   map[tenancy.Incarnation]map[balancer.Server]float64
 	drainsOf uint64 // orders that byLife was made of
 
-	Counts HostCounts
+	Stats HostStats
 }
 
-// HostCounts is what happened, for metrics.
-type HostCounts struct {
-	Starts, Ends, Anew, Revised, SaveFailed int
-	Unsigned, Foreign                       int // measurement packets of nobody
+// HostStats is what happened, for metrics.
+type HostStats struct {
+	Starts, Stops, Restarts, Reconfigured, SaveFailures int
+	Unsigned, Foreign                                   int // measurement packets of nobody
 }
 
 // NewHost makes a host; it does nothing until Start. The tenants that its store knows are started one after the other, in the time
 // that looks at those that run leave.
-func NewHost(now float64, setup HostSetup, store HostStore) (*Host, error) {
-	h := &Host{setup: setup, store: store, tenants: map[tenancy.Name]*Hosted{}, users: map[string]tenancy.Name{},
-		froms: map[env.Conn]netip.Addr{}, Turns: fairqueue.New[tenancy.Name](now, setup.Turns)}
-	h.Entry = tenancy.NewConnectionRouter(now, setup.Entry, map[tenancy.Frontend]tenancy.IdentityParser{
-		tenancy.SASP: func(b []byte) (string, bool, error) { return sasp.Speaker(b, setup.Entry.UnidentifiedBytes) }, tenancy.HTTP: longpollhttp.Speaker})
+func NewHost(now float64, setup HostConfig, store HostStore) (*Host, error) {
+	h := &Host{setup: setup, store: store, tenants: map[tenancy.Name]*TenantRuntime{}, users: map[string]tenancy.Name{},
+		froms: map[env.Conn]netip.Addr{}, Scheduler: fairqueue.New[tenancy.Name](now, setup.Scheduler)}
+	h.Router = tenancy.NewConnectionRouter(now, setup.Router, map[tenancy.Frontend]tenancy.IdentityParser{
+		tenancy.SASP: func(b []byte) (string, bool, error) { return sasp.Speaker(b, setup.Router.UnidentifiedBytes) }, tenancy.HTTP: longpollhttp.Speaker})
 	if setup.Graphite != nil {
-		h.figures = graphite.New(now, *setup.Graphite, rand.New(rand.NewPCG(setup.Life, 0x67a)).Float64)
+		h.figures = graphite.New(now, *setup.Graphite, rand.New(rand.NewPCG(setup.Incarnation, 0x67a)).Float64)
 	}
 	if setup.Group != nil { // the directory is what the group has agreed on
-		h.Dir = &tenancy.Directory{}
-		h.shared(*setup.Group, setup.Disk)
+		h.Directory = &tenancy.Directory{}
+		h.shared(*setup.Group, setup.Storage)
 		return h, nil
 	}
 	kept, err := store.Directory()
 	if err != nil {
 		return nil, err
 	}
-	h.Dir = &kept
-	h.Dir.Capacity = setup.Room
-	for _, t := range h.Dir.All() {
+	h.Directory = &kept
+	h.Directory.Capacity = setup.Capacity
+	for _, t := range h.Directory.All() {
 		h.begin(now, *t)
 	}
 	return h, nil
 }
 
 // begin makes a tenant known; it is started when its turn comes, or somebody asks for it.
-func (h *Host) begin(now float64, t tenancy.Tenant) *Hosted {
-	x := &Hosted{Tenant: t}
+func (h *Host) begin(now float64, t tenancy.Tenant) *TenantRuntime {
+	x := &TenantRuntime{Tenant: t}
 	if h.tenants[t.Name] = x; h.member != nil {
 		h.lives[t.Incarnation] = x
 	}
-	if x.made, x.Wrong = h.setup.Make(t); x.Wrong == nil {
-		x.Wrong = h.open(now, x, false)
+	if x.made, x.Err = h.setup.ParseTenant(t); x.Err == nil {
+		x.Err = h.open(now, x, false)
 	}
-	if x.Wrong != nil { // it was checked before it was agreed on; this build may read it differently
-		h.say(t.Name, "tenant can't run", "error", x.Wrong)
+	if x.Err != nil { // it was checked before it was agreed on; this build may read it differently
+		h.say(t.Name, "tenant can't run", "error", x.Err)
 		return x
 	}
 	h.starts = append(h.starts, t.Name)
@@ -161,25 +161,25 @@
 
 // open takes the callers and the measurements of a tenant, all or none, and lets its relays in, or has them come back while it is not
 // ready.
-func (h *Host) open(now float64, x *Hosted, ready bool) error {
-	user := x.made.Setup.User
+func (h *Host) open(now float64, x *TenantRuntime, ready bool) error {
+	user := x.made.Config.User
 	if of, taken := h.users[user]; taken && of != x.Name {
 		return fmt.Errorf("the user of its measurements, %q, is another tenant's", user)
 	}
-	if err := h.Keys.Set(x.Name, x.made.Callers); err != nil {
+	if err := h.Credentials.Set(x.Name, x.made.Callers); err != nil {
 		return err
 	}
 	delete(h.users, x.user)
 	if x.user = user; user != "" {
 		h.users[user] = x.Name
 	}
-	h.Turns.Set(now, x.Name, x.Weight)
+	h.Scheduler.Set(now, x.Name, x.Weight)
 	return h.admit(now, x, ready)
 }
 
 // admit lets a tenant's relays in, or has them come back while it is not ready.
-func (h *Host) admit(now float64, x *Hosted, ready bool) error {
-	return h.Entry.Set(now, x.Name, x.Weight, x.made.Most, x.made.Networks, ready)
+func (h *Host) admit(now float64, x *TenantRuntime, ready bool) error {
+	return h.Router.Set(now, x.Name, x.Weight, x.made.MaxConnections, x.made.Networks, ready)
 }
 
 func (h *Host) say(of tenancy.Name, event string, pairs ...any) {
@@ -189,47 +189,47 @@
 }
 
 // start runs a tenant that is known.
-func (h *Host) start(now float64, x *Hosted) {
-	h.Counts.Starts++
-	s := x.made.Setup
+func (h *Host) start(now float64, x *TenantRuntime) {
+	h.Stats.Starts++
+	s := x.made.Config
 	s.SASP, s.HTTP = h.setup.SASP, h.setup.HTTP
 	if h.setup.Log != nil {
 		s.Log = h.setup.Log(x.Name)
 	}
 	name, life := x.Name, x.Incarnation
-	s.Stir = func(now float64) {
-		h.Turns.Stir(now, name, true)
+	s.RequestTurn = func(now float64) {
+		h.Scheduler.MarkDue(now, name, true)
 		h.stirred = true
 	}
 	if g := h.setup.Group; g != nil {
 		s.Peers = h.scope(x)
-		s.Site.Dataplane.Coordinators, s.Site.Dataplane.Self = len(g.Members), 0
+		s.Site.DataPlane.Coordinators, s.Site.DataPlane.Self = len(g.Members), 0
 		for n := range g.Members {
 			if n < g.Self {
-				s.Site.Dataplane.Self++
+				s.Site.DataPlane.Self++
 			}
 		}
 	}
 	if h.setup.OnOrder != nil {
-		s.OnOrder = func(o controlplane.Order) { h.setup.OnOrder(name, life, o) }
+		s.OnOrder = func(o controlplane.MessageTrace) { h.setup.OnOrder(name, life, o) }
 	}
 	p, err := New(now, s, h.store.ServerStore(life))
 	if err == nil {
 		err = h.admit(now, x, true)
 	}
 	if err != nil {
-		x.Wrong = err
+		x.Err = err
 		h.say(x.Name, "tenant can't run", "error", err)
 		return
 	}
-	x.Program, x.Wrong, x.rests, x.counted = p, nil, false, controlplane.Counts{}
+	x.Program, x.Err, x.rests, x.counted = p, nil, false, controlplane.Stats{}
 	p.Start(now, &tenantIO{h, x})
 	h.say(x.Name, "tenant runs", "incarnation", x.Incarnation, "version", x.Version)
 }
 
 // end stops a tenant at once: its connections are closed. Its relays go on by the tables that they hold.
-func (h *Host) end(x *Hosted) {
-	for _, c := range h.Entry.Remove(x.Name) {
+func (h *Host) end(x *TenantRuntime) {
+	for _, c := range h.Router.Remove(x.Name) {
 		h.io.Close(env.Conn(c))
 	}
 	x.Program = nil
@@ -238,7 +238,7 @@
 // tenantIO is what a tenant's coordinator may do: its own connections, and a wake-up when its turn has come.
 type tenantIO struct {
 	h *Host
-	x *Hosted
+	x *TenantRuntime
 }
 
 // Dial of env.IO: a tenant's coordinator dials nobody.
@@ -249,7 +249,7 @@
 
 // Close of env.IO.
 func (t *tenantIO) Close(c env.Conn) {
-	t.h.Entry.Closed(tenancy.Conn(c))
+	t.h.Router.Closed(tenancy.Conn(c))
 	t.h.io.Close(c)
 }
 
@@ -257,7 +257,7 @@
 func (t *tenantIO) Datagram(netip.AddrPort, []byte) {}
 
 // SetTimer of env.IO.
-func (t *tenantIO) SetTimer(at float64, _ int) { t.h.Turns.Wake(t.x.Name, at) }
+func (t *tenantIO) SetTimer(at float64, _ int) { t.h.Scheduler.ScheduleAt(t.x.Name, at) }
 
 // Start of env.Program.
 func (h *Host) Start(now float64, io env.IO) {
@@ -267,8 +267,8 @@
 	if h.member != nil {
 		h.member.begin(now, io)
 		if h.member.Group != nil {
-			h.Dir = &h.member.Group.State.Directory
-			for _, t := range h.Dir.All() {
+			h.Directory = &h.member.Group.State.Directory
+			for _, t := range h.Directory.All() {
 				h.begin(now, *t)
 			}
 		}
@@ -291,7 +291,7 @@
 	if h.setup.HTTP.IsValid() && port == h.setup.HTTP.Port() {
 		f = tenancy.HTTP
 	}
-	if why := h.Entry.Opened(now, tenancy.Conn(c), from, f); why != tenancy.NotRejected {
+	if why := h.Router.Opened(now, tenancy.Conn(c), from, f); why != tenancy.NotRejected {
 		h.io.Close(c)
 		return
 	}
@@ -309,8 +309,8 @@
 }
 
 // known is the tenant of a connection.
-func (h *Host) known(c env.Conn) *Hosted {
-	n, ok := h.Entry.Tenant(tenancy.Conn(c))
+func (h *Host) known(c env.Conn) *TenantRuntime {
+	n, ok := h.Router.Tenant(tenancy.Conn(c))
 	if !ok {
 		return nil
 	}
@@ -342,11 +342,11 @@
 }
 
 // came counts what has come in for a tenant against its turns, and sees to it that it is looked at soon.
-func (h *Host) came(now float64, x *Hosted, n int) {
-	h.Turns.Spent(x.Name, tenancy.Usage{Arrivals: 1, Bytes: n}.CPUSeconds())
+func (h *Host) came(now float64, x *TenantRuntime, n int) {
+	h.Scheduler.Charge(x.Name, tenancy.Usage{Arrivals: 1, Bytes: n}.CPUSeconds())
 	if x.rests {
 		x.rests = false
-		h.Turns.Wake(x.Name, now+tickEvery)
+		h.Scheduler.ScheduleAt(x.Name, now+tickEvery)
 	}
 	if h.stirred {
 		h.looks(now)
@@ -354,12 +354,12 @@
 }
 
 // meets takes bytes of a connection that has not said whose it is. With a tenant they are that tenant's, from the first one on.
-func (h *Host) meets(now float64, c env.Conn, b []byte) (*Hosted, []byte) {
+func (h *Host) meets(now float64, c env.Conn, b []byte) (*TenantRuntime, []byte) {
 	from, here := h.froms[c]
 	if !here {
 		return nil, nil
 	}
-	r := h.Entry.Receive(now, tenancy.Conn(c), b)
+	r := h.Router.Receive(now, tenancy.Conn(c), b)
 	if r.Reason == tenancy.NotRejected && r.Tenant == "" {
 		return nil, nil
 	}
@@ -369,7 +369,7 @@
 		x.Program.Opened(now, c, from, h.port(r.Frontend))
 		return x, r.Bytes
 	}
-	if r.Reason == tenancy.TenantStarting && x != nil && x.Wrong == nil { // those that somebody asks for come first
+	if r.Reason == tenancy.TenantStarting && x != nil && x.Err == nil { // those that somebody asks for come first
 		if i := slices.Index(h.starts, r.Tenant); i > 0 {
 			h.starts = slices.Insert(slices.Delete(h.starts, i, i+1), 0, r.Tenant)
 		}
@@ -377,7 +377,7 @@
 	if r.Frontend == tenancy.HTTP {
 		h.io.Send(c, refusal(r))
 	}
-	h.Entry.Closed(tenancy.Conn(c))
+	h.Router.Closed(tenancy.Conn(c))
 	h.io.Close(c)
 	return nil, nil
 }
@@ -414,7 +414,7 @@
 	}
 	x := h.known(c)
 	delete(h.froms, c)
-	h.Entry.Closed(tenancy.Conn(c))
+	h.Router.Closed(tenancy.Conn(c))
 	if x != nil {
 		x.Program.Closed(now, c)
 		h.came(now, x, 0)
@@ -439,12 +439,12 @@
 func (h *Host) Datagram(now float64, b []byte) {
 	user, ok := collectd.User(b)
 	if !ok {
-		h.Counts.Unsigned++
+		h.Stats.Unsigned++
 		return
 	}
 	x := h.tenants[h.users[user]]
 	if x == nil || x.Program == nil {
-		h.Counts.Foreign++
+		h.Stats.Foreign++
 		return
 	}
 	x.Program.Datagram(now, b)
@@ -455,7 +455,7 @@
 func (h *Host) TimerFired(now float64, _ int) {
 	if now-h.checked >= checkEvery {
 		h.checked = now
-		for _, c := range h.Entry.TakeExpired(now) {
+		for _, c := range h.Router.TakeExpired(now) {
 			delete(h.froms, env.Conn(c))
 			h.io.Close(env.Conn(c))
 		}
@@ -470,7 +470,7 @@
 	if now-h.flushed >= flushEvery {
 		h.flushed = now
 		if err := h.store.Flush(); err != nil {
-			h.Counts.SaveFailed++
+			h.Stats.SaveFailures++
 			h.say("", "records not kept", "error", err)
 		}
 	}
@@ -479,32 +479,32 @@
 
 // sample makes figures of the host and of each tenant that runs.
 func (h *Host) sample(now float64) {
-	known, strangers, _ := h.Entry.Count()
+	known, strangers, _ := h.Router.Count()
 	h.figures.Add(false, float64(len(h.tenants)), "host", "tenants")
 	h.figures.Add(false, float64(known), "host", "connections")
 	h.figures.Add(false, float64(strangers), "host", "strangers")
-	h.figures.Add(true, float64(h.Turns.Counts.Looks), "host", "turns")
-	h.figures.Add(true, float64(h.Turns.Counts.Held), "host", "held")
+	h.figures.Add(true, float64(h.Scheduler.Stats.Turns), "host", "turns")
+	h.figures.Add(true, float64(h.Scheduler.Stats.BudgetExhausted), "host", "held")
 	for _, x := range h.Tenants() {
 		if x.Program == nil {
 			continue
 		}
-		spent, _ := h.Turns.Took(x.Name)
+		spent, _ := h.Scheduler.Usage(x.Name)
 		h.figures.Add(true, spent, "tenants", string(x.Name), "work")
-		for _, f := range x.Program.Fleet.Figures(now) {
-			h.figures.Add(f.Grows, f.Value, append([]string{"tenants", string(x.Name)}, f.Path()...)...)
+		for _, f := range x.Program.Fleet.Metrics(now) {
+			h.figures.Add(f.Cumulative, f.Value, append([]string{"tenants", string(x.Name)}, f.Path()...)...)
 		}
 	}
 }
 
-// Figures are what is sent to a receiver of figures; nil: nothing is.
-func (h *Host) Figures() *graphite.Sender { return h.figures }
+// GraphiteSender are what is sent to a receiver of figures; nil: nothing is.
+func (h *Host) GraphiteSender() *graphite.Sender { return h.figures }
 
 // looks gives turns to those that are due, and starts one of those that are to be started when nobody is.
 func (h *Host) looks(now float64) {
 	h.stirred = false
 	for {
-		n, ok := h.Turns.Next(now)
+		n, ok := h.Scheduler.Next(now)
 		if !ok {
 			break
 		}
@@ -512,39 +512,39 @@
 			h.look(now, x)
 			continue
 		}
-		h.Turns.Spent(n, 0)
+		h.Scheduler.Charge(n, 0)
 	}
-	for h.Turns.Waiting() == 0 && len(h.starts) > 0 && h.Turns.Left(now) {
+	for h.Scheduler.DueLen() == 0 && len(h.starts) > 0 && h.Scheduler.HasBudget(now) {
 		n := h.starts[0]
 		h.starts = h.starts[1:]
-		if x := h.tenants[n]; x != nil && x.Program == nil && x.Wrong == nil {
+		if x := h.tenants[n]; x != nil && x.Program == nil && x.Err == nil {
 			h.start(now, x)
-			h.Turns.Spent(n, startTakes)
+			h.Scheduler.Charge(n, startTakes)
 		}
 	}
 }
 
 // look gives a tenant its turn, and counts what it took.
-func (h *Host) look(now float64, x *Hosted) {
+func (h *Host) look(now float64, x *TenantRuntime) {
 	p := x.Program
 	p.TimerFired(now, 0)
-	x.rests = p.Rests()
-	c := p.Fleet.Counts
-	h.Turns.Spent(x.Name, tenancy.Usage{Rounds: c.Rounds - x.counted.Rounds, Messages: c.Messages - x.counted.Messages,
-		Lines: c.Lines - x.counted.Lines, Servers: p.Fleet.Roll.Len(), Relays: p.Fleet.Joined()}.CPUSeconds())
+	x.rests = p.Idle()
+	c := p.Fleet.Stats
+	h.Scheduler.Charge(x.Name, tenancy.Usage{Rounds: c.Rounds - x.counted.Rounds, Messages: c.Messages - x.counted.Messages,
+		Lines: c.Entries - x.counted.Entries, Servers: p.Fleet.Registry.Len(), Relays: p.Fleet.Joined()}.CPUSeconds())
 	x.counted = c
 }
 
 // Tenant that is known.
-func (h *Host) Tenant(n tenancy.Name) (*Hosted, bool) {
+func (h *Host) Tenant(n tenancy.Name) (*TenantRuntime, bool) {
 	x := h.tenants[n]
 	return x, x != nil
 }
 
 // Tenants by name.
-func (h *Host) Tenants() []*Hosted {
-	all := make([]*Hosted, 0, len(h.tenants))
-	for _, t := range h.Dir.All() {
+func (h *Host) Tenants() []*TenantRuntime {
+	all := make([]*TenantRuntime, 0, len(h.tenants))
+	for _, t := range h.Directory.All() {
 		if x := h.tenants[t.Name]; x != nil {
 			all = append(all, x)
 		}
@@ -555,26 +555,26 @@
 // Starting is the number of tenants that are still to be started.
 func (h *Host) Starting() int { return len(h.starts) }
 
-// Seen is what would follow from other settings of a tenant.
-type Seen struct {
-	Made     Made
+// TenantPreview is what would follow from other settings of a tenant.
+type TenantPreview struct {
+	Config   TenantConfig
 	Revision controlplane.Revision
-	Reasons  []tablecheck.Reason // why it would do harm; none: it would not
+	Reasons  []tablecheck.Finding // why it would do harm; none: it would not
 }
 
-// See looks at other settings of a tenant without taking them: whether they can be read, what would change, and whether that would
+// Preview looks at other settings of a tenant without taking them: whether they can be read, what would change, and whether that would
 // do harm to the proxies that are joined.
-func (h *Host) See(now float64, t tenancy.Tenant) (s Seen, err error) {
-	if s.Made, err = h.setup.Make(t); err != nil {
+func (h *Host) Preview(now float64, t tenancy.Tenant) (s TenantPreview, err error) {
+	if s.Config, err = h.setup.ParseTenant(t); err != nil {
 		return s, err
 	}
 	x := h.tenants[t.Name]
 	if x == nil || x.Program == nil {
-		s.Revision.Anew = "there is none that runs"
+		s.Revision.RestartReason = "there is none that runs"
 		return s, nil
 	}
 	f := x.Program.Fleet
-	s.Revision = controlplane.Compare(f.Site(), &s.Made.Setup.Site)
+	s.Revision = controlplane.CompareSites(f.Site(), &s.Config.Config.Site)
 	s.Reasons = f.Preview(now, s.Revision.Removed, false)
 	if len(s.Revision.Removed) == 0 {
 		s.Reasons = nil // what is so already is not this change's doing
@@ -582,10 +582,10 @@
 	return s, nil
 }
 
-// Order changes the directory: a tenant is made, changed or removed. done is called once, when that is durable and in force, or
+// ChangeTenant changes the directory: a tenant is made, changed or removed. done is called once, when that is durable and in force, or
 // refused. err says that it could not be made durable; nothing has changed then.
-func (h *Host) Order(now float64, c tenancy.Command, done func(o tenancy.Outcome, err error)) {
-	if before, ok := h.Dir.Find(c.ID); ok {
+func (h *Host) ChangeTenant(now float64, c tenancy.Command, done func(o tenancy.Outcome, err error)) {
+	if before, ok := h.Directory.Find(c.ID); ok {
 		done(h.answered(before, c), nil)
 		return
 	}
@@ -593,9 +593,9 @@
 		h.propose(now, c, done)
 		return
 	}
-	was, _ := h.Dir.Get(c.Name)
-	before := h.Dir.Checkpoint(c.Name)
-	o := h.Dir.Apply(c)
+	was, _ := h.Directory.Get(c.Name)
+	before := h.Directory.Checkpoint(c.Name)
+	o := h.Directory.Apply(c)
 	if o.Err() != nil {
 		done(o, nil)
 		return
@@ -604,12 +604,12 @@
 	if c.Kind == tenancy.Remove {
 		over = was.Incarnation
 	}
-	if err := h.store.Save(h.Dir, c.Name, over); err != nil {
+	if err := h.store.Save(h.Directory, c.Name, over); err != nil {
 		// Guards against a change that is confirmed and forgotten by the next start; it does harm where a disk is full: tenants
 		// can't be changed then, while those that run go on.
-		h.Dir.Rollback(before)
-		h.Counts.SaveFailed++
-		done(tenancy.Outcome{}, fmt.Errorf("%w: %w", ErrNotKept, err))
+		h.Directory.Rollback(before)
+		h.Stats.SaveFailures++
+		done(tenancy.Outcome{}, fmt.Errorf("%w: %w", ErrNotPersisted, err))
 		return
 	}
 	h.follow(now, c.Name)
@@ -633,12 +633,12 @@
 // ErrNotAgreed says that a change was not agreed on by the hosts in time; it may still come true.
 var ErrNotAgreed = errors.New("the change was not agreed on in time")
 
-// ErrNotKept says that a change could not be made durable.
-var ErrNotKept = errors.New("the change could not be made durable")
+// ErrNotPersisted says that a change could not be made durable.
+var ErrNotPersisted = errors.New("the change could not be made durable")
 
 func (h *Host) answered(before tenancy.Outcome, c tenancy.Command) tenancy.Outcome {
 	if before.Fingerprint != c.Fingerprint {
-		return h.Dir.Apply(c) // it says so
+		return h.Directory.Apply(c) // it says so
 	}
 	return before
 }
@@ -646,13 +646,13 @@
 // follow does what a change of the directory orders.
 func (h *Host) follow(now float64, n tenancy.Name) {
 	x := h.tenants[n]
-	t, ok := h.Dir.Get(n)
+	t, ok := h.Directory.Get(n)
 	if x != nil && (!ok || t.Incarnation != x.Incarnation) {
-		h.Counts.Ends++
+		h.Stats.Stops++
 		h.end(x)
-		h.Keys.Remove(n)
+		h.Credentials.Remove(n)
 		delete(h.users, x.user)
-		h.Turns.Remove(n)
+		h.Scheduler.Remove(n)
 		delete(h.lives, x.Incarnation)
 		delete(h.tenants, n)
 		h.say(n, "tenant ends", "incarnation", x.Incarnation)
@@ -666,7 +666,7 @@
 	case x.Version != t.Version:
 		h.revise(now, x, t)
 	}
-	if x.Program == nil && x.Wrong == nil { // who has just been made or changed runs before those of a restart
+	if x.Program == nil && x.Err == nil { // who has just been made or changed runs before those of a restart
 		h.starts = slices.DeleteFunc(h.starts, func(o tenancy.Name) bool { return o == n })
 		h.start(now, x)
 	}
@@ -674,38 +674,38 @@
 
 // revise takes other settings of a tenant that runs: in place where that can be, else its coordinator starts anew, as after a restart
 // of the host, and its relays come back within seconds.
-func (h *Host) revise(now float64, x *Hosted, t tenancy.Tenant) {
-	made, err := h.setup.Make(t)
+func (h *Host) revise(now float64, x *TenantRuntime, t tenancy.Tenant) {
+	made, err := h.setup.ParseTenant(t)
 	old := x.made
 	x.Tenant = t
 	if err != nil {
-		x.Wrong = err
+		x.Err = err
 		h.say(t.Name, "settings can't be read; the tenant goes on by its former ones", "error", err)
 		return
 	}
 	x.made = made
 	if err := h.open(now, x, x.Program != nil); err != nil {
-		x.Wrong = err
+		x.Err = err
 		h.say(t.Name, "tenant goes on by its former settings", "error", err)
 		x.made = old
 		return
 	}
-	x.Wrong = nil
+	x.Err = nil
 	p := x.Program
 	if p == nil {
 		return
 	}
-	if old.Setup.User == made.Setup.User && old.Setup.Key == made.Setup.Key {
-		if r, err := p.Revise(now, made.Setup); err == nil {
-			h.Counts.Revised++
+	if old.Config.User == made.Config.User && old.Config.Key == made.Config.Key {
+		if r, err := p.Reconfigure(now, made.Config); err == nil {
+			h.Stats.Reconfigured++
 			h.say(t.Name, "tenant takes other settings", "version", t.Version, "added", len(r.Added), "removed", len(r.Removed),
-				"relays sent", len(r.Sent))
-			h.Turns.Stir(now, t.Name, len(r.Removed) > 0)
+				"relays sent", len(r.Evicted))
+			h.Scheduler.MarkDue(now, t.Name, len(r.Removed) > 0)
 			h.looks(now)
 			return
 		}
 	}
-	h.Counts.Anew++
+	h.Stats.Restarts++
 	h.say(t.Name, "tenant starts anew for other settings", "version", t.Version)
 	h.end(x)
 }
@@ -725,20 +725,20 @@
 		done(false)
 		return
 	}
-	x.Program.Order(now, s, on, done)
+	x.Program.RequestDrain(now, s, on, done)
 	x.rests = false
 }
 
 // Ports are those that relays and servers dial.
-func (s *HostSetup) Ports() []netip.AddrPort { return (&Setup{SASP: s.SASP, HTTP: s.HTTP}).Ports() }
+func (s *HostConfig) Ports() []netip.AddrPort { return (&Config{SASP: s.SASP, HTTP: s.HTTP}).Ports() }
 
-// Revise takes other settings of a coordinator that runs, whole or not at all.
-func (c *Coordinator) Revise(now float64, s Setup) (controlplane.Revision, error) {
-	r, err := c.Fleet.Revise(now, s.Site)
+// Reconfigure takes other settings of a coordinator that runs, whole or not at all.
+func (c *Coordinator) Reconfigure(now float64, s Config) (controlplane.Revision, error) {
+	r, err := c.Fleet.Reconfigure(now, s.Site)
 	if err != nil {
 		return r, err
 	}
 	c.setup.Limits, c.setup.Policy = s.Limits, s.Policy
-	c.Desk.Revise(s.Limits, s.Policy)
+	c.SASP.Revise(s.Limits, s.Policy)
 	return r, nil
 }
--- a/internal/coordinator/host_test.go
+++ b/internal/coordinator/host_test.go
@@ -35,7 +35,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	set.Make = func(x tenancy.Tenant) (coordinator.Made, error) { return settings.ParseTenant(x.Name, x.Settings, set) }
+	set.ParseTenant = func(x tenancy.Tenant) (coordinator.TenantConfig, error) {
+		return settings.ParseTenant(x.Name, x.Settings, set)
+	}
 	s := &site{t: t, set: set, store: store, net: simnet.New(1, 1000)}
 	s.place = s.net.Add(set.SASP.Addr(), 0, false)
 	s.start()
@@ -45,7 +47,7 @@
 func (s *site) start() {
 	s.t.Helper()
 	var err error
-	if s.host, err = coordinator.NewHost(s.net.Now(), s.set.HostSetup, s.store); err != nil {
+	if s.host, err = coordinator.NewHost(s.net.Now(), s.set.HostConfig, s.store); err != nil {
 		s.t.Fatal(err)
 	}
 	s.place.Start(s.host)
@@ -60,9 +62,9 @@
 		if err != nil {
 			s.t.Fatal(err)
 		}
-		c.Weight, c.Requirements = m.Weight, m.Needs
+		c.Weight, c.Requirements = m.Weight, m.Requirements
 	}
-	s.host.Order(s.net.Now(), c, func(o tenancy.Outcome, e error) { out, err = o, errors.Join(e, o.Err()) })
+	s.host.ChangeTenant(s.net.Now(), c, func(o tenancy.Outcome, e error) { out, err = o, errors.Join(e, o.Err()) })
 	return out, err
 }
 
@@ -211,10 +213,10 @@
 		t.Fatal(err)
 	}
 	store.SaveError = errors.New("the disk is full")
-	if _, err := s.order(tenancy.Create, "t001", text[1], 2); !errors.Is(err, coordinator.ErrNotKept) {
+	if _, err := s.order(tenancy.Create, "t001", text[1], 2); !errors.Is(err, coordinator.ErrNotPersisted) {
 		t.Error(err)
 	}
-	if _, err := s.order(tenancy.Remove, "t000", nil, 3); !errors.Is(err, coordinator.ErrNotKept) {
+	if _, err := s.order(tenancy.Remove, "t000", nil, 3); !errors.Is(err, coordinator.ErrNotPersisted) {
 		t.Error(err)
 	}
 	if _, ok := s.host.Tenant("t001"); ok || len(s.host.Tenants()) != 1 {
@@ -256,7 +258,7 @@
 	k = s.from(0, setBalancer("t000/relay-0"), register("t000/relay-0"), setBalancer("t000/relay-0"))
 	s.run(3)
 	x, _ := s.host.Tenant("t000")
-	if d, _ := x.Program.Fleet.Drain("127.16.0.1:18080"); d.Phase != balancer.Ready || len(k.rows) < 4 {
+	if d, _ := x.Program.Fleet.DrainProgress("127.16.0.1:18080"); d.Phase != balancer.Ready || len(k.rows) < 4 {
 		t.Errorf("%+v, %d rows", d, len(k.rows))
 	}
 }
@@ -294,7 +296,7 @@
 	if w, told := got["127.16.0.1:18080"]; !told || w != 0 || got["127.16.0.99:18080"] == 0 || k.closed != 0 {
 		t.Errorf("told %v, closed %d", got, k.closed)
 	}
-	if after, _ := s.host.Tenant("t000"); after.Program != program || s.host.Counts.Revised != 1 {
+	if after, _ := s.host.Tenant("t000"); after.Program != program || s.host.Stats.Reconfigured != 1 {
 		t.Error("it has started anew")
 	}
 	// A server that is not listed any more can't come back by registering.
@@ -309,7 +311,7 @@
 		t.Error("a relay that is not listed any more is still connected")
 	}
 	change(`drain-within="3"`, `drain-within="4"`)
-	if after, _ := s.host.Tenant("t000"); after.Program == program || after.Program == nil || s.host.Counts.Anew != 1 {
+	if after, _ := s.host.Tenant("t000"); after.Program == program || after.Program == nil || s.host.Stats.Restarts != 1 {
 		t.Error("it has not started anew")
 	}
 }
--- a/internal/coordinator/hostmeasure_test.go
+++ b/internal/coordinator/hostmeasure_test.go
@@ -28,13 +28,13 @@
 				s := newSite(t, &store.MemoryTenantStore{})
 				d := scenario.UsualHostedDay()
 				for i := range n {
-					s.host.Order(s.net.Now(), func() tenancy.Command {
+					s.host.ChangeTenant(s.net.Now(), func() tenancy.Command {
 						name, text := tenancy.Name(fmt.Sprintf("t%03d", i)), d.TenantSettings(i)
-						m, err := s.set.Make(tenancy.Tenant{Name: name, Settings: text})
+						m, err := s.set.ParseTenant(tenancy.Tenant{Name: name, Settings: text})
 						if err != nil {
 							b.Fatal(err)
 						}
-						return tenancy.Command{Kind: tenancy.Create, Name: name, Settings: text, Time: 1000, Weight: m.Weight, Requirements: m.Needs}
+						return tenancy.Command{Kind: tenancy.Create, Name: name, Settings: text, Time: 1000, Weight: m.Weight, Requirements: m.Requirements}
 					}(), func(o tenancy.Outcome, err error) {
 						if err != nil || o.Err() != nil {
 							b.Fatal(err, o.Err())
@@ -59,7 +59,7 @@
 	text := d.TenantSettings(0)
 	b.Run("read", func(b *testing.B) {
 		for b.Loop() {
-			if _, err := s.set.Make(tenancy.Tenant{Name: "t000", Settings: text}); err != nil {
+			if _, err := s.set.ParseTenant(tenancy.Tenant{Name: "t000", Settings: text}); err != nil {
 				b.Fatal(err)
 			}
 		}
--- a/internal/coordinator/hosts_test.go
+++ b/internal/coordinator/hosts_test.go
@@ -32,8 +32,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	set.Room.MaxTenants = tenants
-	set.Make = func(x tenancy.Tenant) (coordinator.Made, error) { return settings.ParseTenant(x.Name, x.Settings, set) }
+	set.Capacity.MaxTenants = tenants
+	set.ParseTenant = func(x tenancy.Tenant) (coordinator.TenantConfig, error) {
+		return settings.ParseTenant(x.Name, x.Settings, set)
+	}
 	h := &three{t: t, net: simnet.New(1, 1000), set: set}
 	for i := range h.place {
 		h.place[i] = h.net.Add(netip.AddrFrom4([4]byte{127, 0, 0, byte(1 + i)}), 0, false)
@@ -45,11 +47,11 @@
 
 func (h *three) start(i int) {
 	h.lives++
-	setup := h.set.HostSetup
+	setup := h.set.HostConfig
 	h.disk[i].OwnDataDirID = uint64(i + 1)
-	setup.Disk, setup.Life = &h.disk[i], h.lives*10+uint64(i)
-	setup.Group = &coordinator.GroupSetup{Self: membership.MemberID(i + 1), Weight: 1, Members: map[membership.MemberID]netip.AddrPort{}, Key: []byte("a key for three hosts"),
-		Terms: consensus.DefaultConfig, Lease: membership.DefaultLeaseConfig}
+	setup.Storage, setup.Incarnation = &h.disk[i], h.lives*10+uint64(i)
+	setup.Group = &coordinator.GroupConfig{Self: membership.MemberID(i + 1), Weight: 1, Members: map[membership.MemberID]netip.AddrPort{}, Key: []byte("a key for three hosts"),
+		Consensus: consensus.DefaultConfig, Lease: membership.DefaultLeaseConfig}
 	for k := range h.place {
 		setup.Group.Members[membership.MemberID(k+1)] = netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 0, 0, byte(1 + k)}), 13900)
 	}
@@ -71,9 +73,9 @@
 		if err != nil {
 			h.t.Fatal(err)
 		}
-		c.Weight, c.Requirements = m.Weight, m.Needs
+		c.Weight, c.Requirements = m.Weight, m.Requirements
 	}
-	h.host[i].Order(h.net.Now(), c, func(o tenancy.Outcome, err error) { *answer, *out = errors.Join(err, o.Err()), o })
+	h.host[i].ChangeTenant(h.net.Now(), c, func(o tenancy.Outcome, err error) { *answer, *out = errors.Join(err, o.Err()), o })
 	return answer, out
 }
 
--- a/internal/coordinator/member.go
+++ b/internal/coordinator/member.go
@@ -24,29 +24,29 @@
 // Member is a coordinator's part in a group, as a env.Program of its own: it listens to the others, speaks to them, and
 // knows which proxies are its to order.
 type Member struct {
-	setup     GroupSetup
-	disk      consensus.Storage
-	life      uint64
-	say       func(event string, pairs ...any)
-	peers     *peers
-	io        env.IO
-	folders   *membership.DataDirs
-	joinAt    float64
-	Group     *consensus.Group
-	Failed    error // why it orders nothing any more, for good
-	leaving   bool
-	OnFail    func(error) // nil: nobody is told
-	OnDrain   func(now float64, c membership.Command)
-	OnLearnt  func(now float64, records []registry.Record)
-	OnSettled func(now float64, kept, refused []membership.Ticket)
-	OnTenant  func(now float64, n tenancy.Name, told membership.Ticket, o tenancy.Outcome) // nil: it hosts nobody
+	setup             GroupConfig
+	disk              consensus.Storage
+	life              uint64
+	say               func(event string, pairs ...any)
+	peers             *peers
+	io                env.IO
+	folders           *membership.DataDirs
+	joinAt            float64
+	Group             *consensus.Group
+	Failed            error // why it orders nothing any more, for good
+	leaving           bool
+	OnFail            func(error) // nil: nobody is told
+	OnDrain           func(now float64, c membership.Command)
+	OnRecords         func(now float64, records []registry.Record)
+	OnOrdersCompleted func(now float64, kept, refused []membership.Ticket)
+	OnTenant          func(now float64, n tenancy.Name, told membership.Ticket, o tenancy.Outcome) // nil: it hosts nobody
 }
 
 // ErrRefused says that another coordinator does not hear this one; it orders nothing any more.
 var ErrRefused = errors.New("refused by another coordinator")
 
 // NewMember makes a member; it does nothing until Start. life must differ from those of its former processes.
-func NewMember(setup GroupSetup, disk consensus.Storage, life uint64, say func(string, ...any)) *Member {
+func NewMember(setup GroupConfig, disk consensus.Storage, life uint64, say func(string, ...any)) *Member {
 	return &Member{setup: setup, disk: disk, life: life, say: say}
 }
 
@@ -64,9 +64,9 @@
 		kept[membership.MemberID(id)] = mark
 	}
 	m.folders = membership.NewDataDirs(kept)
-	part := consensus.GroupConfig{ID: m.setup.Self, Registration: membership.Registration{Peer: Name(m.setup.Self), Address: m.setup.Members[m.setup.Self]},
-		Weight: m.setup.Weight, Seed: m.life, Consensus: m.setup.Terms, Lease: m.setup.Lease, Capacity: m.setup.Room}
-	if !m.setup.Joins {
+	part := consensus.GroupConfig{ID: m.setup.Self, Registration: membership.Registration{Peer: PeerName(m.setup.Self), Address: m.setup.Members[m.setup.Self]},
+		Weight: m.setup.Weight, Seed: m.life, Consensus: m.setup.Consensus, Lease: m.setup.Lease, Capacity: m.setup.Capacity}
+	if !m.setup.Join {
 		for _, n := range sortedNumbers(m.setup.Members) {
 			part.Members = append(part.Members, consensus.ID(n))
 		}
@@ -189,7 +189,7 @@
 			return true
 		}
 	}
-	return !m.Group.State.Members[Name(m.setup.Self)].Alive
+	return !m.Group.State.Members[PeerName(m.setup.Self)].Alive
 }
 
 // Send of consensus.Messenger.
@@ -211,8 +211,8 @@
 
 // RecordsCommitted of consensus.Messenger.
 func (m *Member) RecordsCommitted(now float64, records []registry.Record) {
-	if m.OnLearnt != nil {
-		m.OnLearnt(now, records)
+	if m.OnRecords != nil {
+		m.OnRecords(now, records)
 	}
 }
 
@@ -225,18 +225,18 @@
 
 // OrdersCompleted of consensus.Messenger.
 func (m *Member) OrdersCompleted(now float64, kept, refused []membership.Ticket) {
-	if m.OnSettled != nil {
-		m.OnSettled(now, kept, refused)
+	if m.OnOrdersCompleted != nil {
+		m.OnOrdersCompleted(now, kept, refused)
 	}
 }
 
-// Leads tells whether a proxy may be ordered now.
-func (m *Member) Leads(now float64, uid string) bool {
+// Owns tells whether a proxy may be ordered now.
+func (m *Member) Owns(now float64, uid string) bool {
 	return m.Failed == nil && m.Group != nil && m.Group.Lease.Owns(now, m.Group.State, uid)
 }
 
-// Sent notes that a proxy asked us and was sent away, since another one leads it.
-func (m *Member) Sent(now float64, uid string) {
+// ProxyRedirected notes that a proxy asked us and was sent away, since another one leads it.
+func (m *Member) ProxyRedirected(now float64, uid string) {
 	if m.Group != nil {
 		m.Group.MisroutedProxies.Observe(now, uid)
 	}
@@ -288,7 +288,7 @@
 		m.fail(err)
 		return
 	}
-	if m.setup.Joins && !m.Group.Registered() && now >= m.joinAt { // nobody hears our proposals before we are taken in
+	if m.setup.Join && !m.Group.Registered() && now >= m.joinAt { // nobody hears our proposals before we are taken in
 		m.joinAt = now + joinAgain
 		if b, err := m.Group.RegisterCommand().Encode(); err == nil {
 			m.peers.broadcast(peer.Command, b)
@@ -299,8 +299,8 @@
 // Ready of Peers.
 func (m *Member) Ready() bool { return m.Failed == nil && m.Group != nil }
 
-// Holds of Peers.
-func (m *Member) Holds(now float64) bool { return m.Ready() && m.Group.Lease.Valid(now) }
+// HoldsLease of Peers.
+func (m *Member) HoldsLease(now float64) bool { return m.Ready() && m.Group.Lease.Valid(now) }
 
 // Drain of Peers.
 func (m *Member) Drain(now float64, s balancer.Server, on bool) (ticket uint64, ok bool) {
@@ -311,11 +311,11 @@
 // Drains of Peers.
 func (m *Member) Drains() map[balancer.Server]float64 { return m.Group.State.Drains }
 
-// Kept of Peers.
-func (m *Member) Kept() []registry.Record { return m.Group.State.ServerRecords() }
+// ServerRecords of Peers.
+func (m *Member) ServerRecords() []registry.Record { return m.Group.State.ServerRecords() }
 
-// Keep of Peers: a round does not wait for the group.
-func (m *Member) Keep(now float64, records []registry.Record) {
+// StoreRecords of Peers: a round does not wait for the group.
+func (m *Member) StoreRecords(now float64, records []registry.Record) {
 	if news := m.Group.State.ChangedRecords(records); len(news) > 0 {
 		m.Group.StoreRecords(now, news)
 	}
--- a/internal/coordinator/member_sockets_test.go
+++ b/internal/coordinator/member_sockets_test.go
@@ -30,8 +30,8 @@
 		defer f.Close()
 		lease := membership.DefaultLeaseConfig
 		lease.Duration, lease.RenewInterval, lease.SafetyMargin = 1.2, 0.3, 0.2
-		members[id] = coordinator.NewMember(coordinator.GroupSetup{Self: id, Weight: 1, Members: at,
-			Key: []byte("key"), Terms: consensus.DefaultConfig, Lease: lease}, f, uint64(clock()*1e6), func(string, ...any) {})
+		members[id] = coordinator.NewMember(coordinator.GroupConfig{Self: id, Weight: 1, Members: at,
+			Key: []byte("key"), Consensus: consensus.DefaultConfig, Lease: lease}, f, uint64(clock()*1e6), func(string, ...any) {})
 		s, err := eventloop.Listen(members[id], []netip.AddrPort{at[id]}, netip.AddrPort{}, clock)
 		if err != nil {
 			t.Fatal(err)
@@ -48,7 +48,7 @@
 					}
 				}
 				s.Do(func(now float64) {
-					if members[id].Leads(now, fmt.Sprint("relay-", i)) {
+					if members[id].Owns(now, fmt.Sprint("relay-", i)) {
 						n++
 					}
 				})
--- a/internal/coordinator/member_test.go
+++ b/internal/coordinator/member_test.go
@@ -30,8 +30,8 @@
 		}
 		life++
 		files[id] = f
-		members[id] = coordinator.NewMember(coordinator.GroupSetup{Self: id, Weight: 1, Members: at,
-			Key: []byte(key), Terms: consensus.DefaultConfig, Lease: membership.DefaultLeaseConfig}, f, life, func(string, ...any) {})
+		members[id] = coordinator.NewMember(coordinator.GroupConfig{Self: id, Weight: 1, Members: at,
+			Key: []byte(key), Consensus: consensus.DefaultConfig, Lease: membership.DefaultLeaseConfig}, f, life, func(string, ...any) {})
 		hosts[id].Start(members[id])
 	}
 	kill := func(id membership.MemberID) {
@@ -55,7 +55,7 @@
 		for i := range 20 {
 			uid, n := fmt.Sprint("relay-", i), 0
 			for _, id := range order {
-				if hosts[id].Up() && members[id].Leads(net.Now(), uid) {
+				if hosts[id].Up() && members[id].Owns(net.Now(), uid) {
 					n++
 				}
 			}
@@ -82,7 +82,7 @@
 	play(9)
 	net.Cut(2, 3, true) // the third is alone in its zone
 	play(8)
-	if members[3].Leads(net.Now(), "relay-1") || members[3].Group.Lease.Valid(net.Now()) {
+	if members[3].Owns(net.Now(), "relay-1") || members[3].Group.Lease.Valid(net.Now()) {
 		t.Error("one without a majority goes on leading")
 	}
 	net.Cut(2, 3, false)
--- a/internal/coordinator/peers.go
+++ b/internal/coordinator/peers.go
@@ -12,20 +12,20 @@
 	"snowquay/internal/wire/peer"
 )
 
-// GroupSetup is what a coordinator that shares its fleet is told of the others.
-type GroupSetup struct {
-	Self    membership.MemberID
-	Weight  float64
-	Members map[membership.MemberID]netip.AddrPort // of the group as far as it is known, ourselves among them
-	Joins   bool                                   // the group runs already, and is to take us in
-	Key     []byte
-	Terms   consensus.Config
-	Lease   membership.LeaseConfig
-	Room    tenancy.Capacity // of a host of many tenants
+// GroupConfig is what a coordinator that shares its fleet is told of the others.
+type GroupConfig struct {
+	Self      membership.MemberID
+	Weight    float64
+	Members   map[membership.MemberID]netip.AddrPort // of the group as far as it is known, ourselves among them
+	Join      bool                                   // the group runs already, and is to take us in
+	Key       []byte
+	Consensus consensus.Config
+	Lease     membership.LeaseConfig
+	Capacity  tenancy.Capacity // of a host of many tenants
 }
 
-// Name of a coordinator by its number.
-func Name(n membership.MemberID) membership.Peer { return membership.Peer(fmt.Sprint("c", n)) }
+// PeerName of a coordinator by its number.
+func PeerName(n membership.MemberID) membership.Peer { return membership.Peer(fmt.Sprint("c", n)) }
 
 const (
 	peerRedial = 0.25    // seconds between two dials of a coordinator that does not answer
@@ -194,23 +194,23 @@
 
 // Status is how a group is, as one coordinator sees it.
 type Status struct {
-	Number  membership.MemberID                             `json:"number"`
-	Leader  membership.MemberID                             `json:"consensus-leader"` // 0: none is known
-	Commit  uint64                                          `json:"commit"`
-	Epoch   membership.Epoch                                `json:"epoch"`
-	Leads   bool                                            `json:"holds-lease"`
-	Failed  string                                          `json:"failed,omitempty"` // why it orders nothing any more
-	Seats   map[membership.MemberID]membership.Registration `json:"seats"`
-	Members map[membership.Peer]membership.Member           `json:"members"`
-	Drains  int                                             `json:"drains"`
+	Number        membership.MemberID                             `json:"number"`
+	Leader        membership.MemberID                             `json:"consensus-leader"` // 0: none is known
+	Commit        uint64                                          `json:"commit"`
+	Epoch         membership.Epoch                                `json:"epoch"`
+	HoldsLease    bool                                            `json:"holds-lease"`
+	Failed        string                                          `json:"failed,omitempty"` // why it orders nothing any more
+	Registrations map[membership.MemberID]membership.Registration `json:"seats"`
+	Members       map[membership.Peer]membership.Member           `json:"members"`
+	Drains        int                                             `json:"drains"`
 }
 
 func (m *Member) status(now float64) ([]byte, error) {
 	g := m.Group
 	s := Status{Number: m.setup.Self}
 	if g != nil {
-		s.Leader, s.Commit, s.Epoch, s.Leads = membership.MemberID(g.Node.Leader()), m.commit(), g.State.Epoch, m.Failed == nil && g.Lease.Valid(now)
-		s.Seats, s.Members, s.Drains = g.State.Registrations, g.State.Members, len(g.State.Drains)
+		s.Leader, s.Commit, s.Epoch, s.HoldsLease = membership.MemberID(g.Node.Leader()), m.commit(), g.State.Epoch, m.Failed == nil && g.Lease.Valid(now)
+		s.Registrations, s.Members, s.Drains = g.State.Registrations, g.State.Members, len(g.State.Drains)
 	}
 	if m.Failed != nil {
 		s.Failed = m.Failed.Error()
--- a/internal/coordinator/scope.go
+++ b/internal/coordinator/scope.go
@@ -20,24 +20,24 @@
 	empty  map[balancer.Server]float64
 }
 
-func (h *Host) scope(x *Hosted) *scope {
+func (h *Host) scope(x *TenantRuntime) *scope {
 	return &scope{h: h, life: x.Incarnation, prefix: membership.ScopePrefix(x.Incarnation)}
 }
 
 // Ready of Peers.
 func (s *scope) Ready() bool { return s.h.member.Ready() }
 
-// Holds of Peers.
-func (s *scope) Holds(now float64) bool { return s.h.member.Holds(now) }
+// HoldsLease of Peers.
+func (s *scope) HoldsLease(now float64) bool { return s.h.member.HoldsLease(now) }
 
-// Leads of Peers. UIDs have the tenant's name in them, so each proxy of each tenant is led by one of the living, evenly.
-func (s *scope) Leads(now float64, uid string) bool { return s.h.member.Leads(now, uid) }
+// Owns of Peers. UIDs have the tenant's name in them, so each proxy of each tenant is led by one of the living, evenly.
+func (s *scope) Owns(now float64, uid string) bool { return s.h.member.Owns(now, uid) }
 
 // Epoch of Peers.
 func (s *scope) Epoch() uint64 { return s.h.member.Epoch() }
 
-// Sent of Peers.
-func (s *scope) Sent(now float64, uid string) { s.h.member.Sent(now, uid) }
+// ProxyRedirected of Peers.
+func (s *scope) ProxyRedirected(now float64, uid string) { s.h.member.ProxyRedirected(now, uid) }
 
 // Drain of Peers.
 func (s *scope) Drain(now float64, v balancer.Server, on bool) (ticket uint64, ok bool) {
@@ -55,9 +55,9 @@
 	return s.empty
 }
 
-// Kept of Peers.
-func (s *scope) Kept() (records []registry.Record) {
-	for _, r := range s.h.member.Kept() {
+// ServerRecords of Peers.
+func (s *scope) ServerRecords() (records []registry.Record) {
+	for _, r := range s.h.member.ServerRecords() {
 		if life, own, ok := membership.SplitScoped(r.Server); ok && life == s.life {
 			r.Server = own
 			records = append(records, r)
@@ -66,14 +66,14 @@
 	return records
 }
 
-// Keep of Peers.
-func (s *scope) Keep(now float64, records []registry.Record) {
+// StoreRecords of Peers.
+func (s *scope) StoreRecords(now float64, records []registry.Record) {
 	all := make([]registry.Record, len(records))
 	for i, r := range records {
 		r.Server = balancer.Server(s.prefix) + r.Server
 		all[i] = r
 	}
-	s.h.member.Keep(now, all)
+	s.h.member.StoreRecords(now, all)
 }
 
 // drained is what was agreed on of drains, by tenant; worked out anew when it has changed.
@@ -97,13 +97,13 @@
 }
 
 // shared makes the host a member of a group of hosts.
-func (h *Host) shared(g GroupSetup, disk consensus.Storage) {
-	g.Room = h.setup.Room
-	m := NewMember(g, disk, h.setup.Life, func(event string, pairs ...any) { h.say("", event, pairs...) })
+func (h *Host) shared(g GroupConfig, disk consensus.Storage) {
+	g.Capacity = h.setup.Capacity
+	m := NewMember(g, disk, h.setup.Incarnation, func(event string, pairs ...any) { h.say("", event, pairs...) })
 	m.OnFail = h.setup.OnFail
-	m.OnDrain, m.OnSettled, m.OnLearnt, m.OnTenant = h.onDrain, h.onSettled, h.onLearnt, h.onTenant
+	m.OnDrain, m.OnOrdersCompleted, m.OnRecords, m.OnTenant = h.onDrain, h.onSettled, h.onLearnt, h.onTenant
 	h.member, h.drains, h.orders = m, map[membership.Ticket]tenancy.Incarnation{}, map[membership.Ticket]*waiting{}
-	h.lives = map[tenancy.Incarnation]*Hosted{}
+	h.lives = map[tenancy.Incarnation]*TenantRuntime{}
 }
 
 // waiting is a change of a tenant that was told here and is not answered yet.
@@ -119,7 +119,7 @@
 	if x := h.lives[life]; ok && x != nil && x.Program != nil {
 		c.Server = own
 		x.Program.drained(now, c)
-		h.Turns.Stir(now, x.Name, true)
+		h.Scheduler.MarkDue(now, x.Name, true)
 	}
 }
 
@@ -178,7 +178,7 @@
 // compare brings what runs to what the directory says.
 func (h *Host) compare(now float64) {
 	names := map[tenancy.Name]bool{}
-	for _, t := range h.Dir.All() {
+	for _, t := range h.Directory.All() {
 		names[t.Name] = true
 		if x := h.tenants[t.Name]; x == nil || x.Incarnation != t.Incarnation || x.Version != t.Version {
 			h.follow(now, t.Name)
--- a/internal/core/controlplane/fleet.go
+++ b/internal/core/controlplane/fleet.go
@@ -22,50 +22,50 @@
 )
 
 var (
-	// ErrStranger says that a relay is not listed, and that only listed ones may join.
-	ErrStranger = errors.New("the settings list no such relay")
-	// ErrCrowded says that as many relays are joined or known as may be.
-	ErrCrowded = errors.New("too many relays")
-	// ErrOften says that the relay joins again and again, faster than one that dials when its connection breaks.
-	ErrOften = errors.New("this relay joins too often")
-	// ErrElsewhere says that another coordinator leads the relay.
-	ErrElsewhere = errors.New("another coordinator leads this relay")
+	// ErrUnlistedRelay says that a relay is not listed, and that only listed ones may join.
+	ErrUnlistedRelay = errors.New("the settings list no such relay")
+	// ErrTooManyRelays says that as many relays are joined or known as may be.
+	ErrTooManyRelays = errors.New("too many relays")
+	// ErrJoinRateExceeded says that the relay joins again and again, faster than one that dials when its connection breaks.
+	ErrJoinRateExceeded = errors.New("this relay joins too often")
+	// ErrWrongCoordinator says that another coordinator leads the relay.
+	ErrWrongCoordinator = errors.New("another coordinator leads this relay")
 )
 
 const urgentCold = 0.5 // of the line's weight; a cold server's line that falls by more is as urgent as a drain
 
-// Hold is what a proxy has of one class's table.
-type Hold struct {
-	Table balancer.Table
-	Bound bool           // the module has bound the proxy to it
-	Full  bool           // it must get the whole table: nothing that it holds is known
-	Stale bool           // it may hold lines of another table
-	Sent  tables.Version // newest that was sent
-	Known tables.Version // newest that it is known to hold
+// HeldTable is what a proxy has of one class's table.
+type HeldTable struct {
+	Table        balancer.Table
+	Bound        bool           // the module has bound the proxy to it
+	Full         bool           // it must get the whole table: nothing that it holds is known
+	Stale        bool           // it may hold lines of another table
+	SentVersion  tables.Version // newest that was sent
+	AckedVersion tables.Version // newest that it is known to hold
 }
 
 // Proxy is a relay that is joined, or was.
 type Proxy struct {
-	ID     balancer.Proxy
-	UID    string
-	Zone   balancer.Zone
-	Usual  float64
-	Joined bool
-	Pulls  bool // it asks for its weights, nothing is sent to it unasked
-	Levels bool // its front can say levels and ways of repeating
-	Holds  []Hold
+	ID                balancer.Proxy
+	UID               string
+	Zone              balancer.Zone
+	ExpectedRate      float64
+	Joined            bool
+	Polls             bool // it asks for its weights, nothing is sent to it unasked
+	SupportsAdmission bool // its front can say levels and ways of repeating
+	Tables            []HeldTable
 
 	away     bool // a message is on its way
 	awayAt   float64
-	front    Front
+	front    Frontend
 	ahead    bool    // its next message brings it up to the last drains only
 	urgent   bool    // a drain is on its way or waits
 	urgentAt float64 // since when
 	marks    []mark
 	riding   []mark // marks of the message on its way
 	leftAt   float64
-	trace    Order
-	second   Order // of the message that follows one with drains only
+	trace    MessageTrace
+	second   MessageTrace // of the message that follows one with drains only
 
 	joins   float64 // that it has left
 	joinsAt float64
@@ -95,19 +95,19 @@
 	given float64
 }
 
-// Order tells of one message where it came from and what became of it.
-type Order struct {
-	Proxy                            balancer.Proxy
-	UID                              string
-	Round                            uint64 // of the newest decision in it
-	Lists, Streams, Traffic, Demands int    // facts of that round
-	Lines                            int
-	Urgent, Full                     bool
-	Decided, Written, Held           float64 // clock times; Held 0: it was never known to be held
+// MessageTrace tells of one message where it came from and what became of it.
+type MessageTrace struct {
+	Proxy                                  balancer.Proxy
+	UID                                    string
+	Round                                  uint64 // of the newest decision in it
+	Lists, ProxyEvents, Upstreams, Demands int    // facts of that round
+	Entries                                int
+	Urgent, Full                           bool
+	DecidedAt, SentAt, AckedAt             float64 // clock times; Held 0: it was never known to be held
 }
 
-// Front speaks to proxies. Its calls come from within the fleet's; it may call the fleet.
-type Front interface {
+// Frontend speaks to proxies. Its calls come from within the fleet's; it may call the fleet.
+type Frontend interface {
 	// Deliver sends a proxy its newest state and says Sent, or says Nothing, Wait or Leave.
 	Deliver(now float64, p *Proxy)
 	// Displaced: the proxy has joined by another front or connection, and is no longer this one's.
@@ -121,14 +121,14 @@
 
 // Fleet is one coordinator's state. Use New.
 type Fleet struct {
-	site    Site
-	manager *balancer.Balancer
-	may     func(now float64, uid string) bool // nil: all relays are ours
-	lead    func() uint64
-	sent    func(now float64, uid string)
-	Roll    *registry.Registry
-	Book    *loadreport.Book
-	keeper  RecordStore
+	site        Site
+	manager     *balancer.Balancer
+	may         func(now float64, uid string) bool // nil: all relays are ours
+	lead        func() uint64
+	sent        func(now float64, uid string)
+	Registry    *registry.Registry
+	LoadReports *loadreport.Aggregator
+	keeper      RecordStore
 
 	proxies map[balancer.Proxy]*Proxy
 	byUID   map[string]*Proxy
@@ -148,11 +148,11 @@
 	known   bool    // servers are known from the first
 	began   float64
 	round   uint64
-	counts  Order // of the round at hand
+	counts  MessageTrace // of the round at hand
 	touched []*wanted
 	sums    sums
-	orders  []Order // that are done, for Orders
-	Counts  Counts
+	orders  []MessageTrace // that are done, for Orders
+	Stats   Stats
 }
 
 type line struct {
@@ -172,41 +172,41 @@
 	drained tables.Version // newest version in which something urgent was ordered
 }
 
-// Counts is what happened, for metrics.
-type Counts struct {
-	Rounds, Idle                     int // rounds called, and ticks in which nothing had come in
-	Lines, Messages, Fulls           int // sent
-	Cut, Stalled, Overdue, Defied    int // relays cut off, by why
-	Unsaid                           int // levels and repeats that a front has no word for
-	UnknownRelay, UnknownServer      int // measurements that name somebody unknown
-	KeepFailed, Probes, Notes, Binds int
-	Often                            int // joins refused, since they came too fast
-	Left                             int // tables that were refused, since they had no open, warm server left
-	Evicted                          int // relays that another coordinator leads now
+// Stats is what happened, for metrics.
+type Stats struct {
+	Rounds, Idle                                 int // rounds called, and ticks in which nothing had come in
+	Entries, Messages, FullTables                int // sent
+	Disconnected, Stalled, Overdue, Noncompliant int // relays cut off, by why
+	Unsupported                                  int // levels and repeats that a front has no word for
+	UnknownRelay, UnknownServer                  int // measurements that name somebody unknown
+	SaveFailures, Probes, Notes, Binds           int
+	JoinsThrottled                               int // joins refused, since they came too fast
+	TablesRejected                               int // tables that were refused, since they had no open, warm server left
+	Evicted                                      int // relays that another coordinator leads now
 }
 
 // New makes a coordinator. records are those of its former life, none if there was none. The error says what of the
 // site cannot be taken.
 func New(now float64, site Site, records []registry.Record, keeper RecordStore) (*Fleet, error) {
-	if len(site.Classes) == 0 || len(site.Classes) > 64 || len(site.Names) != len(site.Classes) {
-		return nil, fmt.Errorf("%d classes with %d names; 1 to 64 are possible", len(site.Classes), len(site.Names))
+	if len(site.Classes) == 0 || len(site.Classes) > 64 || len(site.ClassNames) != len(site.Classes) {
+		return nil, fmt.Errorf("%d classes with %d names; 1 to 64 are possible", len(site.Classes), len(site.ClassNames))
 	}
 	f := &Fleet{site: site, keeper: keeper, first: true, began: now, ranAt: math.Inf(-1), closed: now,
-		Roll:    registry.New(site.Limits.HoldServer, site.Limits.Servers, site.Without[GuardCold]),
-		Book:    loadreport.New(site.Limits.Series),
-		proxies: map[balancer.Proxy]*Proxy{}, byUID: map[string]*Proxy{}, listed: map[string]Relay{},
-		tables: map[balancer.Table]*wanted{}, out: pacing.New(site.Channel, site.Without[GuardPace])}
-	f.manager = balancer.New(site.Seed, site.Classes, site.Dataplane, site.inTables(), site.Guarantees, site.Reporting,
+		Registry:    registry.New(site.Limits.ServerHold, site.Limits.MaxServers, site.DisabledGuards[GuardWarmup]),
+		LoadReports: loadreport.New(site.Limits.MaxSeries),
+		proxies:     map[balancer.Proxy]*Proxy{}, byUID: map[string]*Proxy{}, listed: map[string]Relay{},
+		tables: map[balancer.Table]*wanted{}, out: pacing.New(site.Channel, site.DisabledGuards[GuardPace])}
+	f.manager = balancer.New(site.Seed, site.Classes, site.DataPlane, site.inTables(), site.Guarantees, site.Reporting,
 		balancer.HealthChecking{}, balancer.Discovery{Weights: balancer.WeightsNominal})
-	if !site.Without[GuardMemory] && len(records) > 0 {
+	if !site.DisabledGuards[GuardMemory] && len(records) > 0 {
 		f.known = true
-		if err := f.Roll.Restore(now, records); err != nil {
+		if err := f.Registry.Restore(now, records); err != nil {
 			return nil, err
 		}
 	}
 	for _, s := range site.Servers {
 		f.known = f.known || s.Static
-		if err := f.Roll.Configure(now, s); err != nil {
+		if err := f.Registry.Configure(now, s); err != nil {
 			return nil, err
 		}
 	}
@@ -221,7 +221,7 @@
 // where ten classes share a table; the cost is a slower pace where other classes have tables of their own.
 func (s *Site) inTables() balancer.Channel {
 	c, most := s.Channel, 1
-	if s.Without[GuardLines] || s.Without[GuardPace] {
+	if s.DisabledGuards[GuardEntries] || s.DisabledGuards[GuardPace] {
 		return c
 	}
 	for i, q := range s.Classes {
@@ -244,32 +244,32 @@
 
 // Class is the number of a class by its name.
 func (f *Fleet) Class(name string) (balancer.Class, bool) {
-	i := slices.Index(f.site.Names, name)
+	i := slices.Index(f.site.ClassNames, name)
 	return balancer.Class(i), i >= 0
 }
 
 // Relay finds a relay that is joined or still known.
 func (f *Fleet) Relay(uid string) *Proxy { return f.byUID[uid] }
 
-// Govern makes the fleet order only relays for which may says so, asked afresh before every message. Guards against a
+// SetOwnership makes the fleet order only relays for which may says so, asked afresh before every message. Guards against a
 // coordinator that believes that it leads: it stops at the moment that its lease ends, whatever it was about to do.
 // lead tells the epoch of who leads what, for fronts that can say it. away, if any, hears of relays that were sent away to
 // another coordinator.
-func (f *Fleet) Govern(may func(now float64, uid string) bool, lead func() uint64, away func(now float64, uid string)) {
+func (f *Fleet) SetOwnership(may func(now float64, uid string) bool, lead func() uint64, away func(now float64, uid string)) {
 	f.may, f.lead, f.sent = may, lead, away
 }
 
-// Lead is the epoch of who leads what that this coordinator goes by; 0: it shares its fleet with nobody.
-func (f *Fleet) Lead() uint64 {
+// OwnershipEpoch is the epoch of who leads what that this coordinator goes by; 0: it shares its fleet with nobody.
+func (f *Fleet) OwnershipEpoch() uint64 {
 	if f.lead == nil {
 		return 0
 	}
 	return f.lead()
 }
 
-// Evict lets go of joined relays that are not ours any more. Their fronts close their connections, so that they dial
+// EvictForeign lets go of joined relays that are not ours any more. Their fronts close their connections, so that they dial
 // another coordinator.
-func (f *Fleet) Evict(now float64) {
+func (f *Fleet) EvictForeign(now float64) {
 	if f.may == nil {
 		return
 	}
@@ -286,33 +286,33 @@
 }
 
 func (f *Fleet) evict(now float64, p *Proxy) {
-	f.Counts.Evicted++
-	f.Leave(now, p)
+	f.Stats.Evicted++
+	f.Disconnect(now, p)
 	p.front.Displaced(now, p)
 }
 
 // Join takes a relay in: it has a connection, and is told its tables by a front from now on. fresh says that it holds
 // nothing but its standing table. A relay that is joined already moves here, and its former front is told.
-func (f *Fleet) Join(now float64, uid string, front Front, fresh bool) (*Proxy, error) {
+func (f *Fleet) Join(now float64, uid string, front Frontend, fresh bool) (*Proxy, error) {
 	if f.may != nil && !f.may(now, uid) {
 		if f.sent != nil && f.Listed(uid) {
 			f.sent(now, uid)
 		}
-		return nil, fmt.Errorf("%w: %q", ErrElsewhere, uid)
+		return nil, fmt.Errorf("%w: %q", ErrWrongCoordinator, uid)
 	}
 	p := f.byUID[uid]
 	if p == nil {
 		r, ok := f.listed[uid]
 		if !f.Listed(uid) {
-			return nil, fmt.Errorf("%w: %q", ErrStranger, uid)
+			return nil, fmt.Errorf("%w: %q", ErrUnlistedRelay, uid)
 		} else if !ok {
-			r = Relay{UID: uid, Zone: f.site.StrangerIn}
+			r = Relay{UID: uid, Zone: f.site.UnlistedZone}
 		}
-		if len(f.proxies) >= f.site.Limits.Relays {
+		if len(f.proxies) >= f.site.Limits.MaxRelays {
 			f.forget(now)
 		}
-		if len(f.proxies) >= f.site.Limits.Relays {
-			return nil, fmt.Errorf("%w: %d are known", ErrCrowded, len(f.proxies))
+		if len(f.proxies) >= f.site.Limits.MaxRelays {
+			return nil, fmt.Errorf("%w: %d are known", ErrTooManyRelays, len(f.proxies))
 		}
 		id := f.next
 		if n := len(f.free); n > 0 {
@@ -320,20 +320,20 @@
 		} else {
 			f.next++
 		}
-		p = &Proxy{ID: id, UID: uid, Zone: r.Zone, Usual: r.Usual, Holds: make([]Hold, len(f.site.Classes))}
+		p = &Proxy{ID: id, UID: uid, Zone: r.Zone, ExpectedRate: r.ExpectedRate, Tables: make([]HeldTable, len(f.site.Classes))}
 		f.proxies[id], f.byUID[uid] = p, p
 	}
 	if !f.mayJoin(now, p) {
-		return nil, fmt.Errorf("%w: %q", ErrOften, uid)
+		return nil, fmt.Errorf("%w: %q", ErrJoinRateExceeded, uid)
 	}
 	if old := p.front; p.Joined {
-		f.Leave(now, p)
+		f.Disconnect(now, p)
 		old.Displaced(now, p)
 	}
-	p.front, p.Pulls, p.Levels = front, false, false
+	p.front, p.Polls, p.SupportsAdmission = front, false, false
 	p.Joined, p.offset, p.defies, p.taken = true, math.Inf(1), "", [keptTaken]delivered{}
 	f.joined++
-	f.news.ProxyEvents = append(f.news.ProxyEvents, balancer.ProxyEvent{Proxy: p.ID, Joined: true, Zone: p.Zone, ExpectedRate: p.Usual,
+	f.news.ProxyEvents = append(f.news.ProxyEvents, balancer.ProxyEvent{Proxy: p.ID, Joined: true, Zone: p.Zone, ExpectedRate: p.ExpectedRate,
 		DefaultTable: fresh})
 	return p, nil
 }
@@ -347,7 +347,7 @@
 // and the channel would have no room for the drains of the others. It does harm to a relay that has lost six connections within a
 // second: it goes on by what it holds, and comes back a second later.
 func (f *Fleet) mayJoin(now float64, p *Proxy) bool {
-	if f.site.Without[GuardOften] {
+	if f.site.DisabledGuards[GuardJoinRate] {
 		return true
 	}
 	if p.joinsAt == 0 {
@@ -355,17 +355,17 @@
 	}
 	p.joins = min(joinsAtOnce, p.joins+max(0, now-p.joinsAt)*joinsPer)
 	if p.joinsAt = now; p.joins < 1 {
-		f.Counts.Often++
+		f.Stats.JoinsThrottled++
 		return false
 	}
 	p.joins--
 	return true
 }
 
-// Leave says that a relay's connection ended. What was on its way is lost, and what it holds is not known any more.
+// Disconnect says that a relay's connection ended. What was on its way is lost, and what it holds is not known any more.
 // Guards against a relay that comes back with less than we think, after it started anew or lost what was on the way;
 // the cost is a full table for each reconnection.
-func (f *Fleet) Leave(now float64, p *Proxy) {
+func (f *Fleet) Disconnect(now float64, p *Proxy) {
 	if !p.Joined {
 		return
 	}
@@ -373,20 +373,20 @@
 	f.joined--
 	p.Joined, p.leftAt, p.away, p.urgent = false, now, false, false
 	p.marks, p.riding = p.marks[:0], p.riding[:0]
-	for c := range p.Holds {
-		h := &p.Holds[c]
+	for c := range p.Tables {
+		h := &p.Tables[c]
 		f.unbind(p, h)
-		if f.site.Without[GuardRejoin] {
+		if f.site.DisabledGuards[GuardRejoin] {
 			h.Bound = false
 			continue
 		}
-		*h = Hold{}
+		*h = HeldTable{}
 	}
-	f.out.Leave(p.ID)
+	f.out.Forget(p.ID)
 	f.news.ProxyEvents = append(f.news.ProxyEvents, balancer.ProxyEvent{Proxy: p.ID})
 }
 
-func (f *Fleet) unbind(p *Proxy, h *Hold) {
+func (f *Fleet) unbind(p *Proxy, h *HeldTable) {
 	if !h.Bound {
 		return
 	}
@@ -400,31 +400,31 @@
 // forget makes room: relays that left long ago. A module that has not been told of their leaving is told first.
 func (f *Fleet) forget(now float64) {
 	for id, p := range f.proxies {
-		if !p.Joined && now-p.leftAt > f.site.Limits.KnowRelay && len(f.news.ProxyEvents) == 0 {
+		if !p.Joined && now-p.leftAt > f.site.Limits.RelayRetention && len(f.news.ProxyEvents) == 0 {
 			delete(f.proxies, id)
 			delete(f.byUID, p.UID)
-			f.Book.Leave(id)
+			f.LoadReports.RemoveProxy(id)
 			f.free = append(f.free, id)
 		}
 	}
 	slices.Sort(f.free)
 }
 
-// Measured takes a relay's totals at a server. Nothing is decided by a report that names somebody unknown, or by one
+// ReportUpstream takes a relay's totals at a server. Nothing is decided by a report that names somebody unknown, or by one
 // of a relay that is not joined.
-func (f *Fleet) Measured(now, at float64, uid string, s balancer.Server, t loadreport.Totals) {
+func (f *Fleet) ReportUpstream(now, at float64, uid string, s balancer.Server, t loadreport.Totals) {
 	p := f.byUID[uid]
 	if p == nil || !p.Joined {
-		f.Counts.UnknownRelay++
+		f.Stats.UnknownRelay++
 		return
 	}
-	if _, ok := f.Roll.Find(s); !ok {
-		f.Counts.UnknownServer++
+	if _, ok := f.Registry.Find(s); !ok {
+		f.Stats.UnknownServer++
 		return
 	}
 	p.offset = min(p.offset, now-at)
-	tries, since := f.Book.Traffic(now, at, p.ID, p.Zone, s, t)
-	if tries > 0 && !f.site.Without[GuardReports] {
+	tries, since := f.LoadReports.AddUpstream(now, at, p.ID, p.Zone, s, t)
+	if tries > 0 && !f.site.DisabledGuards[GuardReports] {
 		f.obeys(p, s, since)
 	}
 }
@@ -434,58 +434,58 @@
 // nothing of a program that does not read them; what it does shows. Its clock is set against ours by the fastest of
 // its reports, so that late ones accuse nobody.
 func (f *Fleet) obeys(p *Proxy, s balancer.Server, since float64) {
-	if phase, _ := f.Roll.Phase(s); phase == balancer.Ready {
+	if phase, _ := f.Registry.Phase(s); phase == balancer.Ready {
 		return
 	}
 	decided := 0.0 // when the last of its tables lost the line
-	for c := range p.Holds {
-		h := &p.Holds[c]
+	for c := range p.Tables {
+		h := &p.Tables[c]
 		if !h.Bound {
 			return
 		}
-		at, ok := f.tables[h.Table].Removed(s)
+		at, ok := f.tables[h.Table].RemovedAt(s)
 		if !ok {
 			return
 		}
 		decided = max(decided, at)
 	}
 	// The first message from then on has the drain in it: drains go first.
-	if taken, ok := p.holds(decided); ok && !p.urgent && since+p.offset > taken+f.site.Limits.ObeyWithin {
+	if taken, ok := p.holds(decided); ok && !p.urgent && since+p.offset > taken+f.site.Limits.ApplyGrace {
 		p.defies = s
 	}
 }
 
-// Demanded takes a relay's totals of a class.
-func (f *Fleet) Demanded(now, at float64, uid, class string, t loadreport.Totals) {
+// ReportDemand takes a relay's totals of a class.
+func (f *Fleet) ReportDemand(now, at float64, uid, class string, t loadreport.Totals) {
 	p := f.byUID[uid]
 	c, ok := f.Class(class)
 	if p == nil || !p.Joined || !ok {
-		f.Counts.UnknownRelay++
+		f.Stats.UnknownRelay++
 		return
 	}
-	f.Book.Demand(now, at, p.ID, c, t)
+	f.LoadReports.AddDemand(now, at, p.ID, c, t)
 }
 
-// Uptime takes a server's seconds since its start.
-func (f *Fleet) Uptime(now float64, s balancer.Server, up float64) {
-	if _, ok := f.Roll.Find(s); !ok {
-		f.Counts.UnknownServer++
+// ObserveUptime takes a server's seconds since its start.
+func (f *Fleet) ObserveUptime(now float64, s balancer.Server, up float64) {
+	if _, ok := f.Registry.Find(s); !ok {
+		f.Stats.UnknownServer++
 		return
 	}
-	f.Roll.ObserveUptime(now, s, up)
+	f.Registry.ObserveUptime(now, s, up)
 }
 
-// Round hands the module all that came in, if anything did or it asked to be woken, and takes what it decides. It
+// RunRound hands the module all that came in, if anything did or it asked to be woken, and takes what it decides. It
 // reports whether the module was called. What must outlive the coordinator is kept before it is acted on; if that
 // fails a drain goes out all the same, since a drain that is forgotten later is better than one not begun.
-func (f *Fleet) Round(now float64) bool {
-	f.Roll.ExpireHolds(now)
-	if now-f.ranAt < f.site.Limits.RoundEvery || f.gathers(now) {
+func (f *Fleet) RunRound(now float64) bool {
+	f.Registry.ExpireHolds(now)
+	if now-f.ranAt < f.site.Limits.MinRoundInterval || f.gathers(now) {
 		return false
 	}
-	if f.Roll.HasChanges() {
+	if f.Registry.HasChanges() {
 		f.Persist()
-		entries, whole := f.Roll.TakeChanges()
+		entries, whole := f.Registry.TakeChanges()
 		scope := balancer.DeltaList
 		if f.first { // what the settings list as standing, and what a former life kept
 			scope = balancer.CachedList
@@ -497,9 +497,9 @@
 		}
 		f.first = false
 	}
-	if now-f.closed >= f.site.Reporting.Period && f.Book.Waits() {
+	if now-f.closed >= f.site.Reporting.Period && f.LoadReports.HasPending() {
 		f.closed = now
-		f.news.Upstreams, f.news.Demands = f.Book.Close()
+		f.news.Upstreams, f.news.Demands = f.LoadReports.Flush()
 		f.count(f.news.Upstreams, f.news.Demands)
 	}
 	if now >= f.wakeAt && f.wakeAt > 0 {
@@ -508,15 +508,15 @@
 	}
 	n := &f.news
 	if len(n.Lists)+len(n.ProxyEvents)+len(n.Upstreams)+len(n.Demands)+len(n.Acks)+len(n.FiredTimers) == 0 {
-		f.Counts.Idle++
+		f.Stats.Idle++
 		return false
 	}
 	f.ranAt = now
 	f.round++
-	f.Counts.Rounds++
-	f.counts = Order{Round: f.round, Lists: len(n.Lists), Streams: len(n.ProxyEvents), Traffic: len(n.Upstreams),
-		Demands: len(n.Demands), Decided: now}
-	f.manager.Reconcile(now, *n, &Writing{f: f, now: now})
+	f.Stats.Rounds++
+	f.counts = MessageTrace{Round: f.round, Lists: len(n.Lists), ProxyEvents: len(n.ProxyEvents), Upstreams: len(n.Upstreams),
+		Demands: len(n.Demands), DecidedAt: now}
+	f.manager.Reconcile(now, *n, &RoundSink{f: f, now: now})
 	f.news = balancer.Events{}
 	f.spread(now)
 	return true
@@ -525,16 +525,16 @@
 // Persist makes what has changed on the roll durable now, not with the next round. Guards against a drain that was confirmed and is
 // forgotten by a process that dies before its next round.
 func (f *Fleet) Persist() (ok bool) {
-	if f.keeper == nil || f.site.Without[GuardMemory] || !f.Roll.NeedsPersist() {
+	if f.keeper == nil || f.site.DisabledGuards[GuardMemory] || !f.Registry.NeedsPersist() {
 		return true
 	}
-	if records := f.Roll.ChangedRecords(); len(records) > 0 {
+	if records := f.Registry.ChangedRecords(); len(records) > 0 {
 		if err := f.keeper.Save(records); err != nil {
-			f.Counts.KeepFailed++
+			f.Stats.SaveFailures++
 			return false
 		}
 	}
-	f.Roll.MarkPersisted()
+	f.Registry.MarkPersisted()
 	return true
 }
 
@@ -542,7 +542,7 @@
 // register. Guards against a first list that comes one server at a time: each would be taken for a new one, and the whole
 // table would stay on the scale of new ones. The cost is that relays keep their standing tables for that long.
 func (f *Fleet) gathers(now float64) bool {
-	return f.first && !f.known && now < f.began+f.site.Limits.GatherFor
+	return f.first && !f.known && now < f.began+f.site.Limits.StartupGather
 }
 
 // spread lets all users of the tables that changed this round wait for their messages.
@@ -561,17 +561,17 @@
 		slices.Sort(users)
 		for _, id := range users {
 			p := f.proxies[id]
-			if p.trace.Decided == 0 || !p.away {
+			if p.trace.DecidedAt == 0 || !p.away {
 				p.trace = f.counts
 			}
 			if w.urgent && !p.urgent {
 				p.urgent, p.urgentAt = true, now
 			}
 			lines := w.lines * float64(w.users[id]) // once for each class
-			if p.Levels {
+			if p.SupportsAdmission {
 				lines += w.levels
 			}
-			if !p.Pulls && lines > 0 {
+			if !p.Polls && lines > 0 {
 				f.wait(now, p, lines, turn)
 			}
 		}
@@ -585,56 +585,56 @@
 // where the server that stays is one that fails all it gets, of which proxies then lose their tries, as without any line.
 func (f *Fleet) leaveOne(now float64, w *wanted) {
 	took := w.took
-	if w.took = w.took[:0]; len(took) == 0 || len(w.users) == 0 || f.site.Without[GuardTable] {
+	if w.took = w.took[:0]; len(took) == 0 || len(w.users) == 0 || f.site.DisabledGuards[GuardTable] {
 		return
 	}
-	for l := range w.Since(0) {
-		phase, _ := f.Roll.Phase(l.Server)
-		if l.Weight > 0 && phase == balancer.Ready && !f.Roll.WarmingUp(now, l.Server, f.site.Guarantees.WarmupDuration) {
+	for l := range w.ChangedSince(0) {
+		phase, _ := f.Registry.Phase(l.Server)
+		if l.Weight > 0 && phase == balancer.Ready && !f.Registry.WarmingUp(now, l.Server, f.site.Guarantees.WarmupDuration) {
 			return
 		}
 	}
-	f.Counts.Left++
+	f.Stats.TablesRejected++
 	for _, l := range took {
 		w.Set(now, l.server, l.weight)
 	}
 }
 
-func (f *Fleet) wait(now float64, p *Proxy, lines float64, turn pacing.Turn) {
+func (f *Fleet) wait(now float64, p *Proxy, lines float64, turn pacing.Priority) {
 	if p.away {
-		f.out.Hold(p.ID)
+		f.out.Suspend(p.ID)
 	}
-	f.out.Add(now, p.ID, min(lines, max(f.most(p)-f.out.Lines(p.ID), 0)), turn)
+	f.out.Add(now, p.ID, min(lines, max(f.most(p)-f.out.QueuedEntries(p.ID), 0)), turn)
 }
 
 // most is how many lines a message to a proxy can have: those of its tables, and of those that were taken from them. Guards against
 // counting a line as often as it changed while its proxy waited: it is sent once, as it is by then.
 func (f *Fleet) most(p *Proxy) (lines float64) {
-	for c := range p.Holds {
-		if h := &p.Holds[c]; h.Bound {
+	for c := range p.Tables {
+		if h := &p.Tables[c]; h.Bound {
 			t := f.tables[h.Table]
-			lines += float64(t.Remembered() + len(t.Levels()))
+			lines += float64(t.TotalLen() + len(t.Admissions()))
 		}
 	}
 	return lines + 1
 }
 
-// SetPulls says whether a proxy asks for its weights or is sent them.
-func (f *Fleet) SetPulls(now float64, p *Proxy, pulls bool) {
-	if p.Pulls = pulls; !pulls {
-		for c := range p.Holds {
-			f.Refresh(now, p, balancer.Class(c), 1)
+// SetPolling says whether a proxy asks for its weights or is sent them.
+func (f *Fleet) SetPolling(now float64, p *Proxy, pulls bool) {
+	if p.Polls = pulls; !pulls {
+		for c := range p.Tables {
+			f.ScheduleFull(now, p, balancer.Class(c), 1)
 		}
 	}
 }
 
-// Writing takes the decisions of one round; it is the balancer.CommandSink of a Fleet.
-type Writing struct {
+// RoundSink takes the decisions of one round; it is the balancer.CommandSink of a Fleet.
+type RoundSink struct {
 	f   *Fleet
 	now float64
 }
 
-func (w *Writing) table(t balancer.Table) *wanted {
+func (w *RoundSink) table(t balancer.Table) *wanted {
 	x := w.f.tables[t]
 	if x == nil {
 		x = &wanted{number: t, users: map[balancer.Proxy]int{}}
@@ -643,7 +643,7 @@
 	return x
 }
 
-func (w *Writing) touch(t *wanted) {
+func (w *RoundSink) touch(t *wanted) {
 	if !t.touched {
 		t.touched = true
 		w.f.touched = append(w.f.touched, t)
@@ -651,13 +651,13 @@
 }
 
 // SetWeight sets a line of a table.
-func (w *Writing) SetWeight(t balancer.Table, s balancer.Server, weight float64) {
+func (w *RoundSink) SetWeight(t balancer.Table, s balancer.Server, weight float64) {
 	x, before := w.table(t), w.table(t).Weight(s)
 	if !x.Set(w.now, s, weight) {
 		return
 	}
-	phase, _ := w.f.Roll.Phase(s)
-	cold := w.f.Roll.WarmingUp(w.now, s, w.f.site.Guarantees.WarmupDuration)
+	phase, _ := w.f.Registry.Phase(s)
+	cold := w.f.Registry.WarmingUp(w.now, s, w.f.site.Guarantees.WarmupDuration)
 	if weight == 0 && phase == balancer.Ready && !cold {
 		x.took = append(x.took, line{s, before})
 	}
@@ -669,38 +669,38 @@
 }
 
 // AssignTable puts a proxy on a table for some classes; it is due the whole of it.
-func (w *Writing) AssignTable(id balancer.Proxy, t balancer.Table, classes balancer.ClassSet) {
+func (w *RoundSink) AssignTable(id balancer.Proxy, t balancer.Table, classes balancer.ClassSet) {
 	p, x := w.f.proxies[id], w.table(t)
 	if p == nil || !p.Joined {
 		return
 	}
-	w.f.Counts.Binds++
+	w.f.Stats.Binds++
 	lines := 1.0
-	for c := range p.Holds {
-		if h := &p.Holds[c]; classes == 0 || classes>>c&1 == 1 {
+	for c := range p.Tables {
+		if h := &p.Tables[c]; classes == 0 || classes>>c&1 == 1 {
 			w.f.unbind(p, h)
-			if w.f.site.Without[GuardRejoin] && h.Sent > 0 && h.Table == t {
+			if w.f.site.DisabledGuards[GuardRejoin] && h.SentVersion > 0 && h.Table == t {
 				h.Bound = true
 			} else {
-				*h = Hold{Table: t, Bound: true, Full: true, Stale: h.Stale || h.Sent > 0}
+				*h = HeldTable{Table: t, Bound: true, Full: true, Stale: h.Stale || h.SentVersion > 0}
 			}
 			x.users[id]++
-			lines += float64(x.Len() + len(x.Levels()))
+			lines += float64(x.Len() + len(x.Admissions()))
 		}
 	}
 	p.trace = w.f.counts
-	if !p.Pulls {
+	if !p.Polls {
 		w.f.out.Add(w.now, id, lines, pacing.Ordinary)
 	}
 }
 
 // SetAdmission orders levels and repeats.
-func (w *Writing) SetAdmission(t balancer.Table, classes balancer.ClassSet, level float64, again balancer.RetryPolicy) {
+func (w *RoundSink) SetAdmission(t balancer.Table, classes balancer.ClassSet, level float64, again balancer.RetryPolicy) {
 	x := w.table(t)
 	for c := range w.f.site.Classes {
 		if classes == 0 || classes>>c&1 == 1 {
-			if x.SetLevel(balancer.Class(c), level, again) {
-				w.f.Counts.Unsaid++
+			if x.SetAdmission(balancer.Class(c), level, again) {
+				w.f.Stats.Unsupported++
 				x.levels++
 				w.touch(x)
 			}
@@ -709,20 +709,20 @@
 }
 
 // RequestAck rides on the messages to all that this round concerns.
-func (w *Writing) RequestAck(m balancer.AckID) {
+func (w *RoundSink) RequestAck(m balancer.AckID) {
 	for _, x := range w.f.touched {
 		for id := range x.users {
 			w.mark(w.f.proxies[id], m)
 		}
 	}
 	for _, p := range w.f.proxies {
-		if p.Joined && slices.ContainsFunc(p.Holds, func(h Hold) bool { return h.Full }) {
+		if p.Joined && slices.ContainsFunc(p.Tables, func(h HeldTable) bool { return h.Full }) {
 			w.mark(p, m)
 		}
 	}
 }
 
-func (w *Writing) mark(p *Proxy, m balancer.AckID) {
+func (w *RoundSink) mark(p *Proxy, m balancer.AckID) {
 	if n := len(p.marks); n > 0 && p.marks[n-1].mark == m {
 		return
 	}
@@ -730,13 +730,13 @@
 }
 
 // HealthCheck is never called: the module is told that probes are not allowed.
-func (w *Writing) HealthCheck(balancer.Server) { w.f.Counts.Probes++ }
+func (w *RoundSink) HealthCheck(balancer.Server) { w.f.Stats.Probes++ }
 
 // PollDiscovery is never called: the roll tells its changes unasked.
-func (w *Writing) PollDiscovery() {}
+func (w *RoundSink) PollDiscovery() {}
 
 // SetTimer asks for another round.
-func (w *Writing) SetTimer(after float64, _ balancer.Timer) { w.f.wakeAt = w.now + after }
+func (w *RoundSink) SetTimer(after float64, _ balancer.Timer) { w.f.wakeAt = w.now + after }
 
 // Log counts what the module remarks.
-func (w *Writing) Log(string) { w.f.Counts.Notes++ }
+func (w *RoundSink) Log(string) { w.f.Stats.Notes++ }
--- a/internal/core/controlplane/fleet_test.go
+++ b/internal/core/controlplane/fleet_test.go
@@ -11,20 +11,20 @@
 )
 
 func site(servers, relays int) Site {
-	s := Site{Seed: 1, Names: []string{"search", "introduce"}, Zones: []string{"a", "b", "c"},
+	s := Site{Seed: 1, ClassNames: []string{"search", "introduce"}, Zones: []string{"a", "b", "c"},
 		Classes: []balancer.RequestClass{{PriorityWeight: 1, LatencyObjective: 1, ClientTimeout: 3},
 			{PriorityWeight: 3, LatencyObjective: 1, ClientTimeout: 3, Idempotency: balancer.Keyed, DedupWindow: 5}},
-		Dataplane: balancer.DataPlane{Proxies: relays, Coordinators: 1, DefaultTableSize: 5, DefaultRetry: balancer.RetryIfNotExecuted},
+		DataPlane: balancer.DataPlane{Proxies: relays, Coordinators: 1, DefaultTableSize: 5, DefaultRetry: balancer.RetryIfNotExecuted},
 		Channel:   balancer.Channel{EntriesPerSecond: 20000, MessageOverhead: 3, MaxQueued: 30000, MeanDelay: 0.05, MaxDelay: 0.2},
 		Guarantees: balancer.Guarantees{DrainDeadline: 3, EmptyTableDeadline: 2, WarmupStartFraction: 0.2, WarmupDuration: 10, OverloadFactor: 3,
 			OverloadWindow: 2},
-		Reporting: balancer.Reporting{Period: 0.5}, Limits: UsualLimits}
-	s.Limits.KnowRelay = 5
+		Reporting: balancer.Reporting{Period: 0.5}, Limits: DefaultLimits}
+	s.Limits.RelayRetention = 5
 	for i := range servers {
 		s.Servers = append(s.Servers, registry.ServerConfig{Server: name(i), Zone: balancer.Zone(i % 3), Weight: 1, Static: true})
 	}
 	for i := range relays {
-		s.Relays = append(s.Relays, Relay{UID: fmt.Sprint("r", i), Zone: balancer.Zone(i % 3), Usual: 10})
+		s.Relays = append(s.Relays, Relay{UID: fmt.Sprint("r", i), Zone: balancer.Zone(i % 3), ExpectedRate: 10})
 	}
 	return s
 }
@@ -37,40 +37,40 @@
 		t.Fatal(err)
 	}
 	now := 1000.1
-	f.Round(now)
+	f.RunRound(now)
 	for i := range relays {
 		if _, err := f.Join(now, fmt.Sprint("r", i), nil, true); err != nil {
 			t.Fatal(err)
 		}
 	}
-	for end := now + 10; f.Holding() < relays && now < end; now += 0.05 {
+	for end := now + 10; f.UpToDate() < relays && now < end; now += 0.05 {
 		step(f, now)
 	}
-	if f.Holding() != relays {
-		t.Fatalf("%d of %d relays hold the tables", f.Holding(), relays)
+	if f.UpToDate() != relays {
+		t.Fatalf("%d of %d relays hold the tables", f.UpToDate(), relays)
 	}
 	return f, now
 }
 
 // step is a round, and all that is due is sent and taken.
 func step(f *Fleet, now float64) (messages int) {
-	f.Round(now)
+	f.RunRound(now)
 	for {
-		p, ok := f.Due(now)
+		p, ok := f.NextDue(now)
 		if !ok {
 			return messages
 		}
 		messages++
 		n := 0
-		for c := range p.Holds {
+		for c := range p.Tables {
 			if lines, _, ok := f.Delta(p, balancer.Class(c)); ok {
 				for range lines {
 					n++
 				}
 			}
 		}
-		f.Sent(now, p, n)
-		f.Taken(now, p)
+		f.MarkSent(now, p, n)
+		f.MarkDelivered(now, p)
 	}
 }
 
@@ -80,26 +80,26 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err := f.Join(1000, "x", nil, true); !errors.Is(err, ErrStranger) {
+	if _, err := f.Join(1000, "x", nil, true); !errors.Is(err, ErrUnlistedRelay) {
 		t.Errorf("a stranger: %v", err)
 	}
-	s.Strangers, s.Limits.Relays = true, 3
+	s.AllowUnlisted, s.Limits.MaxRelays = true, 3
 	if f, err = New(1000, s, nil, nil); err != nil {
 		t.Fatal(err)
 	}
 	var last *Proxy
 	for i := range 4 {
 		p, err := f.Join(1000, fmt.Sprint("x", i), nil, true)
-		if (i == 3) != errors.Is(err, ErrCrowded) {
+		if (i == 3) != errors.Is(err, ErrTooManyRelays) {
 			t.Errorf("relay %d: %v", i, err)
 		}
 		if err == nil {
 			last = p
 		}
 	}
-	f.Leave(1001, last)
-	f.Round(1001)
-	if _, err := f.Join(1003, "y", nil, true); !errors.Is(err, ErrCrowded) {
+	f.Disconnect(1001, last)
+	f.RunRound(1001)
+	if _, err := f.Join(1003, "y", nil, true); !errors.Is(err, ErrTooManyRelays) {
 		t.Errorf("a number was given away too early: %v", err)
 	}
 	if p, err := f.Join(1007, "y", nil, true); err != nil || p.ID != last.ID {
@@ -125,32 +125,32 @@
 	for now := 1000.1; now < 1002; now += 0.05 {
 		step(f, now)
 	}
-	f.Roll.SetDrain(1002, name(1), true)
+	f.Registry.SetDrain(1002, name(1), true)
 	step(f, 1002.1)
-	if f.Weight(p, 0, name(1)) != 0 || f.Counts.KeepFailed < 1 || k.calls < 1 {
-		t.Errorf("weight %v, %+v", f.Weight(p, 0, name(1)), f.Counts)
+	if f.Weight(p, 0, name(1)) != 0 || f.Stats.SaveFailures < 1 || k.calls < 1 {
+		t.Errorf("weight %v, %+v", f.Weight(p, 0, name(1)), f.Stats)
 	}
 }
 
 func TestOrdersAreTraced(t *testing.T) {
 	f, now := running(t, 3, 2)
-	f.Orders()
-	f.Roll.SetDrain(now, name(1), true)
+	f.TakeTraces()
+	f.Registry.SetDrain(now, name(1), true)
 	step(f, now+0.1)
-	o := f.Orders()
-	if len(o) != 2 || o[0].Lists != 1 || !o[0].Urgent || o[0].Round == 0 || o[0].Decided != now+0.1 || o[0].Held == 0 {
+	o := f.TakeTraces()
+	if len(o) != 2 || o[0].Lists != 1 || !o[0].Urgent || o[0].Round == 0 || o[0].DecidedAt != now+0.1 || o[0].AckedAt == 0 {
 		t.Errorf("%+v", o)
 	}
 }
 
 func TestIdleRoundsCostNothing(t *testing.T) {
 	f, now := running(t, 3, 2)
-	rounds, idle := f.Counts.Rounds, f.Counts.Idle
+	rounds, idle := f.Stats.Rounds, f.Stats.Idle
 	for i := range 20 {
 		step(f, now+0.06*float64(i+1))
 	}
-	if f.Counts.Rounds-rounds > 6 || f.Counts.Idle == idle {
-		t.Errorf("%d rounds and %d idle ticks in a second without news", f.Counts.Rounds-rounds, f.Counts.Idle-idle)
+	if f.Stats.Rounds-rounds > 6 || f.Stats.Idle == idle {
+		t.Errorf("%d rounds and %d idle ticks in a second without news", f.Stats.Rounds-rounds, f.Stats.Idle-idle)
 	}
 }
 
@@ -165,18 +165,18 @@
 				totals += 20
 				b.StopTimer()
 				for i := range rows {
-					f.Measured(now, now, fmt.Sprint("r", i), name(i), loadreport.Totals{Tries: totals, Seconds: totals / 4})
+					f.ReportUpstream(now, now, fmt.Sprint("r", i), name(i), loadreport.Totals{Attempts: totals, Seconds: totals / 4})
 				}
 				if rows == 300 {
 					for i := range 460 {
-						f.Demanded(now, now, fmt.Sprint("r", i), "search", loadreport.Totals{Tries: totals / 2})
+						f.ReportDemand(now, now, fmt.Sprint("r", i), "search", loadreport.Totals{Attempts: totals / 2})
 					}
 				}
 				b.StartTimer()
-				f.Round(now)
+				f.RunRound(now)
 				b.StopTimer()
 				step(f, now)
-				f.Orders()
+				f.TakeTraces()
 				b.StartTimer()
 			}
 		})
@@ -188,7 +188,7 @@
 	delivered, displaced int
 }
 
-func (d *door) Deliver(_ float64, p *Proxy) { d.delivered++; d.f.Wait(p) }
+func (d *door) Deliver(_ float64, p *Proxy) { d.delivered++; d.f.Suspend(p) }
 func (d *door) Displaced(float64, *Proxy)   { d.displaced++ }
 
 // A fleet that is governed takes in, sends to and keeps only the relays that it leads, at the moment that it is asked.
@@ -198,17 +198,17 @@
 		t.Fatal(err)
 	}
 	leads := map[string]bool{"r0": true}
-	f.Govern(func(_ float64, uid string) bool { return leads[uid] }, func() uint64 { return 7 }, nil)
+	f.SetOwnership(func(_ float64, uid string) bool { return leads[uid] }, func() uint64 { return 7 }, nil)
 	d := &door{f: f}
-	if _, err := f.Join(1000, "r1", d, true); !errors.Is(err, ErrElsewhere) {
+	if _, err := f.Join(1000, "r1", d, true); !errors.Is(err, ErrWrongCoordinator) {
 		t.Errorf("another's relay: %v", err)
 	}
 	if _, err := f.Join(1000, "r0", d, true); err != nil {
 		t.Fatal(err)
 	}
-	f.Round(1000.1)
+	f.RunRound(1000.1)
 	leads["r0"] = false // the lease ends between the decision and its sending
-	if f.Push(1000.2); d.delivered != 0 || d.displaced != 1 || f.Joined() != 0 || f.Counts.Evicted != 1 {
+	if f.SendDue(1000.2); d.delivered != 0 || d.displaced != 1 || f.Joined() != 0 || f.Stats.Evicted != 1 {
 		t.Errorf("%d delivered, %d displaced, %d joined", d.delivered, d.displaced, f.Joined())
 	}
 	leads["r0"] = true
@@ -216,7 +216,7 @@
 		t.Fatal(err)
 	}
 	leads["r0"] = false
-	if f.Evict(1001.1); d.displaced != 2 || f.Joined() != 0 {
+	if f.EvictForeign(1001.1); d.displaced != 2 || f.Joined() != 0 {
 		t.Errorf("%d delivered, %d displaced, %d joined", d.delivered, d.displaced, f.Joined())
 	}
 }
--- a/internal/core/controlplane/preview.go
+++ b/internal/core/controlplane/preview.go
@@ -12,7 +12,7 @@
 // Preview looks at what would follow if some servers were drained now: why that must not be, none if it may. Each proxy may
 // hold the table that it has, or the one without them; where capacities are stated, what is left must bear the queries also once
 // they are gone. loseZone asks that any one zone could be lost besides.
-func (f *Fleet) Preview(now float64, drain []balancer.Server, loseZone bool) []tablecheck.Reason {
+func (f *Fleet) Preview(now float64, drain []balancer.Server, loseZone bool) []tablecheck.Finding {
 	s := f.guarded(now, drain, balancer.Draining, loseZone)
 	reasons := s.Check()
 	if len(reasons) == 0 && len(f.site.Pools) > 0 {
@@ -22,11 +22,11 @@
 }
 
 // guarded is the site as the guard sees it, with some servers in another phase.
-func (f *Fleet) guarded(now float64, drain []balancer.Server, phase balancer.Phase, loseZone bool) *tablecheck.Site {
-	s := &tablecheck.Site{Servers: map[balancer.Server]tablecheck.Server{}, ColdShare: f.site.Guarantees.WarmupStartFraction, LoseZone: loseZone}
-	for _, name := range f.Roll.Servers() {
-		rec, _ := f.Roll.Find(name)
-		v := tablecheck.Server{Zone: rec.Zone, Phase: rec.Phase, Cold: f.Roll.WarmingUp(now, name, f.site.Guarantees.WarmupDuration)}
+func (f *Fleet) guarded(now float64, drain []balancer.Server, phase balancer.Phase, loseZone bool) *tablecheck.Snapshot {
+	s := &tablecheck.Snapshot{Servers: map[balancer.Server]tablecheck.Server{}, WarmupFraction: f.site.Guarantees.WarmupStartFraction, LoseZone: loseZone}
+	for _, name := range f.Registry.Servers() {
+		rec, _ := f.Registry.Find(name)
+		v := tablecheck.Server{Zone: rec.Zone, Phase: rec.Phase, WarmingUp: f.Registry.WarmingUp(now, name, f.site.Guarantees.WarmupDuration)}
 		if v.Phase == balancer.Ready && slices.Contains(drain, name) {
 			v.Phase = phase
 		}
@@ -37,21 +37,21 @@
 	}
 	next, held := map[*wanted]*tablecheck.Table{}, map[*wanted]*tablecheck.Table{}
 	for _, p := range f.sorted() {
-		for c := range p.Holds {
-			h := &p.Holds[c]
+		for c := range p.Tables {
+			h := &p.Tables[c]
 			if !p.Joined || !h.Bound {
 				continue
 			}
 			w := f.tables[h.Table]
 			if next[w] == nil {
-				next[w], held[w] = &tablecheck.Table{Lines: map[balancer.Server]float64{}}, &tablecheck.Table{Lines: map[balancer.Server]float64{}}
-				for l := range w.Since(0) {
+				next[w], held[w] = &tablecheck.Table{Weights: map[balancer.Server]float64{}}, &tablecheck.Table{Weights: map[balancer.Server]float64{}}
+				for l := range w.ChangedSince(0) {
 					if l.Weight == 0 {
 						continue
 					}
-					held[w].Lines[l.Server] = l.Weight
+					held[w].Weights[l.Server] = l.Weight
 					if s.Servers[l.Server].Phase == balancer.Ready {
-						next[w].Lines[l.Server] = l.Weight
+						next[w].Weights[l.Server] = l.Weight
 					}
 				}
 			}
@@ -60,7 +60,7 @@
 				states = append(states, held[w])
 			}
 			s.Proxies = append(s.Proxies, tablecheck.Proxy{UID: p.UID, Class: balancer.Class(c),
-				Demand: p.Usual / float64(len(f.site.Classes)), States: states})
+				Demand: p.ExpectedRate / float64(len(f.site.Classes)), Tables: states})
 		}
 	}
 	return s
@@ -75,24 +75,24 @@
 	return all
 }
 
-// Draining is how far a drain has got.
-type Draining struct {
-	Phase   balancer.Phase
-	Told    float64  // clock time; 0: it serves
-	Joined  int      // proxies that are joined
-	Holding int      // of them, known to hold tables without it
-	Waiting []string // UIDs of the others, the first few
+// DrainProgress is how far a drain has got.
+type DrainProgress struct {
+	Phase      balancer.Phase
+	NotifiedAt float64  // clock time; 0: it serves
+	Joined     int      // proxies that are joined
+	Updated    int      // of them, known to hold tables without it
+	Pending    []string // UIDs of the others, the first few
 }
 
 const mostWaiting = 20 // UIDs that an answer names
 
-// Drain tells how far a drain has got: Holding reaches Joined when no proxy that we lead sends to it any more.
-func (f *Fleet) Drain(s balancer.Server) (d Draining, ok bool) {
-	if _, ok = f.Roll.Find(s); !ok {
+// DrainProgress tells how far a drain has got: Holding reaches Joined when no proxy that we lead sends to it any more.
+func (f *Fleet) DrainProgress(s balancer.Server) (d DrainProgress, ok bool) {
+	if _, ok = f.Registry.Find(s); !ok {
 		return d, false
 	}
-	if d.Phase, d.Told = f.Roll.Phase(s); d.Phase == balancer.Ready {
-		d.Told = 0
+	if d.Phase, d.NotifiedAt = f.Registry.Phase(s); d.Phase == balancer.Ready {
+		d.NotifiedAt = 0
 	}
 	for _, p := range f.sorted() {
 		if !p.Joined {
@@ -100,9 +100,9 @@
 		}
 		d.Joined++
 		if f.without(p, s) {
-			d.Holding++
-		} else if len(d.Waiting) < mostWaiting {
-			d.Waiting = append(d.Waiting, p.UID)
+			d.Updated++
+		} else if len(d.Pending) < mostWaiting {
+			d.Pending = append(d.Pending, p.UID)
 		}
 	}
 	return d, true
@@ -110,13 +110,13 @@
 
 // without tells whether a proxy is known to hold no line to a server in any class that it is bound to.
 func (f *Fleet) without(p *Proxy, s balancer.Server) bool {
-	for c := range p.Holds {
-		h := &p.Holds[c]
-		if !h.Bound || h.Full || h.Known == 0 {
+	for c := range p.Tables {
+		h := &p.Tables[c]
+		if !h.Bound || h.Full || h.AckedVersion == 0 {
 			return false
 		}
 		w := f.tables[h.Table]
-		if w.Weight(s) > 0 || w.changed(s) > h.Known {
+		if w.Weight(s) > 0 || w.changed(s) > h.AckedVersion {
 			return false
 		}
 	}
@@ -125,7 +125,7 @@
 
 // changed is the version in which a server's line last changed; 0: it has none, and none is remembered.
 func (w *wanted) changed(s balancer.Server) (v tables.Version) {
-	for l := range w.Since(0) {
+	for l := range w.ChangedSince(0) {
 		if l.Server == s {
 			return l.Changed
 		}
--- a/internal/core/controlplane/revise.go
+++ b/internal/core/controlplane/revise.go
@@ -11,30 +11,30 @@
 
 // Revision is what becomes of a fleet by other settings: whether they can be taken while it runs, and who loses by them.
 type Revision struct {
-	Anew     string            // why the coordinator has to start anew for it; empty: it need not
-	Removed  []balancer.Server // that are not listed any more
-	Added    []balancer.Server
-	Moved    []balancer.Server // whose place or weight is another
-	Sent     []string          // UIDs of relays that are not listed any more, or stand elsewhere
-	Welcomed []string
+	RestartReason string            // why the coordinator has to start anew for it; empty: it need not
+	Removed       []balancer.Server // that are not listed any more
+	Added         []balancer.Server
+	Moved         []balancer.Server // whose place or weight is another
+	Evicted       []string          // UIDs of relays that are not listed any more, or stand elsewhere
+	Admitted      []string
 }
 
-// Nothing tells whether nothing changes.
-func (r Revision) Nothing() bool {
-	return r.Anew == "" && len(r.Removed)+len(r.Added)+len(r.Moved)+len(r.Sent)+len(r.Welcomed) == 0
+// Empty tells whether nothing changes.
+func (r Revision) Empty() bool {
+	return r.RestartReason == "" && len(r.Removed)+len(r.Added)+len(r.Moved)+len(r.Evicted)+len(r.Admitted) == 0
 }
 
-// Compare tells what would become of a site by another one. Servers and relays come and go while it runs; what the decision module
+// CompareSites tells what would become of a site by another one. Servers and relays come and go while it runs; what the decision module
 // is handed at its start can't be changed under it.
-func Compare(old, next *Site) (r Revision) {
+func CompareSites(old, next *Site) (r Revision) {
 	for _, x := range [...]struct {
 		what string
 		same bool
 	}{
 		{"seed", old.Seed == next.Seed},
 		{"zones", slices.Equal(old.Zones, next.Zones)},
-		{"classes", slices.Equal(old.Names, next.Names) && slices.EqualFunc(old.Classes, next.Classes, sameClass) && slices.Equal(old.Repeats, next.Repeats)},
-		{"fleet", old.Dataplane == next.Dataplane},
+		{"classes", slices.Equal(old.ClassNames, next.ClassNames) && slices.EqualFunc(old.Classes, next.Classes, sameClass) && slices.Equal(old.RetryPolicies, next.RetryPolicies)},
+		{"fleet", old.DataPlane == next.DataPlane},
 		{"channel", old.Channel == next.Channel},
 		{"rules", old.Guarantees == next.Guarantees},
 		{"reports", old.Reporting.Period == next.Reporting.Period &&
@@ -42,14 +42,14 @@
 		{"limits", old.Limits == next.Limits},
 	} {
 		if !x.same {
-			r.Anew = x.what
+			r.RestartReason = x.what
 			return r
 		}
 	}
 	r.Added, r.Moved, r.Removed = differ(old.Servers, next.Servers, func(p registry.ServerConfig) balancer.Server { return p.Server })
 	var elsewhere, gone []string
-	r.Welcomed, elsewhere, gone = differ(old.Relays, next.Relays, func(x Relay) string { return x.UID })
-	r.Sent = slices.Sorted(slices.Values(append(elsewhere, gone...)))
+	r.Admitted, elsewhere, gone = differ(old.Relays, next.Relays, func(x Relay) string { return x.UID })
+	r.Evicted = slices.Sorted(slices.Values(append(elsewhere, gone...)))
 	return r
 }
 
@@ -85,21 +85,21 @@
 		a.Idempotency == b.Idempotency && a.DedupScope == b.DedupScope && a.DedupWindow == b.DedupWindow && a.ZoneLocal == b.ZoneLocal && a.Writes == b.Writes
 }
 
-// Revise takes other settings whole, or not at all where the fleet would have to start anew. Relays that are not listed any more, or
+// Reconfigure takes other settings whole, or not at all where the fleet would have to start anew. Relays that are not listed any more, or
 // stand elsewhere, are let go: their fronts close their connections, and those that are listed come back.
-func (f *Fleet) Revise(now float64, next Site) (Revision, error) {
-	r := Compare(&f.site, &next)
-	if r.Anew != "" {
-		return r, fmt.Errorf("%s can't be changed while the coordinator runs", r.Anew)
+func (f *Fleet) Reconfigure(now float64, next Site) (Revision, error) {
+	r := CompareSites(&f.site, &next)
+	if r.RestartReason != "" {
+		return r, fmt.Errorf("%s can't be changed while the coordinator runs", r.RestartReason)
 	}
-	if have := f.Roll.Len(); have+len(r.Added) > f.site.Limits.Servers+len(r.Removed) {
+	if have := f.Registry.Len(); have+len(r.Added) > f.site.Limits.MaxServers+len(r.Removed) {
 		return r, fmt.Errorf("%w: %d servers are kept, %d come", registry.ErrFull, have, len(r.Added))
 	}
 	for _, s := range r.Removed {
-		f.Roll.Unconfigure(now, s)
+		f.Registry.Unconfigure(now, s)
 	}
 	for _, s := range next.Servers {
-		if err := f.Roll.Configure(now, s); err != nil { // what must be kept of removed ones takes room
+		if err := f.Registry.Configure(now, s); err != nil { // what must be kept of removed ones takes room
 			return r, err
 		}
 	}
@@ -107,45 +107,45 @@
 	for _, x := range next.Relays {
 		f.listed[x.UID] = x
 	}
-	for _, uid := range r.Sent {
+	for _, uid := range r.Evicted {
 		p := f.byUID[uid]
 		if p == nil {
 			continue
 		}
 		if x, ok := f.listed[uid]; ok {
-			p.Zone, p.Usual = x.Zone, x.Usual
+			p.Zone, p.ExpectedRate = x.Zone, x.ExpectedRate
 		}
 		if p.Joined {
 			f.evict(now, p)
 		}
 	}
-	f.site.Servers, f.site.Relays, f.site.Strangers, f.site.StrangerIn = next.Servers, next.Relays, next.Strangers, next.StrangerIn
+	f.site.Servers, f.site.Relays, f.site.AllowUnlisted, f.site.UnlistedZone = next.Servers, next.Relays, next.AllowUnlisted, next.UnlistedZone
 	f.site.Pools = next.Pools
 	return r, nil
 }
 
-// Standing tells of each joined proxy how far it is, by UID.
-func (f *Fleet) Standing() (rows []Stands) {
+// ProxyStatuses tells of each joined proxy how far it is, by UID.
+func (f *Fleet) ProxyStatuses() (rows []ProxyStatus) {
 	for _, p := range f.proxies {
 		if !p.Joined {
 			continue
 		}
-		s := Stands{UID: p.UID, Zone: p.Zone, Asks: p.Pulls, Urgent: p.urgent, Newest: true}
-		for c := range p.Holds {
-			h := &p.Holds[c]
-			s.Newest = s.Newest && h.Bound && !h.Full && h.Known == f.tables[h.Table].Version()
+		s := ProxyStatus{UID: p.UID, Zone: p.Zone, Polls: p.Polls, Urgent: p.urgent, UpToDate: true}
+		for c := range p.Tables {
+			h := &p.Tables[c]
+			s.UpToDate = s.UpToDate && h.Bound && !h.Full && h.AckedVersion == f.tables[h.Table].Version()
 		}
 		rows = append(rows, s)
 	}
-	slices.SortFunc(rows, func(a, b Stands) int { return cmp.Compare(a.UID, b.UID) })
+	slices.SortFunc(rows, func(a, b ProxyStatus) int { return cmp.Compare(a.UID, b.UID) })
 	return rows
 }
 
-// Stands is how far a joined proxy is.
-type Stands struct {
-	UID    string
-	Zone   balancer.Zone
-	Asks   bool // by the long-poll API
-	Newest bool // it is known to hold the newest tables of all classes
-	Urgent bool // a drain waits for it, or is on its way
+// ProxyStatus is how far a joined proxy is.
+type ProxyStatus struct {
+	UID      string
+	Zone     balancer.Zone
+	Polls    bool // by the long-poll API
+	UpToDate bool // it is known to hold the newest tables of all classes
+	Urgent   bool // a drain waits for it, or is on its way
 }
--- a/internal/core/controlplane/revise_test.go
+++ b/internal/core/controlplane/revise_test.go
@@ -17,9 +17,9 @@
 func TestATableIsNotLeftBare(t *testing.T) {
 	for _, without := range []bool{false, true} {
 		f, now := running(t, 4, 3)
-		f.site.Without = map[Guard]bool{GuardTable: without}
+		f.site.DisabledGuards = map[Guard]bool{GuardTable: without}
 		take := func(servers ...balancer.Server) {
-			w := &Writing{f: f, now: now}
+			w := &RoundSink{f: f, now: now}
 			for number := range f.tables {
 				for _, s := range servers {
 					w.SetWeight(number, s, 0)
@@ -29,7 +29,7 @@
 		}
 		left := func() (n int) {
 			for _, w := range f.tables {
-				for l := range w.Since(0) {
+				for l := range w.ChangedSince(0) {
 					if l.Weight > 0 {
 						n++
 					}
@@ -39,17 +39,17 @@
 		}
 		all := left()
 		take(name(0))
-		if left() != all-1 || f.Counts.Left != 0 {
+		if left() != all-1 || f.Stats.TablesRejected != 0 {
 			t.Errorf("one of several lines is kept: %d of %d", left(), all)
 		}
 		take(name(1), name(2), name(3))
-		if got := left(); !without && (got != 3 || f.Counts.Left != 1) || without && got != 0 {
+		if got := left(); !without && (got != 3 || f.Stats.TablesRejected != 1) || without && got != 0 {
 			t.Errorf("without the guard %t: %d lines are left", without, got)
 		}
 		if without {
 			continue
 		}
-		f.Roll.SetDrain(now, name(3), true)
+		f.Registry.SetDrain(now, name(3), true)
 		if take(name(3)); left() != 2 {
 			t.Errorf("a server that drains has its line still: %d", left())
 		}
@@ -59,16 +59,16 @@
 func TestRevise(t *testing.T) {
 	f, now := running(t, 4, 3)
 	next := site(4, 4)
-	next.Dataplane.Proxies = 3
+	next.DataPlane.Proxies = 3
 	next.Servers = slices.Delete(next.Servers, 1, 2)
 	next.Servers = append(next.Servers, registry.ServerConfig{Server: name(9), Zone: 1, Weight: 1, Static: true})
 	next.Servers[0].Zone = 2
 	next.Relays = slices.Delete(next.Relays, 0, 1)
 	gone := &door{f: f}
 	f.Relay("r0").front = gone
-	r, err := f.Revise(now, next)
+	r, err := f.Reconfigure(now, next)
 	if err != nil || !slices.Equal(r.Removed, []balancer.Server{name(1)}) || !slices.Equal(r.Added, []balancer.Server{name(9)}) ||
-		!slices.Equal(r.Moved, []balancer.Server{name(0)}) || !slices.Equal(r.Sent, []string{"r0"}) || !slices.Equal(r.Welcomed, []string{"r3"}) {
+		!slices.Equal(r.Moved, []balancer.Server{name(0)}) || !slices.Equal(r.Evicted, []string{"r0"}) || !slices.Equal(r.Admitted, []string{"r3"}) {
 		t.Fatalf("%+v, %v", r, err)
 	}
 	if gone.displaced != 1 || f.Listed("r0") || !f.Listed("r3") || f.Joined() != 2 {
@@ -82,23 +82,23 @@
 			t.Errorf("weights %v and %v", w.Weight(name(1)), w.Weight(name(9)))
 		}
 	}
-	if _, known := f.Roll.Find(name(1)); known || !slices.Contains(f.Roll.KnownServers(), name(1)) {
+	if _, known := f.Registry.Find(name(1)); known || !slices.Contains(f.Registry.KnownServers(), name(1)) {
 		t.Error("a server that is not listed any more is known, or cannot be told of")
 	}
-	if !Compare(f.Site(), &next).Nothing() {
-		t.Errorf("%+v is left to do", Compare(f.Site(), &next))
+	if !CompareSites(f.Site(), &next).Empty() {
+		t.Errorf("%+v is left to do", CompareSites(f.Site(), &next))
 	}
 	other := next
 	other.Guarantees.DrainDeadline++
-	if r, err := f.Revise(now, other); err == nil || r.Anew != "rules" {
+	if r, err := f.Reconfigure(now, other); err == nil || r.RestartReason != "rules" {
 		t.Errorf("%+v, %v", r, err)
 	}
-	f.site.Limits.Servers = 6
+	f.site.Limits.MaxServers = 6
 	crowd := site(12, 4)
-	crowd.Dataplane.Proxies = 3
-	crowd.Limits.Servers = 6
+	crowd.DataPlane.Proxies = 3
+	crowd.Limits.MaxServers = 6
 	crowd.Relays = next.Relays
-	if _, err := f.Revise(now, crowd); !errors.Is(err, registry.ErrFull) || f.Joined() != 2 {
+	if _, err := f.Reconfigure(now, crowd); !errors.Is(err, registry.ErrFull) || f.Joined() != 2 {
 		t.Error(err)
 	}
 }
@@ -111,11 +111,11 @@
 	refused := 0
 	for range 50 {
 		now += 0.02
-		if _, err := f.Join(now, "r0", front, true); errors.Is(err, ErrOften) {
+		if _, err := f.Join(now, "r0", front, true); errors.Is(err, ErrJoinRateExceeded) {
 			refused++
 		}
 	}
-	if refused < 40 || f.Counts.Often != refused {
+	if refused < 40 || f.Stats.JoinsThrottled != refused {
 		t.Errorf("%d of 50 joins within a second are refused", refused)
 	}
 	for range 20 {
@@ -132,17 +132,17 @@
 // Figures say of each server whether it serves, and its mean weight over the tables that joined proxies use; totals grow with reports.
 func TestFigures(t *testing.T) {
 	f, now := running(t, 3, 2)
-	f.Roll.SetDrain(now, name(2), true)
+	f.Registry.SetDrain(now, name(2), true)
 	for i := range 40 {
 		now += 0.5
 		for r := range 2 {
-			f.Measured(now, now, fmt.Sprint("r", r), name(0), loadreport.Totals{Tries: float64(10 * i), Lost: float64(i), Seconds: float64(i)})
-			f.Demanded(now, now, fmt.Sprint("r", r), "search", loadreport.Totals{Tries: float64(10 * i)})
+			f.ReportUpstream(now, now, fmt.Sprint("r", r), name(0), loadreport.Totals{Attempts: float64(10 * i), Failed: float64(i), Seconds: float64(i)})
+			f.ReportDemand(now, now, fmt.Sprint("r", r), "search", loadreport.Totals{Attempts: float64(10 * i)})
 		}
 		step(f, now)
 	}
 	got := map[string]float64{}
-	for _, x := range f.Figures(now) {
+	for _, x := range f.Metrics(now) {
 		got[strings.Join(x.Path(), " ")] = x.Value
 	}
 	for path, want := range map[string]float64{"servers " + string(name(0)) + " serves": 1, "servers " + string(name(2)) + " serves": 0,
--- a/internal/core/fairqueue/turns.go
+++ b/internal/core/fairqueue/turns.go
@@ -10,18 +10,18 @@
 	"snowquay/internal/core/timingwheel"
 )
 
-// Terms of a loop.
-type Terms struct {
-	Rate    float64 // seconds of work that may be spent a second
-	Burst   float64 // seconds of work that may be spent at once after a pause; with it the longest that others wait for
-	Reserve float64 // seconds of work beyond it, for urgent looks alone
-	Urgent  float64 // seconds of work that a tenant of weight 1 may take in urgent looks a second, on average
-	Saved   float64 // seconds of work that a tenant of weight 1 is ahead of others by when it has rested: who asks for little has it at once
-	Tick    float64 // seconds of the wheel
+// Config of a loop.
+type Config struct {
+	Rate       float64 // seconds of work that may be spent a second
+	Burst      float64 // seconds of work that may be spent at once after a pause; with it the longest that others wait for
+	Reserve    float64 // seconds of work beyond it, for urgent looks alone
+	Urgent     float64 // seconds of work that a tenant of weight 1 may take in urgent looks a second, on average
+	IdleCredit float64 // seconds of work that a tenant of weight 1 is ahead of others by when it has rested: who asks for little has it at once
+	Tick       float64 // seconds of the wheel
 }
 
-// UsualTerms leave three tenths of a core to what comes in: taking bytes, answering calls.
-var UsualTerms = Terms{Rate: 0.7, Burst: 0.014, Reserve: 0.007, Urgent: 0.02, Saved: 0.005, Tick: 0.005}
+// DefaultConfig leave three tenths of a core to what comes in: taking bytes, answering calls.
+var DefaultConfig = Config{Rate: 0.7, Burst: 0.014, Reserve: 0.007, Urgent: 0.02, IdleCredit: 0.005, Tick: 0.005}
 
 const urgentFor = 2.0 // seconds of urgent looks that a tenant may take at once
 
@@ -42,42 +42,42 @@
 	longest  float64 // that it waited
 }
 
-// Turns of keys. Use New.
-type Turns[K comparable] struct {
-	terms    Terms
+// Queue of keys. Use New.
+type Queue[K comparable] struct {
+	terms    Config
 	all      map[K]*one[K]
 	wheel    *timingwheel.Wheel[*one[K]]
 	heap     []*one[K]
 	virt     float64 // the common time: that of the latest turn
 	tokens   float64
 	tokensAt float64
-	Counts   Counts
+	Stats    Stats
 }
 
-// Counts is what happened, for metrics.
-type Counts struct {
-	Looks, Urgent int
-	Held          int // times that nobody had a turn though somebody was due, since the work was used up
+// Stats is what happened, for metrics.
+type Stats struct {
+	Turns, Urgent   int
+	BudgetExhausted int // times that nobody had a turn though somebody was due, since the work was used up
 }
 
 // New makes turns that start at a clock time.
-func New[K comparable](now float64, t Terms) *Turns[K] {
-	return &Turns[K]{terms: t, all: map[K]*one[K]{}, wheel: timingwheel.New[*one[K]](now, t.Tick), tokens: t.Burst, tokensAt: now}
+func New[K comparable](now float64, t Config) *Queue[K] {
+	return &Queue[K]{terms: t, all: map[K]*one[K]{}, wheel: timingwheel.New[*one[K]](now, t.Tick), tokens: t.Burst, tokensAt: now}
 }
 
 // Set makes a key take part with a weight over 0, or changes it. It is due when it is woken or stirred.
-func (t *Turns[K]) Set(now float64, k K, weight float64) {
+func (t *Queue[K]) Set(now float64, k K, weight float64) {
 	if o := t.all[k]; o != nil {
 		o.weight = weight
 		return
 	}
 	o := &one[K]{key: k, weight: weight, virt: t.virt, tokens: t.terms.Urgent * weight * urgentFor, tokensAt: now}
-	o.due.Of = o
+	o.due.Value = o
 	t.all[k] = o
 }
 
 // Remove forgets a key.
-func (t *Turns[K]) Remove(k K) {
+func (t *Queue[K]) Remove(k K) {
 	if o := t.all[k]; o != nil {
 		t.wheel.Cancel(&o.due)
 		t.rests(o)
@@ -85,21 +85,21 @@
 	}
 }
 
-// Wake makes a key due at a clock time; it takes the place of what was set before.
-func (t *Turns[K]) Wake(k K, at float64) {
+// ScheduleAt makes a key due at a clock time; it takes the place of what was set before.
+func (t *Queue[K]) ScheduleAt(k K, at float64) {
 	if o := t.all[k]; o != nil {
 		t.wheel.Set(&o.due, at)
 	}
 }
 
-// Stir makes a key due now. urgent asks for a turn ahead of others; whether it has one depends on what it has had.
-func (t *Turns[K]) Stir(now float64, k K, urgent bool) {
+// MarkDue makes a key due now. urgent asks for a turn ahead of others; whether it has one depends on what it has had.
+func (t *Queue[K]) MarkDue(now float64, k K, urgent bool) {
 	if o := t.all[k]; o != nil {
 		t.wants(now, o, urgent)
 	}
 }
 
-func (t *Turns[K]) wants(now float64, o *one[K], urgent bool) {
+func (t *Queue[K]) wants(now float64, o *one[K], urgent bool) {
 	if urgent && !o.urgent {
 		// Guards against a tenant that orders one drain after the other and so is always first.
 		most := t.terms.Urgent * o.weight
@@ -114,7 +114,7 @@
 	if o.waits {
 		return
 	}
-	o.virt = max(o.virt, t.virt-t.terms.Saved/o.weight) // more of what was not asked for is not saved up
+	o.virt = max(o.virt, t.virt-t.terms.IdleCredit/o.weight) // more of what was not asked for is not saved up
 	o.waits, o.at, o.since = true, len(t.heap), now
 	t.heap = append(t.heap, o)
 	t.fix(o.at)
@@ -122,20 +122,20 @@
 
 // Next is whose turn it is; ok is false while nobody is due, or the work that may be spent is used up. The caller looks at it and
 // says Spent.
-func (t *Turns[K]) Next(now float64) (k K, ok bool) {
+func (t *Queue[K]) Next(now float64) (k K, ok bool) {
 	t.wheel.Advance(now, func(o *one[K]) { t.wants(now, o, false) })
-	left := t.Left(now)
+	left := t.HasBudget(now)
 	if len(t.heap) == 0 {
 		return k, false
 	}
 	o := t.heap[0]
 	if !left && !(o.urgent && t.tokens > -t.terms.Reserve) {
-		t.Counts.Held++
+		t.Stats.BudgetExhausted++
 		return k, false
 	}
-	t.Counts.Looks++
+	t.Stats.Turns++
 	if o.urgent {
-		t.Counts.Urgent++
+		t.Stats.Urgent++
 	} else {
 		t.virt = max(t.virt, o.virt)
 	}
@@ -145,8 +145,8 @@
 	return o.key, true
 }
 
-// Spent says what a look took, in seconds of work, whether it was its turn or something came in for it.
-func (t *Turns[K]) Spent(k K, work float64) {
+// Charge says what a look took, in seconds of work, whether it was its turn or something came in for it.
+func (t *Queue[K]) Charge(k K, work float64) {
 	t.tokens -= work
 	o := t.all[k]
 	if o == nil {
@@ -157,30 +157,30 @@
 	}
 	o.turn = false
 	o.spent += work
-	o.virt = max(o.virt, t.virt-t.terms.Saved/o.weight) + work/o.weight
+	o.virt = max(o.virt, t.virt-t.terms.IdleCredit/o.weight) + work/o.weight
 	if o.waits {
 		t.fix(o.at)
 	}
 }
 
-// Took is what a key has taken in all, and the longest that it was due and waited, both in seconds.
-func (t *Turns[K]) Took(k K) (spent, longest float64) {
+// Usage is what a key has taken in all, and the longest that it was due and waited, both in seconds.
+func (t *Queue[K]) Usage(k K) (spent, longest float64) {
 	if o := t.all[k]; o != nil {
 		return o.spent, o.longest
 	}
 	return 0, 0
 }
 
-// Left tells whether there is work left to be spent now.
-func (t *Turns[K]) Left(now float64) bool {
+// HasBudget tells whether there is work left to be spent now.
+func (t *Queue[K]) HasBudget(now float64) bool {
 	t.tokens = min(t.terms.Burst, t.tokens+max(now-t.tokensAt, 0)*t.terms.Rate)
 	t.tokensAt = max(now, t.tokensAt)
 	return t.tokens > 0
 }
 
 // Len is the number of keys, and Waiting how many of them are due.
-func (t *Turns[K]) Len() int     { return len(t.all) }
-func (t *Turns[K]) Waiting() int { return len(t.heap) }
+func (t *Queue[K]) Len() int    { return len(t.all) }
+func (t *Queue[K]) DueLen() int { return len(t.heap) }
 
 func (o *one[K]) before(p *one[K]) bool {
 	if o.urgent != p.urgent {
@@ -192,7 +192,7 @@
 	return o.virt < p.virt || o.virt == p.virt && o.since < p.since
 }
 
-func (t *Turns[K]) rests(o *one[K]) {
+func (t *Queue[K]) rests(o *one[K]) {
 	if !o.waits {
 		return
 	}
@@ -206,13 +206,13 @@
 	}
 }
 
-func (t *Turns[K]) swap(i, j int) {
+func (t *Queue[K]) swap(i, j int) {
 	h := t.heap
 	h[i], h[j] = h[j], h[i]
 	h[i].at, h[j].at = i, j
 }
 
-func (t *Turns[K]) fix(i int) {
+func (t *Queue[K]) fix(i int) {
 	h := t.heap
 	for i > 0 && h[i].before(h[(i-1)/2]) {
 		t.swap(i, (i-1)/2)
--- a/internal/core/fairqueue/turns_test.go
+++ b/internal/core/fairqueue/turns_test.go
@@ -9,22 +9,22 @@
 )
 
 // play lets keys that are always due share a loop for some seconds; each look takes what its key is given.
-func play(t *Turns[int], takes []float64, seconds float64, urgent int) (spent []float64) {
+func play(t *Queue[int], takes []float64, seconds float64, urgent int) (spent []float64) {
 	for now := 1000.0; now < 1000+seconds; now += 0.005 {
 		for k := range takes {
-			t.Stir(now, k, k == urgent)
+			t.MarkDue(now, k, k == urgent)
 		}
 		for {
 			k, ok := t.Next(now)
 			if !ok {
 				break
 			}
-			t.Spent(k, takes[k])
-			t.Stir(now, k, k == urgent)
+			t.Charge(k, takes[k])
+			t.MarkDue(now, k, k == urgent)
 		}
 	}
 	for k := range takes {
-		s, _ := t.Took(k)
+		s, _ := t.Usage(k)
 		spent = append(spent, s)
 	}
 	return spent
@@ -32,7 +32,7 @@
 
 func TestSharesFollowWeights(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
-		terms := UsualTerms
+		terms := DefaultConfig
 		x := New[int](1000, terms)
 		n := rapid.IntRange(2, 8).Draw(r, "keys")
 		takes, weights, all := make([]float64, n), make([]float64, n), 0.0
@@ -60,7 +60,7 @@
 
 // One that asks for little has its turn at once, however much others ask for.
 func TestLittleWaitsForNobody(t *testing.T) {
-	x := New[int](1000, UsualTerms)
+	x := New[int](1000, DefaultConfig)
 	for k := range 21 {
 		x.Set(1000, k, 1)
 	}
@@ -68,10 +68,10 @@
 	asked := 0.0
 	for now := 1000.0; now < 1020; now += 0.005 {
 		for k := range 20 {
-			x.Stir(now, k, false)
+			x.MarkDue(now, k, false)
 		}
 		if int(now*1000)%250 < 5 && asked == 0 {
-			x.Stir(now, 20, false)
+			x.MarkDue(now, 20, false)
 			asked = now
 		}
 		for {
@@ -81,11 +81,11 @@
 			}
 			if k == 20 {
 				longest, asked = max(longest, now-asked), 0
-				x.Spent(k, 1e-4)
+				x.Charge(k, 1e-4)
 				continue
 			}
-			x.Spent(k, 2e-3)
-			x.Stir(now, k, false)
+			x.Charge(k, 2e-3)
+			x.MarkDue(now, k, false)
 		}
 	}
 	if longest > 0.011 {
@@ -95,7 +95,7 @@
 
 // Urgent looks go first, but not all the time: a tenant that orders nothing but drains has no more than its part of them.
 func TestUrgentIsBounded(t *testing.T) {
-	x := New[int](1000, UsualTerms)
+	x := New[int](1000, DefaultConfig)
 	for k := range 10 {
 		x.Set(1000, k, 1)
 	}
@@ -104,38 +104,38 @@
 		takes[k] = 1e-3
 	}
 	spent := play(x, takes, 20, 3)
-	if most := 20*UsualTerms.Rate/10 + 22*UsualTerms.Urgent; spent[3] > most {
+	if most := 20*DefaultConfig.Rate/10 + 22*DefaultConfig.Urgent; spent[3] > most {
 		t.Errorf("it took %.2f s, at most %.2f are its part", spent[3], most)
 	}
 	// Work is used up, and still a drain is looked at.
-	y := New[int](1000, UsualTerms)
+	y := New[int](1000, DefaultConfig)
 	y.Set(1000, 1, 1)
 	y.Set(1000, 2, 1)
-	y.Spent(1, UsualTerms.Burst)
-	y.Stir(1000, 1, false)
-	y.Stir(1000, 2, true)
+	y.Charge(1, DefaultConfig.Burst)
+	y.MarkDue(1000, 1, false)
+	y.MarkDue(1000, 2, true)
 	if k, ok := y.Next(1000); !ok || k != 2 {
 		t.Errorf("%v %v has the turn, not the drain", k, ok)
 	}
-	y.Spent(2, 1e-3)
+	y.Charge(2, 1e-3)
 	if k, ok := y.Next(1000); ok {
 		t.Errorf("%v has a turn though the work is used up", k)
 	}
 }
 
 func TestWokenAndRemoved(t *testing.T) {
-	x := New[string](1000, UsualTerms)
+	x := New[string](1000, DefaultConfig)
 	x.Set(1000, "a", 1)
-	x.Wake("a", 1000.5)
-	x.Wake("b", 1000.1) // nobody
+	x.ScheduleAt("a", 1000.5)
+	x.ScheduleAt("b", 1000.1) // nobody
 	if _, ok := x.Next(1000.4); ok {
 		t.Error("it has its turn before it is due")
 	}
 	if k, ok := x.Next(1000.51); !ok || k != "a" {
 		t.Error("it is not due")
 	}
-	x.Spent("a", 0)
-	x.Stir(1001, "a", false)
+	x.Charge("a", 0)
+	x.MarkDue(1001, "a", false)
 	x.Remove("a")
 	if k, ok := x.Next(1002); ok || x.Len() != 0 {
 		t.Errorf("%q has a turn after its end", k)
@@ -161,17 +161,17 @@
 func BenchmarkTurn(b *testing.B) {
 	for _, n := range []int{10, 1000, 10000} {
 		b.Run(fmt.Sprintf("heap-%d", n), func(b *testing.B) {
-			terms := UsualTerms
+			terms := DefaultConfig
 			terms.Rate, terms.Burst = 1e9, 1e9
 			x := New[int](1000, terms)
 			for k := range n {
 				x.Set(1000, k, 1)
-				x.Stir(1000, k, false)
+				x.MarkDue(1000, k, false)
 			}
 			for b.Loop() {
 				k, _ := x.Next(1000)
-				x.Spent(k, 1e-5)
-				x.Stir(1000, k, false)
+				x.Charge(k, 1e-5)
+				x.MarkDue(1000, k, false)
 			}
 		})
 		b.Run(fmt.Sprintf("scan-%d", n), func(b *testing.B) {
@@ -191,7 +191,7 @@
 func TestAgainstOneAfterTheOther(t *testing.T) {
 	const heavy, light = 5e-3, 1e-4
 	longest := func(fair bool) (worst float64) {
-		terms := UsualTerms
+		terms := DefaultConfig
 		terms.Rate, terms.Burst = 1, 0.01
 		x := New[int](1000, terms)
 		var line []int
@@ -204,7 +204,7 @@
 			if !in[k] {
 				in[k], line = true, append(line, k)
 			}
-			x.Stir(now, k, false)
+			x.MarkDue(now, k, false)
 		}
 		for now := 1000.0; now < 1010; {
 			for k := range 20 {
@@ -238,7 +238,7 @@
 				}
 				due[k] = now + 0.02
 			}
-			x.Spent(k, took)
+			x.Charge(k, took)
 			now += took
 		}
 		return worst
--- a/internal/core/fairshare/fair.go
+++ b/internal/core/fairshare/fair.go
@@ -21,26 +21,26 @@
 )
 
 var (
-	// ErrCrowded says that as many tenants are known as may be.
-	ErrCrowded = errors.New("too many tenants")
-	// ErrUnknown says that there is no such tenant.
-	ErrUnknown = errors.New("no such tenant")
-	// ErrWeight says that a weight is none.
-	ErrWeight = errors.New("a weight is over 0 and finite")
+	// ErrTooManyTenants says that as many tenants are known as may be.
+	ErrTooManyTenants = errors.New("too many tenants")
+	// ErrUnknownTenant says that there is no such tenant.
+	ErrUnknownTenant = errors.New("no such tenant")
+	// ErrInvalidWeight says that a weight is none.
+	ErrInvalidWeight = errors.New("a weight is over 0 and finite")
 )
 
-// Terms of a resource.
-type Terms struct {
-	Rate    float64 // units a second
-	Burst   float64 // units that may be taken at once, by all together
-	Own     float64 // seconds of its part that a tenant's bucket holds, at most; half a burst's worth for all together
-	Reserve float64 // part of rate and burst that only urgent requests take
-	Tenants int     // at most
-	Lately  float64 // seconds for which a tenant that was refused is waited for; less than the burst lasts
+// Config of a resource.
+type Config struct {
+	Rate          float64 // units a second
+	Burst         float64 // units that may be taken at once, by all together
+	BucketSeconds float64 // seconds of its part that a tenant's bucket holds, at most; half a burst's worth for all together
+	Reserve       float64 // part of rate and burst that only urgent requests take
+	MaxTenants    int     // at most
+	RecentWindow  float64 // seconds for which a tenant that was refused is waited for; less than the burst lasts
 }
 
-// UsualTerms are those that settings start from.
-var UsualTerms = Terms{Rate: 1000, Burst: 1000, Own: 1, Reserve: 0.1, Tenants: 20000, Lately: 0.1}
+// DefaultConfig are those that settings start from.
+var DefaultConfig = Config{Rate: 1000, Burst: 1000, BucketSeconds: 1, Reserve: 0.1, MaxTenants: 20000, RecentWindow: 0.1}
 
 const (
 	waitsGaps  = 16.0 // average times between its requests, for which a tenant that was refused is waited for
@@ -155,38 +155,38 @@
 	members int
 }
 
-// Shares is one resource. Use New.
-type Shares struct {
-	terms    Terms
+// Allocator is one resource. Use New.
+type Allocator struct {
+	terms    Config
 	tenants  map[Tenant]*tenant
 	groups   map[Group]*group
 	root     level
 	tokens   float64
 	reserve  float64
 	tokensAt float64
-	Counts   Counts
+	Stats    Stats
 }
 
-// Counts is what happened, for metrics.
-type Counts struct{ Own, Borrowed, Slowed, Empty, Urgent, UrgentRefused int }
+// Stats is what happened, for metrics.
+type Stats struct{ Own, Borrowed, Throttled, Empty, Urgent, UrgentRejected int }
 
 // New makes a resource that is full.
-func New(now float64, t Terms) *Shares {
+func New(now float64, t Config) *Allocator {
 	// All buckets together hold no more than borrowing leaves, so that what is a tenant's own is always there.
-	t.Own = min(t.Own, t.Burst*borrowFrom/t.Rate)
-	return &Shares{terms: t, tenants: map[Tenant]*tenant{}, groups: map[Group]*group{}, tokens: t.Burst * (1 - t.Reserve),
+	t.BucketSeconds = min(t.BucketSeconds, t.Burst*borrowFrom/t.Rate)
+	return &Allocator{terms: t, tenants: map[Tenant]*tenant{}, groups: map[Group]*group{}, tokens: t.Burst * (1 - t.Reserve),
 		reserve: t.Burst * t.Reserve, tokensAt: now}
 }
 
 func weighs(w float64) error {
 	if !(w > 0) || math.IsInf(w, 0) {
-		return fmt.Errorf("%w: %v", ErrWeight, w)
+		return fmt.Errorf("%w: %v", ErrInvalidWeight, w)
 	}
 	return nil
 }
 
 // Set makes a tenant a member of a group with a weight, or changes it.
-func (s *Shares) Set(now float64, name Tenant, g Group, weight float64) error {
+func (s *Allocator) Set(now float64, name Tenant, g Group, weight float64) error {
 	if err := weighs(weight); err != nil {
 		return err
 	}
@@ -196,8 +196,8 @@
 		n.weight = weight
 		return nil
 	}
-	if s.tenants[name] == nil && len(s.tenants) >= s.terms.Tenants {
-		return fmt.Errorf("%w: %d", ErrCrowded, len(s.tenants))
+	if s.tenants[name] == nil && len(s.tenants) >= s.terms.MaxTenants {
+		return fmt.Errorf("%w: %d", ErrTooManyTenants, len(s.tenants))
 	}
 	s.Remove(name)
 	up := s.groups[g]
@@ -212,8 +212,8 @@
 	return nil
 }
 
-// GroupWeight says what a group's part is among the groups; it is 1 until then.
-func (s *Shares) GroupWeight(g Group, weight float64) error {
+// SetGroupWeight says what a group's part is among the groups; it is 1 until then.
+func (s *Allocator) SetGroupWeight(g Group, weight float64) error {
 	up := s.groups[g]
 	if err := weighs(weight); err != nil || up == nil {
 		return err
@@ -224,7 +224,7 @@
 }
 
 // Remove forgets a tenant; a group without members goes too. One that is made again under the name starts anew.
-func (s *Shares) Remove(name Tenant) {
+func (s *Allocator) Remove(name Tenant) {
 	n := s.tenants[name]
 	if n == nil {
 		return
@@ -245,7 +245,7 @@
 }
 
 // RemoveGroup forgets a group and all its tenants.
-func (s *Shares) RemoveGroup(g Group) {
+func (s *Allocator) RemoveGroup(g Group) {
 	for name, n := range s.tenants {
 		if n.up == s.groups[g] && n.up != nil {
 			s.Remove(name)
@@ -254,19 +254,19 @@
 }
 
 // part is a tenant's part of all, whoever asks.
-func (s *Shares) part(n *tenant) float64 {
+func (s *Allocator) part(n *tenant) float64 {
 	return n.weight / n.up.in.all * n.up.self.weight / s.root.all
 }
 
 // fill lets time fill a tenant's own bucket.
-func (s *Shares) fill(now float64, n *tenant) {
+func (s *Allocator) fill(now float64, n *tenant) {
 	rate := s.terms.Rate * (1 - s.terms.Reserve) * s.part(n)
-	n.own = min(rate*s.terms.Own, n.own+max(now-n.at, 0)*rate)
+	n.own = min(rate*s.terms.BucketSeconds, n.own+max(now-n.at, 0)*rate)
 	n.at = max(n.at, now)
 }
 
 // pass lets time fill the bucket of all.
-func (s *Shares) pass(now float64) {
+func (s *Allocator) pass(now float64) {
 	d, t := max(now-s.tokensAt, 0), s.terms
 	s.tokensAt = max(now, s.tokensAt)
 	s.tokens = min(t.Burst*(1-t.Reserve), s.tokens+d*t.Rate*(1-t.Reserve))
@@ -275,15 +275,15 @@
 
 // Take asks for what a request costs, in units. With ok it may go on; else after is when to come back, in seconds. Urgent
 // requests take from the reserve what is left nowhere else.
-func (s *Shares) Take(now float64, name Tenant, cost float64, urgent bool) (after float64, ok bool, err error) {
+func (s *Allocator) Take(now float64, name Tenant, cost float64, urgent bool) (after float64, ok bool, err error) {
 	n := s.tenants[name]
 	if n == nil {
-		return 0, false, fmt.Errorf("%w: %q", ErrUnknown, name)
+		return 0, false, fmt.Errorf("%w: %q", ErrUnknownTenant, name)
 	}
 	s.pass(now)
 	s.fill(now, n)
 	if d := now - n.last; n.last > 0 {
-		n.gap += (min(d, s.terms.Lately) - n.gap) * gapMoves
+		n.gap += (min(d, s.terms.RecentWindow) - n.gap) * gapMoves
 	}
 	n.last = now
 	rate := s.terms.Rate * (1 - s.terms.Reserve)
@@ -294,22 +294,22 @@
 	case s.tokens >= cost && n.own >= cost:
 		n.own -= cost
 		s.tokens -= cost
-		s.Counts.Own++
+		s.Stats.Own++
 	case s.tokens >= cost+floor && ahead <= 0:
 		s.tokens -= cost
 		n.up.in.takes(&n.flow, cost)
 		s.root.takes(&n.up.self, cost)
-		s.Counts.Borrowed++
+		s.Stats.Borrowed++
 	case urgent && s.reserve >= cost:
 		s.reserve -= cost
-		s.Counts.Urgent++
+		s.Stats.Urgent++
 	case urgent:
-		s.Counts.UrgentRefused++
+		s.Stats.UrgentRejected++
 		return (cost - s.reserve) / (s.terms.Rate * s.terms.Reserve), false, nil
 	default:
-		s.Counts.Slowed++
+		s.Stats.Throttled++
 		n.slow++
-		until := now + min(s.terms.Lately, waitsGaps*n.gap)
+		until := now + min(s.terms.RecentWindow, waitsGaps*n.gap)
 		n.up.in.wants(&n.flow, until)
 		s.root.wants(&n.up.self, until)
 		return max((cost-n.own)/own, (cost-s.tokens)/rate), false, nil // by then its own part has filled
@@ -318,8 +318,8 @@
 	return 0, true, nil
 }
 
-// Part is a tenant's part of all, what it took, and how often it was slowed.
-func (s *Shares) Part(name Tenant) (part, took float64, slowed int) {
+// Share is a tenant's part of all, what it took, and how often it was slowed.
+func (s *Allocator) Share(name Tenant) (part, took float64, slowed int) {
 	n := s.tenants[name]
 	if n == nil {
 		return 0, 0, 0
@@ -328,4 +328,4 @@
 }
 
 // Len is the number of tenants.
-func (s *Shares) Len() int { return len(s.tenants) }
+func (s *Allocator) Len() int { return len(s.tenants) }
--- a/internal/core/fairshare/fair_test.go
+++ b/internal/core/fairshare/fair_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-func open(t testing.TB, terms Terms, tenants int) *Shares {
+func open(t testing.TB, terms Config, tenants int) *Allocator {
 	s := New(1000, terms)
 	for i := range tenants {
 		if err := s.Set(1000, Tenant(fmt.Sprint("t", i)), Group(fmt.Sprint("g", i%3)), 1); err != nil {
@@ -19,7 +19,7 @@
 }
 
 // play lets tenants ask at rates for so long, each coming back when it was told, and gives what each took a second.
-func play(s *Shares, seconds float64, rates map[Tenant]float64, seed uint64) map[Tenant]float64 {
+func play(s *Allocator, seconds float64, rates map[Tenant]float64, seed uint64) map[Tenant]float64 {
 	c := rand.New(rand.NewPCG(seed, 1))
 	got := map[Tenant]float64{}
 	names := []Tenant{}
@@ -49,7 +49,7 @@
 
 // Who asks for less than its part gets all of it, and those that flood share the rest by weight, in their groups.
 func TestFloodsAreSlowedAlone(t *testing.T) {
-	terms := Terms{Rate: 1000, Burst: 100, Own: 1, Reserve: 0.1, Tenants: 100, Lately: 0.1}
+	terms := Config{Rate: 1000, Burst: 100, BucketSeconds: 1, Reserve: 0.1, MaxTenants: 100, RecentWindow: 0.1}
 	s := open(t, terms, 9)
 	rates := map[Tenant]float64{"t0": 20000, "t1": 30, "t2": 40, "t3": 20, "t4": 50}
 	got := play(s, 20, rates, 1)
@@ -72,7 +72,7 @@
 	if err := s.Set(1000, "t3", "g0", 3); err != nil { // t0, t3 and t6 are of one group
 		t.Fatal(err)
 	}
-	if err := s.GroupWeight("g1", 2); err != nil {
+	if err := s.SetGroupWeight("g1", 2); err != nil {
 		t.Fatal(err)
 	}
 	all := map[Tenant]float64{}
@@ -89,7 +89,7 @@
 
 // Of two that want more than they get, the louder one does not get more; nor does one that asks from another group.
 func TestWhoAsksMoreOftenGetsNoMore(t *testing.T) {
-	terms := Terms{Rate: 1000, Burst: 100, Own: 1, Reserve: 0.1, Tenants: 100, Lately: 0.1}
+	terms := Config{Rate: 1000, Burst: 100, BucketSeconds: 1, Reserve: 0.1, MaxTenants: 100, RecentWindow: 0.1}
 	got := play(open(t, terms, 9), 20, map[Tenant]float64{"t0": 30000, "t3": 1500}, 3)
 	if math.Abs(got["t0"]-450) > 60 || math.Abs(got["t3"]-450) > 60 {
 		t.Errorf("in one group: %v", got)
@@ -107,7 +107,7 @@
 
 // An urgent request is let in whatever floods, by all others together.
 func TestTheReserveIsForDrains(t *testing.T) {
-	terms := Terms{Rate: 100, Burst: 100, Own: 1, Reserve: 0.1, Tenants: 100, Lately: 0.1}
+	terms := Config{Rate: 100, Burst: 100, BucketSeconds: 1, Reserve: 0.1, MaxTenants: 100, RecentWindow: 0.1}
 	s := open(t, terms, 9)
 	for i := range 1000 {
 		_, _, _ = s.Take(1000+float64(i)*0.01, Tenant(fmt.Sprint("t", i%8)), 5, false)
@@ -139,7 +139,7 @@
 
 // What is told as the time to come back is about right, and one that comes back then is let in.
 func TestComingBack(t *testing.T) {
-	s := open(t, Terms{Rate: 100, Burst: 20, Own: 1, Tenants: 10, Lately: 0.1}, 2)
+	s := open(t, Config{Rate: 100, Burst: 20, BucketSeconds: 1, MaxTenants: 10, RecentWindow: 0.1}, 2)
 	now := 1000.0
 	for {
 		after, ok, _ := s.Take(now, "t0", 1, false)
@@ -154,7 +154,7 @@
 		}
 		break
 	}
-	if _, _, err := s.Take(now, "x", 1, false); !errors.Is(err, ErrUnknown) {
+	if _, _, err := s.Take(now, "x", 1, false); !errors.Is(err, ErrUnknownTenant) {
 		t.Error(err)
 	}
 	for i := range 8 {
@@ -162,7 +162,7 @@
 			t.Fatal(err)
 		}
 	}
-	if err := s.Set(1000, "more", "g", 1); !errors.Is(err, ErrCrowded) {
+	if err := s.Set(1000, "more", "g", 1); !errors.Is(err, ErrTooManyTenants) {
 		t.Error(err)
 	}
 	s.Remove("n0")
@@ -176,7 +176,7 @@
 
 // A tenant that was away does not come back with what it has saved up.
 func TestNobodySavesUp(t *testing.T) {
-	terms := Terms{Rate: 1000, Burst: 50, Own: 1, Tenants: 100, Lately: 0.1}
+	terms := Config{Rate: 1000, Burst: 50, BucketSeconds: 1, MaxTenants: 100, RecentWindow: 0.1}
 	s := open(t, terms, 6)
 	play(s, 10, map[Tenant]float64{"t0": 5000}, 1)
 	play(s, 0.3, map[Tenant]float64{"t0": 5000, "t3": 50000}, 2) // the same group; its own bucket is empty then
@@ -204,7 +204,7 @@
 func BenchmarkTake(b *testing.B) {
 	for _, n := range []int{10, 1000, 10000} {
 		names := make([]Tenant, n)
-		s := New(1000, Terms{Rate: 1e6, Burst: 1e5, Own: 1, Reserve: 0.1, Tenants: n, Lately: 0.1})
+		s := New(1000, Config{Rate: 1e6, Burst: 1e5, BucketSeconds: 1, Reserve: 0.1, MaxTenants: n, RecentWindow: 0.1})
 		for i := range names {
 			names[i] = Tenant(fmt.Sprint("t", i))
 			if err := s.Set(1000, names[i], Group(fmt.Sprint("g", i%20)), 1); err != nil {
--- a/internal/core/forwarding/forward.go
+++ b/internal/core/forwarding/forward.go
@@ -181,7 +181,7 @@
 	p.Counts.Asked++
 	p.nextQ++
 	n := p.nextQ
-	p.demand[a.Class].Tries++
+	p.demand[a.Class].Attempts++
 	class := p.setup.Classes[a.Class]
 	k, err := p.key(now, a, class)
 	if err != nil {
@@ -199,13 +199,13 @@
 		q.repeat.Ran, q.repeat.First, q.repeat.FirstAt = true, k.first, k.at
 	}
 	p.queries[n] = q
-	q.timer.Of, q.look.Of = q, q
+	q.timer.Value, q.look.Value = q, q
 	p.wheel.Set(&q.timer, q.repeat.Until)
 	p.budgets[a.Class].First()
 	if !p.send(now, q) {
 		p.Counts.Nowhere++
 		p.end(q)
-		p.demand[a.Class].Lost++
+		p.demand[a.Class].Failed++
 		return n, append(p.take(), Order{Kind: Refuse, Query: n, Why: ErrNowhere, Back: backSoon})
 	}
 	return n, p.take()
@@ -268,7 +268,7 @@
 	p.Door.Begin(s)
 	p.Counts.Tries++
 	if m := p.met(s); m != nil {
-		m.Tries++
+		m.Attempts++
 	}
 	after := q.repeat.Class.LatencyObjective
 	if p.hedges(q) {
@@ -371,7 +371,7 @@
 	p.over(q, x)
 	p.Avoid.Failed(now, x.server)
 	if m := p.met(x.server); m != nil {
-		m.Lost++
+		m.Failed++
 	}
 	q.repeat.Failed(p.place(x.server), x.sent, o)
 	if o == retry.MayHaveRun {
@@ -393,7 +393,7 @@
 
 func (p *Proxy) fail(q *query, why error) {
 	p.Counts.Failed++
-	p.demand[q.ask.Class].Lost++
+	p.demand[q.ask.Class].Failed++
 	p.end(q)
 	p.orders = append(p.orders, Order{Kind: Fail, Query: q.number, Why: why})
 }
@@ -416,7 +416,7 @@
 		for _, x := range q.tries { // a server that answers nothing fails, as one that breaks does
 			p.Avoid.Failed(now, x.server)
 			if m := p.met(x.server); m != nil {
-				m.Lost++
+				m.Failed++
 			}
 			p.remember(q, x)
 		}
--- a/internal/core/forwarding/forward_test.go
+++ b/internal/core/forwarding/forward_test.go
@@ -272,7 +272,7 @@
 		p.Failed(now, only(t, o, Send).Try, retry.MayHaveRun)
 	}
 	reported := 0.0
-	p.Reports(func(_ balancer.Server, m loadreport.Totals) { reported += m.Lost }, func(balancer.Class, loadreport.Totals) {})
+	p.Reports(func(_ balancer.Server, m loadreport.Totals) { reported += m.Failed }, func(balancer.Class, loadreport.Totals) {})
 	if reported < 100 {
 		t.Errorf("%v failures are reported", reported)
 	}
--- a/internal/core/inflight/backlog.go
+++ b/internal/core/inflight/backlog.go
@@ -5,8 +5,8 @@
 // mostOpen bounds the sequence numbers that are remembered. A batch without one waits for the acknowledgement of a later one.
 const mostOpen = 4096
 
-// Queue is the account of one channel. Its zero value is an empty channel.
-type Queue struct {
+// Window is the account of one channel. Its zero value is an empty channel.
+type Window struct {
 	sent      float64    // since the start
 	delivered float64    // of it, what has surely left the channel
 	open      []sequence // not acknowledged in full, oldest first
@@ -22,13 +22,13 @@
 }
 
 // Send adds an amount to the channel.
-func (q *Queue) Send(amount float64) { q.sent += amount }
+func (q *Window) Send(amount float64) { q.sent += amount }
 
 // Outstanding is the most that may still wait.
-func (q *Queue) Outstanding() float64 { return q.sent - q.delivered }
+func (q *Window) Outstanding() float64 { return q.sent - q.delivered }
 
-// Number says that the latest size of what was sent carries a sequence number. It is false where no more can be remembered.
-func (q *Queue) Number(number int, size float64) bool {
+// MarkBatch says that the latest size of what was sent carries a sequence number. It is false where no more can be remembered.
+func (q *Window) MarkBatch(number int, size float64) bool {
 	if len(q.open) >= mostOpen {
 		return false
 	}
@@ -38,7 +38,7 @@
 
 // Acknowledge says that one receiver has got its message, of this size, of the numbered batch. All that was sent before the batch
 // has then left the channel. It returns how much may have waited when the batch had been sent, and false for an unknown number.
-func (q *Queue) Acknowledge(number int, size float64) (outstanding float64, ok bool) {
+func (q *Window) Acknowledge(number int, size float64) (outstanding float64, ok bool) {
 	for i := range q.open {
 		s := &q.open[i]
 		if s.number != number {
@@ -56,11 +56,13 @@
 	return 0, false
 }
 
-// Assume says that an amount has left the channel though nobody has acknowledged it.
-func (q *Queue) Assume(amount float64) { q.delivered = min(q.delivered+max(amount, 0), q.sent) }
+// AssumeDelivered says that an amount has left the channel though nobody has acknowledged it.
+func (q *Window) AssumeDelivered(amount float64) {
+	q.delivered = min(q.delivered+max(amount, 0), q.sent)
+}
 
-// Clear says that nothing waits any more: all receivers have gone.
-func (q *Queue) Clear() {
+// Reset says that nothing waits any more: all receivers have gone.
+func (q *Window) Reset() {
 	q.delivered = q.sent
 	q.open = q.open[:0]
 }
--- a/internal/core/inflight/backlog_test.go
+++ b/internal/core/inflight/backlog_test.go
@@ -7,11 +7,11 @@
 )
 
 func TestAnAnswerShowsThatAllBeforeItHasLeft(t *testing.T) {
-	var q Queue
+	var q Window
 	q.Send(100)
-	q.Number(1, 100)
+	q.MarkBatch(1, 100)
 	q.Send(60)
-	q.Number(2, 60)
+	q.MarkBatch(2, 60)
 	q.Send(5) // without a number
 	if q.Outstanding() != 165 {
 		t.Fatalf("%v are outstanding, want 165", q.Outstanding())
@@ -26,16 +26,16 @@
 	if _, ok := q.Acknowledge(2, 20); ok || q.Outstanding() != 5 {
 		t.Errorf("%v are outstanding after all answers, want the 5 without a number", q.Outstanding())
 	}
-	if q.Assume(100); q.Outstanding() != 0 {
+	if q.AssumeDelivered(100); q.Outstanding() != 0 {
 		t.Error("more has left than was sent")
 	}
 }
 
 func TestSequenceNumbersAreBounded(t *testing.T) {
-	var q Queue
+	var q Window
 	for i := range 2 * mostOpen {
 		q.Send(1)
-		if remembered := q.Number(i, 1); remembered != (i < mostOpen) {
+		if remembered := q.MarkBatch(i, 1); remembered != (i < mostOpen) {
 			t.Fatalf("number %d: %v", i, remembered)
 		}
 	}
@@ -51,7 +51,7 @@
 		size   float64
 	}
 	rapid.Check(t, func(t *rapid.T) {
-		var q Queue
+		var q Window
 		var channel []message
 		waits := 0.0
 		for number := range rapid.IntRange(1, 60).Draw(t, "batches") {
@@ -62,7 +62,7 @@
 			}
 			waits += batch
 			q.Send(batch)
-			q.Number(number, batch)
+			q.MarkBatch(number, batch)
 			for range rapid.IntRange(0, len(channel)).Draw(t, "left") {
 				m := channel[0]
 				channel, waits = channel[1:], waits-m.size
--- a/internal/core/loadreport/measure.go
+++ b/internal/core/loadreport/measure.go
@@ -20,8 +20,8 @@
 
 // Totals that a relay has counted since it started.
 type Totals struct {
-	Tries, Lost float64
-	Seconds     float64 // that the good ones took together; of demand unused
+	Attempts, Failed float64
+	Seconds          float64 // that the good ones took together; of demand unused
 }
 
 type key struct {
@@ -35,21 +35,21 @@
 	last      Totals
 }
 
-// Rejected counts reports by why nothing came of them.
-type Rejected struct {
-	Old     int // doubled, or overtaken by a later one
-	Garbled int // impossible figures
-	Full    int // no room for another series
-	First   int // the first of a series, or the first after a gap or a restart: it only says where to count from
+// RejectedCounts counts reports by why nothing came of them.
+type RejectedCounts struct {
+	Stale     int // doubled, or overtaken by a later one
+	Malformed int // impossible figures
+	Overflow  int // no room for another series
+	First     int // the first of a series, or the first after a gap or a restart: it only says where to count from
 }
 
-// Book of all series. Use New.
-type Book struct {
+// Aggregator of all series. Use New.
+type Aggregator struct {
 	series   map[key]*series
 	most     int
 	traffic  map[sumKey]*sum
 	demand   map[key]*sum
-	Rejected Rejected
+	Rejected RejectedCounts
 }
 
 type sumKey struct {
@@ -64,27 +64,27 @@
 }
 
 // New makes a book of so many series at most.
-func New(most int) *Book {
-	return &Book{series: map[key]*series{}, most: most, traffic: map[sumKey]*sum{}, demand: map[key]*sum{}}
+func New(most int) *Aggregator {
+	return &Aggregator{series: map[key]*series{}, most: most, traffic: map[sumKey]*sum{}, demand: map[key]*sum{}}
 }
 
-// Traffic takes a relay's totals at a server; at is the relay's clock when it counted, in seconds. It returns how many
+// AddUpstream takes a relay's totals at a server; at is the relay's clock when it counted, in seconds. It returns how many
 // tries are new, and since when by that clock.
-func (b *Book) Traffic(now, at float64, p balancer.Proxy, zone balancer.Zone, s balancer.Server, t Totals) (tries,
+func (b *Aggregator) AddUpstream(now, at float64, p balancer.Proxy, zone balancer.Zone, s balancer.Server, t Totals) (tries,
 	since float64) {
 	d, covers, ok := b.since(now, at, key{proxy: p, server: s}, t)
-	if ok && d.Tries > 0 {
+	if ok && d.Attempts > 0 {
 		k := sumKey{s, zone}
 		if b.traffic[k] == nil {
 			b.traffic[k] = &sum{}
 		}
 		b.traffic[k].add(d, covers)
 	}
-	return d.Tries, at - covers
+	return d.Attempts, at - covers
 }
 
-// Demand takes a relay's totals of a class.
-func (b *Book) Demand(now, at float64, p balancer.Proxy, c balancer.Class, t Totals) {
+// AddDemand takes a relay's totals of a class.
+func (b *Aggregator) AddDemand(now, at float64, p balancer.Proxy, c balancer.Class, t Totals) {
 	k := key{proxy: p, class: c}
 	if d, covers, ok := b.since(now, at, k, t); ok {
 		if b.demand[k] == nil {
@@ -97,9 +97,9 @@
 // since is what came since the last report of a series, and the seconds that it covers. Guards against doubled,
 // reordered, frozen and garbled reports, and relays that start again: nothing but the difference of two reports in
 // order is ever believed. It does harm to nobody but a relay whose clock runs backwards for longer than a period.
-func (b *Book) since(now, at float64, k key, t Totals) (d Totals, covers float64, ok bool) {
+func (b *Aggregator) since(now, at float64, k key, t Totals) (d Totals, covers float64, ok bool) {
 	if !sane(t) || math.IsNaN(at) || math.IsInf(at, 0) {
-		b.Rejected.Garbled++
+		b.Rejected.Malformed++
 		return d, 0, false
 	}
 	s := b.series[k]
@@ -109,32 +109,32 @@
 			b.prune(now)
 		}
 		if len(b.series) >= b.most {
-			b.Rejected.Full++
+			b.Rejected.Overflow++
 			return d, 0, false
 		}
 		b.series[k] = &series{at: at, heard: now, last: t}
 		b.Rejected.First++
 		return d, 0, false
 	case at < s.at+shortest && now-s.heard < longestGap:
-		b.Rejected.Old++
+		b.Rejected.Stale++
 		return d, 0, false
 	}
-	d = Totals{t.Tries - s.last.Tries, t.Lost - s.last.Lost, t.Seconds - s.last.Seconds}
+	d = Totals{t.Attempts - s.last.Attempts, t.Failed - s.last.Failed, t.Seconds - s.last.Seconds}
 	covers = at - s.at
 	s.at, s.heard, s.last = at, now, t
 	switch {
-	case covers > longestGap || covers < shortest || d.Tries < 0 || d.Lost < 0 || d.Seconds < 0:
+	case covers > longestGap || covers < shortest || d.Attempts < 0 || d.Failed < 0 || d.Seconds < 0:
 		b.Rejected.First++ // a gap, or the relay started again
 		return Totals{}, 0, false
-	case d.Tries > mostRate*covers || d.Lost > d.Tries:
-		b.Rejected.Garbled++
+	case d.Attempts > mostRate*covers || d.Failed > d.Attempts:
+		b.Rejected.Malformed++
 		return Totals{}, 0, false
 	}
 	return d, covers, true
 }
 
 func sane(t Totals) bool {
-	for _, v := range []float64{t.Tries, t.Lost, t.Seconds} {
+	for _, v := range []float64{t.Attempts, t.Failed, t.Seconds} {
 		if !(v >= 0) || math.IsInf(v, 0) {
 			return false
 		}
@@ -142,7 +142,7 @@
 	return true
 }
 
-func (b *Book) prune(now float64) {
+func (b *Aggregator) prune(now float64) {
 	for k, s := range b.series {
 		if now-s.heard > dropAfter {
 			delete(b.series, k)
@@ -150,8 +150,8 @@
 	}
 }
 
-// Leave forgets a proxy's series: its number may go to another.
-func (b *Book) Leave(p balancer.Proxy) {
+// RemoveProxy forgets a proxy's series: its number may go to another.
+func (b *Aggregator) RemoveProxy(p balancer.Proxy) {
 	for k := range b.series {
 		if k.proxy == p {
 			delete(b.series, k)
@@ -165,24 +165,24 @@
 }
 
 func (s *sum) add(d Totals, covers float64) {
-	s.Tries, s.Lost, s.Seconds = s.Tries+d.Tries, s.Lost+d.Lost, s.Seconds+d.Seconds
-	s.weighted, s.covers = s.weighted+max(d.Tries, 1e-9)*covers, max(s.covers, covers)
+	s.Attempts, s.Failed, s.Seconds = s.Attempts+d.Attempts, s.Failed+d.Failed, s.Seconds+d.Seconds
+	s.weighted, s.covers = s.weighted+max(d.Attempts, 1e-9)*covers, max(s.covers, covers)
 }
 
-// Close hands out all that has come in since the last time, in a fixed order. The interval of a sum is the mean of
+// Flush hands out all that has come in since the last time, in a fixed order. The interval of a sum is the mean of
 // what its parts cover, by their tries: relays that lost a report cover more than the others.
-func (b *Book) Close() (traffic []balancer.UpstreamReport, demand []balancer.DemandReport) {
+func (b *Aggregator) Flush() (traffic []balancer.UpstreamReport, demand []balancer.DemandReport) {
 	for k, s := range b.traffic {
-		t := balancer.UpstreamReport{Server: k.server, Zone: k.zone, Attempts: s.Tries, Failed: s.Lost,
-			Interval: s.weighted / max(s.Tries, 1e-9)}
-		if good := s.Tries - s.Lost; good > 0 {
+		t := balancer.UpstreamReport{Server: k.server, Zone: k.zone, Attempts: s.Attempts, Failed: s.Failed,
+			Interval: s.weighted / max(s.Attempts, 1e-9)}
+		if good := s.Attempts - s.Failed; good > 0 {
 			t.Latency = s.Seconds / good
 		}
 		traffic = append(traffic, t)
 		delete(b.traffic, k)
 	}
 	for k, s := range b.demand {
-		demand = append(demand, balancer.DemandReport{Proxy: k.proxy, Class: k.class, Requests: s.Tries, Failed: s.Lost,
+		demand = append(demand, balancer.DemandReport{Proxy: k.proxy, Class: k.class, Requests: s.Attempts, Failed: s.Failed,
 			Interval: s.covers})
 		delete(b.demand, k)
 	}
@@ -195,8 +195,8 @@
 	return traffic, demand
 }
 
-// Waits tells whether Close would hand out anything.
-func (b *Book) Waits() bool { return len(b.traffic)+len(b.demand) > 0 }
+// HasPending tells whether Close would hand out anything.
+func (b *Aggregator) HasPending() bool { return len(b.traffic)+len(b.demand) > 0 }
 
 // Len is the number of series kept.
-func (b *Book) Len() int { return len(b.series) }
+func (b *Aggregator) Len() int { return len(b.series) }
--- a/internal/core/loadreport/measure_test.go
+++ b/internal/core/loadreport/measure_test.go
@@ -10,20 +10,20 @@
 func TestOnlyDifferencesInOrderCount(t *testing.T) {
 	b := New(10)
 	report := func(now, at, tries, lost, seconds float64) {
-		b.Traffic(now, at, 1, 2, "a", Totals{tries, lost, seconds})
+		b.AddUpstream(now, at, 1, 2, "a", Totals{tries, lost, seconds})
 	}
 	report(100, 50, 1000, 10, 300) // says only where to count from
 	report(100.5, 50.5, 1010, 12, 304)
 	report(100.6, 50.5, 1010, 12, 304) // doubled
 	report(100.7, 50.2, 1005, 11, 302) // overtaken
 	report(101.5, 51.5, 1030, 12, 310) // one in between was lost
-	traffic, _ := b.Close()
+	traffic, _ := b.Flush()
 	want := balancer.UpstreamReport{Server: "a", Zone: 2, Attempts: 30, Failed: 2, Latency: 10.0 / 28, Interval: (10*0.5 + 20*1) / 30}
 	if len(traffic) != 1 || traffic[0].Attempts != want.Attempts || traffic[0].Failed != want.Failed ||
 		math.Abs(traffic[0].Latency-want.Latency) > 1e-9 || math.Abs(traffic[0].Interval-want.Interval) > 1e-9 {
 		t.Errorf("%+v, want %+v", traffic, want)
 	}
-	if b.Rejected.Old != 2 || b.Rejected.First != 1 {
+	if b.Rejected.Stale != 2 || b.Rejected.First != 1 {
 		t.Errorf("%+v", b.Rejected)
 	}
 	report(102, 52, 1030, 12, 310) // frozen: nothing was met
@@ -35,10 +35,10 @@
 	}
 	report(131, 81, 1e12, 0, 0)
 	report(132, 82, 1e12+5, 7, 0) // more lost than tried
-	if traffic, _ = b.Close(); len(traffic) != 0 {
+	if traffic, _ = b.Flush(); len(traffic) != 0 {
 		t.Errorf("%+v was believed", traffic)
 	}
-	if b.Rejected.Garbled < 6 || b.Waits() {
+	if b.Rejected.Malformed < 6 || b.HasPending() {
 		t.Errorf("%+v", b.Rejected)
 	}
 }
@@ -46,20 +46,20 @@
 func TestSeriesAreBounded(t *testing.T) {
 	b := New(3)
 	for p := range balancer.Proxy(5) {
-		b.Demand(100, 100, p, 0, Totals{Tries: 1})
+		b.AddDemand(100, 100, p, 0, Totals{Attempts: 1})
 	}
-	if b.Len() != 3 || b.Rejected.Full != 2 {
+	if b.Len() != 3 || b.Rejected.Overflow != 2 {
 		t.Errorf("%d series, %+v", b.Len(), b.Rejected)
 	}
-	b.Demand(200, 200, 4, 0, Totals{Tries: 1}) // the others have been silent for long
+	b.AddDemand(200, 200, 4, 0, Totals{Attempts: 1}) // the others have been silent for long
 	if b.Len() != 1 {
 		t.Errorf("%d series", b.Len())
 	}
-	b.Demand(201, 201, 4, 0, Totals{Tries: 9, Lost: 2})
-	if _, d := b.Close(); len(d) != 1 || d[0].Requests != 8 || d[0].Failed != 2 || d[0].Interval != 1 {
+	b.AddDemand(201, 201, 4, 0, Totals{Attempts: 9, Failed: 2})
+	if _, d := b.Flush(); len(d) != 1 || d[0].Requests != 8 || d[0].Failed != 2 || d[0].Interval != 1 {
 		t.Errorf("%+v", d)
 	}
-	if b.Leave(4); b.Len() != 0 {
+	if b.RemoveProxy(4); b.Len() != 0 {
 		t.Errorf("%d series after it left", b.Len())
 	}
 }
--- a/internal/core/longpoll/longpoll.go
+++ b/internal/core/longpoll/longpoll.go
@@ -170,7 +170,7 @@
 func New(now float64, epoch uint64, f *controlplane.Fleet, out Out, limits Limits) *Counter {
 	return &Counter{fleet: f, out: out, limits: limits, epoch: epoch, clients: map[string]*client{},
 		byProxy: map[balancer.Proxy]*client{}, byWaiter: map[Waiter]*client{}, wheel: timingwheel.New[*client](now, tick),
-		joins: limits.Burst, joinsAt: now, chance: f.Site().Seed*2 + 1, trusting: f.Site().Without[controlplane.GuardVersions]}
+		joins: limits.Burst, joinsAt: now, chance: f.Site().Seed*2 + 1, trusting: f.Site().DisabledGuards[controlplane.GuardVersions]}
 }
 
 // Parked is the number of polls that wait, and that of answers under way.
@@ -192,7 +192,7 @@
 	c.Counts.Polls++
 	// Guards against a coordinator that has not heard that the proxy changed hands, and leads it by an epoch that is over;
 	// it does harm where one is far behind, whose proxies then wait until it has caught up or its lease has ended.
-	if p.Lead > c.fleet.Lead() {
+	if p.Lead > c.fleet.OwnershipEpoch() {
 		c.refuse(w, Behind, 0)
 		return
 	}
@@ -219,14 +219,14 @@
 	x.waiter, x.parkedAt = w, now
 	c.byWaiter[w] = x
 	c.wheel.Set(&x.wait, now+min(max(p.Wait, 0), c.limits.Longest))
-	c.fleet.Ready(now, x.proxy)
+	c.fleet.Resume(now, x.proxy)
 }
 
 // join takes in a proxy that has none here. Proxies that are joined already are served before those that are not: a crowd
 // at the door takes no room from them.
 func (c *Counter) join(now float64, w Waiter, p Poll) *client {
 	if !c.fleet.Listed(p.UID) { // nor do those that may never join
-		c.out.Say("proxy refused", "uid", p.UID, "error", controlplane.ErrStranger)
+		c.out.Say("proxy refused", "uid", p.UID, "error", controlplane.ErrUnlistedRelay)
 		c.refuse(w, NotListed, 0)
 		return nil
 	}
@@ -240,9 +240,9 @@
 	proxy, err := c.fleet.Join(now, p.UID, c, p.Epoch == 0)
 	if err != nil {
 		c.out.Say("proxy refused", "uid", p.UID, "error", err)
-		if errors.Is(err, controlplane.ErrElsewhere) {
+		if errors.Is(err, controlplane.ErrWrongCoordinator) {
 			c.refuse(w, Elsewhere, 0)
-		} else if errors.Is(err, controlplane.ErrOften) {
+		} else if errors.Is(err, controlplane.ErrJoinRateExceeded) {
 			c.refuse(w, TooOften, c.spread())
 		} else {
 			c.refuse(w, Crowded, c.spread())
@@ -250,11 +250,11 @@
 		return nil
 	}
 	c.Counts.Joins++
-	proxy.Levels = true
+	proxy.SupportsAdmission = true
 	x := &client{uid: p.UID, proxy: proxy, tokens: c.limits.AskBurst, tokensAt: now, answered: now}
-	x.wait.Of = x
+	x.wait.Value = x
 	c.clients[p.UID], c.byProxy[proxy.ID] = x, x
-	c.fleet.Wait(proxy)
+	c.fleet.Suspend(proxy)
 	return x
 }
 
@@ -268,7 +268,7 @@
 	}
 	x.base = 0
 	if c.trusting {
-		c.fleet.Taken(now, x.proxy)
+		c.fleet.MarkDelivered(now, x.proxy)
 		return
 	}
 	for _, s := range x.sent {
@@ -276,7 +276,7 @@
 			continue
 		}
 		if x.base = p.Version; p.Version == x.version {
-			c.fleet.Taken(now, x.proxy)
+			c.fleet.MarkDelivered(now, x.proxy)
 			return
 		}
 		c.Counts.Lost++
@@ -291,13 +291,13 @@
 
 // hold says to the fleet what the proxy holds of the tables that it is bound to.
 func (c *Counter) hold(now float64, x *client, of []tables.Version, bound []balancer.Table) {
-	versions := make([]tables.Version, len(x.proxy.Holds))
+	versions := make([]tables.Version, len(x.proxy.Tables))
 	for i := range of {
-		if h := &x.proxy.Holds[i]; h.Bound && bound[i] == h.Table {
+		if h := &x.proxy.Tables[i]; h.Bound && bound[i] == h.Table {
 			versions[i] = of[i]
 		}
 	}
-	c.fleet.Holds(now, x.proxy, versions)
+	c.fleet.ObserveVersions(now, x.proxy, versions)
 }
 
 func (c *Counter) unpark(x *client) {
@@ -305,7 +305,7 @@
 		delete(c.byWaiter, x.waiter)
 		c.wheel.Cancel(&x.wait)
 		x.waiter = 0
-		c.fleet.Wait(x.proxy)
+		c.fleet.Suspend(x.proxy)
 	}
 }
 
@@ -335,7 +335,7 @@
 		c.refuse(w, Superseded, 0)
 	}
 	c.forget(x)
-	c.fleet.Leave(now, x.proxy)
+	c.fleet.Disconnect(now, x.proxy)
 	c.out.Dropped(x.uid)
 }
 
@@ -366,20 +366,20 @@
 func (c *Counter) Deliver(now float64, p *controlplane.Proxy) {
 	x := c.byProxy[p.ID]
 	if x == nil || x.waiter == 0 {
-		c.fleet.Wait(p)
+		c.fleet.Suspend(p)
 		return
 	}
 	most := c.limits.UnderWay
-	if c.fleet.Urgent(p) {
+	if c.fleet.HasUrgent(p) {
 		most += c.limits.Reserve
 	}
 	if c.underWay >= most {
 		x.stuck = true
-		c.fleet.Wait(p)
+		c.fleet.Suspend(p)
 		return
 	}
-	if !c.fleet.Behind(p) {
-		c.fleet.Nothing(now, p)
+	if !c.fleet.NeedsUpdate(p) {
+		c.fleet.SkipUpdate(now, p)
 		return
 	}
 	c.send(now, x)
@@ -390,15 +390,15 @@
 	a, lines := &c.answer, 0
 	a.From = 0
 	a.Classes = a.Classes[:0]
-	for i := range x.proxy.Holds {
+	for i := range x.proxy.Tables {
 		class := balancer.Class(i)
 		changed, full, ok := c.fleet.Delta(x.proxy, class)
 		if !ok {
 			continue
 		}
 		// More lines changed than there are, counting those that went: the whole table is shorter than the delta.
-		if full = full || c.fleet.Lapsed(x.proxy, class) || longer(changed, c.fleet.Lines(x.proxy, class)); full {
-			changed, _ = c.fleet.Whole(x.proxy, class)
+		if full = full || c.fleet.MayHoldStale(x.proxy, class) || longer(changed, c.fleet.TableSize(x.proxy, class)); full {
+			changed, _ = c.fleet.FullTable(x.proxy, class)
 		}
 		k := len(a.Classes)
 		a.Classes = slices.Grow(a.Classes, 1)[:k+1]
@@ -408,14 +408,14 @@
 			if l.Weight == 0 && full {
 				continue
 			}
-			phase, _ := c.fleet.Roll.Phase(l.Server)
+			phase, _ := c.fleet.Registry.Phase(l.Server)
 			said.Lines = append(said.Lines, Line{l.Server, l.Weight, l.Weight == 0 && phase == balancer.Draining})
 		}
 		// Lines that bring queries come before those that take them away, for whoever applies them one by one.
 		slices.SortStableFunc(said.Lines, func(a, b Line) int { return sign(b.Weight) - sign(a.Weight) })
-		for _, l := range c.fleet.LevelsSince(x.proxy, class, full) {
-			said.Leveled, said.Level, said.Again = true, l.Level, l.Again
-			if said.ComeBack = 0; l.Level < 1 {
+		for _, l := range c.fleet.AdmissionsSince(x.proxy, class, full) {
+			said.Leveled, said.Level, said.Again = true, l.Rate, l.Retry
+			if said.ComeBack = 0; l.Rate < 1 {
 				said.ComeBack = refusedFor
 			}
 		}
@@ -432,17 +432,17 @@
 		}
 	}
 	if len(a.Classes) == 0 {
-		c.fleet.Nothing(now, x.proxy)
+		c.fleet.SkipUpdate(now, x.proxy)
 		return
 	}
-	c.fleet.Sent(now, x.proxy, lines)
+	c.fleet.MarkSent(now, x.proxy, lines)
 	c.version++ // one count for all: a proxy that left and comes back must not find its old numbers given to other states
 	x.version = c.version
 	s := &x.sent[x.next]
 	x.next = (x.next + 1) % remembered
 	s.version, s.of, s.bound = x.version, s.of[:0], s.bound[:0]
-	for _, h := range x.proxy.Holds {
-		s.of, s.bound = append(s.of, h.Sent), append(s.bound, h.Table)
+	for _, h := range x.proxy.Tables {
+		s.of, s.bound = append(s.of, h.SentVersion), append(s.bound, h.Table)
 	}
 	x.unacked = true
 	c.underWay++
@@ -457,12 +457,12 @@
 	c.Counts.Answers++
 	a := &c.answer
 	a.Epoch, a.Version, a.AskWithin = c.epoch, x.version, c.limits.Between/2
-	a.Lead = c.fleet.Lead()
+	a.Lead = c.fleet.OwnershipEpoch()
 	c.out.Answer(w, a)
 }
 
 // longer tells whether there are more lines than so many.
-func longer(lines iter.Seq[*tables.Line], than int) bool {
+func longer(lines iter.Seq[*tables.Entry], than int) bool {
 	for range lines {
 		if than--; than < 0 {
 			return true
@@ -502,7 +502,7 @@
 		if x.stuck = false; why[x] != "" {
 			c.drop(now, x, why[x])
 		} else if x.waiter != 0 {
-			c.fleet.Ready(now, x.proxy)
+			c.fleet.Resume(now, x.proxy)
 		}
 	}
 }
@@ -514,15 +514,15 @@
 		return "it has not asked again"
 	}
 	if x.waiter == 0 {
-		return c.fleet.Overdue(now, x.proxy)
+		return c.fleet.DrainOverdue(now, x.proxy)
 	}
-	return c.fleet.Defies(x.proxy)
+	return c.fleet.Noncompliance(x.proxy)
 }
 
 // over ends a wait. If something is newer at that very moment it is sent, whosever turn it is: an answer that nothing is
 // newer would not be true.
 func (c *Counter) over(now float64, x *client) {
-	if c.fleet.Behind(x.proxy) && !x.proxy.Away() && c.underWay < c.limits.UnderWay {
+	if c.fleet.NeedsUpdate(x.proxy) && !x.proxy.InFlight() && c.underWay < c.limits.UnderWay {
 		if c.send(now, x); x.waiter == 0 {
 			return
 		}
@@ -530,5 +530,5 @@
 	c.Counts.Empty++
 	c.answer.Classes, c.answer.From = c.answer.Classes[:0], 0
 	c.reply(now, x)
-	c.fleet.Wait(x.proxy)
+	c.fleet.Suspend(x.proxy)
 }
--- a/internal/core/longpoll/longpoll_test.go
+++ b/internal/core/longpoll/longpoll_test.go
@@ -99,17 +99,17 @@
 func (s *shop) Say(string, ...any) {}
 
 func site(proxies int, without ...controlplane.Guard) controlplane.Site {
-	x := controlplane.Site{Seed: 3, Names: []string{"search", "introduce"}, Zones: []string{"a"}, Strangers: true,
+	x := controlplane.Site{Seed: 3, ClassNames: []string{"search", "introduce"}, Zones: []string{"a"}, AllowUnlisted: true,
 		Classes: []balancer.RequestClass{{PriorityWeight: 1, LatencyObjective: 1, ClientTimeout: 3},
 			{PriorityWeight: 3, LatencyObjective: 1, ClientTimeout: 3, Idempotency: balancer.NonIdempotent}},
-		Dataplane: balancer.DataPlane{Proxies: proxies, Coordinators: 1, DefaultRetry: balancer.RetryIfNotExecuted,
+		DataPlane: balancer.DataPlane{Proxies: proxies, Coordinators: 1, DefaultRetry: balancer.RetryIfNotExecuted,
 			Admission: balancer.AdmissionFraction},
 		Channel: balancer.Channel{EntriesPerSecond: 2000, MessageOverhead: 3, MaxQueued: 4000, MeanDelay: 0.01, MaxDelay: 0.2},
 		Guarantees: balancer.Guarantees{DrainDeadline: 3, EmptyTableDeadline: 2, WarmupStartFraction: 0.2, WarmupDuration: 10, OverloadFactor: 3,
-			OverloadWindow: 2}, Reporting: balancer.Reporting{Period: 0.5}, Limits: controlplane.UsualLimits,
-		Without: map[controlplane.Guard]bool{}}
+			OverloadWindow: 2}, Reporting: balancer.Reporting{Period: 0.5}, Limits: controlplane.DefaultLimits,
+		DisabledGuards: map[controlplane.Guard]bool{}}
 	for _, g := range without {
-		x.Without[g] = true
+		x.DisabledGuards[g] = true
 	}
 	for i := range 6 {
 		x.Servers = append(x.Servers, registry.ServerConfig{Server: server(i), Weight: 1, Static: true})
@@ -156,9 +156,9 @@
 
 func (s *shop) step(seconds float64) {
 	s.now += seconds
-	s.fleet.Round(s.now)
+	s.fleet.RunRound(s.now)
 	s.counter.Tick(s.now)
-	s.fleet.Push(s.now)
+	s.fleet.SendDue(s.now)
 }
 
 // pass lets time go by; those who are named ask again as soon as they are answered.
@@ -172,7 +172,7 @@
 	}
 }
 
-func (s *shop) drain(i int, on bool) { s.fleet.Roll.SetDrain(s.now, server(i), on) }
+func (s *shop) drain(i int, on bool) { s.fleet.Registry.SetDrain(s.now, server(i), on) }
 
 // check compares what a proxy holds with the tables that the module wants.
 func (s *shop) check(uid string) string {
@@ -212,7 +212,7 @@
 	if s.wants("a"); h.answers != 2 || h.full != 2 || len(h.latest.Classes[0].Lines) != 1 || !h.latest.Classes[0].Lines[0].Drains {
 		t.Errorf("a drain came as %+v", h.latest)
 	}
-	if s.fleet.Holding() != 1 {
+	if s.fleet.UpToDate() != 1 {
 		t.Error("the next poll did not acknowledge it")
 	}
 	for range 3 { // moved three times while nobody waits: one line
@@ -235,7 +235,7 @@
 		s.step(0.02)
 	}
 	s.drain(1, true)
-	s.fleet.Round(end + 0.001)
+	s.fleet.RunRound(end + 0.001)
 	s.now = end + 0.03 // the wait ends in the same look in which it is due
 	s.counter.Tick(s.now)
 	if h := s.holds["a"]; h.waits || h.lines["0 "+string(server(1))] != 0 || len(h.latest.Classes) == 0 {
@@ -253,7 +253,7 @@
 	if s.holds["a"].version != before || s.holds["a"].waits {
 		t.Fatal("the answer was not lost")
 	}
-	if s.fleet.Holding() != 0 {
+	if s.fleet.UpToDate() != 0 {
 		t.Error("it is held to have what was lost")
 	}
 	full := s.holds["a"].full
@@ -317,8 +317,8 @@
 	for _, uid := range all {
 		s.wants(uid)
 	}
-	if s.fleet.Holding() != 200 || s.counter.Counts.Unknown != 200 {
-		t.Errorf("%d hold the tables, %d named a former life", s.fleet.Holding(), s.counter.Counts.Unknown)
+	if s.fleet.UpToDate() != 200 || s.counter.Counts.Unknown != 200 {
+		t.Errorf("%d hold the tables, %d named a former life", s.fleet.UpToDate(), s.counter.Counts.Unknown)
 	}
 }
 
@@ -355,7 +355,7 @@
 		}
 	}
 	begun, lines := s.now, 0
-	for s.fleet.Holding() < n && s.now < begun+60 {
+	for s.fleet.UpToDate() < n && s.now < begun+60 {
 		for _, uid := range all {
 			if h := s.holds[uid]; !h.waits && s.now >= s.retry[uid] {
 				s.ask(uid, 55)
@@ -367,8 +367,8 @@
 		lines += len(s.holds[uid].lines) + 3
 	}
 	took, least := s.now-begun, max(float64(lines)/x.Channel.EntriesPerSecond, float64(away)/limits.Joins)
-	if s.fleet.Holding() != n || took > 1.5*least+2*limits.ComeBack {
-		t.Errorf("%d hold the tables after %.1f s; joins and channel need %.1f s", s.fleet.Holding(), took, least)
+	if s.fleet.UpToDate() != n || took > 1.5*least+2*limits.ComeBack {
+		t.Errorf("%d hold the tables after %.1f s; joins and channel need %.1f s", s.fleet.UpToDate(), took, least)
 	}
 	t.Logf("%d proxies hold the tables after %.1f s; joins and channel need %.1f s", n, took, least)
 }
@@ -409,8 +409,8 @@
 
 func (p *plain) Deliver(now float64, x *controlplane.Proxy) {
 	p.sent++
-	p.f.Sent(now, x, 1)
-	p.f.Taken(now, x)
+	p.f.MarkSent(now, x, 1)
+	p.f.MarkDelivered(now, x)
 }
 func (p *plain) Displaced(float64, *controlplane.Proxy) { p.displaced++ }
 
@@ -524,12 +524,12 @@
 				rt.Error(wrong)
 			}
 		}
-		if s.fleet.Holding() != 3 {
+		if s.fleet.UpToDate() != 3 {
 			for _, uid := range uids {
 				p := s.fleet.Relay(uid)
-				rt.Logf("%s %+v waits %t away %t behind %t", uid, p.Holds, s.holds[uid].waits, p.Away(), s.fleet.Behind(p))
+				rt.Logf("%s %+v waits %t away %t behind %t", uid, p.Tables, s.holds[uid].waits, p.InFlight(), s.fleet.NeedsUpdate(p))
 			}
-			rt.Errorf("%d of 3 are known to hold the newest tables", s.fleet.Holding())
+			rt.Errorf("%d of 3 are known to hold the newest tables", s.fleet.UpToDate())
 		}
 	})
 }
@@ -601,7 +601,7 @@
 func TestTheEpochOfWhoLeads(t *testing.T) {
 	s := open(t, site(2), UsualLimits)
 	lead := uint64(7)
-	s.fleet.Govern(func(float64, string) bool { return true }, func() uint64 { return lead }, nil)
+	s.fleet.SetOwnership(func(float64, string) bool { return true }, func() uint64 { return lead }, nil)
 	s.ask("relay-0", 5)
 	s.pass(1)
 	h := s.holds["relay-0"]
--- a/internal/core/pacing/channel.go
+++ b/internal/core/pacing/channel.go
@@ -14,17 +14,17 @@
 // is does not wait for the next one.
 const burstFor = 0.05
 
-// Turn says how much a waiting proxy's message matters.
-type Turn int
+// Priority says how much a waiting proxy's message matters.
+type Priority int
 
 const (
-	Ordinary Turn = iota // weights, joins
-	Urgent               // drains, cold servers
+	Ordinary Priority = iota // weights, joins
+	Urgent                   // drains, cold servers
 )
 
 type waiter struct {
 	proxy       balancer.Proxy
-	turn        Turn
+	turn        Priority
 	lines       float64
 	prev, next  *waiter
 	queued      bool
@@ -81,7 +81,7 @@
 
 // Add says that a proxy waits for some more lines. A proxy that waits already keeps its place, and moves up if the
 // turn is more urgent.
-func (q *Queue) Add(now float64, p balancer.Proxy, lines float64, turn Turn) {
+func (q *Queue) Add(now float64, p balancer.Proxy, lines float64, turn Priority) {
 	w := q.waiters[p]
 	if w == nil {
 		w = &waiter{proxy: p, index: -1}
@@ -122,8 +122,8 @@
 	return 0
 }
 
-// Hold says that a proxy can't take a message now; it keeps what it waits for.
-func (q *Queue) Hold(p balancer.Proxy) {
+// Suspend says that a proxy can't take a message now; it keeps what it waits for.
+func (q *Queue) Suspend(p balancer.Proxy) {
 	w := q.waiters[p]
 	if w == nil {
 		w = &waiter{proxy: p, index: -1}
@@ -134,16 +134,16 @@
 	}
 }
 
-// Free ends a Hold.
-func (q *Queue) Free(now float64, p balancer.Proxy) {
+// Resume ends a Hold.
+func (q *Queue) Resume(now float64, p balancer.Proxy) {
 	if w := q.waiters[p]; w != nil {
 		w.held = false
 		q.place(now, w)
 	}
 }
 
-// Leave forgets a proxy, its messages among them: a proxy that comes back counts from its joining.
-func (q *Queue) Leave(p balancer.Proxy) {
+// Forget forgets a proxy, its messages among them: a proxy that comes back counts from its joining.
+func (q *Queue) Forget(p balancer.Proxy) {
 	w := q.waiters[p]
 	if w == nil {
 		return
@@ -192,7 +192,7 @@
 	if q.refill(now); q.tokens <= 0 && !q.unpaced {
 		return 0, false
 	}
-	for _, turn := range []Turn{Urgent, Ordinary} {
+	for _, turn := range []Priority{Urgent, Ordinary} {
 		if w := q.lists[turn].head; w != nil {
 			return w.proxy, true
 		}
@@ -200,8 +200,8 @@
 	return 0, false
 }
 
-// Sent says that a proxy got its message of so many lines, whether it waited or asked for it.
-func (q *Queue) Sent(now float64, p balancer.Proxy, lines float64) {
+// MarkSent says that a proxy got its message of so many lines, whether it waited or asked for it.
+func (q *Queue) MarkSent(now float64, p balancer.Proxy, lines float64) {
 	q.refill(now)
 	w := q.waiters[p]
 	if w == nil {
@@ -218,8 +218,8 @@
 	}
 }
 
-// Left is how many messages the limit lets a proxy have before its oldest ones no longer count.
-func (q *Queue) Left(p balancer.Proxy) int {
+// MessagesLeft is how many messages the limit lets a proxy have before its oldest ones no longer count.
+func (q *Queue) MessagesLeft(p balancer.Proxy) int {
 	if w := q.waiters[p]; w != nil && q.limits.MaxMessages > 0 {
 		n := 0
 		for _, at := range w.sent {
@@ -232,28 +232,28 @@
 	return math.MaxInt
 }
 
-// Urgent tells whether an urgent message waits for a proxy.
-func (q *Queue) Urgent(p balancer.Proxy) bool {
+// IsUrgent tells whether an urgent message waits for a proxy.
+func (q *Queue) IsUrgent(p balancer.Proxy) bool {
 	w := q.waiters[p]
 	return w != nil && w.lines > 0 && w.turn == Urgent
 }
 
-// Waits tells whether a proxy waits for lines.
-func (q *Queue) Waits(p balancer.Proxy) bool {
+// IsQueued tells whether a proxy waits for lines.
+func (q *Queue) IsQueued(p balancer.Proxy) bool {
 	w := q.waiters[p]
 	return w != nil && w.lines > 0
 }
 
-// Lines that wait for a proxy.
-func (q *Queue) Lines(p balancer.Proxy) float64 {
+// QueuedEntries that wait for a proxy.
+func (q *Queue) QueuedEntries(p balancer.Proxy) float64 {
 	if w := q.waiters[p]; w != nil {
 		return w.lines
 	}
 	return 0
 }
 
-// Waiting is the number of lines that wait, heads included, and the most that ever did.
-func (q *Queue) Waiting() (lines, peak float64) { return q.lines, q.peak }
+// TotalQueued is the number of lines that wait, heads included, and the most that ever did.
+func (q *Queue) TotalQueued() (lines, peak float64) { return q.lines, q.peak }
 
 // heldBack is a heap of proxies that the limit on messages holds back, first due on top.
 type heldBack []*waiter
--- a/internal/core/pacing/channel_test.go
+++ b/internal/core/pacing/channel_test.go
@@ -21,7 +21,7 @@
 			return got
 		}
 		got = append(got, p)
-		q.Sent(now, p, lines)
+		q.MarkSent(now, p, lines)
 	}
 }
 
@@ -38,19 +38,19 @@
 	if len(order) != 3 || order[0] != 3 || order[1] != 2 || order[2] != 1 {
 		t.Errorf("%v", order)
 	}
-	if lines, peak := q.Waiting(); lines != 0 || peak != 2+3+2+3+2+3+2 {
+	if lines, peak := q.TotalQueued(); lines != 0 || peak != 2+3+2+3+2+3+2 {
 		t.Errorf("%v lines wait, %v did", lines, peak)
 	}
 }
 
 func TestAHeldProxyKeepsWhatItWaitsFor(t *testing.T) {
 	q := New(limits, false)
-	q.Hold(1)
+	q.Suspend(1)
 	q.Add(1, 1, 5, Urgent)
-	if got := drain(q, 1, 5); len(got) != 0 || !q.Urgent(1) {
+	if got := drain(q, 1, 5); len(got) != 0 || !q.IsUrgent(1) {
 		t.Errorf("%v was sent to", got)
 	}
-	q.Free(2, 1)
+	q.Resume(2, 1)
 	if got := drain(q, 2, 5); len(got) != 1 {
 		t.Errorf("%v", got)
 	}
@@ -95,14 +95,14 @@
 			switch rapid.IntRange(0, 5).Draw(rt, "what") {
 			case 0, 1:
 				n := float64(rapid.IntRange(1, 9).Draw(rt, "lines"))
-				q.Add(now, p, n, Turn(rapid.IntRange(0, 1).Draw(rt, "turn")))
+				q.Add(now, p, n, Priority(rapid.IntRange(0, 1).Draw(rt, "turn")))
 				waits[p] += n
 			case 2:
-				q.Hold(p)
+				q.Suspend(p)
 			case 3:
-				q.Free(now, p)
+				q.Resume(now, p)
 			case 4:
-				q.Leave(p)
+				q.Forget(p)
 				delete(waits, p)
 			default:
 				now += rapid.Float64Range(0, 0.3).Draw(rt, "seconds")
@@ -115,7 +115,7 @@
 						rt.Fatalf("proxy %d waits for nothing", p)
 					}
 					sent = append(sent, sending{now, waits[p] + l.MessageOverhead})
-					q.Sent(now, p, waits[p])
+					q.MarkSent(now, p, waits[p])
 					delete(waits, p)
 				}
 			}
@@ -123,7 +123,7 @@
 			for _, n := range waits {
 				sum += n + l.MessageOverhead
 			}
-			if got, _ := q.Waiting(); math.Abs(got-sum) > 1e-6 {
+			if got, _ := q.TotalQueued(); math.Abs(got-sum) > 1e-6 {
 				rt.Fatalf("%v lines wait, it says %v", sum, got)
 			}
 		}
