--- a/internal/core/saspsession/session.go
+++ b/internal/core/saspsession/session.go
@@ -204,7 +204,7 @@
 	delete(d.conns, c.id)
 	d.buffered -= len(c.buf)
 	for s := range c.servers {
-		d.fleet.Roll.ConnectionLost(now, s)
+		d.fleet.Registry.ConnectionLost(now, s)
 	}
 	b := d.balancers[c.uid]
 	if c.role != balancerRole || b == nil || b.conn != c {
@@ -215,7 +215,7 @@
 		d.drop(now, b, g)
 	}
 	if b.proxy != nil {
-		d.fleet.Leave(now, b.proxy)
+		d.fleet.Disconnect(now, b.proxy)
 		delete(d.byProxy, b.proxy.ID)
 	}
 	delete(d.balancers, c.uid)
@@ -229,7 +229,7 @@
 
 func (d *Desk) unvouch(now float64, b *loadBalancer, r *registration, s balancer.Server) {
 	if r.balancer && d.policy.Vouching {
-		_ = d.fleet.Roll.AdjustVouchers(now, s, d.zone(b), -1) // it is on the roll, so there is room
+		_ = d.fleet.Registry.AdjustVouchers(now, s, d.zone(b), -1) // it is on the roll, so there is room
 	}
 }
 
@@ -237,7 +237,7 @@
 	if b.proxy != nil {
 		return b.proxy.Zone
 	}
-	return d.fleet.Site().StrangerIn
+	return d.fleet.Site().UnlistedZone
 }
 
 // Taken takes the kernel's word of how many of the bytes sent on a connection the peer's host has.
@@ -248,8 +248,8 @@
 	}
 	c.taken = min(total, c.sent)
 	if b := d.balancers[c.uid]; c.role == balancerRole && b != nil && b.conn == c && b.proxy != nil &&
-		b.proxy.Away() && c.taken >= c.awayEnd {
-		d.fleet.Taken(now, b.proxy)
+		b.proxy.InFlight() && c.taken >= c.awayEnd {
+		d.fleet.MarkDelivered(now, b.proxy)
 	}
 }
 
@@ -312,7 +312,7 @@
 		return s
 	}
 	s := Name(a)
-	if _, ok := d.fleet.Roll.Find(s); ok {
+	if _, ok := d.fleet.Registry.Find(s); ok {
 		d.names[a], d.rows[s] = s, a
 	}
 	return s
@@ -343,7 +343,7 @@
 // Tick does what is due by time after a round of the fleet: connections that must go, and relays that are told by the
 // roll.
 func (d *Desk) Tick(now float64) {
-	if v := d.fleet.Roll.Version(); v != d.rolled {
+	if v := d.fleet.Registry.Version(); v != d.rolled {
 		d.rolled = v
 		d.refreshUntrusting(now)
 	}
@@ -361,7 +361,7 @@
 			continue
 		}
 		for _, g := range b.order {
-			d.fleet.Refresh(now, b.proxy, g.class, float64(len(g.order)))
+			d.fleet.ScheduleFull(now, b.proxy, g.class, float64(len(g.order)))
 		}
 	}
 }
@@ -397,7 +397,7 @@
 	}
 	if lines == 0 {
 		d.Counts.Skipped++
-		d.fleet.Nothing(now, b.proxy)
+		d.fleet.SkipUpdate(now, b.proxy)
 		return
 	}
 	d.pushID++
@@ -406,7 +406,7 @@
 	c := b.conn
 	if d.send(now, c, m); d.conns[c.id] == c {
 		c.awayEnd = c.sent
-		d.fleet.Sent(now, b.proxy, lines)
+		d.fleet.MarkSent(now, b.proxy, lines)
 	}
 }
 
@@ -431,7 +431,7 @@
 	}
 	if whole || !trusts || b.flags&sasp.NoChange == 0 {
 		full = true
-		lines, _ = d.fleet.Whole(b.proxy, g.class)
+		lines, _ = d.fleet.FullTable(b.proxy, g.class)
 	}
 	from := len(m.Rows)
 	d.zeros = d.zeros[:0]
@@ -450,13 +450,13 @@
 	for l := range lines {
 		r := g.members[l.Server]
 		// Of a whole table, removed lines count only for one that may have learnt them from us.
-		if r == nil && !trusts || l.Weight == 0 && full && (r != nil || !d.fleet.Told(b.proxy, g.class)) {
+		if r == nil && !trusts || l.Weight == 0 && full && (r != nil || !d.fleet.Notified(b.proxy, g.class)) {
 			continue
 		}
 		add(l.Server, r, l.Weight)
 	}
-	if trusts && d.fleet.Lapsed(b.proxy, g.class) {
-		for _, s := range d.fleet.Roll.KnownServers() {
+	if trusts && d.fleet.MayHoldStale(b.proxy, g.class) {
+		for _, s := range d.fleet.Registry.KnownServers() {
 			if g.members[s] == nil && d.fleet.Weight(b.proxy, g.class, s) == 0 {
 				add(s, nil, 0)
 			}
@@ -485,7 +485,7 @@
 func (d *Desk) fallback(m *sasp.Message) {
 	kept := d.zeros[:0]
 	for _, r := range d.zeros {
-		if phase, _ := d.fleet.Roll.Phase(d.server(r.Address)); phase == balancer.Ready && r.Flags&sasp.Quiesce == 0 {
+		if phase, _ := d.fleet.Registry.Phase(d.server(r.Address)); phase == balancer.Ready && r.Flags&sasp.Quiesce == 0 {
 			r.Weight = uint16(floorWeight * weightScale)
 			m.Rows = append(m.Rows, r)
 		} else {
@@ -500,8 +500,8 @@
 	if weight > 0 {
 		row.Weight = max(row.Weight, 1)
 	}
-	phase, _ := d.fleet.Roll.Phase(s)
-	if d.fleet.Roll.Registered(s) {
+	phase, _ := d.fleet.Registry.Phase(s)
+	if d.fleet.Registry.Registered(s) {
 		row.Flags |= sasp.Contact
 	}
 	if phase == balancer.Ready {
@@ -547,8 +547,8 @@
 		d.close(now, c, "it has not said who it is")
 	}
 	for _, b := range d.joined() {
-		if why := d.fleet.Late(now, b.proxy); why != "" {
-			d.fleet.Counts.Cut++
+		if why := d.fleet.DisconnectReason(now, b.proxy); why != "" {
+			d.fleet.Stats.Disconnected++
 			d.close(now, b.conn, why)
 		}
 	}
--- a/internal/core/saspsession/session_test.go
+++ b/internal/core/saspsession/session_test.go
@@ -72,23 +72,23 @@
 const usualServers = 6
 
 func testSite(without ...controlplane.Guard) controlplane.Site {
-	s := controlplane.Site{Seed: 1, Names: []string{"search", "introduce"}, Zones: []string{"a", "b"}, Strangers: true,
+	s := controlplane.Site{Seed: 1, ClassNames: []string{"search", "introduce"}, Zones: []string{"a", "b"}, AllowUnlisted: true,
 		Classes: []balancer.RequestClass{{PriorityWeight: 1, LatencyObjective: 1, ClientTimeout: 3},
 			{PriorityWeight: 3, LatencyObjective: 1, ClientTimeout: 3, Idempotency: balancer.Keyed, DedupScope: balancer.SameFailureDomain, DedupWindow: 5}},
-		Dataplane: balancer.DataPlane{Proxies: 8, Coordinators: 1, DefaultTableSize: 4, DefaultRetry: balancer.RetryIfNotExecuted},
+		DataPlane: balancer.DataPlane{Proxies: 8, Coordinators: 1, DefaultTableSize: 4, DefaultRetry: balancer.RetryIfNotExecuted},
 		Channel: balancer.Channel{EntriesPerSecond: 2000, MessageOverhead: 3, MaxQueued: 4000, MeanDelay: 0.01, MaxDelay: 0.2,
 			MaxMessages: 40, MessageWindow: 10},
 		Guarantees: balancer.Guarantees{DrainDeadline: 3, EmptyTableDeadline: 2, WarmupStartFraction: 0.2, WarmupDuration: 10, OverloadFactor: 3, OverloadWindow: 2},
-		Reporting:  balancer.Reporting{Period: 0.5}, Limits: controlplane.UsualLimits, Without: map[controlplane.Guard]bool{}}
+		Reporting:  balancer.Reporting{Period: 0.5}, Limits: controlplane.DefaultLimits, DisabledGuards: map[controlplane.Guard]bool{}}
 	for _, g := range without {
-		s.Without[g] = true
+		s.DisabledGuards[g] = true
 	}
 	for i := range usualServers {
 		s.Servers = append(s.Servers, registry.ServerConfig{Server: balancer.Server(address(i).String()), Zone: balancer.Zone(i % 2), Weight: 1,
 			Static: i < 4})
 	}
 	for i := range 500 {
-		s.Relays = append(s.Relays, controlplane.Relay{UID: fmt.Sprintf("r%d", i), Usual: 20})
+		s.Relays = append(s.Relays, controlplane.Relay{UID: fmt.Sprintf("r%d", i), ExpectedRate: 20})
 	}
 	return s
 }
@@ -176,9 +176,9 @@
 				p.desk.Taken(p.now, c, p.sent[c])
 			}
 		}
-		p.fleet.Round(p.now)
+		p.fleet.RunRound(p.now)
 		p.desk.Tick(p.now)
-		p.fleet.Push(p.now)
+		p.fleet.SendDue(p.now)
 	}
 }
 
@@ -195,7 +195,7 @@
 	p := usual(t)
 	c := p.relay("r1", wants, 0, 1)
 	p.pass(1)
-	if p.weights(c, "search") != 4 || p.weights(c, "introduce") != 4 || p.fleet.Holding() != 1 {
+	if p.weights(c, "search") != 4 || p.weights(c, "introduce") != 4 || p.fleet.UpToDate() != 1 {
 		t.Errorf("it holds %v", p.held[c])
 	}
 	if w := p.held[c]["search 10.0.0.0:80"]; w != 128*257 {
@@ -322,7 +322,7 @@
 	}
 	p.pass(1.5)
 	p.stuck[first] = true // it breaks in the middle of an update, unnoticed
-	p.desk.fleet.Roll.SetDrain(p.now, balancer.Server(address(1).String()), true)
+	p.desk.fleet.Registry.SetDrain(p.now, balancer.Server(address(1).String()), true)
 	p.pass(0.2)
 	third := p.relay("r1", wants, 0, 1, 2)
 	p.pass(1)
@@ -359,7 +359,7 @@
 // A relay takes nothing for ten seconds while drains and weights go on.
 func stall(t *testing.T, without ...controlplane.Guard) (p *peers, c Conn) {
 	site := testSite(without...)
-	site.Limits.StallFor = 30
+	site.Limits.StallTimeout = 30
 	p = start(t, site, UsualLimits, Policy{FleetUID: "fleet"})
 	c = p.relay("r1", wants, 0, 1, 2, 3)
 	p.pass(1)
@@ -367,7 +367,7 @@
 	p.stuck[c] = true
 	for i := range 100 {
 		s := balancer.Server(address(1 + i%3).String())
-		p.fleet.Roll.SetDrain(p.now, s, i/3%2 == 0)
+		p.fleet.Registry.SetDrain(p.now, s, i/3%2 == 0)
 		p.pass(0.1)
 	}
 	if p.pushes-before > 1 || p.sent[c]-sent > 600 {
@@ -383,7 +383,7 @@
 	}
 	p.stuck[c] = false
 	pushes := p.pushes
-	p.fleet.Roll.SetDrain(p.now, balancer.Server(address(2).String()), true)
+	p.fleet.Registry.SetDrain(p.now, balancer.Server(address(2).String()), true)
 	if p.pass(0.5); p.pushes-pushes > 3 {
 		t.Errorf("%d messages to catch up", p.pushes-pushes)
 	}
@@ -394,8 +394,8 @@
 
 func TestARelayThatDoesNotTakeADrainIsCutOff(t *testing.T) {
 	p, c := stall(t)
-	if !p.ended[c] || p.fleet.Counts.Overdue != 1 || !strings.Contains(strings.Join(p.log, "\n"), "a drain has waited") {
-		t.Errorf("cut: %t, %+v, %q", p.ended[c], p.fleet.Counts, p.log)
+	if !p.ended[c] || p.fleet.Stats.Overdue != 1 || !strings.Contains(strings.Join(p.log, "\n"), "a drain has waited") {
+		t.Errorf("cut: %t, %+v, %q", p.ended[c], p.fleet.Stats, p.log)
 	}
 }
 
@@ -406,7 +406,7 @@
 	if p.pass(UsualLimits.Silent); p.ended[c] {
 		t.Fatalf("too early: %q", p.log)
 	}
-	if p.pass(1.5); !p.ended[c] || p.fleet.Counts.Stalled != 1 {
+	if p.pass(1.5); !p.ended[c] || p.fleet.Stats.Stalled != 1 {
 		t.Errorf("cut: %t, %q", p.ended[c], p.log)
 	}
 }
@@ -415,7 +415,7 @@
 func TestAMassOfRelaysIsPaced(t *testing.T) {
 	for _, without := range [][]controlplane.Guard{nil, {controlplane.GuardPace}} {
 		site := testSite(without...)
-		site.Dataplane.Proxies, site.Channel.EntriesPerSecond, site.Channel.MaxQueued = 460, 4000, 9000
+		site.DataPlane.Proxies, site.Channel.EntriesPerSecond, site.Channel.MaxQueued = 460, 4000, 9000
 		p := start(t, site, UsualLimits, Policy{FleetUID: "fleet"})
 		var conns []Conn
 		for i := range 460 {
@@ -425,7 +425,7 @@
 		most, last := 0.0, p.lines
 		for i := range 125 {
 			if p.pass(0.04); i == 10 {
-				p.fleet.Roll.SetDrain(p.now, balancer.Server(address(1).String()), true)
+				p.fleet.Registry.SetDrain(p.now, balancer.Server(address(1).String()), true)
 			}
 			most, last = max(most, p.lines-last), p.lines
 		}
@@ -435,8 +435,8 @@
 			}
 			continue
 		}
-		if p.fleet.Holding() != 460 || most > 400 {
-			t.Errorf("%d hold the newest tables after 5 s; up to %v lines at once", p.fleet.Holding(), most)
+		if p.fleet.UpToDate() != 460 || most > 400 {
+			t.Errorf("%d hold the newest tables after 5 s; up to %v lines at once", p.fleet.UpToDate(), most)
 		}
 		for _, c := range conns {
 			if p.held[c]["search 10.0.0.1:80"] != 0 {
@@ -491,7 +491,7 @@
 		t.Errorf("%d connections stand", n)
 	}
 	p.pass(UsualLimits.Silent + 1)
-	if n, _ := p.desk.Connections(); n != 1 || p.ended[good] || p.fleet.Holding() != 1 {
+	if n, _ := p.desk.Connections(); n != 1 || p.ended[good] || p.fleet.UpToDate() != 1 {
 		t.Errorf("%d connections are left; the good one is closed: %t", n, p.ended[good])
 	}
 	odd := frame(message(sasp.Registration, 1, "r1/search", 2))
@@ -519,7 +519,7 @@
 		t.Errorf("it is to ask again after %d s", reply.Interval)
 	}
 	p.pass(0.2)
-	p.fleet.Roll.SetDrain(p.now, balancer.Server(address(1).String()), true)
+	p.fleet.Registry.SetDrain(p.now, balancer.Server(address(1).String()), true)
 	if p.pass(1.5); p.ended[c] {
 		t.Errorf("cut off before it should ask: %q", p.log)
 	}
@@ -537,15 +537,15 @@
 		s, tries := balancer.Server(address(1).String()), 0.0
 		report := func(clock float64) {
 			tries += 5
-			p.fleet.Measured(p.now, clock, "r1", s, loadreport.Totals{Tries: tries})
-			p.fleet.Measured(p.now, clock, "nobody", s, loadreport.Totals{Tries: tries})
-			p.fleet.Measured(p.now, clock, "r1", "10.9.9.9:1", loadreport.Totals{Tries: tries})
+			p.fleet.ReportUpstream(p.now, clock, "r1", s, loadreport.Totals{Attempts: tries})
+			p.fleet.ReportUpstream(p.now, clock, "nobody", s, loadreport.Totals{Attempts: tries})
+			p.fleet.ReportUpstream(p.now, clock, "r1", "10.9.9.9:1", loadreport.Totals{Attempts: tries})
 		}
 		for range 6 {
 			p.pass(0.5)
 			report(p.now - 500) // its clock is another
 		}
-		p.fleet.Roll.SetDrain(p.now, s, true)
+		p.fleet.Registry.SetDrain(p.now, s, true)
 		drained := p.now
 		for p.now < drained+3 {
 			p.pass(0.5)
@@ -556,8 +556,8 @@
 		if p.ended[c] != (late == 0) {
 			t.Errorf("reports %v s late: cut off %t, %q", late, p.ended[c], p.log)
 		}
-		if p.fleet.Counts.UnknownRelay == 0 || p.fleet.Counts.UnknownServer == 0 {
-			t.Errorf("strangers were not counted: %+v", p.fleet.Counts)
+		if p.fleet.Stats.UnknownRelay == 0 || p.fleet.Stats.UnknownServer == 0 {
+			t.Errorf("strangers were not counted: %+v", p.fleet.Stats)
 		}
 	}
 }
@@ -598,11 +598,11 @@
 					}
 				}
 			case 4:
-				p.fleet.Roll.SetDrain(p.now, balancer.Server(address(s).String()), rapid.Bool().Draw(rt, "on"))
+				p.fleet.Registry.SetDrain(p.now, balancer.Server(address(s).String()), rapid.Bool().Draw(rt, "on"))
 			case 5:
-				_ = p.fleet.Roll.Register(p.now, balancer.Server(address(4+s%2).String()), 0)
+				_ = p.fleet.Registry.Register(p.now, balancer.Server(address(4+s%2).String()), 0)
 			case 6:
-				p.fleet.Roll.Deregister(p.now, balancer.Server(address(4+s%2).String()))
+				p.fleet.Registry.Deregister(p.now, balancer.Server(address(4+s%2).String()))
 			case 7:
 				if c, ok := alive(i); ok {
 					p.stuck[c] = !p.stuck[c]
--- a/internal/core/saspsession/speak.go
+++ b/internal/core/saspsession/speak.go
@@ -99,14 +99,14 @@
 	p, err := d.fleet.Join(now, b.uid, d, true)
 	if err != nil {
 		d.out.Say("relay refused", "uid", b.uid, "error", err)
-		if errors.Is(err, controlplane.ErrElsewhere) {
+		if errors.Is(err, controlplane.ErrWrongCoordinator) {
 			d.close(now, b.conn, "another coordinator leads this relay") // it dials another one
-		} else if errors.Is(err, controlplane.ErrOften) {
+		} else if errors.Is(err, controlplane.ErrJoinRateExceeded) {
 			d.close(now, b.conn, "it joins too often") // it dials again in a while
 		}
 		return sasp.NotAccepted
 	}
-	b.proxy, p.Pulls = p, b.flags&sasp.Push == 0
+	b.proxy, p.Polls = p, b.flags&sasp.Push == 0
 	d.byProxy[p.ID] = b
 	return sasp.OK
 }
@@ -119,11 +119,11 @@
 	before := b.flags
 	b.flags, b.health = m.Flags, m.Health
 	if b.proxy != nil && (before^b.flags)&sasp.Push != 0 {
-		d.fleet.SetPulls(now, b.proxy, b.flags&sasp.Push == 0)
+		d.fleet.SetPolling(now, b.proxy, b.flags&sasp.Push == 0)
 	}
 	if b.proxy != nil && (before^b.flags)&sasp.Trust != 0 { // other rows from now on
 		for _, g := range b.order {
-			d.fleet.Refresh(now, b.proxy, g.class, float64(len(g.order)))
+			d.fleet.ScheduleFull(now, b.proxy, g.class, float64(len(g.order)))
 		}
 	}
 	return sasp.OK
@@ -203,7 +203,7 @@
 		if !d.policy.AnyAgent && r.AddrPort().Addr() != c.from {
 			return sasp.NotAccepted // it speaks for somebody else
 		}
-		if rec, ok := d.fleet.Roll.Find(d.server(r.Address)); !d.policy.NewOnes && (!ok || rec.Server == "") {
+		if rec, ok := d.fleet.Registry.Find(d.server(r.Address)); !d.policy.NewOnes && (!ok || rec.Server == "") {
 			return sasp.NotAccepted
 		}
 	}
@@ -289,21 +289,21 @@
 	for _, r := range m.Rows[g.From:g.To] {
 		s := d.server(r.Address)
 		if d.policy.Vouching {
-			if err := d.fleet.Roll.AdjustVouchers(now, s, d.zone(b), 1); err != nil {
+			if err := d.fleet.Registry.AdjustVouchers(now, s, d.zone(b), 1); err != nil {
 				d.out.Say("server refused", "server", s, "error", err)
 				return sasp.NotAccepted
 			}
 		}
 		to.add(s, r).balancer = true
 	}
-	d.fleet.Refresh(now, b.proxy, class, float64(len(to.order)+1))
+	d.fleet.ScheduleFull(now, b.proxy, class, float64(len(to.order)+1))
 	return sasp.OK
 }
 
 func (d *Desk) registerItself(now float64, c *conn, g sasp.Group, r sasp.Row) sasp.Code {
 	s := d.server(r.Address)
 	if c.servers[s] == 0 {
-		if err := d.fleet.Roll.Register(now, s, d.fleet.Site().StrangerIn); err != nil {
+		if err := d.fleet.Registry.Register(now, s, d.fleet.Site().UnlistedZone); err != nil {
 			d.out.Say("server refused", "server", s, "error", err)
 			return sasp.NotAccepted
 		}
@@ -321,7 +321,7 @@
 		}
 		to.add(s, r).itself = true
 		if b.proxy != nil {
-			d.fleet.Refresh(now, b.proxy, class, 1)
+			d.fleet.ScheduleFull(now, b.proxy, class, 1)
 		}
 	}
 	return sasp.OK
@@ -331,7 +331,7 @@
 // outlives their absence.
 func (d *Desk) present(m *sasp.Message, drained bool) bool {
 	for _, r := range m.Rows {
-		rec, ok := d.fleet.Roll.Find(d.server(r.Address))
+		rec, ok := d.fleet.Registry.Find(d.server(r.Address))
 		if !ok || rec.Phase == balancer.Removed && !(drained && rec.DrainOrdered) {
 			return false
 		}
@@ -352,10 +352,10 @@
 		for _, r := range m.Rows {
 			s := d.server(r.Address)
 			delete(c.servers, s)
-			if rec, _ := d.fleet.Roll.Find(s); rec.DrainOrdered { // it ends everywhere; if it can't be said, the next one to look says so
+			if rec, _ := d.fleet.Registry.Find(s); rec.DrainOrdered { // it ends everywhere; if it can't be said, the next one to look says so
 				_, _ = d.out.Drain(now, s, false)
 			}
-			d.fleet.Roll.Deregister(now, s)
+			d.fleet.Registry.Deregister(now, s)
 		}
 		return sasp.OK
 	}
@@ -394,11 +394,11 @@
 			}
 		}
 		if b.proxy != nil {
-			d.fleet.Refresh(now, b.proxy, old.class, float64(len(old.order)+1))
+			d.fleet.ScheduleFull(now, b.proxy, old.class, float64(len(old.order)+1))
 		}
 	}
 	if len(b.order) == 0 && b.proxy != nil {
-		d.fleet.Leave(now, b.proxy)
+		d.fleet.Disconnect(now, b.proxy)
 		delete(d.byProxy, b.proxy.ID)
 		b.proxy = nil
 	}
@@ -442,7 +442,7 @@
 		case !ok:
 			t.wrong = true
 		case ticket == 0:
-			d.fleet.Roll.SetDrain(now, s, on)
+			d.fleet.Registry.SetDrain(now, s, on)
 		default:
 			t.left++
 			d.waiting[ticket] = t
@@ -500,7 +500,7 @@
 			x := old.members[d.server(r.Address)]
 			x.quiet, x.opaque = r.Flags&sasp.Quiesce != 0, r.Opaque
 		}
-		d.fleet.Refresh(now, b.proxy, old.class, float64(g.To-g.From))
+		d.fleet.ScheduleFull(now, b.proxy, old.class, float64(g.To-g.From))
 	}
 	return sasp.OK
 }
@@ -525,12 +525,12 @@
 			lines += d.render(now, reply, b, g, true)
 		}
 	}
-	promise := d.fleet.Site().Guarantees.DrainDeadline * d.fleet.Site().Limits.DrainPart
+	promise := d.fleet.Site().Guarantees.DrainDeadline * d.fleet.Site().Limits.DrainFraction
 	reply.Interval = uint16(min(max(math.Floor(promise*askInterval), 1), math.MaxUint16))
 	d.send(now, c, reply)
 	if d.conns[c.id] == c && asked == len(b.order) && b.proxy != nil {
 		c.awayEnd = c.sent
-		d.fleet.Sent(now, b.proxy, lines)
+		d.fleet.MarkSent(now, b.proxy, lines)
 	}
 }
 
--- a/internal/core/tablecheck/guard.go
+++ b/internal/core/tablecheck/guard.go
@@ -19,114 +19,114 @@
 
 // Server as the guard sees it.
 type Server struct {
-	Zone     balancer.Zone
-	Pool     string // whose stated capacity it adds to; empty: none
-	Phase    balancer.Phase
-	Cold     bool
-	Capacity float64 // queries a second when it is warm; 0: none is stated
+	Zone      balancer.Zone
+	Pool      string // whose stated capacity it adds to; empty: none
+	Phase     balancer.Phase
+	WarmingUp bool
+	Capacity  float64 // queries a second when it is warm; 0: none is stated
 }
 
 // Table is what proxies pick by for one class: weights above 0. Proxies that share one share the pointer: it is looked at
 // once.
-type Table struct{ Lines map[balancer.Server]float64 }
+type Table struct{ Weights map[balancer.Server]float64 }
 
 // Proxy is one proxy's class.
 type Proxy struct {
 	UID    string
 	Class  balancer.Class
 	Demand float64  // queries a second
-	States []*Table // it may hold any of these: what is proposed, what it was known to hold, what is on its way
+	Tables []*Table // it may hold any of these: what is proposed, what it was known to hold, what is on its way
 }
 
-// Site is all that is looked at together.
-type Site struct {
-	Servers   map[balancer.Server]Server
-	Proxies   []Proxy
-	ColdShare float64 // of its capacity, that a cold server can take
-	LoseZone  bool    // each zone is to be missing once
-	Filled    float64 // part of a pool's capacity that may be used; 0: all of it
+// Snapshot is all that is looked at together.
+type Snapshot struct {
+	Servers        map[balancer.Server]Server
+	Proxies        []Proxy
+	WarmupFraction float64 // of its capacity, that a cold server can take
+	LoseZone       bool    // each zone is to be missing once
+	MaxUtilization float64 // part of a pool's capacity that may be used; 0: all of it
 }
 
-// Harm says what is wrong with tables.
-type Harm int
+// Violation says what is wrong with tables.
+type Violation int
 
 const (
-	Bare    Harm = iota + 1 // a proxy would have no open, warm server for a class
-	Drained                 // a proposed table has a line to a server that drains or is gone
-	Loaded                  // a pool would be sent more than it can take
-	Unknown                 // a table names a server that is not on the roll, or a weight that is no weight
+	EmptyTable     Violation = iota + 1 // a proxy would have no open, warm server for a class
+	DrainingServer                      // a proposed table has a line to a server that drains or is gone
+	Overload                            // a pool would be sent more than it can take
+	UnknownServer                       // a table names a server that is not on the roll, or a weight that is no weight
 )
 
-// Reason why tables are refused.
-type Reason struct {
-	Harm   Harm
-	UID    string // of Bare, Drained and Unknown
-	Class  balancer.Class
-	Server balancer.Server // of Drained and Unknown
-	Pool   string          // of Loaded
-	Lost   balancer.Zone   // the zone that is lost; -1: none
-	Load   float64         // of Loaded: queries a second at worst
-	Room   float64         // and what it can take
+// Finding why tables are refused.
+type Finding struct {
+	Violation Violation
+	UID       string // of Bare, Drained and Unknown
+	Class     balancer.Class
+	Server    balancer.Server // of Drained and Unknown
+	Pool      string          // of Loaded
+	LostZone  balancer.Zone   // the zone that is lost; -1: none
+	Load      float64         // of Loaded: queries a second at worst
+	Capacity  float64         // and what it can take
 }
 
-func (r Reason) String() string {
+func (r Finding) String() string {
 	lost := ""
-	if r.Lost >= 0 {
-		lost = fmt.Sprintf(", with zone %d lost", r.Lost)
+	if r.LostZone >= 0 {
+		lost = fmt.Sprintf(", with zone %d lost", r.LostZone)
 	}
-	switch r.Harm {
-	case Bare:
+	switch r.Violation {
+	case EmptyTable:
 		return fmt.Sprintf("proxy %q could have no open, warm server for class %d%s", r.UID, r.Class, lost)
-	case Drained:
+	case DrainingServer:
 		return fmt.Sprintf("proxy %q would send class %d to %s, which takes none", r.UID, r.Class, r.Server)
-	case Unknown:
+	case UnknownServer:
 		return fmt.Sprintf("the table of proxy %q for class %d names %s, which is not known, or with a weight that is none", r.UID, r.Class, r.Server)
 	}
-	return fmt.Sprintf("pool %q could be sent %.1f queries a second and can take %.1f%s", r.Pool, r.Load, r.Room, lost)
+	return fmt.Sprintf("pool %q could be sent %.1f queries a second and can take %.1f%s", r.Pool, r.Load, r.Capacity, lost)
 }
 
 // Order of reasons by what is worst; docs/design.md tells which rule gives way where not all can be kept.
-func (r Reason) order() int { return int(r.Harm) }
+func (r Finding) order() int { return int(r.Violation) }
 
 // NoZone is lost.
 const NoZone = balancer.Zone(-1)
 
 // Check is why the first states of all proxies, which are those that are proposed, must not be published; none if they may.
 // Reasons are in an order that is the same in every run, the worst first.
-func (s *Site) Check() (reasons []Reason) {
+func (s *Snapshot) Check() (reasons []Finding) {
 	for _, p := range s.Proxies {
-		if len(p.States) > 0 {
+		if len(p.Tables) > 0 {
 			reasons = append(reasons, s.proposed(p)...)
 		}
 	}
 	if len(reasons) == 0 { // what follows from lines that make no sense says nothing
 		reasons = s.worlds()
 	}
-	slices.SortStableFunc(reasons, func(a, b Reason) int {
-		return cmp.Or(cmp.Compare(a.order(), b.order()), cmp.Compare(a.Lost, b.Lost), cmp.Compare(a.Pool, b.Pool),
+	slices.SortStableFunc(reasons, func(a, b Finding) int {
+		return cmp.Or(cmp.Compare(a.order(), b.order()), cmp.Compare(a.LostZone, b.LostZone), cmp.Compare(a.Pool, b.Pool),
 			cmp.Compare(a.UID, b.UID), cmp.Compare(a.Class, b.Class), cmp.Compare(a.Server, b.Server))
 	})
 	return reasons
 }
 
 // proposed looks at the lines of a table that is to be published.
-func (s *Site) proposed(p Proxy) (reasons []Reason) {
-	lines := p.States[0].Lines
+func (s *Snapshot) proposed(p Proxy) (reasons []Finding) {
+	lines := p.Tables[0].Weights
 	for _, name := range slices.Sorted(maps.Keys(lines)) {
 		w := lines[name]
 		v, known := s.Servers[name]
 		switch {
 		case !known || !(w > 0) || math.IsInf(w, 0):
-			reasons = append(reasons, Reason{Harm: Unknown, UID: p.UID, Class: p.Class, Server: name, Lost: NoZone})
+			reasons = append(reasons, Finding{Violation: UnknownServer, UID: p.UID, Class: p.Class, Server: name, LostZone: NoZone})
 		case v.Phase != balancer.Ready:
-			reasons = append(reasons, Reason{Harm: Drained, UID: p.UID, Class: p.Class, Server: name, Lost: NoZone})
+			reasons = append(reasons, Finding{Violation: DrainingServer, UID: p.UID, Class: p.Class, Server: name, LostZone: NoZone})
 		}
 	}
 	return reasons
 }
 
 // worlds looks at the site as it is, and with each zone lost.
-func (s *Site) worlds() (reasons []Reason) {
+func (s *Snapshot) worlds() (reasons []Finding) {
 	lost := []balancer.Zone{NoZone}
 	if s.LoseZone {
 		zones := map[balancer.Zone]bool{}
@@ -145,7 +145,7 @@
 
 // world is the site with one zone lost, or none.
 type world struct {
-	site *Site
+	site *Snapshot
 	lost balancer.Zone
 	seen map[*Table]*view
 }
@@ -171,25 +171,25 @@
 	x = &view{shares: map[string]float64{}}
 	w.seen[t] = x
 	sum := 0.0
-	names := slices.Sorted(maps.Keys(t.Lines)) // sums must not depend on the order of a map
+	names := slices.Sorted(maps.Keys(t.Weights)) // sums must not depend on the order of a map
 	for _, name := range names {
 		if v, ok := w.open(name); ok {
-			sum += t.Lines[name]
-			x.well = x.well || v.Phase == balancer.Ready && !v.Cold && t.Lines[name] > 0
+			sum += t.Weights[name]
+			x.well = x.well || v.Phase == balancer.Ready && !v.WarmingUp && t.Weights[name] > 0
 		}
 	}
 	for _, name := range names {
 		if v, ok := w.open(name); ok && v.Pool != "" && sum > 0 {
-			x.shares[v.Pool] += t.Lines[name] / sum
+			x.shares[v.Pool] += t.Weights[name] / sum
 		}
 	}
 	return x
 }
 
-func (w *world) bare() (reasons []Reason) {
+func (w *world) bare() (reasons []Finding) {
 	for _, p := range w.site.Proxies {
-		if slices.ContainsFunc(p.States, func(t *Table) bool { return !w.view(t).well }) {
-			reasons = append(reasons, Reason{Harm: Bare, UID: p.UID, Class: p.Class, Lost: w.lost})
+		if slices.ContainsFunc(p.Tables, func(t *Table) bool { return !w.view(t).well }) {
+			reasons = append(reasons, Finding{Violation: EmptyTable, UID: p.UID, Class: p.Class, LostZone: w.lost})
 		}
 	}
 	return reasons
@@ -206,17 +206,17 @@
 			continue
 		}
 		part := 1.0
-		if v.Cold {
-			part = s.ColdShare
+		if v.WarmingUp {
+			part = s.WarmupFraction
 		}
 		if !ok {
 			part = 0
 		}
 		room[s.Servers[name].Pool] += s.Servers[name].Capacity * part
 	}
-	if s.Filled > 0 {
+	if s.MaxUtilization > 0 {
 		for pool := range room {
-			room[pool] *= s.Filled
+			room[pool] *= s.MaxUtilization
 		}
 	}
 	return room
@@ -224,13 +224,13 @@
 
 const slack = 1e-9 // part by which sums of weights may be rounded
 
-func (w *world) loaded() (reasons []Reason) {
+func (w *world) loaded() (reasons []Finding) {
 	room := w.room()
 	load := make(map[string]float64, len(room))
 	worst := map[string]float64{}
 	for _, p := range w.site.Proxies {
 		clear(worst)
-		for _, t := range p.States {
+		for _, t := range p.Tables {
 			for pool, share := range w.view(t).shares {
 				worst[pool] = max(worst[pool], share)
 			}
@@ -241,7 +241,7 @@
 	}
 	for pool, l := range load {
 		if r := room[pool]; l > r*(1+slack)+slack {
-			reasons = append(reasons, Reason{Harm: Loaded, Pool: pool, Lost: w.lost, Load: l, Room: r})
+			reasons = append(reasons, Finding{Violation: Overload, Pool: pool, LostZone: w.lost, Load: l, Capacity: r})
 		}
 	}
 	return reasons
--- a/internal/core/tables/tables.go
+++ b/internal/core/tables/tables.go
@@ -15,32 +15,32 @@
 // Version of a table: it grows by one with every change.
 type Version uint64
 
-// Line of a table. A weight of 0 means that it was removed.
-type Line struct {
+// Entry of a table. A weight of 0 means that it was removed.
+type Entry struct {
 	Server       balancer.Server
 	Weight       float64
 	Changed      Version
-	At           float64 // clock time of that change
-	older, newer *Line
+	ChangedAt    float64 // clock time of that change
+	older, newer *Entry
 }
 
-// Level is what a table orders of one class besides lines.
-type Level struct {
+// Admission is what a table orders of one class besides lines.
+type Admission struct {
 	Class   balancer.Class
-	Level   float64
-	Again   balancer.RetryPolicy
+	Rate    float64
+	Retry   balancer.RetryPolicy
 	Changed Version
 }
 
 // Table of one number. The zero value is an empty one.
 type Table struct {
-	lines   map[balancer.Server]*Line
-	newest  *Line
-	oldest  *Line
+	lines   map[balancer.Server]*Entry
+	newest  *Entry
+	oldest  *Entry
 	version Version
 	since   Version // changes from before it may be missing
 	live    int
-	levels  []Level
+	levels  []Admission
 }
 
 // Set gives a line a weight at a clock time; 0 removes it. It reports whether that is a change.
@@ -51,9 +51,9 @@
 	}
 	if l == nil {
 		if t.lines == nil {
-			t.lines = map[balancer.Server]*Line{}
+			t.lines = map[balancer.Server]*Entry{}
 		}
-		l = &Line{Server: s}
+		l = &Entry{Server: s}
 		t.lines[s] = l
 	} else {
 		t.unlink(l)
@@ -65,7 +65,7 @@
 		t.live--
 	}
 	t.version++
-	l.At = now
+	l.ChangedAt = now
 	l.Weight, l.Changed, l.older, l.newer = weight, t.version, t.newest, nil
 	if t.newest != nil {
 		t.newest.newer = l
@@ -77,7 +77,7 @@
 	return true
 }
 
-func (t *Table) unlink(l *Line) {
+func (t *Table) unlink(l *Entry) {
 	if l.older != nil {
 		l.older.newer = l.newer
 	} else {
@@ -103,36 +103,36 @@
 	}
 }
 
-// SetLevel orders a level and a way of repeating for a class. It reports whether that is a change.
-func (t *Table) SetLevel(c balancer.Class, level float64, again balancer.RetryPolicy) bool {
+// SetAdmission orders a level and a way of repeating for a class. It reports whether that is a change.
+func (t *Table) SetAdmission(c balancer.Class, level float64, again balancer.RetryPolicy) bool {
 	for i := range t.levels {
 		if l := &t.levels[i]; l.Class == c {
-			if l.Level == level && l.Again == again {
+			if l.Rate == level && l.Retry == again {
 				return false
 			}
 			t.version++
-			*l = Level{c, level, again, t.version}
+			*l = Admission{c, level, again, t.version}
 			return true
 		}
 	}
 	t.version++
-	t.levels = append(t.levels, Level{c, level, again, t.version})
+	t.levels = append(t.levels, Admission{c, level, again, t.version})
 	return true
 }
 
-// Levels of the table, in the order in which classes were first ordered.
-func (t *Table) Levels() []Level { return t.levels }
+// Admissions of the table, in the order in which classes were first ordered.
+func (t *Table) Admissions() []Admission { return t.levels }
 
 // Version of the newest change; 0: there was none yet.
 func (t *Table) Version() Version { return t.version }
 
-// Reaches tells whether all that changed after v is still known, so that v can be brought up to date by a delta.
-func (t *Table) Reaches(v Version) bool { return v >= t.since && v <= t.version }
+// CanDelta tells whether all that changed after v is still known, so that v can be brought up to date by a delta.
+func (t *Table) CanDelta(v Version) bool { return v >= t.since && v <= t.version }
 
-// Removed is when a server's line was removed; ok is false where it has one, or none is remembered.
-func (t *Table) Removed(s balancer.Server) (at float64, ok bool) {
+// RemovedAt is when a server's line was removed; ok is false where it has one, or none is remembered.
+func (t *Table) RemovedAt(s balancer.Server) (at float64, ok bool) {
 	if l := t.lines[s]; l != nil && l.Weight == 0 {
-		return l.At, true
+		return l.ChangedAt, true
 	}
 	return 0, false
 }
@@ -148,13 +148,13 @@
 // Len is the number of lines with a weight.
 func (t *Table) Len() int { return t.live }
 
-// Remembered is the number of lines, those among them that were removed and are not forgotten.
-func (t *Table) Remembered() int { return len(t.lines) }
+// TotalLen is the number of lines, those among them that were removed and are not forgotten.
+func (t *Table) TotalLen() int { return len(t.lines) }
 
-// HasUpTo tells whether a line with a weight last changed at v or before: whoever is brought up to v only, holds one.
-func (t *Table) HasUpTo(v Version) bool {
+// HasEntryUpTo tells whether a line with a weight last changed at v or before: whoever is brought up to v only, holds one.
+func (t *Table) HasEntryUpTo(v Version) bool {
 	newer := 0
-	for l := range t.Since(v) {
+	for l := range t.ChangedSince(v) {
 		if l.Weight > 0 {
 			newer++
 		}
@@ -162,10 +162,10 @@
 	return t.live > newer
 }
 
-// Between yields the lines that last changed after v and up to a version, newest first.
-func (t *Table) Between(v, to Version) iter.Seq[*Line] {
-	return func(yield func(*Line) bool) {
-		for l := range t.Since(v) {
+// ChangedBetween yields the lines that last changed after v and up to a version, newest first.
+func (t *Table) ChangedBetween(v, to Version) iter.Seq[*Entry] {
+	return func(yield func(*Entry) bool) {
+		for l := range t.ChangedSince(v) {
 			if l.Changed <= to && !yield(l) {
 				return
 			}
@@ -173,10 +173,10 @@
 	}
 }
 
-// Since yields all lines changed after v, newest first, each once however often it moved; removed ones have no
+// ChangedSince yields all lines changed after v, newest first, each once however often it moved; removed ones have no
 // weight. The cost is that of what changed.
-func (t *Table) Since(v Version) iter.Seq[*Line] {
-	return func(yield func(*Line) bool) {
+func (t *Table) ChangedSince(v Version) iter.Seq[*Entry] {
+	return func(yield func(*Entry) bool) {
 		for l := t.newest; l != nil && l.Changed > v; l = l.older {
 			if !yield(l) {
 				return
--- a/internal/core/tables/tables_test.go
+++ b/internal/core/tables/tables_test.go
@@ -43,11 +43,11 @@
 			rt.Fatalf("%d lines of %d are kept, %d are live", len(table.lines), len(plain), table.Len())
 		}
 		for _, c := range append(copies, copy{0, map[balancer.Server]float64{}}) {
-			if !table.Reaches(c.at) {
+			if !table.CanDelta(c.at) {
 				continue
 			}
 			seen, last := map[balancer.Server]bool{}, table.Version()+1
-			for l := range table.Since(c.at) {
+			for l := range table.ChangedSince(c.at) {
 				if seen[l.Server] || l.Changed >= last {
 					rt.Fatalf("%s twice, or out of order", l.Server)
 				}
@@ -60,7 +60,7 @@
 				rt.Fatalf("from version %d: %v, want %v", c.at, c.lines, plain)
 			}
 		}
-		if table.Reaches(table.Version() + 1) {
+		if table.CanDelta(table.Version() + 1) {
 			rt.Fatal("a version of the future is reached")
 		}
 	})
@@ -79,7 +79,7 @@
 	v := t.Version() - 1
 	b.Run("since", func(b *testing.B) {
 		for b.Loop() {
-			for l := range t.Since(v) {
+			for l := range t.ChangedSince(v) {
 				_ = l
 			}
 		}
--- a/internal/core/tenancy/entry.go
+++ b/internal/core/tenancy/entry.go
@@ -113,7 +113,7 @@
 	buffered  int
 	gates     map[Name]*gate
 	of        map[Conn]Name
-	comes     *fairshare.Shares
+	comes     *fairshare.Allocator
 	Rejected  map[RejectReason]int
 }
 
@@ -123,7 +123,7 @@
 // NewConnectionRouter makes an entry.
 func NewConnectionRouter(now float64, l RouterLimits, speakers map[Frontend]IdentityParser) *ConnectionRouter {
 	return &ConnectionRouter{limits: l, speakers: speakers, strangers: map[Conn]*stranger{}, ofNet: map[netip.Prefix]int{}, gates: map[Name]*gate{}, of: map[Conn]Name{},
-		comes:    fairshare.New(now, fairshare.Terms{Rate: l.AcceptRate, Burst: l.AcceptBurst, Own: 1, Tenants: l.MaxTenants, Lately: 0.1}),
+		comes:    fairshare.New(now, fairshare.Config{Rate: l.AcceptRate, Burst: l.AcceptBurst, BucketSeconds: 1, MaxTenants: l.MaxTenants, RecentWindow: 0.1}),
 		Rejected: map[RejectReason]int{}}
 }
 
--- a/internal/core/timingwheel/wheel.go
+++ b/internal/core/timingwheel/wheel.go
@@ -17,7 +17,7 @@
 	due        uint64 // tick; 0: not set
 	slot       *list[T]
 	level, at  int
-	Of         T
+	Value      T
 }
 
 // Set tells whether the timer waits in a wheel.
@@ -120,7 +120,7 @@
 		for l.head != nil && l.head.due <= w.now {
 			t := l.head
 			w.Cancel(t)
-			fire(t.Of)
+			fire(t.Value)
 		}
 	}
 }
--- a/internal/core/timingwheel/wheel_test.go
+++ b/internal/core/timingwheel/wheel_test.go
@@ -22,7 +22,7 @@
 		w := New[int](now, tick)
 		timers, plain := make([]Timer[int], 40), map[int]float64{}
 		for i := range timers {
-			timers[i].Of = i
+			timers[i].Value = i
 		}
 		for range rapid.IntRange(1, 60).Draw(rt, "steps") {
 			i := rapid.IntRange(0, len(timers)-1).Draw(rt, "timer")
--- a/internal/emulator/flood.go
+++ b/internal/emulator/flood.go
@@ -69,7 +69,7 @@
 		}
 		p := collectd.NewPacker(now, host, user, key, func(b []byte) { f.io.Datagram(f.Collect, b) })
 		for i := range 20 {
-			p.Traffic(f.Server.String(), loadreport.Totals{Tries: float64(i * 1000), Lost: float64(i * 900), Seconds: 1e6})
+			p.Traffic(f.Server.String(), loadreport.Totals{Attempts: float64(i * 1000), Failed: float64(i * 900), Seconds: 1e6})
 		}
 		p.Flush()
 	case len(f.conns) > 0:
--- a/internal/emulator/relay.go
+++ b/internal/emulator/relay.go
@@ -489,7 +489,7 @@
 
 // enter lets a query in, or refuses it at once.
 func (r *Relay) enter(now float64, q *query) {
-	r.demand[q.class].Tries++
+	r.demand[q.class].Attempts++
 	if r.chance.float() >= r.levels[q.class] {
 		r.anew(now, q)
 		return
@@ -587,7 +587,7 @@
 	r.nextTry++
 	x := &try{query: q, number: r.nextTry, server: a, sent: now}
 	r.tries[x.number], r.byID[q.id] = x, x
-	t.totals.Tries++
+	t.totals.Attempts++
 	t.under++
 	r.ref.try(now, r.UID, a)
 	r.io.SetTimer(now+r.Classes[q.class].Query.LatencyObjective, x.number)
@@ -629,7 +629,7 @@
 		}
 		return
 	}
-	t.totals.Lost++
+	t.totals.Failed++
 	if t.failures++; r.EjectAfter > 0 && t.failures >= r.EjectAfter {
 		t.failures, t.avoid = 0, now+r.EjectFor
 	}
@@ -643,7 +643,7 @@
 }
 
 func (r *Relay) lost(now float64, q *query) {
-	r.demand[q.class].Lost++
+	r.demand[q.class].Failed++
 	r.anew(now, q)
 }
 
@@ -656,7 +656,7 @@
 	slices.SortFunc(servers, func(a, b netip.AddrPort) int { return a.Compare(b) })
 	for _, a := range servers {
 		t := r.targets[a].totals
-		t.Lost = max(t.Lost, r.Lies*t.Tries)
+		t.Failed = max(t.Failed, r.Lies*t.Attempts)
 		p.Traffic(a.String(), t)
 	}
 	for k, c := range r.Classes {
--- a/internal/experiment/lab.go
+++ b/internal/experiment/lab.go
@@ -163,7 +163,7 @@
 		d.Rate = c.Fleet.Load * float64(c.Fleet.Servers) * cores * meanSpeed / meanWork
 	}
 	for i := range site.Relays {
-		site.Relays[i].Usual = d.Rate / float64(c.Fleet.Relays)
+		site.Relays[i].ExpectedRate = d.Rate / float64(c.Fleet.Relays)
 	}
 	d.Model = settings.ServerModel{Connections: 40 + 3*c.Fleet.Relays, ConnWork: 0.004, KeyFor: 5, KeyLess: 0.15, KeyMost: 200, Stops: true}
 	d.Clients = settings.ClientModel{Popularity: 0.8, Again: c.Fleet.Again, Wait: 0.5, Patience: 0.8}
@@ -172,7 +172,7 @@
 		site.Reporting.Period = c.Arm.Period
 	}
 	if c.Arm.Levels == "fraction" || c.Arm.Levels == "rate" {
-		site.Dataplane.Admission = map[string]balancer.AdmissionMode{"fraction": balancer.AdmissionFraction, "rate": balancer.AdmissionRate}[c.Arm.Levels]
+		site.DataPlane.Admission = map[string]balancer.AdmissionMode{"fraction": balancer.AdmissionFraction, "rate": balancer.AdmissionRate}[c.Arm.Levels]
 		d.Coordinator.Policy.Members = true // SASP has no word for them
 	}
 	d.Troubles = nil
@@ -218,7 +218,7 @@
 func record(x *settings.Experiment, c Cell, d *settings.Day, res *scenario.Result) *Record {
 	r := &Record{Experiment: x.Name, Fleet: c.Fleet.Name, Case: c.Case.Name, Arm: c.Arm.Name, Seed: c.Seed, Version: Version(),
 		Print: print(x), Servers: c.Fleet.Servers, Relays: c.Fleet.Relays, Seconds: c.Case.Seconds, Service: res.Service, Worst: res.Worst,
-		WorstClass: 1, Drained: res.Drained, Messages: res.Messages, Lines: res.Lines, Fulls: res.Counts.Fulls, PeakQueue: res.PeakQueue, Events: res.Events}
+		WorstClass: 1, Drained: res.Drained, Messages: res.Messages, Lines: res.Lines, Fulls: res.Counts.FullTables, PeakQueue: res.PeakQueue, Events: res.Events}
 	for k, q := range d.Queries {
 		h := res.Times[k]
 		at := func(q float64) float64 { return float64(h.ValueAtQuantile(q)) / 1e6 }
--- a/internal/experiment/shrink.go
+++ b/internal/experiment/shrink.go
@@ -112,9 +112,9 @@
 	if left < leastRelays || left == len(site.Relays) {
 		return false
 	}
-	site.Relays, site.Dataplane.Proxies = site.Relays[:left], left
+	site.Relays, site.DataPlane.Proxies = site.Relays[:left], left
 	for i := range site.Relays {
-		site.Relays[i].Usual = n.Rate / float64(left)
+		site.Relays[i].ExpectedRate = n.Rate / float64(left)
 	}
 	keep(n)
 	return len(n.Troubles) > 0
--- a/internal/feed/collectd/collect.go
+++ b/internal/feed/collectd/collect.go
@@ -117,18 +117,18 @@
 	switch {
 	case l.Plugin == plugin && l.Type == trafficType && len(l.Values) == 3:
 		if v, ok := derives(l.Values); ok {
-			c.fleet.Measured(now, at, l.Host, balancer.Server(l.PluginInstance),
-				loadreport.Totals{Tries: v[0], Lost: v[1], Seconds: v[2] * microsecond})
+			c.fleet.ReportUpstream(now, at, l.Host, balancer.Server(l.PluginInstance),
+				loadreport.Totals{Attempts: v[0], Failed: v[1], Seconds: v[2] * microsecond})
 			return
 		}
 	case l.Plugin == plugin && l.Type == demandType && len(l.Values) == 2:
 		if v, ok := derives(l.Values); ok {
-			c.fleet.Demanded(now, at, l.Host, l.PluginInstance, loadreport.Totals{Tries: v[0], Lost: v[1]})
+			c.fleet.ReportDemand(now, at, l.Host, l.PluginInstance, loadreport.Totals{Attempts: v[0], Failed: v[1]})
 			return
 		}
 	case l.Type == uptimeType && len(l.Values) == 1:
 		if v, ok := l.Values[0].(api.Gauge); ok {
-			c.fleet.Uptime(now, balancer.Server(l.Host), float64(v))
+			c.fleet.ObserveUptime(now, balancer.Server(l.Host), float64(v))
 			return
 		}
 	}
@@ -178,12 +178,12 @@
 
 // Traffic adds a relay's totals at a server.
 func (p *Packer) Traffic(server string, t loadreport.Totals) {
-	p.add(plugin, server, trafficType, api.Derive(t.Tries), api.Derive(t.Lost), api.Derive(t.Seconds/microsecond))
+	p.add(plugin, server, trafficType, api.Derive(t.Attempts), api.Derive(t.Failed), api.Derive(t.Seconds/microsecond))
 }
 
 // Demand adds a relay's totals of a class.
 func (p *Packer) Demand(class string, t loadreport.Totals) {
-	p.add(plugin, class, demandType, api.Derive(t.Tries), api.Derive(t.Lost))
+	p.add(plugin, class, demandType, api.Derive(t.Attempts), api.Derive(t.Failed))
 }
 
 // Uptime adds a server's seconds since its start.
--- a/internal/feed/collectd/collect_test.go
+++ b/internal/feed/collectd/collect_test.go
@@ -11,8 +11,8 @@
 )
 
 func newFleet(t testing.TB) *controlplane.Fleet {
-	f, err := controlplane.New(1000, controlplane.Site{Names: []string{"search"}, Classes: []balancer.RequestClass{{LatencyObjective: 1}},
-		Strangers: true, Limits: controlplane.UsualLimits, Reporting: balancer.Reporting{Period: 0.5},
+	f, err := controlplane.New(1000, controlplane.Site{ClassNames: []string{"search"}, Classes: []balancer.RequestClass{{LatencyObjective: 1}},
+		AllowUnlisted: true, Limits: controlplane.DefaultLimits, Reporting: balancer.Reporting{Period: 0.5},
 		Servers: []registry.ServerConfig{{Server: "10.0.0.1:80", Weight: 1, Static: true}}}, nil, nil)
 	if err != nil {
 		t.Fatal(err)
@@ -25,8 +25,8 @@
 
 func packet(now, tries float64, host, key string) (out []byte) {
 	p := NewPacker(now, host, "relays", key, func(b []byte) { out = bytes.Clone(b) })
-	p.Traffic("10.0.0.1:80", loadreport.Totals{Tries: tries, Lost: 1, Seconds: tries / 4})
-	p.Demand("search", loadreport.Totals{Tries: tries})
+	p.Traffic("10.0.0.1:80", loadreport.Totals{Attempts: tries, Failed: 1, Seconds: tries / 4})
+	p.Demand("search", loadreport.Totals{Attempts: tries})
 	p.Uptime(77)
 	p.Flush()
 	return out
@@ -41,13 +41,13 @@
 				t.Fatal(err)
 			}
 		}
-		traffic, demand := f.Book.Close()
+		traffic, demand := f.LoadReports.Flush()
 		if len(traffic) != 1 || traffic[0].Attempts != 20 || traffic[0].Latency != 0.25 || traffic[0].Interval != 0.5 ||
 			len(demand) != 1 || demand[0].Requests != 20 {
 			t.Errorf("key %q: %+v, %+v", key, traffic, demand)
 		}
-		if f.Book.Rejected.Old != 2 {
-			t.Errorf("the doubled packet: %+v", f.Book.Rejected)
+		if f.LoadReports.Rejected.Stale != 2 {
+			t.Errorf("the doubled packet: %+v", f.LoadReports.Rejected)
 		}
 	}
 }
@@ -61,11 +61,11 @@
 	for _, b := range [][]byte{packet(2000, 10, "r1", ""), packet(2000, 10, "r1", "other"), forged, signed[:60]} {
 		_ = c.Packet(1001, b)
 	}
-	if f.Book.Len() != 0 {
-		t.Errorf("%d series are kept of packets that nobody signed", f.Book.Len())
+	if f.LoadReports.Len() != 0 {
+		t.Errorf("%d series are kept of packets that nobody signed", f.LoadReports.Len())
 	}
-	if err := c.Packet(1001, signed); err != nil || f.Book.Len() != 2 {
-		t.Errorf("the signed one: %v, %d series", err, f.Book.Len())
+	if err := c.Packet(1001, signed); err != nil || f.LoadReports.Len() != 2 {
+		t.Errorf("the signed one: %v, %d series", err, f.LoadReports.Len())
 	}
 }
 
@@ -80,12 +80,12 @@
 			_ = c.Packet(1001, b[:max(i, 1)]) // torn, and with a wrong bit: whatever is left must not harm
 		}
 	}
-	before := f.Book.Len()
+	before := f.LoadReports.Len()
 	for _, b := range [][]byte{nil, {0}, {0, 0, 0, 0}, {0, 6, 0, 15, 0xff, 0xff}, bytes.Repeat([]byte{0xff}, 1400)} {
 		_ = c.Packet(1001, b)
 	}
-	if f.Book.Len() != before || c.Garbled == 0 {
-		t.Errorf("%d series more, %d garbled", f.Book.Len()-before, c.Garbled)
+	if f.LoadReports.Len() != before || c.Garbled == 0 {
+		t.Errorf("%d series more, %d garbled", f.LoadReports.Len()-before, c.Garbled)
 	}
 }
 
--- a/internal/feed/collectd/text_test.go
+++ b/internal/feed/collectd/text_test.go
@@ -26,7 +26,7 @@
 			t.Fatal(err)
 		}
 	}
-	traffic, demand := f.Book.Close()
+	traffic, demand := f.LoadReports.Flush()
 	if len(traffic) != 1 || traffic[0].Attempts != 20 || traffic[0].Interval != 0.5 || len(demand) != 1 || demand[0].Requests != 20 {
 		t.Errorf("%+v, %+v", traffic, demand)
 	}
@@ -74,11 +74,11 @@
 				}
 				_ = x.Packet(now, []byte(packet))
 			}
-			traffic, _ := f.Book.Close()
+			traffic, _ := f.LoadReports.Flush()
 			all = append(all, traffic)
 		}
-		if dirty && (x.Garbled < 100 || f.Book.Rejected.Old < 30) {
-			t.Errorf("%d garbled, %d old: the test tests nothing", x.Garbled, f.Book.Rejected.Old)
+		if dirty && (x.Garbled < 100 || f.LoadReports.Rejected.Stale < 30) {
+			t.Errorf("%d garbled, %d old: the test tests nothing", x.Garbled, f.LoadReports.Rejected.Stale)
 		}
 		return all
 	}
--- a/internal/frontend/admin/admin.go
+++ b/internal/frontend/admin/admin.go
@@ -58,15 +58,15 @@
 
 // terms of calls: a hundred cheap ones a second, five previews. A host of many tenants has five times as much.
 var (
-	terms       = fairshare.Terms{Rate: 100, Burst: 200, Own: 2, Reserve: 0.2, Tenants: 1024, Lately: 0.1}
-	hostedTerms = fairshare.Terms{Rate: 500, Burst: 1000, Own: 2, Reserve: 0.2, Tenants: 1 << 16, Lately: 0.1}
+	terms       = fairshare.Config{Rate: 100, Burst: 200, BucketSeconds: 2, Reserve: 0.2, MaxTenants: 1024, RecentWindow: 0.1}
+	hostedTerms = fairshare.Config{Rate: 500, Burst: 1000, BucketSeconds: 2, Reserve: 0.2, MaxTenants: 1 << 16, RecentWindow: 0.1}
 )
 
 // API serves the calls. Use New or NewHosted.
 type API struct {
 	program Program
-	hosted  Hosted            // nil: there is one tenant, without a name
-	shares  *fairshare.Shares // as all below only touched within Program.Do
+	hosted  Hosted               // nil: there is one tenant, without a name
+	shares  *fairshare.Allocator // as all below only touched within Program.Do
 	books   map[tenancy.Name]*idempotency.Log
 	say     func(string, ...any)
 	mu      sync.Mutex // of the gate, which stands before the program
@@ -95,7 +95,7 @@
 	return a
 }
 
-func newAPI(now float64, program Program, terms fairshare.Terms, say func(string, ...any)) *API {
+func newAPI(now float64, program Program, terms fairshare.Config, say func(string, ...any)) *API {
 	a := &API{program: program, shares: fairshare.New(now, terms), books: map[tenancy.Name]*idempotency.Log{}, say: say,
 		gate: authz.LookupLimiter{Rate: strangers, Burst: strangers}, began: time.Now()}
 	a.HandleFunc("GET /openapi.json", func(w http.ResponseWriter, _ *http.Request) {
@@ -175,7 +175,7 @@
 		case !known:
 			w.Header().Set("WWW-Authenticate", "Bearer")
 			problem(w, http.StatusUnauthorized, "no key of this API")
-		case errors.Is(err, fairshare.ErrCrowded):
+		case errors.Is(err, fairshare.ErrTooManyTenants):
 			problem(w, http.StatusServiceUnavailable, "%v", err)
 		case err != nil:
 			problem(w, http.StatusForbidden, "%v", err)
@@ -227,16 +227,18 @@
 	Cold    bool                   `json:"cold"`
 }
 
-func version(f *controlplane.Fleet) string { return fmt.Sprintf("%q", strconv.Itoa(f.Roll.Version())) }
+func version(f *controlplane.Fleet) string {
+	return fmt.Sprintf("%q", strconv.Itoa(f.Registry.Version()))
+}
 
 func (a *API) servers(w http.ResponseWriter, _ *http.Request, c call) {
 	rows, tag := []serverRow{}, ""
 	if !a.fleet(w, c, func(now float64, f *controlplane.Fleet) {
 		tag = version(f)
-		for _, name := range f.Roll.Servers() {
-			rec, _ := f.Roll.Find(name)
+		for _, name := range f.Registry.Servers() {
+			rec, _ := f.Registry.Find(name)
 			rows = append(rows, serverRow{Server: name, Phase: phases[rec.Phase], Zone: zoneName(f, rec.Zone), Pod: rec.FailureDomain,
-				Started: rec.Started, Cold: f.Roll.WarmingUp(now, name, f.Site().Guarantees.WarmupDuration)})
+				Started: rec.Started, Cold: f.Registry.WarmingUp(now, name, f.Site().Guarantees.WarmupDuration)})
 		}
 	}) {
 		return
@@ -257,13 +259,13 @@
 
 func (a *API) look(of tenancy.Name, s balancer.Server) (row drainRow, ok bool) {
 	a.program.Do(func(float64) {
-		var d controlplane.Draining
+		var d controlplane.DrainProgress
 		f, runs := a.program.Fleet(of)
 		if !runs {
 			return
 		}
-		if d, ok = f.Drain(s); ok {
-			row = drainRow{s, phases[d.Phase], d.Told, d.Joined, d.Holding, d.Waiting, d.Phase != balancer.Ready && d.Holding == d.Joined}
+		if d, ok = f.DrainProgress(s); ok {
+			row = drainRow{s, phases[d.Phase], d.NotifiedAt, d.Joined, d.Updated, d.Pending, d.Phase != balancer.Ready && d.Updated == d.Joined}
 		}
 	})
 	return row, ok
@@ -316,8 +318,8 @@
 func (a *API) relays(w http.ResponseWriter, _ *http.Request, c call) {
 	rows := []relayRow{}
 	if a.fleet(w, c, func(_ float64, f *controlplane.Fleet) {
-		for _, s := range f.Standing() {
-			rows = append(rows, relayRow{s.UID, zoneName(f, s.Zone), s.Newest, s.Asks, s.Urgent})
+		for _, s := range f.ProxyStatuses() {
+			rows = append(rows, relayRow{s.UID, zoneName(f, s.Zone), s.UpToDate, s.Polls, s.Urgent})
 		}
 	}) {
 		reply(w, http.StatusOK, rows)
@@ -360,7 +362,7 @@
 	return b, true
 }
 
-func words(reasons []tablecheck.Reason) []string {
+func words(reasons []tablecheck.Finding) []string {
 	list := []string{}
 	for _, r := range reasons[:min(len(reasons), mostEntries)] {
 		list = append(list, r.String())
@@ -373,7 +375,7 @@
 	if _, ok := decode(w, r, &c); !ok {
 		return
 	}
-	var reasons []tablecheck.Reason
+	var reasons []tablecheck.Finding
 	if !a.fleet(w, who, func(now float64, f *controlplane.Fleet) { reasons = f.Preview(now, c.Drain, c.LoseZone) }) {
 		return
 	}
@@ -400,7 +402,7 @@
 		known   bool
 		err     error
 		status  int
-		reasons []tablecheck.Reason
+		reasons []tablecheck.Finding
 		done    = make(chan bool, 1)
 	)
 	if !a.fleet(w, who, func(now float64, f *controlplane.Fleet) {
@@ -411,7 +413,7 @@
 			}
 			return
 		}
-		if _, there := f.Roll.Find(c.Server); !there {
+		if _, there := f.Registry.Find(c.Server); !there {
 			status, err = http.StatusNotFound, fmt.Errorf("no server %q is known", c.Server)
 		} else if err = idempotency.CheckVersion(r.Header.Get("If-Match"), version(f)); err != nil {
 			status = http.StatusPreconditionFailed
--- a/internal/frontend/eventloop/loop_test.go
+++ b/internal/frontend/eventloop/loop_test.go
@@ -19,21 +19,21 @@
 	"snowquay/internal/wire/sasp"
 )
 
-func setup(servers, relays int) coordinator.Setup {
-	s := controlplane.Site{Seed: 1, Names: []string{"search"}, Zones: []string{"a"}, Strangers: true,
+func setup(servers, relays int) coordinator.Config {
+	s := controlplane.Site{Seed: 1, ClassNames: []string{"search"}, Zones: []string{"a"}, AllowUnlisted: true,
 		Classes:    []balancer.RequestClass{{PriorityWeight: 1, LatencyObjective: 1, ClientTimeout: 3}},
-		Dataplane:  balancer.DataPlane{Proxies: relays, Coordinators: 1, DefaultRetry: balancer.RetryIfNotExecuted},
+		DataPlane:  balancer.DataPlane{Proxies: relays, Coordinators: 1, DefaultRetry: balancer.RetryIfNotExecuted},
 		Channel:    balancer.Channel{EntriesPerSecond: 1e7, MessageOverhead: 3, MaxQueued: 2e7, MeanDelay: 0.01, MaxDelay: 0.2},
 		Guarantees: balancer.Guarantees{DrainDeadline: 30, EmptyTableDeadline: 2, WarmupStartFraction: 0.2, WarmupDuration: 10, OverloadFactor: 3, OverloadWindow: 2},
-		Reporting:  balancer.Reporting{Period: 0.5}, Limits: controlplane.UsualLimits}
+		Reporting:  balancer.Reporting{Period: 0.5}, Limits: controlplane.DefaultLimits}
 	for i := range servers {
 		a := netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, byte(i >> 8), byte(i)}), 80)
 		s.Servers = append(s.Servers, registry.ServerConfig{Server: balancer.Server(a.String()), Weight: 1, Static: true})
 	}
-	return coordinator.Setup{Site: s, Limits: saspsession.UsualLimits, Policy: saspsession.Policy{FleetUID: "fleet"}}
+	return coordinator.Config{Site: s, Limits: saspsession.UsualLimits, Policy: saspsession.Policy{FleetUID: "fleet"}}
 }
 
-func listen(t testing.TB, setup coordinator.Setup, port uint16) (*coordinator.Coordinator, *Server, string) {
+func listen(t testing.TB, setup coordinator.Config, port uint16) (*coordinator.Coordinator, *Server, string) {
 	clock := Clock()
 	program, err := coordinator.New(clock(), setup, nil)
 	if err != nil {
@@ -106,10 +106,10 @@
 	if len(m.Rows) != 5 || m.Rows[0].Weight == 0 {
 		t.Errorf("it was sent %+v", m.Rows)
 	}
-	holding := func() (n int) { s.Do(func(float64) { n = program.Fleet.Holding() }); return n }
+	holding := func() (n int) { s.Do(func(float64) { n = program.Fleet.UpToDate() }); return n }
 	until(t, "the kernel's word that it was taken", func() bool { return holding() == 1 })
 	s.Do(func(now float64) {
-		program.Fleet.Roll.SetDrain(now, "10.0.0.3:80", true)
+		program.Fleet.Registry.SetDrain(now, "10.0.0.3:80", true)
 	})
 	if err := read(c, &m); err != nil || len(m.Rows) != 1 || m.Rows[0].Weight != 0 || m.Rows[0].Flags&sasp.Quiesce == 0 {
 		t.Errorf("the drain: %+v, %v", m.Rows, err)
@@ -158,11 +158,11 @@
 		}()
 		b.Run(fmt.Sprintf("coordinator/%d", n), func(b *testing.B) {
 			set := setup(servers, n)
-			set.Site.Limits.RoundEvery = 0
+			set.Site.Limits.MinRoundInterval = 0
 			program, s, at := listen(b, set, 14862)
 			conns, bytes := crowd(b, at, n)
 			defer closeAll(conns)
-			holding := func() (h int) { s.Do(func(float64) { h = program.Fleet.Holding() }); return h }
+			holding := func() (h int) { s.Do(func(float64) { h = program.Fleet.UpToDate() }); return h }
 			until(b, "all joined", func() bool { return holding() == n })
 			next := 0
 			for b.Loop() {
@@ -174,7 +174,7 @@
 				before := bytes.Load()
 				b.StartTimer()
 				s.Do(func(now float64) {
-					program.Fleet.Roll.SetDrain(now, program.Fleet.Roll.Servers()[next], true)
+					program.Fleet.Registry.SetDrain(now, program.Fleet.Registry.Servers()[next], true)
 					program.TimerFired(now, 0)
 				})
 				for bytes.Load() < before+least {
@@ -239,7 +239,7 @@
 		conns[i] = dial(b, at, fmt.Sprintf("r%d", i)) // it reads nothing: tables of 300 lines fit into its host's buffer
 	}
 	defer closeAll(conns)
-	until(b, "all hold the tables", func() bool { h := 0; s.Do(func(float64) { h = program.Fleet.Holding() }); return h == n })
+	until(b, "all hold the tables", func() bool { h := 0; s.Do(func(float64) { h = program.Fleet.UpToDate() }); return h == n })
 	for b.Loop() {
 	}
 	runtime.GC()
--- a/internal/frontend/longpollhttp/poll_test.go
+++ b/internal/frontend/longpollhttp/poll_test.go
@@ -33,25 +33,25 @@
 	"snowquay/internal/wire/sasp"
 )
 
-func setup(servers, proxies int, port uint16) coordinator.Setup {
-	s := controlplane.Site{Seed: 1, Names: []string{"search"}, Zones: []string{"a"}, Strangers: true,
+func setup(servers, proxies int, port uint16) coordinator.Config {
+	s := controlplane.Site{Seed: 1, ClassNames: []string{"search"}, Zones: []string{"a"}, AllowUnlisted: true,
 		Classes:    []balancer.RequestClass{{PriorityWeight: 1, LatencyObjective: 1, ClientTimeout: 3}},
-		Dataplane:  balancer.DataPlane{Proxies: proxies, Coordinators: 1, DefaultRetry: balancer.RetryIfNotExecuted, Admission: balancer.AdmissionFraction},
+		DataPlane:  balancer.DataPlane{Proxies: proxies, Coordinators: 1, DefaultRetry: balancer.RetryIfNotExecuted, Admission: balancer.AdmissionFraction},
 		Channel:    balancer.Channel{EntriesPerSecond: 1e7, MessageOverhead: 3, MaxQueued: 2e7, MeanDelay: 0.01, MaxDelay: 0.2},
 		Guarantees: balancer.Guarantees{DrainDeadline: 30, EmptyTableDeadline: 2, WarmupStartFraction: 0.2, WarmupDuration: 10, OverloadFactor: 3, OverloadWindow: 2},
-		Reporting:  balancer.Reporting{Period: 0.5}, Limits: controlplane.UsualLimits, Without: map[controlplane.Guard]bool{}}
+		Reporting:  balancer.Reporting{Period: 0.5}, Limits: controlplane.DefaultLimits, DisabledGuards: map[controlplane.Guard]bool{}}
 	for i := range servers {
 		s.Servers = append(s.Servers, registry.ServerConfig{Server: server(i), Weight: 1, Static: true})
 	}
 	limits := longpoll.UsualLimits
 	limits.Joins, limits.Burst = 1e6, 1e6
-	return coordinator.Setup{Site: s, Limits: saspsession.UsualLimits, Policy: saspsession.Policy{FleetUID: "fleet"}, Poll: longpollhttp.UsualLimits,
+	return coordinator.Config{Site: s, Limits: saspsession.UsualLimits, Policy: saspsession.Policy{FleetUID: "fleet"}, LongPoll: longpollhttp.UsualLimits,
 		Parking: limits, HTTP: netip.AddrPortFrom(netip.MustParseAddr("127.0.0.1"), port)}
 }
 
 func server(i int) balancer.Server { return balancer.Server(fmt.Sprintf("10.0.%d.%d:80", i>>8, i&255)) }
 
-func listen(t testing.TB, set coordinator.Setup) (*coordinator.Coordinator, *eventloop.Server, string) {
+func listen(t testing.TB, set coordinator.Config) (*coordinator.Coordinator, *eventloop.Server, string) {
 	clock := eventloop.Clock()
 	program, err := coordinator.New(clock(), set, nil)
 	if err != nil {
@@ -130,8 +130,8 @@
 		t.Fatal(err)
 	}
 	set := setup(5, 2, 14880)
-	set.Site.Strangers = false
-	set.Site.Relays = []controlplane.Relay{{UID: "r1", Usual: 5}, {UID: "r 2/x"}, {UID: "r3"}}
+	set.Site.AllowUnlisted = false
+	set.Site.Relays = []controlplane.Relay{{UID: "r1", ExpectedRate: 5}, {UID: "r 2/x"}, {UID: "r3"}}
 	set.Parking.AskBurst = 15
 	program, s, base := listen(t, set)
 	doc.Servers = openapi3.Servers{{URL: base}}
@@ -151,10 +151,10 @@
 		t.Errorf("nothing is newer: %d %s", resp.StatusCode, body)
 	}
 	s.Do(func(now float64) {
-		if program.Fleet.Holding() != 1 {
-			t.Errorf("%d hold the newest tables", program.Fleet.Holding())
+		if program.Fleet.UpToDate() != 1 {
+			t.Errorf("%d hold the newest tables", program.Fleet.UpToDate())
 		}
-		program.Fleet.Roll.SetDrain(now, server(2), true)
+		program.Fleet.Registry.SetDrain(now, server(2), true)
 	})
 	resp, body = c.do("GET", "/v1/proxies/r1/tables?wait=5&"+at, delta.CBOR)
 	if resp.StatusCode != 200 {
@@ -217,7 +217,7 @@
 
 func TestHostileRequests(t *testing.T) {
 	set := setup(3, 2, 14881)
-	set.Poll.Silent, set.Poll.Connections = 0.6, 50
+	set.LongPoll.Silent, set.LongPoll.Connections = 0.6, 50
 	program, s, base := listen(t, set)
 	const get = "GET /openapi.json HTTP/1.1\r\nHost: x\r\n"
 	for name, c := range map[string]struct {
@@ -254,11 +254,11 @@
 	}
 	time.Sleep(100 * time.Millisecond)
 	n := 0
-	if s.Do(func(float64) { n = program.Poll.Connections() }); n > 50 {
+	if s.Do(func(float64) { n = program.LongPoll.Connections() }); n > 50 {
 		t.Errorf("%d connections stand", n)
 	}
 	for end := time.Now().Add(10 * time.Second); n > 0; time.Sleep(20 * time.Millisecond) {
-		if s.Do(func(float64) { n = program.Poll.Connections() }); time.Now().After(end) {
+		if s.Do(func(float64) { n = program.LongPoll.Connections() }); time.Now().After(end) {
 			t.Fatalf("%d silent connections still stand", n)
 		}
 	}
@@ -267,7 +267,7 @@
 // A client that takes a byte a second of a large answer is closed, and its proxy is held for gone.
 func TestASlowReader(t *testing.T) {
 	set := setup(3000, 1, 14882)
-	set.Poll.Slow, set.Parking.Between = 0.4, 0.8
+	set.LongPoll.Slow, set.Parking.Between = 0.4, 0.8
 	program, s, base := listen(t, set)
 	c, err := net.Dial("tcp", strings.TrimPrefix(base, "http://"))
 	if err != nil {
@@ -283,7 +283,7 @@
 	joined, conns := 1, 1
 	for end := time.Now().Add(10 * time.Second); joined+conns > 0; time.Sleep(50 * time.Millisecond) {
 		s.Do(func(float64) {
-			joined, conns = program.Fleet.Joined(), program.Poll.Connections()
+			joined, conns = program.Fleet.Joined(), program.LongPoll.Connections()
 		})
 		if time.Now().After(end) {
 			t.Fatalf("%d joined, %d connections", joined, conns)
@@ -320,7 +320,7 @@
 	}
 	parked := 0
 	for end := time.Now().Add(20 * time.Second); parked < n; time.Sleep(time.Millisecond) {
-		if s.Do(func(float64) { parked, _ = program.Poll.Counter.Parked() }); time.Now().After(end) {
+		if s.Do(func(float64) { parked, _ = program.LongPoll.Counter.Parked() }); time.Now().After(end) {
 			b.Fatalf("%d of %d polls wait", parked, n)
 		}
 	}
@@ -341,7 +341,7 @@
 		for i, front := range []string{"sasp", "http"} {
 			b.Run(fmt.Sprintf("%s/%d", front, n), func(b *testing.B) {
 				set := setup(200, n, 14884)
-				set.Site.Limits.RoundEvery = 0
+				set.Site.Limits.MinRoundInterval = 0
 				set.SASP = netip.AddrPortFrom(netip.MustParseAddr("127.0.0.1"), 14885)
 				program, s, base := listen(b, set)
 				for k := range n {
@@ -351,7 +351,7 @@
 						go asks(strings.TrimPrefix(base, "http://"), fmt.Sprint("p", k))
 					}
 				}
-				holding := func() (h int) { s.Do(func(float64) { h = program.Fleet.Holding() }); return h }
+				holding := func() (h int) { s.Do(func(float64) { h = program.Fleet.UpToDate() }); return h }
 				all := func() {
 					for end := time.Now().Add(5 * time.Second); holding() < n; time.Sleep(200 * time.Microsecond) {
 						if time.Now().After(end) {
@@ -364,7 +364,7 @@
 				for b.Loop() {
 					next++
 					s.Do(func(now float64) {
-						program.Fleet.Roll.SetDrain(now, server(next%199), true)
+						program.Fleet.Registry.SetDrain(now, server(next%199), true)
 						program.TimerFired(now, 0)
 					})
 					all()
--- a/internal/scenario/draw.go
+++ b/internal/scenario/draw.go
@@ -94,9 +94,9 @@
 			Zone: balancer.Zone(i / podSize % zones), FailureDomain: balancer.FailureDomain(i / podSize)})
 	}
 	for i := range relays {
-		site.Relays = append(site.Relays, controlplane.Relay{UID: fmt.Sprint("relay-", i), Zone: balancer.Zone(i % zones), Usual: usualRate})
+		site.Relays = append(site.Relays, controlplane.Relay{UID: fmt.Sprint("relay-", i), Zone: balancer.Zone(i % zones), ExpectedRate: usualRate})
 	}
-	site.Dataplane.Proxies = relays
+	site.DataPlane.Proxies = relays
 	lines := float64(relays * servers * len(site.Classes))
 	site.Channel.EntriesPerSecond = max(site.Channel.EntriesPerSecond, lines/fullWithin)
 	site.Channel.MaxQueued = max(site.Channel.MaxQueued, 2*lines)
--- a/internal/scenario/hosted.go
+++ b/internal/scenario/hosted.go
@@ -68,7 +68,7 @@
 // HostedResult is the day.
 type HostedResult struct {
 	Tenants  []TenantResult
-	Counts   coordinator.HostCounts
+	Counts   coordinator.HostStats
 	Turns    turnsSeen
 	AllLed   float64 // seconds from the host's start, or its latest restart, until all relays of all tenants were told their tables; 0: never
 	Events   int
@@ -183,13 +183,13 @@
 	if day.Set != nil {
 		day.Set(p.host)
 	}
-	p.host.Make = func(t tenancy.Tenant) (coordinator.Made, error) {
+	p.host.ParseTenant = func(t tenancy.Tenant) (coordinator.TenantConfig, error) {
 		m, err := settings.ParseTenant(t.Name, t.Settings, p.host)
 		if day.Anywhere {
 			m.Networks = nil
 		}
 		for _, g := range day.Without {
-			m.Setup.Site.Without = map[controlplane.Guard]bool{g: true}
+			m.Config.Site.DisabledGuards = map[controlplane.Guard]bool{g: true}
 		}
 		return m, err
 	}
@@ -266,11 +266,11 @@
 
 func (p *hostedPlay) startHost(i int) {
 	now, o := p.stage.Now(), p.hosts[i]
-	setup := p.host.HostSetup
+	setup := p.host.HostConfig
 	if n := len(p.hosts); n > 1 {
 		o.lives++
 		setup.SASP, setup.HTTP = hostAddr(i, hostPort), hostAddr(i, hostPoll)
-		setup.Disk, setup.Life = &o.disk, o.lives*100+uint64(i)
+		setup.Storage, setup.Incarnation = &o.disk, o.lives*100+uint64(i)
 		o.disk.OwnDataDirID = uint64(i + 1)
 		setup.Group = groupOf(n, i, func(k int) netip.Addr { return hostAddr(k, 0).Addr() })
 	}
@@ -313,22 +313,22 @@
 }
 
 func (p *hostedPlay) count(o *aHost) {
-	c, t := o.program.Counts, o.program.Turns.Counts
+	c, t := o.program.Stats, o.program.Scheduler.Stats
 	r := &p.result
 	r.Counts.Starts += c.Starts
-	r.Counts.Ends += c.Ends
-	r.Counts.Anew += c.Anew
-	r.Counts.Revised += c.Revised
-	r.Counts.SaveFailed += c.SaveFailed
+	r.Counts.Stops += c.Stops
+	r.Counts.Restarts += c.Restarts
+	r.Counts.Reconfigured += c.Reconfigured
+	r.Counts.SaveFailures += c.SaveFailures
 	r.Counts.Unsigned += c.Unsigned
 	r.Counts.Foreign += c.Foreign
-	r.Turns.Looks += t.Looks
+	r.Turns.Looks += t.Turns
 	r.Turns.Urgent += t.Urgent
-	r.Turns.Held += t.Held
+	r.Turns.Held += t.BudgetExhausted
 	if r.Refused == nil {
 		r.Refused = map[tenancy.RejectReason]int{}
 	}
-	for why, n := range o.program.Entry.Rejected {
+	for why, n := range o.program.Router.Rejected {
 		r.Refused[why] += n
 	}
 }
@@ -365,9 +365,9 @@
 				p.fail(err)
 				return
 			}
-			c.Weight, c.Requirements = m.Weight, m.Needs
+			c.Weight, c.Requirements = m.Weight, m.Requirements
 		}
-		h.Order(now, c, func(o tenancy.Outcome, err error) {
+		h.ChangeTenant(now, c, func(o tenancy.Outcome, err error) {
 			if err = errors.Join(err, o.Err()); err != nil {
 				p.result.Problems = append(p.result.Problems, fmt.Sprintf("%s: %v", c.Name, err))
 			}
@@ -383,16 +383,16 @@
 		p.fail(err)
 		return
 	}
-	site := &made.Setup.Site
-	for i, name := range site.Names {
+	site := &made.Config.Site
+	for i, name := range site.ClassNames {
 		x.classes = append(x.classes, emulator.Class{Name: name, Query: site.Classes[i], Share: []float64{0.79, 0.21}[i], Work: 0.1,
-			Repeats: site.Repeats[i]})
+			Repeats: site.RetryPolicies[i]})
 	}
 	slack := simSlack
 	if p.day.Sockets {
 		slack = socketSlack
 	}
-	p.rules = emulator.Rules{Promise: site.Guarantees, Channel: site.Channel, Hold: site.Limits.HoldServer + noticeMost, Slack: slack}
+	p.rules = emulator.Rules{Promise: site.Guarantees, Channel: site.Channel, Hold: site.Limits.ServerHold + noticeMost, Slack: slack}
 	p.rules.Channel.EntriesPerSecond *= float64(len(p.hosts)) // each has a channel of its own
 	x.ref = emulator.NewReferee(p.rules, x.classes)
 	p.tenants = append(p.tenants, x)
@@ -544,12 +544,12 @@
 			r.DrainTook = x.ref.Latest()
 		}
 		for _, o := range p.hosts {
-			work, longest := o.program.Turns.Took(x.name)
+			work, longest := o.program.Scheduler.Usage(x.name)
 			r.Work, r.Longest = r.Work+work, max(r.Longest, longest)
 		}
 		p.result.Tenants = append(p.result.Tenants, r)
 	}
-	p.result.Memory = p.hosts[0].program.Dir.Used().Memory
+	p.result.Memory = p.hosts[0].program.Directory.Used().Memory
 	if p.sim != nil {
 		p.result.Events = p.sim.Events
 	}
--- a/internal/scenario/hosted_test.go
+++ b/internal/scenario/hosted_test.go
@@ -84,8 +84,8 @@
 		broken   bool
 	}{{3, false, nil, false}, {4, false, nil, false},
 		// Drains overtake joins that wait their turn in the module: the tenant that is flooded keeps its own by that alone.
-		{3, false, []controlplane.Guard{controlplane.GuardOften}, false},
-		{4, true, []controlplane.Guard{controlplane.GuardOften}, true}, {4, false, []controlplane.Guard{controlplane.GuardOften}, false}} {
+		{3, false, []controlplane.Guard{controlplane.GuardJoinRate}, false},
+		{4, true, []controlplane.Guard{controlplane.GuardJoinRate}, true}, {4, false, []controlplane.Guard{controlplane.GuardJoinRate}, false}} {
 		if got := broken(c.tenant, c.anywhere, c.without...); got != c.broken {
 			t.Errorf("%+v: broken %t", c, got)
 		}
@@ -106,7 +106,7 @@
 func TestHostedRemoved(t *testing.T) {
 	d := UsualHostedDay()
 	d.Drains, d.Remove, d.Seconds = true, 5, 40
-	if r := playHosted(t, d); !r.Kept() || r.Counts.Ends != 1 || r.Refused[4] == 0 {
+	if r := playHosted(t, d); !r.Kept() || r.Counts.Stops != 1 || r.Refused[4] == 0 {
 		t.Error("not kept", r.Counts, r.Refused)
 	}
 }
--- a/internal/scenario/proxies.go
+++ b/internal/scenario/proxies.go
@@ -46,11 +46,11 @@
 	seen := &emulator.Seen{Ref: p.ref, UID: site.Relays[i].UID}
 	s := proxy.Setup{UID: seen.UID, Limits: proxy.UsualLimits, Collect: c.Measurements.Port(), User: c.User, KeyOf: c.Key,
 		Report: site.Reporting.Period, Seed: seed, Store: &x.shelf, Watch: seen,
-		Forward: forwarding.Setup{Names: site.Names, Classes: site.Classes, Ways: site.Repeats, Levels: site.Dataplane.Admission,
-			Limits: admission.UsualLimits, Avoid: outlier.Terms{After: site.Dataplane.EjectAfterFailures, For: outlier.UsualTerms.For, Most: outlier.UsualTerms.Most},
+		Forward: forwarding.Setup{Names: site.ClassNames, Classes: site.Classes, Ways: site.RetryPolicies, Levels: site.DataPlane.Admission,
+			Limits: admission.UsualLimits, Avoid: outlier.Terms{After: site.DataPlane.EjectAfterFailures, For: outlier.UsualTerms.For, Most: outlier.UsualTerms.Most},
 			Budget: retry.UsualBudget, Places: map[balancer.Server]retry.Place{},
 			Make: func(class int) picker.Table { return picker.NewEven(seed + uint64(class)) }}}
-	for k, name := range site.Names {
+	for k, name := range site.ClassNames {
 		at := slices.IndexFunc(p.classes, func(q emulator.Class) bool { return q.Name == name })
 		seen.Classes = append(seen.Classes, at)
 		s.Routes = append(s.Routes, proxy.Route{Prefix: "/" + name, Class: balancer.Class(k)})
--- a/internal/scenario/rehearse.go
+++ b/internal/scenario/rehearse.go
@@ -50,7 +50,7 @@
 type Options struct {
 	Sockets      bool // over loopback sockets, in real time; else in virtual time
 	Log          *slog.Logger
-	OnOrder      func(controlplane.Order)
+	OnOrder      func(controlplane.MessageTrace)
 	Seed         uint64                      // 0: the day's
 	Coordinators int                         // that share the fleet, in virtual time; 0 or 1: one alone
 	Proxies      bool                        // proxies of our own with HTTP clients, in place of stand-in relays
@@ -77,7 +77,7 @@
 	Lines      int
 	PeakQueue  float64
 	Complaints []string
-	Counts     controlplane.Counts
+	Counts     controlplane.Stats
 	Desk       saspsession.Counts
 	Polls      longpoll.Counts
 	Bytes      int // of long-poll answers
@@ -156,11 +156,11 @@
 	site := &day.Coordinator.Site
 	for i, q := range day.Queries {
 		k := 0
-		for k < len(site.Names) && site.Names[k] != q.Class {
+		for k < len(site.ClassNames) && site.ClassNames[k] != q.Class {
 			k++
 		}
 		p.classes = append(p.classes, emulator.Class{Name: q.Class, Query: site.Classes[k], Share: day.Queries[i].Share,
-			Work: q.Work, Repeats: site.Repeats[k]})
+			Work: q.Work, Repeats: site.RetryPolicies[k]})
 	}
 	rules := site.Channel
 	rules.EntriesPerSecond *= float64(max(opts.Coordinators, 1)) // each has a channel of its own
@@ -169,7 +169,7 @@
 		slack = socketSlack
 	}
 	p.ref = emulator.NewReferee(emulator.Rules{Promise: site.Guarantees, Channel: rules,
-		Hold: site.Limits.HoldServer + noticeMost, Slack: slack}, p.classes)
+		Hold: site.Limits.ServerHold + noticeMost, Slack: slack}, p.classes)
 	if opts.Sockets {
 		p.sock = socketnet.New(eventloop.Clock())
 		p.stage = p.sock
@@ -299,21 +299,21 @@
 		return
 	}
 	c := p.day.Coordinator
-	setup := c.Setup
+	setup := c.Config
 	setup.Log = p.opts.Log
-	setup.OnOrder = func(o controlplane.Order) {
-		if o.Held > 0 {
-			p.result.Held = append(p.result.Held, o.Held-o.Decided)
+	setup.OnOrder = func(o controlplane.MessageTrace) {
+		if o.AckedAt > 0 {
+			p.result.Held = append(p.result.Held, o.AckedAt-o.DecidedAt)
 		}
 		if p.opts.OnOrder != nil {
 			p.opts.OnOrder(o)
 		}
 	}
 	if n := p.opts.Coordinators; n > 1 {
-		setup.Site.Dataplane.Coordinators, setup.Site.Dataplane.Self = n, balancer.Coordinator(i)
+		setup.Site.DataPlane.Coordinators, setup.Site.DataPlane.Self = n, balancer.Coordinator(i)
 		o.lives++
 		o.disk.OwnDataDirID = uint64(i + 1)
-		setup.Disk, setup.Life = &o.disk, o.lives*100+uint64(i)
+		setup.Storage, setup.Incarnation = &o.disk, o.lives*100+uint64(i)
 		setup.Group = groupOf(n, i, func(k int) netip.Addr { return p.at(k, c.SASP).Addr() })
 	}
 	program, err := coordinator.New(p.stage.Now(), setup, &o.store)
@@ -336,9 +336,9 @@
 }
 
 // groupOf is what the i-th of n that share a fleet, or tenants, is told of the others.
-func groupOf(n, i int, at func(k int) netip.Addr) *coordinator.GroupSetup {
-	g := &coordinator.GroupSetup{Self: membership.MemberID(i + 1), Weight: 1, Members: map[membership.MemberID]netip.AddrPort{},
-		Key: []byte("a key for rehearsals"), Terms: consensus.DefaultConfig, Lease: membership.DefaultLeaseConfig}
+func groupOf(n, i int, at func(k int) netip.Addr) *coordinator.GroupConfig {
+	g := &coordinator.GroupConfig{Self: membership.MemberID(i + 1), Weight: 1, Members: map[membership.MemberID]netip.AddrPort{},
+		Key: []byte("a key for rehearsals"), Consensus: consensus.DefaultConfig, Lease: membership.DefaultLeaseConfig}
 	for k := range n {
 		g.Members[membership.MemberID(k+1)] = netip.AddrPortFrom(at(k), peerPort)
 	}
@@ -354,11 +354,11 @@
 	if o.host.Kill(); p.opts.Processes != nil {
 		return
 	}
-	_, peak := o.program.Fleet.Waiting()
+	_, peak := o.program.Fleet.QueuedEntries()
 	p.ref.Queue(p.stage.Now(), peak)
 	p.result.PeakQueue = max(p.result.PeakQueue, peak)
-	add(&p.result.Counts, o.program.Fleet.Counts)
-	d, c := &p.result.Desk, o.program.Desk.Counts
+	add(&p.result.Counts, o.program.Fleet.Stats)
+	d, c := &p.result.Desk, o.program.SASP.Counts
 	d.Received += c.Received
 	d.Replied += c.Replied
 	d.Pushed += c.Pushed
@@ -367,7 +367,7 @@
 	d.Closed += c.Closed
 	d.Takeovers += c.Takeovers
 	d.Skipped += c.Skipped
-	q, h := &p.result.Polls, o.program.Poll.Counter.Counts
+	q, h := &p.result.Polls, o.program.LongPoll.Counter.Counts
 	q.Polls += h.Polls
 	q.Answers += h.Answers
 	q.Empty += h.Empty
@@ -381,20 +381,20 @@
 	}
 }
 
-func add(to *controlplane.Counts, c controlplane.Counts) {
+func add(to *controlplane.Stats, c controlplane.Stats) {
 	to.Rounds += c.Rounds
 	to.Idle += c.Idle
-	to.Lines += c.Lines
+	to.Entries += c.Entries
 	to.Messages += c.Messages
-	to.Fulls += c.Fulls
-	to.Cut += c.Cut
+	to.FullTables += c.FullTables
+	to.Disconnected += c.Disconnected
 	to.Stalled += c.Stalled
 	to.Overdue += c.Overdue
-	to.Defied += c.Defied
-	to.Unsaid += c.Unsaid
+	to.Noncompliant += c.Noncompliant
+	to.Unsupported += c.Unsupported
 	to.UnknownRelay += c.UnknownRelay
 	to.UnknownServer += c.UnknownServer
-	to.KeepFailed += c.KeepFailed
+	to.SaveFailures += c.SaveFailures
 	to.Binds += c.Binds
 	to.Evicted += c.Evicted
 }
@@ -459,7 +459,7 @@
 	}
 	for i := range site.Relays {
 		setup := p.relaySetup(i, p.day.Rate*parts[i]/sum)
-		for range site.Dataplane.DefaultTableSize { // servers of its zone if there are enough, as they come
+		for range site.DataPlane.DefaultTableSize { // servers of its zone if there are enough, as they come
 			s := site.Servers[p.chance.IntN(len(site.Servers))]
 			a := netip.MustParseAddrPort(string(s.Server))
 			if !contains(setup.Standing, a) {
@@ -501,7 +501,7 @@
 	}
 	return emulator.RelaySetup{Others: others, Asks: asks, UID: c.Site.Relays[i].UID, Host: relayAddr(i).Addr(), Coordinator: at, Collect: c.Measurements, User: c.User,
 		Key: c.Key, Flags: sasp.Push | sasp.Trust | sasp.NoChange, Classes: p.classes, Rate: rate,
-		Report: c.Site.Reporting.Period, EjectAfter: c.Site.Dataplane.EjectAfterFailures, EjectFor: 4, Keys: p.day.Keys,
+		Report: c.Site.Reporting.Period, EjectAfter: c.Site.DataPlane.EjectAfterFailures, EjectFor: 4, Keys: p.day.Keys,
 		Seed: uint64(i+1) + p.opts.Seed<<16, Popular: p.popular, Again: p.day.Clients.Again, Wait: p.day.Clients.Wait,
 		Patience: p.day.Clients.Patience, Policy: p.opts.Policy, Every: p.every()}
 }
@@ -698,7 +698,7 @@
 	}
 	fmt.Fprintf(&b, "%d messages of %d lines reached relays; at most %.0f lines waited\n", r.Messages, r.Lines, r.PeakQueue)
 	fmt.Fprintf(&b, "%d rounds (%d idle), %d full tables, %d relays cut off, %d refusals, %d malformed\n", r.Counts.Rounds,
-		r.Counts.Idle, r.Counts.Fulls, r.Counts.Cut, r.Desk.Refused, r.Desk.Malformed)
+		r.Counts.Idle, r.Counts.FullTables, r.Counts.Disconnected, r.Desk.Refused, r.Desk.Malformed)
 	if len(r.Led) > 0 {
 		fmt.Fprintf(&b, "%d deaths of coordinators; all relays led again after %.2f s (median), %.2f s (p90), %.2f s (most); told their tables after %.2f, %.2f, %.2f s\n",
 			len(r.Led), part(r.Led, 0.5), part(r.Led, 0.9), part(r.Led, 1), part(r.Told, 0.5), part(r.Told, 0.9), part(r.Told, 1))
--- a/internal/scenario/rehearse_test.go
+++ b/internal/scenario/rehearse_test.go
@@ -33,7 +33,7 @@
 		t.Fatal(err)
 	}
 	var b bytes.Buffer
-	if err := r.Print(&b, d.Coordinator.Site.Names); err != nil {
+	if err := r.Print(&b, d.Coordinator.Site.ClassNames); err != nil {
 		t.Fatal(err)
 	}
 	return r, b.String()
@@ -45,7 +45,7 @@
 		if !r.Kept() || len(r.Complaints) > 0 {
 			t.Errorf("%s: a rule was broken or something was not understood:\n%s", front, text)
 		}
-		if r.Counts.Defied != btoi(front == "sasp") || r.Service < 0.6 || r.Messages < 200 {
+		if r.Counts.Noncompliant != btoi(front == "sasp") || r.Service < 0.6 || r.Messages < 200 {
 			t.Errorf("%s: the day was not what it is meant to be:\n%s", front, text)
 		}
 	}
@@ -67,8 +67,8 @@
 	for guard, c := range map[controlplane.Guard]struct {
 		rule int
 		seed uint64 // of the day's chances; 0: its own
-	}{controlplane.GuardRejoin: {1, 18}, controlplane.GuardRepeats: {2, 0}, controlplane.GuardMemory: {3, 0},
-		controlplane.GuardReports: {3, 0}, controlplane.GuardCold: {4, 0}, controlplane.GuardPace: {5, 0}} {
+	}{controlplane.GuardRejoin: {1, 18}, controlplane.GuardRetries: {2, 0}, controlplane.GuardMemory: {3, 0},
+		controlplane.GuardReports: {3, 0}, controlplane.GuardWarmup: {4, 0}, controlplane.GuardPace: {5, 0}} {
 		t.Run(string(guard), func(t *testing.T) {
 			t.Parallel()
 			r, text := play1(t, badDay(t, string(BadDay), guard), Options{Seed: c.seed})
--- a/internal/service/admin_test.go
+++ b/internal/service/admin_test.go
@@ -75,7 +75,7 @@
 		if grouped { // it is led when the group has a lease
 			eventually(t, "nobody leads", func() bool {
 				st, err := GroupStatus(settled.Group.Members[1], []byte(groupKey))
-				return err == nil && st.Leads
+				return err == nil && st.HoldsLease
 			})
 		}
 		if _, err := relay.Write(b); err != nil {
--- a/internal/service/group.go
+++ b/internal/service/group.go
@@ -26,7 +26,7 @@
 
 // GroupRemove takes a coordinator out for good, by way of any of the others. A command may be lost while a leader is
 // elected, so it is given again until one of them says that it is agreed on.
-func GroupRemove(g *coordinator.GroupSetup, gone membership.MemberID, wait time.Duration) error {
+func GroupRemove(g *coordinator.GroupConfig, gone membership.MemberID, wait time.Duration) error {
 	for end := time.Now().Add(wait); ; time.Sleep(removeAsk) {
 		var last error
 		for _, n := range slices.Sorted(maps.Keys(g.Members)) {
@@ -34,10 +34,10 @@
 				continue
 			}
 			s, err := ask(g.Members[n], g.Key, nil)
-			if err == nil && s.Seats[gone].Removed {
+			if err == nil && s.Registrations[gone].Removed {
 				return nil
 			}
-			if _, known := s.Seats[gone]; err == nil && !known {
+			if _, known := s.Registrations[gone]; err == nil && !known {
 				return fmt.Errorf("nobody has number %d", gone)
 			}
 			if err == nil {
--- a/internal/service/group_test.go
+++ b/internal/service/group_test.go
@@ -119,7 +119,7 @@
 				living++
 			}
 		}
-		return living, s.Drains, s.Leads
+		return living, s.Drains, s.HoldsLease
 	}
 	for n := 1; n <= 3; n++ {
 		eventually(t, fmt.Sprint(n, " does not lead"), func() bool { living, _, leads := status(n); return living == 3 && leads })
--- a/internal/service/host.go
+++ b/internal/service/host.go
@@ -26,7 +26,7 @@
 )
 
 // logTerms share what is logged between tenants: in lines.
-var logTerms = fairshare.Terms{Rate: 200, Burst: 2000, Own: 10, Reserve: 0, Tenants: 1 << 16, Lately: 0.1}
+var logTerms = fairshare.Config{Rate: 200, Burst: 2000, BucketSeconds: 10, Reserve: 0, MaxTenants: 1 << 16, RecentWindow: 0.1}
 
 const logAgain = 10.0 // seconds between two lines that say how many of a tenant's were left out
 
@@ -38,20 +38,22 @@
 	}
 	defer func() { err = errors.Join(err, store.Close()) }()
 	watch, logs := newWatch(hostedKept), newLogs(log)
-	c.Make = func(t tenancy.Tenant) (coordinator.Made, error) { return settings.ParseTenant(t.Name, t.Settings, c) }
+	c.ParseTenant = func(t tenancy.Tenant) (coordinator.TenantConfig, error) {
+		return settings.ParseTenant(t.Name, t.Settings, c)
+	}
 	c.Log, c.OnOrder = logs.of, watch.orderOf
 	part, err := openGroup(c.Group, c.GroupStore)
 	if err != nil {
 		return err
 	}
 	defer func() { err = errors.Join(err, part.close()) }()
-	c.Disk, c.Life, c.OnFail = part.disk, part.life, part.fail
+	c.Storage, c.Incarnation, c.OnFail = part.disk, part.life, part.fail
 	clock := eventloop.Clock()
-	program, err := coordinator.NewHost(clock(), c.HostSetup, store)
+	program, err := coordinator.NewHost(clock(), c.HostConfig, store)
 	if err != nil {
 		return err
 	}
-	if err := program.Keys.Set("", c.Callers); err != nil {
+	if err := program.Credentials.Set("", c.Callers); err != nil {
 		return err
 	}
 	server, err := eventloop.Listen(program, append(c.Ports(), part.ports...), c.Measurements, clock)
@@ -107,7 +109,7 @@
 
 // Identify of authz.Callers.
 func (h *hosted) Identify(credential string) (authz.Principal, bool) {
-	return h.program.Keys.Identify(credential)
+	return h.program.Credentials.Identify(credential)
 }
 
 // Fleet of admin.Program.
@@ -141,17 +143,17 @@
 	return rows
 }
 
-func (h *hosted) row(x *coordinator.Hosted) admin.TenantRow {
+func (h *hosted) row(x *coordinator.TenantRuntime) admin.TenantRow {
 	r := admin.TenantRow{Name: x.Name, Incarnation: x.Incarnation, Version: x.Version, Weight: x.Weight, Needs: x.Requirements, Runs: x.Program != nil}
-	if x.Wrong != nil {
-		r.Wrong = x.Wrong.Error()
+	if x.Err != nil {
+		r.Wrong = x.Err.Error()
 	}
 	if x.Program != nil {
 		f := x.Program.Fleet
-		r.Servers, r.Relays, r.Newest = len(f.Roll.Servers()), f.Joined(), f.Holding()
-		r.Waiting, _ = f.Waiting()
+		r.Servers, r.Relays, r.Newest = len(f.Registry.Servers()), f.Joined(), f.UpToDate()
+		r.Waiting, _ = f.QueuedEntries()
 	}
-	r.Work, r.Longest = h.program.Turns.Took(x.Name)
+	r.Work, r.Longest = h.program.Scheduler.Usage(x.Name)
 	return r
 }
 
@@ -166,7 +168,7 @@
 
 // Settings of admin.Hosted.
 func (h *hosted) Settings(of tenancy.Name) ([]byte, error) {
-	t, ok := h.program.Dir.Get(of)
+	t, ok := h.program.Directory.Get(of)
 	if !ok {
 		return nil, tenancy.ErrUnknown
 	}
@@ -175,13 +177,13 @@
 
 // Merge of admin.Hosted.
 func (h *hosted) Merge(of tenancy.Name, text []byte) ([]byte, error) {
-	t, _ := h.program.Dir.Get(of) // a new one has no keys yet
+	t, _ := h.program.Directory.Get(of) // a new one has no keys yet
 	return settings.Merge(text, t.Settings)
 }
 
 // Edit of admin.Hosted.
 func (h *hosted) Edit(of tenancy.Name, edit []byte) ([]byte, error) {
-	t, ok := h.program.Dir.Get(of)
+	t, ok := h.program.Directory.Get(of)
 	if !ok {
 		return nil, tenancy.ErrUnknown
 	}
@@ -194,12 +196,12 @@
 
 // See of admin.Hosted.
 func (h *hosted) See(now float64, t tenancy.Tenant) (s admin.Seen, err error) {
-	x, err := h.program.See(now, t)
+	x, err := h.program.Preview(now, t)
 	if err != nil {
 		return s, err
 	}
 	r := x.Revision
-	s = admin.Seen{Weight: x.Made.Weight, Needs: x.Made.Needs, Anew: r.Anew, Added: len(r.Added), Sent: len(r.Sent)}
+	s = admin.Seen{Weight: x.Config.Weight, Needs: x.Config.Requirements, Anew: r.RestartReason, Added: len(r.Added), Sent: len(r.Evicted)}
 	for _, v := range r.Removed {
 		s.Removed = append(s.Removed, string(v))
 	}
@@ -211,7 +213,7 @@
 
 // Order of admin.Hosted.
 func (h *hosted) Order(now float64, c tenancy.Command, done func(tenancy.Outcome, error)) {
-	h.program.Order(now, c, func(o tenancy.Outcome, err error) {
+	h.program.ChangeTenant(now, c, func(o tenancy.Outcome, err error) {
 		if c.Kind == tenancy.Remove && err == nil && o.Err() == nil {
 			h.watch.latest.drop(c.Name)
 			h.logs.drop(c.Name)
@@ -225,7 +227,7 @@
 type logs struct {
 	mu     sync.Mutex
 	base   *slog.Logger
-	shares *fairshare.Shares
+	shares *fairshare.Allocator
 	out    map[tenancy.Name]int
 	saidAt map[tenancy.Name]float64
 	each   map[tenancy.Name]*slog.Logger
@@ -320,28 +322,28 @@
 
 var tenantFigures = []struct {
 	desc *prometheus.Desc
-	of   func(h *coordinator.Host, x *coordinator.Hosted) float64
+	of   func(h *coordinator.Host, x *coordinator.TenantRuntime) float64
 }{
-	{tenantDesc("runs", "1 while the tenant's coordinator runs."), func(_ *coordinator.Host, x *coordinator.Hosted) float64 { return one(x.Program != nil) }},
-	{tenantDesc("relays_joined", "Relays that are joined."), func(_ *coordinator.Host, x *coordinator.Hosted) float64 {
+	{tenantDesc("runs", "1 while the tenant's coordinator runs."), func(_ *coordinator.Host, x *coordinator.TenantRuntime) float64 { return one(x.Program != nil) }},
+	{tenantDesc("relays_joined", "Relays that are joined."), func(_ *coordinator.Host, x *coordinator.TenantRuntime) float64 {
 		if x.Program == nil {
 			return 0
 		}
 		return float64(x.Program.Fleet.Joined())
 	}},
-	{tenantDesc("waiting_lines", "Lines that wait in the tenant's channel."), func(_ *coordinator.Host, x *coordinator.Hosted) float64 {
+	{tenantDesc("waiting_lines", "Lines that wait in the tenant's channel."), func(_ *coordinator.Host, x *coordinator.TenantRuntime) float64 {
 		if x.Program == nil {
 			return 0
 		}
-		waiting, _ := x.Program.Fleet.Waiting()
+		waiting, _ := x.Program.Fleet.QueuedEntries()
 		return waiting
 	}},
-	{tenantDesc("work_seconds_total", "Seconds of a core that it was reckoned at."), func(h *coordinator.Host, x *coordinator.Hosted) float64 {
-		work, _ := h.Turns.Took(x.Name)
+	{tenantDesc("work_seconds_total", "Seconds of a core that it was reckoned at."), func(h *coordinator.Host, x *coordinator.TenantRuntime) float64 {
+		work, _ := h.Scheduler.Usage(x.Name)
 		return work
 	}},
-	{tenantDesc("longest_wait_seconds", "The longest that it was due and waited for its turn."), func(h *coordinator.Host, x *coordinator.Hosted) float64 {
-		_, longest := h.Turns.Took(x.Name)
+	{tenantDesc("longest_wait_seconds", "The longest that it was due and waited for its turn."), func(h *coordinator.Host, x *coordinator.TenantRuntime) float64 {
+		_, longest := h.Scheduler.Usage(x.Name)
 		return longest
 	}},
 }
@@ -364,10 +366,10 @@
 	s.server.Do(func(float64) {
 		h := s.program
 		gauge, count := figures("snowquay_host_", out)
-		spooled(h.Figures(), gauge, count)
-		known, strangers, buffered := h.Entry.Count()
-		taken := h.Dir.Used()
-		gauge("tenants", "Tenants that there are.", float64(len(h.Dir.Tenants)))
+		spooled(h.GraphiteSender(), gauge, count)
+		known, strangers, buffered := h.Router.Count()
+		taken := h.Directory.Used()
+		gauge("tenants", "Tenants that there are.", float64(len(h.Directory.Tenants)))
 		gauge("tenants_starting", "Of them, still to be started.", float64(h.Starting()))
 		gauge("connections", "Connections whose tenant is known.", float64(known))
 		gauge("strangers", "Connections that have not said whose they are.", float64(strangers))
@@ -375,17 +377,17 @@
 		gauge("memory_promised_bytes", "Memory that tenants may take by their limits.", taken.Memory)
 		gauge("lines_promised", "Lines a second, likewise.", taken.Lines)
 		gauge("work_promised", "Seconds of a core a second, likewise.", taken.Work)
-		gauge("turns_waiting", "Tenants that are due.", float64(h.Turns.Waiting()))
-		count("turns", "Turns of tenants.", h.Turns.Counts.Looks)
-		count("turns_urgent", "Those for drains.", h.Turns.Counts.Urgent)
-		count("turns_held", "Times that work was used up while tenants were due.", h.Turns.Counts.Held)
-		count("starts", "Tenants started.", h.Counts.Starts)
-		count("restarts", "Tenants that started anew for other settings.", h.Counts.Anew)
-		count("revised", "Tenants that took other settings while they ran.", h.Counts.Revised)
-		count("save_failed", "Changes and records that could not be made durable.", h.Counts.SaveFailed)
-		count("measurements_unsigned", "Measurement packets that nobody signed.", h.Counts.Unsigned)
-		count("measurements_foreign", "Those signed by nobody who is known.", h.Counts.Foreign)
-		for why, n := range h.Entry.Rejected {
+		gauge("turns_waiting", "Tenants that are due.", float64(h.Scheduler.DueLen()))
+		count("turns", "Turns of tenants.", h.Scheduler.Stats.Turns)
+		count("turns_urgent", "Those for drains.", h.Scheduler.Stats.Urgent)
+		count("turns_held", "Times that work was used up while tenants were due.", h.Scheduler.Stats.BudgetExhausted)
+		count("starts", "Tenants started.", h.Stats.Starts)
+		count("restarts", "Tenants that started anew for other settings.", h.Stats.Restarts)
+		count("revised", "Tenants that took other settings while they ran.", h.Stats.Reconfigured)
+		count("save_failed", "Changes and records that could not be made durable.", h.Stats.SaveFailures)
+		count("measurements_unsigned", "Measurement packets that nobody signed.", h.Stats.Unsigned)
+		count("measurements_foreign", "Those signed by nobody who is known.", h.Stats.Foreign)
+		for why, n := range h.Router.Rejected {
 			out <- prometheus.MustNewConstMetric(refusedDesc, prometheus.CounterValue, float64(n), why.String())
 		}
 		for _, x := range h.Tenants() {
--- a/internal/service/service.go
+++ b/internal/service/service.go
@@ -51,11 +51,11 @@
 		return err
 	}
 	defer func() { err = errors.Join(err, part.close()) }()
-	c.Disk, c.Life, c.OnFail = part.disk, part.life, part.fail
+	c.Storage, c.Incarnation, c.OnFail = part.disk, part.life, part.fail
 	watch := newWatch(keptSpans)
 	c.Log, c.OnOrder = log, watch.order
 	clock := eventloop.Clock()
-	program, err := coordinator.New(clock(), c.Setup, records)
+	program, err := coordinator.New(clock(), c.Config, records)
 	if err != nil {
 		return err
 	}
@@ -108,7 +108,7 @@
 }
 
 // openGroup opens what a member of a group must not forget; without a group there is nothing to open.
-func openGroup(g *coordinator.GroupSetup, store string) (*groupPart, error) {
+func openGroup(g *coordinator.GroupConfig, store string) (*groupPart, error) {
 	p := &groupPart{failed: make(chan error, 1)}
 	if g == nil {
 		return p, nil
@@ -209,7 +209,7 @@
 
 // Drain of admin.Program.
 func (a *administered) Drain(now float64, _ tenancy.Name, s balancer.Server, on bool, done func(ok bool)) {
-	a.program.Order(now, s, on, done)
+	a.program.RequestDrain(now, s, on, done)
 }
 
 // state reads a coordinator's figures when they are asked for.
@@ -224,29 +224,29 @@
 // Collect of prometheus.Collector.
 func (s *state) Collect(out chan<- prometheus.Metric) {
 	s.server.Do(func(now float64) {
-		f, d, m := s.program.Fleet, s.program.Desk, s.program.Collect
+		f, d, m := s.program.Fleet, s.program.SASP, s.program.Collector
 		gauge, count := figures("snowquay_", out)
 		conns, buffered := d.Connections()
-		waiting, peak := f.Waiting()
+		waiting, peak := f.QueuedEntries()
 		gauge("relays_joined", "Relays that are joined.", float64(f.Joined()))
-		gauge("relays_holding", "Relays known to hold the newest tables.", float64(f.Holding()))
-		gauge("servers_known", "Servers on the roll, gone ones among them.", float64(f.Roll.Len()))
+		gauge("relays_holding", "Relays known to hold the newest tables.", float64(f.UpToDate()))
+		gauge("servers_known", "Servers on the roll, gone ones among them.", float64(f.Registry.Len()))
 		gauge("connections", "SASP connections.", float64(conns))
 		gauge("buffered_bytes", "Bytes of unfinished messages.", float64(buffered))
 		gauge("waiting_lines", "Lines that wait in the channel.", waiting)
 		gauge("waiting_lines_peak", "The most that ever waited.", peak)
-		gauge("series", "Series of measurements.", float64(f.Book.Len()))
-		count("rounds", "Rounds of the decision module.", f.Counts.Rounds)
-		count("rounds_idle", "Ticks in which nothing had come in.", f.Counts.Idle)
-		count("messages", "Messages with weights.", f.Counts.Messages)
-		count("lines", "Lines in them.", f.Counts.Lines)
-		count("full_tables", "Messages with a whole table.", f.Counts.Fulls)
-		count("relays_cut", "Relays cut off because they did not take a message.", f.Counts.Cut)
-		count("relays_overdue", "Those for a drain.", f.Counts.Overdue)
-		count("relays_defied", "Those whose reports showed that they did not follow a drain.", f.Counts.Defied)
-		count("tables_refused", "Tables that were refused, since they had no open, warm server left.", f.Counts.Left)
-		count("keep_failed", "Records that could not be made durable.", f.Counts.KeepFailed)
-		count("unsaid", "Levels and ways of repeating that SASP has no word for.", f.Counts.Unsaid)
+		gauge("series", "Series of measurements.", float64(f.LoadReports.Len()))
+		count("rounds", "Rounds of the decision module.", f.Stats.Rounds)
+		count("rounds_idle", "Ticks in which nothing had come in.", f.Stats.Idle)
+		count("messages", "Messages with weights.", f.Stats.Messages)
+		count("lines", "Lines in them.", f.Stats.Entries)
+		count("full_tables", "Messages with a whole table.", f.Stats.FullTables)
+		count("relays_cut", "Relays cut off because they did not take a message.", f.Stats.Disconnected)
+		count("relays_overdue", "Those for a drain.", f.Stats.Overdue)
+		count("relays_defied", "Those whose reports showed that they did not follow a drain.", f.Stats.Noncompliant)
+		count("tables_refused", "Tables that were refused, since they had no open, warm server left.", f.Stats.TablesRejected)
+		count("keep_failed", "Records that could not be made durable.", f.Stats.SaveFailures)
+		count("unsaid", "Levels and ways of repeating that SASP has no word for.", f.Stats.Unsupported)
 		if m := s.program.Member; m != nil && m.Group != nil {
 			g, leads := m.Group, 0.0
 			if m.Failed == nil && g.Lease.Valid(now) {
@@ -262,10 +262,10 @@
 			count("group_drains_kept", "Drains told here and confirmed.", g.Stats.Confirmed)
 			count("group_drains_refused", "Drains told here on which nobody could agree in time.", g.Stats.Rejected)
 			count("group_dropped", "Commands that found no leader.", g.Stats.Dropped)
-			count("relays_evicted", "Relays that another coordinator leads now.", f.Counts.Evicted)
+			count("relays_evicted", "Relays that another coordinator leads now.", f.Stats.Evicted)
 		}
-		spooled(s.program.Figures(), gauge, count)
-		h := s.program.Poll
+		spooled(s.program.GraphiteSender(), gauge, count)
+		h := s.program.LongPoll
 		parked, underWay := h.Counter.Parked()
 		gauge("polls_parked", "Polls that wait.", float64(parked))
 		gauge("polls_unacknowledged", "Answers that no later poll has acknowledged.", float64(underWay))
@@ -279,8 +279,8 @@
 		count("malformed", "Messages that could not be read.", d.Counts.Malformed)
 		count("measurements", "Measurement packets.", m.Packets)
 		count("measurements_garbled", "Those that could not be read.", m.Garbled)
-		count("measurements_unknown", "Values that name an unknown relay or server.", f.Counts.UnknownRelay+
-			f.Counts.UnknownServer)
-		count("measurements_old", "Values that were doubled or overtaken.", f.Book.Rejected.Old)
+		count("measurements_unknown", "Values that name an unknown relay or server.", f.Stats.UnknownRelay+
+			f.Stats.UnknownServer)
+		count("measurements_old", "Values that were doubled or overtaken.", f.LoadReports.Rejected.Stale)
 	})
 }
--- a/internal/service/watch.go
+++ b/internal/service/watch.go
@@ -42,29 +42,29 @@
 func wall(clock float64) time.Time { return time.Unix(0, int64(clock*1e9)) }
 
 // order makes a span of an order's life, with the facts that it came from, and a span for each part of it.
-func (w *watch) order(o controlplane.Order) { w.orderOf("", 0, o) }
+func (w *watch) order(o controlplane.MessageTrace) { w.orderOf("", 0, o) }
 
-func (w *watch) orderOf(of tenancy.Name, life tenancy.Incarnation, o controlplane.Order) {
+func (w *watch) orderOf(of tenancy.Name, life tenancy.Incarnation, o controlplane.MessageTrace) {
 	urgent := "no"
 	if o.Urgent {
 		urgent = "yes"
 	}
-	if o.Held > 0 {
-		w.held.WithLabelValues(urgent).Observe(o.Held - o.Decided)
+	if o.AckedAt > 0 {
+		w.held.WithLabelValues(urgent).Observe(o.AckedAt - o.DecidedAt)
 	}
-	ctx, span := w.tracer.Start(context.Background(), "order", trace.WithTimestamp(wall(o.Decided)),
+	ctx, span := w.tracer.Start(context.Background(), "order", trace.WithTimestamp(wall(o.DecidedAt)),
 		trace.WithAttributes(attribute.String("tenant", string(of)), attribute.String("relay", o.UID), attribute.Int64("round", int64(o.Round)),
-			attribute.Int("facts.lists", o.Lists), attribute.Int("facts.streams", o.Streams),
-			attribute.Int("facts.traffic", o.Traffic), attribute.Int("facts.demand", o.Demands),
-			attribute.Int("lines", o.Lines), attribute.Bool("urgent", o.Urgent), attribute.Bool("full", o.Full),
-			attribute.Bool("held", o.Held > 0), attribute.Int64("incarnation", int64(life))))
-	_, waits := w.tracer.Start(ctx, "waits", trace.WithTimestamp(wall(o.Decided)))
-	waits.End(trace.WithTimestamp(wall(o.Written)))
-	end := o.Written
-	if o.Held > 0 {
-		_, travels := w.tracer.Start(ctx, "travels", trace.WithTimestamp(wall(o.Written)))
-		travels.End(trace.WithTimestamp(wall(o.Held)))
-		end = o.Held
+			attribute.Int("facts.lists", o.Lists), attribute.Int("facts.streams", o.ProxyEvents),
+			attribute.Int("facts.traffic", o.Upstreams), attribute.Int("facts.demand", o.Demands),
+			attribute.Int("lines", o.Entries), attribute.Bool("urgent", o.Urgent), attribute.Bool("full", o.Full),
+			attribute.Bool("held", o.AckedAt > 0), attribute.Int64("incarnation", int64(life))))
+	_, waits := w.tracer.Start(ctx, "waits", trace.WithTimestamp(wall(o.DecidedAt)))
+	waits.End(trace.WithTimestamp(wall(o.SentAt)))
+	end := o.SentAt
+	if o.AckedAt > 0 {
+		_, travels := w.tracer.Start(ctx, "travels", trace.WithTimestamp(wall(o.SentAt)))
+		travels.End(trace.WithTimestamp(wall(o.AckedAt)))
+		end = o.AckedAt
 	}
 	span.End(trace.WithTimestamp(wall(end)))
 }
--- a/internal/settings/host.go
+++ b/internal/settings/host.go
@@ -21,7 +21,7 @@
 
 // Host is what the settings file of a host of many tenants says, ready to act.
 type Host struct {
-	coordinator.HostSetup
+	coordinator.HostConfig
 	Measurements netip.AddrPort
 	Metrics      netip.AddrPort // not valid: none
 	Admin        netip.AddrPort
@@ -57,31 +57,31 @@
 	if !h.SASP.IsValid() && !h.HTTP.IsValid() {
 		r.wrong(l, "neither sasp nor http: no proxy could join")
 	}
-	h.Room, h.Entry, h.Turns = tenancy.DefaultCapacity, tenancy.DefaultRouterLimits, fairqueue.UsualTerms
+	h.Capacity, h.Router, h.Scheduler = tenancy.DefaultCapacity, tenancy.DefaultRouterLimits, fairqueue.DefaultConfig
 	if n := root.one("room"); n != nil {
-		for name, to := range map[string]*float64{"lines-per-second": &h.Room.Lines, "connections": &h.Room.Connections, "work": &h.Room.Work,
-			"work-times": &h.Room.WorkOvercommit} {
+		for name, to := range map[string]*float64{"lines-per-second": &h.Capacity.Lines, "connections": &h.Capacity.Connections, "work": &h.Capacity.Work,
+			"work-times": &h.Capacity.WorkOvercommit} {
 			if v := n.number(name); v > 0 {
 				*to = v
 			}
 		}
 		if v := n.number("megabytes"); v > 0 {
-			h.Room.Memory = v * (1 << 20)
+			h.Capacity.Memory = v * (1 << 20)
 		}
 		if v := n.int("tenants"); v > 0 {
-			h.Room.MaxTenants = v
+			h.Capacity.MaxTenants = v
 		}
-		h.Turns.Rate, h.Entry.MaxTenants = h.Room.Work, h.Room.MaxTenants
+		h.Scheduler.Rate, h.Router.MaxTenants = h.Capacity.Work, h.Capacity.MaxTenants
 	}
 	if n := root.one("entry"); n != nil {
 		if v := n.int("strangers"); v > 0 {
-			h.Entry.Unidentified = v
+			h.Router.Unidentified = v
 		}
 		if v := n.number("comes-per-second"); v > 0 {
-			h.Entry.AcceptRate, h.Entry.AcceptBurst = v, v
+			h.Router.AcceptRate, h.Router.AcceptBurst = v, v
 		}
 		if v := n.number("silent-for"); v > 0 {
-			h.Entry.IdentifyTimeout = v
+			h.Router.IdentifyTimeout = v
 		}
 	}
 	c := &Coordinator{}
@@ -95,16 +95,16 @@
 
 // ParseTenant reads a tenant's settings for a host. Relays and servers are named there as its staff calls them; in its coordinator, and
 // on the wire, the tenant's name stands before each, so that a name tells whose it is.
-func ParseTenant(of tenancy.Name, text []byte, h *Host) (coordinator.Made, error) {
+func ParseTenant(of tenancy.Name, text []byte, h *Host) (coordinator.TenantConfig, error) {
 	root, err := load(text, "tenant")
 	if err != nil {
-		return coordinator.Made{}, named(string(of), err)
+		return coordinator.TenantConfig{}, named(string(of), err)
 	}
 	m, err := tenant(of, root, h)
 	return m, named(string(of), err)
 }
 
-func tenant(of tenancy.Name, root *node, h *Host) (m coordinator.Made, err error) {
+func tenant(of tenancy.Name, root *node, h *Host) (m coordinator.TenantConfig, err error) {
 	r := &reader{zones: map[string]balancer.Zone{}}
 	c := r.basis(root, nil)
 	r.callers(root, c)
@@ -114,7 +114,7 @@
 		}
 	}
 	s := &c.Site
-	s.Prefix = of.UID("")
+	s.UIDPrefix = of.UID("")
 	for i, x := range s.Relays {
 		if s.Relays[i].UID = of.UID(x.UID); len(s.Relays[i].UID) > mostUID {
 			r.wrong(root.one("relays"), "relay %q: with the tenant's name it has over %d bytes", x.UID, mostUID)
@@ -124,7 +124,7 @@
 	if c.Key != "" && c.User == "" || c.Key == "" && c.User != "" {
 		r.wrong(root.one("reports"), "user and key belong together")
 	}
-	if s.Dataplane.Admission != balancer.AdmissionIgnored && h.SASP.IsValid() {
+	if s.DataPlane.Admission != balancer.AdmissionIgnored && h.SASP.IsValid() {
 		c.Policy.Members = true
 		if !h.HTTP.IsValid() {
 			r.wrong(root.one("fleet"), "levels: SASP has no word for them, and this host speaks nothing else")
@@ -138,7 +138,7 @@
 			r.wrong(root.all("class")[i], "no server is listed in a zone that may take it")
 		}
 	}
-	size := tenancy.DefaultSize(tenancy.Size{Classes: len(s.Classes), Servers: len(s.Servers), Relays: max(len(s.Relays), s.Dataplane.Proxies),
+	size := tenancy.DefaultSize(tenancy.Size{Classes: len(s.Classes), Servers: len(s.Servers), Relays: max(len(s.Relays), s.DataPlane.Proxies),
 		Lines: s.Channel.EntriesPerSecond, Period: s.Reporting.Period})
 	limits := root.one("limits")
 	take := func(name string, to *int, usual int) {
@@ -146,14 +146,14 @@
 			*to = usual
 		}
 	}
-	take("relays", &s.Limits.Relays, size.Relays)
-	take("servers", &s.Limits.Servers, size.Servers)
-	take("series", &s.Limits.Series, size.Series)
+	take("relays", &s.Limits.MaxRelays, size.Relays)
+	take("servers", &s.Limits.MaxServers, size.Servers)
+	take("series", &s.Limits.MaxSeries, size.Series)
 	take("connections", &c.Limits.Connections, size.Connections)
 	take("buffered-bytes", &c.Limits.Buffered, size.Buffered)
-	s.Limits.TracesAhead = max(s.Limits.Relays*2, 64)
-	c.Poll.Connections, c.Parking.Parked = c.Limits.Connections, c.Limits.Connections
-	size.Relays, size.Servers, size.Series = s.Limits.Relays, s.Limits.Servers, s.Limits.Series
+	s.Limits.MaxTraces = max(s.Limits.MaxRelays*2, 64)
+	c.LongPoll.Connections, c.Parking.Parked = c.Limits.Connections, c.Limits.Connections
+	size.Relays, size.Servers, size.Series = s.Limits.MaxRelays, s.Limits.MaxServers, s.Limits.MaxSeries
 	size.Connections, size.Buffered = c.Limits.Connections, c.Limits.Buffered
 	c.Measurements = h.Measurements
 	for _, n := range root.all("from") {
@@ -163,7 +163,7 @@
 		}
 		m.Networks = append(m.Networks, p)
 	}
-	return coordinator.Made{Networks: m.Networks, Setup: c.Setup, Callers: c.Callers, Weight: root.number("weight"), Needs: tenancy.RequirementsFor(size), Most: c.Limits.Connections},
+	return coordinator.TenantConfig{Networks: m.Networks, Config: c.Config, Callers: c.Callers, Weight: root.number("weight"), Requirements: tenancy.RequirementsFor(size), MaxConnections: c.Limits.Connections},
 		errors.Join(r.errs...)
 }
 
@@ -327,7 +327,7 @@
 		fmt.Fprintf(&b, "number %d of a group of %d hosts; a lease of %g s, taken over %.1f s after a death\n", g.Self, len(g.Members), g.Lease.Duration,
 			g.Lease.ExpiryTimeout())
 	}
-	fmt.Fprintf(&b, "room for %d tenants: %.0f MB, %.0f lines a second, %.0f connections, %.2f of a core promised %g times\n", h.Room.MaxTenants,
-		h.Room.Memory/(1<<20), h.Room.Lines, h.Room.Connections, h.Room.Work, h.Room.WorkOvercommit)
+	fmt.Fprintf(&b, "room for %d tenants: %.0f MB, %.0f lines a second, %.0f connections, %.2f of a core promised %g times\n", h.Capacity.MaxTenants,
+		h.Capacity.Memory/(1<<20), h.Capacity.Lines, h.Capacity.Connections, h.Capacity.Work, h.Capacity.WorkOvercommit)
 	return b.String()
 }
--- a/internal/settings/host_test.go
+++ b/internal/settings/host_test.go
@@ -24,7 +24,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if h.Room.Memory != 4096<<20 || h.Room.MaxTenants != 5000 || len(h.Callers) != 1 || !strings.Contains(h.String(), "5000 tenants") {
+	if h.Capacity.Memory != 4096<<20 || h.Capacity.MaxTenants != 5000 || len(h.Callers) != 1 || !strings.Contains(h.String(), "5000 tenants") {
 		t.Errorf("%+v", h)
 	}
 	text := readDoc(t, "example-tenant.xml")
@@ -32,9 +32,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := &m.Setup.Site
-	if s.Relays[0].UID != "first/relay-1" || m.Setup.Policy.FleetUID != "first/fleet" || s.Prefix != "first/" || len(m.Networks) != 1 ||
-		s.Pools["127.0.1.1:8080"].Capacity != 50 || m.Needs.CheckWithin(h.Room.Requirements) != nil || !m.Needs.Valid() || s.Limits.Series > 1000 {
+	s := &m.Config.Site
+	if s.Relays[0].UID != "first/relay-1" || m.Config.Policy.FleetUID != "first/fleet" || s.UIDPrefix != "first/" || len(m.Networks) != 1 ||
+		s.Pools["127.0.1.1:8080"].Capacity != 50 || m.Requirements.CheckWithin(h.Capacity.Requirements) != nil || !m.Requirements.Valid() || s.Limits.MaxSeries > 1000 {
 		t.Errorf("%+v", m)
 	}
 	for _, c := range [][3]string{
@@ -59,8 +59,8 @@
 	}
 	// Levels: relays then come by the long-poll API alone, and only servers speak SASP.
 	m, err = ParseTenant("first", []byte(strings.Replace(text, `<fleet relays`, `<fleet levels="fraction" relays`, 1)), h)
-	if err != nil || !m.Setup.Policy.Members || m.Setup.Site.Dataplane.Admission != balancer.AdmissionFraction {
-		t.Error(err, m.Setup.Policy)
+	if err != nil || !m.Config.Policy.Members || m.Config.Site.DataPlane.Admission != balancer.AdmissionFraction {
+		t.Error(err, m.Config.Policy)
 	}
 }
 
@@ -95,14 +95,14 @@
 		t.Fatal(err)
 	}
 	m, err := ParseTenant(tenancy.Name("first"), next, h)
-	if err != nil || len(m.Setup.Site.Servers) != 4 || m.Setup.Site.Servers[3].Weight != 2.5 || m.Setup.Site.Servers[3].FailureDomain != 1 {
-		t.Errorf("%v %+v", err, m.Setup.Site.Servers)
+	if err != nil || len(m.Config.Site.Servers) != 4 || m.Config.Site.Servers[3].Weight != 2.5 || m.Config.Site.Servers[3].FailureDomain != 1 {
+		t.Errorf("%v %+v", err, m.Config.Site.Servers)
 	}
 	if next, err = (Edit{Server: "127.0.1.9:8080", Remove: true}).Apply(next); err != nil {
 		t.Fatal(err)
 	}
-	if m, err = ParseTenant("first", next, h); err != nil || len(m.Setup.Site.Servers) != 3 {
-		t.Errorf("%v %+v", err, m.Setup.Site.Servers)
+	if m, err = ParseTenant("first", next, h); err != nil || len(m.Config.Site.Servers) != 3 {
+		t.Errorf("%v %+v", err, m.Config.Site.Servers)
 	}
 	for _, e := range []Edit{{Server: "x"}, {Server: "127.0.1.9:8080"}, {Server: "127.0.1.9:8080", Remove: true}} {
 		if _, err := e.Apply(text); !errors.Is(err, ErrEdit) {
--- a/internal/settings/proxy.go
+++ b/internal/settings/proxy.go
@@ -58,7 +58,7 @@
 	p.UID, p.Listen, p.Metrics, p.Path = root.attrs["uid"], r.endpoint(l, "clients"), r.endpoint(l, "metrics"), l.attrs["store"]
 	p.Seed = uint64(root.int("seed"))
 	f := &p.Forward
-	f.Names, f.Classes, f.Ways = site.Names, site.Classes, site.Repeats
+	f.Names, f.Classes, f.Ways = site.ClassNames, site.Classes, site.RetryPolicies
 	f.Levels, f.Limits, f.Avoid, f.Budget = levelKinds[root.attrs["levels"]], admission.UsualLimits, outlier.UsualTerms, retry.UsualBudget
 	seed := p.Seed
 	f.Make = func(class int) picker.Table {
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -32,7 +32,7 @@
 
 // Coordinator is what a settings file says, ready to act.
 type Coordinator struct {
-	coordinator.Setup
+	coordinator.Config
 	Measurements netip.AddrPort
 	Metrics      netip.AddrPort // not valid: none
 	Store        string         // empty: nothing outlives the coordinator
@@ -235,12 +235,12 @@
 func (r *reader) basis(root *node, without []controlplane.Guard) *Coordinator {
 	c := &Coordinator{}
 	s := &c.Site
-	s.Seed, s.Limits, c.Limits = uint64(root.int("seed")), controlplane.UsualLimits, saspsession.UsualLimits
+	s.Seed, s.Limits, c.Limits = uint64(root.int("seed")), controlplane.DefaultLimits, saspsession.UsualLimits
 	for _, g := range without {
-		if s.Without == nil {
-			s.Without = map[controlplane.Guard]bool{}
+		if s.DisabledGuards == nil {
+			s.DisabledGuards = map[controlplane.Guard]bool{}
 		}
-		s.Without[g] = true
+		s.DisabledGuards[g] = true
 	}
 	for i, z := range root.all("zone") {
 		name := z.attrs["name"]
@@ -254,9 +254,9 @@
 		r.class(n, s)
 	}
 	r.fleet(root, s)
-	c.Poll, c.Parking = longpollhttp.UsualLimits, longpoll.UsualLimits
+	c.LongPoll, c.Parking = longpollhttp.UsualLimits, longpoll.UsualLimits
 	if levels := root.one("fleet").attrs["levels"]; levels != "ignored" {
-		s.Dataplane.Admission = levelKinds[levels]
+		s.DataPlane.Admission = levelKinds[levels]
 	}
 	rep := root.one("reports")
 	s.Reporting = balancer.Reporting{Period: rep.number("period")}
@@ -275,8 +275,8 @@
 	if n == nil {
 		return
 	}
-	g := &coordinator.GroupSetup{Self: membership.MemberID(n.int("number")), Weight: n.number("weight"), Joins: n.bool("joins"),
-		Members: map[membership.MemberID]netip.AddrPort{}, Key: []byte(n.attrs["key"]), Terms: consensus.DefaultConfig,
+	g := &coordinator.GroupConfig{Self: membership.MemberID(n.int("number")), Weight: n.number("weight"), Join: n.bool("joins"),
+		Members: map[membership.MemberID]netip.AddrPort{}, Key: []byte(n.attrs["key"]), Consensus: consensus.DefaultConfig,
 		Lease: membership.DefaultLeaseConfig}
 	seen := map[netip.AddrPort]bool{}
 	for _, p := range n.all("peer") {
@@ -304,14 +304,14 @@
 	if n.attrs["drift"] != "" {
 		g.Lease.MaxClockDrift = n.number("drift")
 	}
-	if least := 4 * g.Terms.ElectionTimeout; g.Lease.Duration < least {
+	if least := 4 * g.Consensus.ElectionTimeout; g.Lease.Duration < least {
 		r.wrong(n, "lease: %g s, %g at least: an election may take half of that", g.Lease.Duration, least)
 	}
 	if g.Lease.MaxClockDrift >= 0.5 {
 		r.wrong(n, "drift: clocks that run apart by a half are no clocks")
 	}
 	c.Group, c.GroupStore = g, n.attrs["store"]
-	d := &c.Site.Dataplane
+	d := &c.Site.DataPlane
 	d.Coordinators = len(g.Members)
 	for number := range g.Members {
 		if number < g.Self {
@@ -370,7 +370,7 @@
 	q := balancer.RequestClass{PriorityWeight: n.number("benefit"), LateWeight: n.number("late-benefit"),
 		LatencyObjective: n.number("goal-time"), ClientTimeout: n.number("client-timeout"), Idempotency: effects[n.attrs["effect"]],
 		DedupScope: groups[n.attrs["same"]], DedupWindow: n.number("window"), ZoneLocal: n.bool("own-zone"), Writes: n.bool("writes")}
-	if slices.Contains(s.Names, n.attrs["name"]) {
+	if slices.Contains(s.ClassNames, n.attrs["name"]) {
 		r.wrong(n, "there are two classes named %q", n.attrs["name"])
 	}
 	if q.LatencyObjective > q.ClientTimeout {
@@ -387,17 +387,17 @@
 		q.AllowedZones = append(q.AllowedZones, zone)
 	}
 	slices.Sort(q.AllowedZones)
-	s.Names, s.Classes = append(s.Names, n.attrs["name"]), append(s.Classes, q)
-	s.Repeats = append(s.Repeats, controlplane.SafeRepeats(q, ways[n.attrs["repeats"]], s.Without))
+	s.ClassNames, s.Classes = append(s.ClassNames, n.attrs["name"]), append(s.Classes, q)
+	s.RetryPolicies = append(s.RetryPolicies, controlplane.SafeRetryPolicy(q, ways[n.attrs["repeats"]], s.DisabledGuards))
 }
 
 func (r *reader) fleet(root *node, s *controlplane.Site) {
 	f, c, g := root.one("fleet"), root.one("channel"), root.one("rules")
 	usual := balancer.RetryTwice
-	for _, way := range s.Repeats {
+	for _, way := range s.RetryPolicies {
 		usual = min(usual, way)
 	}
-	s.Dataplane = balancer.DataPlane{Proxies: f.int("relays"), Coordinators: 1, DefaultTableSize: f.int("standing"),
+	s.DataPlane = balancer.DataPlane{Proxies: f.int("relays"), Coordinators: 1, DefaultTableSize: f.int("standing"),
 		EjectAfterFailures: f.int("eject-after"), DefaultRetry: usual, MinConnections: f.number("least-connections"),
 		Admission: balancer.AdmissionIgnored} // SASP has no word for them
 	s.Channel = balancer.Channel{EntriesPerSecond: c.number("lines-per-second"), MessageOverhead: c.number("message-lines"),
@@ -421,16 +421,16 @@
 	c.Policy = saspsession.Policy{FleetUID: n.attrs["uid"], AnyAgent: n.attrs["agents"] == "any",
 		NewOnes: n.attrs["register"] != "listed", Vouching: n.attrs["register"] == "balancers"}
 	if h := n.number("hold"); h > 0 {
-		c.Site.Limits.HoldServer = h
+		c.Site.Limits.ServerHold = h
 	}
 	seen := map[balancer.Server]int{}
 	for _, k := range n.all("server") {
 		a := r.endpoint(k, "address")
 		if v := k.number("capacity"); v > 0 {
 			if c.Site.Pools == nil {
-				c.Site.Pools = map[balancer.Server]controlplane.Pooled{}
+				c.Site.Pools = map[balancer.Server]controlplane.PoolCapacity{}
 			}
-			c.Site.Pools[balancer.Server(a.String())] = controlplane.Pooled{Pool: k.attrs["pool"], Capacity: v}
+			c.Site.Pools[balancer.Server(a.String())] = controlplane.PoolCapacity{Pool: k.attrs["pool"], Capacity: v}
 		}
 		s := balancer.Server(a.String())
 		if line := seen[s]; line > 0 {
@@ -443,9 +443,9 @@
 }
 
 func (r *reader) relays(n *node, s *controlplane.Site) {
-	s.Strangers = n.bool("strangers")
+	s.AllowUnlisted = n.bool("strangers")
 	if n.attrs["stranger-zone"] != "" {
-		s.StrangerIn = r.zone(n, "stranger-zone")
+		s.UnlistedZone = r.zone(n, "stranger-zone")
 	}
 	seen := map[string]int{}
 	for _, k := range n.all("relay") {
@@ -454,9 +454,9 @@
 			r.wrong(k, "relay %q is listed already, in line %d", uid, line)
 		}
 		seen[uid] = k.line
-		s.Relays = append(s.Relays, controlplane.Relay{UID: uid, Zone: r.zone(k, "zone"), Usual: k.number("usual")})
+		s.Relays = append(s.Relays, controlplane.Relay{UID: uid, Zone: r.zone(k, "zone"), ExpectedRate: k.number("usual")})
 	}
-	if !s.Strangers && len(s.Relays) == 0 {
+	if !s.AllowUnlisted && len(s.Relays) == 0 {
 		r.wrong(n, "no relay may join: none is listed, and strangers may not")
 	}
 }
@@ -471,9 +471,9 @@
 		}
 	}
 	f := &c.Site.Limits
-	set("relays", &f.Relays)
-	set("servers", &f.Servers)
-	set("series", &f.Series)
+	set("relays", &f.MaxRelays)
+	set("servers", &f.MaxServers)
+	set("series", &f.MaxSeries)
 	set("connections", &c.Limits.Connections)
 	set("message-bytes", &c.Limits.Message)
 	set("buffered-bytes", &c.Limits.Buffered)
@@ -482,12 +482,12 @@
 		c.Limits.Silent = v
 	}
 	if v := n.number("stall-for"); v > 0 {
-		f.StallFor = v
+		f.StallTimeout = v
 	}
-	if len(c.Site.Servers) > f.Servers {
+	if len(c.Site.Servers) > f.MaxServers {
 		r.wrong(n, "servers: %d are listed", len(c.Site.Servers))
 	}
-	if len(c.Site.Relays) > f.Relays {
+	if len(c.Site.Relays) > f.MaxRelays {
 		r.wrong(n, "relays: %d are listed", len(c.Site.Relays))
 	}
 }
@@ -513,7 +513,7 @@
 	d.Clients = ClientModel{Popularity: q.number("popularity"), Again: q.int("again"), Wait: q.number("wait"), Patience: q.number("patience")}
 	sum := 0.0
 	for _, k := range q.all("query") {
-		if !slices.Contains(c.Site.Names, k.attrs["class"]) {
+		if !slices.Contains(c.Site.ClassNames, k.attrs["class"]) {
 			r.wrong(k, "no class is named %q", k.attrs["class"])
 		}
 		d.Queries = append(d.Queries, Query{k.attrs["class"], k.number("share"), k.number("work")})
@@ -582,7 +582,7 @@
 	}
 	if g := c.Group; g != nil {
 		how := "one of its first members"
-		if g.Joins {
+		if g.Join {
 			how = "to be taken in by those that run"
 		}
 		fmt.Fprintf(&b, "number %d of a group of %d, %s; a lease of %g s, taken over %.1f s after a death; store %q\n", g.Self,
@@ -593,17 +593,17 @@
 	}
 	fmt.Fprintf(&b, "measurements on %s (signed: %t), store %q\n", c.Measurements, c.Key != "", c.Store)
 	for i, q := range s.Classes {
-		fmt.Fprintf(&b, "class %s: benefit %g, goal time %g s, client timeout %g s, repeats %s\n", s.Names[i], q.PriorityWeight,
-			q.LatencyObjective, q.ClientTimeout, nameOf(ways, s.Repeats[i]))
+		fmt.Fprintf(&b, "class %s: benefit %g, goal time %g s, client timeout %g s, repeats %s\n", s.ClassNames[i], q.PriorityWeight,
+			q.LatencyObjective, q.ClientTimeout, nameOf(ways, s.RetryPolicies[i]))
 	}
 	fmt.Fprintf(&b, "%d servers listed, %d relays listed (strangers: %t), %d zones\n", len(s.Servers), len(s.Relays),
-		s.Strangers, len(s.Zones))
+		s.AllowUnlisted, len(s.Zones))
 	fmt.Fprintf(&b, "channel: %g lines a second, %g may wait, %d messages to one relay in %g s\n", s.Channel.EntriesPerSecond,
 		s.Channel.MaxQueued, s.Channel.MaxMessages, s.Channel.MessageWindow)
 	fmt.Fprintf(&b, "drains within %g s: a relay that has not taken one after %.2f s is cut off\n", s.Guarantees.DrainDeadline,
-		s.Guarantees.DrainDeadline*s.Limits.DrainPart)
-	fmt.Fprintf(&b, "limits: %d relays, %d servers, %d series, %d connections, %d bytes a message\n", s.Limits.Relays,
-		s.Limits.Servers, s.Limits.Series, c.Limits.Connections, c.Limits.Message)
+		s.Guarantees.DrainDeadline*s.Limits.DrainFraction)
+	fmt.Fprintf(&b, "limits: %d relays, %d servers, %d series, %d connections, %d bytes a message\n", s.Limits.MaxRelays,
+		s.Limits.MaxServers, s.Limits.MaxSeries, c.Limits.Connections, c.Limits.Message)
 	return b.String()
 }
 
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -28,12 +28,12 @@
 		c.Site.Classes[1].Idempotency != balancer.Keyed || c.Site.Servers[2].Zone != 1 || !c.Metrics.IsValid() {
 		t.Errorf("%+v", c)
 	}
-	if c.Site.Repeats[0] != balancer.RetryOnce || c.Site.Repeats[1] != balancer.RetryIfNotExecuted {
-		t.Errorf("repeats %v: a guarded class must not be repeated after a failure", c.Site.Repeats)
+	if c.Site.RetryPolicies[0] != balancer.RetryOnce || c.Site.RetryPolicies[1] != balancer.RetryIfNotExecuted {
+		t.Errorf("repeats %v: a guarded class must not be repeated after a failure", c.Site.RetryPolicies)
 	}
-	c, err = ParseCoordinator("example.xml", []byte(example(t)), controlplane.GuardRepeats)
-	if err != nil || c.Site.Repeats[1] != balancer.RetryOnce {
-		t.Errorf("without the guard: %v, %v", c.Site.Repeats, err)
+	c, err = ParseCoordinator("example.xml", []byte(example(t)), controlplane.GuardRetries)
+	if err != nil || c.Site.RetryPolicies[1] != balancer.RetryOnce {
+		t.Errorf("without the guard: %v, %v", c.Site.RetryPolicies, err)
 	}
 	if text := c.String(); !strings.Contains(text, "4 servers listed") || !strings.Contains(text, "introduce") {
 		t.Errorf("%s", text)
@@ -137,7 +137,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if d := c.Site.Dataplane; d.Coordinators != 3 || d.Self != 1 || len(c.Group.Members) != 3 || c.Group.Lease.Duration != 3 || c.GroupStore != "g.db" {
+	if d := c.Site.DataPlane; d.Coordinators != 3 || d.Self != 1 || len(c.Group.Members) != 3 || c.Group.Lease.Duration != 3 || c.GroupStore != "g.db" {
 		t.Errorf("%+v, %+v", c.Group, d)
 	}
 	if text := c.String(); !strings.Contains(text, "number 2 of a group of 3") || !strings.Contains(text, "3.6 s after a death") {
--- a/internal/settings/write.go
+++ b/internal/settings/write.go
@@ -74,11 +74,11 @@
 		case "relays":
 			x.kids = nil
 			for _, r := range site.Relays {
-				x.kids = append(x.kids, &node{name: "relay", attrs: map[string]string{"uid": r.UID, "zone": site.Zones[r.Zone], "usual": num(r.Usual)}})
+				x.kids = append(x.kids, &node{name: "relay", attrs: map[string]string{"uid": r.UID, "zone": site.Zones[r.Zone], "usual": num(r.ExpectedRate)}})
 			}
 		case "fleet":
-			x.attrs["relays"], x.attrs["levels"] = fmt.Sprint(site.Dataplane.Proxies), nameOf(levelKinds, site.Dataplane.Admission)
-			if site.Dataplane.Admission == balancer.AdmissionIgnored {
+			x.attrs["relays"], x.attrs["levels"] = fmt.Sprint(site.DataPlane.Proxies), nameOf(levelKinds, site.DataPlane.Admission)
+			if site.DataPlane.Admission == balancer.AdmissionIgnored {
 				x.attrs["levels"] = "ignored"
 			}
 		case "channel":
