--- a/internal/coordinator/coordinator.go
+++ b/internal/coordinator/coordinator.go
@@ -101,7 +101,7 @@
 	io    env.IO
 
 	Fleet     *controlplane.Fleet
-	SASP      *saspsession.Desk
+	SASP      *saspsession.Server
 	LongPoll  *longpollhttp.Front
 	Member    *Member           // nil: it is in no group of its own
 	peers     Peers             // nil: it shares its fleet with nobody
--- a/internal/coordinator/graphite_test.go
+++ b/internal/coordinator/graphite_test.go
@@ -21,7 +21,7 @@
 )
 
 // watched is a host with two tenants whose figures are sent to a receiver in virtual time.
-func watched(t *testing.T, change func(*graphite.Setup)) (*site, *simnet.Host, *emulator.Receiver) {
+func watched(t *testing.T, change func(*graphite.Setup)) (*site, *simnet.Host, *emulator.GraphiteSink) {
 	t.Helper()
 	set, err := settings.ParseHost("host.xml", []byte(strings.Replace(scenario.HostSettings, "<caller", `<graphite address="127.0.9.9:2003" prefix="sq.test"/><caller`, 1)))
 	if err != nil {
--- a/internal/core/admission/admit.go
+++ b/internal/core/admission/admit.go
@@ -34,8 +34,8 @@
 	tokensAt float64
 }
 
-// Door lets queries in. Use New.
-type Door struct {
+// Controller lets queries in. Use New.
+type Controller struct {
 	kind   balancer.AdmissionMode
 	limits Limits
 	gates  []gate
@@ -48,8 +48,8 @@
 type Counts struct{ In, Levels, Busy int }
 
 // New makes a door for so many classes, all open.
-func New(kind balancer.AdmissionMode, classes int, limits Limits) *Door {
-	d := &Door{kind: kind, limits: limits, gates: make([]gate, classes), at: map[balancer.Server]int{}}
+func New(kind balancer.AdmissionMode, classes int, limits Limits) *Controller {
+	d := &Controller{kind: kind, limits: limits, gates: make([]gate, classes), at: map[balancer.Server]int{}}
 	for i := range d.gates {
 		d.gates[i].level = 1
 		if kind == balancer.AdmissionRate {
@@ -60,7 +60,7 @@
 }
 
 // Level takes an order for a class: what part or rate is let in, and after how many seconds the others may come back.
-func (d *Door) Level(now float64, c balancer.Class, level, back float64) {
+func (d *Controller) Level(now float64, c balancer.Class, level, back float64) {
 	g := &d.gates[c]
 	if g.level < 0 {
 		g.tokens, g.tokensAt = level*rateBurst, now
@@ -70,7 +70,7 @@
 
 // Enter asks for a query. With an error it is refused, and back is when its client may come again, in seconds; else Leave must
 // follow. A fraction is let in evenly: of ten queries at a level of 0.3 the same three, not three by chance.
-func (d *Door) Enter(now float64, c balancer.Class) (back float64, err error) {
+func (d *Controller) Enter(now float64, c balancer.Class) (back float64, err error) {
 	if d.inside >= d.limits.Queries {
 		d.Counts.Busy++
 		return 1, ErrBusy
@@ -97,23 +97,23 @@
 }
 
 // Leave ends a query that was let in.
-func (d *Door) Leave() { d.inside-- }
+func (d *Controller) Leave() { d.inside-- }
 
 // Inside is the number of queries under way.
-func (d *Door) Inside() int { return d.inside }
+func (d *Controller) Inside() int { return d.inside }
 
 // Room tells whether a server may have one more.
-func (d *Door) Room(s balancer.Server) bool { return d.at[s] < d.limits.ByServer }
+func (d *Controller) Room(s balancer.Server) bool { return d.at[s] < d.limits.ByServer }
 
 // Begin and End count what is under way at a server.
-func (d *Door) Begin(s balancer.Server) { d.at[s]++ }
+func (d *Controller) Begin(s balancer.Server) { d.at[s]++ }
 
 // End of Begin.
-func (d *Door) End(s balancer.Server) {
+func (d *Controller) End(s balancer.Server) {
 	if d.at[s]--; d.at[s] <= 0 {
 		delete(d.at, s)
 	}
 }
 
 // At is the number of queries under way at a server.
-func (d *Door) At(s balancer.Server) int { return d.at[s] }
+func (d *Controller) At(s balancer.Server) int { return d.at[s] }
--- a/internal/core/forwarding/forward.go
+++ b/internal/core/forwarding/forward.go
@@ -118,8 +118,8 @@
 type Proxy struct {
 	setup   Setup
 	Tables  *tablecache.Tables
-	Door    *admission.Door
-	Avoid   *outlier.List
+	Door    *admission.Controller
+	Avoid   *outlier.Detector
 	ways    []balancer.RetryPolicy
 	budgets []retry.Budget
 	queries map[Query]*query
--- a/internal/core/longpoll/longpoll.go
+++ b/internal/core/longpoll/longpoll.go
@@ -18,8 +18,8 @@
 	"snowquay/internal/core/timingwheel"
 )
 
-// Waiter is a poll; the front numbers them, each number is used once.
-type Waiter uint64
+// PollID is a poll; the front numbers them, each number is used once.
+type PollID uint64
 
 // Poll is what a proxy asks.
 type Poll struct {
@@ -57,25 +57,25 @@
 	Lead           uint64  // epoch of who leads what; the proxy drops the answer if it has followed a newer one
 }
 
-// Refusal says why a poll is not served.
-type Refusal int
+// RejectReason says why a poll is not served.
+type RejectReason int
 
 const (
-	NotListed  Refusal = iota // the settings list no such proxy
-	Crowded                   // too many polls, or proxies
-	TooOften                  // this proxy asks too often
-	Superseded                // another poll of this proxy has come
-	Elsewhere                 // another coordinator leads the proxy
-	Moved                     // the proxy has joined by another front
-	Behind                    // the proxy has followed a newer epoch than this coordinator knows
+	NotListed  RejectReason = iota // the settings list no such proxy
+	Crowded                        // too many polls, or proxies
+	TooOften                       // this proxy asks too often
+	Superseded                     // another poll of this proxy has come
+	Elsewhere                      // another coordinator leads the proxy
+	Moved                          // the proxy has joined by another front
+	Behind                         // the proxy has followed a newer epoch than this coordinator knows
 )
 
 // Out takes what a Counter orders.
 type Out interface {
 	// Answer must use what it is given before it returns.
-	Answer(Waiter, *Answer)
+	Answer(PollID, *Answer)
 	// Refuse tells a poll to come back after some seconds, 0: not to.
-	Refuse(w Waiter, why Refusal, after float64)
+	Refuse(w PollID, why RejectReason, after float64)
 	// Dropped tells that a proxy counts as gone, so that connections of it that wait for nothing are closed and it notices.
 	Dropped(uid string)
 	// Say logs an event with pairs of names and values.
@@ -126,7 +126,7 @@
 type client struct {
 	uid      string
 	proxy    *controlplane.Proxy
-	waiter   Waiter // 0: none waits
+	waiter   PollID // 0: none waits
 	wait     timingwheel.Timer[*client]
 	version  uint64
 	base     uint64 // version that it named and that is believed; 0: none
@@ -145,8 +145,8 @@
 	Polls, Answers, Empty, Deltas, Fulls, Refused, Lost, Joins, Left, Unknown int
 }
 
-// Counter is the long-poll side of one coordinator. Use New.
-type Counter struct {
+// Server is the long-poll side of one coordinator. Use New.
+type Server struct {
 	fleet    *controlplane.Fleet
 	out      Out
 	limits   Limits
@@ -154,7 +154,7 @@
 	version  uint64 // newest that was given to any proxy
 	clients  map[string]*client
 	byProxy  map[balancer.Proxy]*client
-	byWaiter map[Waiter]*client
+	byWaiter map[PollID]*client
 	wheel    *timingwheel.Wheel[*client]
 	underWay int
 	joins    float64
@@ -167,28 +167,28 @@
 }
 
 // New makes a counter for a life that began at a clock time. epoch must differ from those of former lives and not be 0.
-func New(now float64, epoch uint64, f *controlplane.Fleet, out Out, limits Limits) *Counter {
-	return &Counter{fleet: f, out: out, limits: limits, epoch: epoch, clients: map[string]*client{},
-		byProxy: map[balancer.Proxy]*client{}, byWaiter: map[Waiter]*client{}, wheel: timingwheel.New[*client](now, tick),
+func New(now float64, epoch uint64, f *controlplane.Fleet, out Out, limits Limits) *Server {
+	return &Server{fleet: f, out: out, limits: limits, epoch: epoch, clients: map[string]*client{},
+		byProxy: map[balancer.Proxy]*client{}, byWaiter: map[PollID]*client{}, wheel: timingwheel.New[*client](now, tick),
 		joins: limits.Burst, joinsAt: now, chance: f.Site().Seed*2 + 1, trusting: f.Site().DisabledGuards[controlplane.GuardVersions]}
 }
 
 // Parked is the number of polls that wait, and that of answers under way.
-func (c *Counter) Parked() (parked, underWay int) { return len(c.byWaiter), c.underWay }
+func (c *Server) Parked() (parked, underWay int) { return len(c.byWaiter), c.underWay }
 
 // spread is a time to come back after, so that those turned away together do not come back together.
-func (c *Counter) spread() float64 {
+func (c *Server) spread() float64 {
 	c.chance = c.chance*6364136223846793005 + 1442695040888963407
 	return c.limits.ComeBack * (1 + float64(c.chance>>40)/(1<<24))
 }
 
-func (c *Counter) refuse(w Waiter, why Refusal, after float64) {
+func (c *Server) refuse(w PollID, why RejectReason, after float64) {
 	c.Counts.Refused++
 	c.out.Refuse(w, why, after)
 }
 
 // Ask takes a poll.
-func (c *Counter) Ask(now float64, w Waiter, p Poll) {
+func (c *Server) Ask(now float64, w PollID, p Poll) {
 	c.Counts.Polls++
 	// Guards against a coordinator that has not heard that the proxy changed hands, and leads it by an epoch that is over;
 	// it does harm where one is far behind, whose proxies then wait until it has caught up or its lease has ended.
@@ -224,7 +224,7 @@
 
 // join takes in a proxy that has none here. Proxies that are joined already are served before those that are not: a crowd
 // at the door takes no room from them.
-func (c *Counter) join(now float64, w Waiter, p Poll) *client {
+func (c *Server) join(now float64, w PollID, p Poll) *client {
 	if !c.fleet.Listed(p.UID) { // nor do those that may never join
 		c.out.Say("proxy refused", "uid", p.UID, "error", controlplane.ErrUnlistedRelay)
 		c.refuse(w, NotListed, 0)
@@ -261,7 +261,7 @@
 // acknowledge takes the version that a proxy names. Only one that it was sent in this life, of the tables that it is bound
 // to, is believed; with any other it holds nothing that is known. Guards against deltas to a state that is not there:
 // after a restart, after lost answers, or from a proxy that was never sent what it names. The cost is a full table.
-func (c *Counter) acknowledge(now float64, x *client, p Poll) {
+func (c *Server) acknowledge(now float64, x *client, p Poll) {
 	if x.unacked {
 		x.unacked = false
 		c.underWay--
@@ -290,7 +290,7 @@
 }
 
 // hold says to the fleet what the proxy holds of the tables that it is bound to.
-func (c *Counter) hold(now float64, x *client, of []tables.Version, bound []balancer.Table) {
+func (c *Server) hold(now float64, x *client, of []tables.Version, bound []balancer.Table) {
 	versions := make([]tables.Version, len(x.proxy.Tables))
 	for i := range of {
 		if h := &x.proxy.Tables[i]; h.Bound && bound[i] == h.Table {
@@ -300,7 +300,7 @@
 	c.fleet.ObserveVersions(now, x.proxy, versions)
 }
 
-func (c *Counter) unpark(x *client) {
+func (c *Server) unpark(x *client) {
 	if x.waiter != 0 {
 		delete(c.byWaiter, x.waiter)
 		c.wheel.Cancel(&x.wait)
@@ -310,7 +310,7 @@
 }
 
 // Gone takes the end of a poll's connection.
-func (c *Counter) Gone(now float64, w Waiter) {
+func (c *Server) Gone(now float64, w PollID) {
 	if x := c.byWaiter[w]; x != nil {
 		c.unpark(x)
 		x.answered = now
@@ -318,7 +318,7 @@
 }
 
 // Leave takes a proxy's word that it goes.
-func (c *Counter) Leave(now float64, uid string) bool {
+func (c *Server) Leave(now float64, uid string) bool {
 	x := c.clients[uid]
 	if x == nil {
 		return false
@@ -327,7 +327,7 @@
 	return true
 }
 
-func (c *Counter) drop(now float64, x *client, why string) {
+func (c *Server) drop(now float64, x *client, why string) {
 	c.Counts.Left++
 	c.out.Say("proxy left", "uid", x.uid, "why", why)
 	if w := x.waiter; w != 0 {
@@ -339,7 +339,7 @@
 	c.out.Dropped(x.uid)
 }
 
-func (c *Counter) forget(x *client) {
+func (c *Server) forget(x *client) {
 	if x.unacked {
 		c.underWay--
 	}
@@ -348,7 +348,7 @@
 }
 
 // Displaced of controlplane.Front.
-func (c *Counter) Displaced(_ float64, p *controlplane.Proxy) {
+func (c *Server) Displaced(_ float64, p *controlplane.Proxy) {
 	x := c.byProxy[p.ID]
 	if x == nil {
 		return
@@ -363,7 +363,7 @@
 }
 
 // Deliver of controlplane.Front: the proxy's turn has come.
-func (c *Counter) Deliver(now float64, p *controlplane.Proxy) {
+func (c *Server) Deliver(now float64, p *controlplane.Proxy) {
 	x := c.byProxy[p.ID]
 	if x == nil || x.waiter == 0 {
 		c.fleet.Suspend(p)
@@ -386,7 +386,7 @@
 }
 
 // send answers a poll with the newest state.
-func (c *Counter) send(now float64, x *client) {
+func (c *Server) send(now float64, x *client) {
 	a, lines := &c.answer, 0
 	a.From = 0
 	a.Classes = a.Classes[:0]
@@ -449,7 +449,7 @@
 	c.reply(now, x)
 }
 
-func (c *Counter) reply(now float64, x *client) {
+func (c *Server) reply(now float64, x *client) {
 	w := x.waiter
 	delete(c.byWaiter, w)
 	c.wheel.Cancel(&x.wait)
@@ -481,7 +481,7 @@
 }
 
 // Tick does what is due by time: waits that are over, proxies that did not come back.
-func (c *Counter) Tick(now float64) {
+func (c *Server) Tick(now float64) {
 	c.wheel.Advance(now, func(x *client) { c.over(now, x) })
 	if now-c.looked < lookEvery {
 		return
@@ -509,7 +509,7 @@
 
 // late tells why a proxy counts as gone. While no poll of it waits it can't be told of a drain; it is then not one that
 // is joined, and is given whole tables when it comes back.
-func (c *Counter) late(now float64, x *client) string {
+func (c *Server) late(now float64, x *client) string {
 	if x.waiter == 0 && now-x.answered > c.limits.Between {
 		return "it has not asked again"
 	}
@@ -521,7 +521,7 @@
 
 // over ends a wait. If something is newer at that very moment it is sent, whosever turn it is: an answer that nothing is
 // newer would not be true.
-func (c *Counter) over(now float64, x *client) {
+func (c *Server) over(now float64, x *client) {
 	if c.fleet.NeedsUpdate(x.proxy) && !x.proxy.InFlight() && c.underWay < c.limits.UnderWay {
 		if c.send(now, x); x.waiter == 0 {
 			return
--- a/internal/core/longpoll/longpoll_test.go
+++ b/internal/core/longpoll/longpoll_test.go
@@ -22,15 +22,15 @@
 	t       testing.TB
 	now     float64
 	fleet   *controlplane.Fleet
-	counter *Counter
-	next    Waiter
-	of      map[Waiter]string
-	by      map[Waiter]*holding // the proxy's process that asked
+	counter *Server
+	next    PollID
+	of      map[PollID]string
+	by      map[PollID]*holding // the proxy's process that asked
 	holds   map[string]*holding
-	refused map[string][]Refusal
+	refused map[string][]RejectReason
 	after   []float64
 	dropped []string
-	last    map[string]Waiter
+	last    map[string]PollID
 	retry   map[string]float64
 	lose    map[string]bool // the next answer to it is lost
 }
@@ -44,7 +44,7 @@
 	latest         *Answer
 }
 
-func (s *shop) Answer(w Waiter, a *Answer) {
+func (s *shop) Answer(w PollID, a *Answer) {
 	uid := s.of[w]
 	h := s.by[w]
 	h.waits = false
@@ -86,7 +86,7 @@
 	h.latest = kept
 }
 
-func (s *shop) Refuse(w Waiter, why Refusal, after float64) {
+func (s *shop) Refuse(w PollID, why RejectReason, after float64) {
 	uid := s.of[w]
 	s.refused[uid] = append(s.refused[uid], why)
 	s.retry[uid] = s.now + after
@@ -120,8 +120,8 @@
 func server(i int) balancer.Server { return balancer.Server(fmt.Sprintf("10.0.0.%d:80", i)) }
 
 func open(t testing.TB, x controlplane.Site, limits Limits) *shop {
-	s := &shop{t: t, now: 1000, of: map[Waiter]string{}, by: map[Waiter]*holding{}, holds: map[string]*holding{}, refused: map[string][]Refusal{},
-		lose: map[string]bool{}, last: map[string]Waiter{},
+	s := &shop{t: t, now: 1000, of: map[PollID]string{}, by: map[PollID]*holding{}, holds: map[string]*holding{}, refused: map[string][]RejectReason{},
+		lose: map[string]bool{}, last: map[string]PollID{},
 		retry: map[string]float64{}}
 	s.life(x, limits)
 	return s
@@ -146,7 +146,7 @@
 	return s.holds[uid]
 }
 
-func (s *shop) ask(uid string, wait float64) Waiter {
+func (s *shop) ask(uid string, wait float64) PollID {
 	h := s.hold(uid)
 	s.next++
 	s.of[s.next], s.by[s.next], s.last[uid], h.waits = uid, h, s.next, true
--- a/internal/core/outlier/avoid.go
+++ b/internal/core/outlier/avoid.go
@@ -21,21 +21,21 @@
 	until    float64
 }
 
-// List is what a proxy knows of its servers. Use New.
-type List struct {
+// Detector is what a proxy knows of its servers. Use New.
+type Detector struct {
 	terms Terms
 	by    map[balancer.Server]*state
 	Count int // how often one was avoided
 }
 
 // New makes an empty list.
-func New(t Terms) *List { return &List{terms: t, by: map[balancer.Server]*state{}} }
+func New(t Terms) *Detector { return &Detector{terms: t, by: map[balancer.Server]*state{}} }
 
 // Answered notes an answer: the server is well.
-func (l *List) Answered(s balancer.Server) { delete(l.by, s) }
+func (l *Detector) Answered(s balancer.Server) { delete(l.by, s) }
 
 // Failed notes a failure. It reports whether the server is avoided from now on.
-func (l *List) Failed(now float64, s balancer.Server) bool {
+func (l *Detector) Failed(now float64, s balancer.Server) bool {
 	x := l.by[s]
 	if x == nil {
 		if l.terms.After == 0 || len(l.by) >= mostServers {
@@ -56,10 +56,10 @@
 
 // Avoids tells whether a server is to be left alone now. It is advice: where all that are left are avoided, one of them is
 // taken all the same.
-func (l *List) Avoids(now float64, s balancer.Server) bool {
+func (l *Detector) Avoids(now float64, s balancer.Server) bool {
 	x := l.by[s]
 	return x != nil && now < x.until
 }
 
 // Forget a server that has no line any more.
-func (l *List) Forget(s balancer.Server) { delete(l.by, s) }
+func (l *Detector) Forget(s balancer.Server) { delete(l.by, s) }
--- a/internal/core/saspsession/session.go
+++ b/internal/core/saspsession/session.go
@@ -138,8 +138,8 @@
 	wrong bool // one of them was refused
 }
 
-// Desk is the SASP side of one coordinator. Use New.
-type Desk struct {
+// Server is the SASP side of one coordinator. Use New.
+type Server struct {
 	fleet     *controlplane.Fleet
 	out       Out
 	limits    Limits
@@ -162,20 +162,20 @@
 }
 
 // New makes a desk.
-func New(f *controlplane.Fleet, out Out, limits Limits, policy Policy) *Desk {
-	return &Desk{fleet: f, out: out, limits: limits, policy: policy, conns: map[Conn]*conn{},
+func New(f *controlplane.Fleet, out Out, limits Limits, policy Policy) *Server {
+	return &Server{fleet: f, out: out, limits: limits, policy: policy, conns: map[Conn]*conn{},
 		balancers: map[string]*loadBalancer{}, byProxy: map[balancer.Proxy]*loadBalancer{},
 		waiting: map[uint64]*told{}, names: map[sasp.Address]balancer.Server{}, rows: map[balancer.Server]sasp.Address{}}
 }
 
 // Revise takes other limits and another policy from now on; what stands is not undone by it.
-func (d *Desk) Revise(limits Limits, policy Policy) { d.limits, d.policy = limits, policy }
+func (d *Server) Revise(limits Limits, policy Policy) { d.limits, d.policy = limits, policy }
 
 // Connections is their number, and the bytes that they keep of unfinished messages.
-func (d *Desk) Connections() (n, buffered int) { return len(d.conns), d.buffered }
+func (d *Server) Connections() (n, buffered int) { return len(d.conns), d.buffered }
 
 // Opened takes a connection from an address.
-func (d *Desk) Opened(now float64, id Conn, from netip.Addr) {
+func (d *Server) Opened(now float64, id Conn, from netip.Addr) {
 	c := &conn{id: id, from: from.Unmap(), opened: now, tokens: d.limits.Burst, tokensAt: now}
 	d.conns[id] = c
 	if len(d.conns) > d.limits.Connections {
@@ -184,13 +184,13 @@
 }
 
 // Closed takes the end of a connection, whoever ended it.
-func (d *Desk) Closed(now float64, id Conn) {
+func (d *Server) Closed(now float64, id Conn) {
 	if c := d.conns[id]; c != nil {
 		d.end(now, c)
 	}
 }
 
-func (d *Desk) close(now float64, c *conn, why string, pairs ...any) {
+func (d *Server) close(now float64, c *conn, why string, pairs ...any) {
 	d.Counts.Closed++
 	d.out.Say("connection closed", append([]any{"why", why, "from", c.from, "uid", c.uid, "sent", c.sent, "taken",
 		c.taken}, pairs...)...)
@@ -200,7 +200,7 @@
 
 // end forgets a connection and all that was said on it. What a balancer registered ends with it; what members
 // registered stays for the roll's hold.
-func (d *Desk) end(now float64, c *conn) {
+func (d *Server) end(now float64, c *conn) {
 	delete(d.conns, c.id)
 	d.buffered -= len(c.buf)
 	for s := range c.servers {
@@ -221,19 +221,19 @@
 	delete(d.balancers, c.uid)
 }
 
-func (d *Desk) drop(now float64, b *loadBalancer, g *group) {
+func (d *Server) drop(now float64, b *loadBalancer, g *group) {
 	for _, s := range g.order {
 		d.unvouch(now, b, g.members[s], s)
 	}
 }
 
-func (d *Desk) unvouch(now float64, b *loadBalancer, r *registration, s balancer.Server) {
+func (d *Server) unvouch(now float64, b *loadBalancer, r *registration, s balancer.Server) {
 	if r.balancer && d.policy.Vouching {
 		_ = d.fleet.Registry.AdjustVouchers(now, s, d.zone(b), -1) // it is on the roll, so there is room
 	}
 }
 
-func (d *Desk) zone(b *loadBalancer) balancer.Zone {
+func (d *Server) zone(b *loadBalancer) balancer.Zone {
 	if b.proxy != nil {
 		return b.proxy.Zone
 	}
@@ -241,7 +241,7 @@
 }
 
 // Taken takes the kernel's word of how many of the bytes sent on a connection the peer's host has.
-func (d *Desk) Taken(now float64, id Conn, total uint64) {
+func (d *Server) Taken(now float64, id Conn, total uint64) {
 	c := d.conns[id]
 	if c == nil || total <= c.taken {
 		return
@@ -254,13 +254,13 @@
 }
 
 // Untaken tells whether bytes are on their way to a connection, so that the driver has to ask the kernel.
-func (d *Desk) Untaken(id Conn) bool {
+func (d *Server) Untaken(id Conn) bool {
 	c := d.conns[id]
 	return c != nil && c.taken < c.sent
 }
 
 // Receive takes bytes of a connection, split in any way.
-func (d *Desk) Receive(now float64, id Conn, data []byte) {
+func (d *Server) Receive(now float64, id Conn, data []byte) {
 	c := d.conns[id]
 	if c == nil {
 		return
@@ -300,14 +300,14 @@
 	}
 }
 
-func (d *Desk) admit(now float64, c *conn) bool {
+func (d *Server) admit(now float64, c *conn) bool {
 	c.tokens = min(d.limits.Burst, c.tokens+(now-c.tokensAt)*d.limits.Inbound) - 1
 	c.tokensAt = now
 	return c.tokens >= 0
 }
 
 // server is the module's name of an address. Names are kept for those on the roll.
-func (d *Desk) server(a sasp.Address) balancer.Server {
+func (d *Server) server(a sasp.Address) balancer.Server {
 	if s, ok := d.names[a]; ok {
 		return s
 	}
@@ -327,7 +327,7 @@
 }
 
 // address of a server on the roll; ok is false for one that the settings name in a way that SASP can't say.
-func (d *Desk) address(s balancer.Server) (sasp.Address, bool) {
+func (d *Server) address(s balancer.Server) (sasp.Address, bool) {
 	if a, ok := d.rows[s]; ok {
 		return a, true
 	}
@@ -342,7 +342,7 @@
 
 // Tick does what is due by time after a round of the fleet: connections that must go, and relays that are told by the
 // roll.
-func (d *Desk) Tick(now float64) {
+func (d *Server) Tick(now float64) {
 	if v := d.fleet.Registry.Version(); v != d.rolled {
 		d.rolled = v
 		d.refreshUntrusting(now)
@@ -355,7 +355,7 @@
 
 // refreshUntrusting makes relays due that get what is open of their own members where the table names none of them: that
 // changes with the roll, not with the table.
-func (d *Desk) refreshUntrusting(now float64) {
+func (d *Server) refreshUntrusting(now float64) {
 	for _, b := range d.joined() {
 		if b.flags&sasp.Trust != 0 {
 			continue
@@ -367,7 +367,7 @@
 }
 
 // joined are the balancers with a proxy, by its number.
-func (d *Desk) joined() []*loadBalancer {
+func (d *Server) joined() []*loadBalancer {
 	all := make([]*loadBalancer, 0, len(d.byProxy))
 	for _, b := range d.byProxy {
 		all = append(all, b)
@@ -377,7 +377,7 @@
 }
 
 // Displaced of controlplane.Front: the relay speaks to another front now.
-func (d *Desk) Displaced(now float64, p *controlplane.Proxy) {
+func (d *Server) Displaced(now float64, p *controlplane.Proxy) {
 	b := d.byProxy[p.ID]
 	if b == nil {
 		return
@@ -388,7 +388,7 @@
 }
 
 // Deliver of controlplane.Front.
-func (d *Desk) Deliver(now float64, p *controlplane.Proxy) {
+func (d *Server) Deliver(now float64, p *controlplane.Proxy) {
 	b, m := d.byProxy[p.ID], &d.reply
 	*m = sasp.Message{Kind: sasp.SendWeights, Groups: m.Groups[:0], Rows: m.Rows[:0]}
 	lines := 0
@@ -413,7 +413,7 @@
 // render adds a group to a message, and says how many rows it has. Rows that bring queries come before those that
 // take them away, so that no state on the way through a message lacks a line. A relay that wants unchanged members left
 // out gets what changed, the others the whole group.
-func (d *Desk) render(now float64, m *sasp.Message, b *loadBalancer, g *group, whole bool) int {
+func (d *Server) render(now float64, m *sasp.Message, b *loadBalancer, g *group, whole bool) int {
 	lines, full, ok := d.fleet.Delta(b.proxy, g.class)
 	if !ok {
 		return 0
@@ -482,7 +482,7 @@
 // fallback gives an untrusting relay, none of whose own members has a line, all of its open ones evenly. Guards
 // against a relay without a line because its table names servers that it will not take; it does harm where the few
 // that it has are the ones that are meant to rest.
-func (d *Desk) fallback(m *sasp.Message) {
+func (d *Server) fallback(m *sasp.Message) {
 	kept := d.zeros[:0]
 	for _, r := range d.zeros {
 		if phase, _ := d.fleet.Registry.Phase(d.server(r.Address)); phase == balancer.Ready && r.Flags&sasp.Quiesce == 0 {
@@ -495,7 +495,7 @@
 	d.zeros = kept
 }
 
-func (d *Desk) row(s balancer.Server, a sasp.Address, r *registration, weight float64) sasp.Row {
+func (d *Server) row(s balancer.Server, a sasp.Address, r *registration, weight float64) sasp.Row {
 	row := sasp.Row{Address: a, Weight: uint16(min(math.Round(weight*weightScale), math.MaxUint16))}
 	if weight > 0 {
 		row.Weight = max(row.Weight, 1)
@@ -525,7 +525,7 @@
 	return row
 }
 
-func (d *Desk) send(now float64, c *conn, m *sasp.Message) {
+func (d *Server) send(now float64, c *conn, m *sasp.Message) {
 	d.bytes = sasp.Append(d.bytes[:0], m)
 	c.sent += uint64(len(d.bytes))
 	d.out.Send(c.id, d.bytes)
@@ -535,7 +535,7 @@
 }
 
 // check closes what must go: connections that have not said who they are, relays that do not take their messages.
-func (d *Desk) check(now float64) {
+func (d *Server) check(now float64) {
 	var silent []*conn
 	for _, c := range d.conns {
 		if c.role == stranger && now-c.opened > d.limits.Silent {
--- a/internal/core/saspsession/session_test.go
+++ b/internal/core/saspsession/session_test.go
@@ -24,7 +24,7 @@
 	t      testing.TB
 	now    float64
 	fleet  *controlplane.Fleet
-	desk   *Desk
+	desk   *Server
 	next   Conn
 	id     uint32
 	got    map[Conn][]sasp.Message // without their rows
--- a/internal/core/saspsession/speak.go
+++ b/internal/core/saspsession/speak.go
@@ -12,7 +12,7 @@
 
 // message answers one framed message. A message is taken whole or not at all: everything in it is looked at before
 // anything is done.
-func (d *Desk) message(now float64, c *conn, frame []byte) {
+func (d *Server) message(now float64, c *conn, frame []byte) {
 	kind, id := sasp.Head(frame)
 	if err := sasp.Decode(frame, &d.in); err != nil {
 		d.Counts.Malformed++
@@ -52,7 +52,7 @@
 	d.answer(now, c, sasp.ReplyTo(kind), id, code)
 }
 
-func (d *Desk) answer(now float64, c *conn, kind sasp.Kind, id uint32, code sasp.Code) {
+func (d *Server) answer(now float64, c *conn, kind sasp.Kind, id uint32, code sasp.Code) {
 	if d.conns[c.id] != c {
 		return
 	}
@@ -65,7 +65,7 @@
 // claim makes a connection the balancer's of that UID. A newer connection takes over, since a relay that dials again
 // may be heard before its old connection is known to be broken; not more often than once in Takeover seconds, so that
 // two relays with one UID cannot throw each other out all the time.
-func (d *Desk) claim(now float64, c *conn, uid []byte) (*loadBalancer, sasp.Code) {
+func (d *Server) claim(now float64, c *conn, uid []byte) (*loadBalancer, sasp.Code) {
 	switch {
 	case len(uid) == 0:
 		return nil, sasp.InvalidBalancer
@@ -92,7 +92,7 @@
 }
 
 // join lets the fleet know of a balancer that has its first group.
-func (d *Desk) join(now float64, b *loadBalancer) sasp.Code {
+func (d *Server) join(now float64, b *loadBalancer) sasp.Code {
 	if b.proxy != nil {
 		return sasp.OK
 	}
@@ -111,7 +111,7 @@
 	return sasp.OK
 }
 
-func (d *Desk) setBalancer(now float64, c *conn, m *sasp.Message) sasp.Code {
+func (d *Server) setBalancer(now float64, c *conn, m *sasp.Message) sasp.Code {
 	b, code := d.claim(now, c, m.UID)
 	if code != sasp.OK {
 		return code
@@ -130,7 +130,7 @@
 }
 
 // twice tells whether a message names a group twice, or a member twice in a group.
-func (d *Desk) twice(m *sasp.Message) sasp.Code {
+func (d *Server) twice(m *sasp.Message) sasp.Code {
 	type place struct {
 		group int
 		sasp.Address
@@ -158,7 +158,7 @@
 }
 
 // speaker says whose groups a message may touch: the connection's balancer, or nil for a member.
-func (d *Desk) speaker(now float64, c *conn, m *sasp.Message) (*loadBalancer, sasp.Code) {
+func (d *Server) speaker(now float64, c *conn, m *sasp.Message) (*loadBalancer, sasp.Code) {
 	if len(m.Groups) == 0 && m.LB == sasp.FromBalancer && c.role == balancerRole {
 		return d.balancers[c.uid], sasp.OK
 	}
@@ -189,7 +189,7 @@
 }
 
 // memberMay checks a group of a message that a member sends about itself.
-func (d *Desk) memberMay(c *conn, m *sasp.Message, g sasp.Group) sasp.Code {
+func (d *Server) memberMay(c *conn, m *sasp.Message, g sasp.Group) sasp.Code {
 	if string(g.UID) != d.policy.FleetUID || d.policy.FleetUID == "" {
 		b := d.balancers[string(g.UID)]
 		switch {
@@ -210,7 +210,7 @@
 	return sasp.OK
 }
 
-func (d *Desk) register(now float64, c *conn, m *sasp.Message) sasp.Code {
+func (d *Server) register(now float64, c *conn, m *sasp.Message) sasp.Code {
 	b, code := d.speaker(now, c, m)
 	if code != sasp.OK {
 		return code
@@ -283,7 +283,7 @@
 	return x
 }
 
-func (d *Desk) addMembers(now float64, b *loadBalancer, m *sasp.Message, g sasp.Group) sasp.Code {
+func (d *Server) addMembers(now float64, b *loadBalancer, m *sasp.Message, g sasp.Group) sasp.Code {
 	class, _ := d.fleet.Class(string(g.Name))
 	to := b.group(string(g.Name), class)
 	for _, r := range m.Rows[g.From:g.To] {
@@ -300,7 +300,7 @@
 	return sasp.OK
 }
 
-func (d *Desk) registerItself(now float64, c *conn, g sasp.Group, r sasp.Row) sasp.Code {
+func (d *Server) registerItself(now float64, c *conn, g sasp.Group, r sasp.Row) sasp.Code {
 	s := d.server(r.Address)
 	if c.servers[s] == 0 {
 		if err := d.fleet.Registry.Register(now, s, d.fleet.Site().UnlistedZone); err != nil {
@@ -329,7 +329,7 @@
 
 // present tells whether all members of a message are on the roll and not gone; with drained also those whose drain
 // outlives their absence.
-func (d *Desk) present(m *sasp.Message, drained bool) bool {
+func (d *Server) present(m *sasp.Message, drained bool) bool {
 	for _, r := range m.Rows {
 		rec, ok := d.fleet.Registry.Find(d.server(r.Address))
 		if !ok || rec.Phase == balancer.Removed && !(drained && rec.DrainOrdered) {
@@ -340,7 +340,7 @@
 }
 
 // deregister takes members, whole groups (no members named) or all groups (none named) away.
-func (d *Desk) deregister(now float64, c *conn, m *sasp.Message) sasp.Code {
+func (d *Server) deregister(now float64, c *conn, m *sasp.Message) sasp.Code {
 	b, code := d.speaker(now, c, m)
 	if code != sasp.OK {
 		return code
@@ -417,7 +417,7 @@
 
 // setMember takes states: a member (or its agent) drains itself for the whole fleet, a balancer quiesces a member for
 // itself alone.
-func (d *Desk) setMember(now float64, c *conn, m *sasp.Message) (code sasp.Code, wait bool) {
+func (d *Server) setMember(now float64, c *conn, m *sasp.Message) (code sasp.Code, wait bool) {
 	b, code := d.speaker(now, c, m)
 	if code != sasp.OK {
 		return code, false
@@ -430,7 +430,7 @@
 
 // drain takes drains, or their ends, for the whole fleet. Where coordinators share it the answer waits until all that is
 // told is agreed on; a message of which a part can't be taken is refused, and may be sent again.
-func (d *Desk) drain(now float64, c *conn, m *sasp.Message) (code sasp.Code, wait bool) {
+func (d *Server) drain(now float64, c *conn, m *sasp.Message) (code sasp.Code, wait bool) {
 	if !d.present(m, true) {
 		return sasp.NotRegistered, false
 	}
@@ -460,7 +460,7 @@
 }
 
 // Settled tells what became of a drain that was told here: it was agreed on, or refused.
-func (d *Desk) Settled(now float64, ticket uint64, kept bool) {
+func (d *Server) Settled(now float64, ticket uint64, kept bool) {
 	t := d.waiting[ticket]
 	if t == nil {
 		return
@@ -482,7 +482,7 @@
 }
 
 // setOwn takes a balancer's states of its members.
-func (d *Desk) setOwn(now float64, b *loadBalancer, m *sasp.Message) sasp.Code {
+func (d *Server) setOwn(now float64, b *loadBalancer, m *sasp.Message) sasp.Code {
 	for _, g := range m.Groups {
 		old := b.groups[string(g.Name)]
 		if old == nil {
@@ -507,7 +507,7 @@
 
 // getWeights answers with the newest weights of the groups asked for; none named: of all. It counts as a message to
 // the proxy if it brings every group up to date.
-func (d *Desk) getWeights(now float64, c *conn, m *sasp.Message) {
+func (d *Server) getWeights(now float64, c *conn, m *sasp.Message) {
 	reply := &d.reply
 	*reply = sasp.Message{Kind: sasp.GetWeightsReply, ID: m.ID, Groups: reply.Groups[:0], Rows: reply.Rows[:0]}
 	b := d.balancers[c.uid]
@@ -543,7 +543,7 @@
 	return false
 }
 
-func (d *Desk) mayAsk(c *conn, b *loadBalancer, m *sasp.Message) sasp.Code {
+func (d *Server) mayAsk(c *conn, b *loadBalancer, m *sasp.Message) sasp.Code {
 	if code := d.twice(m); code != sasp.OK {
 		return code
 	}
--- a/internal/core/spool/courier.go
+++ b/internal/core/spool/courier.go
@@ -25,10 +25,10 @@
 	taken float64 // when the receiver's host had it; 0: it is on its way
 }
 
-// Courier brings a spool's samples to a receiver, in the order of time, each at least once: what was not taken, and what was taken
+// Sender brings a spool's samples to a receiver, in the order of time, each at least once: what was not taken, and what was taken
 // within the overlap, goes again after a break. A receiver that keeps one value for a time, as Graphite does, sees each once. What may be
 // lost is what a receiver's host had taken for longer than the overlap without its program reading it.
-type Courier struct {
+type Sender struct {
 	*Spool
 	state   State
 	tries   int
@@ -45,18 +45,18 @@
 }
 
 // NewCourier makes a courier for an empty spool. chance draws evenly from 0 to 1; tries to reach the receiver are spread by it.
-func NewCourier(now float64, t Terms, chance func() float64) *Courier {
-	return &Courier{Spool: New(t), nextAt: now, chance: chance, at: now, tokens: t.Rate}
+func NewCourier(now float64, t Terms, chance func() float64) *Sender {
+	return &Sender{Spool: New(t), nextAt: now, chance: chance, at: now, tokens: t.Rate}
 }
 
 // State of the way.
-func (c *Courier) State() State { return c.state }
+func (c *Sender) State() State { return c.state }
 
 // Unacknowledged is the number of samples that would be sent anew after a break.
-func (c *Courier) Unacknowledged() int { return len(c.flight) }
+func (c *Sender) Unacknowledged() int { return len(c.flight) }
 
 // Tick says what is to be done now.
-func (c *Courier) Tick(now float64) Order {
+func (c *Sender) Tick(now float64) Order {
 	for len(c.flight) > 0 && c.flight[0].taken > 0 && now-c.flight[0].taken > c.terms.Overlap {
 		c.flight = c.flight[1:]
 	}
@@ -72,12 +72,12 @@
 }
 
 // Reached says that a connection stands.
-func (c *Courier) Reached(now float64) {
+func (c *Sender) Reached(now float64) {
 	c.state, c.tries, c.bytes, c.taken, c.movedAt = Here, 0, 0, 0, now
 }
 
 // Broke says that there is no connection, or none came about. What was on its way goes back.
-func (c *Courier) Broke(now float64) {
+func (c *Sender) Broke(now float64) {
 	c.state = Away
 	wait := c.terms.Again
 	for range c.tries {
@@ -99,7 +99,7 @@
 
 // Next is the sample that is to be sent now; ok is false while none is, the window is full, or the pace allows none. The caller says
 // Wrote at once.
-func (c *Courier) Next(now float64) (s *Sample, ok bool) {
+func (c *Sender) Next(now float64) (s *Sample, ok bool) {
 	c.tokens = min(c.terms.Rate, c.tokens+max(0, now-c.at)*c.terms.Rate)
 	c.at = max(c.at, now)
 	if c.state != Here || len(c.samples) == 0 || c.tokens <= 0 || c.bytes-c.taken >= uint64(c.terms.Window) {
@@ -109,7 +109,7 @@
 }
 
 // Wrote says that the sample that Next named is on its way, in so many bytes.
-func (c *Courier) Wrote(now float64, bytes int) {
+func (c *Sender) Wrote(now float64, bytes int) {
 	if c.bytes == c.taken {
 		c.movedAt = now
 	}
@@ -121,7 +121,7 @@
 }
 
 // Taken says how many bytes of the connection the receiver's host has.
-func (c *Courier) Taken(now float64, total uint64) {
+func (c *Sender) Taken(now float64, total uint64) {
 	if c.state != Here || total <= c.taken {
 		return
 	}
--- a/internal/emulator/crowd.go
+++ b/internal/emulator/crowd.go
@@ -30,7 +30,7 @@
 type Crowd struct {
 	CrowdSetup
 	Load   float64 // times the usual rate
-	ref    *Referee
+	ref    *InvariantChecker
 	io     env.IO
 	chance chance
 	nextID uint64
@@ -50,7 +50,7 @@
 }
 
 // NewCrowd makes clients that tell a referee what they met.
-func NewCrowd(s CrowdSetup, ref *Referee) *Crowd {
+func NewCrowd(s CrowdSetup, ref *InvariantChecker) *Crowd {
 	return &Crowd{CrowdSetup: s, Load: 1, ref: ref, chance: newChance(s.Seed), nextID: s.Seed << 32, calls: map[env.Conn]*call{},
 		timers: map[int]env.Conn{}, next: crowdTimeout}
 }
@@ -228,7 +228,7 @@
 
 // Seen is what a real proxy tells the referee of itself.
 type Seen struct {
-	Ref     *Referee
+	Ref     *InvariantChecker
 	UID     string
 	Classes []int // of the referee, by the proxy's class
 }
--- a/internal/emulator/receiver.go
+++ b/internal/emulator/receiver.go
@@ -8,9 +8,9 @@
 	"snowquay/internal/wire/graphite"
 )
 
-// Receiver takes figures in Graphite's plaintext form and keeps one value for each path and time, as Graphite does. What it has read
+// GraphiteSink takes figures in Graphite's plaintext form and keeps one value for each path and time, as Graphite does. What it has read
 // outlives its process; what its host has taken and it has not read does not.
-type Receiver struct {
+type GraphiteSink struct {
 	Values  map[string]map[int64]float64
 	Lines   int // that came, again ones among them
 	Again   int // with a path and a time that were there already
@@ -19,13 +19,13 @@
 }
 
 // NewReceiver makes a receiver.
-func NewReceiver() *Receiver { return &Receiver{Values: map[string]map[int64]float64{}} }
+func NewReceiver() *GraphiteSink { return &GraphiteSink{Values: map[string]map[int64]float64{}} }
 
 // Start of env.Program.
-func (r *Receiver) Start(float64, env.IO) { r.parts = map[env.Conn][]byte{} }
+func (r *GraphiteSink) Start(float64, env.IO) { r.parts = map[env.Conn][]byte{} }
 
 // Receive of env.Program.
-func (r *Receiver) Receive(_ float64, c env.Conn, b []byte) {
+func (r *GraphiteSink) Receive(_ float64, c env.Conn, b []byte) {
 	b = append(r.parts[c], b...)
 	for {
 		line, rest, whole := bytes.Cut(b, []byte("\n"))
@@ -51,19 +51,19 @@
 }
 
 // Opened of env.Program.
-func (r *Receiver) Opened(float64, env.Conn, netip.Addr, uint16) {}
+func (r *GraphiteSink) Opened(float64, env.Conn, netip.Addr, uint16) {}
 
 // Connected of env.Program.
-func (r *Receiver) Connected(float64, env.Conn, bool) {}
+func (r *GraphiteSink) Connected(float64, env.Conn, bool) {}
 
 // Closed of env.Program: a line that was cut off is none.
-func (r *Receiver) Closed(_ float64, c env.Conn) { delete(r.parts, c) }
+func (r *GraphiteSink) Closed(_ float64, c env.Conn) { delete(r.parts, c) }
 
 // Delivered of env.Program.
-func (r *Receiver) Delivered(float64, env.Conn, uint64) {}
+func (r *GraphiteSink) Delivered(float64, env.Conn, uint64) {}
 
 // Datagram of env.Program.
-func (r *Receiver) Datagram(float64, []byte) {}
+func (r *GraphiteSink) Datagram(float64, []byte) {}
 
 // TimerFired of env.Program.
-func (r *Receiver) TimerFired(float64, int) {}
+func (r *GraphiteSink) TimerFired(float64, int) {}
--- a/internal/emulator/referee.go
+++ b/internal/emulator/referee.go
@@ -55,8 +55,8 @@
 	messages []float64
 }
 
-// Referee sees what relays and servers see on their sockets, and judges the five rules by it.
-type Referee struct {
+// InvariantChecker sees what relays and servers see on their sockets, and judges the five rules by it.
+type InvariantChecker struct {
 	mu      sync.Mutex
 	rules   Rules
 	classes []Class
@@ -93,8 +93,8 @@
 const mostReasons = 5 // of one rule that are kept as examples
 
 // NewReferee makes a referee.
-func NewReferee(rules Rules, classes []Class) *Referee {
-	f := &Referee{rules: rules, classes: classes, servers: map[netip.AddrPort]*seenServer{},
+func NewReferee(rules Rules, classes []Class) *InvariantChecker {
+	f := &InvariantChecker{rules: rules, classes: classes, servers: map[netip.AddrPort]*seenServer{},
 		relays: map[string]*seenRelay{}, ran: map[uint64][]netip.AddrPort{},
 		Asked: make([]float64, len(classes)), Answered: make([]float64, len(classes)), InTime: make([]float64, len(classes))}
 	for range classes {
@@ -103,13 +103,13 @@
 	return f
 }
 
-func (f *Referee) broken(rule int, now float64, format string, args ...any) {
+func (f *InvariantChecker) broken(rule int, now float64, format string, args ...any) {
 	if len(f.reasons[rule]) < mostReasons {
 		f.reasons[rule] = append(f.reasons[rule], fmt.Sprintf("%.2f: ", now)+fmt.Sprintf(format, args...))
 	}
 }
 
-func (f *Referee) complain(now float64, format string, args ...any) {
+func (f *InvariantChecker) complain(now float64, format string, args ...any) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if len(f.Complaints) < 100 {
@@ -117,7 +117,7 @@
 	}
 }
 
-func (f *Referee) server(a netip.AddrPort) *seenServer {
+func (f *InvariantChecker) server(a netip.AddrPort) *seenServer {
 	s := f.servers[a]
 	if s == nil {
 		s = &seenServer{}
@@ -126,7 +126,7 @@
 	return s
 }
 
-func (f *Referee) relay(uid string) *seenRelay {
+func (f *InvariantChecker) relay(uid string) *seenRelay {
 	r := f.relays[uid]
 	if r == nil {
 		r = &seenRelay{has: make([]bool, len(f.classes)), bareFrom: make([]float64, len(f.classes))}
@@ -135,14 +135,14 @@
 	return r
 }
 
-func (f *Referee) serverUp(_ float64, a netip.AddrPort, started float64) {
+func (f *InvariantChecker) serverUp(_ float64, a netip.AddrPort, started float64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	s := f.server(a)
 	s.up, s.started = true, started
 }
 
-func (f *Referee) serverListed(now float64, a netip.AddrPort) {
+func (f *InvariantChecker) serverListed(now float64, a netip.AddrPort) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	s := f.server(a)
@@ -154,20 +154,20 @@
 	}
 }
 
-func (f *Referee) serverUnheard(now float64, a netip.AddrPort) {
+func (f *InvariantChecker) serverUnheard(now float64, a netip.AddrPort) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.gone(now, f.server(a))
 }
 
-func (f *Referee) gone(now float64, s *seenServer) {
+func (f *InvariantChecker) gone(now float64, s *seenServer) {
 	if s.listed {
 		s.listed, s.unheard = false, now
 	}
 }
 
 // ServerDown says that the day's script ended a server.
-func (f *Referee) ServerDown(now float64, a netip.AddrPort) {
+func (f *InvariantChecker) ServerDown(now float64, a netip.AddrPort) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	s := f.server(a)
@@ -176,7 +176,7 @@
 }
 
 // CoordinatorDown says that the script ended the coordinator: until servers register again it knows what it has kept.
-func (f *Referee) CoordinatorDown() {
+func (f *InvariantChecker) CoordinatorDown() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, s := range f.servers {
@@ -184,7 +184,7 @@
 	}
 }
 
-func (f *Referee) drain(now float64, a netip.AddrPort, on bool) {
+func (f *InvariantChecker) drain(now float64, a netip.AddrPort, on bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	s := f.server(a)
@@ -196,10 +196,10 @@
 }
 
 // Drained says that a drain was ordered in another way than by a member or its agent, or ended.
-func (f *Referee) Drained(now float64, a netip.AddrPort, on bool) { f.drain(now, a, on) }
+func (f *InvariantChecker) Drained(now float64, a netip.AddrPort, on bool) { f.drain(now, a, on) }
 
 // Forget says that all drains that were told are over: whoever was told them has lost them rightly.
-func (f *Referee) Forget() {
+func (f *InvariantChecker) Forget() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, s := range f.servers {
@@ -208,7 +208,7 @@
 }
 
 // Named are the servers that anybody has named or sent to.
-func (f *Referee) Named() (all []netip.AddrPort) {
+func (f *InvariantChecker) Named() (all []netip.AddrPort) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for a := range f.servers {
@@ -218,13 +218,13 @@
 }
 
 // Latest is how long after a drain the last query was sent to its server, in seconds.
-func (f *Referee) Latest() float64 {
+func (f *InvariantChecker) Latest() float64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.latestDrain
 }
 
-func (f *Referee) joined(now float64, uid string) {
+func (f *InvariantChecker) joined(now float64, uid string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	r := f.relay(uid)
@@ -234,22 +234,22 @@
 	}
 }
 
-func (f *Referee) left(_ float64, uid string) {
+func (f *InvariantChecker) left(_ float64, uid string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.relay(uid).joinedAt = 0
 }
 
-func (f *Referee) relayAt(uid string, host netip.Addr) {
+func (f *InvariantChecker) relayAt(uid string, host netip.Addr) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.relay(uid).host = host
 }
 
 // RelayDown says that the script ended a relay.
-func (f *Referee) RelayDown(uid string) { f.left(0, uid) }
+func (f *InvariantChecker) RelayDown(uid string) { f.left(0, uid) }
 
-func (f *Referee) lines(now float64, uid string, class int, has bool) {
+func (f *InvariantChecker) lines(now float64, uid string, class int, has bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if r := f.relay(uid); r.has[class] != has { // what goes by time is judged by Look
@@ -259,7 +259,7 @@
 }
 
 // bare judges the first rule: a joined relay without a line while an open warm server is listed.
-func (f *Referee) bare(now float64) {
+func (f *InvariantChecker) bare(now float64) {
 	warm := false
 	for _, s := range f.servers {
 		warm = warm || s.up && s.listed && !s.draining && now-s.started >= f.rules.Promise.WarmupDuration
@@ -282,7 +282,7 @@
 }
 
 // AllLed tells whether every relay is led, and whether every one was told its table since it joined.
-func (f *Referee) AllLed() (led, told bool) {
+func (f *InvariantChecker) AllLed() (led, told bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	led, told = true, true
@@ -294,7 +294,7 @@
 }
 
 // Look judges what goes by time alone; it is called often.
-func (f *Referee) Look(now float64) {
+func (f *InvariantChecker) Look(now float64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, s := range f.servers {
@@ -305,7 +305,7 @@
 	f.bare(now)
 }
 
-func (f *Referee) try(now float64, uid string, a netip.AddrPort) {
+func (f *InvariantChecker) try(now float64, uid string, a netip.AddrPort) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.Tries++
@@ -320,13 +320,13 @@
 	}
 }
 
-func (f *Referee) weigh(bytes, whole int) {
+func (f *InvariantChecker) weigh(bytes, whole int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.Bytes, f.WholeBytes = f.Bytes+bytes, f.WholeBytes+whole
 }
 
-func (f *Referee) message(now float64, uid string, lines int) {
+func (f *InvariantChecker) message(now float64, uid string, lines int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	r, c := f.relay(uid), f.rules.Channel
@@ -356,7 +356,7 @@
 const paceSlack = 1.1 // what leaves evenly may arrive a little less so
 
 // Queue takes the peak of lines that waited, as the coordinator itself counts them.
-func (f *Referee) Queue(now, peak float64) {
+func (f *InvariantChecker) Queue(now, peak float64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if peak > f.rules.Channel.MaxQueued {
@@ -364,7 +364,7 @@
 	}
 }
 
-func (f *Referee) effect(now float64, a netip.AddrPort, id uint64, c Class) {
+func (f *InvariantChecker) effect(now float64, a netip.AddrPort, id uint64, c Class) {
 	if c.Query.Idempotency == balancer.Idempotent {
 		return
 	}
@@ -378,7 +378,7 @@
 
 // knows tells whether a query that arrives at a server now comes from a relay that was sent a message after the
 // coordinator had heard of the server's start, or whose coordinator has known of it for the grace.
-func (f *Referee) knows(now float64, from netip.Addr, a netip.AddrPort) bool {
+func (f *InvariantChecker) knows(now float64, from netip.Addr, a netip.AddrPort) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	s := f.server(a)
@@ -394,7 +394,7 @@
 
 // fell judges the fourth rule: it is broken if two thirds of the work that pushed the server over came from relays
 // that could know.
-func (f *Referee) fell(now float64, a netip.AddrPort, knowing float64) {
+func (f *InvariantChecker) fell(now float64, a netip.AddrPort, knowing float64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if knowing < 2.0/3 {
@@ -405,7 +405,7 @@
 	f.broken(4, now, "%s was pushed over, %.1f s after its start", a, now-f.server(a).started)
 }
 
-func (f *Referee) asked(now float64, class int) {
+func (f *InvariantChecker) asked(now float64, class int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.Asked[class]++
@@ -413,7 +413,7 @@
 }
 
 // part of the day that a time is in.
-func (f *Referee) part(at float64) *part {
+func (f *InvariantChecker) part(at float64) *part {
 	if f.from == 0 {
 		f.from = at
 	}
@@ -424,7 +424,7 @@
 	return &f.parts[i]
 }
 
-func (f *Referee) answered(now float64, class int, took float64) {
+func (f *InvariantChecker) answered(now float64, class int, took float64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.Answered[class]++
@@ -436,11 +436,11 @@
 }
 
 // Times until answers of a class, in microseconds.
-func (f *Referee) Times(class int) *hdrhistogram.Histogram { return f.times[class] }
+func (f *InvariantChecker) Times(class int) *hdrhistogram.Histogram { return f.times[class] }
 
 // Worst is the service of the worst ten seconds, of those in which a tenth of what is usual was asked for at least. The last ones are left
 // out: their queries are still under way.
-func (f *Referee) Worst() float64 {
+func (f *InvariantChecker) Worst() float64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	all, worst := 0.0, 1.0
@@ -456,7 +456,7 @@
 }
 
 // Service is the benefit answered within the goal time over the benefit asked for.
-func (f *Referee) Service() float64 {
+func (f *InvariantChecker) Service() float64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	got, asked := 0.0, 0.0
@@ -467,7 +467,7 @@
 }
 
 // Tail is the time within which that part of the answers came, in seconds.
-func (f *Referee) Tail(part float64) float64 {
+func (f *InvariantChecker) Tail(part float64) float64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	all := hdrhistogram.New(1, mostTook, tookExact)
@@ -481,7 +481,7 @@
 }
 
 // Verdicts on all five rules.
-func (f *Referee) Verdicts() []Verdict {
+func (f *InvariantChecker) Verdicts() []Verdict {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	p, c := f.rules.Promise, f.rules.Channel
--- a/internal/emulator/relay.go
+++ b/internal/emulator/relay.go
@@ -108,7 +108,7 @@
 	Load float64 // times the usual rate
 	Lies float64 // part of its tries that it reports as lost, whatever became of them
 
-	ref     *Referee
+	ref     *InvariantChecker
 	io      env.IO
 	sasp    env.Conn
 	joined  bool
@@ -150,7 +150,7 @@
 }
 
 // NewRelay makes a relay that tells a referee what it does.
-func NewRelay(s RelaySetup, ref *Referee) *Relay {
+func NewRelay(s RelaySetup, ref *InvariantChecker) *Relay {
 	r := &Relay{RelaySetup: s, Load: 1, ref: ref, targets: map[netip.AddrPort]*target{},
 		byConn: map[env.Conn]netip.AddrPort{}, parts: map[env.Conn][]byte{}, tries: map[int]*try{},
 		byID: map[uint64]*try{}, again0: map[int]*query{}, nextTry: relayTries, demand: make([]loadreport.Totals, len(s.Classes)),
--- a/internal/emulator/server.go
+++ b/internal/emulator/server.go
@@ -82,7 +82,7 @@
 	Ages   float64 // part by which each query makes it slower
 	Room   float64 // part of its connections that it takes; 0: all
 
-	ref        *Referee
+	ref        *InvariantChecker
 	io         env.IO
 	started    float64
 	running    map[int]job
@@ -105,7 +105,7 @@
 }
 
 // NewServer makes a match server that tells a referee what it does.
-func NewServer(s ServerSetup, ref *Referee) *Server {
+func NewServer(s ServerSetup, ref *InvariantChecker) *Server {
 	return &Server{ServerSetup: s, Slow: 1, ref: ref, running: map[int]job{}, real: map[env.Conn]bool{}, parts: map[env.Conn][]byte{},
 		sasp: map[env.Conn]*registrar{}, from: map[env.Conn]netip.Addr{}, chance: newChance(s.Seed), nextJob: wakeJobs}
 }
@@ -410,7 +410,7 @@
 	at              int
 	FleetUID, Group string
 	Quiesce         bool
-	Ref             *Referee
+	Ref             *InvariantChecker
 	io              env.IO
 	speak           speaker
 	done            bool
--- a/internal/feed/graphite/graphite.go
+++ b/internal/feed/graphite/graphite.go
@@ -25,7 +25,7 @@
 
 // Sender is part of a env.Program, which hands it what is its own. Use New.
 type Sender struct {
-	*spool.Courier
+	*spool.Sender
 	setup  Setup
 	io     env.IO
 	conn   env.Conn
@@ -39,7 +39,7 @@
 
 // New makes a sender. chance draws evenly from 0 to 1.
 func New(now float64, s Setup, chance func() float64) *Sender {
-	return &Sender{Courier: spool.NewCourier(now, s.Terms, chance), setup: s, ids: map[string]spool.ID{}, nextAt: now + s.Every}
+	return &Sender{Sender: spool.NewCourier(now, s.Terms, chance), setup: s, ids: map[string]spool.ID{}, nextAt: now + s.Every}
 }
 
 // Start says where it may dial.
@@ -77,9 +77,9 @@
 		s.nextAt = max(s.nextAt+s.setup.Every, now) // a clock that was paused makes one sample, not all that it missed
 		s.values = s.values[:0]
 		figures()
-		s.Courier.Add(now, sorted(s.values))
+		s.Sender.Add(now, sorted(s.values))
 	}
-	switch s.Courier.Tick(now) {
+	switch s.Sender.Tick(now) {
 	case spool.Dial:
 		s.conn = s.io.Dial(s.setup.To)
 	case spool.Drop:
@@ -159,7 +159,7 @@
 	if s.conn == 0 || c != s.conn {
 		return false
 	}
-	s.Courier.Taken(now, total)
+	s.Sender.Taken(now, total)
 	s.send(now)
 	return true
 }
--- a/internal/frontend/admin/admin.go
+++ b/internal/frontend/admin/admin.go
@@ -65,7 +65,7 @@
 // API serves the calls. Use New or NewHosted.
 type API struct {
 	program Program
-	hosted  Hosted               // nil: there is one tenant, without a name
+	hosted  TenantHost           // nil: there is one tenant, without a name
 	shares  *fairshare.Allocator // as all below only touched within Program.Do
 	books   map[tenancy.Name]*idempotency.Log
 	say     func(string, ...any)
--- a/internal/frontend/admin/hosted.go
+++ b/internal/frontend/admin/hosted.go
@@ -18,22 +18,22 @@
 	"snowquay/internal/core/tenancy"
 )
 
-// Hosted is a host of many tenants, as the API sees it. All is called within Program.Do.
-type Hosted interface {
+// TenantHost is a host of many tenants, as the API sees it. All is called within Program.Do.
+type TenantHost interface {
 	Program
-	// Rows are the tenants that there are, by name.
-	Rows() []TenantRow
-	Row(tenancy.Name) (row TenantRow, ok bool)
+	// TenantRows are the tenants that there are, by name.
+	TenantRows() []TenantRow
+	TenantRow(tenancy.Name) (row TenantRow, ok bool)
 	// Settings of a tenant, with no keys in them.
 	Settings(tenancy.Name) ([]byte, error)
 	// Merge puts the tenant's keys into settings that leave them out.
 	Merge(of tenancy.Name, settings []byte) ([]byte, error)
 	// Edit makes other settings of a tenant's by a change of one server. An error says what makes no sense.
 	Edit(of tenancy.Name, edit []byte) ([]byte, error)
-	// See looks at settings of a tenant without taking them.
-	See(now float64, t tenancy.Tenant) (Seen, error)
-	// Order changes the directory. done is called once, when it is durable and in force, or refused.
-	Order(now float64, c tenancy.Command, done func(tenancy.Outcome, error))
+	// PreviewSettings looks at settings of a tenant without taking them.
+	PreviewSettings(now float64, t tenancy.Tenant) (SettingsPreview, error)
+	// ChangeTenant changes the directory. done is called once, when it is durable and in force, or refused.
+	ChangeTenant(now float64, c tenancy.Command, done func(tenancy.Outcome, error))
 }
 
 // TenantRow tells of a tenant.
@@ -53,8 +53,8 @@
 	Waiting     float64              `json:"waiting"` // lines in its channel
 }
 
-// Seen is what would follow from settings.
-type Seen struct {
+// SettingsPreview is what would follow from settings.
+type SettingsPreview struct {
 	Weight   float64               `json:"weight"`
 	Needs    tenancy.Requirements  `json:"needs"`
 	Anew     string                `json:"starts-anew-for,omitempty"` // what can't be changed while it runs
@@ -71,7 +71,7 @@
 )
 
 // NewHosted makes the API of a host of many tenants.
-func NewHosted(now float64, hosted Hosted, say func(string, ...any)) *API {
+func NewHosted(now float64, hosted TenantHost, say func(string, ...any)) *API {
 	a := newAPI(now, hosted, hostedTerms, say)
 	a.hosted = hosted
 	a.tenant("/v1/tenants/{tenant}")
@@ -94,7 +94,7 @@
 // list tells the host of all tenants.
 func (a *API) list(w http.ResponseWriter, _ *http.Request, _ call) {
 	var rows []TenantRow
-	a.program.Do(func(float64) { rows = a.hosted.Rows() })
+	a.program.Do(func(float64) { rows = a.hosted.TenantRows() })
 	reply(w, http.StatusOK, rows)
 }
 
@@ -103,7 +103,7 @@
 func (a *API) show(w http.ResponseWriter, _ *http.Request, c call) {
 	var row TenantRow
 	ok := false
-	a.program.Do(func(float64) { row, ok = a.hosted.Row(c.of) })
+	a.program.Do(func(float64) { row, ok = a.hosted.TenantRow(c.of) })
 	if !ok {
 		problem(w, http.StatusNotFound, "there is no tenant %q", c.of)
 		return
@@ -118,7 +118,7 @@
 	ok := false
 	var err error
 	a.program.Do(func(float64) {
-		if row, ok = a.hosted.Row(c.of); ok {
+		if row, ok = a.hosted.TenantRow(c.of); ok {
 			text, err = a.hosted.Settings(c.of)
 		}
 	})
@@ -195,7 +195,7 @@
 type decided struct {
 	status  int
 	err     error
-	seen    Seen
+	seen    SettingsPreview
 	outcome tenancy.Outcome
 	made    bool
 }
@@ -210,7 +210,7 @@
 	q := r.URL.Query()
 	dry, force := q.Get("dry-run") == "true", q.Get("force") == "true"
 	end := a.ordered(func(now float64, done func(decided)) {
-		row, there := a.hosted.Row(who.of)
+		row, there := a.hosted.TenantRow(who.of)
 		c := tenancy.Command{Kind: tenancy.Change, Name: who.of, IfVersion: must, ID: id(r, who), Fingerprint: fingerprint(r, body), Time: now}
 		switch {
 		case !there && authz.Authorize(who.Principal, authz.Action{Role: idempotency.RoleHost}) != nil:
@@ -229,7 +229,7 @@
 		}
 		d := decided{status: http.StatusBadRequest, made: c.Kind == tenancy.Create}
 		if c.Settings, d.err = make(now); d.err == nil {
-			d.seen, d.err = a.hosted.See(now, tenancy.Tenant{Name: who.of, Settings: c.Settings})
+			d.seen, d.err = a.hosted.PreviewSettings(now, tenancy.Tenant{Name: who.of, Settings: c.Settings})
 		}
 		if d.err != nil {
 			if errors.Is(d.err, tenancy.ErrUnknown) {
@@ -278,7 +278,7 @@
 	}
 	force := r.URL.Query().Get("force") == "true"
 	end := a.ordered(func(now float64, done func(decided)) {
-		row, there := a.hosted.Row(who.of)
+		row, there := a.hosted.TenantRow(who.of)
 		if there && row.Relays > 0 && !force {
 			done(decided{status: http.StatusConflict, err: fmt.Errorf("%d relays are joined, and would go on by the tables that they hold: force=true", row.Relays)})
 			return
@@ -313,7 +313,7 @@
 	{tenancy.ErrInvalidCommand, http.StatusBadRequest}}
 
 func (a *API) order(now float64, c tenancy.Command, d decided, done func(decided)) {
-	a.hosted.Order(now, c, func(o tenancy.Outcome, err error) {
+	a.hosted.ChangeTenant(now, c, func(o tenancy.Outcome, err error) {
 		if d.outcome, d.err = o, errors.Join(err, o.Err()); d.err == nil {
 			d.status = http.StatusOK
 			if c.Kind == tenancy.Create {
--- a/internal/frontend/longpollhttp/poll.go
+++ b/internal/frontend/longpollhttp/poll.go
@@ -80,10 +80,10 @@
 // Refusal is a whole response with a problem document, for a connection that is closed after it. after is when to come back, in
 // seconds; 0: not to.
 func Refusal(status int, kind, detail string, after float64) []byte {
-	body, _ := json.Marshal(delta.Trouble{Type: problems + kind, Title: http.StatusText(status), Status: status, Detail: detail,
+	body, _ := json.Marshal(delta.Problem{Type: problems + kind, Title: http.StatusText(status), Status: status, Detail: detail,
 		RetryAfter: math.Round(after*1000) / 1000}) // figures are finite
 	b := fmt.Appendf(nil, "HTTP/1.1 %d %s\r\nContent-Type: %s\r\nContent-Length: %d\r\nConnection: close\r\n", status,
-		http.StatusText(status), delta.Problem, len(body))
+		http.StatusText(status), delta.ProblemMediaType, len(body))
 	if after > 0 {
 		b = fmt.Appendf(b, "Retry-After: %.0f\r\n", math.Ceil(after))
 	}
@@ -103,7 +103,7 @@
 	uid     string // of its latest poll
 	buf     []byte
 	media   string
-	waiter  longpoll.Waiter // 0: no poll is being served
+	waiter  longpoll.PollID // 0: no poll is being served
 	since   float64         // when it last began to be silent
 	sent    uint64
 	taken   uint64
@@ -116,14 +116,14 @@
 
 // Front is the API of one coordinator. Use New.
 type Front struct {
-	Counter *longpoll.Counter
+	Counter *longpoll.Server
 	out     Out
 	limits  Limits
 	names   []string
 	conns   map[Conn]*conn
-	waiters map[longpoll.Waiter]*conn
+	waiters map[longpoll.PollID]*conn
 	byUID   map[string]*conn // the latest connection of each proxy
-	next    longpoll.Waiter
+	next    longpoll.PollID
 	now     float64
 	checked float64
 	tables  delta.Tables
@@ -134,7 +134,7 @@
 
 // New makes a front for classes of these names. Its Counter must be set before it is used.
 func New(out Out, limits Limits, names []string) *Front {
-	return &Front{out: out, limits: limits, names: names, conns: map[Conn]*conn{}, waiters: map[longpoll.Waiter]*conn{},
+	return &Front{out: out, limits: limits, names: names, conns: map[Conn]*conn{}, waiters: map[longpoll.PollID]*conn{},
 		byUID: map[string]*conn{}}
 }
 
@@ -315,7 +315,7 @@
 }
 
 // serve ends a poll's waiting and hands its connection back.
-func (f *Front) serve(w longpoll.Waiter) *conn {
+func (f *Front) serve(w longpoll.PollID) *conn {
 	c := f.waiters[w]
 	if c != nil {
 		delete(f.waiters, w)
@@ -328,7 +328,7 @@
 	balancer.RetryTwice: "twice"}
 
 // Answer of longpoll.Out.
-func (f *Front) Answer(w longpoll.Waiter, a *longpoll.Answer) {
+func (f *Front) Answer(w longpoll.PollID, a *longpoll.Answer) {
 	c := f.serve(w)
 	if c == nil {
 		return
@@ -368,7 +368,7 @@
 	f.requests(c)
 }
 
-var refusals = map[longpoll.Refusal]struct {
+var refusals = map[longpoll.RejectReason]struct {
 	status     int
 	kind, text string
 }{
@@ -382,7 +382,7 @@
 }
 
 // Refuse of longpoll.Out.
-func (f *Front) Refuse(w longpoll.Waiter, why longpoll.Refusal, after float64) {
+func (f *Front) Refuse(w longpoll.PollID, why longpoll.RejectReason, after float64) {
 	if c := f.serve(w); c != nil {
 		r := refusals[why]
 		f.problem(c, r.status, r.kind, after, "%s", r.text)
@@ -401,7 +401,7 @@
 func (f *Front) Say(event string, pairs ...any) { f.out.Say(event, pairs...) }
 
 func (f *Front) problem(c *conn, status int, kind string, after float64, format string, args ...any) {
-	body, err := json.Marshal(delta.Trouble{Type: problems + kind, Title: http.StatusText(status), Status: status,
+	body, err := json.Marshal(delta.Problem{Type: problems + kind, Title: http.StatusText(status), Status: status,
 		Detail: fmt.Sprintf(format, args...), RetryAfter: math.Round(after*1000) / 1000})
 	if err != nil {
 		body = nil
@@ -410,7 +410,7 @@
 	if after > 0 {
 		extra = fmt.Sprintf("Retry-After: %.0f\r\n", math.Ceil(after))
 	}
-	f.respond(c, status, delta.Problem, extra, body)
+	f.respond(c, status, delta.ProblemMediaType, extra, body)
 }
 
 func (f *Front) respond(c *conn, status int, media, extra string, body []byte) {
--- a/internal/frontend/longpollhttp/poll_test.go
+++ b/internal/frontend/longpollhttp/poll_test.go
@@ -182,7 +182,7 @@
 		if resp.StatusCode != x.status {
 			t.Errorf("%s %.60s: %d %s, want %d", x.method, x.path, resp.StatusCode, body, x.status)
 		}
-		if x.status >= 400 && resp.Header.Get("Content-Type") != delta.Problem {
+		if x.status >= 400 && resp.Header.Get("Content-Type") != delta.ProblemMediaType {
 			t.Errorf("%s %.60s: no problem document: %s", x.method, x.path, body)
 		}
 	}
--- a/internal/scenario/hosted.go
+++ b/internal/scenario/hosted.go
@@ -142,7 +142,7 @@
 type hostedTenant struct {
 	number  int
 	name    tenancy.Name
-	ref     *emulator.Referee
+	ref     *emulator.InvariantChecker
 	servers []*emulator.Server
 	relays  []*emulator.Relay
 	classes []emulator.Class
--- a/internal/scenario/rehearse.go
+++ b/internal/scenario/rehearse.go
@@ -126,7 +126,7 @@
 type play struct {
 	day     *settings.Day
 	opts    Options
-	ref     *emulator.Referee
+	ref     *emulator.InvariantChecker
 	classes []emulator.Class
 	scene
 	chance *rand.Rand
--- a/internal/service/host.go
+++ b/internal/service/host.go
@@ -134,8 +134,8 @@
 	return h.watch.latest.of(of, relay)
 }
 
-// Rows of admin.Hosted.
-func (h *hosted) Rows() []admin.TenantRow {
+// TenantRows of admin.Hosted.
+func (h *hosted) TenantRows() []admin.TenantRow {
 	rows := []admin.TenantRow{}
 	for _, x := range h.program.Tenants() {
 		rows = append(rows, h.row(x))
@@ -157,8 +157,8 @@
 	return r
 }
 
-// Row of admin.Hosted.
-func (h *hosted) Row(of tenancy.Name) (admin.TenantRow, bool) {
+// TenantRow of admin.Hosted.
+func (h *hosted) TenantRow(of tenancy.Name) (admin.TenantRow, bool) {
 	x, ok := h.program.Tenant(of)
 	if !ok {
 		return admin.TenantRow{}, false
@@ -194,14 +194,14 @@
 	return e.Apply(t.Settings)
 }
 
-// See of admin.Hosted.
-func (h *hosted) See(now float64, t tenancy.Tenant) (s admin.Seen, err error) {
+// PreviewSettings of admin.Hosted.
+func (h *hosted) PreviewSettings(now float64, t tenancy.Tenant) (s admin.SettingsPreview, err error) {
 	x, err := h.program.Preview(now, t)
 	if err != nil {
 		return s, err
 	}
 	r := x.Revision
-	s = admin.Seen{Weight: x.Config.Weight, Needs: x.Config.Requirements, Anew: r.RestartReason, Added: len(r.Added), Sent: len(r.Evicted)}
+	s = admin.SettingsPreview{Weight: x.Config.Weight, Needs: x.Config.Requirements, Anew: r.RestartReason, Added: len(r.Added), Sent: len(r.Evicted)}
 	for _, v := range r.Removed {
 		s.Removed = append(s.Removed, string(v))
 	}
@@ -211,8 +211,8 @@
 	return s, nil
 }
 
-// Order of admin.Hosted.
-func (h *hosted) Order(now float64, c tenancy.Command, done func(tenancy.Outcome, error)) {
+// ChangeTenant of admin.Hosted.
+func (h *hosted) ChangeTenant(now float64, c tenancy.Command, done func(tenancy.Outcome, error)) {
 	h.program.ChangeTenant(now, c, func(o tenancy.Outcome, err error) {
 		if c.Kind == tenancy.Remove && err == nil && o.Err() == nil {
 			h.watch.latest.drop(c.Name)
--- a/internal/wire/delta/delta.go
+++ b/internal/wire/delta/delta.go
@@ -14,9 +14,9 @@
 
 // Media types.
 const (
-	JSON    = "application/json"
-	CBOR    = "application/cbor"
-	Problem = "application/problem+json"
+	JSON             = "application/json"
+	CBOR             = "application/cbor"
+	ProblemMediaType = "application/problem+json"
 )
 
 // Tables is an answer to a poll.
@@ -46,8 +46,8 @@
 	Drains bool    `json:"drains,omitempty"`
 }
 
-// Trouble is a problem document.
-type Trouble struct {
+// Problem is a problem document.
+type Problem struct {
 	Type       string  `json:"type"`
 	Title      string  `json:"title"`
 	Status     int     `json:"status"`
--- a/internal/wire/delta/golden_test.go
+++ b/internal/wire/delta/golden_test.go
@@ -26,5 +26,5 @@
 }
 
 func TestProblemOnTheWire(t *testing.T) {
-	golden.JSON(t, "problem.json", Trouble{Type: "urn:x", Title: "Conflict", Status: 409, Detail: "why", RetryAfter: 2.5})
+	golden.JSON(t, "problem.json", Problem{Type: "urn:x", Title: "Conflict", Status: 409, Detail: "why", RetryAfter: 2.5})
 }
