--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -20,6 +20,7 @@
 
 	"github.com/alecthomas/kong"
 
+	"snowquay/internal/console"
 	"snowquay/internal/coordinator"
 	"snowquay/internal/core/controlplane"
 	"snowquay/internal/core/idempotency"
@@ -66,7 +67,7 @@
 	parser, err := kong.New(&c, kong.Name("snowquay"), kong.Writers(out, errOut), kong.Exit(func(n int) { code = n }),
 		kong.Description("A control service that assigns servers to proxies."), kong.Vars{"guards": guards()})
 	if err != nil {
-		fmt.Fprintln(errOut, "snowquay:", err)
+		console.Println(errOut, "snowquay:", err)
 		return 2
 	}
 	ctx, err := parser.Parse(args)
@@ -74,7 +75,7 @@
 		return 0
 	}
 	if err != nil {
-		fmt.Fprintln(errOut, "snowquay:", err)
+		console.Println(errOut, "snowquay:", err)
 		return 2
 	}
 	var level slog.Level
@@ -86,7 +87,7 @@
 	}
 	err = ctx.Run(&env{out, slog.New(handler)})
 	if err != nil && !errors.Is(err, errBroken) {
-		fmt.Fprintln(errOut, "snowquay:", err)
+		console.Println(errOut, "snowquay:", err)
 	}
 	if err != nil {
 		return 1
@@ -199,14 +200,14 @@
 		return err
 	}
 	var result struct {
-		Harmless bool
-		Reasons  []string
+		Harmless bool     `json:"harmless"`
+		Reasons  []string `json:"reasons"`
 	}
 	if err := json.Unmarshal(b, &result); err != nil {
 		return err
 	}
 	for _, r := range result.Reasons {
-		fmt.Fprintln(e.out, r)
+		console.Println(e.out, r)
 	}
 	if !result.Harmless {
 		return errBroken
@@ -240,16 +241,16 @@
 		return err
 	}
 	if len(rows) == 0 {
-		fmt.Fprintf(e.out, "no order to %s is remembered\n", proxy)
+		console.Printf(e.out, "no order to %s is remembered\n", proxy)
 	}
 	for _, r := range rows[:min(len(rows), most)] {
-		fmt.Fprintf(e.out, "round %v", r["round"])
+		console.Printf(e.out, "round %v", r["round"])
 		for _, name := range slices.Sorted(maps.Keys(r)) {
 			if name != "round" && name != "relay" {
-				fmt.Fprintf(e.out, ", %s %v", name, r[name])
+				console.Printf(e.out, ", %s %v", name, r[name])
 			}
 		}
-		fmt.Fprintln(e.out)
+		console.Println(e.out)
 	}
 	return nil
 }
@@ -268,9 +269,11 @@
 		return err
 	}
 	var rows []struct {
-		Server, Phase, Zone string
-		Pod                 int
-		Cold                bool
+		Server string `json:"server"`
+		Phase  string `json:"phase"`
+		Zone   string `json:"zone"`
+		Pod    int    `json:"pod"`
+		Cold   bool   `json:"cold"`
 	}
 	if err := json.Unmarshal(b, &rows); err != nil {
 		return err
@@ -280,7 +283,7 @@
 		if r.Cold {
 			cold = ", cold"
 		}
-		fmt.Fprintf(e.out, "%-24s %s%s (zone %s, pod %d)\n", r.Server, r.Phase, cold, r.Zone, r.Pod)
+		console.Printf(e.out, "%-24s %s%s (zone %s, pod %d)\n", r.Server, r.Phase, cold, r.Zone, r.Pod)
 	}
 	return nil
 }
@@ -315,11 +318,11 @@
 	for _, n := range numbers {
 		s, err := service.GroupStatus(setup.Members[n], setup.Key)
 		if err != nil {
-			fmt.Fprintf(e.out, "%d at %s: %v\n", n, setup.Members[n], err)
+			console.Printf(e.out, "%d at %s: %v\n", n, setup.Members[n], err)
 			continue
 		}
 		heard++
-		fmt.Fprintf(e.out, "%d at %s: holds its lease: %t; epoch %d; consensus leader %d, %d agreed; %d drains\n", n,
+		console.Printf(e.out, "%d at %s: holds its lease: %t; epoch %d; consensus leader %d, %d agreed; %d drains\n", n,
 			setup.Members[n], s.HoldsLease, s.Epoch, s.Leader, s.Commit, s.Drains)
 		for _, k := range slices.Sorted(maps.Keys(s.Registrations)) {
 			m, seat := s.Members[s.Registrations[k].Peer], s.Registrations[k]
@@ -329,10 +332,10 @@
 			} else if !m.Alive {
 				state = "does not renew"
 			}
-			fmt.Fprintf(e.out, "    %d %s at %s: %s, weight %g\n", k, seat.Peer, seat.Address, state, m.Weight)
+			console.Printf(e.out, "    %d %s at %s: %s, weight %g\n", k, seat.Peer, seat.Address, state, m.Weight)
 		}
 		if s.Failed != "" {
-			fmt.Fprintf(e.out, "    it orders nothing: %s\n", s.Failed)
+			console.Printf(e.out, "    it orders nothing: %s\n", s.Failed)
 		}
 	}
 	if heard <= len(numbers)/2 {
@@ -420,7 +423,7 @@
 		return err
 	}
 	defer func() { err = errors.Join(err, log.Close()) }()
-	fmt.Fprintf(e.out, "playing %.0f s over loopback sockets, three coordinators as processes, %d kills ...\n", day.Seconds, t.Kills)
+	console.Printf(e.out, "playing %.0f s over loopback sockets, three coordinators as processes, %d kills ...\n", day.Seconds, t.Kills)
 	return show(e, day, scenario.Options{Sockets: true, Log: e.log, Front: t.Front, Coordinators: 3, Proxies: t.Proxies,
 		Processes: &scenario.Processes{Exe: exe, Folder: folder, Log: log}})
 }
@@ -477,7 +480,7 @@
 		return errors.New("several coordinators are rehearsed in virtual time only, with --virtual")
 	}
 	if !r.Virtual {
-		fmt.Fprintf(e.out, "playing %g s over loopback sockets ...\n", day.Seconds)
+		console.Printf(e.out, "playing %g s over loopback sockets ...\n", day.Seconds)
 	}
 	return show(e, day, scenario.Options{Sockets: !r.Virtual, Log: e.log, Seed: r.Seed, Front: r.Front, Coordinators: r.Coordinators, Proxies: r.Proxies})
 }
--- a/internal/cli/cli_test.go
+++ b/internal/cli/cli_test.go
@@ -44,7 +44,7 @@
 		out  string
 	}{
 		{[]string{"check", "../../docs/example.xml"}, 0, "4 servers listed"},
-		{[]string{"check", "--day", "../rehearse/bad-day.xml"}, 0, "12 relays listed"},
+		{[]string{"check", "--day", "../scenario/bad-day.xml"}, 0, "12 relays listed"},
 		{[]string{"check", bad}, 1, "bad.xml:2: <zone>"},
 		{[]string{"check", "nowhere.xml"}, 2, "nowhere.xml"},
 		{[]string{"serve", bad}, 1, "bad.xml"},
--- a/internal/cli/host.go
+++ b/internal/cli/host.go
@@ -7,6 +7,7 @@
 	"net/url"
 	"os"
 
+	"snowquay/internal/console"
 	"snowquay/internal/core/idempotency"
 	"snowquay/internal/core/tenancy"
 	"snowquay/internal/scenario"
@@ -82,11 +83,16 @@
 		return err
 	}
 	var rows []struct {
-		Name, Wrong             string
-		Version                 uint64
-		Weight, Work, Longest   float64
-		Runs                    bool
-		Servers, Relays, Newest int
+		Name    string  `json:"name"`
+		Wrong   string  `json:"wrong"`
+		Version uint64  `json:"version"`
+		Weight  float64 `json:"weight"`
+		Work    float64 `json:"work"`
+		Longest float64 `json:"longest"`
+		Runs    bool    `json:"runs"`
+		Servers int     `json:"servers"`
+		Relays  int     `json:"relays"`
+		Newest  int     `json:"newest"`
 	}
 	if err := json.Unmarshal(b, &rows); err != nil {
 		return err
@@ -99,7 +105,7 @@
 		if r.Wrong != "" {
 			state += ": " + r.Wrong
 		}
-		fmt.Fprintf(e.out, "%-24s version %d, %s; %d servers, %d of %d relays hold the newest tables; %.2f s of work, waited %.0f ms at most\n",
+		console.Printf(e.out, "%-24s version %d, %s; %d servers, %d of %d relays hold the newest tables; %.2f s of work, waited %.0f ms at most\n",
 			r.Name, r.Version, state, r.Servers, r.Newest, r.Relays, r.Work, r.Longest*1000)
 	}
 	return nil
@@ -254,7 +260,7 @@
 		return errors.New("several hosts are rehearsed in virtual time only, with --virtual")
 	}
 	if !h.Virtual {
-		fmt.Fprintf(e.out, "playing %g s over loopback sockets ...\n", h.Seconds)
+		console.Printf(e.out, "playing %g s over loopback sockets ...\n", h.Seconds)
 	}
 	r, err := scenario.RunHosted(scenario.HostedDay{Tenants: h.Tenants, Servers: h.Servers, Relays: h.Relays, Seconds: h.Seconds, Seed: h.Seed,
 		Sockets: !h.Virtual, Hosts: h.Hosts, Kills: h.Kills, Only: -1, Rate: h.Rate, Flood: h.Flood, FloodRate: 2000, Restart: h.Restart, Down: 1, Remove: h.Remove, Drains: h.Drains, Log: e.log})
--- a/internal/cli/lab.go
+++ b/internal/cli/lab.go
@@ -6,6 +6,7 @@
 	"os"
 	"strings"
 
+	"snowquay/internal/console"
 	"snowquay/internal/experiment"
 	"snowquay/internal/settings"
 )
@@ -68,21 +69,21 @@
 		if i >= l.Most {
 			continue
 		}
-		fmt.Fprintf(e.out, "%s.%s.%s.%d  service %.3f, worst 10 s %.3f", r.Fleet, r.Case, r.Arm, r.Seed, r.Service, r.Worst)
+		console.Printf(e.out, "%s.%s.%s.%d  service %.3f, worst 10 s %.3f", r.Fleet, r.Case, r.Arm, r.Seed, r.Service, r.Worst)
 		for _, v := range r.Rules {
 			if !v.Kept {
-				fmt.Fprintf(e.out, "; rule %d BROKEN: %s", v.Rule, v.Reasons[0])
+				console.Printf(e.out, "; rule %d BROKEN: %s", v.Rule, v.Reasons[0])
 			}
 		}
-		fmt.Fprintf(e.out, "  [%s]\n", strings.Join(r.Troubles, " "))
+		console.Printf(e.out, "  [%s]\n", strings.Join(r.Troubles, " "))
 	}
-	fmt.Fprintln(e.out, "pairs of troubles, the worst first:")
+	console.Println(e.out, "pairs of troubles, the worst first:")
 	for i, p := range experiment.Pairs(records) {
 		if i < l.Most {
-			fmt.Fprintf(e.out, "%-20s %-20s service %.3f on %d days, %d with a broken rule\n", p.A, p.B, p.Service.Mean, p.Service.N, p.Broken)
+			console.Printf(e.out, "%-20s %-20s service %.3f on %d days, %d with a broken rule\n", p.A, p.B, p.Service.Mean, p.Service.N, p.Broken)
 		}
 	}
-	fmt.Fprintf(e.out, "%d of %d days broke a rule\n", broken, len(records))
+	console.Printf(e.out, "%d of %d days broke a rule\n", broken, len(records))
 	if broken > 0 {
 		return errBroken
 	}
@@ -125,7 +126,7 @@
 	if err != nil {
 		return err
 	}
-	fmt.Fprintln(e.out, strings.Join(written, "\n"))
+	console.Println(e.out, strings.Join(written, "\n"))
 	return nil
 }
 
@@ -166,11 +167,11 @@
 	if err := os.WriteFile(l.Out, text, 0o644); err != nil {
 		return err
 	}
-	fmt.Fprintf(e.out, "%s: play it with rehearse --virtual --front %s", l.Out, c.Arm.Front)
+	console.Printf(e.out, "%s: play it with rehearse --virtual --front %s", l.Out, c.Arm.Front)
 	if c.Arm.Coordinators > 1 {
-		fmt.Fprintf(e.out, " --coordinators %d", c.Arm.Coordinators)
+		console.Printf(e.out, " --coordinators %d", c.Arm.Coordinators)
 	}
-	fmt.Fprintln(e.out)
+	console.Println(e.out)
 	return nil
 }
 
--- a/internal/core/forwarding/forward.go
+++ b/internal/core/forwarding/forward.go
@@ -17,11 +17,11 @@
 	"snowquay/internal/core/timingwheel"
 )
 
-// Query is a client's; Try is one attempt at a server. Both are numbered here, each number is used once.
-type (
-	Query uint64
-	Try   uint64
-)
+// Query identifies a client's request. Each number is used once.
+type Query uint64
+
+// Try identifies one attempt to forward a query to a server. Each number is used once.
+type Try uint64
 
 // Ask is what is known of a query when it comes.
 type Ask struct {
@@ -33,6 +33,7 @@
 // Kind of an order.
 type Kind int
 
+// What the driver is asked to do.
 const (
 	Send   Kind = iota // try a query at a server
 	Cancel             // nobody waits for a try any more: its connection is closed, so that the server notices
--- a/internal/core/forwarding/forward_test.go
+++ b/internal/core/forwarding/forward_test.go
@@ -361,13 +361,13 @@
 		}
 		for range rapid.IntRange(1, 60).Draw(r, "events") {
 			now += rapid.Float64Range(0, 0.6).Draw(r, "time")
-			var any Try
+			var oldest Try
 			for k := range tries {
-				if any == 0 || k < any {
-					any = k
+				if oldest == 0 || k < oldest {
+					oldest = k
 				}
 			}
-			f := tries[any]
+			f := tries[oldest]
 			switch rapid.IntRange(0, 7).Draw(r, "event") {
 			case 0, 1, 2:
 				c := balancer.Class(rapid.IntRange(0, 2).Draw(r, "class"))
@@ -379,23 +379,23 @@
 				_, o := p.Ask(now, Ask{Class: c, Key: key})
 				obey(o)
 			case 3:
-				if any != 0 {
-					delete(tries, any)
-					if _, o, ok := p.Answered(now, any); ok {
+				if oldest != 0 {
+					delete(tries, oldest)
+					if _, o, ok := p.Answered(now, oldest); ok {
 						ends[f.q]++
 						obey(o)
 					}
 				}
 			case 4:
-				if any != 0 {
-					delete(tries, any)
+				if oldest != 0 {
+					delete(tries, oldest)
 					ran[f.q] = append(ran[f.q], f)
-					obey(p.Failed(now, any, retry.MayHaveRun))
+					obey(p.Failed(now, oldest, retry.MayHaveRun))
 				}
 			case 5:
-				if any != 0 {
-					delete(tries, any)
-					obey(p.Failed(now, any, retry.NeverRan))
+				if oldest != 0 {
+					delete(tries, oldest)
+					obey(p.Failed(now, oldest, retry.NeverRan))
 				}
 			case 6:
 				var some []int
@@ -411,7 +411,7 @@
 					r.Fatal(err)
 				}
 			default:
-				if any != 0 && rapid.Bool().Draw(r, "leaves") {
+				if oldest != 0 && rapid.Bool().Draw(r, "leaves") {
 					ends[f.q]++
 					obey(p.Left(f.q))
 				}
--- a/internal/core/longpoll/longpoll.go
+++ b/internal/core/longpoll/longpoll.go
@@ -60,6 +60,7 @@
 // RejectReason says why a poll is not served.
 type RejectReason int
 
+// Why a poll is rejected.
 const (
 	NotListed  RejectReason = iota // the settings list no such proxy
 	Crowded                        // too many polls, or proxies
@@ -240,11 +241,12 @@
 	proxy, err := c.fleet.Join(now, p.UID, c, p.Epoch == 0)
 	if err != nil {
 		c.out.Say("proxy refused", "uid", p.UID, "error", err)
-		if errors.Is(err, controlplane.ErrWrongCoordinator) {
+		switch {
+		case errors.Is(err, controlplane.ErrWrongCoordinator):
 			c.refuse(w, Elsewhere, 0)
-		} else if errors.Is(err, controlplane.ErrJoinRateExceeded) {
+		case errors.Is(err, controlplane.ErrJoinRateExceeded):
 			c.refuse(w, TooOften, c.spread())
-		} else {
+		default:
 			c.refuse(w, Crowded, c.spread())
 		}
 		return nil
@@ -423,11 +425,12 @@
 		if !said.Full {
 			a.From = x.base
 		}
-		if !said.Full && !said.Leveled && len(said.Lines) == 0 {
+		switch {
+		case !said.Full && !said.Leveled && len(said.Lines) == 0:
 			a.Classes = a.Classes[:k]
-		} else if full {
+		case full:
 			c.Counts.Fulls++
-		} else {
+		default:
 			c.Counts.Deltas++
 		}
 	}
--- a/internal/core/longpoll/longpoll_test.go
+++ b/internal/core/longpoll/longpoll_test.go
@@ -146,12 +146,11 @@
 	return s.holds[uid]
 }
 
-func (s *shop) ask(uid string, wait float64) PollID {
+func (s *shop) ask(uid string, wait float64) {
 	h := s.hold(uid)
 	s.next++
 	s.of[s.next], s.by[s.next], s.last[uid], h.waits = uid, h, s.next, true
 	s.counter.Ask(s.now, s.next, Poll{UID: uid, Epoch: h.epoch, Version: h.version, Wait: wait})
-	return s.next
 }
 
 func (s *shop) step(seconds float64) {
--- a/internal/core/longpoll/model_test.go
+++ b/internal/core/longpoll/model_test.go
@@ -82,11 +82,12 @@
 			continue
 		}
 		x := w // it arrives, and may arrive again
-		if n.base == -1 {
+		switch {
+		case n.base == -1:
 			x.held = n.state
-		} else if x.held < n.base || x.heldOf != n.life { // lines come with their newest weights: a later state does as well
+		case x.held < n.base || x.heldOf != n.life: // lines come with their newest weights: a later state does as well
 			x.held = -2
-		} else {
+		default:
 			x.held = n.state
 		}
 		x.heldLife, x.heldNumber, x.heldOf = n.life, n.number, n.life
--- a/internal/core/retry/repeat.go
+++ b/internal/core/retry/repeat.go
@@ -7,6 +7,7 @@
 // Outcome of a try that brought no answer.
 type Outcome int
 
+// What is known of a failed attempt.
 const (
 	NeverRan   Outcome = iota // it is proved that the server never began with it
 	MayHaveRun                // it failed after the server may have had it
--- a/internal/core/saspsession/session.go
+++ b/internal/core/saspsession/session.go
@@ -190,10 +190,9 @@
 	}
 }
 
-func (d *Server) close(now float64, c *conn, why string, pairs ...any) {
+func (d *Server) close(now float64, c *conn, why string) {
 	d.Counts.Closed++
-	d.out.Say("connection closed", append([]any{"why", why, "from", c.from, "uid", c.uid, "sent", c.sent, "taken",
-		c.taken}, pairs...)...)
+	d.out.Say("connection closed", "why", why, "from", c.from, "uid", c.uid, "sent", c.sent, "taken", c.taken)
 	d.end(now, c)
 	d.out.Close(c.id)
 }
@@ -393,7 +392,7 @@
 	*m = sasp.Message{Kind: sasp.SendWeights, Groups: m.Groups[:0], Rows: m.Rows[:0]}
 	lines := 0
 	for _, g := range b.order {
-		lines += d.render(now, m, b, g, false)
+		lines += d.render(m, b, g, false)
 	}
 	if lines == 0 {
 		d.Counts.Skipped++
@@ -413,7 +412,7 @@
 // render adds a group to a message, and says how many rows it has. Rows that bring queries come before those that
 // take them away, so that no state on the way through a message lacks a line. A relay that wants unchanged members left
 // out gets what changed, the others the whole group.
-func (d *Server) render(now float64, m *sasp.Message, b *loadBalancer, g *group, whole bool) int {
+func (d *Server) render(m *sasp.Message, b *loadBalancer, g *group, whole bool) int {
 	lines, full, ok := d.fleet.Delta(b.proxy, g.class)
 	if !ok {
 		return 0
--- a/internal/core/saspsession/session_test.go
+++ b/internal/core/saspsession/session_test.go
@@ -113,8 +113,8 @@
 	return p
 }
 
-func usual(t testing.TB, without ...controlplane.Guard) *peers {
-	return start(t, testSite(without...), UsualLimits, Policy{FleetUID: "fleet", NewOnes: true})
+func usual(t testing.TB) *peers {
+	return start(t, testSite(), UsualLimits, Policy{FleetUID: "fleet", NewOnes: true})
 }
 
 func (p *peers) dial(from string) Conn {
--- a/internal/core/saspsession/speak.go
+++ b/internal/core/saspsession/speak.go
@@ -332,7 +332,7 @@
 func (d *Server) present(m *sasp.Message, drained bool) bool {
 	for _, r := range m.Rows {
 		rec, ok := d.fleet.Registry.Find(d.server(r.Address))
-		if !ok || rec.Phase == balancer.Removed && !(drained && rec.DrainOrdered) {
+		if !ok || rec.Phase == balancer.Removed && (!drained || !rec.DrainOrdered) {
 			return false
 		}
 	}
@@ -522,7 +522,7 @@
 	for _, g := range b.order {
 		if len(m.Groups) == 0 || named(m, g.name) {
 			asked++
-			lines += d.render(now, reply, b, g, true)
+			lines += d.render(reply, b, g, true)
 		}
 	}
 	promise := d.fleet.Site().Guarantees.DrainDeadline * d.fleet.Site().Limits.DrainFraction
--- a/internal/core/spool/courier.go
+++ b/internal/core/spool/courier.go
@@ -3,6 +3,7 @@
 // State of the way to a receiver.
 type State int
 
+// States of the connection to a receiver.
 const (
 	Away    State = iota // there is no connection; the next try has its time
 	Dialing              // one is being made
@@ -12,6 +13,7 @@
 // Order is what a Courier wants done.
 type Order int
 
+// What a Sender can ask for.
 const (
 	Nothing Order = iota
 	Dial          // make a connection, and say Reached or Broke
--- a/internal/core/spool/spool.go
+++ b/internal/core/spool/spool.go
@@ -17,6 +17,7 @@
 // Kind of a figure.
 type Kind uint8
 
+// Kinds of figures.
 const (
 	Gauge Kind = iota // moves up and down
 	Total             // only grows
--- a/internal/core/tablecache/follow.go
+++ b/internal/core/tablecache/follow.go
@@ -54,11 +54,11 @@
 // Counts is what happened, for metrics.
 type Counts struct{ Applied, Old, Base, Wrong int }
 
-// New makes empty tables for classes of these names; make gives each its way of picking.
-func New(names []string, make func(class int) picker.Table) *Tables {
+// New makes empty tables for classes of these names; build gives each its way of picking.
+func New(names []string, build func(class int) picker.Table) *Tables {
 	t := &Tables{names: names, gone: map[balancer.Server]float64{}}
 	for i := range names {
-		t.by = append(t.by, make(i))
+		t.by = append(t.by, build(i))
 	}
 	return t
 }
@@ -227,7 +227,7 @@
 func (t *Tables) Restore(now float64, b []byte) error {
 	var s snapshot
 	if err := json.Unmarshal(b, &s); err != nil {
-		return fmt.Errorf("%w: %v", ErrSnapshot, err)
+		return fmt.Errorf("%w: %w", ErrSnapshot, err)
 	}
 	if !(s.At <= now) || now-s.At > oldestTable {
 		return fmt.Errorf("%w: it is %.0f s old, %.0f at most", ErrSnapshot, now-s.At, oldestTable)
--- a/internal/emulator/relay.go
+++ b/internal/emulator/relay.go
@@ -43,6 +43,7 @@
 // Policy by which a relay picks.
 type Policy string
 
+// The policies that a relay knows.
 const (
 	ByTable Policy = ""      // as its coordinator orders
 	Robin   Policy = "robin" // all servers in turn, whatever is ordered
@@ -214,7 +215,7 @@
 			}
 			return
 		}
-		r.register(now)
+		r.register()
 		return
 	}
 	a := r.byConn[c]
@@ -238,7 +239,7 @@
 }
 
 // register says who it is, and that all it holds are its members.
-func (r *Relay) register(now float64) {
+func (r *Relay) register() {
 	r.speak, r.deaf, r.beat = speaker{}, false, false
 	r.io.Send(r.sasp, r.speak.write(&sasp.Message{Kind: sasp.SetBalancer, UID: []byte(r.UID), Flags: r.Flags}))
 	m := &sasp.Message{Kind: sasp.Registration, LB: sasp.FromBalancer}
--- a/internal/experiment/compare.go
+++ b/internal/experiment/compare.go
@@ -4,7 +4,6 @@
 	"cmp"
 	"encoding/csv"
 	"encoding/json"
-	"fmt"
 	"io"
 	"math"
 	"slices"
@@ -12,6 +11,8 @@
 
 	"gonum.org/v1/gonum/stat"
 	"gonum.org/v1/gonum/stat/distuv"
+
+	"snowquay/internal/console"
 )
 
 // Figure of a record that is compared.
@@ -55,8 +56,9 @@
 
 // Interval is a mean with the half of its 95% interval by Student's distribution; of one value that is not a number.
 type Interval struct {
-	Mean, Half float64
-	N          int
+	Mean float64 `json:"Mean"`
+	Half float64 `json:"Half"` // half of the interval's width
+	N    int     `json:"N"`    // number of observations
 }
 
 // Estimate of a mean.
@@ -113,22 +115,24 @@
 
 // PrintDifferences as a table; those that are sure have a star.
 func PrintDifferences(w io.Writer, all []Difference, base, other string) {
-	fmt.Fprintf(w, "%s less %s, by paired seeds, 95%% intervals; * leaves zero out (simulated servers)\n", other, base)
+	console.Printf(w, "%s less %s, by paired seeds, 95%% intervals; * leaves zero out (simulated servers)\n", other, base)
 	for _, d := range all {
 		star := " "
 		if d.Sure() {
 			star = "*"
 		}
-		fmt.Fprintf(w, "%-14s %-16s %-11s %s %+10.4f +- %.4f (%d)\n", d.Fleet, d.Case, d.Figure, star, d.Mean, d.Half, d.N)
+		console.Printf(w, "%-14s %-16s %-11s %s %+10.4f +- %.4f (%d)\n", d.Fleet, d.Case, d.Figure, star, d.Mean, d.Half, d.N)
 	}
 }
 
 // Table of groups in a form: text, csv or json.
 func Table(w io.Writer, groups []Group, form string) error {
 	type row struct {
-		Fleet, Case, Arm string
-		Seeds            int
-		Figures          map[string]Interval
+		Fleet   string              `json:"Fleet"`
+		Case    string              `json:"Case"`
+		Arm     string              `json:"Arm"`
+		Seeds   int                 `json:"Seeds"`
+		Figures map[string]Interval `json:"Figures"`
 	}
 	var rows []row
 	for _, g := range groups {
@@ -177,17 +181,17 @@
 		c.Flush()
 		return c.Error()
 	}
-	fmt.Fprintf(w, "%-12s %-16s %-12s %5s", "fleet", "case", "arm", "seeds")
+	console.Printf(w, "%-12s %-16s %-12s %5s", "fleet", "case", "arm", "seeds")
 	for _, f := range Figures {
-		fmt.Fprintf(w, " %11s", f.Name)
+		console.Printf(w, " %11s", f.Name)
 	}
-	fmt.Fprintln(w)
+	console.Println(w)
 	for _, r := range rows {
-		fmt.Fprintf(w, "%-12s %-16s %-12s %5d", r.Fleet, r.Case, r.Arm, r.Seeds)
+		console.Printf(w, "%-12s %-16s %-12s %5d", r.Fleet, r.Case, r.Arm, r.Seeds)
 		for _, f := range Figures {
-			fmt.Fprintf(w, " %11.4g", r.Figures[f.Name].Mean)
+			console.Printf(w, " %11.4g", r.Figures[f.Name].Mean)
 		}
-		fmt.Fprintln(w)
+		console.Println(w)
 	}
 	return nil
 }
--- a/internal/experiment/lab.go
+++ b/internal/experiment/lab.go
@@ -22,6 +22,7 @@
 	"github.com/cespare/xxhash/v2"
 
 	"snowquay/balancer"
+	"snowquay/internal/console"
 	"snowquay/internal/emulator"
 	"snowquay/internal/scenario"
 	"snowquay/internal/settings"
@@ -178,7 +179,7 @@
 	d.Troubles = nil
 	for _, t := range c.Case.Troubles {
 		t.Server, t.Relay = t.Server%len(site.Servers), t.Relay%len(site.Relays)
-		t.Pod = t.Pod % (int(site.Servers[len(site.Servers)-1].FailureDomain) + 1)
+		t.Pod %= int(site.Servers[len(site.Servers)-1].FailureDomain) + 1
 		d.Troubles = append(d.Troubles, t)
 	}
 	if c.Case.Drawn > 0 {
@@ -217,7 +218,7 @@
 
 func record(x *settings.Experiment, c Cell, d *settings.Day, res *scenario.Result) *Record {
 	r := &Record{Experiment: x.Name, Fleet: c.Fleet.Name, Case: c.Case.Name, Arm: c.Arm.Name, Seed: c.Seed, Version: Version(),
-		Print: print(x), Servers: c.Fleet.Servers, Relays: c.Fleet.Relays, Seconds: c.Case.Seconds, Service: res.Service, Worst: res.Worst,
+		Print: fingerprint(x), Servers: c.Fleet.Servers, Relays: c.Fleet.Relays, Seconds: c.Case.Seconds, Service: res.Service, Worst: res.Worst,
 		WorstClass: 1, Drained: res.Drained, Messages: res.Messages, Lines: res.Lines, Fulls: res.Counts.FullTables, PeakQueue: res.PeakQueue, Events: res.Events}
 	for k, q := range d.Queries {
 		h := res.Times[k]
@@ -309,7 +310,7 @@
 	return t
 }
 
-func print(x *settings.Experiment) string { return fmt.Sprintf("%016x", xxhash.Sum64(x.Text)) }
+func fingerprint(x *settings.Experiment) string { return fmt.Sprintf("%016x", xxhash.Sum64(x.Text)) }
 
 // Folder of runs.
 type Folder struct{ path string }
@@ -403,7 +404,7 @@
 	if jobs <= 0 {
 		jobs = runtime.GOMAXPROCS(0)
 	}
-	fmt.Fprintf(progress, "%d of %d are there, %d to be played, %d at once\n", len(cells)-len(todo), len(cells), len(todo), jobs)
+	console.Printf(progress, "%d of %d are there, %d to be played, %d at once\n", len(cells)-len(todo), len(cells), len(todo), jobs)
 	var (
 		mu      sync.Mutex
 		wait    sync.WaitGroup
@@ -425,14 +426,14 @@
 				mu.Lock()
 				if done++; err != nil {
 					errs = append(errs, fmt.Errorf("%s: %w", c.Name(), err))
-					fmt.Fprintf(progress, "%d/%d %s: %v\n", done, len(todo), c.Name(), err)
+					console.Printf(progress, "%d/%d %s: %v\n", done, len(todo), c.Name(), err)
 				} else {
 					virtual += r.Seconds
 					word := ""
 					if b := r.Broken(); len(b) > 0 {
 						word = fmt.Sprintf(", BROKEN %v", b)
 					}
-					fmt.Fprintf(progress, "%d/%d %s: service %.3f%s; %.0f times real time\n", done, len(todo), c.Name(), r.Service, word,
+					console.Printf(progress, "%d/%d %s: service %.3f%s; %.0f times real time\n", done, len(todo), c.Name(), r.Service, word,
 						virtual/time.Since(start).Seconds())
 				}
 				mu.Unlock()
--- a/internal/experiment/shrink.go
+++ b/internal/experiment/shrink.go
@@ -1,11 +1,11 @@
 package experiment
 
 import (
-	"fmt"
 	"io"
 	"slices"
 
 	"snowquay/balancer"
+	"snowquay/internal/console"
 	"snowquay/internal/scenario"
 	"snowquay/internal/settings"
 )
@@ -37,7 +37,7 @@
 			return false
 		}
 		d = next
-		fmt.Fprintf(progress, "%d played: %s; %d troubles, %d servers, %d relays, %.0f s\n", played, what, len(d.Troubles), len(d.Coordinator.Site.Servers),
+		console.Printf(progress, "%d played: %s; %d troubles, %d servers, %d relays, %.0f s\n", played, what, len(d.Troubles), len(d.Coordinator.Site.Servers),
 			len(d.Coordinator.Site.Relays), d.Seconds)
 		return true
 	}
--- a/internal/feed/collectd/collect.go
+++ b/internal/feed/collectd/collect.go
@@ -102,9 +102,13 @@
 		return c.text(now, b)
 	}
 	lists, err := network.Parse(b, c.opts)
-	if err != nil || len(b) > MostPacket {
+	if err != nil {
 		c.Garbled++
-		return fmt.Errorf("%w: %v", ErrPacket, err)
+		return fmt.Errorf("%w: %w", ErrPacket, err)
+	}
+	if len(b) > MostPacket {
+		c.Garbled++
+		return fmt.Errorf("%w: %d bytes, %d at most", ErrPacket, len(b), MostPacket)
 	}
 	for _, l := range lists {
 		c.take(now, l)
--- a/internal/feed/collectd/collect_test.go
+++ b/internal/feed/collectd/collect_test.go
@@ -23,8 +23,8 @@
 	return f
 }
 
-func packet(now, tries float64, host, key string) (out []byte) {
-	p := NewPacker(now, host, "relays", key, func(b []byte) { out = bytes.Clone(b) })
+func packet(now, tries float64, key string) (out []byte) {
+	p := NewPacker(now, "r1", "relays", key, func(b []byte) { out = bytes.Clone(b) })
 	p.Traffic("10.0.0.1:80", loadreport.Totals{Attempts: tries, Failed: 1, Seconds: tries / 4})
 	p.Demand("search", loadreport.Totals{Attempts: tries})
 	p.Uptime(77)
@@ -36,7 +36,7 @@
 	for _, key := range []string{"", "secret"} {
 		f := newFleet(t)
 		c := New(f, "relays", key)
-		for i, b := range [][]byte{packet(2000, 10, "r1", key), packet(2000.5, 30, "r1", key), packet(2000.5, 30, "r1", key)} {
+		for i, b := range [][]byte{packet(2000, 10, key), packet(2000.5, 30, key), packet(2000.5, 30, key)} {
 			if err := c.Packet(1001+float64(i), b); err != nil {
 				t.Fatal(err)
 			}
@@ -55,10 +55,10 @@
 func TestWhatIsNotSignedIsNotTaken(t *testing.T) {
 	f := newFleet(t)
 	c := New(f, "relays", "secret")
-	signed := packet(2000, 10, "r1", "secret")
+	signed := packet(2000, 10, "secret")
 	forged := bytes.Clone(signed)
 	forged[len(forged)-1] ^= 1
-	for _, b := range [][]byte{packet(2000, 10, "r1", ""), packet(2000, 10, "r1", "other"), forged, signed[:60]} {
+	for _, b := range [][]byte{packet(2000, 10, ""), packet(2000, 10, "other"), forged, signed[:60]} {
 		_ = c.Packet(1001, b)
 	}
 	if f.LoadReports.Len() != 0 {
@@ -72,7 +72,7 @@
 func TestGarbledPacketsChangeNothing(t *testing.T) {
 	f := newFleet(t)
 	c := New(f, "", "")
-	good := packet(2000, 10, "r1", "")
+	good := packet(2000, 10, "")
 	for i := range good {
 		for _, bit := range []byte{1, 0x80} {
 			b := bytes.Clone(good)
@@ -90,8 +90,8 @@
 }
 
 func FuzzPacket(f *testing.F) {
-	f.Add(packet(2000, 10, "r1", ""))
-	f.Add(packet(2000, 10, "r1", "secret"))
+	f.Add(packet(2000, 10, ""))
+	f.Add(packet(2000, 10, "secret"))
 	f.Fuzz(func(t *testing.T, b []byte) {
 		for _, key := range []string{"", "secret"} {
 			_ = New(newFleet(t), "relays", key).Packet(1001, b)
--- a/internal/frontend/admin/admin.go
+++ b/internal/frontend/admin/admin.go
@@ -204,16 +204,15 @@
 	return ok
 }
 
-func reply(w http.ResponseWriter, status int, v any) []byte {
+func reply(w http.ResponseWriter, status int, v any) {
 	b, err := json.Marshal(v)
 	if err != nil { // figures are finite
 		problem(w, http.StatusInternalServerError, "%v", err)
-		return nil
+		return
 	}
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
 	_, _ = w.Write(b) // a reader that went away needs no answer
-	return b
 }
 
 var phases = map[balancer.Phase]string{balancer.Ready: "in service", balancer.Draining: "drains", balancer.Removed: "gone"}
--- a/internal/frontend/admin/hosted.go
+++ b/internal/frontend/admin/hosted.go
@@ -201,7 +201,7 @@
 }
 
 // change takes other settings of a tenant, made of those that it has, if they are sound and do no harm.
-func (a *API) change(w http.ResponseWriter, r *http.Request, who call, body []byte, make func(now float64) ([]byte, error)) {
+func (a *API) change(w http.ResponseWriter, r *http.Request, who call, body []byte, build func(now float64) ([]byte, error)) {
 	must, none, err := condition(r)
 	if err != nil {
 		problem(w, http.StatusBadRequest, "%v", err)
@@ -228,7 +228,7 @@
 			c.Kind = tenancy.Create // it may be the call whose answer was lost
 		}
 		d := decided{status: http.StatusBadRequest, made: c.Kind == tenancy.Create}
-		if c.Settings, d.err = make(now); d.err == nil {
+		if c.Settings, d.err = build(now); d.err == nil {
 			d.seen, d.err = a.hosted.PreviewSettings(now, tenancy.Tenant{Name: who.of, Settings: c.Settings})
 		}
 		if d.err != nil {
@@ -242,7 +242,7 @@
 		if c.Kind == tenancy.Change && who.Role < idempotency.RoleHost {
 			// What a tenant may take is the host's to say: its staff may ask for less, not for more.
 			if err := c.Requirements.CheckWithin(row.Needs); err != nil || c.Weight > row.Weight {
-				done(decided{status: http.StatusForbidden, seen: d.seen, err: fmt.Errorf("only the host may raise what a tenant takes: weight %g to %g; %v",
+				done(decided{status: http.StatusForbidden, seen: d.seen, err: fmt.Errorf("only the host may raise what a tenant takes: weight %g to %g; %w",
 					row.Weight, c.Weight, err)})
 				return
 			}
--- a/internal/frontend/eventloop/loop_test.go
+++ b/internal/frontend/eventloop/loop_test.go
@@ -6,6 +6,7 @@
 	"net"
 	"net/netip"
 	"runtime"
+	"slices"
 	"sync/atomic"
 	"testing"
 	"time"
@@ -77,7 +78,7 @@
 		return err
 	}
 	n := int(head[5])<<24 | int(head[6])<<16 | int(head[7])<<8 | int(head[8])
-	b := append(head, make([]byte, n-len(head))...)
+	b := slices.Concat(head, make([]byte, n-len(head)))
 	if _, err := io.ReadFull(c, b[len(head):]); err != nil {
 		return err
 	}
@@ -96,7 +97,7 @@
 func TestARelayOnASocketIsServed(t *testing.T) {
 	program, s, at := listen(t, setup(5, 1), 14860)
 	c := dial(t, at, "r1")
-	defer c.Close()
+	defer func() { _ = c.Close() }()
 	var m sasp.Message
 	for _, want := range []sasp.Kind{sasp.SetBalancerReply, sasp.RegistrationReply, sasp.SendWeights} {
 		if err := read(c, &m); err != nil || m.Kind != want {
@@ -114,7 +115,7 @@
 	if err := read(c, &m); err != nil || len(m.Rows) != 1 || m.Rows[0].Weight != 0 || m.Rows[0].Flags&sasp.Quiesce == 0 {
 		t.Errorf("the drain: %+v, %v", m.Rows, err)
 	}
-	c.Close()
+	_ = c.Close()
 	until(t, "its leaving", func() bool { n := 0; s.Do(func(float64) { n = program.Fleet.Joined() }); return n == 0 })
 }
 
@@ -187,7 +188,7 @@
 			if err != nil {
 				b.Fatal(err)
 			}
-			defer l.Close()
+			defer func() { _ = l.Close() }()
 			accepted := make(chan net.Conn, n)
 			go func() {
 				for {
@@ -223,7 +224,7 @@
 
 func closeAll(conns []net.Conn) {
 	for _, c := range conns {
-		c.Close()
+		_ = c.Close()
 	}
 }
 
@@ -300,7 +301,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer c.Close()
+	defer func() { _ = c.Close() }()
 	if err := c.SetDeadline(time.Now().Add(5 * time.Second)); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/frontend/longpollhttp/poll_test.go
+++ b/internal/frontend/longpollhttp/poll_test.go
@@ -89,7 +89,7 @@
 	if err != nil {
 		c.t.Fatal(err)
 	}
-	defer resp.Body.Close()
+	defer func() { _ = resp.Body.Close() }()
 	body, err := io.ReadAll(resp.Body)
 	if err != nil {
 		c.t.Fatal(err)
@@ -201,7 +201,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer c.Close()
+	defer func() { _ = c.Close() }()
 	for _, p := range parts {
 		if _, err := c.Write([]byte(p)); err != nil {
 			break
@@ -249,7 +249,7 @@
 	}
 	for range 100 { // that say nothing
 		if c, err := net.Dial("tcp", strings.TrimPrefix(base, "http://")); err == nil {
-			defer c.Close()
+			defer func() { _ = c.Close() }()
 		}
 	}
 	time.Sleep(100 * time.Millisecond)
@@ -273,7 +273,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer c.Close()
+	defer func() { _ = c.Close() }()
 	if err := c.(*net.TCPConn).SetReadBuffer(1024); err != nil {
 		t.Fatal(err)
 	}
@@ -305,7 +305,7 @@
 			b.Fatal(err)
 		}
 		conns[i] = c
-		fmt.Fprintf(c, "GET /v1/proxies/p%d/tables?wait=50 HTTP/1.1\r\nHost: x\r\n\r\n", i)
+		_, _ = fmt.Fprintf(c, "GET /v1/proxies/p%d/tables?wait=50 HTTP/1.1\r\nHost: x\r\n\r\n", i)
 	}
 	for i, c := range conns {
 		r, err := http.ReadResponse(bufio.NewReader(c), nil)
@@ -316,7 +316,7 @@
 		if err := json.NewDecoder(r.Body).Decode(&t); err != nil {
 			b.Fatal(err)
 		}
-		fmt.Fprintf(c, "GET /v1/proxies/p%d/tables?wait=50&epoch=%s&version=%d HTTP/1.1\r\nHost: x\r\n\r\n", i, t.Epoch, t.Version)
+		_, _ = fmt.Fprintf(c, "GET /v1/proxies/p%d/tables?wait=50&epoch=%s&version=%d HTTP/1.1\r\nHost: x\r\n\r\n", i, t.Epoch, t.Version)
 	}
 	parked := 0
 	for end := time.Now().Add(20 * time.Second); parked < n; time.Sleep(time.Millisecond) {
@@ -330,7 +330,7 @@
 	runtime.ReadMemStats(&after)
 	b.ReportMetric(float64(after.HeapInuse+after.StackInuse-before.HeapInuse-before.StackInuse)/n, "B/poll")
 	for _, c := range conns {
-		c.Close()
+		_ = c.Close()
 	}
 }
 
--- a/internal/proxy/proxy_test.go
+++ b/internal/proxy/proxy_test.go
@@ -97,7 +97,7 @@
 }
 
 func (u *user) Start(_ float64, io env.IO) { u.io = io; u.conn = io.Dial(u.to) }
-func (u *user) Connected(now float64, c env.Conn, ok bool) {
+func (u *user) Connected(now float64, c env.Conn, _ bool) {
 	if u.io.Send(c, []byte(u.send)); u.leaves > 0 {
 		u.net.At(now+u.leaves, func() { u.io.Close(c) })
 	}
--- a/internal/scenario/proxies.go
+++ b/internal/scenario/proxies.go
@@ -29,8 +29,8 @@
 // Load of proxy.Store.
 func (s *shelf) Load() ([]byte, error) { return s.b, nil }
 
-// real is a proxy of our own with its clients, in a stand-in relay's place.
-type real struct {
+// ownProxy is a proxy of our own with its clients, in a stand-in relay's place.
+type ownProxy struct {
 	proxy *proxy.Proxy
 	host  host
 	crowd *emulator.Crowd
@@ -59,7 +59,9 @@
 		s.Forward.Places[v.Server] = retry.Place{Server: v.Server, Zone: v.Zone, Pod: v.FailureDomain}
 	}
 	at := c.SASP
-	if s.SASP = !(p.opts.Front == "http" || p.opts.Front == "both" && i%2 == 1); !s.SASP {
+	polls := p.opts.Front == "http" || p.opts.Front == "both" && i%2 == 1
+	s.SASP = !polls
+	if polls {
 		at = c.HTTP
 	}
 	for k := range p.coordinators {
@@ -71,7 +73,7 @@
 
 // addProxy puts a proxy of our own, and its clients, in a stand-in relay's place.
 func (p *play) addProxy(i int, rate float64, standing []netip.AddrPort) {
-	x := &real{}
+	x := &ownProxy{}
 	p.reals = append(p.reals, x)
 	s := p.proxySetup(i)
 	for _, a := range standing {
--- a/internal/scenario/rehearse.go
+++ b/internal/scenario/rehearse.go
@@ -138,7 +138,7 @@
 	fallen       map[int]bool
 	relays       []*emulator.Relay
 	relayHosts   []host
-	reals        []*real // in the relays\' place
+	reals        []*ownProxy // in the relays\' place
 	life         []uint64
 	popular      []float64 // keys
 	deaths       []takeover
--- a/internal/scenario/rehearse_test.go
+++ b/internal/scenario/rehearse_test.go
@@ -104,8 +104,11 @@
 
 func TestShortDayOverSockets(t *testing.T) {
 	// Relays by both fronts.
-	text := string(BadDay)
-	text = text[:strings.Index(text, "  <trouble")] + `
+	before, _, found := strings.Cut(string(BadDay), "  <trouble")
+	if !found {
+		t.Fatal("the bad day has no trouble")
+	}
+	text := before + `
   <trouble kind="balancer_restart" at="3" for="0.5" relay="1"/>
   <trouble kind="drain" at="4" server="4"/>
   <trouble kind="coordinator_restart" at="4.2" for="1"/>
--- a/internal/service/admin.go
+++ b/internal/service/admin.go
@@ -64,13 +64,15 @@
 	if err != nil {
 		return nil, err
 	}
-	defer answer.Body.Close()
+	defer func() { _ = answer.Body.Close() }()
 	text, err := io.ReadAll(answer.Body)
 	if err != nil {
 		return nil, err
 	}
 	if answer.StatusCode >= 300 {
-		var p struct{ Detail string }
+		var p struct {
+			Detail string `json:"detail"`
+		}
 		_ = json.Unmarshal(text, &p) // what is no problem document has no detail
 		return nil, fmt.Errorf("%s: %s", answer.Status, p.Detail)
 	}
--- a/internal/service/admin_test.go
+++ b/internal/service/admin_test.go
@@ -31,7 +31,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer a.Body.Close()
+	defer func() { _ = a.Body.Close() }()
 	b, err := io.ReadAll(a.Body)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/service/group.go
+++ b/internal/service/group.go
@@ -59,7 +59,7 @@
 	if err != nil {
 		return s, err
 	}
-	defer c.Close()
+	defer func() { _ = c.Close() }()
 	if err := c.SetDeadline(time.Now().Add(toolWithin)); err != nil {
 		return s, err
 	}
--- a/internal/service/group_test.go
+++ b/internal/service/group_test.go
@@ -78,7 +78,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer c.Close()
+	defer func() { _ = c.Close() }()
 	if err := c.SetDeadline(time.Now().Add(15 * time.Second)); err != nil {
 		t.Fatal(err)
 	}
@@ -192,7 +192,7 @@
 			if err != nil {
 				b.Fatal(err)
 			}
-			defer c.Close()
+			defer func() { _ = c.Close() }()
 			buf := make([]byte, 4096)
 			say := func(m *sasp.Message) {
 				if _, err := c.Write(sasp.Append(nil, m)); err != nil {
--- a/internal/service/host.go
+++ b/internal/service/host.go
@@ -189,7 +189,7 @@
 	}
 	var e settings.Edit
 	if err := json.Unmarshal(edit, &e); err != nil {
-		return nil, fmt.Errorf("%w: %v", settings.ErrEdit, err)
+		return nil, fmt.Errorf("%w: %w", settings.ErrEdit, err)
 	}
 	return e.Apply(t.Settings)
 }
--- a/internal/service/host_test.go
+++ b/internal/service/host_test.go
@@ -11,6 +11,7 @@
 	"net/http"
 	"os"
 	"path/filepath"
+	"slices"
 	"strings"
 	"sync"
 	"testing"
@@ -74,7 +75,7 @@
 	if err != nil {
 		h.t.Fatal(err)
 	}
-	defer a.Body.Close()
+	defer func() { _ = a.Body.Close() }()
 	b, err := io.ReadAll(a.Body)
 	if err != nil {
 		h.t.Fatal(err)
@@ -123,7 +124,7 @@
 		if _, err := io.ReadFull(c, head); err != nil {
 			return c, sasp.NotAccepted // it was closed
 		}
-		frame := append(head, make([]byte, int(binary.BigEndian.Uint32(head[5:]))-len(head))...)
+		frame := slices.Concat(head, make([]byte, int(binary.BigEndian.Uint32(head[5:]))-len(head)))
 		if _, err := io.ReadFull(c, frame[len(head):]); err != nil {
 			return c, sasp.NotAccepted
 		}
@@ -181,7 +182,7 @@
 	h.want(200, "127.0.1.9:8080", staffKey(1), "GET", "/v1/tenants/one/servers", "")
 	// A relay comes by its tenant's name and is told its tables; as another tenant's, or under a name that looks alike, it is nobody.
 	relay, code := h.join("one/relay-1")
-	defer relay.Close()
+	defer func() { _ = relay.Close() }()
 	if code != sasp.OK {
 		t.Fatal(code)
 	}
@@ -209,13 +210,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer web.Close()
+	defer func() { _ = web.Close() }()
 	read := bufio.NewReader(web)
 	for _, x := range []struct {
 		uid    string
 		status int
 	}{{"one%2Frelay-2", 200}, {"two%2Frelay-2", 403}} {
-		fmt.Fprintf(web, "GET /v1/proxies/%s/tables?wait=2 HTTP/1.1\r\nHost: x\r\n\r\n", x.uid)
+		_, _ = fmt.Fprintf(web, "GET /v1/proxies/%s/tables?wait=2 HTTP/1.1\r\nHost: x\r\n\r\n", x.uid)
 		a, err := http.ReadResponse(read, nil)
 		if err != nil {
 			t.Fatal(err)
@@ -285,7 +286,7 @@
 		h.want(201, "", hostsKey, "PUT", fmt.Sprintf("/v1/tenants/t%d", n), tenantText(t, n))
 	}
 	relay, code := h.join("t2/relay-1")
-	defer relay.Close()
+	defer func() { _ = relay.Close() }()
 	if code != sasp.OK {
 		t.Fatal(code)
 	}
--- a/internal/service/proxy_test.go
+++ b/internal/service/proxy_test.go
@@ -82,7 +82,7 @@
 		if err != nil {
 			return false
 		}
-		defer r.Body.Close()
+		defer func() { _ = r.Body.Close() }()
 		b, _ := io.ReadAll(r.Body)
 		return strings.Contains(string(b), "snowquay_proxy_led 1") && !strings.Contains(string(b), "snowquay_proxy_tables_total 0")
 	})
@@ -128,7 +128,7 @@
 				b.Error(err)
 				return
 			}
-			defer c.Close()
+			defer func() { _ = c.Close() }()
 			r := bufio.NewReader(c)
 			mine := make([]time.Duration, 0, each)
 			for range each {
--- a/internal/service/service.go
+++ b/internal/service/service.go
@@ -78,7 +78,7 @@
 	}
 	if c.Admin.IsValid() {
 		own := &administered{server: server, program: program, watch: watch}
-		if err = own.Credentials.Set("", c.Callers); err != nil {
+		if err = own.Set("", c.Callers); err != nil {
 			return err
 		}
 		api := admin.New(clock(), own, log.Info)
--- a/internal/service/service_test.go
+++ b/internal/service/service_test.go
@@ -25,7 +25,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer r.Body.Close()
+	defer func() { _ = r.Body.Close() }()
 	b, err := io.ReadAll(r.Body)
 	if err != nil {
 		t.Fatal(err)
@@ -69,7 +69,7 @@
 	}
 	_ = dial("127.0.0.1:14872").Close() // figures are served last: all else is
 	relay := dial(c.SASP.String())
-	defer relay.Close()
+	defer func() { _ = relay.Close() }()
 	b := sasp.Append(nil, &sasp.Message{Kind: sasp.SetBalancer, UID: []byte("relay-1"), Flags: sasp.Push | sasp.Trust})
 	b = sasp.Append(b, &sasp.Message{Kind: sasp.Registration, LB: 1,
 		Groups: []sasp.Group{{UID: []byte("relay-1"), Name: []byte("search")}}})
--- a/internal/settings/host.go
+++ b/internal/settings/host.go
@@ -269,7 +269,7 @@
 func (e Edit) Apply(text []byte) ([]byte, error) {
 	a, err := netip.ParseAddrPort(e.Server)
 	if err != nil {
-		return nil, fmt.Errorf("%w: %v", ErrEdit, err)
+		return nil, fmt.Errorf("%w: %w", ErrEdit, err)
 	}
 	return rewrite(text, func(root *node) error {
 		n := root.one("servers")
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -111,9 +111,13 @@
 }
 
 func TestDays(t *testing.T) {
+	_, after, found := strings.Cut(example(t), "<coordinator")
+	if !found {
+		t.Fatal("the example has no coordinator")
+	}
 	good := fmt.Sprintf(`<day seconds="10">%s<servers cores="2" queue="4" slowest="1" fastest="1"/>
 <queries rate="5" keys="9"><query class="search" share="1" work="0.1"/></queries>
-<trouble kind="drain" at="2" server="1"/></day>`, example(t)[strings.Index(example(t), "<coordinator"):])
+<trouble kind="drain" at="2" server="1"/></day>`, "<coordinator"+after)
 	if d, err := ParseDay("d", []byte(good)); err != nil || len(d.Troubles) != 1 || d.Troubles[0].Server != 1 {
 		t.Fatalf("%+v, %v", d, err)
 	}
--- a/internal/wire/delta/delta.go
+++ b/internal/wire/delta/delta.go
@@ -88,7 +88,7 @@
 		err = json.Unmarshal(b, t)
 	}
 	if err != nil {
-		return fmt.Errorf("%w: %v", ErrTables, err)
+		return fmt.Errorf("%w: %w", ErrTables, err)
 	}
 	for _, c := range t.Classes {
 		seen := make(map[string]bool, len(c.Lines))
--- a/internal/wire/sasp/sasp.go
+++ b/internal/wire/sasp/sasp.go
@@ -16,6 +16,7 @@
 // Port is the TCP port that IANA has assigned.
 const Port = 3860
 
+// Sizes and limits of messages.
 const (
 	HeaderSize    = 13      // bytes of the header component
 	MostMessage   = 1 << 20 // bytes of a message that is taken at most; 30,000 rows fit
@@ -29,6 +30,7 @@
 // Kind is the type of a message component.
 type Kind uint16
 
+// The message components (RFC 4678, section 4).
 const (
 	Registration        Kind = 0x1010
 	RegistrationReply   Kind = 0x1015
@@ -57,6 +59,7 @@
 // Code is a response code (RFC 4678, section 5; each reply has its own list there).
 type Code uint8
 
+// The response codes.
 const (
 	OK                 Code = 0x00
 	NotUnderstood      Code = 0x10 // the message cannot be read
@@ -146,6 +149,7 @@
 	Rows     []Row
 }
 
+// Errors of reading a message.
 var (
 	ErrFrame    = errors.New("not a SASP message") // the stream can't be followed any further
 	ErrTooLarge = errors.New("SASP message over the limit")
--- a/internal/wire/sasp/sasp_test.go
+++ b/internal/wire/sasp/sasp_test.go
@@ -57,9 +57,10 @@
 		if len(m.Groups) == 2 {
 			for i := range 3 {
 				r := row(i)
-				if m.Kind == Registration || m.Kind == Deregistration {
+				switch m.Kind {
+				case Registration, Deregistration:
 					r.Flags, r.Weight = 0, 0
-				} else if m.Kind == SetMember {
+				case SetMember:
 					r.Flags, r.Weight, r.Opaque = Quiesce, 0, 9
 				}
 				m.Rows = append(m.Rows, r)
