--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -130,7 +130,7 @@
 	}
 	if p.Check {
 		_, err = fmt.Fprintf(e.out, "proxy %s on %s: %d classes, %d routes, %d servers listed, %d coordinators\n", c.UID, c.Listen,
-			len(c.Forward.Names), len(c.Routes), len(c.Forward.Places), len(c.Coordinators))
+			len(c.Forwarding.ClassNames), len(c.Routes), len(c.Forwarding.Locations), len(c.Coordinators))
 		return err
 	}
 	return service.Proxy(c, e.log, ended())
--- a/internal/core/admission/admit.go
+++ b/internal/core/admission/admit.go
@@ -9,22 +9,22 @@
 )
 
 var (
-	// ErrLevel says that the coordinator lets fewer queries of this class in.
-	ErrLevel = errors.New("fewer queries of this class are let in")
-	// ErrBusy says that as many queries are under way as may be.
-	ErrBusy = errors.New("as many queries are under way as may be")
+	// ErrRateLimited says that the coordinator lets fewer queries of this class in.
+	ErrRateLimited = errors.New("fewer queries of this class are let in")
+	// ErrTooManyInFlight says that as many queries are under way as may be.
+	ErrTooManyInFlight = errors.New("as many queries are under way as may be")
 )
 
 const rateBurst = 0.25 // seconds of a rate that may come at once: traffic is not even
 
 // Limits of what may be under way; a query beyond one is refused.
 type Limits struct {
-	Queries  int // in all
-	ByServer int // at one server
+	MaxInFlight  int // in all
+	MaxPerServer int // at one server
 }
 
-// UsualLimits are those that settings start from.
-var UsualLimits = Limits{Queries: 10000, ByServer: 1000}
+// DefaultLimits are those that settings start from.
+var DefaultLimits = Limits{MaxInFlight: 10000, MaxPerServer: 1000}
 
 type gate struct {
 	level    float64
@@ -41,11 +41,11 @@
 	gates  []gate
 	inside int
 	at     map[balancer.Server]int
-	Counts Counts
+	Stats  Stats
 }
 
-// Counts is what happened, for metrics.
-type Counts struct{ In, Levels, Busy int }
+// Stats is what happened, for metrics.
+type Stats struct{ Admitted, RateLimited, Overloaded int }
 
 // New makes a door for so many classes, all open.
 func New(kind balancer.AdmissionMode, classes int, limits Limits) *Controller {
@@ -59,8 +59,8 @@
 	return d
 }
 
-// Level takes an order for a class: what part or rate is let in, and after how many seconds the others may come back.
-func (d *Controller) Level(now float64, c balancer.Class, level, back float64) {
+// SetAdmission takes an order for a class: what part or rate is let in, and after how many seconds the others may come back.
+func (d *Controller) SetAdmission(now float64, c balancer.Class, level, back float64) {
 	g := &d.gates[c]
 	if g.level < 0 {
 		g.tokens, g.tokensAt = level*rateBurst, now
@@ -68,42 +68,42 @@
 	g.level, g.back = level, back
 }
 
-// Enter asks for a query. With an error it is refused, and back is when its client may come again, in seconds; else Leave must
+// Admit asks for a query. With an error it is refused, and back is when its client may come again, in seconds; else Leave must
 // follow. A fraction is let in evenly: of ten queries at a level of 0.3 the same three, not three by chance.
-func (d *Controller) Enter(now float64, c balancer.Class) (back float64, err error) {
-	if d.inside >= d.limits.Queries {
-		d.Counts.Busy++
-		return 1, ErrBusy
+func (d *Controller) Admit(now float64, c balancer.Class) (back float64, err error) {
+	if d.inside >= d.limits.MaxInFlight {
+		d.Stats.Overloaded++
+		return 1, ErrTooManyInFlight
 	}
 	g := &d.gates[c]
 	switch {
 	case d.kind == balancer.AdmissionFraction && g.level < 1:
 		if g.credit += g.level; g.credit < 1 {
-			d.Counts.Levels++
-			return g.back, ErrLevel
+			d.Stats.RateLimited++
+			return g.back, ErrRateLimited
 		}
 		g.credit--
 	case d.kind == balancer.AdmissionRate && g.level >= 0:
 		g.tokens = min(max(1, g.level*rateBurst), g.tokens+(now-g.tokensAt)*g.level)
 		if g.tokensAt = now; g.tokens < 1 {
-			d.Counts.Levels++
-			return g.back, ErrLevel
+			d.Stats.RateLimited++
+			return g.back, ErrRateLimited
 		}
 		g.tokens--
 	}
 	d.inside++
-	d.Counts.In++
+	d.Stats.Admitted++
 	return 0, nil
 }
 
-// Leave ends a query that was let in.
-func (d *Controller) Leave() { d.inside-- }
+// Done ends a query that was let in.
+func (d *Controller) Done() { d.inside-- }
 
-// Inside is the number of queries under way.
-func (d *Controller) Inside() int { return d.inside }
+// InFlight is the number of queries under way.
+func (d *Controller) InFlight() int { return d.inside }
 
-// Room tells whether a server may have one more.
-func (d *Controller) Room(s balancer.Server) bool { return d.at[s] < d.limits.ByServer }
+// HasCapacity tells whether a server may have one more.
+func (d *Controller) HasCapacity(s balancer.Server) bool { return d.at[s] < d.limits.MaxPerServer }
 
 // Begin and End count what is under way at a server.
 func (d *Controller) Begin(s balancer.Server) { d.at[s]++ }
@@ -115,5 +115,5 @@
 	}
 }
 
-// At is the number of queries under way at a server.
-func (d *Controller) At(s balancer.Server) int { return d.at[s] }
+// InFlightAt is the number of queries under way at a server.
+func (d *Controller) InFlightAt(s balancer.Server) int { return d.at[s] }
--- a/internal/core/forwarding/forward_test.go
+++ b/internal/core/forwarding/forward_test.go
@@ -28,16 +28,16 @@
 
 func server(i int) balancer.Server { return balancer.Server(fmt.Sprintf("10.0.0.%d:80", i)) }
 
-func setup(servers int) Setup {
-	s := Setup{Names: []string{"free", "guarded", "single"}, Ways: []balancer.RetryPolicy{balancer.RetryOnce, balancer.RetryOnce, balancer.RetryOnce},
+func setup(servers int) Config {
+	s := Config{ClassNames: []string{"free", "guarded", "single"}, RetryPolicies: []balancer.RetryPolicy{balancer.RetryOnce, balancer.RetryOnce, balancer.RetryOnce},
 		Classes: []balancer.RequestClass{{LatencyObjective: 1, ClientTimeout: 5}, {LatencyObjective: 1, ClientTimeout: 5, Idempotency: balancer.Keyed,
 			DedupScope: balancer.SameFailureDomain, DedupWindow: 4}, {LatencyObjective: 1, ClientTimeout: 5, Idempotency: balancer.NonIdempotent}},
-		Limits: admission.Limits{Queries: 100, ByServer: 20}, Avoid: outlier.Terms{After: 3, For: 4, Most: 30},
-		Budget: retry.Budget{Part: 0.2, Burst: 10}, Places: map[balancer.Server]retry.Place{},
-		Make: func(c int) picker.Table { return picker.NewEven(uint64(c)) }}
-	s.Levels = balancer.AdmissionFraction
+		Limits: admission.Limits{MaxInFlight: 100, MaxPerServer: 20}, Outliers: outlier.Config{ConsecutiveFailures: 3, BaseEjection: 4, MaxEjection: 30},
+		Budget: retry.Budget{Ratio: 0.2, Burst: 10}, Locations: map[balancer.Server]retry.Location{},
+		NewTable: func(c int) picker.Table { return picker.NewSmoothWeighted(uint64(c)) }}
+	s.AdmissionMode = balancer.AdmissionFraction
 	for i := range servers {
-		s.Places[server(i)] = retry.Place{Server: server(i), Zone: balancer.Zone(i % 2), Pod: balancer.FailureDomain(i / 2)}
+		s.Locations[server(i)] = retry.Location{Server: server(i), Zone: balancer.Zone(i % 2), FailureDomain: balancer.FailureDomain(i / 2)}
 	}
 	return s
 }
@@ -54,7 +54,7 @@
 	return t
 }
 
-func open(t testing.TB, servers int, change func(*Setup)) *Proxy {
+func open(t testing.TB, servers int, change func(*Config)) *Proxy {
 	s := setup(servers)
 	if change != nil {
 		change(&s)
@@ -71,7 +71,7 @@
 }
 
 // only is the single order of a kind.
-func only(t *testing.T, orders []Order, kind Kind) Order {
+func only(t *testing.T, orders []Action, kind ActionKind) Action {
 	t.Helper()
 	if len(orders) != 1 || orders[0].Kind != kind {
 		t.Fatalf("orders %+v, want one of kind %d", orders, kind)
@@ -81,16 +81,16 @@
 
 func TestAFreeQueryIsTriedElsewhere(t *testing.T) {
 	p := open(t, 4, nil)
-	_, o := p.Ask(1000, Ask{Class: free})
+	_, o := p.HandleRequest(1000, Request{Class: free})
 	first := only(t, o, Send)
-	second := only(t, p.Failed(1000.1, first.Try, retry.MayHaveRun), Send)
+	second := only(t, p.AttemptFailed(1000.1, first.Attempt, retry.MaybeExecuted), Send)
 	if second.Server == first.Server {
 		t.Error("it is sent to the same server again")
 	}
-	if end := only(t, p.Failed(1000.2, second.Try, retry.MayHaveRun), Fail); !errors.Is(end.Why, ErrFailed) || p.Under() != 0 {
+	if end := only(t, p.AttemptFailed(1000.2, second.Attempt, retry.MaybeExecuted), Fail); !errors.Is(end.Err, ErrAttemptsFailed) || p.InFlight() != 0 {
 		t.Errorf("%+v", end)
 	}
-	if _, _, ok := p.Answered(1001, second.Try); ok {
+	if _, _, ok := p.AttemptSucceeded(1001, second.Attempt); ok {
 		t.Error("a try that is over is answered")
 	}
 }
@@ -98,12 +98,12 @@
 // A single-shot query is repeated on proof alone, and never once any try of it may have run.
 func TestSingleShotQueriesNeedProof(t *testing.T) {
 	p := open(t, 4, nil)
-	_, o := p.Ask(1000, Ask{Class: single})
-	only(t, p.Failed(1000.1, only(t, o, Send).Try, retry.MayHaveRun), Fail)
-	_, o = p.Ask(1001, Ask{Class: single})
-	second := only(t, p.Failed(1001.1, only(t, o, Send).Try, retry.NeverRan), Send)
-	only(t, p.Failed(1001.2, second.Try, retry.NeverRan), Fail) // one repeat
-	_, o = p.Ask(1002, Ask{Class: single})
+	_, o := p.HandleRequest(1000, Request{Class: single})
+	only(t, p.AttemptFailed(1000.1, only(t, o, Send).Attempt, retry.MaybeExecuted), Fail)
+	_, o = p.HandleRequest(1001, Request{Class: single})
+	second := only(t, p.AttemptFailed(1001.1, only(t, o, Send).Attempt, retry.NotExecuted), Send)
+	only(t, p.AttemptFailed(1001.2, second.Attempt, retry.NotExecuted), Fail) // one repeat
+	_, o = p.HandleRequest(1002, Request{Class: single})
 	if n := len(p.Tick(1003.5)); n != 0 || len(o) != 1 {
 		t.Errorf("%d orders when its goal time is over: it must be waited for", n)
 	}
@@ -111,110 +111,110 @@
 
 // A guarded one goes to servers that drop each other's repeats, under its key, while they know the first.
 func TestGuardedQueriesStayInTheirGroup(t *testing.T) {
-	p := open(t, 8, func(s *Setup) { s.Budget.Burst = 100 })
+	p := open(t, 8, func(s *Config) { s.Budget.Burst = 100 })
 	for i := range 20 {
 		now := 1000 + float64(i)*20
-		_, o := p.Ask(now, Ask{Class: guarded, Key: fmt.Sprint("k", i), Print: 1})
+		_, o := p.HandleRequest(now, Request{Class: guarded, IdempotencyKey: fmt.Sprint("k", i), Fingerprint: 1})
 		first := only(t, o, Send)
-		second := only(t, p.Failed(now+0.1, first.Try, retry.MayHaveRun), Send)
-		if a, b := p.place(first.Server), p.place(second.Server); a.Pod != b.Pod || a.Server == b.Server {
+		second := only(t, p.AttemptFailed(now+0.1, first.Attempt, retry.MaybeExecuted), Send)
+		if a, b := p.place(first.Server), p.place(second.Server); a.FailureDomain != b.FailureDomain || a.Server == b.Server {
 			t.Fatalf("from %+v to %+v", a, b)
 		}
-		if _, _, ok := p.Answered(now+0.2, second.Try); !ok {
+		if _, _, ok := p.AttemptSucceeded(now+0.2, second.Attempt); !ok {
 			t.Fatal("not answered")
 		}
-		_, o = p.Ask(now+1, Ask{Class: guarded, Key: fmt.Sprint("k", i), Print: 1}) // its client has not heard the answer
+		_, o = p.HandleRequest(now+1, Request{Class: guarded, IdempotencyKey: fmt.Sprint("k", i), Fingerprint: 1}) // its client has not heard the answer
 		third := only(t, o, Send)
-		if p.place(third.Server).Pod != p.place(first.Server).Pod {
+		if p.place(third.Server).FailureDomain != p.place(first.Server).FailureDomain {
 			t.Fatal("its client's own repeat goes to another group")
 		}
-		p.Answered(now+1.1, third.Try)
-		_, o = p.Ask(now+2, Ask{Class: guarded, Key: fmt.Sprint("k", i), Print: 2})
-		if r := only(t, o, Refuse); !errors.Is(r.Why, ErrKey) {
+		p.AttemptSucceeded(now+1.1, third.Attempt)
+		_, o = p.HandleRequest(now+2, Request{Class: guarded, IdempotencyKey: fmt.Sprint("k", i), Fingerprint: 2})
+		if r := only(t, o, Reject); !errors.Is(r.Err, ErrKeyReused) {
 			t.Errorf("the key of another query: %+v", r)
 		}
 	}
-	_, o := p.Ask(5000, Ask{Class: guarded}) // without a key no server knows a repeat
-	only(t, p.Failed(5000.1, only(t, o, Send).Try, retry.MayHaveRun), Fail)
-	_, o = p.Ask(6000, Ask{Class: guarded, Key: "late", Print: 1})
-	only(t, p.Failed(6004.5, only(t, o, Send).Try, retry.MayHaveRun), Fail) // they have forgotten it
+	_, o := p.HandleRequest(5000, Request{Class: guarded}) // without a key no server knows a repeat
+	only(t, p.AttemptFailed(5000.1, only(t, o, Send).Attempt, retry.MaybeExecuted), Fail)
+	_, o = p.HandleRequest(6000, Request{Class: guarded, IdempotencyKey: "late", Fingerprint: 1})
+	only(t, p.AttemptFailed(6004.5, only(t, o, Send).Attempt, retry.MaybeExecuted), Fail) // they have forgotten it
 	// The table changes between a try and its repeat, with the drain of the servers that the repeat would pick.
-	_, o = p.Ask(7000, Ask{Class: guarded, Key: "drained", Print: 1})
+	_, o = p.HandleRequest(7000, Request{Class: guarded, IdempotencyKey: "drained", Fingerprint: 1})
 	first := only(t, o, Send)
 	var left []int
 	for i := range 8 {
-		if p.place(server(i)).Pod != p.place(first.Server).Pod || server(i) == first.Server {
+		if p.place(server(i)).FailureDomain != p.place(first.Server).FailureDomain || server(i) == first.Server {
 			left = append(left, i)
 		}
 	}
 	if _, _, err := p.Tables.Apply(7000.05, table(true, 2, 0, left...)); err != nil {
 		t.Fatal(err)
 	}
-	if again := only(t, p.Failed(7000.1, first.Try, retry.MayHaveRun), Send); again.Server != first.Server {
+	if again := only(t, p.AttemptFailed(7000.1, first.Attempt, retry.MaybeExecuted), Send); again.Server != first.Server {
 		t.Errorf("it goes to %s, where its repeat is not known", again.Server)
 	}
 }
 
 func TestBudgetsHedgesAndTime(t *testing.T) {
-	p := open(t, 6, func(s *Setup) { s.Budget = retry.Budget{Part: 0.1, Burst: 2} })
+	p := open(t, 6, func(s *Config) { s.Budget = retry.Budget{Ratio: 0.1, Burst: 2} })
 	repeats := 0
 	for i := range 100 {
 		now := 1000 + float64(i)
-		_, o := p.Ask(now, Ask{Class: free})
+		_, o := p.HandleRequest(now, Request{Class: free})
 		for len(o) == 1 && o[0].Kind == Send {
-			o = p.Failed(now+0.01, o[0].Try, retry.MayHaveRun)
+			o = p.AttemptFailed(now+0.01, o[0].Attempt, retry.MaybeExecuted)
 		}
-		repeats = p.Counts.Repeats
+		repeats = p.Stats.Retries
 	}
-	if repeats > 13 || repeats < 8 || p.Counts.OverBudget == 0 {
+	if repeats > 13 || repeats < 8 || p.Stats.OverBudget == 0 {
 		t.Errorf("%d repeats of 100 queries with a budget of a tenth", repeats)
 	}
-	p = open(t, 6, func(s *Setup) { s.Hedge = 0.3 })
-	q, o := p.Ask(1000, Ask{Class: free})
+	p = open(t, 6, func(s *Config) { s.HedgeAfter = 0.3 })
+	q, o := p.HandleRequest(1000, Request{Class: free})
 	first := only(t, o, Send)
 	second := only(t, p.Tick(1000.35), Send)
-	n, o, ok := p.Answered(1000.4, second.Try)
-	if cancel := only(t, o, Cancel); !ok || n != q || cancel.Try != first.Try || second.Server == first.Server {
+	n, o, ok := p.AttemptSucceeded(1000.4, second.Attempt)
+	if cancel := only(t, o, Cancel); !ok || n != q || cancel.Attempt != first.Attempt || second.Server == first.Server {
 		t.Errorf("%v %v, %+v", n, ok, cancel)
 	}
-	if _, o = p.Ask(1001, Ask{Class: guarded, Key: "k"}); len(p.Tick(1001.5)) != 0 || len(o) != 1 {
+	if _, o = p.HandleRequest(1001, Request{Class: guarded, IdempotencyKey: "k"}); len(p.Tick(1001.5)) != 0 || len(o) != 1 {
 		t.Error("a guarded query is hedged")
 	}
 	p = open(t, 6, nil)
-	_, o = p.Ask(1000, Ask{Class: free}) // its server says nothing
+	_, o = p.HandleRequest(1000, Request{Class: free}) // its server says nothing
 	first = only(t, o, Send)
 	o = p.Tick(1001.05)
-	if len(o) != 2 || o[0].Kind != Cancel || o[0].Try != first.Try || o[1].Kind != Send || o[1].Server == first.Server {
+	if len(o) != 2 || o[0].Kind != Cancel || o[0].Attempt != first.Attempt || o[1].Kind != Send || o[1].Server == first.Server {
 		t.Fatalf("after its goal time: %+v", o)
 	}
 	o = p.Tick(1005.1)
-	if len(o) != 2 || o[0].Kind != Cancel || o[1].Kind != Fail || !errors.Is(o[1].Why, ErrLate) || p.Under() != 0 || p.Door.Inside() != 0 {
+	if len(o) != 2 || o[0].Kind != Cancel || o[1].Kind != Fail || !errors.Is(o[1].Err, ErrDeadlineExceeded) || p.InFlight() != 0 || p.Admission.InFlight() != 0 {
 		t.Errorf("after its client timeout: %+v", o)
 	}
-	q, _ = p.Ask(1010, Ask{Class: free})
-	only(t, p.Left(q), Cancel)
-	if p.Left(q) != nil || p.Under() != 0 {
+	q, _ = p.HandleRequest(1010, Request{Class: free})
+	only(t, p.ClientGone(q), Cancel)
+	if p.ClientGone(q) != nil || p.InFlight() != 0 {
 		t.Error("one that has left is there")
 	}
 }
 
 func TestLimitsAndLevels(t *testing.T) {
-	p := open(t, 2, func(s *Setup) { s.Limits = admission.Limits{Queries: 5, ByServer: 2} })
+	p := open(t, 2, func(s *Config) { s.Limits = admission.Limits{MaxInFlight: 5, MaxPerServer: 2} })
 	for range 4 {
-		if _, o := p.Ask(1000, Ask{Class: free}); o[0].Kind != Send {
+		if _, o := p.HandleRequest(1000, Request{Class: free}); o[0].Kind != Send {
 			t.Fatalf("%+v", o)
 		}
 	}
-	_, o := p.Ask(1000, Ask{Class: free})
-	if r := only(t, o, Refuse); !errors.Is(r.Why, ErrNowhere) || r.Back <= 0 {
+	_, o := p.HandleRequest(1000, Request{Class: free})
+	if r := only(t, o, Reject); !errors.Is(r.Err, ErrNoServer) || r.RetryAfter <= 0 {
 		t.Errorf("all servers are full: %+v", r)
 	}
-	p = open(t, 2, func(s *Setup) { s.Limits = admission.Limits{Queries: 5, ByServer: 50} })
+	p = open(t, 2, func(s *Config) { s.Limits = admission.Limits{MaxInFlight: 5, MaxPerServer: 50} })
 	for range 5 {
-		p.Ask(1000, Ask{Class: free})
+		p.HandleRequest(1000, Request{Class: free})
 	}
-	_, o = p.Ask(1000, Ask{Class: free})
-	if r := only(t, o, Refuse); !errors.Is(r.Why, admission.ErrBusy) {
+	_, o = p.HandleRequest(1000, Request{Class: free})
+	if r := only(t, o, Reject); !errors.Is(r.Err, admission.ErrTooManyInFlight) {
 		t.Errorf("%+v", r)
 	}
 	p = open(t, 2, nil)
@@ -225,16 +225,16 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	p.Follow(1000, orders)
+	p.ApplyOrders(1000, orders)
 	in := 0
 	for range 100 {
-		_, o := p.Ask(1000, Ask{Class: free})
+		_, o := p.HandleRequest(1000, Request{Class: free})
 		if o[0].Kind == Send {
 			in++
-			if f := p.Failed(1000, o[0].Try, retry.NeverRan); f[0].Kind != Fail {
+			if f := p.AttemptFailed(1000, o[0].Attempt, retry.NotExecuted); f[0].Kind != Fail {
 				t.Fatalf("repeats were forbidden: %+v", f)
 			}
-		} else if o[0].Back != 2 || !errors.Is(o[0].Why, admission.ErrLevel) {
+		} else if o[0].RetryAfter != 2 || !errors.Is(o[0].Err, admission.ErrRateLimited) {
 			t.Fatalf("%+v", o[0])
 		}
 	}
@@ -244,9 +244,9 @@
 	a = table(false, 3, 0)
 	a.Classes[2].Again = "failure" // whatever is ordered, a single-shot query is not repeated after a failure
 	orders, _, _ = p.Tables.Apply(1000, a)
-	p.Follow(1000, orders)
-	_, o = p.Ask(1000, Ask{Class: single})
-	only(t, p.Failed(1000.1, o[0].Try, retry.MayHaveRun), Fail)
+	p.ApplyOrders(1000, orders)
+	_, o = p.HandleRequest(1000, Request{Class: single})
+	only(t, p.AttemptFailed(1000.1, o[0].Attempt, retry.MaybeExecuted), Fail)
 }
 
 // A server that fails is avoided for a while, never the last one, even if all of them fail.
@@ -255,21 +255,21 @@
 	hits := map[balancer.Server]int{}
 	for i := range 300 {
 		now := 1000 + float64(i)*0.01
-		_, o := p.Ask(now, Ask{Class: single})
+		_, o := p.HandleRequest(now, Request{Class: single})
 		x := only(t, o, Send)
 		if hits[x.Server]++; x.Server == server(1) {
-			p.Failed(now, x.Try, retry.MayHaveRun)
+			p.AttemptFailed(now, x.Attempt, retry.MaybeExecuted)
 		} else {
-			p.Answered(now, x.Try)
+			p.AttemptSucceeded(now, x.Attempt)
 		}
 	}
-	if hits[server(1)] > 5 || p.Avoid.Count != 1 {
+	if hits[server(1)] > 5 || p.Outliers.Ejections != 1 {
 		t.Errorf("a failing server was sent %d of 300 queries", hits[server(1)])
 	}
 	for i := range 100 {
 		now := 1100 + float64(i)*0.01
-		_, o := p.Ask(now, Ask{Class: single})
-		p.Failed(now, only(t, o, Send).Try, retry.MayHaveRun)
+		_, o := p.HandleRequest(now, Request{Class: single})
+		p.AttemptFailed(now, only(t, o, Send).Attempt, retry.MaybeExecuted)
 	}
 	reported := 0.0
 	p.Reports(func(_ balancer.Server, m loadreport.Totals) { reported += m.Failed }, func(balancer.Class, loadreport.Totals) {})
@@ -296,7 +296,7 @@
 	}
 	wrong := table(true, 13, 7, 3)
 	wrong.Classes[2].Class = "x"
-	if _, _, err := p.Tables.Apply(1002, wrong); err == nil || p.Tables.Of(free).Weight(server(3)) != 0 {
+	if _, _, err := p.Tables.Apply(1002, wrong); err == nil || p.Tables.Table(free).Weight(server(3)) != 0 {
 		t.Error("a table with an unknown class is half taken")
 	}
 	b, err := p.Tables.Save()
@@ -304,7 +304,7 @@
 		t.Fatal(err)
 	}
 	next := New(1010, setup(4))
-	if err := next.Tables.Restore(1010, b); err != nil || next.Tables.Of(guarded).Len() != 2 {
+	if err := next.Tables.Restore(1010, b); err != nil || next.Tables.Table(guarded).Len() != 2 {
 		t.Fatal(err)
 	}
 	if _, _, err := next.Tables.Apply(1011, table(true, 1, 6, 2, 3)); err == nil {
@@ -314,7 +314,7 @@
 		"a class": `{"at":1000,"classes":[{"name":"x","lines":[]}]}`,
 		"weight":  `{"at":1000,"classes":[{"name":"free","lines":[{"Server":"a","Weight":-1}]}]}`} {
 		q := New(9000, setup(4))
-		if q.Tables.Restore(9000, []byte(bad)) == nil || q.Tables.Of(free).Len() != 0 {
+		if q.Tables.Restore(9000, []byte(bad)) == nil || q.Tables.Table(free).Len() != 0 {
 			t.Errorf("%s: taken", name)
 		}
 	}
@@ -324,44 +324,44 @@
 // and no query goes to a server without a line.
 func TestAnyDay(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
-		p := open(t, 6, func(s *Setup) { s.Hedge = 0.2 })
+		p := open(t, 6, func(s *Config) { s.HedgeAfter = 0.2 })
 		now, version := 1000.0, uint64(1)
 		type flying struct {
-			q     Query
+			q     RequestID
 			class balancer.Class
 			at    balancer.Server
 			sent  float64
 		}
-		tries, ends, ran := map[Try]flying{}, map[Query]int{}, map[Query][]flying{}
-		class, has := map[Query]balancer.Class{}, map[balancer.Server]bool{}
+		tries, ends, ran := map[AttemptID]flying{}, map[RequestID]int{}, map[RequestID][]flying{}
+		class, has := map[RequestID]balancer.Class{}, map[balancer.Server]bool{}
 		for i := range 6 {
 			has[server(i)] = true
 		}
-		obey := func(orders []Order) {
+		obey := func(orders []Action) {
 			for _, o := range orders {
 				switch o.Kind {
 				case Send:
-					if !has[o.Server] || ends[o.Query] > 0 {
+					if !has[o.Server] || ends[o.Request] > 0 {
 						r.Fatalf("%+v is sent to a server without a line, or after its end", o)
 					}
-					f := flying{o.Query, class[o.Query], o.Server, now}
-					for _, e := range ran[o.Query] {
-						if f.class == single || f.class == guarded && (p.place(e.at).Pod != p.place(f.at).Pod || now > e.sent+4) {
-							r.Fatalf("query %d of class %d may have run at %s and is sent to %s", o.Query, f.class, e.at, f.at)
+					f := flying{o.Request, class[o.Request], o.Server, now}
+					for _, e := range ran[o.Request] {
+						if f.class == single || f.class == guarded && (p.place(e.at).FailureDomain != p.place(f.at).FailureDomain || now > e.sent+4) {
+							r.Fatalf("query %d of class %d may have run at %s and is sent to %s", o.Request, f.class, e.at, f.at)
 						}
 					}
-					tries[o.Try] = f
+					tries[o.Attempt] = f
 				case Cancel: // it may have run all the same
-					ran[o.Query] = append(ran[o.Query], tries[o.Try])
-					delete(tries, o.Try)
+					ran[o.Request] = append(ran[o.Request], tries[o.Attempt])
+					delete(tries, o.Attempt)
 				default:
-					ends[o.Query]++
+					ends[o.Request]++
 				}
 			}
 		}
 		for range rapid.IntRange(1, 60).Draw(r, "events") {
 			now += rapid.Float64Range(0, 0.6).Draw(r, "time")
-			var oldest Try
+			var oldest AttemptID
 			for k := range tries {
 				if oldest == 0 || k < oldest {
 					oldest = k
@@ -376,12 +376,12 @@
 				if c == guarded {
 					key = fmt.Sprint("k", p.nextQ)
 				}
-				_, o := p.Ask(now, Ask{Class: c, Key: key})
+				_, o := p.HandleRequest(now, Request{Class: c, IdempotencyKey: key})
 				obey(o)
 			case 3:
 				if oldest != 0 {
 					delete(tries, oldest)
-					if _, o, ok := p.Answered(now, oldest); ok {
+					if _, o, ok := p.AttemptSucceeded(now, oldest); ok {
 						ends[f.q]++
 						obey(o)
 					}
@@ -390,12 +390,12 @@
 				if oldest != 0 {
 					delete(tries, oldest)
 					ran[f.q] = append(ran[f.q], f)
-					obey(p.Failed(now, oldest, retry.MayHaveRun))
+					obey(p.AttemptFailed(now, oldest, retry.MaybeExecuted))
 				}
 			case 5:
 				if oldest != 0 {
 					delete(tries, oldest)
-					obey(p.Failed(now, oldest, retry.NeverRan))
+					obey(p.AttemptFailed(now, oldest, retry.NotExecuted))
 				}
 			case 6:
 				var some []int
@@ -413,7 +413,7 @@
 			default:
 				if oldest != 0 && rapid.Bool().Draw(r, "leaves") {
 					ends[f.q]++
-					obey(p.Left(f.q))
+					obey(p.ClientGone(f.q))
 				}
 			}
 			obey(p.Tick(now))
@@ -425,20 +425,20 @@
 				r.Fatalf("query %d ended %d times", q, ends[q])
 			}
 		}
-		if p.Under() != 0 || len(p.tries) != 0 || p.Door.Inside() != 0 || len(tries) != 0 {
-			r.Fatalf("%d queries, %d tries, %d inside, %d flying are left", p.Under(), len(p.tries), p.Door.Inside(), len(tries))
+		if p.InFlight() != 0 || len(p.tries) != 0 || p.Admission.InFlight() != 0 || len(tries) != 0 {
+			r.Fatalf("%d queries, %d tries, %d inside, %d flying are left", p.InFlight(), len(p.tries), p.Admission.InFlight(), len(tries))
 		}
 	})
 }
 
 func TestRates(t *testing.T) {
-	d := admission.New(balancer.AdmissionRate, 1, admission.UsualLimits)
-	d.Level(1000, 0, 50, 1)
+	d := admission.New(balancer.AdmissionRate, 1, admission.DefaultLimits)
+	d.SetAdmission(1000, 0, 50, 1)
 	in := 0
 	for i := range 1000 { // 100 a second
-		if _, err := d.Enter(1000+float64(i)*0.01, 0); err == nil {
+		if _, err := d.Admit(1000+float64(i)*0.01, 0); err == nil {
 			in++
-			d.Leave()
+			d.Done()
 		}
 	}
 	if math.Abs(float64(in)-500) > 20 {
@@ -480,8 +480,8 @@
 	now := 1000.0
 	for b.Loop() {
 		now += 1e-5
-		_, o := p.Ask(now, Ask{Class: free})
-		p.Answered(now, o[0].Try)
+		_, o := p.HandleRequest(now, Request{Class: free})
+		p.AttemptSucceeded(now, o[0].Attempt)
 	}
 	b.ReportAllocs()
 }
--- a/internal/core/picker/pick.go
+++ b/internal/core/picker/pick.go
@@ -10,8 +10,8 @@
 	"snowquay/balancer"
 )
 
-// Line of a table.
-type Line struct {
+// Entry of a table.
+type Entry struct {
 	Server balancer.Server `json:"Server"`
 	Weight float64         `json:"Weight"` // above 0
 }
@@ -21,19 +21,19 @@
 	Set(s balancer.Server, weight float64)
 	Weight(s balancer.Server) float64
 	Len() int
-	Lines() []Line // by server
+	Entries() []Entry // by server
 	// Pick a server that may be taken; nil: all may. ok is false if none may.
 	Pick(may func(balancer.Server) bool) (s balancer.Server, ok bool)
 }
 
 // Replace makes a table hold these lines and no others. Lines that stay keep their place in the rotation.
-func Replace(t Table, lines []Line) {
+func Replace(t Table, lines []Entry) {
 	keep := make(map[balancer.Server]bool, len(lines))
 	for _, l := range lines {
 		keep[l.Server] = true
 		t.Set(l.Server, l.Weight)
 	}
-	for _, l := range t.Lines() {
+	for _, l := range t.Entries() {
 		if !keep[l.Server] {
 			t.Set(l.Server, 0)
 		}
@@ -56,9 +56,9 @@
 	at     int     // in the heap
 }
 
-// Even picks in turns: each line is due again after a stretch that is its weight's inverse, and the one that is due first is
+// SmoothWeighted picks in turns: each line is due again after a stretch that is its weight's inverse, and the one that is due first is
 // taken. Within any stretch of picks a line gets its part, give or take one. Use NewEven.
-type Even struct {
+type SmoothWeighted struct {
 	by     map[balancer.Server]*entry
 	heap   []*entry
 	clock  float64
@@ -66,14 +66,14 @@
 	passed []*entry
 }
 
-// NewEven makes an empty table; seed spreads the first turns.
-func NewEven(seed uint64) *Even {
-	return &Even{by: map[balancer.Server]*entry{}, chance: chance(seed*2 + 1)}
+// NewSmoothWeighted makes an empty table; seed spreads the first turns.
+func NewSmoothWeighted(seed uint64) *SmoothWeighted {
+	return &SmoothWeighted{by: map[balancer.Server]*entry{}, chance: chance(seed*2 + 1)}
 }
 
 // Set of Table. A new line starts anywhere within its stretch, and a changed one keeps its share of the stretch that is
 // left. Guards against all proxies that are told of a line at once sending their next query there.
-func (e *Even) Set(s balancer.Server, weight float64) {
+func (e *SmoothWeighted) Set(s balancer.Server, weight float64) {
 	x := e.by[s]
 	switch {
 	case !(weight > 0) || math.IsInf(weight, 0):
@@ -92,7 +92,7 @@
 	}
 }
 
-func (e *Even) remove(x *entry) {
+func (e *SmoothWeighted) remove(x *entry) {
 	delete(e.by, x.server)
 	i, last := x.at, len(e.heap)-1
 	e.swap(i, last)
@@ -102,7 +102,7 @@
 }
 
 // Weight of Table.
-func (e *Even) Weight(s balancer.Server) float64 {
+func (e *SmoothWeighted) Weight(s balancer.Server) float64 {
 	if x := e.by[s]; x != nil {
 		return x.weight
 	}
@@ -110,21 +110,21 @@
 }
 
 // Len of Table.
-func (e *Even) Len() int { return len(e.heap) }
+func (e *SmoothWeighted) Len() int { return len(e.heap) }
 
-// Lines of Table.
-func (e *Even) Lines() []Line {
-	all := make([]Line, 0, len(e.heap))
+// Entries of Table.
+func (e *SmoothWeighted) Entries() []Entry {
+	all := make([]Entry, 0, len(e.heap))
 	for _, x := range e.heap {
-		all = append(all, Line{x.server, x.weight})
+		all = append(all, Entry{x.server, x.weight})
 	}
-	slices.SortFunc(all, func(a, b Line) int { return cmp.Compare(a.Server, b.Server) })
+	slices.SortFunc(all, func(a, b Entry) int { return cmp.Compare(a.Server, b.Server) })
 	return all
 }
 
 // Pick of Table. Lines that may not be taken keep their turn, but no more than one: once they may again, they do not get all
 // at once what they missed.
-func (e *Even) Pick(may func(balancer.Server) bool) (balancer.Server, bool) {
+func (e *SmoothWeighted) Pick(may func(balancer.Server) bool) (balancer.Server, bool) {
 	if len(e.heap) == 0 {
 		return "", false
 	}
@@ -160,36 +160,36 @@
 	return found.server, true
 }
 
-func (e *Even) take(x *entry) {
+func (e *SmoothWeighted) take(x *entry) {
 	e.clock = max(e.clock, x.due)
 	x.due = e.clock + 1/x.weight
 	e.down(x.at)
 }
 
-func (e *Even) less(i, j int) bool {
+func (e *SmoothWeighted) less(i, j int) bool {
 	a, b := e.heap[i], e.heap[j]
 	return a.due < b.due || a.due == b.due && a.server < b.server
 }
 
-func (e *Even) swap(i, j int) {
+func (e *SmoothWeighted) swap(i, j int) {
 	h := e.heap
 	h[i], h[j] = h[j], h[i]
 	h[i].at, h[j].at = i, j
 }
 
-func (e *Even) fix(i int) {
+func (e *SmoothWeighted) fix(i int) {
 	e.up(i)
 	e.down(i)
 }
 
-func (e *Even) up(i int) {
+func (e *SmoothWeighted) up(i int) {
 	for i > 0 && e.less(i, (i-1)/2) {
 		e.swap(i, (i-1)/2)
 		i = (i - 1) / 2
 	}
 }
 
-func (e *Even) down(i int) {
+func (e *SmoothWeighted) down(i int) {
 	for {
 		least := i
 		for _, k := range [...]int{2*i + 1, 2*i + 2} {
@@ -207,24 +207,24 @@
 
 const luckyTries = 8 // draws before all lines are looked at for one that may be taken
 
-// Random picks by chance, each line as likely as its weight, from a tree of sums. Use NewRandom.
-type Random struct {
+// WeightedRandom picks by chance, each line as likely as its weight, from a tree of sums. Use NewRandom.
+type WeightedRandom struct {
 	at     map[balancer.Server]int
-	lines  []Line
+	lines  []Entry
 	sums   []float64 // Fenwick tree over the weights, from 1
 	total  float64
 	chance chance
 	edits  int
 }
 
-// NewRandom makes an empty table.
-func NewRandom(seed uint64) *Random {
-	return &Random{at: map[balancer.Server]int{}, sums: make([]float64, 1), chance: chance(seed*2 + 1)}
+// NewWeightedRandom makes an empty table.
+func NewWeightedRandom(seed uint64) *WeightedRandom {
+	return &WeightedRandom{at: map[balancer.Server]int{}, sums: make([]float64, 1), chance: chance(seed*2 + 1)}
 }
 
 const rebuildAfter = 1 << 16 // changes, after which sums are added up anew: rounding must not add up
 
-func (r *Random) add(i int, d float64) {
+func (r *WeightedRandom) add(i int, d float64) {
 	r.total += d
 	for i++; i < len(r.sums); i += i & -i {
 		r.sums[i] += d
@@ -234,7 +234,7 @@
 	}
 }
 
-func (r *Random) rebuild() {
+func (r *WeightedRandom) rebuild() {
 	r.edits, r.total = 0, 0
 	r.sums = make([]float64, len(r.lines)+1)
 	for i, l := range r.lines {
@@ -246,7 +246,7 @@
 }
 
 // Set of Table.
-func (r *Random) Set(s balancer.Server, weight float64) {
+func (r *WeightedRandom) Set(s balancer.Server, weight float64) {
 	if !(weight > 0) || math.IsInf(weight, 0) {
 		weight = 0
 	}
@@ -254,7 +254,7 @@
 	switch {
 	case !known && weight > 0:
 		r.at[s] = len(r.lines)
-		r.lines = append(r.lines, Line{s, weight})
+		r.lines = append(r.lines, Entry{s, weight})
 		n := len(r.lines)
 		below := 0.0 // what the new node of the tree covers besides its own
 		for k := n - 1; k > n-(n&-n); k -= k & -k {
@@ -281,7 +281,7 @@
 }
 
 // Weight of Table.
-func (r *Random) Weight(s balancer.Server) float64 {
+func (r *WeightedRandom) Weight(s balancer.Server) float64 {
 	if i, ok := r.at[s]; ok {
 		return r.lines[i].Weight
 	}
@@ -289,17 +289,17 @@
 }
 
 // Len of Table.
-func (r *Random) Len() int { return len(r.lines) }
+func (r *WeightedRandom) Len() int { return len(r.lines) }
 
-// Lines of Table.
-func (r *Random) Lines() []Line {
+// Entries of Table.
+func (r *WeightedRandom) Entries() []Entry {
 	all := slices.Clone(r.lines)
-	slices.SortFunc(all, func(a, b Line) int { return cmp.Compare(a.Server, b.Server) })
+	slices.SortFunc(all, func(a, b Entry) int { return cmp.Compare(a.Server, b.Server) })
 	return all
 }
 
 // find is the line into whose part of the sum x falls.
-func (r *Random) find(x float64) int {
+func (r *WeightedRandom) find(x float64) int {
 	i, step := 0, 1
 	for step*2 < len(r.sums) {
 		step *= 2
@@ -313,7 +313,7 @@
 }
 
 // Pick of Table. Where few lines may be taken, all are looked at, so that those that may are as likely as their weights.
-func (r *Random) Pick(may func(balancer.Server) bool) (balancer.Server, bool) {
+func (r *WeightedRandom) Pick(may func(balancer.Server) bool) (balancer.Server, bool) {
 	if len(r.lines) == 0 {
 		return "", false
 	}
--- a/internal/core/picker/pick_test.go
+++ b/internal/core/picker/pick_test.go
@@ -17,7 +17,7 @@
 
 // plain is the rotation that scans all lines: what Even is measured against.
 type plain struct {
-	lines  []Line
+	lines  []Entry
 	credit []float64
 }
 
@@ -36,7 +36,7 @@
 // Through any changes, weights, lines and what may be taken are as a plain list has them, and each stretch without a change
 // is picked by weight: evenly within one pick for each line, at random within what chance allows.
 func TestPicksFollowTheWeights(t *testing.T) {
-	for kind, make := range map[string]func() Table{"even": func() Table { return NewEven(3) }, "random": func() Table { return NewRandom(3) }} {
+	for kind, make := range map[string]func() Table{"even": func() Table { return NewSmoothWeighted(3) }, "random": func() Table { return NewWeightedRandom(3) }} {
 		t.Run(kind, func(t *testing.T) {
 			rapid.Check(t, func(r *rapid.T) {
 				table, want := make(), map[balancer.Server]float64{}
@@ -52,7 +52,7 @@
 						table.Pick(nil)
 					}
 				}
-				if table.Len() != len(want) || len(table.Lines()) != len(want) {
+				if table.Len() != len(want) || len(table.Entries()) != len(want) {
 					r.Fatalf("%d lines, want %d", table.Len(), len(want))
 				}
 				sum := 0.0
@@ -94,7 +94,7 @@
 // A line that could not be taken for long does not get all at once what it missed, and one that is new is not everybody's
 // next: of many proxies only its part is.
 func TestChangesDoNotBunch(t *testing.T) {
-	e := NewEven(1)
+	e := NewSmoothWeighted(1)
 	for i := range 10 {
 		e.Set(name(i), 1)
 	}
@@ -112,7 +112,7 @@
 	}
 	first := 0
 	for seed := range uint64(1000) {
-		e := NewEven(seed)
+		e := NewSmoothWeighted(seed)
 		for i := range 10 {
 			e.Set(name(i), 1)
 		}
@@ -128,7 +128,7 @@
 		t.Errorf("a new line is the next of %d of 1000 proxies; its part is 91", first)
 	}
 	// All weights are multiplied, as another coordinator may say them: nothing else changes.
-	a, b := NewEven(5), NewEven(5)
+	a, b := NewSmoothWeighted(5), NewSmoothWeighted(5)
 	for i := range 10 {
 		a.Set(name(i), float64(i+1))
 		b.Set(name(i), float64(i+1))
@@ -146,7 +146,7 @@
 
 // Where one line in a hundred may be taken, it is found, by weight among those that may.
 func TestFewMayBeTaken(t *testing.T) {
-	for kind, table := range map[string]Table{"even": NewEven(1), "random": NewRandom(1)} {
+	for kind, table := range map[string]Table{"even": NewSmoothWeighted(1), "random": NewWeightedRandom(1)} {
 		for i := range 200 {
 			table.Set(name(i), 1+float64(i%2)*2)
 		}
@@ -165,10 +165,10 @@
 }
 
 func TestReplace(t *testing.T) {
-	e := NewEven(1)
-	Replace(e, []Line{{"a", 1}, {"b", 2}})
-	Replace(e, []Line{{"b", 3}, {"c", 1}})
-	if l := e.Lines(); len(l) != 2 || l[0] != (Line{"b", 3}) || l[1] != (Line{"c", 1}) {
+	e := NewSmoothWeighted(1)
+	Replace(e, []Entry{{"a", 1}, {"b", 2}})
+	Replace(e, []Entry{{"b", 3}, {"c", 1}})
+	if l := e.Entries(); len(l) != 2 || l[0] != (Entry{"b", 3}) || l[1] != (Entry{"c", 1}) {
 		t.Errorf("%v", l)
 	}
 }
@@ -181,7 +181,7 @@
 			}
 			return t
 		}
-		for kind, t := range map[string]Table{"even": fill(NewEven(1)), "random": fill(NewRandom(1))} {
+		for kind, t := range map[string]Table{"even": fill(NewSmoothWeighted(1)), "random": fill(NewWeightedRandom(1))} {
 			b.Run(fmt.Sprint(kind, "/", n), func(b *testing.B) {
 				for b.Loop() {
 					t.Pick(nil)
@@ -197,7 +197,7 @@
 		}
 		p := &plain{credit: make([]float64, n)}
 		for i := range n {
-			p.lines = append(p.lines, Line{name(i), 1 + float64(i%7)})
+			p.lines = append(p.lines, Entry{name(i), 1 + float64(i%7)})
 		}
 		b.Run(fmt.Sprint("plain/", n), func(b *testing.B) {
 			for b.Loop() {
@@ -208,10 +208,10 @@
 }
 
 func BenchmarkReplace300(b *testing.B) {
-	e := NewEven(1)
-	var lines []Line
+	e := NewSmoothWeighted(1)
+	var lines []Entry
 	for i := range 300 {
-		lines = append(lines, Line{name(i), 1})
+		lines = append(lines, Entry{name(i), 1})
 	}
 	i := 0
 	for b.Loop() {
--- a/internal/core/retry/repeat.go
+++ b/internal/core/retry/repeat.go
@@ -9,28 +9,28 @@
 
 // What is known of a failed attempt.
 const (
-	NeverRan   Outcome = iota // it is proved that the server never began with it
-	MayHaveRun                // it failed after the server may have had it
+	NotExecuted   Outcome = iota // it is proved that the server never began with it
+	MaybeExecuted                // it failed after the server may have had it
 )
 
-// Place of a server.
-type Place struct {
-	Server balancer.Server
-	Zone   balancer.Zone
-	Pod    balancer.FailureDomain
+// Location of a server.
+type Location struct {
+	Server        balancer.Server
+	Zone          balancer.Zone
+	FailureDomain balancer.FailureDomain
 }
 
-// Query is what is known of a query's tries.
-type Query struct {
-	Class   balancer.RequestClass
-	Way     balancer.RetryPolicy // that the coordinator orders, or the settings
-	Until   float64              // clock time at which its client gives it up
-	Keyed   bool                 // it carries a key by which servers know a repeat
-	Tries   int                  // so far
-	Ran     bool                 // one of them may have run
-	First   Place                // the first that may have run
-	FirstAt float64              // when that one was sent
-	tried   [keptTried]balancer.Server
+// Request is what is known of a query's tries.
+type Request struct {
+	Class          balancer.RequestClass
+	Policy         balancer.RetryPolicy // that the coordinator orders, or the settings
+	Deadline       float64              // clock time at which its client gives it up
+	HasKey         bool                 // it carries a key by which servers know a repeat
+	Attempts       int                  // so far
+	MaybeExecuted  bool                 // one of them may have run
+	FirstExecution Location             // the first that may have run
+	FirstSentAt    float64              // when that one was sent
+	tried          [keptTried]balancer.Server
 }
 
 const (
@@ -38,22 +38,22 @@
 	leastLeft = 0.02 // seconds that a client must still wait for a repeat to make sense: a way there and back, and a little work
 )
 
-// Sent notes a try.
-func (q *Query) Sent(s balancer.Server) {
-	q.tried[q.Tries%keptTried] = s
-	q.Tries++
+// RecordAttempt notes a try.
+func (q *Request) RecordAttempt(s balancer.Server) {
+	q.tried[q.Attempts%keptTried] = s
+	q.Attempts++
 }
 
-// Failed notes how the latest try ended.
-func (q *Query) Failed(at Place, sent float64, o Outcome) {
-	if o == MayHaveRun && !q.Ran {
-		q.Ran, q.First, q.FirstAt = true, at, sent
+// RecordFailure notes how the latest try ended.
+func (q *Request) RecordFailure(at Location, sent float64, o Outcome) {
+	if o == MaybeExecuted && !q.MaybeExecuted {
+		q.MaybeExecuted, q.FirstExecution, q.FirstSentAt = true, at, sent
 	}
 }
 
 // Tried tells whether a server had the query already.
-func (q *Query) Tried(s balancer.Server) bool {
-	for i := range min(q.Tries, keptTried) {
+func (q *Request) Tried(s balancer.Server) bool {
+	for i := range min(q.Attempts, keptTried) {
 		if q.tried[i] == s {
 			return true
 		}
@@ -61,36 +61,36 @@
 	return false
 }
 
-// May tells whether a query whose latest try ended so may be sent once more now. Guards against effects that happen twice: a
+// MayRetry tells whether a query whose latest try ended so may be sent once more now. Guards against effects that happen twice: a
 // single-shot query is repeated only on proof that no try of it has run; a guarded one only under its key, to servers that
 // drop each other's repeats, and while they still know the first. It does harm to those who would rather have had two
 // effects than none.
-func (q *Query) May(now float64, last Outcome) bool {
+func (q *Request) MayRetry(now float64, last Outcome) bool {
 	most := 1
-	switch q.Way {
+	switch q.Policy {
 	case balancer.RetryNever:
 		return false
 	case balancer.RetryTwice:
 		most = 2
 	}
-	if q.Tries > most || q.Until-now < leastLeft || last == MayHaveRun && q.Way == balancer.RetryIfNotExecuted {
+	if q.Attempts > most || q.Deadline-now < leastLeft || last == MaybeExecuted && q.Policy == balancer.RetryIfNotExecuted {
 		return false
 	}
-	if !q.Ran {
+	if !q.MaybeExecuted {
 		return true
 	}
 	switch q.Class.Idempotency {
 	case balancer.Idempotent:
 		return true
 	case balancer.Keyed:
-		return q.Keyed && now < q.FirstAt+q.Class.DedupWindow
+		return q.HasKey && now < q.FirstSentAt+q.Class.DedupWindow
 	}
 	return false
 }
 
-// At tells whether a repeat may go to a server.
-func (q *Query) At(p Place) bool {
-	if q.Class.Idempotency == balancer.Idempotent || !q.Ran {
+// AllowedAt tells whether a repeat may go to a server.
+func (q *Request) AllowedAt(p Location) bool {
+	if q.Class.Idempotency == balancer.Idempotent || !q.MaybeExecuted {
 		return true
 	}
 	if q.Class.Idempotency == balancer.NonIdempotent {
@@ -98,34 +98,34 @@
 	}
 	switch q.Class.DedupScope {
 	case balancer.SameZone:
-		return p.Zone == q.First.Zone
+		return p.Zone == q.FirstExecution.Zone
 	case balancer.SameFailureDomain:
-		return p.Pod == q.First.Pod
+		return p.FailureDomain == q.FirstExecution.FailureDomain
 	}
 	return true
 }
 
 // Budget keeps repeats under a part of all first tries, so that a fleet in trouble is not sent more than it is asked.
 type Budget struct {
-	Part  float64 // repeats for each first try
+	Ratio float64 // repeats for each first try
 	Burst float64 // that may come at once
 	left  float64
 	begun bool
 }
 
-// UsualBudget is what settings start from.
-var UsualBudget = Budget{Part: 0.2, Burst: 10}
+// DefaultBudget is what settings start from.
+var DefaultBudget = Budget{Ratio: 0.2, Burst: 10}
 
-// First notes a query's first try.
-func (b *Budget) First() {
+// RecordRequest notes a query's first try.
+func (b *Budget) RecordRequest() {
 	if !b.begun {
 		b.begun, b.left = true, b.Burst
 	}
-	b.left = min(b.Burst, b.left+b.Part)
+	b.left = min(b.Burst, b.left+b.Ratio)
 }
 
-// Take asks for a repeat.
-func (b *Budget) Take() bool {
+// TryRetry asks for a repeat.
+func (b *Budget) TryRetry() bool {
 	if b.left < 1 {
 		return false
 	}
--- a/internal/core/tablecache/follow.go
+++ b/internal/core/tablecache/follow.go
@@ -15,14 +15,14 @@
 )
 
 var (
-	// ErrOld says that an answer is of a coordinator that led the proxy before another one did.
-	ErrOld = errors.New("of an older epoch than was followed")
-	// ErrBase says that an answer is a delta to a state that the proxy does not hold.
-	ErrBase = errors.New("a delta to what is not held")
-	// ErrClass says that an answer names a class that the proxy does not have.
-	ErrClass = errors.New("of an unknown class")
-	// ErrSnapshot says that a snapshot can't be used.
-	ErrSnapshot = errors.New("snapshot that makes no sense")
+	// ErrEpochOutdated says that an answer is of a coordinator that led the proxy before another one did.
+	ErrEpochOutdated = errors.New("of an older epoch than was followed")
+	// ErrUnknownBase says that an answer is a delta to a state that the proxy does not hold.
+	ErrUnknownBase = errors.New("a delta to what is not held")
+	// ErrUnknownClass says that an answer names a class that the proxy does not have.
+	ErrUnknownClass = errors.New("of an unknown class")
+	// ErrInvalidSnapshot says that a snapshot can't be used.
+	ErrInvalidSnapshot = errors.New("snapshot that makes no sense")
 )
 
 const (
@@ -30,13 +30,13 @@
 	oldestTable = 7200.0 // seconds; a snapshot that is older is not used: servers have moved meanwhile
 )
 
-// Order for a class that is not of lines.
-type Order struct {
-	Class    balancer.Class
-	Level    float64 // below 0: as before
-	ComeBack float64
-	Way      balancer.RetryPolicy
-	Ways     bool // Way is said
+// ClassOrder for a class that is not of lines.
+type ClassOrder struct {
+	Class      balancer.Class
+	Admission  float64 // below 0: as before
+	RetryAfter float64
+	Retry      balancer.RetryPolicy
+	HasRetry   bool // Way is said
 }
 
 // Tables of a proxy. Use New.
@@ -48,11 +48,11 @@
 	lead    uint64
 	at      float64 // when they were last known to be the newest
 	gone    map[balancer.Server]float64
-	Counts  Counts
+	Stats   Stats
 }
 
-// Counts is what happened, for metrics.
-type Counts struct{ Applied, Old, Base, Wrong int }
+// Stats is what happened, for metrics.
+type Stats struct{ Applied, Outdated, BaseUnknown, Invalid int }
 
 // New makes empty tables for classes of these names; build gives each its way of picking.
 func New(names []string, build func(class int) picker.Table) *Tables {
@@ -63,8 +63,8 @@
 	return t
 }
 
-// Of is a class's table.
-func (t *Tables) Of(c balancer.Class) picker.Table { return t.by[c] }
+// Table is a class's table.
+func (t *Tables) Table(c balancer.Class) picker.Table { return t.by[c] }
 
 // Class by its name.
 func (t *Tables) Class(name string) (balancer.Class, bool) {
@@ -76,20 +76,22 @@
 	return 0, false
 }
 
-// Holds is what a poll names: the epoch and version that the proxy holds, and the newest lead that it has followed.
-func (t *Tables) Holds() (epoch string, version, lead uint64) { return t.epoch, t.version, t.lead }
+// HeldVersion is what a poll names: the epoch and version that the proxy holds, and the newest lead that it has followed.
+func (t *Tables) HeldVersion() (epoch string, version, lead uint64) {
+	return t.epoch, t.version, t.lead
+}
 
-// Lost says that what is held is not to be named any more, as after an answer that did not fit.
-func (t *Tables) Lost() { t.epoch, t.version = "", 0 }
+// ConnectionLost says that what is held is not to be named any more, as after an answer that did not fit.
+func (t *Tables) ConnectionLost() { t.epoch, t.version = "", 0 }
 
 // Age is how long ago the tables were known to be the newest.
 func (t *Tables) Age(now float64) float64 { return now - t.at }
 
-// Fresh says that a coordinator has said that nothing is newer.
-func (t *Tables) Fresh(now float64) { t.at = now }
+// MarkCurrent says that a coordinator has said that nothing is newer.
+func (t *Tables) MarkCurrent(now float64) { t.at = now }
 
-// Any tells whether a server has a line in any class.
-func (t *Tables) Any(s balancer.Server) bool {
+// HasServer tells whether a server has a line in any class.
+func (t *Tables) HasServer(s balancer.Server) bool {
 	for _, x := range t.by {
 		if x.Weight(s) > 0 {
 			return true
@@ -100,24 +102,24 @@
 
 // Apply takes an answer of the long-poll API, whole or not at all. left are the servers that have no line any more in any
 // class: their kept connections are to be closed, and what is in progress there ends within the grace.
-func (t *Tables) Apply(now float64, a *delta.Tables) (orders []Order, left []balancer.Server, err error) {
+func (t *Tables) Apply(now float64, a *delta.Tables) (orders []ClassOrder, left []balancer.Server, err error) {
 	switch {
 	case a.Stale(t.lead):
-		t.Counts.Old++
-		return nil, nil, fmt.Errorf("%w: %d, %d was followed", ErrOld, a.Lead, t.lead)
+		t.Stats.Outdated++
+		return nil, nil, fmt.Errorf("%w: %d, %d was followed", ErrEpochOutdated, a.Lead, t.lead)
 	case !a.Fits(t.epoch, t.version):
-		t.Counts.Base++
-		return nil, nil, fmt.Errorf("%w: of version %d, %d is held", ErrBase, a.From, t.version)
+		t.Stats.BaseUnknown++
+		return nil, nil, fmt.Errorf("%w: of version %d, %d is held", ErrUnknownBase, a.From, t.version)
 	}
 	for _, c := range a.Classes {
 		k, ok := t.Class(c.Class)
 		if !ok {
-			t.Counts.Wrong++
-			return nil, nil, fmt.Errorf("%w: %q", ErrClass, c.Class)
+			t.Stats.Invalid++
+			return nil, nil, fmt.Errorf("%w: %q", ErrUnknownClass, c.Class)
 		}
 		if n := len(c.Lines); n > mostLines || !c.Full && t.by[k].Len()+n > mostLines+n/2 {
-			t.Counts.Wrong++
-			return nil, nil, fmt.Errorf("%w: %d lines in class %q", ErrClass, n, c.Class)
+			t.Stats.Invalid++
+			return nil, nil, fmt.Errorf("%w: %d lines in class %q", ErrUnknownClass, n, c.Class)
 		}
 	}
 	touched := map[balancer.Server]bool{}
@@ -125,13 +127,13 @@
 		k, _ := t.Class(c.Class)
 		x := t.by[k]
 		if c.Full {
-			for _, l := range x.Lines() {
+			for _, l := range x.Entries() {
 				touched[l.Server] = true
 			}
-			var lines []picker.Line
+			var lines []picker.Entry
 			for _, l := range c.Lines {
 				if l.Weight > 0 {
-					lines = append(lines, picker.Line{Server: balancer.Server(l.Server), Weight: l.Weight})
+					lines = append(lines, picker.Entry{Server: balancer.Server(l.Server), Weight: l.Weight})
 				}
 			}
 			picker.Replace(x, lines)
@@ -141,36 +143,36 @@
 				x.Set(balancer.Server(l.Server), l.Weight)
 			}
 		}
-		o := Order{Class: k, Level: -1}
+		o := ClassOrder{Class: k, Admission: -1}
 		if c.Level != nil {
-			o.Level = *c.Level
+			o.Admission = *c.Level
 			if c.ComeBack != nil {
-				o.ComeBack = *c.ComeBack
+				o.RetryAfter = *c.ComeBack
 			}
 		}
-		o.Way, o.Ways = ways[c.Again], c.Again != ""
-		if c.Level != nil || o.Ways {
+		o.Retry, o.HasRetry = ways[c.Again], c.Again != ""
+		if c.Level != nil || o.HasRetry {
 			orders = append(orders, o)
 		}
 	}
 	t.epoch, t.version, t.lead, t.at = a.Epoch, a.Version, a.Lead, now
-	t.Counts.Applied++
+	t.Stats.Applied++
 	return orders, t.left(now, touched), nil
 }
 
 var ways = map[string]balancer.RetryPolicy{"none": balancer.RetryNever, "proof": balancer.RetryIfNotExecuted, "failure": balancer.RetryOnce,
 	"twice": balancer.RetryTwice}
 
-// Rows takes a class's rows as SASP sends them: each row is a line, set or taken away.
-func (t *Tables) Rows(now float64, class string, rows []sasp.Row, name func(sasp.Address) balancer.Server) ([]balancer.Server, error) {
+// ApplyRows takes a class's rows as SASP sends them: each row is a line, set or taken away.
+func (t *Tables) ApplyRows(now float64, class string, rows []sasp.Row, name func(sasp.Address) balancer.Server) ([]balancer.Server, error) {
 	k, ok := t.Class(class)
 	if !ok {
-		t.Counts.Wrong++
-		return nil, fmt.Errorf("%w: %q", ErrClass, class)
+		t.Stats.Invalid++
+		return nil, fmt.Errorf("%w: %q", ErrUnknownClass, class)
 	}
 	if t.by[k].Len()+len(rows) > 2*mostLines {
-		t.Counts.Wrong++
-		return nil, fmt.Errorf("%w: %d lines in class %q", ErrClass, len(rows), class)
+		t.Stats.Invalid++
+		return nil, fmt.Errorf("%w: %d lines in class %q", ErrUnknownClass, len(rows), class)
 	}
 	touched := map[balancer.Server]bool{}
 	for _, r := range rows {
@@ -182,13 +184,13 @@
 		t.by[k].Set(s, w)
 	}
 	t.at = now
-	t.Counts.Applied++
+	t.Stats.Applied++
 	return t.left(now, touched), nil
 }
 
 func (t *Tables) left(now float64, touched map[balancer.Server]bool) (left []balancer.Server) {
 	for s := range touched {
-		if t.Any(s) {
+		if t.HasServer(s) {
 			delete(t.gone, s)
 		} else if _, ok := t.gone[s]; !ok {
 			t.gone[s] = now
@@ -208,15 +210,15 @@
 }
 
 type snapshotClass struct {
-	Name  string        `json:"name"`
-	Lines []picker.Line `json:"lines"`
+	Name  string         `json:"name"`
+	Lines []picker.Entry `json:"lines"`
 }
 
 // Save is a snapshot of what is held.
 func (t *Tables) Save() ([]byte, error) {
 	s := snapshot{At: t.at, Lead: t.lead}
 	for i, n := range t.names {
-		s.Classes = append(s.Classes, snapshotClass{n, t.by[i].Lines()})
+		s.Classes = append(s.Classes, snapshotClass{n, t.by[i].Entries()})
 	}
 	return json.Marshal(s)
 }
@@ -227,18 +229,18 @@
 func (t *Tables) Restore(now float64, b []byte) error {
 	var s snapshot
 	if err := json.Unmarshal(b, &s); err != nil {
-		return fmt.Errorf("%w: %w", ErrSnapshot, err)
+		return fmt.Errorf("%w: %w", ErrInvalidSnapshot, err)
 	}
 	if !(s.At <= now) || now-s.At > oldestTable {
-		return fmt.Errorf("%w: it is %.0f s old, %.0f at most", ErrSnapshot, now-s.At, oldestTable)
+		return fmt.Errorf("%w: it is %.0f s old, %.0f at most", ErrInvalidSnapshot, now-s.At, oldestTable)
 	}
 	for _, c := range s.Classes {
 		if _, ok := t.Class(c.Name); !ok || len(c.Lines) > mostLines {
-			return fmt.Errorf("%w: class %q with %d lines", ErrSnapshot, c.Name, len(c.Lines))
+			return fmt.Errorf("%w: class %q with %d lines", ErrInvalidSnapshot, c.Name, len(c.Lines))
 		}
 		for _, l := range c.Lines {
 			if !(l.Weight > 0) || math.IsInf(l.Weight, 0) || l.Server == "" {
-				return fmt.Errorf("%w: server %q, weight %v", ErrSnapshot, l.Server, l.Weight)
+				return fmt.Errorf("%w: server %q, weight %v", ErrInvalidSnapshot, l.Server, l.Weight)
 			}
 		}
 	}
--- a/internal/core/tablecache/golden_test.go
+++ b/internal/core/tablecache/golden_test.go
@@ -9,12 +9,12 @@
 
 func TestStoredTables(t *testing.T) {
 	empty := func() *Tables {
-		return New([]string{"search", "book"}, func(int) picker.Table { return picker.NewEven(1) })
+		return New([]string{"search", "book"}, func(int) picker.Table { return picker.NewSmoothWeighted(1) })
 	}
 	held := empty()
 	held.at, held.lead = 1000.5, 7
-	picker.Replace(held.by[0], []picker.Line{{Server: "127.0.1.2:8080", Weight: 1.5}, {Server: "127.0.1.3:8080", Weight: 2}})
-	picker.Replace(held.by[1], []picker.Line{{Server: "127.0.1.2:8080", Weight: 0.25}})
+	picker.Replace(held.by[0], []picker.Entry{{Server: "127.0.1.2:8080", Weight: 1.5}, {Server: "127.0.1.3:8080", Weight: 2}})
+	picker.Replace(held.by[1], []picker.Entry{{Server: "127.0.1.2:8080", Weight: 0.25}})
 	b, err := held.Save()
 	if err != nil {
 		t.Fatal(err)
--- a/internal/emulator/crowd.go
+++ b/internal/emulator/crowd.go
@@ -216,8 +216,8 @@
 	}
 }
 
-// Sent of proxy.Watch.
-func (x *Seen) Sent(now float64, s balancer.Server) {
+// AttemptSent of proxy.Observer.
+func (x *Seen) AttemptSent(now float64, s balancer.Server) {
 	if a, err := netip.ParseAddrPort(string(s)); err == nil {
 		x.Ref.try(now, x.UID, a)
 	}
@@ -239,8 +239,8 @@
 // Left of proxy.Watch.
 func (x *Seen) Left(now float64) { x.Ref.left(now, x.UID) }
 
-// Table of proxy.Watch.
-func (x *Seen) Table(now float64, lines int, has []bool) {
+// TableChanged of proxy.Observer.
+func (x *Seen) TableChanged(now float64, lines int, has []bool) {
 	if lines >= 0 {
 		x.Ref.message(now, x.UID, lines)
 	}
--- a/internal/proxy/follower.go
+++ b/internal/proxy/follower.go
@@ -71,7 +71,7 @@
 
 func (s *follower) ended(now float64, why string) {
 	if s.joined {
-		s.p.setup.Say("coordinator lost", "at", s.at(), "why", why, "age", s.p.Core.Tables.Age(now))
+		s.p.setup.Log("coordinator lost", "at", s.at(), "why", why, "age", s.p.Core.Tables.Age(now))
 	}
 	s.conn, s.up, s.waiting = 0, false, false
 	s.leave(now)
@@ -81,8 +81,8 @@
 }
 
 func (s *follower) leave(now float64) {
-	if s.joined && s.p.setup.Watch != nil {
-		s.p.setup.Watch.Left(now)
+	if s.joined && s.p.setup.Observer != nil {
+		s.p.setup.Observer.Left(now)
 	}
 	s.joined = false
 }
@@ -91,9 +91,9 @@
 	if s.joined {
 		return
 	}
-	if s.joined = true; s.p.setup.Watch != nil {
-		s.p.setup.Watch.Joined(now)
-		s.p.setup.Watch.Table(now, -1, s.p.has())
+	if s.joined = true; s.p.setup.Observer != nil {
+		s.p.setup.Observer.Joined(now)
+		s.p.setup.Observer.TableChanged(now, -1, s.p.has())
 	}
 }
 
@@ -156,7 +156,7 @@
 // ask polls for what is newer than what is held.
 func (s *follower) ask(now float64) {
 	q := url.Values{"wait": {fmt.Sprint(s.wait())}}
-	epoch, version, lead := s.p.Core.Tables.Holds()
+	epoch, version, lead := s.p.Core.Tables.HeldVersion()
 	if epoch != "" {
 		q.Set("epoch", epoch)
 		q.Set("version", strconv.FormatUint(version, 10))
@@ -201,20 +201,20 @@
 	case http.StatusOK:
 		var t delta.Tables
 		if err := delta.Decode(m.Body, m.Get("Content-Type"), &t); err != nil {
-			s.p.setup.Say("tables not understood", "error", err)
+			s.p.setup.Log("tables not understood", "error", err)
 			s.lose(now, "its tables make no sense")
 			return
 		}
 		orders, left, err := s.p.Core.Tables.Apply(now, &t)
 		switch {
-		case errors.Is(err, tablecache.ErrBase):
-			s.p.Core.Tables.Lost()
+		case errors.Is(err, tablecache.ErrUnknownBase):
+			s.p.Core.Tables.ConnectionLost()
 		case err != nil:
-			s.p.setup.Say("tables refused", "error", err)
+			s.p.setup.Log("tables refused", "error", err)
 			s.lose(now, err.Error())
 			return
 		default:
-			s.p.Core.Follow(now, orders)
+			s.p.Core.ApplyOrders(now, orders)
 			lines := 0
 			for _, c := range t.Classes {
 				lines += len(c.Lines)
@@ -223,7 +223,7 @@
 			s.p.changed(now, lines, left)
 		}
 	case http.StatusNoContent:
-		s.p.Core.Tables.Fresh(now)
+		s.p.Core.Tables.MarkCurrent(now)
 		s.join(now)
 	case http.StatusTooManyRequests, http.StatusServiceUnavailable:
 		s.leave(now)
@@ -252,9 +252,9 @@
 func (s *follower) register() {
 	s.say(&sasp.Message{Kind: sasp.SetBalancer, UID: []byte(s.p.setup.UID), Flags: saspFlags})
 	m := &sasp.Message{Kind: sasp.Registration, LB: sasp.FromBalancer}
-	for c, name := range s.p.setup.Forward.Names {
+	for c, name := range s.p.setup.Forwarding.ClassNames {
 		g := sasp.Group{UID: []byte(s.p.setup.UID), Name: []byte(name), From: len(m.Rows)}
-		for _, l := range s.p.Core.Tables.Of(balancer.Class(c)).Lines() {
+		for _, l := range s.p.Core.Tables.Table(balancer.Class(c)).Entries() {
 			if a, err := netip.ParseAddrPort(string(l.Server)); err == nil {
 				m.Rows = append(m.Rows, sasp.Row{Address: sasp.AddressOf(a)})
 			}
@@ -290,7 +290,7 @@
 	switch m.Kind {
 	case sasp.SetBalancerReply:
 		if s.waiting = false; s.joined {
-			s.p.Core.Tables.Fresh(now)
+			s.p.Core.Tables.MarkCurrent(now)
 		}
 	case sasp.RegistrationReply:
 		if m.Code != sasp.OK {
@@ -302,9 +302,9 @@
 		// Rows that bring queries come before those that take them away, so that no state on the way lacks a line.
 		var left []balancer.Server
 		for _, g := range m.Groups {
-			l, err := s.p.Core.Tables.Rows(now, string(g.Name), m.Rows[g.From:g.To], saspsession.Name)
+			l, err := s.p.Core.Tables.ApplyRows(now, string(g.Name), m.Rows[g.From:g.To], saspsession.Name)
 			if err != nil || string(g.UID) != s.p.setup.UID {
-				s.p.setup.Say("weights refused", "group", string(g.Name), "of", string(g.UID), "error", err)
+				s.p.setup.Log("weights refused", "group", string(g.Name), "of", string(g.UID), "error", err)
 				continue
 			}
 			left = append(left, l...)
--- a/internal/proxy/hour_test.go
+++ b/internal/proxy/hour_test.go
@@ -63,10 +63,10 @@
 // watch counts first tries and their servers.
 type watch struct{ town *town }
 
-func (w *watch) Joined(float64)             {}
-func (w *watch) Left(float64)               {}
-func (w *watch) Table(float64, int, []bool) {}
-func (w *watch) Sent(_ float64, s balancer.Server) {
+func (w *watch) Joined(float64)                    {}
+func (w *watch) Left(float64)                      {}
+func (w *watch) TableChanged(float64, int, []bool) {}
+func (w *watch) AttemptSent(_ float64, s balancer.Server) {
 	w.town.sent[s]++
 	w.town.total++
 }
@@ -80,7 +80,7 @@
 	all, pods := &town{sent: map[balancer.Server]int{}, gone: map[balancer.Server]float64{}}, make([]map[string]int, servers/2)
 	s := setup(servers)
 	at := netip.MustParseAddrPort("10.0.3.1:3000")
-	s.Coordinators, s.Watch = []netip.AddrPort{at}, &watch{all}
+	s.Coordinators, s.Observer = []netip.AddrPort{at}, &watch{all}
 	for i := range servers {
 		if i%2 == 0 {
 			pods[i/2] = map[string]int{}
@@ -89,8 +89,8 @@
 		x := &sums{base: base{net: net}, buf: map[env.Conn][]byte{}, ran: pods[i/2], chance: chance, at: name, town: all}
 		net.Add(serverAt(i).Addr(), 0, false).Start(x)
 	}
-	s.Forward.Classes[1].DedupScope = balancer.SameFailureDomain
-	s.Forward.Places = places(servers)
+	s.Forwarding.Classes[1].DedupScope = balancer.SameFailureDomain
+	s.Forwarding.Locations = places(servers)
 	d := &desk{}
 	net.Add(at.Addr(), 0, false).Start(d)
 	p := New(net.Now(), s)
@@ -149,7 +149,7 @@
 			doubled++
 		}
 	}
-	if all.late != "" || doubled > 0 || ran < 50000 || p.Core.Counts.Repeats < 500 {
-		t.Errorf("%s; %d doubled of %d; %d repeats", all.late, doubled, ran, p.Core.Counts.Repeats)
+	if all.late != "" || doubled > 0 || ran < 50000 || p.Core.Stats.Retries < 500 {
+		t.Errorf("%s; %d doubled of %d; %d repeats", all.late, doubled, ran, p.Core.Stats.Retries)
 	}
 }
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -33,31 +33,31 @@
 
 // Limits of a proxy. What happens at each is said beside it.
 type Limits struct {
-	Clients  int     // connections of clients; one more is closed at once
-	ByServer int     // kept connections to one server that wait for queries; further ones are closed after use
-	Silent   float64 // seconds that a client's connection may wait for its first, or next, query
-	HTTP     http1.Limits
-}
-
-// UsualLimits are those that settings start from.
-var UsualLimits = Limits{Clients: 20000, ByServer: 64, Silent: 75, HTTP: http1.DefaultLimits}
-
-// Setup is what a proxy is made of. Times are seconds.
-type Setup struct {
-	UID          string
-	Forward      forwarding.Setup
-	Routes       []Route
-	Limits       Limits
-	Coordinators []netip.AddrPort  // tried in turn
-	SASP         bool              // they are spoken to by SASP, else by the long-poll API
-	Collect      uint16            // port of their collectors; 0: nothing is reported
-	User, KeyOf  string            // of signed measurements
-	Report       float64           // seconds between two reports
-	Standing     []balancer.Server // the table until there is another
-	Seed         uint64            // of waits that vary
-	Store        Store             // of the table; nil: nothing outlives the proxy
-	Say          func(event string, pairs ...any)
-	Watch        Watch // nil: nobody
+	MaxClients       int     // connections of clients; one more is closed at once
+	MaxIdlePerServer int     // kept connections to one server that wait for queries; further ones are closed after use
+	IdleTimeout      float64 // seconds that a client's connection may wait for its first, or next, query
+	HTTP             http1.Limits
+}
+
+// DefaultLimits are those that settings start from.
+var DefaultLimits = Limits{MaxClients: 20000, MaxIdlePerServer: 64, IdleTimeout: 75, HTTP: http1.DefaultLimits}
+
+// Config is what a proxy is made of. Times are seconds.
+type Config struct {
+	UID            string
+	Forwarding     forwarding.Config
+	Routes         []Route
+	Limits         Limits
+	Coordinators   []netip.AddrPort  // tried in turn
+	SASP           bool              // they are spoken to by SASP, else by the long-poll API
+	CollectorPort  uint16            // port of their collectors; 0: nothing is reported
+	User, Key      string            // of signed measurements
+	ReportInterval float64           // seconds between two reports
+	DefaultServers []balancer.Server // the table until there is another
+	Seed           uint64            // of waits that vary
+	Store          Store             // of the table; nil: nothing outlives the proxy
+	Log            func(event string, pairs ...any)
+	Observer       Observer // nil: nobody
 }
 
 // Store keeps a proxy's table for its next life.
@@ -66,12 +66,12 @@
 	Load() ([]byte, error) // nil: there is none
 }
 
-// Watch is told what a proxy does, for referees and tests.
-type Watch interface {
+// Observer is told what a proxy does, for referees and tests.
+type Observer interface {
 	Joined(now float64)
 	Left(now float64)
-	Table(now float64, lines int, has []bool)
-	Sent(now float64, s balancer.Server)
+	TableChanged(now float64, lines int, has []bool)
+	AttemptSent(now float64, s balancer.Server)
 }
 
 const (
@@ -85,7 +85,7 @@
 type client struct {
 	id    env.Conn
 	buf   []byte
-	query forwarding.Query // 0: none is under way
+	query forwarding.RequestID // 0: none is under way
 	msg   http1.Message
 	ended bool // the connection ends after the answer
 	asked bool // it was told to go on with its body
@@ -102,8 +102,8 @@
 type upstream struct {
 	id    env.Conn
 	to    *target
-	try   forwarding.Try
-	query forwarding.Query
+	try   forwarding.AttemptID
+	query forwarding.RequestID
 	up    bool
 	buf   []byte
 	msg   http1.Message
@@ -119,14 +119,14 @@
 
 // Proxy is the program. Use New.
 type Proxy struct {
-	setup   Setup
+	setup   Config
 	io      env.IO
 	Core    *forwarding.Proxy
 	clients map[env.Conn]*client
 	ups     map[env.Conn]*upstream
 	targets map[balancer.Server]*target
-	queries map[forwarding.Query]*pending
-	tries   map[forwarding.Try]*upstream
+	queries map[forwarding.RequestID]*pending
+	tries   map[forwarding.AttemptID]*upstream
 	session follower
 	chance  uint64
 	bytes   []byte
@@ -134,20 +134,20 @@
 	dirty   bool
 	checked float64
 	report  float64
-	Counts  Counts
+	Stats   Stats
 }
 
-// Counts is what happened, for metrics.
-type Counts struct{ Malformed, Clients, Dials, Reused, Saved, SaveFailed, Excess int }
+// Stats is what happened, for metrics.
+type Stats struct{ Malformed, Clients, Dials, Reused, Saved, SaveFailed, Excess int }
 
 // New makes a proxy; it does nothing until Start.
-func New(now float64, s Setup) *Proxy {
-	p := &Proxy{setup: s, Core: forwarding.New(now, s.Forward), clients: map[env.Conn]*client{}, ups: map[env.Conn]*upstream{},
-		targets: map[balancer.Server]*target{}, queries: map[forwarding.Query]*pending{}, tries: map[forwarding.Try]*upstream{},
+func New(now float64, s Config) *Proxy {
+	p := &Proxy{setup: s, Core: forwarding.New(now, s.Forwarding), clients: map[env.Conn]*client{}, ups: map[env.Conn]*upstream{},
+		targets: map[balancer.Server]*target{}, queries: map[forwarding.RequestID]*pending{}, tries: map[forwarding.AttemptID]*upstream{},
 		chance: s.Seed*2 + 1}
 	slices.SortStableFunc(p.setup.Routes, func(a, b Route) int { return cmp.Compare(len(b.Prefix), len(a.Prefix)) })
-	if s.Say == nil {
-		p.setup.Say = func(string, ...any) {}
+	if s.Log == nil {
+		p.setup.Log = func(string, ...any) {}
 	}
 	return p
 }
@@ -160,31 +160,31 @@
 // Start of env.Program.
 func (p *Proxy) Start(now float64, io env.IO) {
 	p.io = io
-	for c := range p.setup.Forward.Names {
-		for _, s := range p.setup.Standing {
-			p.Core.Tables.Of(balancer.Class(c)).Set(s, 1)
+	for c := range p.setup.Forwarding.ClassNames {
+		for _, s := range p.setup.DefaultServers {
+			p.Core.Tables.Table(balancer.Class(c)).Set(s, 1)
 		}
 	}
 	if p.setup.Store != nil {
 		if b, err := p.setup.Store.Load(); err != nil {
-			p.setup.Say("snapshot not read", "error", err)
+			p.setup.Log("snapshot not read", "error", err)
 		} else if b != nil {
 			if err := p.Core.Tables.Restore(now, b); err != nil {
-				p.setup.Say("snapshot not used", "error", err)
+				p.setup.Log("snapshot not used", "error", err)
 			} else {
-				p.setup.Say("goes on by a former life's table", "age", p.Core.Tables.Age(now))
+				p.setup.Log("goes on by a former life's table", "age", p.Core.Tables.Age(now))
 			}
 		}
 	}
 	p.session.start(now, p)
-	p.report = now + p.setup.Report*p.float()
+	p.report = now + p.setup.ReportInterval*p.float()
 	io.SetTimer(now+wakeEvery, 0)
 }
 
 // Opened of env.Program.
 func (p *Proxy) Opened(now float64, id env.Conn, _ netip.Addr, _ uint16) {
-	if len(p.clients) >= p.setup.Limits.Clients {
-		p.Counts.Clients++
+	if len(p.clients) >= p.setup.Limits.MaxClients {
+		p.Stats.Clients++
 		p.io.Close(id)
 		return
 	}
@@ -202,7 +202,7 @@
 	}
 	if !ok {
 		p.drop(u)
-		p.obey(now, p.Core.Failed(now, u.try, retry.NeverRan))
+		p.obey(now, p.Core.AttemptFailed(now, u.try, retry.NotExecuted))
 		return
 	}
 	u.up = true
@@ -272,7 +272,7 @@
 
 // bad answers what can't be followed, and ends the connection.
 func (p *Proxy) bad(now float64, c *client, status int, why string) {
-	p.Counts.Malformed++
+	p.Stats.Malformed++
 	c.ended = true
 	p.answer(now, c, "", problem(status, why, 0))
 }
@@ -312,15 +312,15 @@
 		p.direct(c, m.Method, problem(404, "no class of queries is at this path", 0))
 		return
 	}
-	a := forwarding.Ask{Class: class, Key: m.Get(keyField)}
+	a := forwarding.Request{Class: class, IdempotencyKey: m.Get(keyField)}
 	q := &pending{client: c, method: m.Method, bytes: http1.AppendRequest(nil, m)}
-	if a.Key != "" {
+	if a.IdempotencyKey != "" {
 		d := xxhash.New()
 		_, _ = d.WriteString(m.Method + " " + m.Target + "\n")
 		_, _ = d.Write(m.Body)
-		a.Print = d.Sum64()
+		a.Fingerprint = d.Sum64()
 	}
-	n, orders := p.Core.Ask(now, a)
+	n, orders := p.Core.HandleRequest(now, a)
 	p.queries[n], c.query = q, n
 	p.obey(now, orders)
 }
@@ -336,17 +336,17 @@
 }
 
 // obey does what was ordered.
-func (p *Proxy) obey(now float64, orders []forwarding.Order) {
+func (p *Proxy) obey(now float64, orders []forwarding.Action) {
 	for _, o := range orders {
 		switch o.Kind {
 		case forwarding.Send:
 			p.try(now, o)
 		case forwarding.Cancel:
-			if u := p.tries[o.Try]; u != nil {
+			if u := p.tries[o.Attempt]; u != nil {
 				p.drop(u)
 				p.io.Close(u.id)
 			}
-		case forwarding.Fail, forwarding.Refuse:
+		case forwarding.Fail, forwarding.Reject:
 			p.fail(now, o)
 		}
 	}
@@ -355,15 +355,15 @@
 var statuses = []struct {
 	why    error
 	status int
-}{{forwarding.ErrKey, 422}, {forwarding.ErrLate, 504}, {forwarding.ErrFailed, 502}, {forwarding.ErrNowhere, 503}, {admission.ErrLevel, 503},
-	{admission.ErrBusy, 503}}
+}{{forwarding.ErrKeyReused, 422}, {forwarding.ErrDeadlineExceeded, 504}, {forwarding.ErrAttemptsFailed, 502}, {forwarding.ErrNoServer, 503}, {admission.ErrRateLimited, 503},
+	{admission.ErrTooManyInFlight, 503}}
 
-func (p *Proxy) fail(now float64, o forwarding.Order) {
-	q := p.queries[o.Query]
-	if delete(p.queries, o.Query); q == nil || q.client == nil {
+func (p *Proxy) fail(now float64, o forwarding.Action) {
+	q := p.queries[o.Request]
+	if delete(p.queries, o.Request); q == nil || q.client == nil {
 		return
 	}
-	if q.last != nil && errors.Is(o.Why, forwarding.ErrFailed) { // what the server itself says is better than that it failed
+	if q.last != nil && errors.Is(o.Err, forwarding.ErrAttemptsFailed) { // what the server itself says is better than that it failed
 		var m http1.Message
 		if _, err := http1.Response(q.last, q.method, p.setup.Limits.HTTP, &m); err == nil {
 			p.finish(now, q.client, q.method, &m)
@@ -372,11 +372,11 @@
 	}
 	status := 502
 	for _, s := range statuses {
-		if errors.Is(o.Why, s.why) {
+		if errors.Is(o.Err, s.why) {
 			status = s.status
 		}
 	}
-	p.finish(now, q.client, q.method, problem(status, o.Why.Error(), o.Back))
+	p.finish(now, q.client, q.method, problem(status, o.Err.Error(), o.RetryAfter))
 }
 
 // finish answers a client from wherever its query ended: within the loop that reads it, or later.
@@ -388,31 +388,31 @@
 	p.answer(now, c, method, m)
 }
 
-func (p *Proxy) try(now float64, o forwarding.Order) {
+func (p *Proxy) try(now float64, o forwarding.Action) {
 	t := p.targets[o.Server]
 	if t == nil {
 		at, err := netip.ParseAddrPort(string(o.Server))
 		if err != nil {
-			p.obey(now, p.Core.Failed(now, o.Try, retry.NeverRan))
+			p.obey(now, p.Core.AttemptFailed(now, o.Attempt, retry.NotExecuted))
 			return
 		}
 		t = &target{server: o.Server, at: at}
 		p.targets[o.Server] = t
 	}
-	if t.gone = false; p.setup.Watch != nil {
-		p.setup.Watch.Sent(now, o.Server)
+	if t.gone = false; p.setup.Observer != nil {
+		p.setup.Observer.AttemptSent(now, o.Server)
 	}
 	var u *upstream
 	if n := len(t.idle); n > 0 {
 		u, t.idle = t.idle[n-1], t.idle[:n-1]
-		p.Counts.Reused++
+		p.Stats.Reused++
 	} else {
 		u = &upstream{id: p.io.Dial(t.at), to: t}
 		p.ups[u.id] = u
-		p.Counts.Dials++
+		p.Stats.Dials++
 	}
-	u.try, u.query, u.buf = o.Try, o.Query, u.buf[:0]
-	if p.tries[o.Try] = u; u.up {
+	u.try, u.query, u.buf = o.Attempt, o.Request, u.buf[:0]
+	if p.tries[o.Attempt] = u; u.up {
 		p.transmit(u)
 	}
 }
@@ -420,7 +420,7 @@
 // response takes bytes of a server.
 func (p *Proxy) response(now float64, u *upstream, b []byte) {
 	if u.try == 0 { // it speaks unasked
-		p.Counts.Excess++
+		p.Stats.Excess++
 		p.drop(u)
 		p.io.Close(u.id)
 		return
@@ -455,22 +455,22 @@
 	excess := len(u.buf) > n
 	delete(p.tries, t)
 	u.try, u.query, u.msg = 0, 0, http1.Message{}
-	keep := !msg.Close && !excess && !u.to.gone && len(u.to.idle) < p.setup.Limits.ByServer
+	keep := !msg.Close && !excess && !u.to.gone && len(u.to.idle) < p.setup.Limits.MaxIdlePerServer
 	if excess {
-		p.Counts.Excess++
+		p.Stats.Excess++
 	}
 	if msg.Status >= 500 {
 		raw := slices.Clone(u.buf[:n])
 		p.release(u, keep)
-		outcome := retry.MayHaveRun
+		outcome := retry.MaybeExecuted
 		if msg.Status == 503 && strings.EqualFold(msg.Get(ranField), "no") {
-			outcome = retry.NeverRan
+			outcome = retry.NotExecuted
 		}
 		p.lastOf(t, raw)
-		p.obey(now, p.Core.Failed(now, t, outcome))
+		p.obey(now, p.Core.AttemptFailed(now, t, outcome))
 		return
 	}
-	id, orders, ok := p.Core.Answered(now, t)
+	id, orders, ok := p.Core.AttemptSucceeded(now, t)
 	if q := p.queries[id]; ok && q != nil {
 		delete(p.queries, id)
 		if q.client != nil {
@@ -482,8 +482,8 @@
 }
 
 // lastOf keeps a server's own words on a failure.
-func (p *Proxy) lastOf(t forwarding.Try, raw []byte) {
-	if n, ok := p.Core.Of(t); ok && p.queries[n] != nil {
+func (p *Proxy) lastOf(t forwarding.AttemptID, raw []byte) {
+	if n, ok := p.Core.RequestOf(t); ok && p.queries[n] != nil {
 		p.queries[n].last = raw
 	}
 }
@@ -506,7 +506,7 @@
 func (p *Proxy) broken(now float64, u *upstream) {
 	t := u.try
 	if p.drop(u); t != 0 {
-		p.obey(now, p.Core.Failed(now, t, retry.MayHaveRun))
+		p.obey(now, p.Core.AttemptFailed(now, t, retry.MaybeExecuted))
 	}
 }
 
@@ -517,7 +517,7 @@
 		if q := p.queries[c.query]; q != nil && c.query != 0 {
 			q.client = nil
 			delete(p.queries, c.query)
-			p.obey(now, p.Core.Left(c.query))
+			p.obey(now, p.Core.ClientGone(c.query))
 		}
 		return
 	}
@@ -553,8 +553,8 @@
 func (p *Proxy) TimerFired(now float64, _ int) {
 	p.obey(now, p.Core.Tick(now))
 	p.session.tick(now)
-	if p.setup.Collect != 0 && now >= p.report {
-		p.report = now + p.setup.Report
+	if p.setup.CollectorPort != 0 && now >= p.report {
+		p.report = now + p.setup.ReportInterval
 		p.reports(now)
 	}
 	if p.dirty && now-p.savedAt >= saveEvery {
@@ -572,7 +572,7 @@
 
 func (p *Proxy) silent(now float64) (list []*client) {
 	for _, c := range p.clients {
-		if c.query == 0 && now-c.since > p.setup.Limits.Silent {
+		if c.query == 0 && now-c.since > p.setup.Limits.IdleTimeout {
 			list = append(list, c)
 		}
 	}
@@ -586,17 +586,17 @@
 	if err == nil {
 		err = p.setup.Store.Save(b)
 	}
-	if p.Counts.Saved++; err != nil {
-		p.Counts.SaveFailed++
-		p.setup.Say("snapshot not saved", "error", err)
+	if p.Stats.Saved++; err != nil {
+		p.Stats.SaveFailed++
+		p.setup.Log("snapshot not saved", "error", err)
 	}
 }
 
 func (p *Proxy) reports(now float64) {
-	to := netip.AddrPortFrom(p.session.at().Addr(), p.setup.Collect)
-	k := collectd.NewPacker(now, p.setup.UID, p.setup.User, p.setup.KeyOf, func(b []byte) { p.io.Datagram(to, b) })
+	to := netip.AddrPortFrom(p.session.at().Addr(), p.setup.CollectorPort)
+	k := collectd.NewPacker(now, p.setup.UID, p.setup.User, p.setup.Key, func(b []byte) { p.io.Datagram(to, b) })
 	p.Core.Reports(func(s balancer.Server, t loadreport.Totals) { k.Traffic(string(s), t) },
-		func(c balancer.Class, t loadreport.Totals) { k.Demand(p.setup.Forward.Names[c], t) })
+		func(c balancer.Class, t loadreport.Totals) { k.Demand(p.setup.Forwarding.ClassNames[c], t) })
 	k.Flush()
 }
 
@@ -604,7 +604,7 @@
 // there go on.
 func (p *Proxy) changed(now float64, lines int, left []balancer.Server) {
 	p.dirty = p.setup.Store != nil
-	p.Core.Retire(left)
+	p.Core.RemoveServers(left)
 	for _, s := range left {
 		t := p.targets[s]
 		if t == nil {
@@ -618,14 +618,14 @@
 		}
 		delete(p.targets, s)
 	}
-	if p.setup.Watch != nil {
-		p.setup.Watch.Table(now, lines, p.has())
+	if p.setup.Observer != nil {
+		p.setup.Observer.TableChanged(now, lines, p.has())
 	}
 }
 
 func (p *Proxy) has() (has []bool) {
-	for c := range p.setup.Forward.Names {
-		has = append(has, p.Core.Tables.Of(balancer.Class(c)).Len() > 0)
+	for c := range p.setup.Forwarding.ClassNames {
+		has = append(has, p.Core.Tables.Table(balancer.Class(c)).Len() > 0)
 	}
 	return has
 }
@@ -633,5 +633,7 @@
 // Clients is the number of clients' connections.
 func (p *Proxy) Clients() int { return len(p.clients) }
 
-// Follows tells whether the proxy is led now, and by whom it was last.
-func (p *Proxy) Follows() (joined bool, at netip.AddrPort) { return p.session.joined, p.session.at() }
+// Coordinator tells whether the proxy is led now, and by whom it was last.
+func (p *Proxy) Coordinator() (joined bool, at netip.AddrPort) {
+	return p.session.joined, p.session.at()
+}
--- a/internal/proxy/proxy_test.go
+++ b/internal/proxy/proxy_test.go
@@ -128,20 +128,20 @@
 	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 1, byte(i + 1)}), 80)
 }
 
-func setup(servers int) Setup {
-	s := Setup{UID: "proxy-1", Routes: []Route{{"/search", 0}, {"/introduce", 1}, {"/once", 2}}, Limits: UsualLimits, Seed: 1,
-		Forward: forwarding.Setup{Names: []string{"search", "introduce", "once"}, Ways: []balancer.RetryPolicy{balancer.RetryOnce, balancer.RetryOnce, balancer.RetryIfNotExecuted},
+func setup(servers int) Config {
+	s := Config{UID: "proxy-1", Routes: []Route{{"/search", 0}, {"/introduce", 1}, {"/once", 2}}, Limits: DefaultLimits, Seed: 1,
+		Forwarding: forwarding.Config{ClassNames: []string{"search", "introduce", "once"}, RetryPolicies: []balancer.RetryPolicy{balancer.RetryOnce, balancer.RetryOnce, balancer.RetryIfNotExecuted},
 			Classes: []balancer.RequestClass{{LatencyObjective: 1, ClientTimeout: 5}, {LatencyObjective: 1, ClientTimeout: 5, Idempotency: balancer.Keyed, DedupWindow: 4},
 				{LatencyObjective: 1, ClientTimeout: 5, Idempotency: balancer.NonIdempotent}},
-			Limits: admission.UsualLimits, Avoid: outlier.UsualTerms, Budget: retry.Budget{Part: 1, Burst: 100},
-			Make: func(c int) picker.Table { return picker.NewEven(uint64(c)) }}}
+			Limits: admission.DefaultLimits, Outliers: outlier.DefaultConfig, Budget: retry.Budget{Ratio: 1, Burst: 100},
+			NewTable: func(c int) picker.Table { return picker.NewSmoothWeighted(uint64(c)) }}}
 	for i := range servers {
-		s.Standing = append(s.Standing, balancer.Server(serverAt(i).String()))
+		s.DefaultServers = append(s.DefaultServers, balancer.Server(serverAt(i).String()))
 	}
 	return s
 }
 
-func build(t *testing.T, servers int, change func(*Setup)) *street {
+func build(t *testing.T, servers int, change func(*Config)) *street {
 	w := &street{t: t, net: simnet.New(1, 1000), store: &shelf{}}
 	w.net.Faults.Split = 0.3
 	s := setup(servers)
@@ -196,8 +196,8 @@
 	if n := strings.Count(u.got, "HTTP/1.1 200"); n != 3 || u.ended || w.proxy.Clients() != 1 {
 		t.Errorf("%d answers, ended %t: %s", n, u.ended, u.got)
 	}
-	if w.proxy.Counts.Reused != 1 {
-		t.Errorf("%d connections were used again", w.proxy.Counts.Reused)
+	if w.proxy.Stats.Reused != 1 {
+		t.Errorf("%d connections were used again", w.proxy.Stats.Reused)
 	}
 	if u = w.user("GET /search HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n", 0); true {
 		w.run(1)
@@ -249,8 +249,8 @@
 		if once != 6 {
 			t.Errorf("%s: %d of 6 single-shot queries reached a server", how, once)
 		}
-		if w.proxy.Core.Under() != 0 || len(w.proxy.queries) != 0 || len(w.proxy.tries) != 0 {
-			t.Errorf("%s: %d queries are left", how, w.proxy.Core.Under())
+		if w.proxy.Core.InFlight() != 0 || len(w.proxy.queries) != 0 || len(w.proxy.tries) != 0 {
+			t.Errorf("%s: %d queries are left", how, w.proxy.Core.InFlight())
 		}
 	}
 	w := build(t, 2, nil)
@@ -276,15 +276,15 @@
 	w.servers[0].how = "silent"
 	w.user(get("/search"), 0.3)
 	w.run(0.6)
-	if w.servers[0].closed != 1 || w.proxy.Core.Under() != 0 || len(w.proxy.queries) != 0 || w.proxy.Clients() != 0 {
-		t.Errorf("%d connections closed, %d under way", w.servers[0].closed, w.proxy.Core.Under())
+	if w.servers[0].closed != 1 || w.proxy.Core.InFlight() != 0 || len(w.proxy.queries) != 0 || w.proxy.Clients() != 0 {
+		t.Errorf("%d connections closed, %d under way", w.servers[0].closed, w.proxy.Core.InFlight())
 	}
 }
 
 func TestBadClients(t *testing.T) {
-	w := build(t, 1, func(s *Setup) {
+	w := build(t, 1, func(s *Config) {
 		s.Limits.HTTP = http1.Limits{Head: 500, Body: 1000, Fields: 20}
-		s.Limits.Clients, s.Limits.Silent = 3, 5
+		s.Limits.MaxClients, s.Limits.IdleTimeout = 3, 5
 	})
 	for send, status := range map[string]string{
 		"POST /search HTTP/1.1\r\nHost: x\r\nContent-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n": "400",
@@ -368,8 +368,8 @@
 func TestTablesAreFollowed(t *testing.T) {
 	at := []netip.AddrPort{netip.MustParseAddrPort("10.0.3.1:3000"), netip.MustParseAddrPort("10.0.3.2:3000")}
 	var shelf shelf
-	change := func(s *Setup) {
-		s.Coordinators, s.Standing, s.Store, s.Seed = at, nil, &shelf, 7
+	change := func(s *Config) {
+		s.Coordinators, s.DefaultServers, s.Store, s.Seed = at, nil, &shelf, 7
 	}
 	w := build(t, 3, change)
 	desks, hosts := []*desk{{}, {}}, []*simnet.Host{}
@@ -387,7 +387,7 @@
 	}
 	first.tell(tables(1, 5, 0, 1))
 	w.run(0.2)
-	if joined, _ := w.proxy.Follows(); !joined || !strings.Contains(first.asked[len(first.asked)-1], "lead=5") {
+	if joined, _ := w.proxy.Coordinator(); !joined || !strings.Contains(first.asked[len(first.asked)-1], "lead=5") {
 		t.Fatalf("joined %t, asked %q", joined, first.asked)
 	}
 	for range 4 {
@@ -430,7 +430,7 @@
 	}
 	other.tell(tables(9, 4, 1)) // it has not heard that the proxy changed hands
 	w.run(0.2)
-	if s := w.proxy.Core.Tables.Of(0); s.Weight(balancer.Server(serverAt(1).String())) != 0 || s.Len() != 2 {
+	if s := w.proxy.Core.Tables.Table(0); s.Weight(balancer.Server(serverAt(1).String())) != 0 || s.Len() != 2 {
 		t.Error("a table of an older epoch is followed")
 	}
 	for i := range desks {
@@ -445,16 +445,16 @@
 	u := w.user(get("/search"), 0)
 	w.run(0.5)
 	w.want(u, "HTTP/1.1 200")
-	if w.proxy.Core.Tables.Of(0).Len() != 2 {
+	if w.proxy.Core.Tables.Table(0).Len() != 2 {
 		t.Error("it has forgotten its table")
 	}
 }
 
-func places(servers int) map[balancer.Server]retry.Place {
-	at := map[balancer.Server]retry.Place{}
+func places(servers int) map[balancer.Server]retry.Location {
+	at := map[balancer.Server]retry.Location{}
 	for i := range servers {
 		s := balancer.Server(serverAt(i).String())
-		at[s] = retry.Place{Server: s, Pod: balancer.FailureDomain(i / 2)}
+		at[s] = retry.Location{Server: s, FailureDomain: balancer.FailureDomain(i / 2)}
 	}
 	return at
 }
@@ -463,7 +463,7 @@
 // builds on one that was lost is not applied.
 func TestOrdersDuringAStall(t *testing.T) {
 	at := netip.MustParseAddrPort("10.0.3.1:3000")
-	w := build(t, 3, func(s *Setup) { s.Coordinators = []netip.AddrPort{at} })
+	w := build(t, 3, func(s *Config) { s.Coordinators = []netip.AddrPort{at} })
 	d := &desk{}
 	w.net.Add(at.Addr(), 0, false).Start(d)
 	w.run(3)
@@ -472,11 +472,11 @@
 		d.tell(tables(v, 0, int(v)%3))
 	}
 	w.run(1)
-	if w.proxy.Core.Tables.Of(0).Len() != 3 {
+	if w.proxy.Core.Tables.Table(0).Len() != 3 {
 		t.Error("it applies what it has not read")
 	}
 	w.run(2)
-	if l := w.proxy.Core.Tables.Of(0).Lines(); len(l) != 1 || l[0].Server != balancer.Server(serverAt(2).String()) {
+	if l := w.proxy.Core.Tables.Table(0).Entries(); len(l) != 1 || l[0].Server != balancer.Server(serverAt(2).String()) {
 		t.Errorf("after the stall it holds %v", l)
 	}
 	late := tables(9, 0, 0)
@@ -484,7 +484,7 @@
 	asked := len(d.asked)
 	d.tell(late)
 	w.run(1)
-	if _, v, _ := w.proxy.Core.Tables.Holds(); v != 0 || len(d.asked) <= asked || strings.Contains(d.asked[len(d.asked)-1], "version=") {
+	if _, v, _ := w.proxy.Core.Tables.HeldVersion(); v != 0 || len(d.asked) <= asked || strings.Contains(d.asked[len(d.asked)-1], "version=") {
 		t.Errorf("it holds version %d and asked %q", v, d.asked[asked:])
 	}
 }
@@ -492,7 +492,7 @@
 // All servers fail at once: each query ends within its client timeout, repeats stay within their budget, and when the servers
 // are well again queries are answered at once.
 func TestAllServersFail(t *testing.T) {
-	w := build(t, 3, func(s *Setup) { s.Forward.Budget = retry.Budget{Part: 0.1, Burst: 5} })
+	w := build(t, 3, func(s *Config) { s.Forwarding.Budget = retry.Budget{Ratio: 0.1, Burst: 5} })
 	for _, s := range w.servers {
 		s.how = "fails"
 	}
@@ -504,7 +504,7 @@
 	for _, u := range users {
 		w.want(u, "HTTP/1.1 500")
 	}
-	if c := w.proxy.Core.Counts; c.Repeats > 16 || c.OverBudget == 0 || w.proxy.Core.Under() != 0 {
+	if c := w.proxy.Core.Stats; c.Retries > 16 || c.OverBudget == 0 || w.proxy.Core.InFlight() != 0 {
 		t.Errorf("%+v", c)
 	}
 	for _, s := range w.servers {
--- a/internal/scenario/proxies.go
+++ b/internal/scenario/proxies.go
@@ -38,25 +38,25 @@
 	lives uint64
 }
 
-func (p *play) proxySetup(i int) proxy.Setup {
+func (p *play) proxySetup(i int) proxy.Config {
 	c := p.day.Coordinator
 	site := &c.Site
 	x := p.reals[i]
 	seed := p.opts.Seed<<16 + uint64(i+1) + x.lives<<40
 	seen := &emulator.Seen{Ref: p.ref, UID: site.Relays[i].UID}
-	s := proxy.Setup{UID: seen.UID, Limits: proxy.UsualLimits, Collect: c.Measurements.Port(), User: c.User, KeyOf: c.Key,
-		Report: site.Reporting.Period, Seed: seed, Store: &x.shelf, Watch: seen,
-		Forward: forwarding.Setup{Names: site.ClassNames, Classes: site.Classes, Ways: site.RetryPolicies, Levels: site.DataPlane.Admission,
-			Limits: admission.UsualLimits, Avoid: outlier.Terms{After: site.DataPlane.EjectAfterFailures, For: outlier.UsualTerms.For, Most: outlier.UsualTerms.Most},
-			Budget: retry.UsualBudget, Places: map[balancer.Server]retry.Place{},
-			Make: func(class int) picker.Table { return picker.NewEven(seed + uint64(class)) }}}
+	s := proxy.Config{UID: seen.UID, Limits: proxy.DefaultLimits, CollectorPort: c.Measurements.Port(), User: c.User, Key: c.Key,
+		ReportInterval: site.Reporting.Period, Seed: seed, Store: &x.shelf, Observer: seen,
+		Forwarding: forwarding.Config{ClassNames: site.ClassNames, Classes: site.Classes, RetryPolicies: site.RetryPolicies, AdmissionMode: site.DataPlane.Admission,
+			Limits: admission.DefaultLimits, Outliers: outlier.Config{ConsecutiveFailures: site.DataPlane.EjectAfterFailures, BaseEjection: outlier.DefaultConfig.BaseEjection, MaxEjection: outlier.DefaultConfig.MaxEjection},
+			Budget: retry.DefaultBudget, Locations: map[balancer.Server]retry.Location{},
+			NewTable: func(class int) picker.Table { return picker.NewSmoothWeighted(seed + uint64(class)) }}}
 	for k, name := range site.ClassNames {
 		at := slices.IndexFunc(p.classes, func(q emulator.Class) bool { return q.Name == name })
 		seen.Classes = append(seen.Classes, at)
 		s.Routes = append(s.Routes, proxy.Route{Prefix: "/" + name, Class: balancer.Class(k)})
 	}
 	for _, v := range site.Servers {
-		s.Forward.Places[v.Server] = retry.Place{Server: v.Server, Zone: v.Zone, Pod: v.FailureDomain}
+		s.Forwarding.Locations[v.Server] = retry.Location{Server: v.Server, Zone: v.Zone, FailureDomain: v.FailureDomain}
 	}
 	at := c.SASP
 	polls := p.opts.Front == "http" || p.opts.Front == "both" && i%2 == 1
@@ -77,7 +77,7 @@
 	p.reals = append(p.reals, x)
 	s := p.proxySetup(i)
 	for _, a := range standing {
-		s.Standing = append(s.Standing, balancer.Server(a.String()))
+		s.DefaultServers = append(s.DefaultServers, balancer.Server(a.String()))
 	}
 	zone := int(p.day.Coordinator.Site.Relays[i].Zone)
 	at := netip.AddrPortFrom(relayAddr(i).Addr(), clientPort)
--- a/internal/service/proxy.go
+++ b/internal/service/proxy.go
@@ -48,15 +48,15 @@
 	if c.Path != "" {
 		c.Store = snapshot(c.Path)
 	}
-	c.Say = func(event string, pairs ...any) { log.Info(event, pairs...) }
+	c.Log = func(event string, pairs ...any) { log.Info(event, pairs...) }
 	clock := eventloop.Clock()
-	program := proxy.New(clock(), c.Setup)
+	program := proxy.New(clock(), c.Config)
 	server, err := eventloop.Listen(program, []netip.AddrPort{c.Listen}, netip.AddrPort{}, clock)
 	if err != nil {
 		return err
 	}
 	defer func() { err = errors.Join(err, server.Stop()) }()
-	log.Info("proxy runs", "uid", c.UID, "clients", c.Listen, "coordinators", c.Coordinators, "classes", c.Forward.Names)
+	log.Info("proxy runs", "uid", c.UID, "clients", c.Listen, "coordinators", c.Coordinators, "classes", c.Forwarding.ClassNames)
 	if c.Metrics.IsValid() {
 		registry := prometheus.NewRegistry()
 		registry.MustRegister(&proxyState{server, program})
@@ -83,31 +83,31 @@
 func (s *proxyState) Collect(out chan<- prometheus.Metric) {
 	s.server.Do(func(now float64) {
 		gauge, count := figures("snowquay_proxy_", out)
-		p, c := s.program, s.program.Core.Counts
+		p, c := s.program, s.program.Core.Stats
 		led := 0.0
-		if joined, _ := p.Follows(); joined {
+		if joined, _ := p.Coordinator(); joined {
 			led = 1
 		}
 		gauge("led", "1 while a coordinator leads the proxy.", led)
 		gauge("table_age_seconds", "Since the table was last known to be the newest.", p.Core.Tables.Age(now))
-		gauge("queries_under_way", "Queries under way.", float64(p.Core.Under()))
+		gauge("queries_under_way", "Queries under way.", float64(p.Core.InFlight()))
 		gauge("client_connections", "Connections of clients.", float64(p.Clients()))
-		count("queries", "Queries.", c.Asked)
+		count("queries", "Queries.", c.Requests)
 		count("answered", "Answered.", c.Answered)
 		count("failed", "Without an answer after all tries.", c.Failed)
 		count("late", "Whose client timeout was over.", c.Late)
-		count("refused", "Refused by levels and limits.", c.Refused)
-		count("nowhere", "For which no server had room, or a line.", c.Nowhere)
-		count("keys_reused", "With a key that another query had.", c.Keys)
-		count("tries", "Tries.", c.Tries)
-		count("repeats", "Repeats.", c.Repeats)
+		count("refused", "Refused by levels and limits.", c.Rejected)
+		count("nowhere", "For which no server had room, or a line.", c.NoServer)
+		count("keys_reused", "With a key that another query had.", c.KeysReused)
+		count("tries", "Tries.", c.Attempts)
+		count("repeats", "Repeats.", c.Retries)
 		count("hedges", "Hedges.", c.Hedges)
 		count("over_budget", "Repeats that the budget forbade.", c.OverBudget)
-		count("avoided", "Times that a server was avoided.", p.Core.Avoid.Count)
-		count("tables", "Answers with tables that were applied.", p.Core.Tables.Counts.Applied)
-		count("tables_old", "Of an older epoch, refused.", p.Core.Tables.Counts.Old)
-		count("malformed", "Requests that could not be read.", p.Counts.Malformed)
-		count("dials", "Connections to servers.", p.Counts.Dials)
-		count("snapshots_failed", "Snapshots that could not be saved.", p.Counts.SaveFailed)
+		count("avoided", "Times that a server was avoided.", p.Core.Outliers.Ejections)
+		count("tables", "Answers with tables that were applied.", p.Core.Tables.Stats.Applied)
+		count("tables_old", "Of an older epoch, refused.", p.Core.Tables.Stats.Outdated)
+		count("malformed", "Requests that could not be read.", p.Stats.Malformed)
+		count("dials", "Connections to servers.", p.Stats.Dials)
+		count("snapshots_failed", "Snapshots that could not be saved.", p.Stats.SaveFailed)
 	})
 }
--- a/internal/settings/proxy.go
+++ b/internal/settings/proxy.go
@@ -18,7 +18,7 @@
 
 // Proxy is what a proxy's settings file says, ready to act.
 type Proxy struct {
-	proxy.Setup
+	proxy.Config
 	Listen  netip.AddrPort
 	Metrics netip.AddrPort // not valid: none
 	Path    string         // of the snapshot; empty: none
@@ -57,18 +57,18 @@
 	l := root.one("listen")
 	p.UID, p.Listen, p.Metrics, p.Path = root.attrs["uid"], r.endpoint(l, "clients"), r.endpoint(l, "metrics"), l.attrs["store"]
 	p.Seed = uint64(root.int("seed"))
-	f := &p.Forward
-	f.Names, f.Classes, f.Ways = site.ClassNames, site.Classes, site.RetryPolicies
-	f.Levels, f.Limits, f.Avoid, f.Budget = levelKinds[root.attrs["levels"]], admission.UsualLimits, outlier.UsualTerms, retry.UsualBudget
+	f := &p.Forwarding
+	f.ClassNames, f.Classes, f.RetryPolicies = site.ClassNames, site.Classes, site.RetryPolicies
+	f.AdmissionMode, f.Limits, f.Outliers, f.Budget = levelKinds[root.attrs["levels"]], admission.DefaultLimits, outlier.DefaultConfig, retry.DefaultBudget
 	seed := p.Seed
-	f.Make = func(class int) picker.Table {
+	f.NewTable = func(class int) picker.Table {
 		if root.attrs["pick"] == "random" {
-			return picker.NewRandom(seed + uint64(class))
+			return picker.NewWeightedRandom(seed + uint64(class))
 		}
-		return picker.NewEven(seed + uint64(class))
+		return picker.NewSmoothWeighted(seed + uint64(class))
 	}
 	for _, n := range root.all("route") {
-		c := slices.Index(f.Names, n.attrs["class"])
+		c := slices.Index(f.ClassNames, n.attrs["class"])
 		if c < 0 {
 			r.wrong(n, "no class is named %q", n.attrs["class"])
 		}
@@ -80,49 +80,49 @@
 		}
 		p.Routes = append(p.Routes, proxy.Route{Prefix: n.attrs["path"], Class: balancer.Class(c)})
 	}
-	f.Places = map[balancer.Server]retry.Place{}
+	f.Locations = map[balancer.Server]retry.Location{}
 	for _, n := range root.all("server") {
 		s := balancer.Server(r.endpoint(n, "address").String())
-		if _, twice := f.Places[s]; twice {
+		if _, twice := f.Locations[s]; twice {
 			r.wrong(n, "%s is listed already", s)
 		}
-		f.Places[s] = retry.Place{Server: s, Zone: r.zone(n, "zone"), Pod: balancer.FailureDomain(n.int("pod"))}
+		f.Locations[s] = retry.Location{Server: s, Zone: r.zone(n, "zone"), FailureDomain: balancer.FailureDomain(n.int("pod"))}
 		if n.bool("standing") {
-			p.Standing = append(p.Standing, s)
+			p.DefaultServers = append(p.DefaultServers, s)
 		}
 	}
 	if n := root.one("coordinators"); n != nil {
 		for _, c := range n.all("coordinator") {
 			p.Coordinators = append(p.Coordinators, r.endpoint(c, "address"))
 		}
-		p.SASP, p.Collect, p.Report = n.attrs["speak"] == "sasp", uint16(n.int("reports")), n.number("period")
-		p.User, p.KeyOf = n.attrs["user"], n.attrs["key"]
-		if (p.User == "") != (p.KeyOf == "") {
+		p.SASP, p.CollectorPort, p.ReportInterval = n.attrs["speak"] == "sasp", uint16(n.int("reports")), n.number("period")
+		p.User, p.Key = n.attrs["user"], n.attrs["key"]
+		if (p.User == "") != (p.Key == "") {
 			r.wrong(n, "user and key belong together")
 		}
 		if n.int("reports") > 65535 {
 			r.wrong(n, "reports: no port")
 		}
 	}
-	if len(p.Standing) == 0 && len(p.Coordinators) == 0 {
+	if len(p.DefaultServers) == 0 && len(p.Coordinators) == 0 {
 		r.wrong(root, "neither coordinators nor a server with standing: there is nowhere to send to")
 	}
 	if n := root.one("repeats"); n != nil {
-		f.Budget, f.Hedge = retry.Budget{Part: n.number("part"), Burst: n.number("burst")}, n.number("hedge-after")
+		f.Budget, f.HedgeAfter = retry.Budget{Ratio: n.number("part"), Burst: n.number("burst")}, n.number("hedge-after")
 	}
 	if n := root.one("avoid"); n != nil {
-		f.Avoid = outlier.Terms{After: n.int("after"), For: n.number("for"), Most: n.number("most")}
+		f.Outliers = outlier.Config{ConsecutiveFailures: n.int("after"), BaseEjection: n.number("for"), MaxEjection: n.number("most")}
 	}
-	p.Limits = proxy.UsualLimits
+	p.Limits = proxy.DefaultLimits
 	if n := root.one("limits"); n != nil {
-		for name, to := range map[string]*int{"clients": &p.Limits.Clients, "queries": &f.Limits.Queries, "by-server": &f.Limits.ByServer,
-			"kept": &p.Limits.ByServer, "head-bytes": &p.Limits.HTTP.Head, "body-bytes": &p.Limits.HTTP.Body} {
+		for name, to := range map[string]*int{"clients": &p.Limits.MaxClients, "queries": &f.Limits.MaxInFlight, "by-server": &f.Limits.MaxPerServer,
+			"kept": &p.Limits.MaxIdlePerServer, "head-bytes": &p.Limits.HTTP.Head, "body-bytes": &p.Limits.HTTP.Body} {
 			if v := n.int(name); v > 0 {
 				*to = v
 			}
 		}
 		if v := n.number("silent-for"); v > 0 {
-			p.Limits.Silent = v
+			p.Limits.IdleTimeout = v
 		}
 	}
 	return p, errors.Join(r.errs...)
