--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -41,14 +41,15 @@
 	Tenant   tenants     `cmd:"" help:"Make, change, look at and remove the tenants of a host."`
 	Proxy    proxy       `cmd:"" help:"Run a small proxy that obeys the published tables."`
 	Check    check       `cmd:"" help:"Say what is wrong with a settings file, by line and element, or how it will act."`
-	Rehearse rehearsals  `cmd:"" help:"Play a bad day with embedded stand-ins and judge the rules."`
-	Lab      labs        `cmd:"" help:"Experiments in virtual time: runs, sweeps, comparisons, reports, small bad days."`
-	Drain    drain       `cmd:"" help:"Order a drain, or its end, by the administration API, and follow it."`
-	Preview  preview     `cmd:"" help:"Say why servers must not be drained together."`
-	Explain  explain     `cmd:"" help:"Say why a proxy's latest orders were given, and when it held them."`
-	Servers  servers     `cmd:"" help:"List the servers that a coordinator knows."`
-	Group    group       `cmd:"" help:"Look at coordinators that share a fleet, or take one out."`
-	Schema   schema      `cmd:"" help:"Print the schema of settings and days."`
+	Scenario scenarios   `cmd:"" aliases:"rehearse" help:"Play a scenario with faults against emulated servers and relays, and judge the rules."`
+
+	Experiment experiments `cmd:"" aliases:"lab" help:"Experiments in virtual time: runs, sweeps, comparisons, reports, small bad days."`
+	Drain      drain       `cmd:"" help:"Order a drain, or its end, by the administration API, and follow it."`
+	Preview    preview     `cmd:"" help:"Say why servers must not be drained together."`
+	Explain    explain     `cmd:"" help:"Say why a proxy's latest orders were given, and when it held them."`
+	Servers    servers     `cmd:"" help:"List the servers that a coordinator knows."`
+	Group      group       `cmd:"" help:"Look at coordinators that share a fleet, or take one out."`
+	Schema     schema      `cmd:"" help:"Print the schema of settings and days."`
 }
 
 type env struct {
@@ -138,7 +139,7 @@
 
 type check struct {
 	Settings string `arg:"" type:"existingfile" help:"Settings file (XML)."`
-	Day      bool   `help:"The file is a day for rehearse."`
+	Day      bool   `help:"The file is a scenario."`
 }
 
 func (c *check) Run(e *env) error {
@@ -369,7 +370,7 @@
 	return err
 }
 
-type rehearsals struct {
+type scenarios struct {
 	Day      rehearsd  `cmd:"" default:"withargs" help:"One day, with one coordinator or several in virtual time."`
 	Hosted   hostedDay `cmd:"" help:"A day of many tenants on one host."`
 	Takeover takeovers `cmd:"" help:"Coordinators as processes of their own, killed and stopped again and again."`
--- a/internal/cli/cli_test.go
+++ b/internal/cli/cli_test.go
@@ -73,3 +73,19 @@
 		}
 	}
 }
+
+func TestFormerCommandNamesWorkAlike(t *testing.T) {
+	for _, names := range [][2]string{{"scenario", "rehearse"}, {"experiment", "lab"}} {
+		for _, args := range [][]string{{"--help"}, {"--no-such-flag"}} {
+			code, out, errOut := command(append([]string{names[0]}, args...)...)
+			formerCode, formerOut, formerErr := command(append([]string{names[1]}, args...)...)
+			if code != formerCode || out != formerOut || errOut != formerErr {
+				t.Errorf("%s %v: exit %d\n%s%s\n%s: exit %d\n%s%s", names[0], args, code, out, errOut, names[1], formerCode, formerOut, formerErr)
+			}
+		}
+	}
+	code, out, _ := command("scenario", "--virtual", "--log-level", "error")
+	if code != 0 || !strings.Contains(out, "rule 5  kept") {
+		t.Errorf("exit %d:\n%s", code, out)
+	}
+}
--- a/internal/cli/lab.go
+++ b/internal/cli/lab.go
@@ -11,12 +11,12 @@
 	"snowquay/internal/settings"
 )
 
-type labs struct {
+type experiments struct {
 	Run     labRun     `cmd:"" help:"Play what a folder lacks of an experiment."`
 	Sweep   labSweep   `cmd:"" help:"Play it, and list the worst days and the worst pairs of troubles."`
 	Compare labCompare `cmd:"" help:"Two arms, by paired seeds, with intervals."`
 	Report  labReport  `cmd:"" help:"Tables and charts of a folder."`
-	Shrink  labShrink  `cmd:"" help:"Make a bad day of a folder small, as a day for rehearse."`
+	Shrink  labShrink  `cmd:"" help:"Make a bad day of a folder small, as a scenario."`
 	One     labOne     `cmd:"" help:"Play one cell and print its record; for arms that are other builds." hidden:""`
 }
 
@@ -167,7 +167,7 @@
 	if err := os.WriteFile(l.Out, text, 0o644); err != nil {
 		return err
 	}
-	console.Printf(e.out, "%s: play it with rehearse --virtual --front %s", l.Out, c.Arm.Front)
+	console.Printf(e.out, "%s: play it with scenario --virtual --front %s", l.Out, c.Arm.Front)
 	if c.Arm.Coordinators > 1 {
 		console.Printf(e.out, " --coordinators %d", c.Arm.Coordinators)
 	}
