--- a/internal/core/membership/lease.go
+++ b/internal/core/membership/lease.go
@@ -2,176 +2,217 @@
 
 import "math"
 
-// LeaseConfig of leases. All clocks are monotonic and local; none is compared with another's.
+// LeaseConfig configures leases. Times are seconds of each coordinator's own monotonic clock; clocks are never compared.
 type LeaseConfig struct {
-	Duration      float64 // seconds that a renewal lets its peer order, from when the peer proposed it, by its own clock
-	MaxClockDrift float64 // part by which two clocks may run apart
-	SafetyMargin  float64 // seconds besides, for an order that is being written when the lease ends
-	RenewInterval float64 // seconds between two renewals
-	RampUp        float64 // seconds in which a newcomer's part grows to the whole; 0: at once
+	Duration      float64 // from the proposal of a renewal, for which it lets its peer give orders
+	MaxClockDrift float64 // fraction by which the rates of two clocks may differ
+	SafetyMargin  float64 // on top, for an order that is being sent when the lease ends
+	RenewInterval float64 // between two renewals
+	RampUp        float64 // in which the weight of a new coordinator grows to its full value; 0: at once
 }
 
+// RenewalsPerLease is how often a lease is renewed before it would end; all but one of these messages may be lost.
+const RenewalsPerLease = 4
+
+// DefaultLeaseConfig is what settings start from. A dead coordinator is noticed within five seconds.
+var DefaultLeaseConfig = LeaseConfig{
+	Duration:      3,    // longer than an election and a few lost messages
+	MaxClockDrift: 0.02, // machines' clocks differ by a thousandth at worst; twenty times that
+	SafetyMargin:  0.5,  // for a slow system call
+	RenewInterval: 0.75, // RenewalsPerLease
+}
+
+// ExpiryTimeout returns the number of seconds since a coordinator's last renewal after which the others may regard it as dead.
+func (c LeaseConfig) ExpiryTimeout() float64 { return c.Duration*(1+c.MaxClockDrift) + c.SafetyMargin }
+
 const (
-	riseSteps   = 8     // in which a newcomer's part grows: each is an epoch, and costs a round of renewals
-	riseShare   = 0.5   // of the channels, that moves of their own accord may take
-	leastRise   = 1.0   // seconds; what is moved faster than that is moved at once
-	longestRise = 600.0 // seconds; longer, and a coordinator that flaps would never lead its part
+	rampSteps        = 8     // in which a weight grows; each is an epoch, and costs a round of renewals
+	rampChannelShare = 0.5   // of each channel's rate that proxies moving during a ramp may use
+	minRampUp        = 1.0   // seconds; a shorter ramp is left out
+	maxRampUp        = 600.0 // seconds; with a longer ramp a coordinator that flaps would never reach its full weight
 )
 
-// RampUpFor is how long a newcomer's part should take to grow, so that the proxies that move to it are told their tables
-// within a share of its channel: a coordinator that comes back must not have to tell all of them at once, with drains
-// behind them. lines is what a proxy is told in all, perSecond the channel's lines.
+// RampUpFor returns how many seconds the weight of a new coordinator should take to grow, so that the proxies that move to it are sent
+// their tables within a fraction of its channel's rate: a coordinator that comes back must not have to send all tables at once, which
+// would delay its drains. lines is the size of all tables of a proxy, perSecond the channel's rate in lines.
 func RampUpFor(proxies, coordinators int, lines, perSecond float64) float64 {
 	if coordinators < 2 || !(perSecond > 0) {
 		return 0
 	}
-	rise := float64(proxies) / float64(coordinators) * lines / (perSecond * riseShare)
-	if rise < leastRise {
+	rampUp := float64(proxies) / float64(coordinators) * lines / (perSecond * rampChannelShare)
+	if rampUp < minRampUp {
 		return 0
 	}
-	return min(rise, longestRise)
+	return min(rampUp, maxRampUp)
 }
 
-// ExpiryTimeout is how long after a coordinator's last renewal the others hold it for dead, at the earliest.
-func (t LeaseConfig) ExpiryTimeout() float64 { return t.Duration*(1+t.MaxClockDrift) + t.SafetyMargin }
-
-// RenewalsPerLease is how often a lease is renewed before it would end: so many messages may be lost.
-const RenewalsPerLease = 4
-
-// DefaultLeaseConfig are those that settings start from: a loss is noticed within five seconds.
-var DefaultLeaseConfig = LeaseConfig{
-	Duration:      3,    // longer than an election and a few lost messages
-	MaxClockDrift: 0.02, // clocks of machines run apart by a thousandth at the worst; twenty times that
-	SafetyMargin:  0.5,  // a system call that the kernel takes its time with
-	RenewInterval: 0.75, // four tries within a lease
+// Lease is one coordinator's view of who may give orders. A peer that has renewed its lease may do so for LeaseConfig.Duration from when
+// it proposed the renewal. The others regard it as dead no earlier than that by their clocks, counted from when they saw the renewal
+// applied, which is later, and extended by the clock drift and a margin. So by the time that anybody takes its proxies over it has
+// stopped, whatever was paused, cut off or late in between. Guards against two coordinators that both believe to lead; it does harm where
+// clocks drift by more than MaxClockDrift, and by leaving proxies without a leader for that long after a failure.
+type Lease struct {
+	self               Peer
+	incarnation        uint64
+	config             LeaseConfig
+	weight             float64
+	lastRenewal        uint64             // number of our newest renewal
+	proposedAt         map[uint64]float64 // by number, of our renewals that are not applied yet
+	lastProposedAt     float64
+	validUntil         float64
+	released           bool
+	rampStartedAt      float64 // 0: not ramping up
+	observed           map[Peer]observedRenewal
+	pauseGuardDisabled bool
 }
 
-// Lease is one coordinator's view of who may order. A peer that has renewed may order for Terms.For from when it proposed
-// that; the others hold it for dead no earlier than that by their clocks, counted from when they saw the renewal applied,
-// which is later, and stretched by the drift, with a margin. So by the time that anybody takes its proxies over, it has
-// stopped, whatever was paused, cut or late between them. Guards against two that believe they lead; it does harm where
-// clocks run apart by more than Drift, and by leaving proxies unled for that long after a death.
-type Lease struct {
-	self     Peer
-	life     uint64
-	terms    LeaseConfig
-	weight   float64
-	next     uint64
-	proposed map[uint64]float64 // when each of our renewals under way was proposed
-	until    float64            // we may order until then
-	last     float64            // when we last proposed
-	retired  bool
-	risen    float64 // when our part began to grow; 0: it is not begun
-	seen     map[Peer]sighting
-	careless bool // pauses are not noticed (a guard left out, for tests)
+// observedRenewal is the newest renewal of another peer.
+type observedRenewal struct {
+	number           uint64
+	appliedAt        float64
+	expiryProposedAt float64
 }
 
-type sighting struct {
-	renewal uint64
-	at      float64 // when it was applied here
-	told    float64 // when its expiry was last proposed
+// NewLease returns the view of a coordinator that starts now; it has to renew before it may give orders. incarnation is a number that no
+// other process of this coordinator has had: renewals that a former process proposed may still be committed, under numbers that this
+// process uses too, and must not count as ours. lastRenewal is the number of this coordinator's newest renewal in the state that it
+// starts from.
+func NewLease(now float64, self Peer, incarnation uint64, weight float64, lastRenewal uint64, config LeaseConfig) *Lease {
+	return &Lease{
+		self:           self,
+		incarnation:    incarnation,
+		config:         config,
+		weight:         weight,
+		lastRenewal:    lastRenewal,
+		proposedAt:     map[uint64]float64{},
+		lastProposedAt: now - config.RenewInterval,
+		observed:       map[Peer]observedRenewal{},
+	}
 }
 
-// NewLease makes the view of a coordinator that starts now. after is the number of the newest renewal of it in the state
-// that it starts from. life is a number that no other process of this coordinator has had: what a former one proposed may still
-// be agreed on, under numbers that this one uses too, and must not count as ours.
-func NewLease(now float64, self Peer, life uint64, weight float64, after uint64, terms LeaseConfig) *Lease {
-	return &Lease{self: self, life: life, terms: terms, weight: weight, next: after, proposed: map[uint64]float64{},
-		last: now - terms.RenewInterval, seen: map[Peer]sighting{}}
+// DisablePauseGuard makes the lease last until its end is noticed, however much time has passed. It is for tests of that guard.
+func (l *Lease) DisablePauseGuard() { l.pauseGuardDisabled = true }
+
+// DueCommands returns the commands that are due: the renewal of our own lease, and expiries of others.
+func (l *Lease) DueCommands(now float64, state *State) (due []Command) {
+	if !l.released && now-l.lastProposedAt >= l.config.RenewInterval {
+		due = append(due, l.renew(now, state))
+	}
+	return append(due, l.dueExpiries(now, state)...)
 }
 
-// DisablePauseGuard leaves out the guard of pauses: a lease then lasts until its end is noticed. For tests of that guard.
-func (l *Lease) DisablePauseGuard() { l.careless = true }
-
-// DueCommands are the commands that are due: a renewal of our own, expiries of others.
-func (l *Lease) DueCommands(now float64, s *State) (due []Command) {
-	if !l.retired && now-l.last >= l.terms.RenewInterval {
-		l.next = max(l.next, s.Members[l.self].Renewal) + 1
-		l.last, l.proposed[l.next] = now, now
-		for n, at := range l.proposed { // what was proposed long ago can't let us order any more
-			if now-at > l.terms.Duration {
-				delete(l.proposed, n)
-			}
+func (l *Lease) renew(now float64, state *State) Command {
+	l.lastRenewal = max(l.lastRenewal, state.Members[l.self].Renewal) + 1
+	l.lastProposedAt = now
+	l.proposedAt[l.lastRenewal] = now
+	for number, proposedAt := range l.proposedAt {
+		if now-proposedAt > l.config.Duration { // even if it were applied now, its lease would be over
+			delete(l.proposedAt, number)
 		}
-		due = append(due, Command{Kind: RenewLease, Peer: l.self, Weight: l.weight * l.part(now, s), Renewal: l.next, Incarnation: l.life, SeenEpoch: s.Epoch, AppliedOrders: s.OrderCount})
 	}
-	for _, p := range s.AliveMembers() {
-		m, seen := s.Members[p], l.seen[p]
-		if p == l.self {
+	return Command{
+		Kind:          RenewLease,
+		Peer:          l.self,
+		Weight:        l.weight * l.rampFraction(now, state),
+		Renewal:       l.lastRenewal,
+		Incarnation:   l.incarnation,
+		SeenEpoch:     state.Epoch,
+		AppliedOrders: state.OrderCount,
+	}
+}
+
+func (l *Lease) dueExpiries(now float64, state *State) (due []Command) {
+	for _, peer := range state.AliveMembers() {
+		if peer == l.self {
 			continue
 		}
-		if seen.renewal != m.Renewal || seen.at == 0 { // from a snapshot: counted from now
-			seen = sighting{renewal: m.Renewal, at: now}
+		number := state.Members[peer].Renewal
+		observed := l.observed[peer]
+		if observed.number != number || observed.appliedAt == 0 { // it came with a snapshot: counted from now
+			observed = observedRenewal{number: number, appliedAt: now}
 		}
-		if now-seen.at > l.terms.ExpiryTimeout() && now-seen.told > l.terms.RenewInterval {
-			seen.told = now
-			due = append(due, Command{Kind: ExpireLease, Peer: p, Renewal: m.Renewal})
+		if now-observed.appliedAt > l.config.ExpiryTimeout() && now-observed.expiryProposedAt > l.config.RenewInterval {
+			observed.expiryProposedAt = now
+			due = append(due, Command{Kind: ExpireLease, Peer: peer, Renewal: number})
 		}
-		l.seen[p] = seen
+		l.observed[peer] = observed
 	}
 	return due
 }
 
-// part is how much of our weight we take now. Guards against proxies that all move at once to one that has just come and
-// has nothing else to do than tell them their tables; it does harm by leaving the others with more than their part
-// meanwhile. Where nobody else lives there is nothing to wait for.
-func (l *Lease) part(now float64, s *State) float64 {
-	alive := s.AliveMembers()
-	if l.terms.RampUp <= 0 || len(alive) == 0 || len(alive) == 1 && alive[0] == l.self {
-		l.risen = 0
+// rampFraction returns the fraction of our weight that we take now. Guards against proxies that all move at once to a coordinator that
+// has just started and would have to send all of them their tables; it does harm by leaving the others with more than their part
+// meanwhile. Where no other coordinator is alive there is nothing to wait for.
+func (l *Lease) rampFraction(now float64, state *State) float64 {
+	alive := state.AliveMembers()
+	alone := len(alive) == 0 || len(alive) == 1 && alive[0] == l.self
+	if l.config.RampUp <= 0 || alone {
+		l.rampStartedAt = 0
 		return 1
 	}
-	if l.risen == 0 {
-		if s.Members[l.self].Alive { // they were led by us before others came
+	if l.rampStartedAt == 0 {
+		if state.Members[l.self].Alive { // we led the proxies before the others started
 			return 1
 		}
-		l.risen = now
+		l.rampStartedAt = now
 	}
-	return min(1, (math.Floor((now-l.risen)/l.terms.RampUp*riseSteps)+1)/riseSteps)
+	return min(1, (math.Floor((now-l.rampStartedAt)/l.config.RampUp*rampSteps)+1)/rampSteps)
 }
 
-// Release gives our part up: we order nothing from now on. The command tells the others, who then need not wait.
+// Release gives the lease up: it is not valid any more and never renewed. The returned command lets the others take over without waiting
+// for its expiry.
 func (l *Lease) Release() Command {
-	l.retired, l.until = true, 0
+	l.released = true
+	l.validUntil = 0
 	return Command{Kind: ReleaseLease, Peer: l.self}
 }
 
-// ObserveCommand tells of a command that was applied here, after the state has taken it.
-func (l *Lease) ObserveCommand(now float64, c Command, s *State) {
+// ObserveCommand takes a committed command after state has applied it.
+func (l *Lease) ObserveCommand(now float64, command Command, state *State) {
 	switch {
-	case c.Kind == RenewLease && (!s.AcceptsRenewal(c) || c.Peer == l.self && (l.retired || c.Incarnation != l.life)):
-	case c.Kind == RenewLease && c.Peer == l.self:
-		if at, ok := l.proposed[c.Renewal]; ok {
-			l.until = max(l.until, at+l.terms.Duration)
-			delete(l.proposed, c.Renewal)
-		}
-	case c.Kind == RenewLease:
-		l.seen[c.Peer] = sighting{renewal: c.Renewal, at: now}
-	case c.Kind == DrainServer: // whoever told it waits for all to say that they know
+	case command.Kind == RenewLease:
+		l.observeRenewal(now, command, state)
+	case command.Kind == DrainServer: // its submitter waits until every coordinator has renewed
 		l.RenewNow()
-	case c.Kind == ExpireLease && c.Peer == l.self && !s.Members[l.self].Alive:
-		l.until = 0 // it was over by our clock already
+	case command.Kind == ExpireLease && command.Peer == l.self && !state.Members[l.self].Alive:
+		l.validUntil = 0
+	}
+}
+
+func (l *Lease) observeRenewal(now float64, command Command, state *State) {
+	if !state.AcceptsRenewal(command) {
+		return
+	}
+	if command.Peer != l.self {
+		l.observed[command.Peer] = observedRenewal{number: command.Renewal, appliedAt: now}
+		return
+	}
+	if l.released || command.Incarnation != l.incarnation {
+		return
+	}
+	if proposedAt, ok := l.proposedAt[command.Renewal]; ok {
+		l.validUntil = max(l.validUntil, proposedAt+l.config.Duration)
+		delete(l.proposedAt, command.Renewal)
 	}
 }
 
-// RenewNow makes the next renewal due at once: proxies have changed hands, and others wait for our word that we know.
-func (l *Lease) RenewNow() { l.last = math.Inf(-1) }
+// RenewNow makes the next renewal due at once, because others wait for us to confirm a new epoch or order.
+func (l *Lease) RenewNow() { l.lastProposedAt = math.Inf(-1) }
 
-// Valid tells whether we may order now. It is to be asked with a fresh clock before every order, after anything that may
-// have taken time.
+// Valid tells whether we may give orders now. It has to be asked with a fresh clock before every order, after anything that may have
+// taken time.
 func (l *Lease) Valid(now float64) bool {
-	return l.until > 0 && (l.careless || now < l.until)
+	return l.validUntil > 0 && (l.pauseGuardDisabled || now < l.validUntil)
 }
 
-// Owns tells whether we may order a proxy now.
-func (l *Lease) Owns(now float64, s *State, uid string) bool {
+// Owns tells whether we may give orders to a proxy now.
+func (l *Lease) Owns(now float64, state *State, uid string) bool {
 	if !l.Valid(now) {
 		return false
 	}
-	by, ok := s.Owner(uid)
-	return ok && by == l.self && !s.Contested(uid, l.self)
+	owner, ok := state.Owner(uid)
+	return ok && owner == l.self && !state.Contested(uid, l.self)
 }
 
-// RenewedAt is when the renewal that we hold our lease by was proposed, by our clock. All that was agreed on before then is
-// known here.
-func (l *Lease) RenewedAt() float64 { return l.until - l.terms.Duration }
+// RenewedAt returns when the renewal by which we hold our lease was proposed. All that was committed before then is known here.
+func (l *Lease) RenewedAt() float64 { return l.validUntil - l.config.Duration }
--- /dev/null
+++ b/internal/core/membership/ownership_test.go
@@ -0,0 +1,45 @@
+package membership
+
+import (
+	"fmt"
+	"math"
+	"testing"
+)
+
+func TestLossMovesOnlyProxiesOfLostPeer(t *testing.T) {
+	s := newGroup(t, 1, 1, 2)
+	before := map[string]Peer{}
+	counts := map[Peer]float64{}
+	const proxies = 5000
+	for i := range proxies {
+		uid := fmt.Sprint("relay-", i)
+		owner, ok := s.Owner(uid)
+		if !ok {
+			t.Fatal("nobody leads")
+		}
+		before[uid] = owner
+		counts[owner]++
+	}
+	for peer, want := range map[Peer]float64{"c0": proxies / 4, "c1": proxies / 4, "c2": proxies / 2} {
+		if math.Abs(counts[peer]-want) > proxies/25 {
+			t.Errorf("%s leads %v of %d, by its weight %v", peer, counts[peer], proxies, want)
+		}
+	}
+	epoch := s.Epoch
+	if moved, _ := s.Apply(Command{Kind: ExpireLease, Peer: "c2", Renewal: 1}); !moved || s.Epoch != epoch+1 {
+		t.Error("no new epoch")
+	}
+	gained := map[Peer]int{}
+	for uid, former := range before {
+		owner, _ := s.Owner(uid)
+		if former != "c2" && owner != former {
+			t.Fatalf("%s moved from %s to %s, which both live", uid, former, owner)
+		}
+		if former == "c2" {
+			gained[owner]++
+		}
+	}
+	if math.Abs(float64(gained["c0"]-gained["c1"])) > proxies/20 {
+		t.Errorf("the lost one's proxies went to %v", gained)
+	}
+}
