--- /dev/null
+++ b/internal/core/audit/audit_test.go
@@ -0,0 +1,17 @@
+package audit
+
+import "testing"
+
+func TestLogKeepsTheLatestEntries(t *testing.T) {
+	var log Log
+	for i := range maxEntries + 5 {
+		log.Record(Entry{At: float64(i)})
+	}
+	if len(log.entries) > maxEntries {
+		t.Errorf("%d entries are kept", len(log.entries))
+	}
+	latest := log.Latest(3)
+	if len(latest) != 3 || latest[0].At != maxEntries+4 || latest[2].At != maxEntries+2 {
+		t.Errorf("latest are %+v", latest)
+	}
+}
--- /dev/null
+++ b/internal/core/audit/golden_test.go
@@ -0,0 +1,11 @@
+package audit
+
+import (
+	"testing"
+
+	"snowquay/internal/golden"
+)
+
+func TestEntryOnTheWire(t *testing.T) {
+	golden.JSON(t, "entry.json", Entry{At: 1000.5, Who: "anna", What: "drain", Of: "127.0.1.2:8080", Result: "agreed"})
+}
--- /dev/null
+++ b/internal/core/authz/lookup_limiter_test.go
@@ -0,0 +1,32 @@
+package authz
+
+import "testing"
+
+// A flood of unknown keys is slowed; callers who are known are not.
+func TestLookupLimiter(t *testing.T) {
+	limiter := LookupLimiter{Rate: 10, Burst: 20}
+	limiter.Observe("good", true)
+	passed := 0
+	rejected := 0
+	for i := range 1000 {
+		now := 1000 + float64(i)/100
+		if _, ok := limiter.Allow(now, "bad"+string(rune(i))); ok {
+			passed++
+		} else {
+			rejected++
+		}
+		if _, ok := limiter.Allow(now, "good"); !ok {
+			t.Fatal("a known caller is rejected")
+		}
+	}
+	if passed < 110 || passed > 125 || rejected == 0 {
+		t.Errorf("%d unknown keys passed in 10 s at 10 a second", passed)
+	}
+	limiter.Observe("good", false) // its key was revoked
+	for ok := true; ok; _, ok = limiter.Allow(1010, "bad") {
+	}
+	retryAfter, ok := limiter.Allow(1010, "good")
+	if ok || retryAfter <= 0 {
+		t.Errorf("%v %v", retryAfter, ok)
+	}
+}
--- a/internal/frontend/admin/admin.go
+++ b/internal/frontend/admin/admin.go
@@ -19,6 +19,7 @@
 	"github.com/cespare/xxhash/v2"
 
 	"snowquay/balancer"
+	"snowquay/internal/core/audit"
 	"snowquay/internal/core/authz"
 	"snowquay/internal/core/controlplane"
 	"snowquay/internal/core/fairshare"
@@ -67,7 +68,7 @@
 	program Program
 	hosted  TenantHost           // nil: there is one tenant, without a name
 	shares  *fairshare.Allocator // as all below only touched within Program.Do
-	books   map[tenancy.Name]*idempotency.Log
+	books   map[tenancy.Name]*book
 	say     func(string, ...any)
 	mu      sync.Mutex // of the gate, which stands before the program
 	gate    authz.LookupLimiter
@@ -96,7 +97,7 @@
 }
 
 func newAPI(now float64, program Program, terms fairshare.Config, say func(string, ...any)) *API {
-	a := &API{program: program, shares: fairshare.New(now, terms), books: map[tenancy.Name]*idempotency.Log{}, say: say,
+	a := &API{program: program, shares: fairshare.New(now, terms), books: map[tenancy.Name]*book{}, say: say,
 		gate: authz.LookupLimiter{Rate: strangers, Burst: strangers}, began: time.Now()}
 	a.HandleFunc("GET /openapi.json", func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Type", "application/json")
@@ -107,20 +108,26 @@
 
 // tenant serves the calls about one tenant's fleet below a path.
 func (a *API) tenant(path string) {
-	a.HandleFunc("GET "+path+"/servers", a.with(idempotency.RoleViewer, costLook, false, a.servers))
-	a.HandleFunc("GET "+path+"/relays", a.with(idempotency.RoleViewer, costLook, false, a.relays))
-	a.HandleFunc("GET "+path+"/drains/{server}", a.with(idempotency.RoleViewer, costLook, false, a.follow))
-	a.HandleFunc("GET "+path+"/orders", a.with(idempotency.RoleViewer, costLook, false, a.orders))
-	a.HandleFunc("GET "+path+"/audit", a.with(idempotency.RoleStaff, costLook, false, a.audit))
-	a.HandleFunc("POST "+path+"/preview", a.with(idempotency.RoleViewer, costPreview, false, a.preview))
-	a.HandleFunc("POST "+path+"/drains", a.with(idempotency.RoleStaff, costDrain, true, a.drain))
+	a.HandleFunc("GET "+path+"/servers", a.with(authz.RoleViewer, costLook, false, a.servers))
+	a.HandleFunc("GET "+path+"/relays", a.with(authz.RoleViewer, costLook, false, a.relays))
+	a.HandleFunc("GET "+path+"/drains/{server}", a.with(authz.RoleViewer, costLook, false, a.follow))
+	a.HandleFunc("GET "+path+"/orders", a.with(authz.RoleViewer, costLook, false, a.orders))
+	a.HandleFunc("GET "+path+"/audit", a.with(authz.RoleStaff, costLook, false, a.audit))
+	a.HandleFunc("POST "+path+"/preview", a.with(authz.RoleViewer, costPreview, false, a.preview))
+	a.HandleFunc("POST "+path+"/drains", a.with(authz.RoleStaff, costDrain, true, a.drain))
+}
+
+// book is what is remembered of the calls about one tenant.
+type book struct {
+	responses idempotency.Cache
+	changes   audit.Log
 }
 
 // book of a tenant's calls and changes.
-func (a *API) book(of tenancy.Name) *idempotency.Log {
+func (a *API) book(of tenancy.Name) *book {
 	b := a.books[of]
 	if b == nil {
-		b = &idempotency.Log{}
+		b = &book{}
 		a.books[of] = b
 	}
 	return b
@@ -146,7 +153,7 @@
 }
 
 // with lets a call in: known, allowed, within its share.
-func (a *API) with(needs idempotency.Role, cost float64, urgent bool, do func(http.ResponseWriter, *http.Request, call)) http.HandlerFunc {
+func (a *API) with(needs authz.Role, cost float64, urgent bool, do func(http.ResponseWriter, *http.Request, call)) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		credential, bearer := strings.CutPrefix(r.Header.Get("Authorization"), "Bearer ")
 		c := call{of: tenancy.Name(r.PathValue("tenant"))}
@@ -293,10 +300,10 @@
 }
 
 func (a *API) audit(w http.ResponseWriter, _ *http.Request, c call) {
-	entries := []idempotency.AuditEntry{}
+	entries := []audit.Entry{}
 	a.program.Do(func(float64) {
 		if b := a.books[c.of]; b != nil {
-			entries = b.Audit(mostEntries)
+			entries = b.changes.Latest(mostEntries)
 		}
 	})
 	reply(w, http.StatusOK, entries)
@@ -406,7 +413,7 @@
 		done    = make(chan bool, 1)
 	)
 	if !a.fleet(w, who, func(now float64, f *controlplane.Fleet) {
-		if before, known, err = a.book(who.of).Begin(now, who.Name, key, xxhash.Sum64(body)); err != nil || known {
+		if before, known, err = a.book(who.of).responses.Begin(now, who.Name, key, xxhash.Sum64(body)); err != nil || known {
 			status = http.StatusUnprocessableEntity
 			if errors.Is(err, idempotency.ErrInProgress) {
 				status = http.StatusConflict
@@ -425,7 +432,7 @@
 		if err == nil {
 			a.program.Drain(now, who.of, c.Server, c.On, func(ok bool) { done <- ok })
 		} else {
-			a.book(who.of).End(who.Name, key, idempotency.Response{}, false)
+			a.book(who.of).responses.End(who.Name, key, idempotency.Response{}, false)
 			a.noteDrain(now, who, c, "refused: "+err.Error())
 		}
 	}) {
@@ -452,7 +459,7 @@
 	}
 	text, _ := json.Marshal(row) // figures are finite
 	a.program.Do(func(now float64) {
-		a.book(who.of).End(who.Name, key, idempotency.Response{Status: http.StatusAccepted, Body: text}, agreed)
+		a.book(who.of).responses.End(who.Name, key, idempotency.Response{Status: http.StatusAccepted, Body: text}, agreed)
 		a.noteDrain(now, who, c, map[bool]string{true: "agreed", false: "not agreed in time"}[agreed])
 	})
 	if !agreed {
@@ -476,6 +483,6 @@
 
 // note keeps who changed what, or was refused to.
 func (a *API) note(now float64, who call, what, of, result string) {
-	a.book(who.of).RecordAudit(idempotency.AuditEntry{At: now, Who: who.Name, What: what, Of: of, Result: result})
+	a.book(who.of).changes.Record(audit.Entry{At: now, Who: who.Name, What: what, Of: of, Result: result})
 	a.say("administration", "tenant", who.of, "who", who.Name, "of-tenant", who.Tenant, "what", what, "of", of, "result", result)
 }
--- a/internal/frontend/admin/hosted.go
+++ b/internal/frontend/admin/hosted.go
@@ -14,7 +14,6 @@
 	"snowquay/internal/core/authz"
 	"snowquay/internal/core/controlplane"
 	"snowquay/internal/core/fairshare"
-	"snowquay/internal/core/idempotency"
 	"snowquay/internal/core/tenancy"
 )
 
@@ -75,13 +74,13 @@
 	a := newAPI(now, hosted, hostedTerms, say)
 	a.hosted = hosted
 	a.tenant("/v1/tenants/{tenant}")
-	a.HandleFunc("GET /v1/tenants", a.with(idempotency.RoleViewer, costList, false, a.list))
-	a.HandleFunc("GET /v1/audit", a.with(idempotency.RoleStaff, costLook, false, a.audit))
-	a.HandleFunc("GET /v1/tenants/{tenant}", a.with(idempotency.RoleViewer, costLook, false, a.show))
-	a.HandleFunc("GET /v1/tenants/{tenant}/settings", a.with(idempotency.RoleStaff, costLook, false, a.settings))
-	a.HandleFunc("PUT /v1/tenants/{tenant}", a.with(idempotency.RoleStaff, costTenant, false, a.put))
-	a.HandleFunc("POST /v1/tenants/{tenant}/servers", a.with(idempotency.RoleStaff, costTenant, false, a.edit))
-	a.HandleFunc("DELETE /v1/tenants/{tenant}", a.with(idempotency.RoleHost, costTenant, false, a.remove))
+	a.HandleFunc("GET /v1/tenants", a.with(authz.RoleViewer, costList, false, a.list))
+	a.HandleFunc("GET /v1/audit", a.with(authz.RoleStaff, costLook, false, a.audit))
+	a.HandleFunc("GET /v1/tenants/{tenant}", a.with(authz.RoleViewer, costLook, false, a.show))
+	a.HandleFunc("GET /v1/tenants/{tenant}/settings", a.with(authz.RoleStaff, costLook, false, a.settings))
+	a.HandleFunc("PUT /v1/tenants/{tenant}", a.with(authz.RoleStaff, costTenant, false, a.put))
+	a.HandleFunc("POST /v1/tenants/{tenant}/servers", a.with(authz.RoleStaff, costTenant, false, a.edit))
+	a.HandleFunc("DELETE /v1/tenants/{tenant}", a.with(authz.RoleHost, costTenant, false, a.remove))
 	return a
 }
 
@@ -213,7 +212,7 @@
 		row, there := a.hosted.TenantRow(who.of)
 		c := tenancy.Command{Kind: tenancy.Change, Name: who.of, IfVersion: must, ID: id(r, who), Fingerprint: fingerprint(r, body), Time: now}
 		switch {
-		case !there && authz.Authorize(who.Principal, authz.Action{Role: idempotency.RoleHost}) != nil:
+		case !there && authz.Authorize(who.Principal, authz.Action{Role: authz.RoleHost}) != nil:
 			done(decided{status: http.StatusForbidden, err: errors.New("only the host may make tenants")})
 			return
 		case !there && must != 0:
@@ -239,7 +238,7 @@
 			return
 		}
 		c.Weight, c.Requirements = d.seen.Weight, d.seen.Needs
-		if c.Kind == tenancy.Change && who.Role < idempotency.RoleHost {
+		if c.Kind == tenancy.Change && who.Role < authz.RoleHost {
 			// What a tenant may take is the host's to say: its staff may ask for less, not for more.
 			if err := c.Requirements.CheckWithin(row.Needs); err != nil || c.Weight > row.Weight {
 				done(decided{status: http.StatusForbidden, seen: d.seen, err: fmt.Errorf("only the host may raise what a tenant takes: weight %g to %g; %v",
