--- a/internal/store/golden_test.go
+++ b/internal/store/golden_test.go
@@ -50,7 +50,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer db.Close()
+	defer func() {
+		if err := db.Close(); err != nil {
+			t.Error(err)
+		}
+	}()
 	var text bytes.Buffer
 	var walk func(where string, b *bolt.Bucket) error
 	walk = func(where string, b *bolt.Bucket) error {
@@ -105,66 +109,70 @@
 		Requirements: tenancy.Requirements{Memory: 1 << 20, Lines: 250.5, Connections: 40, Work: 0.125}, Time: 1500.5, ID: 13 + uint64(version), Fingerprint: 14}
 }
 
-func TestStoredTenants(t *testing.T) {
-	var want []byte
-	change := func(h *TenantStore, d *tenancy.Directory, c tenancy.Command) {
-		over := d.Tenants[c.Name]
-		if o := d.Apply(c); o.Err() != nil {
-			t.Fatal(o.Err())
+// goldenTenants makes a file and returns the encoded directory that it holds.
+func goldenTenants(t *testing.T, path string) []byte {
+	t.Helper()
+	s, err := OpenTenantStore(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	directory := tenancy.Directory{Capacity: tenancy.DefaultCapacity}
+	apply := func(c tenancy.Command) {
+		t.Helper()
+		before := directory.Tenants[c.Name]
+		if outcome := directory.Apply(c); outcome.Err() != nil {
+			t.Fatal(outcome.Err())
 		}
-		gone := tenancy.Incarnation(0)
+		removed := tenancy.Incarnation(0)
 		if c.Kind == tenancy.Remove {
-			gone = over.Incarnation
+			removed = before.Incarnation
 		}
-		if err := h.Save(d, c.Name, gone); err != nil {
+		if err := s.Save(&directory, c.Name, removed); err != nil {
 			t.Fatal(err)
 		}
 	}
-	fill := func(path string) {
-		h, err := OpenTenantStore(path)
-		if err != nil {
-			t.Fatal(err)
-		}
-		d := tenancy.Directory{Capacity: tenancy.DefaultCapacity}
-		first := goldenTenant(0)
-		first.Name = "two"
-		change(h, &d, first)
-		change(h, &d, goldenTenant(1))
-		change(h, &d, tenancy.Command{Kind: tenancy.Remove, Name: "two", Time: 1600.5, ID: 99, Fingerprint: 15})
-		if err := h.ServerStore(d.Tenants["one"].Incarnation).Save(goldenRecords()); err != nil {
-			t.Fatal(err)
-		}
-		if want, err = d.Snapshot(); err != nil {
-			t.Fatal(err)
-		}
-		if err := h.Close(); err != nil {
-			t.Fatal(err)
-		}
+	first := goldenTenant(0)
+	first.Name = "two"
+	apply(first)
+	apply(goldenTenant(1))
+	apply(tenancy.Command{Kind: tenancy.Remove, Name: "two", Time: 1600.5, ID: 99, Fingerprint: 15})
+	if err := s.ServerStore(directory.Tenants["one"].Incarnation).Save(goldenRecords()); err != nil {
+		t.Fatal(err)
 	}
+	snapshot, err := directory.Snapshot()
+	if err != nil {
+		t.Fatal(err)
+	}
+	if err := s.Close(); err != nil {
+		t.Fatal(err)
+	}
+	return snapshot
+}
+
+func TestStoredTenants(t *testing.T) {
 	fresh := filepath.Join(t.TempDir(), "fresh.db")
-	fill(fresh)
+	golden.Bytes(t, "tenants-directory.json", goldenTenants(t, fresh))
 	golden.Bytes(t, "tenants.txt", dump(t, fresh))
-	golden.Bytes(t, "tenants-directory.json", want)
-	path := copied(t, "tenants.db", fill)
-	h, err := OpenTenantStore(path)
+	path := copied(t, "tenants.db", func(path string) { goldenTenants(t, path) })
+	s, err := OpenTenantStore(path)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer func() {
-		if err := h.Close(); err != nil {
+		if err := s.Close(); err != nil {
 			t.Error(err)
 		}
 	}()
-	d, err := h.Directory()
+	directory, err := s.Directory()
 	if err != nil {
 		t.Fatal(err)
 	}
-	b, err := json.Marshal(&d)
+	encoded, err := json.Marshal(&directory)
 	if err != nil {
 		t.Fatal(err)
 	}
-	golden.Bytes(t, "tenants-directory.json", b)
-	records, err := h.ServerStore(d.Tenants["one"].Incarnation).Load()
+	golden.Bytes(t, "tenants-directory.json", encoded)
+	records, err := s.ServerStore(directory.Tenants["one"].Incarnation).Load()
 	if err != nil || !reflect.DeepEqual(records, goldenRecords()) {
 		t.Errorf("%+v, %v", records, err)
 	}
--- a/internal/store/keep_test.go
+++ b/internal/store/server_store_test.go
@@ -12,13 +12,13 @@
 	"snowquay/internal/core/registry"
 )
 
-func record(s string, told float64) registry.Record {
-	return registry.Record{ServerConfig: registry.ServerConfig{Server: balancer.Server(s), Zone: 2, Weight: 1.5}, Phase: balancer.Draining, NotifiedAt: told}
+func drainingRecord(server balancer.Server, notifiedAt float64) registry.Record {
+	return registry.Record{ServerConfig: registry.ServerConfig{Server: server, Zone: 2, Weight: 1.5}, Phase: balancer.Draining, NotifiedAt: notifiedAt}
 }
 
-func TestRecordsOutliveTheProcess(t *testing.T) {
-	path := filepath.Join(t.TempDir(), "roll.db")
-	for life := range 3 {
+func TestRecordsSurviveRestart(t *testing.T) {
+	path := filepath.Join(t.TempDir(), "servers.db")
+	for incarnation := range 3 {
 		s, err := Open(path)
 		if err != nil {
 			t.Fatal(err)
@@ -27,16 +27,17 @@
 			t.Error("two processes have it open")
 		}
 		got, err := s.Load()
-		if err != nil || len(got) != min(life, 1) || life > 0 && got[0] != record("a", float64(life-1)) {
-			t.Errorf("life %d: %+v, %v", life, got, err)
+		if err != nil || len(got) != min(incarnation, 1) || incarnation > 0 && got[0] != drainingRecord("a", float64(incarnation-1)) {
+			t.Errorf("incarnation %d: %+v, %v", incarnation, got, err)
 		}
-		if err := errors.Join(s.Save([]registry.Record{record("a", float64(life))}), s.Close()); err != nil {
+		record := drainingRecord("a", float64(incarnation))
+		if err := errors.Join(s.Save([]registry.Record{record}), s.Close()); err != nil {
 			t.Fatal(err)
 		}
 	}
 }
 
-func TestDamagedAndForeignFilesAreRefused(t *testing.T) {
+func TestDamagedAndForeignFilesAreRejected(t *testing.T) {
 	dir := t.TempDir()
 	garbage := filepath.Join(dir, "garbage")
 	if err := os.WriteFile(garbage, make([]byte, 9000), 0o600); err != nil {
@@ -45,19 +46,19 @@
 	if _, err := Open(garbage); err == nil {
 		t.Error("garbage was opened")
 	}
-	path := filepath.Join(dir, "roll.db")
+	path := filepath.Join(dir, "servers.db")
 	s, err := Open(path)
 	if err != nil {
 		t.Fatal(err)
 	}
 	err = s.db.Update(func(tx *bolt.Tx) error {
-		return errors.Join(tx.Bucket(bucket).Put([]byte("a"), []byte("{")), tx.Bucket(about).Put([]byte("format"), []byte("9")))
+		return errors.Join(tx.Bucket(serversBucket).Put([]byte("a"), []byte("{")), tx.Bucket(metadataBucket).Put(formatKey, []byte("9")))
 	})
 	if err != nil {
 		t.Fatal(err)
 	}
 	if _, err := s.Load(); err == nil {
-		t.Error("a torn record was read")
+		t.Error("a truncated record was read")
 	}
 	if err := s.Close(); err != nil {
 		t.Fatal(err)
