--- a/internal/wire/peer/peer_test.go
+++ b/internal/wire/peer/frame_test.go
@@ -8,8 +8,9 @@
 
 var key = []byte("the group's key")
 
-func TestFramesComeBack(t *testing.T) {
-	b := Append(Append([]byte{}, key, Frame{1, 2, 7, 9, Command, []byte("hello")}), key, Frame{From: 1, To: 3, Kind: Ask})
+func TestFramesAreDecoded(t *testing.T) {
+	b := Append(nil, key, Frame{From: 1, To: 2, Mark: 7, Commit: 9, Kind: Command, Message: []byte("hello")})
+	b = Append(b, key, Frame{From: 1, To: 3, Kind: Ask})
 	for i := range 60 {
 		if _, n, err := Next(b[:i], key); n != 0 || err != nil {
 			t.Fatalf("%d bytes: %d, %v", i, n, err)
@@ -24,8 +25,8 @@
 	}
 }
 
-func TestForgedFramesAreRefused(t *testing.T) {
-	good := Append(nil, key, Frame{1, 2, 7, 9, Consensus, []byte("hello")})
+func TestForgedFramesAreRejected(t *testing.T) {
+	good := Append(nil, key, Frame{From: 1, To: 2, Mark: 7, Commit: 9, Kind: Consensus, Message: []byte("hello")})
 	for i := range good {
 		b := bytes.Clone(good)
 		b[i] ^= 1
@@ -44,7 +45,7 @@
 }
 
 func FuzzNext(f *testing.F) {
-	f.Add(Append(nil, key, Frame{1, 2, 7, 9, Consensus, []byte("hello")}))
+	f.Add(Append(nil, key, Frame{From: 1, To: 2, Mark: 7, Commit: 9, Kind: Consensus, Message: []byte("hello")}))
 	f.Fuzz(func(t *testing.T, b []byte) {
 		if frame, n, err := Next(b, key); err == nil && n > 0 && !bytes.Equal(Append(nil, key, frame), b[:n]) {
 			t.Errorf("%x came back otherwise", b[:n])
