--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -22,8 +22,8 @@
 
 	"snowquay/internal/console"
 	"snowquay/internal/coordinator"
+	"snowquay/internal/core/authz"
 	"snowquay/internal/core/controlplane"
-	"snowquay/internal/core/idempotency"
 	"snowquay/internal/core/membership"
 	"snowquay/internal/platform"
 	"snowquay/internal/scenario"
@@ -173,10 +173,10 @@
 	if err != nil {
 		return err
 	}
-	b, err := service.Call(c, idempotency.RoleStaff, "POST", "/v1/drains", map[string]any{"server": d.Server, "on": !d.End, "force": d.Force,
+	b, err := service.Call(c, authz.RoleStaff, "POST", "/v1/drains", map[string]any{"server": d.Server, "on": !d.End, "force": d.Force,
 		"lose-zone": d.LoseZone})
 	if err == nil && !d.End && d.Follow > 0 {
-		b, err = service.Call(c, idempotency.RoleViewer, "GET", fmt.Sprintf("/v1/drains/%s?wait=%g", service.Escape(d.Server), d.Follow), nil)
+		b, err = service.Call(c, authz.RoleViewer, "GET", fmt.Sprintf("/v1/drains/%s?wait=%g", service.Escape(d.Server), d.Follow), nil)
 	}
 	if err != nil {
 		return err
@@ -196,7 +196,7 @@
 	if err != nil {
 		return err
 	}
-	b, err := service.Call(c, idempotency.RoleViewer, "POST", "/v1/preview", map[string]any{"drain": p.Server, "lose-zone": p.LoseZone})
+	b, err := service.Call(c, authz.RoleViewer, "POST", "/v1/preview", map[string]any{"drain": p.Server, "lose-zone": p.LoseZone})
 	if err != nil {
 		return err
 	}
@@ -228,7 +228,7 @@
 	if err != nil {
 		return err
 	}
-	b, err := service.Call(c, idempotency.RoleViewer, "GET", "/v1/orders?relay="+url.QueryEscape(x.Proxy), nil)
+	b, err := service.Call(c, authz.RoleViewer, "GET", "/v1/orders?relay="+url.QueryEscape(x.Proxy), nil)
 	if err != nil {
 		return err
 	}
@@ -265,7 +265,7 @@
 	if err != nil {
 		return err
 	}
-	b, err := service.Call(c, idempotency.RoleViewer, "GET", "/v1/servers", nil)
+	b, err := service.Call(c, authz.RoleViewer, "GET", "/v1/servers", nil)
 	if err != nil {
 		return err
 	}
--- a/internal/cli/host.go
+++ b/internal/cli/host.go
@@ -8,7 +8,7 @@
 	"os"
 
 	"snowquay/internal/console"
-	"snowquay/internal/core/idempotency"
+	"snowquay/internal/core/authz"
 	"snowquay/internal/core/tenancy"
 	"snowquay/internal/scenario"
 	"snowquay/internal/service"
@@ -49,7 +49,7 @@
 	Tenant string `arg:"" help:"Name of the tenant."`
 }
 
-func (a *atHost) call(e *env, needs idempotency.Role, method, path string, body any) error {
+func (a *atHost) call(e *env, needs authz.Role, method, path string, body any) error {
 	b, err := a.ask(needs, method, path, body)
 	if err != nil {
 		return err
@@ -58,7 +58,7 @@
 	return err
 }
 
-func (a *atHost) ask(needs idempotency.Role, method, path string, body any) (json.RawMessage, error) {
+func (a *atHost) ask(needs authz.Role, method, path string, body any) (json.RawMessage, error) {
 	c, err := settings.LoadHost(a.Host)
 	if err != nil {
 		return nil, err
@@ -78,7 +78,7 @@
 	if err != nil {
 		return err
 	}
-	b, err := service.CallHost(c, idempotency.RoleViewer, "GET", "/v1/tenants", nil)
+	b, err := service.CallHost(c, authz.RoleViewer, "GET", "/v1/tenants", nil)
 	if err != nil {
 		return err
 	}
@@ -117,12 +117,12 @@
 }
 
 func (s *tenantShow) Run(e *env) error {
-	path, needs := "/"+s.What, idempotency.RoleViewer
+	path, needs := "/"+s.What, authz.RoleViewer
 	switch s.What {
 	case "state":
 		path = ""
 	case "settings", "audit":
-		needs = idempotency.RoleStaff
+		needs = authz.RoleStaff
 	}
 	return s.call(e, needs, "GET", path, nil)
 }
@@ -146,7 +146,7 @@
 	if p.Force {
 		q.Set("force", "true")
 	}
-	return p.call(e, idempotency.RoleHost, "PUT", "?"+q.Encode(), text)
+	return p.call(e, authz.RoleHost, "PUT", "?"+q.Encode(), text)
 }
 
 type tenantRemove struct {
@@ -155,7 +155,7 @@
 }
 
 func (r *tenantRemove) Run(e *env) error {
-	return r.call(e, idempotency.RoleHost, "DELETE", fmt.Sprintf("?force=%t", r.Force), nil)
+	return r.call(e, authz.RoleHost, "DELETE", fmt.Sprintf("?force=%t", r.Force), nil)
 }
 
 type tenantCheck struct {
@@ -200,7 +200,7 @@
 }
 
 func (s *tenantServer) Run(e *env) error {
-	return s.call(e, idempotency.RoleStaff, "POST", fmt.Sprintf("/servers?force=%t", s.Force), settings.Edit{Server: s.Server, Remove: s.Remove, Zone: s.Zone, Pod: s.Pod,
+	return s.call(e, authz.RoleStaff, "POST", fmt.Sprintf("/servers?force=%t", s.Force), settings.Edit{Server: s.Server, Remove: s.Remove, Zone: s.Zone, Pod: s.Pod,
 		Weight: s.Weight, Capacity: s.Capacity, Standing: s.Standing})
 }
 
@@ -214,9 +214,9 @@
 }
 
 func (d *tenantDrain) Run(e *env) error {
-	b, err := d.ask(idempotency.RoleStaff, "POST", "/drains", map[string]any{"server": d.Server, "on": !d.End, "force": d.Force, "lose-zone": d.LoseZone})
+	b, err := d.ask(authz.RoleStaff, "POST", "/drains", map[string]any{"server": d.Server, "on": !d.End, "force": d.Force, "lose-zone": d.LoseZone})
 	if err == nil && !d.End && d.Follow > 0 {
-		b, err = d.ask(idempotency.RoleViewer, "GET", fmt.Sprintf("/drains/%s?wait=%g", service.Escape(d.Server), d.Follow), nil)
+		b, err = d.ask(authz.RoleViewer, "GET", fmt.Sprintf("/drains/%s?wait=%g", service.Escape(d.Server), d.Follow), nil)
 	}
 	if err != nil {
 		return err
@@ -232,7 +232,7 @@
 }
 
 func (x *tenantExplain) Run(e *env) error {
-	b, err := x.ask(idempotency.RoleViewer, "GET", "/orders?relay="+url.QueryEscape(x.Relay), nil)
+	b, err := x.ask(authz.RoleViewer, "GET", "/orders?relay="+url.QueryEscape(x.Relay), nil)
 	if err != nil {
 		return err
 	}
--- a/internal/service/admin.go
+++ b/internal/service/admin.go
@@ -13,7 +13,6 @@
 
 	"snowquay/internal/consensus"
 	"snowquay/internal/core/authz"
-	"snowquay/internal/core/idempotency"
 	"snowquay/internal/settings"
 )
 
@@ -21,16 +20,16 @@
 
 // Call makes a call of the administration API that a settings file names, by the first of its callers with at least a role.
 // What comes back is a JSON document; an error has the problem's words.
-func Call(c *settings.Coordinator, needs idempotency.Role, method, path string, body any) (json.RawMessage, error) {
+func Call(c *settings.Coordinator, needs authz.Role, method, path string, body any) (json.RawMessage, error) {
 	return call(c.Admin, c.Callers, needs, method, path, body)
 }
 
 // CallHost is Call of a host of many tenants. A body of bytes is sent as it is.
-func CallHost(c *settings.Host, needs idempotency.Role, method, path string, body any) (json.RawMessage, error) {
+func CallHost(c *settings.Host, needs authz.Role, method, path string, body any) (json.RawMessage, error) {
 	return call(c.Admin, c.Callers, needs, method, path, body)
 }
 
-func call(admin netip.AddrPort, callers []authz.Credential, needs idempotency.Role, method, path string, body any) (json.RawMessage, error) {
+func call(admin netip.AddrPort, callers []authz.Credential, needs authz.Role, method, path string, body any) (json.RawMessage, error) {
 	if !admin.IsValid() {
 		return nil, errors.New("the settings have no <listen admin>")
 	}
--- a/internal/service/admin_test.go
+++ b/internal/service/admin_test.go
@@ -11,7 +11,8 @@
 	"strings"
 	"testing"
 
-	"snowquay/internal/core/idempotency"
+	"snowquay/internal/core/audit"
+	"snowquay/internal/core/authz"
 	"snowquay/internal/settings"
 	"snowquay/internal/wire/sasp"
 )
@@ -63,7 +64,7 @@
 		}
 		s := serveOne(settled)
 		eventually(t, "it does not run", func() bool {
-			_, err := Call(settled, idempotency.RoleViewer, "GET", "/v1/servers", nil)
+			_, err := Call(settled, authz.RoleViewer, "GET", "/v1/servers", nil)
 			return err == nil
 		})
 		relay, err := net.Dial("tcp", "127.0.0.1:15841")
@@ -121,7 +122,7 @@
 		status, got, _ = asked(t, staff, "POST", "/v1/drains", two)
 		want("the last one", status, 409, got, "would do harm")
 		eventually(t, "why orders were given is not told", func() bool { // an order is told of when it is known to be held
-			raw, err := Call(settled, idempotency.RoleViewer, "GET", "/v1/orders?relay=relay-1", nil)
+			raw, err := Call(settled, authz.RoleViewer, "GET", "/v1/orders?relay=relay-1", nil)
 			return err == nil && strings.Contains(string(raw), `"facts.lists"`)
 		})
 		refused := 0
@@ -137,10 +138,10 @@
 		}
 		var raw json.RawMessage
 		eventually(t, "the audit", func() bool {
-			raw, err = Call(settled, idempotency.RoleStaff, "GET", "/v1/audit", nil)
+			raw, err = Call(settled, authz.RoleStaff, "GET", "/v1/audit", nil)
 			return err == nil
 		})
-		var entries []idempotency.AuditEntry
+		var entries []audit.Entry
 		if err != nil || json.Unmarshal(raw, &entries) != nil || len(entries) < 5 || entries[0].Who != "ann" || entries[0].What != "drain by force" {
 			t.Errorf("audit %s, %v", raw, err)
 		}
@@ -148,7 +149,7 @@
 		s.end(t)
 		s = serveOne(settled) // what was confirmed outlives it
 		eventually(t, "the drain is forgotten", func() bool {
-			b, err := Call(settled, idempotency.RoleViewer, "GET", "/v1/drains/127.0.1.1:8080", nil)
+			b, err := Call(settled, authz.RoleViewer, "GET", "/v1/drains/127.0.1.1:8080", nil)
 			return err == nil && strings.Contains(string(b), `"phase":"drains"`)
 		})
 		s.end(t)
--- a/internal/service/host_test.go
+++ b/internal/service/host_test.go
@@ -17,7 +17,8 @@
 	"testing"
 	"time"
 
-	"snowquay/internal/core/idempotency"
+	"snowquay/internal/core/audit"
+	"snowquay/internal/core/authz"
 	"snowquay/internal/golden"
 	"snowquay/internal/settings"
 	"snowquay/internal/wire/sasp"
@@ -47,7 +48,7 @@
 	h := &hostOf{t, set, make(chan os.Signal, 1), make(chan error, 1)}
 	go func() { h.done <- ServeHost(set, slog.New(slog.DiscardHandler), h.stop) }()
 	eventually(t, "the host does not run", func() bool {
-		_, err := CallHost(set, idempotency.RoleViewer, "GET", "/v1/tenants", nil)
+		_, err := CallHost(set, authz.RoleViewer, "GET", "/v1/tenants", nil)
 		return err == nil
 	})
 	return h
@@ -272,7 +273,7 @@
 		_ = c.Close()
 	}
 	text, _ := h.want(200, "", hostsKey, "GET", "/v1/audit", "")
-	var entries []idempotency.AuditEntry
+	var entries []audit.Entry
 	if err := json.Unmarshal([]byte(text), &entries); err != nil || len(entries) < 3 || entries[0].Of != "one" {
 		t.Errorf("%v %s", err, text)
 	}
--- a/internal/settings/host.go
+++ b/internal/settings/host.go
@@ -15,7 +15,6 @@
 	"snowquay/internal/core/authz"
 	"snowquay/internal/core/controlplane"
 	"snowquay/internal/core/fairqueue"
-	"snowquay/internal/core/idempotency"
 	"snowquay/internal/core/tenancy"
 )
 
@@ -109,7 +108,7 @@
 	c := r.basis(root, nil)
 	r.callers(root, c)
 	for i, x := range c.Callers {
-		if x.Role == idempotency.RoleHost {
+		if x.Role == authz.RoleHost {
 			r.wrong(root.all("caller")[i], "role: the host's callers are in the host's settings")
 		}
 	}
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -20,7 +20,6 @@
 	"snowquay/internal/coordinator"
 	"snowquay/internal/core/authz"
 	"snowquay/internal/core/controlplane"
-	"snowquay/internal/core/idempotency"
 	"snowquay/internal/core/longpoll"
 	"snowquay/internal/core/membership"
 	"snowquay/internal/core/registry"
@@ -348,7 +347,7 @@
 
 const leastKey = 16 // bytes of a group's key, or a caller's
 
-var roles = map[string]idempotency.Role{"viewer": idempotency.RoleViewer, "staff": idempotency.RoleStaff, "host": idempotency.RoleHost}
+var roles = map[string]authz.Role{"viewer": authz.RoleViewer, "staff": authz.RoleStaff, "host": authz.RoleHost}
 
 // callers reads who may use the administration API.
 func (r *reader) callers(root *node, c *Coordinator) {
