--- a/balancer/account.go
+++ b/balancer/account.go
@@ -1,5 +1,3 @@
-// Bookkeeping without tuned values: what proxies hold, what they were sent, and what they have acknowledged.
-
 package balancer
 
 import (
@@ -8,104 +6,141 @@
 	"slices"
 )
 
-// holds gives the lines of a pool, in the servers' order.
-func (m *Balancer) holds(p *pool) []line {
-	lines := make([]line, 0, len(p.held))
-	for name, weight := range p.held {
-		lines = append(lines, line{m.servers[name], weight})
+// entries are the entries that a table holds, in the order of the servers.
+func (b *Balancer) entries(table *weightTable) []tableEntry {
+	entries := make([]tableEntry, 0, len(table.weights))
+	for address, weight := range table.weights {
+		entries = append(entries, tableEntry{server: b.serverByAddress[address], weight: weight})
 	}
-	slices.SortFunc(lines, func(a, b line) int { return cmp.Compare(a.server.place, b.server.place) })
-	return lines
+	slices.SortFunc(entries, func(left, right tableEntry) int {
+		return cmp.Compare(left.server.position, right.server.position)
+	})
+	return entries
 }
 
-// moves gives what a table holds and what is wanted of each server that is in either, in the servers' order.
-func (m *Balancer) moves(p *pool, want []line) (moves []move) {
-	for _, l := range m.holds(p) {
-		for len(want) > 0 && want[0].server.place < l.server.place {
-			moves, want = append(moves, move{server: want[0].server, want: want[0].weight}), want[1:]
+// weightOf is the weight of a server in entries that stand in the order of the servers; 0 if it has
+// none.
+func weightOf(entries []tableEntry, srv *server) float64 {
+	i, found := slices.BinarySearchFunc(entries, srv, func(entry tableEntry, srv *server) int {
+		return cmp.Compare(entry.server.position, srv.position)
+	})
+	if !found {
+		return 0
+	}
+	return entries[i].weight
+}
+
+// weightChanges merges the entries that a table holds with those wanted, both in the order of the
+// servers. It gives a change for each server that is in either, unchanged ones included.
+func (b *Balancer) weightChanges(table *weightTable, wanted []tableEntry) []weightChange {
+	var changes []weightChange
+	for _, held := range b.entries(table) {
+		for len(wanted) > 0 && wanted[0].server.position < held.server.position {
+			changes = append(changes, weightChange{server: wanted[0].server, wanted: wanted[0].weight})
+			wanted = wanted[1:]
 		}
-		v := move{server: l.server, held: l.weight}
-		if len(want) > 0 && want[0].server == l.server {
-			v.want, want = want[0].weight, want[1:]
+		change := weightChange{server: held.server, current: held.weight}
+		if len(wanted) > 0 && wanted[0].server == held.server {
+			change.wanted = wanted[0].weight
+			wanted = wanted[1:]
 		}
-		moves = append(moves, v)
+		changes = append(changes, change)
 	}
-	for _, l := range want {
-		moves = append(moves, move{server: l.server, want: l.weight})
+	for _, entry := range wanted {
+		changes = append(changes, weightChange{server: entry.server, wanted: entry.weight})
 	}
-	return moves
+	return changes
 }
 
-func (v move) size() float64 { return math.Abs(v.want-v.held) * min(v.want, 1) } // removals come last
+// size is what changes are ordered by, largest first. Removals come last.
+func (c weightChange) size() float64 {
+	return math.Abs(c.wanted-c.current) * min(c.wanted, 1)
+}
 
-func share(arc []line, s *server) float64 { // of a server in a stretch
-	i, found := slices.BinarySearchFunc(arc, s, func(l line, s *server) int { return cmp.Compare(l.server.place, s.place) })
-	if !found {
-		return 0
+// apply brings a table up to date with a change that has been sent.
+func (table *weightTable) apply(change weightChange) {
+	if change.wanted == 0 {
+		delete(table.weights, change.server.Server)
+		return
 	}
-	return arc[i].weight
+	table.weights[change.server.Server] = change.wanted
 }
 
-// mark asks whoever this round has written to for an acknowledgement.
-func (m *Balancer) mark(now, size float64, w CommandSink) {
-	c := &m.channel
-	c.newest = c.newest%mostMark + 1
-	if !c.queue.MarkBatch(int(c.newest), size) {
+// requestAck asks the proxies that this round has written to for an acknowledgement. size is what the
+// round has put into the channel, in entries.
+func (b *Balancer) requestAck(size float64, sink CommandSink) {
+	c := &b.channel
+	c.lastAckID = c.lastAckID%maxAckID + 1
+	if !c.inFlight.MarkBatch(int(c.lastAckID), size) {
 		return
 	}
-	w.RequestAck(c.newest)
-	for _, x := range m.proxies {
-		if x.bound && x.mark == 0 { // it has joined with this round
-			x.mark = c.newest
-		} else if x.bound && x.group.lines > 0 {
-			x.mark, x.size = c.newest, x.group.lines
+	sink.RequestAck(c.lastAckID)
+	for _, p := range b.proxies {
+		if !p.bound {
+			continue
+		}
+		if p.awaitedAck == 0 { // it was bound in this round: its message size is set
+			p.awaitedAck = c.lastAckID
+		} else if p.group.messageSize > 0 {
+			p.awaitedAck = c.lastAckID
+			p.messageSize = p.group.messageSize
 		}
 	}
 }
 
-// acknowledge takes a proxy's answer to a mark.
-func (m *Balancer) acknowledge(a Ack) {
-	size := 0.0
-	if x := m.joined[a.Proxy]; x != nil && x.mark == a.ID {
-		size = x.size
+// acknowledge takes a proxy's acknowledgement. One of an older message than the newest to it counts for
+// what was sent before, not for its own entries, whose number is not remembered.
+func (b *Balancer) acknowledge(ack Ack) {
+	entries := 0.0
+	if p := b.proxyByID[ack.Proxy]; p != nil && p.awaitedAck == ack.ID {
+		entries = p.messageSize
 	}
-	m.channel.acknowledge(a, size)
+	b.channel.acknowledge(ack, entries)
 }
 
-func (m *Balancer) joins(x *proxy) float64 { // the lines that its whole tables take
-	lines := m.channel.head()
-	for _, p := range x.group.pools {
-		lines += float64(1 + len(p.held) + len(p.levels))
+// joinSize is the size in entries of the message that assigns a proxy the tables of its group.
+func (b *Balancer) joinSize(p *proxy) float64 {
+	size := b.channel.messageCost()
+	for _, table := range p.group.tables {
+		size += float64(1 + len(table.weights) + len(table.admissions))
 	}
-	return lines
+	return size
 }
 
-func (m *Balancer) resent(now float64, r Redelivered) { // charges what the channel may carry a second time
-	for _, g := range m.groups {
-		g.lines = 0
-		for _, t := range r.Tables {
-			if slices.ContainsFunc(g.pools, func(p *pool) bool { return p.table == t }) {
-				m.concern(now, g)
+// chargeRedelivered charges what the channel may carry a second time, and begins the messages of this
+// round.
+func (b *Balancer) chargeRedelivered(now float64, redelivered Redelivered) {
+	for _, group := range b.groups {
+		group.messageSize = 0
+		for _, id := range redelivered.Tables {
+			if group.has(id) {
+				b.chargeEntry(now, group)
 			}
 		}
-		g.lines = 0
+		group.messageSize = 0
 	}
-	for _, x := range m.proxies {
-		if x.bound && slices.Contains(r.Proxies, x.Proxy) {
-			m.channel.charge(now, m.joins(x))
+	for _, p := range b.proxies {
+		if p.bound && slices.Contains(redelivered.Proxies, p.Proxy) {
+			b.channel.charge(now, b.joinSize(p))
 		}
 	}
 }
 
-// concern charges a line to each proxy of a group, and a message its head.
-func (m *Balancer) concern(now float64, g *group) {
-	lines := 1.0
-	if g.lines == 0 {
-		lines += m.channel.head()
-		if g.users > 0 {
-			g.messages.Add(now, m.channel.MessageWindow)
+// has tells whether a table is one of the group's.
+func (group *proxyGroup) has(id Table) bool {
+	return slices.ContainsFunc(group.tables, func(table *weightTable) bool { return table.id == id })
+}
+
+// chargeEntry charges an entry to each proxy of a group, and the overhead of a message with the first
+// one.
+func (b *Balancer) chargeEntry(now float64, group *proxyGroup) {
+	size := 1.0
+	if group.messageSize == 0 {
+		size += b.channel.messageCost()
+		if group.boundProxies > 0 {
+			group.messages.Add(now, b.channel.MessageWindow)
 		}
 	}
-	g.lines += lines
-	m.channel.charge(now, lines*g.users)
+	group.messageSize += size
+	b.channel.charge(now, size*group.boundProxies)
 }
--- a/balancer/admission.go
+++ b/balancer/admission.go
@@ -1,131 +1,258 @@
-// Admission rates: what the fleet lets in while it is pressed, and when proxies may retry.
-
 package balancer
 
 import (
-	"cmp"
 	"math"
-	"slices"
 
 	"snowquay/internal/core/waterfill"
 )
 
 const (
-	lossyAt    = 0.04 // of all tries lost; more, and some proxy avoids some server: 8 lost in a row are enough
-	calm       = 0.4  // of the goal time; where work takes longer the fleet is pressed; the rest is for chance
-	levelEvery = 1.0  // seconds between two sendings of levels, for the last to show
-	riseBy     = 0.25 // part by which a level may rise in a second: reports may be 4 s late
-	riseFrom   = 0.1  // and from where, so that it does not take longer than a trouble
-	trail      = 4.0  // seconds by which reports trail levels, besides their period: all on the way is late
-	leastFresh = 0.1  // of all queries, those that are new: clients come three times or four
-	leastLevel = 1e-3 // a class never vanishes, or its demand could not be seen to fall
-	noLevel    = 1e6  // lets in all, as a share or as queries a second at a proxy
+	// highFailureFraction is the part of all attempts that fail from which on some proxy ejects some
+	// server.
+	highFailureFraction = 0.04
+	// overloadLatencyFraction is the part of the latency objective from which on work that takes longer
+	// counts as overload; the rest is for chance.
+	overloadLatencyFraction = 0.4
+	// admissionGrowth is the part by which an admitted fraction may grow in a second: reports may be 4 s
+	// late.
+	admissionGrowth = 0.25
+	// admissionGrowthBase is the fraction from which it may at least grow, so that recovery does not
+	// outlast the fault.
+	admissionGrowthBase = 0.1
+	// reportTrail is the time in seconds by which reports trail an admission setting, besides the time
+	// from one sample to the next: decisions, commands, answers and reports are all on the way.
+	reportTrail = 4.0
+	// minNewFraction is the least part of all requests that is taken to be new: clients retry three or
+	// four times.
+	minNewFraction = 0.1
 )
 
-// press is the regulator for the fleet, against the goal time; least benefit is refused first. Guards against
-// overload; it does harm where answers are slow for other reasons. Servers that lose most count if most do.
-func (m *Balancer) press(now, due, gain, bears float64) {
-	room, rates := make([]float64, len(m.order)), make([]float64, len(m.order))
-	took, done, n, lost, tried := [2]float64{}, [2]float64{}, [2]float64{}, 0.0, 0.0 // [1]: that lose most tries
-	for i, s := range m.order {
-		t, tries := s.sum(window, recent, due)
-		rates[i] = -1
-		tried, lost = tried+t.tries, lost+t.lost
-		rate, work := t.good, t.seconds
-		if s.Phase != Ready {
+// serverLoad is what admission control knows of one server in the present period.
+type serverLoad struct {
+	capacity       float64 // requests a second that it may be given
+	completionRate float64 // requests a second, if known
+	known          bool
+}
+
+// loadSum sums up the load of some servers.
+type loadSum struct {
+	servers        float64
+	completionRate float64
+	inProcess      float64
+}
+
+func (sum *loadSum) add(completionRate, inProcess float64) {
+	sum.servers++
+	sum.completionRate += completionRate
+	sum.inProcess += inProcess
+}
+
+// controlAdmission is the regulator for the fleet as a whole: while its work takes longer than the
+// latency objective allows, it admits the completion rate less the gain times the excess work in
+// process. The class with the least priority weight is rejected first.
+func (b *Balancer) controlAdmission(now, expectedAt, gain float64) {
+	maxLatency := overloadLatencyFraction * b.latencyObjective
+	loads := b.measureLoad(now, expectedAt, gain, maxLatency)
+	b.learnCompletionRates(loads)
+	trail := min(1, b.reportPeriod/(b.sampleCycle+reportTrail))
+	for i := range b.admitted {
+		fraction := &b.admitted[i]
+		fraction.observed += (fraction.wanted - fraction.observed) * trail
+	}
+	if b.overloaded || b.minAdmitted() < 1 {
+		b.updateAdmitted(now, loads)
+	}
+}
+
+// measureLoad gives the load of each server, in their order, and renews the attempt rate, the failure
+// rate and whether the fleet is overloaded.
+func (b *Balancer) measureLoad(now, expectedAt, gain, maxLatency float64) []serverLoad {
+	loads := make([]serverLoad, len(b.servers))
+	var sound, failing loadSum // failing: that lose at least half of their attempts
+	attempts := 0.0
+	failed := 0.0
+	for i, srv := range b.servers {
+		rates := srv.recentRates(expectedAt)
+		attempts += rates.attempts
+		failed += rates.failed
+		if srv.Phase != Ready {
 			continue
 		}
-		if room[i] = m.bears(now, s) / heavy; t.enough(tries) && m.ready(now, s) >= 1 {
-			sick := int(math.Round(t.lost / t.tries))
-			work += float64(sick) * t.lost * m.goal // where answers come in time what is lost is no overload
-			took[sick], done[sick], n[sick] = took[sick]+work, done[sick]+rate, n[sick]+1
-			rates[i], s.able = rate, work <= rate*bears
-			usual := s.answers.Mean() // what keeps it from half of that will pass
-			room[i] = max(max(rate, usual)-gain*(work-rate*bears)/bears, usual/2)
+		load := &loads[i]
+		load.capacity = b.safeIntake(now, srv) / safeIntakeFactor
+		if !rates.conclusive() || b.slowStartFraction(now, srv) < 1 {
+			continue
 		}
-	}
-	m.lossy, m.tries = lost > lossyAt*tried, tried
-	most := min(max(n[1]-n[0], 0), 1)
-	m.pressed = took[0]+most*took[1] > (done[0]+most*done[1])*bears
-	for i, s := range m.order { // in trouble or cut they show what they can where they do more than before
-		if v := rates[i]; v >= 0 && (s.able && slices.Min(m.let) >= 1 || v > s.answers.Mean()) {
-			s.answers.Add(queryRates, v)
-			m.answers.Add(queryRates, v)
+		completionRate := rates.succeeded
+		inProcess := rates.inProcess
+		if rates.failed/rates.attempts >= 0.5 {
+			inProcess += rates.failed * b.latencyObjective // failures are no overload where answers come in time
+			failing.add(completionRate, inProcess)
+		} else {
+			sound.add(completionRate, inProcess)
+		}
+		srv.onTime = inProcess <= completionRate*maxLatency
+		usual := srv.completionRates.Mean()
+		excess := inProcess - completionRate*maxLatency
+		admissible := max(completionRate, usual) - gain*excess/maxLatency
+		*load = serverLoad{
+			capacity:       max(admissible, usual/2), // what keeps it from half of the usual will pass
+			completionRate: completionRate,
+			known:          true,
 		}
 	}
-	for c, let := range m.let {
-		m.was[c] += (let - m.was[c]) * min(1, m.period/(m.cycle+trail))
-	}
-	if m.pressed || slices.Min(m.let) < 1 {
-		m.admit(now, room)
-	}
+	b.attemptRate = attempts
+	b.highFailureRate = failed > highFailureFraction*attempts
+	b.overloaded = isOverloaded(sound, failing, maxLatency)
+	return loads
 }
 
-func (m *Balancer) admit(now float64, room []float64) {
-	asked, whole, cut, fresh := make([]float64, len(m.let)), 0.0, 0.0, 1.0
-	lately := func(x *proxy) bool { return now-x.since < trail+m.cycle } // what they get is not reported in full
-	settled := slices.DeleteFunc(slices.Clone(m.proxies), lately)
-	for c := range asked {
-		if asked[c] = offered(settled, nil, 1<<c); m.fleet.Admission == AdmissionFraction && m.was[c] < 1 {
-			cut += m.was[c] * asked[c]
-		} else {
-			whole += asked[c]
+// isOverloaded tells whether work takes longer than maxLatency on average. Servers that lose most of
+// their attempts count only if most servers do.
+func isOverloaded(sound, failing loadSum, maxLatency float64) bool {
+	weight := min(max(failing.servers-sound.servers, 0), 1)
+	inProcess := sound.inProcess + weight*failing.inProcess
+	completionRate := sound.completionRate + weight*failing.completionRate
+	return inProcess > completionRate*maxLatency
+}
+
+// learnCompletionRates notes what servers usually complete. Under overload or restricted admission they
+// only show it where they do more than before.
+func (b *Balancer) learnCompletionRates(loads []serverLoad) {
+	for i, srv := range b.servers {
+		load := &loads[i]
+		if !load.known {
+			continue
+		}
+		unrestricted := srv.onTime && b.minAdmitted() >= 1
+		if unrestricted || load.completionRate > srv.completionRates.Mean() {
+			srv.completionRates.Add(queryRateScale, load.completionRate)
+			b.completionRates.Add(queryRateScale, load.completionRate)
 		}
 	}
-	if cut > 0 { // refused queries come again and are refused again: what is sent tells how many are new
-		fresh = min(1, max(leastFresh, (m.tries-whole)/cut))
-	}
-	for _, c := range m.all {
-		free, open := 0.0, m.classes[c].AllowedZones
-		if m.let[c] < 1 {
-			asked[c] *= fresh
-		}
-		for i, s := range m.order {
-			if s.within(open) {
-				free += room[i]
+}
+
+// updateAdmitted gives the capacity of the servers to the classes, those with the highest priority
+// weight first. Growth is bounded, since late reports show what was admitted before.
+func (b *Balancer) updateAdmitted(now float64, loads []serverLoad) {
+	requested, newFraction := b.requestedRates(now)
+	for _, class := range b.classesByPriority {
+		fraction := &b.admitted[class]
+		if fraction.wanted < 1 {
+			requested[class] *= newFraction
+		}
+		zones := b.classes[class].AllowedZones
+		capacity := 0.0
+		for i, srv := range b.servers {
+			if srv.inZones(zones) {
+				capacity += loads[i].capacity
 			}
 		}
-		rise := max(m.let[c], riseFrom) * (1 + riseBy*m.period) // late reports show what was let in before
-		m.let[c] = min(1, rise, free/max(asked[c], leastBin))
-		for i, s := range m.order {
-			if s.within(open) && free > 0 {
-				room[i] *= max(0, 1-asked[c]/free)
+		growth := max(fraction.wanted, admissionGrowthBase) * (1 + admissionGrowth*b.reportPeriod)
+		fraction.wanted = min(1, growth, capacity/max(requested[class], minQueryRate))
+		if capacity <= 0 {
+			continue
+		}
+		for i, srv := range b.servers {
+			if srv.inZones(zones) {
+				loads[i].capacity *= max(0, 1-requested[class]/capacity)
 			}
 		}
 	}
 }
 
-func (m *Balancer) level(c Class) float64 {
-	if m.fleet.Admission == AdmissionFraction && m.let[c] < 1 {
-		return max(m.let[c], leastLevel)
-	} else if m.fleet.Admission == AdmissionIgnored || m.let[c] >= 1 {
-		return noLevel
+// requestedRates are the requests a second of each class, and the part of the restricted ones that is
+// new: rejected requests are retried and rejected again. Proxies that joined lately are left out, since
+// reports do not show all of their attempts yet.
+func (b *Balancer) requestedRates(now float64) (rates []float64, newFraction float64) {
+	settled := make([]*proxy, 0, len(b.proxies))
+	for _, p := range b.proxies {
+		if now-p.joinedAt >= reportTrail+b.sampleCycle {
+			settled = append(settled, p)
+		}
 	}
-	rates := make([]float64, 0, len(m.proxies))
-	for _, x := range m.proxies {
-		rates = append(rates, x.rate[c])
+	rates = make([]float64, len(b.classes))
+	unrestricted := 0.0
+	restricted := 0.0 // what is admitted of the restricted classes
+	for class := range rates {
+		rates[class] = offeredRate(settled, nil, 1<<class)
+		observed := b.admitted[class].observed
+		if b.dataPlane.Admission == AdmissionFraction && observed < 1 {
+			restricted += observed * rates[class]
+		} else {
+			unrestricted += rates[class]
+		}
 	}
-	let := m.let[c] * offered(m.proxies, nil, 1<<c)
-	if each, needed := waterfill.Cap(rates, let); needed { // what comes to small proxies fits
-		return max(each, leastLevel)
+	if restricted <= 0 {
+		return rates, 1
 	}
-	return noLevel
+	newFraction = (b.attemptRate - unrestricted) / restricted
+	return rates, min(1, max(minNewFraction, newFraction))
 }
 
-func (m *Balancer) setLevels(now float64, g *group, p *pool, classes ClassSet, w CommandSink) {
-	for _, c := range m.all {
-		o := order{m.level(c), m.fleet.DefaultRetry}
-		if m.classes[c].Idempotency != Idempotent { // a repeat that we order must never take effect twice
-			o.again = min(o.again, RetryIfNotExecuted)
+const (
+	// admissionInterval is the time in seconds between two messages with admission settings of one table,
+	// for the last one to show its effect.
+	admissionInterval = 1.0
+	// minAdmissionRate keeps a class from vanishing: otherwise its demand could not be seen to fall.
+	minAdmissionRate = 1e-3
+	// unlimitedAdmission admits everything, as a fraction and as requests a second at a proxy.
+	unlimitedAdmission = 1e6
+)
+
+// admissionRate is what proxies are to admit of a class, in the form that they understand.
+func (b *Balancer) admissionRate(class Class) float64 {
+	fraction := b.admitted[class].wanted
+	if fraction >= 1 || b.dataPlane.Admission == AdmissionIgnored {
+		return unlimitedAdmission
+	}
+	if b.dataPlane.Admission == AdmissionFraction {
+		return max(fraction, minAdmissionRate)
+	}
+	rates := make([]float64, 0, len(b.proxies))
+	for _, p := range b.proxies {
+		rates = append(rates, p.demand[class])
+	}
+	total := fraction * offeredRate(b.proxies, nil, 1<<class)
+	limit, needed := waterfill.Cap(rates, total)
+	if !needed {
+		return unlimitedAdmission
+	}
+	return max(limit, minAdmissionRate)
+}
+
+// sendAdmissions sends a table's admission settings that have changed.
+func (b *Balancer) sendAdmissions(now float64, group *proxyGroup, table *weightTable, classes ClassSet,
+	sink CommandSink) {
+	for _, class := range b.classesByPriority {
+		if !classes.includes(class) {
+			continue
 		}
-		h := cmp.Or(p.levels[c], order{noLevel, o.again})
-		if m.pressed { // what one server turns away would go to the others, cold ones above all
-			o.again = RetryNever
+		wanted := admissionSetting{rate: b.admissionRate(class), retry: b.usualRetry(class)}
+		current, sent := table.admissions[class]
+		if !sent {
+			current = admissionSetting{rate: unlimitedAdmission, retry: wanted.retry}
 		}
-		if classes>>c&1 == 1 && (o.again != h.again || math.Abs(o.level-h.level) > movedBy*h.level) {
-			p.levels[c], p.leveled = o, now
-			w.SetAdmission(p.table, 1<<c, o.level, o.again)
-			m.concern(now, g)
+		if b.overloaded {
+			wanted.retry = RetryNever // what one server rejects would go to the others, warming ones above all
 		}
+		moved := math.Abs(wanted.rate-current.rate) > minRelativeChange*current.rate
+		if !moved && wanted.retry == current.retry {
+			continue
+		}
+		table.admissions[class] = wanted
+		table.admissionsSentAt = now
+		sink.SetAdmission(table.id, 1<<class, wanted.rate, wanted.retry)
+		b.chargeEntry(now, group)
+	}
+}
+
+// usualRetry is the retry policy of a class while the fleet is not overloaded. A retry that the
+// balancer orders must never take effect twice.
+func (b *Balancer) usualRetry(class Class) RetryPolicy {
+	retry := b.dataPlane.DefaultRetry
+	if b.classes[class].Idempotency != Idempotent {
+		retry = min(retry, RetryIfNotExecuted)
 	}
+	return retry
 }
--- /dev/null
+++ b/balancer/balancer.go
@@ -0,0 +1,126 @@
+// Package balancer decides which servers the proxies use, and how much of each.
+//
+// New makes the Balancer of one coordinator. Its Reconcile is called once a round with all events that
+// came in since the last one, and writes the decisions into a CommandSink. The package does no I/O,
+// reads no clock and starts no goroutine: the same events at the same times give the same commands.
+//
+// interface.go has the types that callers see, state.go what is remembered between rounds. A round
+// reads endpoint lists (endpoints.go), proxies that join or leave (proxies.go) and load reports
+// (reports.go). At the end of a report period (estimates.go) the regulator sets the intake that each
+// server is to get (regulator.go), and admission control what the proxies may let in (admission.go).
+// Publishing (publish.go) turns the intakes into weights (weights.go) for each group of proxies
+// (groups.go), bounded by what servers can take (health.go), and sends what has changed as far as the
+// channel allows (pacing.go, account.go).
+package balancer
+
+import (
+	"cmp"
+	"math"
+	"slices"
+
+	"snowquay/internal/core/random"
+)
+
+const (
+	// timerInterval is the time in seconds between two timers: rounds for what is due by time alone.
+	timerInterval = 0.25
+	// minReportPeriod bounds the configured report period, in seconds.
+	minReportPeriod = 0.05
+	// pollRetriesPerDeadline is the largest number of polls within DiscoveryPollDeadline while they fail.
+	// The waits between them are random, up to twice the least one, so that coordinators do not poll
+	// together.
+	pollRetriesPerDeadline = 16
+)
+
+// New makes the balancer of one coordinator. Equal seeds give equal decisions. It starts no health
+// checks: load reports tell more.
+func New(seed uint64, classes []RequestClass, dataPlane DataPlane, limits Channel, guarantees Guarantees,
+	reporting Reporting, _ HealthChecking, discovery Discovery) *Balancer {
+	balancer := &Balancer{
+		classes:         classes,
+		dataPlane:       dataPlane,
+		guarantees:      guarantees,
+		reportPeriod:    max(reporting.Period, minReportPeriod),
+		serverByAddress: map[Server]*server{},
+		proxyByID:       map[Proxy]*proxy{},
+		random:          random.New(seed),
+		channel: channel{
+			Channel:       limits,
+			drainDeadline: guarantees.DrainDeadline,
+			relativePace:  1,
+			// Acknowledgements of an earlier incarnation must not be taken for ours: its IDs lie elsewhere.
+			lastAckID: AckID(seed % maxAckID),
+		},
+	}
+	if !discovery.Polled {
+		balancer.pollAt = math.Inf(1)
+	}
+	for i, class := range classes {
+		balancer.latencyObjective = max(balancer.latencyObjective, class.LatencyObjective)
+		balancer.classesByPriority = append(balancer.classesByPriority, Class(i))
+		balancer.admitted = append(balancer.admitted, admittedFraction{wanted: 1, observed: 1})
+		set := balancer.eligibilitySetOf(class)
+		set.classes |= 1 << i
+	}
+	slices.SortStableFunc(balancer.eligibilitySets, func(left, right *eligibilitySet) int {
+		return cmp.Compare(left.width(), right.width())
+	})
+	slices.SortStableFunc(balancer.classesByPriority, func(left, right Class) int {
+		return cmp.Compare(classes[right].PriorityWeight, classes[left].PriorityWeight)
+	})
+	return balancer
+}
+
+// eligibilitySetOf finds the set of a class by the servers that it may go to, or makes it.
+func (b *Balancer) eligibilitySetOf(class RequestClass) *eligibilitySet {
+	for _, set := range b.eligibilitySets {
+		if set.zoneLocal == class.ZoneLocal && slices.Equal(set.zones, class.AllowedZones) {
+			return set
+		}
+	}
+	set := &eligibilitySet{zones: class.AllowedZones, zoneLocal: class.ZoneLocal}
+	b.eligibilitySets = append(b.eligibilitySets, set)
+	return set
+}
+
+// width is the number of zones that a set names; a set of all zones is the widest.
+func (set *eligibilitySet) width() int {
+	return cmp.Or(len(set.zones), math.MaxInt)
+}
+
+// Reconcile takes all events since the last call and writes what is decided. Time never goes back from
+// one call to the next.
+func (b *Balancer) Reconcile(now float64, events Events, sink CommandSink) {
+	for _, list := range events.Lists {
+		b.applyEndpointList(now, list)
+		if list.Scope == ListFailed {
+			wait := b.guarantees.DiscoveryPollDeadline * (1 + b.random.Float()) / pollRetriesPerDeadline
+			b.pollAt = now + wait
+		}
+	}
+	for _, event := range events.ProxyEvents {
+		b.applyProxyEvent(now, event)
+	}
+	for _, ack := range events.Acks {
+		b.acknowledge(ack)
+	}
+	b.recordUpstreams(now, events.Upstreams)
+	b.recordDemands(events.Demands)
+	if b.reportsPending && now-b.periodEndedAt >= b.reportPeriod {
+		b.endPeriod(now)
+	}
+	if now >= b.pollAt {
+		sink.PollDiscovery()
+		b.pollAt = math.Inf(1)
+	}
+	b.chargeRedelivered(now, events.Redelivered)
+	if events.ChannelStalled {
+		b.channel.settledAt = now // nothing leaves the channel that has not reached it
+	} else {
+		b.publish(now, sink)
+	}
+	if now >= b.timerAt {
+		b.timerAt = now + timerInterval
+		sink.SetTimer(timerInterval, 0)
+	}
+}
--- a/balancer/choice_test.go
+++ b/balancer/choice_test.go
@@ -59,7 +59,7 @@
 	play(r, m, 30, 100, but(name(2), func(s Server, share, queries float64) UpstreamReport {
 		return UpstreamReport{Server: s, Attempts: share * queries, Latency: 0.75}
 	}))
-	if got := r.share(1, name(2)); got > 0.08 || got == 0 {
+	if got := r.share(name(2)); got > 0.08 || got == 0 {
 		t.Errorf("a server three times slower has a share of %.3f, want about 1/16", got)
 	}
 }
@@ -73,12 +73,12 @@
 		m, r := begin(t, usualSite(), 6)
 		play(r, m, 15, 100, but(name(2), bad))
 		for range 20 {
-			if play(r, m, 1, 100, but(name(2), bad)); r.share(1, name(2)) > 0.02 {
-				t.Fatalf("a server that fails most tries has a share of %.3f", r.share(1, name(2)))
+			if play(r, m, 1, 100, but(name(2), bad)); r.share(name(2)) > 0.02 {
+				t.Fatalf("a server that fails most tries has a share of %.3f", r.share(name(2)))
 			}
 		}
-		if play(r, m, 40, 100, well); r.share(1, name(2)) < 0.1 {
-			t.Errorf("once well again it has a share of %.3f, want about 1/6", r.share(1, name(2)))
+		if play(r, m, 40, 100, well); r.share(name(2)) < 0.1 {
+			t.Errorf("once well again it has a share of %.3f, want about 1/6", r.share(name(2)))
 		}
 	}
 }
@@ -87,8 +87,8 @@
 func TestCleanTriesEndThePast(t *testing.T) {
 	m, r := begin(t, usualSite(), 6)
 	play(r, m, 12, 100, but(name(2), fails))
-	if play(r, m, 12, 100, well); r.share(1, name(2)) < 0.08 {
-		t.Errorf("12 s after its outage it has a share of %.3f, want over half of 1/6", r.share(1, name(2)))
+	if play(r, m, 12, 100, well); r.share(name(2)) < 0.08 {
+		t.Errorf("12 s after its outage it has a share of %.3f, want over half of 1/6", r.share(name(2)))
 	}
 }
 
@@ -117,8 +117,8 @@
 		l.Endpoints = append(l.Endpoints, Endpoint{Server: name(40 + i), Weight: 1})
 	}
 	r.round(m, r.now+1, Events{Lists: []EndpointList{l}})
-	if play(r, m, 8, 100, well); r.share(1, name(45)) > 0.01 {
-		t.Errorf("one of 20 servers that answer nothing has a share of %.3f", r.share(1, name(45)))
+	if play(r, m, 8, 100, well); r.share(name(45)) > 0.01 {
+		t.Errorf("one of 20 servers that answer nothing has a share of %.3f", r.share(name(45)))
 	}
 }
 
@@ -128,14 +128,14 @@
 	play(r, m, 20, 100, func(s Server, share, queries float64) UpstreamReport {
 		return UpstreamReport{Server: s, Attempts: share * queries, Failed: 0.25 * share * queries, Latency: 0.25}
 	})
-	if slices.Min(m.let) < 1 || m.pressed {
-		t.Errorf("levels are %.2f", m.let)
+	if m.minAdmitted() < 1 || m.overloaded {
+		t.Errorf("levels are %.2f", m.admitted)
 	}
 	play(r, m, 30, 100, func(s Server, share, queries float64) UpstreamReport { // then half of the servers lose some
 		lost := 0.2 * share * queries * float64(s[len(s)-4]%2)
 		return UpstreamReport{Server: s, Attempts: share * queries, Failed: lost, Latency: 0.25}
 	})
-	if got := r.share(1, name(5)); got < 0.12 {
+	if got := r.share(name(5)); got < 0.12 {
 		t.Errorf("one of them has a share of %.3f, want about 1/6", got)
 	}
 }
@@ -148,7 +148,7 @@
 		}
 		return well(s, share, queries)
 	})
-	if got := r.share(1, name(5)); got > 0.35 || got < 0.2 {
+	if got := r.share(name(5)); got > 0.35 || got < 0.2 {
 		t.Errorf("with four of six failing another has a share of %.3f, want 1.6 times 1/6", got)
 	}
 }
@@ -162,8 +162,8 @@
 		return UpstreamReport{Server: s, Attempts: share * queries, Latency: 1}
 	}))
 	play(r, m, 2, 100, well)
-	for was := r.share(1, name(2)); r.now < 150; play(r, m, 1, 100, well) {
-		if got := r.share(1, name(2)); got < was {
+	for was := r.share(name(2)); r.now < 150; play(r, m, 1, 100, well) {
+		if got := r.share(name(2)); got < was {
 			t.Fatalf("at %.0f s its share is %.3f, though it is well", r.now, got)
 		}
 	}
@@ -175,8 +175,8 @@
 	for i := range 6 {
 		news.Upstreams = append(news.Upstreams, UpstreamReport{Server: name(i), Attempts: 1000 / 6, Latency: 0.25, Interval: 10})
 	}
-	if r.round(m, r.now+10, news); m.tries < 70 || m.tries > 130 {
-		t.Errorf("100 tries a second over 10 s are read as %.0f", m.tries)
+	if r.round(m, r.now+10, news); m.attemptRate < 70 || m.attemptRate > 130 {
+		t.Errorf("100 tries a second over 10 s are read as %.0f", m.attemptRate)
 	}
 }
 
@@ -188,7 +188,7 @@
 	play(r, m, 40, 100, func(s Server, share, queries float64) UpstreamReport {
 		return UpstreamReport{Server: s, Attempts: share * queries, Latency: 0.1 * float64(1+(s[len(s)-4]-'0')%5)}
 	})
-	if a, b := r.share(1, name(30)), r.share(1, name(34)); a < 2*b || r.broken != "" {
+	if a, b := r.share(name(30)), r.share(name(34)); a < 2*b || r.broken != "" {
 		t.Errorf("the fastest has a share of %.4f, the slowest of %.4f; %s", a, b, r.broken)
 	}
 }
@@ -201,7 +201,7 @@
 	fleet(r, m, 12)
 	used, lines := map[Server]bool{}, 0
 	for _, g := range m.groups {
-		for s := range g.pools[0].held {
+		for s := range g.tables[0].weights {
 			used[s], lines = true, lines+1
 		}
 	}
@@ -247,9 +247,9 @@
 	r.list[name(3)] = Endpoint{Server: name(3), Phase: Removed}
 	delete(r.toldGone, name(3))
 	play(r, m, 10, 100, well)
-	answers := r.share(1, name(3))
+	answers := r.share(name(3))
 	if play(r, m, 10, 100, but(name(3), fails)); answers < 0.2 || r.tables[1][name(3)] != 0 {
-		t.Errorf("merely dropped, it has a share of %.3f while it answers, then %.3f", answers, r.share(1, name(3)))
+		t.Errorf("merely dropped, it has a share of %.3f while it answers, then %.3f", answers, r.share(name(3)))
 	}
 }
 
@@ -266,14 +266,14 @@
 			}
 			return well(s, share, queries)
 		})
-		part := m.cold(r.now, m.servers[name(0)])
-		if got, most := r.share(1, name(0))*150, 2.0/3*s.promise.OverloadFactor*part*100/6; got > most {
+		part := m.warmupFraction(r.now, m.serverByAddress[name(0)])
+		if got, most := r.share(name(0))*150, 2.0/3*s.promise.OverloadFactor*part*100/6; got > most {
 			t.Fatalf("after %.0f s it gets %.1f queries a second, over %.1f", r.now-cold.Started, got, most)
 		}
 	}
 }
 
-func overloaded(s Server, share, queries float64) UpstreamReport {
+func overloaded(s Server, _, _ float64) UpstreamReport {
 	return UpstreamReport{Server: s, Attempts: 17, Latency: 2.5}
 }
 
@@ -287,13 +287,13 @@
 		if high := r.levels[1][1]; low == 0 || high == 0 || low > 0.2*high {
 			t.Errorf("the least benefit is let in at %v, the most at %v", low, high)
 		}
-		for before := m.let[0]; m.let[0] < 1 && r.now < 200; before = m.let[0] { // reports may be late: no leaps
-			if play(r, m, 1, 100, well); m.let[0] > math.Max(before, riseFrom)*(1+riseBy)+1e-9 {
-				t.Fatalf("the level leaps from %.2f to %.2f", before, m.let[0])
+		for before := m.admitted[0].wanted; m.admitted[0].wanted < 1 && r.now < 200; before = m.admitted[0].wanted { // reports may be late: no leaps
+			if play(r, m, 1, 100, well); m.admitted[0].wanted > math.Max(before, admissionGrowthBase)*(1+admissionGrowth)+1e-9 {
+				t.Fatalf("the level leaps from %.2f to %.2f", before, m.admitted[0].wanted)
 			}
 		}
 		play(r, m, 5, 100, well)
-		if r.levels[1][0] != noLevel {
+		if r.levels[1][0] != unlimitedAdmission {
 			t.Errorf("after the overload the level is %v", r.levels[1][0])
 		}
 	}
@@ -305,10 +305,10 @@
 	m, r := s.manager(), newRecorder(s)
 	fleet(r, m, 6)
 	play(r, m, 8, 160, overloaded)
-	play(r, m, 10, 160, func(s Server, share, queries float64) UpstreamReport {
+	play(r, m, 10, 160, func(s Server, _, _ float64) UpstreamReport {
 		return UpstreamReport{Server: s, Attempts: 6, Latency: 2.5}
 	})
-	if got := m.let[0]*offered(m.proxies, nil, 1) + m.let[1]*offered(m.proxies, nil, 2); got < 30 {
+	if got := m.admitted[0].wanted*offeredRate(m.proxies, nil, 1) + m.admitted[1].wanted*offeredRate(m.proxies, nil, 2); got < 30 {
 		t.Errorf("of 100 queries a second that the servers can do it lets in %.1f", got)
 	}
 }
@@ -316,17 +316,17 @@
 // Servers that lose most of their tries were out of the count, so that a fleet that lost most was left to itself.
 func TestAFleetThatLosesMostOfItsTriesIsPressed(t *testing.T) {
 	m, r := begin(t, usualSite(), 6)
-	play(r, m, 5, 160, func(s Server, share, queries float64) UpstreamReport {
+	play(r, m, 5, 160, func(s Server, _, _ float64) UpstreamReport {
 		return UpstreamReport{Server: s, Attempts: 80, Failed: 70, Latency: 1.5}
 	})
-	if m.let[0] > 0.5 {
-		t.Errorf("the least benefit is let in at %v", m.let[0])
+	if m.admitted[0].wanted > 0.5 {
+		t.Errorf("the least benefit is let in at %v", m.admitted[0].wanted)
 	}
-	if got := m.groups[0].pools[0].levels[1].again; got != RetryNever { // repeats would pile on those that still stand
+	if got := m.groups[0].tables[0].admissions[1].retry; got != RetryNever { // repeats would pile on those that still stand
 		t.Errorf("proxies repeat in the way %v", got)
 	}
-	if play(r, m, 20, 100, well); m.groups[0].pools[0].levels[1] != (order{noLevel, RetryIfNotExecuted}) {
-		t.Errorf("once all is well the order stays %v", m.groups[0].pools[0].levels[1])
+	if play(r, m, 20, 100, well); m.groups[0].tables[0].admissions[1] != (admissionSetting{unlimitedAdmission, RetryIfNotExecuted}) {
+		t.Errorf("once all is well the order stays %v", m.groups[0].tables[0].admissions[1])
 	}
 }
 
@@ -338,10 +338,10 @@
 	list := []EndpointList{{Scope: DeltaList, Endpoints: []Endpoint{{Server: name(0), Weight: 1, Started: r.now}}}}
 	r.round(m, r.now+0.1, Events{Lists: list, ProxyEvents: []ProxyEvent{{Proxy: 3}, {Proxy: 4}}})
 	for play(r, m, 2, 100, well); r.now < 141; play(r, m, 1, 100, well) {
-		if len(m.absent) > 0 {
+		if len(m.disconnected) > 0 {
 			r.round(m, r.now, Events{ProxyEvents: []ProxyEvent{{Proxy: 3, Joined: true, ExpectedRate: 9}, {Proxy: 4, Joined: true, ExpectedRate: 9}}})
 		}
-		if _, held := r.tables[1][name(0)]; held && r.now < 132+settleFor {
+		if _, held := r.tables[1][name(0)]; held && r.now < 132+reconnectSettleTime {
 			t.Fatalf("at %.0f s it has a line", r.now)
 		}
 	}
@@ -361,7 +361,7 @@
 	play(r, m, 3, 100, lossy)
 	r.round(m, r.now, Events{Lists: []EndpointList{{Scope: DeltaList, Endpoints: []Endpoint{{Server: name(0), Started: r.now}}}}})
 	if play(r, m, 4, 100, lossy); r.tables[1][name(0)] != 0 {
-		t.Errorf("a cold server has the share %.3f", r.share(1, name(0)))
+		t.Errorf("a cold server has the share %.3f", r.share(name(0)))
 	}
 	if play(r, m, 8, 100, well); r.tables[1][name(0)] == 0 {
 		t.Error("once all is well it has no line")
@@ -374,10 +374,10 @@
 	r.round(m, r.now, Events{ProxyEvents: []ProxyEvent{far}})
 	r.round(m, r.now, Events{ProxyEvents: []ProxyEvent{{Proxy: 40, Zone: 1}}})
 	play(r, m, 12, 50, but(name(1), fails))
-	before := r.share(1, name(1))
+	before := r.share(name(1))
 	r.round(m, r.now, Events{ProxyEvents: []ProxyEvent{far}})
 	play(r, m, 1, 100, but(name(1), fails)) // still a report of the cut
-	if got := r.share(1, name(1)); before > 0.03 || got < 2*before || got < 0.06 {
+	if got := r.share(name(1)); before > 0.03 || got < 2*before || got < 0.06 {
 		t.Errorf("its share went from %.3f to %.3f, want about half of 1/6", before, got)
 	}
 }
@@ -422,8 +422,8 @@
 			r.round(m, r.now+4, Events{Acks: []Ack{{Proxy: 3, ID: r.marks[len(r.marks)-1], Latency: 3}}})
 		}
 	}
-	if m.channel.pace > 0.5 {
-		t.Errorf("the pace is held to be %.2f of the promised one", m.channel.pace)
+	if m.channel.relativePace > 0.5 {
+		t.Errorf("the pace is held to be %.2f of the promised one", m.channel.relativePace)
 	}
 }
 
@@ -460,19 +460,19 @@
 			s.classes[1].AllowedZones = []Zone{1}
 		}
 		m, r := s.manager(), newRecorder(s)
-		twin, copy := s.manager(), newRecorder(s)
+		twin, twinRecorder := s.manager(), newRecorder(s)
 		n := rapid.IntRange(2, 9).Draw(t, "servers")
 		fleet(r, m, n)
-		fleet(copy, twin, n)
+		fleet(twinRecorder, twin, n)
 		for range rapid.IntRange(10, 60).Draw(t, "rounds") {
 			pause := rapid.SampledFrom([]float64{0, 0.004, 0.3, 1, 1, 1, 7}).Draw(t, "pause")
 			news, now := randomNews(t, r, n, pause), r.now+pause
 			r.round(m, now, news)
-			copy.round(twin, now, news)
+			twinRecorder.round(twin, now, news)
 			if r.broken != "" {
 				t.Fatal(r.broken)
 			}
-			if r.log != copy.log {
+			if r.log != twinRecorder.log {
 				t.Fatal("the same news gave other orders")
 			}
 			checkCold(t, m, r)
@@ -511,7 +511,7 @@
 	}
 	worst := rapid.IntRange(0, 3).Draw(t, "trouble")
 	for i := range servers {
-		tries := 15 * seconds * r.share(1, name(i)) * float64(servers)
+		tries := 15 * seconds * r.share(name(i)) * float64(servers)
 		lost := tries * rapid.SampledFrom([]float64{0, 0, 0, 1, 0.5}).Draw(t, "lost") * float64(min(worst, 1))
 		news.Upstreams = append(news.Upstreams, UpstreamReport{Server: name(i), Attempts: tries, Failed: lost, Interval: seconds,
 			Latency: rapid.Float64Range(0.1, 0.3+float64(worst)).Draw(t, "latency")})
@@ -527,14 +527,14 @@
 
 // checkCold holds the tries that a cold server is led by fresh weights against what it can do.
 func checkCold(t *rapid.T, m *Balancer, r *recorder) {
-	for _, s := range m.order {
-		part := m.cold(r.now, s)
-		warm := slices.ContainsFunc(m.order, func(o *server) bool { return o.Phase == Ready && m.cold(r.now, o) >= 1 })
-		if s.Phase != Ready || part >= 1 || !warm || m.answers.Entries() < 20 || len(m.reaches) > 1 || len(m.groups) > 1 {
+	for _, s := range m.servers {
+		part := m.warmupFraction(r.now, s)
+		warm := slices.ContainsFunc(m.servers, func(o *server) bool { return o.Phase == Ready && m.warmupFraction(r.now, o) >= 1 })
+		if s.Phase != Ready || part >= 1 || !warm || m.completionRates.Entries() < 20 || len(m.eligibilitySets) > 1 || len(m.groups) > 1 {
 			continue
 		}
-		led := r.share(1, s.Server) * math.Max(m.tries, offered(m.proxies, nil, every))
-		if most := m.promise.OverloadFactor * 1.5 * math.Max(part*m.answers.Mean(), 1); led > most {
+		led := r.share(s.Server) * math.Max(m.attemptRate, offeredRate(m.proxies, nil, allClasses))
+		if most := m.guarantees.OverloadFactor * 1.5 * math.Max(part*m.completionRates.Mean(), 1); led > most {
 			t.Fatalf("%s is cold (%.2f of its capacity) and led %.1f tries a second, over %.1f", s.Server, part, led, most)
 		}
 	}
@@ -550,7 +550,7 @@
 		for range seconds {
 			var news Events
 			for i := range 6 {
-				tr := late(name(i), r.share(1, name(i)), 100)
+				tr := late(name(i), r.share(name(i)), 100)
 				tr.Interval = 1
 				news.Upstreams = append(news.Upstreams, tr)
 			}
@@ -569,13 +569,13 @@
 		news.ProxyEvents = append(news.ProxyEvents, ProxyEvent{Proxy: Proxy(100 + x), Joined: true, ExpectedRate: 12})
 	}
 	r.round(m, r.now+0.5, news)
-	mix := offered(m.proxies, nil, 2) / offered(m.proxies, nil, every)
+	mix := offeredRate(m.proxies, nil, 2) / offeredRate(m.proxies, nil, allClasses)
 	if math.Abs(mix-0.2) > 0.02 {
 		t.Errorf("%.2f of what is expected of the new ones is the dearer class, want 0.20 as of the others", mix)
 	}
 	for range 3 {
-		if steady(m, r, 100, 1); !m.pressed || slices.Min(m.let) < 0.7 {
-			t.Errorf("a second on levels are %.2f, pressed %v", m.let, m.pressed)
+		if steady(m, r, 100, 1); !m.overloaded || m.minAdmitted() < 0.7 {
+			t.Errorf("a second on levels are %.2f, pressed %v", m.admitted, m.overloaded)
 		}
 	}
 }
@@ -590,23 +590,23 @@
 
 // notFilled plays a channel that goes at a part of the pace that it promises, and no mark of which is answered.
 func notFilled(t *testing.T, ch Channel, part float64) {
-	c, waiting, sent := channel{Channel: ch, grace: 3, pace: 1}, 0.0, 0.0
+	c, waiting, sent := channel{Channel: ch, drainDeadline: 3, relativePace: 1}, 0.0, 0.0
 	for now := 100.0; now < 130; now += 0.5 {
-		lines := min(c.room(now, ordinary), 550) // as on the day on which it was seen
+		lines := min(c.available(now, urgencyNormal), 550) // as on the day on which it was seen
 		if lines < 100 {
 			lines = 0
 		}
 		if c.charge(now, lines); lines > 0 {
 			sent = lines
-			c.newest++
-			c.queue.MarkBatch(int(c.newest), lines)
+			c.lastAckID++
+			c.inFlight.MarkBatch(int(c.lastAckID), lines)
 		}
 		if waiting = max(0, waiting-0.5*part*ch.EntriesPerSecond) + lines; waiting > ch.MaxQueued {
 			t.Fatalf("at %.2f %.0f lines wait", now, waiting)
 		}
 	}
-	if c.acknowledge(Ack{ID: c.newest, Latency: 0.3}, sent); c.room(140, ordinary) < 0.4*ch.MaxQueued {
-		t.Errorf("once a mark is answered in time there is room for %.0f lines", c.room(140, ordinary))
+	if c.acknowledge(Ack{ID: c.lastAckID, Latency: 0.3}, sent); c.available(140, urgencyNormal) < 0.4*ch.MaxQueued {
+		t.Errorf("once a mark is answered in time there is room for %.0f lines", c.available(140, urgencyNormal))
 	}
 }
 
@@ -623,7 +623,7 @@
 func slowedWhileProxiesJoin(t *testing.T, batch, part float64) {
 	t.Helper()
 	ch := Channel{EntriesPerSecond: 1500, MessageOverhead: 3, MaxQueued: 4400, MeanDelay: 0.3, MaxDelay: 1}
-	c, left, waiting, refused := channel{Channel: ch, grace: 4, pace: 1}, 0.0, 0.0, 0
+	c, left, waiting, refused := channel{Channel: ch, drainDeadline: 4, relativePace: 1}, 0.0, 0.0, 0
 	type message struct {
 		lines float64
 		mark  AckID
@@ -650,15 +650,15 @@
 			c.acknowledge(answers[0], sizes[0])
 			due, answers, sizes = due[1:], answers[1:], sizes[1:]
 		}
-		mark, written := c.newest+1, 0.0
-		if lines := min(c.room(now, ordinary), batch); i%10 == 0 && lines > 100 {
+		mark, written := c.lastAckID+1, 0.0
+		if lines := min(c.available(now, urgencyNormal), batch); i%10 == 0 && lines > 100 {
 			c.charge(now, lines)
 			written += lines
 			for range 60 {
 				put(message{lines / 60, mark, now})
 			}
 		}
-		if c.admitsJoin(now, 25) { // a proxy that joins
+		if c.mayJoin(now, 25) { // a proxy that joins
 			c.charge(now, 25)
 			written += 25
 			put(message{25, mark, now})
@@ -666,15 +666,15 @@
 			refused++
 		}
 		if written > 0 {
-			c.newest = mark
-			c.queue.MarkBatch(int(mark), written)
+			c.lastAckID = mark
+			c.inFlight.MarkBatch(int(mark), written)
 		}
 		if waiting > ch.MaxQueued {
 			t.Fatalf("at a part of %.2f, after %.2f s %.0f lines wait", part, now-100, waiting)
 		}
 	}
-	if part == 1 && batch == 600 && (refused > 0 || c.pace < 0.9) {
-		t.Errorf("a channel that keeps its pace is held to have %.2f of it; %d proxies waited", c.pace, refused)
+	if part == 1 && batch == 600 && (refused > 0 || c.relativePace < 0.9) {
+		t.Errorf("a channel that keeps its pace is held to have %.2f of it; %d proxies waited", c.relativePace, refused)
 	}
 }
 
@@ -691,7 +691,7 @@
 		return l
 	}
 	r.round(m, r.now+0.1, Events{ProxyEvents: streams(10)})
-	waiting := m.channel.queue.Outstanding()
+	waiting := m.channel.inFlight.Outstanding()
 	if waiting < 50 {
 		t.Fatalf("ten joins take %.0f lines", waiting)
 	}
@@ -700,8 +700,8 @@
 		r.round(m, r.now+0.25, Events{ChannelStalled: true, Lists: []EndpointList{{Scope: DeltaList, Endpoints: []Endpoint{{Server: name(i % 3),
 			Phase: Draining}}}}, ProxyEvents: streams(20)[:i%10]})
 	}
-	if r.log != "" || m.channel.queue.Outstanding() < waiting {
-		t.Errorf("%.0f lines are held to wait, %.0f before; ordered %q", m.channel.queue.Outstanding(), waiting, r.log)
+	if r.log != "" || m.channel.inFlight.Outstanding() < waiting {
+		t.Errorf("%.0f lines are held to wait, %.0f before; ordered %q", m.channel.inFlight.Outstanding(), waiting, r.log)
 	}
 	if r.round(m, r.now+0.01, Events{}); r.tables[1][name(1)] > 0 || r.bound[20] == nil {
 		t.Errorf("then the table is %v, proxy 20 bound to %v", r.tables[1], r.bound[20])
@@ -713,17 +713,17 @@
 	m, r := begin(t, usualSite(), 6)
 	r.round(m, r.now+0.1, Events{ProxyEvents: []ProxyEvent{{Proxy: 40, Joined: true, ExpectedRate: 5}, {Proxy: 41, Joined: true, ExpectedRate: 5}}})
 	c := &m.channel
-	before := c.queue.Outstanding()
+	before := c.inFlight.Outstanding()
 	for range 20 {
 		r.round(m, r.now+0.25, Events{ChannelStalled: true})
 	}
-	if c.queue.Outstanding() != before {
-		t.Errorf("%.0f lines are held to wait after the stall, want the %.0f of before it", c.queue.Outstanding(), before)
+	if c.inFlight.Outstanding() != before {
+		t.Errorf("%.0f lines are held to wait after the stall, want the %.0f of before it", c.inFlight.Outstanding(), before)
 	}
 	x := m.proxies[len(m.proxies)-2]
-	c.acknowledge(Ack{Proxy: x.Proxy, ID: c.newest, Latency: 5.05}, x.size)
-	if got := c.queue.Outstanding(); got != x.size {
-		t.Errorf("%.0f lines are held to wait after one of two answers, want the %.0f of the other", got, x.size)
+	c.acknowledge(Ack{Proxy: x.Proxy, ID: c.lastAckID, Latency: 5.05}, x.messageSize)
+	if got := c.inFlight.Outstanding(); got != x.messageSize {
+		t.Errorf("%.0f lines are held to wait after one of two answers, want the %.0f of the other", got, x.messageSize)
 	}
 }
 
@@ -734,13 +734,13 @@
 	for i, seed := range []uint64{0x8c1f30d27a5be964, 0x1f30d27a5be9648c} {
 		m, r := New(seed, s.classes, s.fleet, s.channel, s.promise, s.reporting, HealthChecking{}, s.discovery), newRecorder(s)
 		fleet(r, m, 4)
-		lives[i] = m.channel.newest
-		waiting := m.channel.queue.Outstanding()
+		lives[i] = m.channel.lastAckID
+		waiting := m.channel.inFlight.Outstanding()
 		if waiting == 0 || len(r.marks) == 0 {
 			t.Fatal("no mark was given")
 		}
 		r.round(m, r.now+0.01, Events{Acks: []Ack{{Proxy: 1, ID: lives[0], Latency: 9}}})
-		if i == 1 && (m.channel.queue.Outstanding() < waiting-1 || m.channel.pace < 1) {
+		if i == 1 && (m.channel.inFlight.Outstanding() < waiting-1 || m.channel.relativePace < 1) {
 			t.Errorf("mark %d is answered by %d", lives[1], lives[0])
 		}
 	}
@@ -748,13 +748,13 @@
 
 func TestOrdersThatGoAgainAreChargedAgain(t *testing.T) {
 	m, r := begin(t, usualSite(), 6)
-	users, lines := m.groups[0].users, m.joins(m.proxies[0])
-	before, written := m.channel.queue.Outstanding(), m.groups[0].messages.Count(r.now, 10)
-	m.resent(r.now, Redelivered{Tables: []Table{1, 1, 99}, Proxies: []Proxy{m.proxies[0].Proxy, 999}})
+	users, lines := m.groups[0].boundProxies, m.joinSize(m.proxies[0])
+	before, written := m.channel.inFlight.Outstanding(), m.groups[0].messages.Count(r.now, 10)
+	m.chargeRedelivered(r.now, Redelivered{Tables: []Table{1, 1, 99}, Proxies: []Proxy{m.proxies[0].Proxy, 999}})
 	if got := m.groups[0].messages.Count(r.now, 10) - written; got != 1 {
 		t.Errorf("a call that goes twice counts as %d messages more, want 1", got)
 	}
-	if got, want := m.channel.queue.Outstanding()-before, users*(2+m.channel.head())+lines; users < 1 || math.Abs(got-want) > 1e-9 {
+	if got, want := m.channel.inFlight.Outstanding()-before, users*(2+m.channel.messageCost())+lines; users < 1 || math.Abs(got-want) > 1e-9 {
 		t.Errorf("%.0f lines for two weights to %.0f proxies and a join, want %.0f", got, users, want)
 	}
 }
@@ -766,8 +766,8 @@
 		r.round(m, r.now+5, Events{Demands: []DemandReport{{Proxy: 3, Class: 1, Requests: 0.5, Interval: spans[i%2]}}})
 	}
 	x := m.proxies[slices.IndexFunc(m.proxies, func(x *proxy) bool { return x.Proxy == 3 })]
-	if x.rate[1] > 0.15 {
-		t.Errorf("a class of 0.10 queries a second counts as %.2f", x.rate[1])
+	if x.demand[1] > 0.15 {
+		t.Errorf("a class of 0.10 queries a second counts as %.2f", x.demand[1])
 	}
 }
 
@@ -781,7 +781,7 @@
 		}
 		r.round(m, r.now+1, Events{Lists: []EndpointList{l}, Upstreams: []UpstreamReport{well(name(0), 0.2, 100)}})
 	}
-	if len(m.servers) > 12 || len(m.order) != len(m.servers) || r.broken != "" {
-		t.Errorf("%d servers and %d in order; %s", len(m.servers), len(m.order), r.broken)
+	if len(m.serverByAddress) > 12 || len(m.servers) != len(m.serverByAddress) || r.broken != "" {
+		t.Errorf("%d servers and %d in order; %s", len(m.serverByAddress), len(m.servers), r.broken)
 	}
 }
--- a/balancer/health.go
+++ b/balancer/health.go
@@ -1,94 +1,87 @@
-// Server health: what each server bears, its warm-up, and the registry that discovery tells.
-
 package balancer
 
-import (
-	"cmp"
-	"math"
-	"slices"
-
-	"snowquay/internal/core/waterfill"
-)
+import "snowquay/internal/core/waterfill"
 
 const (
-	settleFor = 8.0 // seconds for which a proxy that came back may avoid servers; 2 to 8 are usual
-	heavy     = 1.6 // times its usual answers that a server bears: from 0.6 of its capacity to all of it
-	rampFor   = 5.0 // seconds from the floor to the full weight; the design's
+	// slowStartTime is the time in seconds in which a server that is new to this coordinator rises from its
+	// start to its full intake.
+	slowStartTime = 5.0
+	// reconnectSettleTime is the time in seconds for which a proxy that came back may go on ejecting
+	// servers; 2 to 8 are usual.
+	reconnectSettleTime = 8.0
+	// safeIntakeFactor is the multiple of its usual completion rate that a server can surely take: servers
+	// usually run at 0.6 of their capacity.
+	safeIntakeFactor = 1.6
 )
 
-// Health: what servers bear, and their return.
-
-// bears is the intake that a server can surely stand. Proxies that avoid servers may avoid all but one.
-func (m *Balancer) bears(now float64, s *server) float64 {
-	if part := m.cold(now, s); part < 1 {
-		if m.fleet.EjectAfterFailures > 0 && (m.lossy || len(m.absent) > 0 || now-m.returned < settleFor) {
-			return 0
-		}
-		return part * m.answers.Mean() * min(heavy, m.promise.OverloadFactor/2)
-	}
-	if s.able || s.answers.Entries() == 0 {
-		return heavy * max(s.answers.Mean(), m.answers.Mean())
+// warmupFraction is the part of its capacity that a server surely has, by the time since it started.
+func (b *Balancer) warmupFraction(now float64, srv *server) float64 {
+	age := max(now-srv.Started, 0)
+	if srv.Started > 0 && age < b.guarantees.WarmupDuration {
+		start := b.guarantees.WarmupStartFraction
+		return start + (1-start)*age/b.guarantees.WarmupDuration
 	}
-	return heavy * s.answers.Mean()
+	return 1
+}
+
+// isWarm tells whether a server has its whole capacity.
+func (b *Balancer) isWarm(now float64, srv *server) bool {
+	return b.warmupFraction(now, srv) >= 1
+}
+
+// slowStartFraction is the part of an average intake that a server may get, by its warm-up and by the
+// time that it has been known here.
+func (b *Balancer) slowStartFraction(now float64, srv *server) float64 {
+	ramp := b.guarantees.WarmupStartFraction + (now-srv.discoveredAt)/slowStartTime
+	return min(b.warmupFraction(now, srv), ramp)
 }
 
-// spread bounds every server's part of the tries by what it bears; what is over goes to others, at last the
-// warm. Guards against a withdrawal that pushes over the rest; it does harm where too many are dead.
-func (m *Balancer) spread(now float64, open []*server, intake, bears []float64, tries float64) {
-	all, warm := 0.0, 0.0
-	for i, s := range open {
-		if all += bears[i]; m.cold(now, s) >= 1 {
-			warm += bears[i]
+// safeIntake is the intake in requests a second that a server can surely take.
+func (b *Balancer) safeIntake(now float64, srv *server) float64 {
+	warm := b.warmupFraction(now, srv)
+	if warm < 1 {
+		if b.mayBeEjecting(now) {
+			return 0 // a proxy that ejects servers may send everything to the one it has not met yet
 		}
+		return warm * b.completionRates.Mean() * min(safeIntakeFactor, b.guarantees.OverloadFactor/2)
 	}
-	factor := waterfill.Factor(intake, bears, tries)
-	for i, s := range open {
-		intake[i] = min(factor*intake[i], bears[i])
-		if all < tries && warm > 0 && m.cold(now, s) >= 1 {
-			intake[i] *= 1 + (tries-all)/warm
-		}
+	usual := srv.completionRates.Mean()
+	if srv.onTime || srv.completionRates.Entries() == 0 {
+		usual = max(usual, b.completionRates.Mean())
 	}
+	return safeIntakeFactor * usual
 }
 
-func (m *Balancer) cold(now float64, s *server) float64 { // the share of its capacity that it surely has
-	if age := max(now-s.Started, 0); s.Started > 0 && age < m.promise.WarmupDuration {
-		return m.promise.WarmupStartFraction + (1-m.promise.WarmupStartFraction)*age/m.promise.WarmupDuration
+// mayBeEjecting tells whether proxies may be ejecting servers by themselves: many attempts fail, or
+// proxies are out of reach or have just come back.
+func (b *Balancer) mayBeEjecting(now float64) bool {
+	if b.dataPlane.EjectAfterFailures <= 0 {
+		return false
 	}
-	return 1
-}
-
-func (m *Balancer) ready(now float64, s *server) float64 { // the share of an average intake, with the ramp
-	return min(m.cold(now, s), m.promise.WarmupStartFraction+(now-s.known)/rampFor)
+	return b.highFailureRate || len(b.disconnected) > 0 || now-b.reconnectedAt < reconnectSettleTime
 }
 
-func (m *Balancer) follow(now float64, l EndpointList) {
-	for _, s := range m.order {
-		named := func(e Endpoint) bool { return e.Server == s.Server }
-		if l.Scope == FullList && !slices.ContainsFunc(l.Endpoints, named) {
-			l.Endpoints = append(slices.Clip(l.Endpoints), Endpoint{Server: s.Server, Phase: Removed})
+// boundIntakes bounds each candidate's part of the attempts by its safe intake, and gives the excess to
+// the others in proportion to theirs. Where all are at their bounds the warm ones share the rest: a
+// withdrawal of some servers must not overload the others, least of all those that warm up.
+func boundIntakes(candidates []candidate, attemptRate float64) {
+	total := 0.0
+	warmTotal := 0.0
+	takers := make([]waterfill.Taker, len(candidates))
+	for i := range candidates {
+		c := &candidates[i]
+		takers[i] = waterfill.Taker{Want: c.intake, Bound: c.safeIntake}
+		total += c.safeIntake
+		if c.warm {
+			warmTotal += c.safeIntake
 		}
 	}
-	for _, e := range l.Endpoints {
-		s := m.servers[e.Server]
-		switch {
-		case s == nil && e.Phase == Removed:
-		case s == nil:
-			if s = (&server{Endpoint: e, known: now}); l.Scope == CachedList {
-				s.known = math.Inf(-1)
-			}
-			m.servers[e.Server], m.order = s, append(m.order, s)
-		case e.Phase == Removed && m.promise.RemovalIsAdvisory && s.Phase == Ready:
-			s.dropped = true // the list may be wrong: it stays for as long as it answers
-		case e.Phase == Removed:
-			s.Phase = Removed
-		case e.Phase == Ready && (e.Started != s.Started || s.Phase != Ready): // another process
-			*s = server{Endpoint: e, known: now}
-		default:
-			s.Endpoint, s.dropped = e, false
+	factor := waterfill.Factor(takers, attemptRate)
+	for i := range candidates {
+		c := &candidates[i]
+		c.intake = min(factor*c.intake, c.safeIntake)
+		if c.warm && total < attemptRate && warmTotal > 0 {
+			c.intake *= 1 + (attemptRate-total)/warmTotal
 		}
 	}
-	slices.SortStableFunc(m.order, func(a, b *server) int { return cmp.Compare(a.Zone, b.Zone) })
-	for i, s := range m.order {
-		s.place = i
-	}
 }
--- a/balancer/interface.go
+++ b/balancer/interface.go
@@ -1,101 +1,124 @@
 package balancer
 
-// Each kind of id is a type of its own. Ids carry no meaning beyond identity.
+// Identifiers of one kind have a type of their own. They carry no meaning beyond identity.
 type (
-	Server        string // address of a server, handed back unaltered
-	Proxy         int    // number of a proxy
-	Table         int    // number of a table, chosen by the module
-	Class         int    // place of a query class among those handed at start
-	ClassSet      uint64 // a set of classes, bit k for class k; 0 stands for all
-	Zone          int    // place of a zone in the site's list
-	Kind          int    // kind of machine
-	FailureDomain int    // a few servers of one zone that fail, and drop repeats, together
-	Coordinator   int    // number of a fellow coordinator
-	AckID         int    // number of a mark that proxies answer
-	Timer         int    // number of a wake-up call
+	// Server is the address of a server, handed back unaltered.
+	Server string
+	// Proxy is the number of a proxy.
+	Proxy int
+	// Table is the number of a weight table, chosen by the Balancer.
+	Table int
+	// Class is the index of a request class among those handed to New.
+	Class int
+	// ClassSet is a set of request classes: bit k stands for class k. 0 stands for all classes.
+	ClassSet uint64
+	// Zone is the index of a zone in the site's list.
+	Zone int
+	// Kind is the number of a kind of machine.
+	Kind int
+	// FailureDomain is the number of a few servers of one zone that fail together and share what they know for
+	// deduplication.
+	FailureDomain int
+	// Coordinator is the number of a coordinator of the site.
+	Coordinator int
+	// AckID is the number of an acknowledgement request.
+	AckID int
+	// Timer is the number of a timer.
+	Timer int
 )
 
-// Idempotency says what a repeat of a query may do.
+// Idempotency says what a repeated request may do.
 type Idempotency int
 
+// The kinds of idempotency.
 const (
-	Idempotent    Idempotency = iota // safe to repeat
-	Keyed                            // repeats are dropped within a group of servers, for a while
-	NonIdempotent                    // must never run twice
+	// Idempotent requests may run any number of times.
+	Idempotent Idempotency = iota
+	// Keyed requests carry a key by which servers drop repetitions within DedupScope for DedupWindow.
+	Keyed
+	// NonIdempotent requests must never run twice.
+	NonIdempotent
 )
 
-// DedupScope names the servers that drop each other's repeats of a guarded query.
+// DedupScope names the servers that drop each other's repetitions of a keyed request.
 type DedupScope int
 
+// The scopes of deduplication.
 const (
 	EveryServer DedupScope = iota
 	SameZone
 	SameFailureDomain
 )
 
-// RequestClass is what clients expect of one class of queries. Times are seconds.
+// RequestClass is what clients expect of one class of requests. Times are in seconds.
 type RequestClass struct {
-	PriorityWeight   float64 // of an answer within the goal time
-	LateWeight       float64 // share of it that a later answer still earns
-	LatencyObjective float64
-	ObjectiveStretch float64 // goal time grows by this multiple of the query's own work
-	ClientTimeout    float64
-	Idempotency      Idempotency
-	DedupScope       DedupScope
-	DedupWindow      float64 // how long a guarded repeat is dropped
-	AllowedZones     []Zone  // the servers' zones it may go to; none named: all
-	ZoneLocal        bool    // it may go only to servers of the proxy's zone
-	Writes           bool
+	PriorityWeight   float64     // of an answer within the latency objective, against other classes
+	LateWeight       float64     // part of PriorityWeight that a later answer is still worth
+	LatencyObjective float64     // within which an answer has its full worth
+	ObjectiveStretch float64     // multiple of the request's own work that is added to the objective
+	ClientTimeout    float64     // after which the client gives up
+	Idempotency      Idempotency // of its requests
+	DedupScope       DedupScope  // of Keyed requests
+	DedupWindow      float64     // for which repetitions of Keyed requests are dropped
+	AllowedZones     []Zone      // zones of the servers that it may go to; none named: all
+	ZoneLocal        bool        // it may go only to servers of the proxy's zone
+	Writes           bool        // its requests change data
 }
 
-// AdmissionMode says how the proxies understand a level.
+// AdmissionMode says how the proxies understand the rate of an admission setting.
 type AdmissionMode int
 
+// The admission modes.
 const (
-	AdmissionIgnored  AdmissionMode = iota
-	AdmissionFraction               // share of a class that is let in
-	AdmissionRate                   // queries a second let in at each proxy
+	// AdmissionIgnored means that proxies admit everything.
+	AdmissionIgnored AdmissionMode = iota
+	// AdmissionFraction means the part of a class's requests that is admitted, from 0 to 1.
+	AdmissionFraction
+	// AdmissionRate means the requests a second that each proxy admits.
+	AdmissionRate
 )
 
 // DataPlane describes the proxies.
 type DataPlane struct {
-	Proxies              int // over all coordinators
-	Coordinators         int
-	Self                 Coordinator
-	DefaultTableSize     int         // most servers in the table that a proxy starts with
-	EjectAfterFailures   int         // failures in a row after which a proxy avoids a server; 0: never
-	DefaultRetry         RetryPolicy // when none are ordered
-	MinConnections       float64     // that the smallest servers accept
-	AttemptTimeoutFactor float64     // goal times that a try waits before it is repeated
-	Admission            AdmissionMode
+	Proxies              int           // of all coordinators together
+	Coordinators         int           // how many there are
+	Self                 Coordinator   // this one's number
+	DefaultTableSize     int           // most servers in the table that a proxy starts with
+	EjectAfterFailures   int           // failures in a row after which a proxy ejects a server; 0: never
+	DefaultRetry         RetryPolicy   // of proxies that have no other order
+	MinConnections       float64       // that the smallest servers accept
+	AttemptTimeoutFactor float64       // timeout of an attempt, in latency objectives
+	Admission            AdmissionMode // how proxies understand admission settings
 }
 
-// Channel is the way from the coordinator to its proxies.
+// Channel describes the way from the coordinator to its proxies, a first-in first-out queue. An entry is a
+// table entry, an admission setting, an assigned table or an acknowledgement request.
 type Channel struct {
-	EntriesPerSecond float64
-	MessageOverhead  float64 // charged for each message besides its own lines
-	MaxQueued        float64 // lines that may wait
-	MeanDelay        float64 // seconds from leaving the channel to the proxy
-	MaxDelay         float64
+	EntriesPerSecond float64 // pace at which entries leave it
+	MessageOverhead  float64 // entries charged for each message besides its own
+	MaxQueued        float64 // entries that may wait in it
+	MeanDelay        float64 // seconds from leaving it to the proxy
+	MaxDelay         float64 // seconds
 	MaxMessages      int     // to one proxy within MessageWindow; 0: no limit
 	MessageWindow    float64 // seconds
 }
 
-// Guarantees are the figures of the rules.
+// Guarantees are the limits that the decisions keep. Times are in seconds.
 type Guarantees struct {
-	DrainDeadline         float64 // seconds until no proxy sends to a server known to drain
-	EmptyTableDeadline    float64 // seconds that a proxy may lack a line
-	WarmupStartFraction   float64 // of its capacity, at which a server starts at least
-	WarmupDuration        float64 // seconds after which it is warm at the latest
-	OverloadFactor        float64 // of its present capacity; more of it for FallWithin pushes it over
-	OverloadWindow        float64 // seconds
-	DiscoveryPollDeadline float64 // seconds that discovery may go unasked
+	DrainDeadline         float64 // until no proxy sends to a server known to drain
+	EmptyTableDeadline    float64 // that a proxy may be without a table entry
+	WarmupStartFraction   float64 // part of its capacity that a server has at least when it starts
+	WarmupDuration        float64 // after which a server has its whole capacity at the latest
+	OverloadFactor        float64 // multiple of a server's present capacity that overloads it within OverloadWindow
+	OverloadWindow        float64
+	DiscoveryPollDeadline float64 // that discovery may go unpolled
 	RemovalIsAdvisory     bool    // a server that merely left the list may stay in tables
 }
 
 // LoadMetric names a value of a server's load report.
 type LoadMetric int
 
+// The load metrics.
 const (
 	UnknownMetric LoadMetric = iota
 	InProgress
@@ -106,68 +129,79 @@
 	ErrorRate
 )
 
-// Reporting is what the coordinator is given of its proxies' traffic.
+// Reporting is what the coordinator is told about its proxies' traffic.
 type Reporting struct {
-	Period           float64 // seconds
-	EntriesPerSecond float64
-	Metrics          []LoadMetric
-	Piggybacked      bool // load reports come with the traffic reports
+	Period           float64      // seconds between two reports of one kind
+	EntriesPerSecond float64      // pace of the reports
+	Metrics          []LoadMetric // of a load report, in their order
+	Piggybacked      bool         // load reports come with the upstream reports
 }
 
-// HealthChecking says whether probes are allowed and what they cost.
+// HealthChecking says whether health checks are allowed and what they cost.
 type HealthChecking struct {
 	Allowed bool
-	Price   float64 // of one probe a query, in points
+	Price   float64 // points for each check, per request
 	Timeout float64 // seconds that a proxy waits for a connection
 }
 
-// WeightSource says what the listed weights hold.
+// WeightSource says what the weights in the endpoint list rest on.
 type WeightSource int
 
+// The sources of listed weights.
 const (
 	WeightsAbsent WeightSource = iota
 	WeightsNominal
 	WeightsApproximate
-	WeightsLive // they move with the load
+	// WeightsLive change with the load.
+	WeightsLive
 )
 
-// Discovery says how the list of servers comes.
+// Discovery says how endpoint lists come.
 type Discovery struct {
-	Polled  bool
+	Polled  bool // they come only when PollDiscovery asks for them
 	Weights WeightSource
 }
 
-// Phase of a listed server.
+// Phase is the part of its life that a listed server is in.
 type Phase int
 
+// The phases of a server.
 const (
+	// Ready servers take requests.
 	Ready Phase = iota
+	// Draining servers finish what they have, and must get no new requests.
 	Draining
+	// Removed servers no longer exist.
 	Removed
 )
 
-// Endpoint is one server of the list.
+// Endpoint is one server of an endpoint list.
 type Endpoint struct {
 	Server        Server
 	Zone          Zone
 	Kind          Kind
 	FailureDomain FailureDomain
-	Weight        float64
+	Weight        float64 // relative capacity as listed
 	Phase         Phase
 	Started       float64 // clock time of its last start; 0: long ago
 }
 
-// ListScope of a list.
+// ListScope says what an endpoint list covers.
 type ListScope int
 
+// The scopes of an endpoint list.
 const (
-	CachedList ListScope = iota // as last held, possibly outdated
-	FullList                    // what is absent is gone
+	// CachedList is the list as last known before a restart, possibly out of date.
+	CachedList ListScope = iota
+	// FullList names every server: those absent are removed.
+	FullList
+	// DeltaList names only what has changed.
 	DeltaList
-	ListFailed // a call failed or the subscription broke; no entries
+	// ListFailed stands for a poll that failed or a watch that broke; it has no endpoints.
+	ListFailed
 )
 
-// EndpointList is one word from discovery.
+// EndpointList is one message from discovery.
 type EndpointList struct {
 	Scope     ListScope
 	Endpoints []Endpoint
@@ -176,42 +210,43 @@
 // ProxyEvent is a proxy that joined or left.
 type ProxyEvent struct {
 	Proxy        Proxy
-	Joined       bool
+	Joined       bool // otherwise it left
 	Zone         Zone
-	ExpectedRate float64 // queries a second it usually gets
-	DefaultTable bool    // it holds only its standing table
+	ExpectedRate float64 // requests a second that it usually gets
+	DefaultTable bool    // it holds only its default table
 }
 
-// UpstreamReport is what the joined proxies of a zone met at a server.
+// UpstreamReport is what the connected proxies of a zone met at one server.
 type UpstreamReport struct {
 	Server   Server
-	Zone     Zone
-	Attempts float64
-	Failed   float64   // tries with no good answer
+	Zone     Zone      // of the proxies
+	Attempts float64   // within Interval
+	Failed   float64   // attempts without a good answer
 	Latency  float64   // mean of the good ones, seconds
-	Interval float64   // seconds over which it was counted
-	Load     []float64 // newest load report, in the order of Reporting.Figures
+	Interval float64   // seconds
+	Load     []float64 // newest load report, in the order of Reporting.Metrics
 }
 
-// DemandReport is what came to one proxy for one class, refused and repeated queries included.
+// DemandReport is what came to one proxy of one class, rejected and retried requests included.
 type DemandReport struct {
 	Proxy    Proxy
 	Class    Class
-	Requests float64
-	Failed   float64 // let in, without an answer
-	Interval float64
+	Requests float64 // within Interval
+	Failed   float64 // admitted ones without an answer
+	Interval float64 // seconds
 }
 
-// Ack says that a proxy has applied the message that carried a mark.
+// Ack says that a proxy has applied the message that carried an acknowledgement request.
 type Ack struct {
 	Proxy   Proxy
 	ID      AckID
-	Latency float64
+	Latency float64 // seconds from the request to its application
 }
 
-// HealthStatus is how a probe ended.
+// HealthStatus is how a health check ended.
 type HealthStatus int
 
+// The results of a health check.
 const (
 	HealthOK HealthStatus = iota
 	HealthError
@@ -221,24 +256,24 @@
 	HealthInconclusive
 )
 
-// HealthCheckResult is what a probe found.
+// HealthCheckResult is the result of a health check.
 type HealthCheckResult struct {
 	Server  Server
 	Status  HealthStatus
-	Latency float64
-	Load    []float64
+	Latency float64   // seconds
+	Load    []float64 // load report, in the order of Reporting.Metrics
 }
 
-// Redelivered are orders that the channel may carry with one message more than was decided: they go again though they may have been
-// carried out, or with another call than the rest of their round.
+// Redelivered names commands that the channel may carry a second time, with a message of their own: they are
+// sent again although they may have been carried out, or not with the rest of their round.
 type Redelivered struct {
-	Tables  []Table // one for each weight or level
-	Proxies []Proxy // that are bound
+	Tables  []Table // one for each weight or admission setting
+	Proxies []Proxy // that are assigned their tables again
 }
 
-// Events is all that came in for one round, each slice in arrival order.
+// Events is all that came in for one round, each slice in the order of arrival.
 type Events struct {
-	ChannelStalled bool // what was ordered does not reach the channel now, nor would anything else
+	ChannelStalled bool // commands do not reach the channel at present: nothing is published
 	Redelivered    Redelivered
 	Lists          []EndpointList
 	ProxyEvents    []ProxyEvent
@@ -249,24 +284,38 @@
 	FiredTimers    []Timer
 }
 
-// RetryPolicy says when a proxy tries another server.
+// RetryPolicy says when a proxy sends a request to another server.
 type RetryPolicy int
 
+// The retry policies.
 const (
-	RetryNever         RetryPolicy = iota
-	RetryIfNotExecuted             // once, when the first try surely never ran
-	RetryOnce                      // once, after any failure
-	RetryTwice                     // twice
+	// RetryNever makes one attempt.
+	RetryNever RetryPolicy = iota
+	// RetryIfNotExecuted retries once if the first attempt surely did not run.
+	RetryIfNotExecuted
+	// RetryOnce retries once after any failure.
+	RetryOnce
+	// RetryTwice retries up to two times after any failure.
+	RetryTwice
 )
 
-// CommandSink takes the decisions of a round. All orders of a round to a proxy travel as one message.
+// CommandSink takes the decisions of a round. All commands of a round for a proxy travel in one message.
 type CommandSink interface {
-	SetWeight(Table, Server, float64) // sets a line; 0 removes it
-	AssignTable(Proxy, Table, ClassSet)
-	SetAdmission(t Table, cs ClassSet, level float64, again RetryPolicy)
-	RequestAck(AckID)
-	HealthCheck(Server)
+	// SetWeight sets the entry of a server in a table; 0 removes it.
+	SetWeight(table Table, server Server, weight float64)
+	// AssignTable has a proxy use a table for some classes.
+	AssignTable(proxy Proxy, table Table, classes ClassSet)
+	// SetAdmission sets what the users of a table admit of some classes, by DataPlane.Admission, and when they
+	// retry.
+	SetAdmission(table Table, classes ClassSet, rate float64, retry RetryPolicy)
+	// RequestAck has the round's messages acknowledged when they are applied.
+	RequestAck(id AckID)
+	// HealthCheck has a server checked; the result comes as a HealthCheckResult.
+	HealthCheck(server Server)
+	// PollDiscovery has discovery polled once; the result comes as an EndpointList.
 	PollDiscovery()
-	SetTimer(after float64, t Timer)
-	Log(string)
+	// SetTimer calls for a round after some seconds.
+	SetTimer(seconds float64, timer Timer)
+	// Log takes a message for the operators.
+	Log(text string)
 }
--- /dev/null
+++ b/balancer/proxies.go
@@ -0,0 +1,78 @@
+package balancer
+
+import "slices"
+
+// reportDelay is the time in seconds by which reports are late besides their period, give or take half
+// of it.
+const reportDelay = 1.0
+
+// applyProxyEvent takes a proxy that joined or left. A proxy that joins again has left its old
+// connection.
+func (b *Balancer) applyProxyEvent(now float64, event ProxyEvent) {
+	if joining := b.proxyByID[event.Proxy]; joining != nil {
+		b.disconnect(now, joining)
+	}
+	if !event.Joined {
+		return
+	}
+	isSame := func(joining *proxy) bool { return joining.Proxy == event.Proxy }
+	if slices.ContainsFunc(b.disconnected, isSame) {
+		b.recoverZone(now, event.Zone)
+		b.reconnectedAt = now
+		b.disconnected = slices.DeleteFunc(b.disconnected, isSame)
+	}
+	if len(b.groups) == 0 {
+		b.createGroups(event.Zone)
+	}
+	joining := &proxy{
+		ProxyEvent: event,
+		joinedAt:   now,
+		group:      b.groupOf(event),
+		demand:     b.expectedDemand(event.ExpectedRate),
+	}
+	b.proxies = append(b.proxies, joining)
+	b.proxyByID[event.Proxy] = joining
+}
+
+func (b *Balancer) disconnect(now float64, p *proxy) {
+	p.leftAt = now
+	if p.bound {
+		p.group.boundProxies--
+	}
+	b.disconnected = append(b.disconnected, p)
+	b.proxies = slices.DeleteFunc(b.proxies, func(other *proxy) bool { return other == p })
+	delete(b.proxyByID, p.Proxy)
+}
+
+// recoverZone ends an outage of a zone when its first proxy comes back. What is still reported of the
+// servers that failed there is of the outage: it is ignored, and they get at least half of what they
+// usually complete.
+func (b *Balancer) recoverZone(now float64, zone Zone) {
+	if slices.ContainsFunc(b.proxies, func(p *proxy) bool { return p.Zone == zone }) {
+		return
+	}
+	for _, srv := range b.servers {
+		newest := len(srv.samples) - 1
+		if srv.Zone != zone || newest < 0 || srv.samples[newest].failed <= 0 {
+			continue
+		}
+		srv.ignoreReportsUntil = now + b.reportPeriod + reportDelay
+		srv.samples = nil
+		srv.intake = max(srv.intake, srv.completionRates.Mean()/2)
+	}
+}
+
+// expectedDemand divides a proxy's expected rate by class as the demand of the connected proxies is
+// divided, evenly where there is none. It counts until reports show the proxy's own demand.
+func (b *Balancer) expectedDemand(rate float64) []float64 {
+	total := offeredRate(b.proxies, nil, allClasses)
+	demand := make([]float64, len(b.classes))
+	for class := range demand {
+		part := 1 / float64(len(b.classes))
+		if total > 0 {
+			part = offeredRate(b.proxies, nil, 1<<class) / total
+		}
+		demand[class] = rate * part
+	}
+	return demand
+}
--- a/balancer/publish.go
+++ b/balancer/publish.go
@@ -1,5 +1,3 @@
-// Publishing: which differences to the tables that proxies hold go out in a round.
-
 package balancer
 
 import (
@@ -9,107 +7,177 @@
 )
 
 const (
-	movedBy      = 0.1  // part of the held weight that a move must exceed to be sent; the design's
-	weightsEvery = 5.0  // seconds between two sendings of weights; the design's
-	urgentBy     = 0.33 // of the held weight; a weight off by more is trouble, not drift, and does not wait
-	urgentEvery  = 1.0  // seconds between two sendings then: time to gather others like it
+	// minRelativeChange is the part of the held value that a change of a weight or an admission rate must
+	// exceed to be sent.
+	minRelativeChange = 0.1
+	// weightsInterval is the time in seconds between two messages with weights of one table.
+	weightsInterval = 5.0
+	// largeRelativeChange is the part of the held weight that only a fault moves it by, not drift. As a
+	// part of what a table wants in servers that serve, it is the lack from which on the table does not
+	// wait.
+	largeRelativeChange = 0.33
+	// largeChangeInterval is the time in seconds between two messages while weights are off by that: time
+	// to gather others like it.
+	largeChangeInterval = 1.0
+	// smallWeight is the weight below which changes are measured against it, not against the weight held.
+	smallWeight = averageWeight / 4
 )
 
-func (m *Balancer) publish(now float64, w CommandSink) {
+// publish sends what has changed, as far as the channel allows. A group's commands stand together,
+// since they travel in one message to each of its proxies.
+func (b *Balancer) publish(now float64, sink CommandSink) {
 	taken := map[Server]float64{}
-	wants := make([][][]line, len(m.reaches))
-	for k := range m.reaches {
-		wants[k] = m.wanted(now, k, taken)
+	wanted := make([][][]tableEntry, len(b.eligibilitySets)) // by eligibility set and group
+	for i := range b.eligibilitySets {
+		wanted[i] = b.wantedEntries(now, i, taken)
 	}
-	before := m.channel.queue.Outstanding()
-	for i, g := range m.groups { // a group's orders stand together: they are to travel in one message
-		for k, p := range g.pools {
-			m.weigh(now, g, p, wants[k][i], w)
-			if now-p.leveled >= levelEvery && m.fit(now, g, ordinary) >= len(m.all) {
-				m.setLevels(now, g, p, m.reaches[k].classes, w)
+	before := b.channel.inFlight.Outstanding()
+	for groupIndex, group := range b.groups {
+		for setIndex, table := range group.tables {
+			b.updateWeights(now, group, table, wanted[setIndex][groupIndex], sink)
+			due := now-table.admissionsSentAt >= admissionInterval
+			if due && b.entryBudget(now, group, urgencyNormal) >= len(b.classes) {
+				b.sendAdmissions(now, group, table, b.eligibilitySets[setIndex].classes, sink)
 			}
 		}
 	}
-	m.join(now, w)
-	if size := m.channel.queue.Outstanding() - before; size > 0 {
-		m.mark(now, size, w)
+	b.assignTables(now, sink)
+	size := b.channel.inFlight.Outstanding() - before
+	if size > 0 {
+		b.requestAck(size, sink)
 	}
 }
 
-// join binds the proxies that have come to the tables of their groups.
-func (m *Balancer) join(now float64, w CommandSink) {
-	for _, x := range m.proxies {
-		lines := m.joins(x)
-		if x.bound || !m.channel.admitsJoin(now, lines) {
+// assignTables binds the proxies that have joined to the tables of their groups, as far as the channel
+// allows.
+func (b *Balancer) assignTables(now float64, sink CommandSink) {
+	for _, p := range b.proxies {
+		if p.bound {
+			continue
+		}
+		size := b.joinSize(p)
+		if !b.channel.mayJoin(now, size) {
 			continue
 		}
-		for k, p := range x.group.pools {
-			w.AssignTable(x.Proxy, p.table, m.reaches[k].classes)
+		for i, table := range p.group.tables {
+			sink.AssignTable(p.Proxy, table.id, b.eligibilitySets[i].classes)
 		}
-		x.bound, x.size = true, lines
-		x.group.users++
-		m.channel.charge(now, lines)
+		p.bound = true
+		p.messageSize = size
+		p.group.boundProxies++
+		b.channel.charge(now, size)
 	}
 }
 
-// weigh sends the weights of a table that moved, largest first, and at once what drains or has started again.
-func (m *Balancer) weigh(now float64, g *group, p *pool, want []line, w CommandSink) {
-	pace, most, missing, wanted, serving, rides := weightsEvery, 0, 0.0, 0.0, 0.0, false
-	var moves []move
-	for _, v := range m.moves(p, want) {
-		if wanted += v.want; v.server.Phase == Ready && (v.want > 0 || m.cold(now, v.server) >= 1) {
-			serving += v.held
-		}
-		if v.held == 0 {
-			missing += v.want
+// tableUpdate is how a table differs from what is wanted of it.
+type tableUpdate struct {
+	changes  []weightChange // those worth sending, largest first
+	wanted   float64        // sum of the wanted weights
+	missing  float64        // of it, weights of servers that the table does not hold
+	serving  float64        // sum of the held weights that may go on serving
+	interval float64        // seconds between two messages with weights
+	critical bool           // some change must go at once
+}
+
+// updateWeights sends the weights of a table that have changed, largest changes first, and at once what
+// drains or has restarted. What the channel does not allow yet is sent in a later round.
+func (b *Balancer) updateWeights(now float64, group *proxyGroup, table *weightTable, wanted []tableEntry,
+	sink CommandSink) {
+	update := b.compare(now, table, wanted)
+	budget := b.changeBudget(now, group, table, &update)
+	if budget > 0 {
+		table.weightsSentAt = now
+	}
+	missing := update.missing
+	for i, change := range update.changes {
+		if missing > 0 && change.wanted == 0 && b.isWarmAndReady(now, change.server) {
+			continue // it serves until the wanted ones are in the table
 		}
-		moved := math.Abs(v.want-v.held) / max(v.held, usual/4) // small lines count as a quarter of a usual one
-		if v.held > 0 && v.want > 0 && moved > urgentBy {
-			pace = urgentEvery
+		if i >= budget && b.entryBudget(now, group, b.changeUrgency(now, change)) == 0 {
+			continue
 		}
-		if moved > movedBy || (v.held > 0) != (v.want > 0) {
-			moves = append(moves, v)
-			rides = rides || m.pressure(now, v) == urgent
+		sink.SetWeight(table.id, change.server.Server, change.wanted)
+		b.chargeEntry(now, group)
+		table.apply(change)
+		if change.current == 0 {
+			missing -= change.wanted
 		}
 	}
-	slices.SortStableFunc(moves, func(a, b move) int { return cmp.Compare(b.size(), a.size()) })
-	pressure := ordinary
-	if serving == 0 {
-		pressure = urgent
-	} else if missing > urgentBy*wanted {
-		pressure = pressing
-	}
-	n := m.fit(now, g, pressure)
-	if rides = rides && m.fit(now, g, urgent) > 0; rides { // the message that has to go takes the rest along
-		n = m.lines(now, g, max(pressure, pressing))
-	}
-	if n > 0 && len(moves) > 0 && (now-p.weighed >= pace || pressure > ordinary || rides) {
-		most, p.weighed = n, now // a table that has lost much of its servers does not wait
-	}
-	for i, v := range moves {
-		if v.want == 0 && v.server.Phase == Ready && m.cold(now, v.server) >= 1 && missing > 0 {
-			continue // it serves until others do
+}
+
+// compare finds the changes of a table that are worth sending.
+func (b *Balancer) compare(now float64, table *weightTable, wanted []tableEntry) tableUpdate {
+	update := tableUpdate{interval: weightsInterval}
+	for _, change := range b.weightChanges(table, wanted) {
+		update.wanted += change.wanted
+		if change.server.Phase == Ready && (change.wanted > 0 || b.isWarm(now, change.server)) {
+			update.serving += change.current
 		}
-		if i >= most && m.fit(now, g, m.pressure(now, v)) == 0 {
-			continue
+		if change.current == 0 {
+			update.missing += change.wanted
 		}
-		w.SetWeight(p.table, v.server.Server, v.want)
-		m.concern(now, g)
-		if p.held[v.server.Server] = v.want; v.held == 0 {
-			missing -= v.want
-		} else if v.want == 0 {
-			delete(p.held, v.server.Server)
+		relative := math.Abs(change.wanted-change.current) / max(change.current, smallWeight)
+		staysInTable := change.current > 0 && change.wanted > 0
+		if staysInTable && relative > largeRelativeChange {
+			update.interval = largeChangeInterval
+		}
+		addedOrRemoved := (change.current > 0) != (change.wanted > 0)
+		if relative > minRelativeChange || addedOrRemoved {
+			update.changes = append(update.changes, change)
+			update.critical = update.critical || b.changeUrgency(now, change) == urgencyCritical
 		}
 	}
+	slices.SortStableFunc(update.changes, func(left, right weightChange) int {
+		return cmp.Compare(right.size(), left.size())
+	})
+	return update
 }
 
-// pressure is how urgent a line's move is by itself, or that it waits for the table's turn.
-func (m *Balancer) pressure(now float64, v move) urgency {
-	switch cold := m.cold(now, v.server) < 1; {
-	case v.server.Phase != Ready, cold && v.want > 0 && v.want < v.held/2:
-		return urgent
-	case cold && v.want == 0: // another table takes it over
-		return pressing
+// changeBudget is how many changes of a table may be sent now, besides those that are urgent by
+// themselves.
+func (b *Balancer) changeBudget(now float64, group *proxyGroup, table *weightTable, update *tableUpdate) int {
+	tableUrgency := update.urgency()
+	budget := b.entryBudget(now, group, tableUrgency)
+	sendsCritical := update.critical && b.entryBudget(now, group, urgencyCritical) > 0
+	if sendsCritical { // the message that has to go takes the other changes along
+		budget = b.channelBudget(now, group, max(tableUrgency, urgencyHigh))
+	}
+	due := now-table.weightsSentAt >= update.interval || tableUrgency > urgencyNormal || sendsCritical
+	if budget <= 0 || !due || len(update.changes) == 0 {
+		return 0
 	}
-	return waits
+	return budget
+}
+
+// urgency is that of the table as a whole: one that has lost much of its servers does not wait.
+func (update *tableUpdate) urgency() urgency {
+	switch {
+	case update.serving == 0:
+		return urgencyCritical
+	case update.missing > largeRelativeChange*update.wanted:
+		return urgencyHigh
+	default:
+		return urgencyNormal
+	}
+}
+
+// changeUrgency is how urgent a change is by itself, or that it waits for its table's turn.
+func (b *Balancer) changeUrgency(now float64, change weightChange) urgency {
+	if change.server.Phase != Ready {
+		return urgencyCritical
+	}
+	if b.isWarm(now, change.server) {
+		return urgencyDeferred
+	}
+	if change.wanted == 0 { // another table takes it over
+		return urgencyHigh
+	}
+	if change.wanted < change.current/2 { // it has restarted
+		return urgencyCritical
+	}
+	return urgencyDeferred
+}
+
+func (b *Balancer) isWarmAndReady(now float64, srv *server) bool {
+	return srv.Phase == Ready && b.isWarm(now, srv)
 }
--- a/balancer/recorder_test.go
+++ b/balancer/recorder_test.go
@@ -250,13 +250,13 @@
 	}
 }
 
-// share is a server's part of a table.
-func (r *recorder) share(t Table, s Server) float64 {
+// share is a server's part of the weights of table 1.
+func (r *recorder) share(s Server) float64 {
 	sum := 0.0
-	for _, v := range r.tables[t] {
-		sum += v
+	for _, weight := range r.tables[1] {
+		sum += weight
 	}
-	return r.tables[t][s] / math.Max(sum, 1e-9)
+	return r.tables[1][s] / math.Max(sum, 1e-9)
 }
 
 // fleet lists n warm servers, and joins the site's proxies.
@@ -288,7 +288,7 @@
 		var news Events
 		for i := range len(r.list) {
 			if s := name(i); r.tables[1][s] > 0 {
-				t := answer(s, r.share(1, s), queries)
+				t := answer(s, r.share(s), queries)
 				t.Interval = 1
 				news.Upstreams = append(news.Upstreams, t)
 			}
--- a/balancer/regulator.go
+++ b/balancer/regulator.go
@@ -1,59 +1,125 @@
-// The regulator: the intake of each server, from its work in process against a common target.
-
 package balancer
 
 import "math"
 
 const (
-	gainRatio = 0.2       // q/r, error against correction; the design starts at 0.1, slow in large fleets
-	ignored   = 1.0 / 5.0 // of the target; errors below it are left alone; the design's
+	// gainRatio is q/r of the regulator: the cost of an error in work in process against that of a
+	// correction.
+	gainRatio = 0.2
+	// errorDeadband is the part of the target below which an error is not corrected.
+	errorDeadband = 1.0 / 5.0
+	// maxIntakeGrowth is the factor by which an intake may exceed the completion rate.
+	maxIntakeGrowth = 2
+	// minIntakeBase is the divisor of the mean completion rate from which an intake may always grow, so
+	// that a server that completes nothing gets a trial.
+	minIntakeBase = 4
+	// tiny keeps divisors above zero.
+	tiny = 1e-9
 )
 
-func gain(ratio float64) float64 { // the one-server solution of the Riccati equation
-	s := (ratio + math.Sqrt(ratio*ratio+4*ratio)) / 2
-	return s / (1 + s)
+// gain solves the Riccati equation of one server for a ratio q/r, with r = 1:
+//
+//	S = (q + sqrt(q^2 + 4qr)) / 2
+//	gain = S / (r + S)
+func gain(ratio float64) float64 {
+	solution := (ratio + math.Sqrt(ratio*ratio+4*ratio)) / 2
+	return solution / (1 + solution)
+}
+
+// serverEstimate is what the samples tell of one server. A failed attempt counts as in process for a
+// latency objective. The zero value tells nothing.
+type serverEstimate struct {
+	completionRate       float64 // requests a second
+	recentCompletionRate float64
+	inProcess            float64 // mean number of requests in process
+	recentInProcess      float64
+	successFraction      float64 // of its attempts
 }
 
-// regulate sets every server's intake = completion rate - gain x error / step, in which the mean work is
-// worked off. A failed try is no completion but work for a goal time; a rise is scaled by what succeeds.
-func (m *Balancer) regulate(now, due, gain float64) {
-	type state struct{ rate, now, work, late, good float64 }
-	states, rate, work, n, sent, kept := make([]state, len(m.order)), 0.0, 0.0, 0.0, 1e-9, 1e-9
-	for i, s := range m.order {
-		t, tries := s.sum(window, math.Inf(1), due)
-		l, latest := s.sum(window, recent, due)
-		if l.lost == 0 && latest >= leastTries/2 && t.lost > 0 { // what failed before is over
-			t, tries = l, latest
-		}
-		if s.dropped && t.good == 0 {
-			s.Phase = Removed
-		}
-		if !t.enough(tries) {
+// fleetEstimate sums up the servers that are ready and have finished their slow start.
+type fleetEstimate struct {
+	servers        float64
+	completionRate float64
+	inProcess      float64
+	// Of the servers among them that answer in calm time: what they lose is no fault of a single one.
+	calmAttempts  float64
+	calmSucceeded float64
+}
+
+// regulate sets the intake of each server: its completion rate less the gain times its excess work in
+// process over the target, per step. The target is the mean work in process; the step is the time in
+// which that is done.
+func (b *Balancer) regulate(now, expectedAt, gain float64) {
+	estimates, fleet := b.estimateServers(now, expectedAt)
+	target := fleet.inProcess / max(fleet.servers, 1)
+	step := fleet.inProcess / max(fleet.completionRate, tiny)
+	for i, srv := range b.servers {
+		estimate := &estimates[i]
+		unknown := estimate.successFraction == 0 && estimate.inProcess == 0
+		if unknown || target == 0 {
 			continue
 		}
-		states[i] = state{t.good, l.good, t.seconds + t.lost*m.goal, l.seconds + l.lost*m.goal, t.good / t.tries}
-		if s.Phase == Ready && m.ready(now, s) >= 1 {
-			rate, work, n = rate+t.good, work+states[i].work, n+1
-			if t.lost < t.tries/2 && t.seconds < calm*m.goal*t.good {
-				sent, kept = sent+t.tries, kept+t.good
-			}
+		srv.observed = true
+		excess := estimate.excess(target)
+		rate := estimate.completionRate * min(fleet.calmAttempts/fleet.calmSucceeded,
+			1/max(estimate.successFraction, tiny))
+		if excess < 0 {
+			rate = max(rate, estimate.recentCompletionRate) // its weight has risen since
 		}
+		growthBase := max(rate, fleet.completionRate/fleet.servers/minIntakeBase)
+		srv.intake = min(max(rate-gain*excess/step, 0), maxIntakeGrowth*growthBase)
+	}
+}
+
+// excess is the work in process over the target, negative where it is missing. Work that recent samples
+// show no more, or no longer miss, is not corrected again. What is missing counts by the part of
+// attempts that succeed: a server that fails at once has little in process.
+func (e *serverEstimate) excess(target float64) float64 {
+	over := max(min(e.inProcess, e.recentInProcess)-target, 0)
+	missing := min(max(e.inProcess, e.recentInProcess)-target, 0)
+	excess := over + missing*e.successFraction
+	if math.Abs(excess) < errorDeadband*target {
+		return 0
 	}
-	target, step := work/max(n, 1), work/max(rate, 1e-9)
-	for i, s := range m.order {
-		a := states[i]
-		if a.good == 0 && a.work == 0 || target == 0 { // no evidence: as it was
+	return excess
+}
+
+// estimateServers gives the estimate of each server, in their order, and that of the fleet. It removes
+// servers that a list has dropped once they complete nothing any more.
+func (b *Balancer) estimateServers(now, expectedAt float64) ([]serverEstimate, fleetEstimate) {
+	estimates := make([]serverEstimate, len(b.servers))
+	fleet := fleetEstimate{calmAttempts: tiny, calmSucceeded: tiny}
+	for i, srv := range b.servers {
+		average := srv.averageRates(expectedAt)
+		recent := srv.recentRates(expectedAt)
+		recovered := recent.failed == 0 && recent.attemptCount >= minAttempts/2 && average.failed > 0
+		if recovered {
+			average = recent
+		}
+		if srv.delisted && average.succeeded == 0 {
+			srv.Phase = Removed
+		}
+		if !average.conclusive() {
 			continue
 		}
-		// Work that is there no more, or no longer missing, is not corrected again.
-		e := max(min(a.work, a.late)-target, 0) + min(max(a.work, a.late)-target, 0)*a.good
-		if math.Abs(e) < ignored*target {
-			e = 0
+		estimates[i] = serverEstimate{
+			completionRate:       average.succeeded,
+			recentCompletionRate: recent.succeeded,
+			inProcess:            average.inProcess + average.failed*b.latencyObjective,
+			recentInProcess:      recent.inProcess + recent.failed*b.latencyObjective,
+			successFraction:      average.succeeded / average.attempts,
+		}
+		if srv.Phase != Ready || b.slowStartFraction(now, srv) < 1 {
+			continue
 		}
-		a.rate *= min(sent/kept, 1/max(a.good, 1e-9)) // what all lose that answer in calm time is no fault of one
-		if s.met = true; e < 0 {
-			a.rate = max(a.rate, a.now) // its weight has risen since
+		fleet.servers++
+		fleet.completionRate += average.succeeded
+		fleet.inProcess += estimates[i].inProcess
+		calm := average.inProcess < overloadLatencyFraction*b.latencyObjective*average.succeeded
+		if calm && average.failed < average.attempts/2 {
+			fleet.calmAttempts += average.attempts
+			fleet.calmSucceeded += average.succeeded
 		}
-		s.intake = min(max(a.rate-gain*e/step, 0), 2*max(a.rate, rate/n/4))
 	}
+	return estimates, fleet
 }
--- a/balancer/state.go
+++ b/balancer/state.go
@@ -1,140 +1,200 @@
-// The state of one coordinator: types without tuned values, and sums over them.
-
 package balancer
 
 import (
 	"slices"
 
 	"snowquay/internal/core/histogram"
+	"snowquay/internal/core/inflight"
 	"snowquay/internal/core/random"
 	"snowquay/internal/core/slidingwindow"
 )
 
+// Balancer holds the state of one coordinator and decides for its proxies. It is not safe for
+// concurrent use. All times are seconds of the clock that the caller of Reconcile keeps; all rates are
+// per second.
+type Balancer struct {
+	// The configuration, fixed at New.
+	classes           []RequestClass
+	classesByPriority []Class // highest priority weight first
+	dataPlane         DataPlane
+	guarantees        Guarantees
+	reportPeriod      float64 // seconds between two reports
+	latencyObjective  float64 // seconds; the longest of all classes
+	eligibilitySets   []*eligibilitySet
+
+	// Servers.
+	serverByAddress map[Server]*server
+	servers         []*server // by zone, then as first listed, so that the order of a map never reaches a decision
+
+	// Proxies.
+	proxyByID     map[Proxy]*proxy
+	proxies       []*proxy      // connected ones, in the order of joining
+	disconnected  []*proxy      // those that left and have not come back
+	reconnectedAt float64       // when the latest of them came back
+	groups        []*proxyGroup // by zone
+
+	// Estimates, renewed at the end of each report period.
+	reportsPending  bool    // reports have come since the end of the last period
+	periodEndedAt   float64 // end of the last period
+	sampleCycle     float64 // seconds from one sample of a server to its next
+	attemptRate     float64 // attempts of connected proxies, retries included
+	completionRates histogram.Histogram
+	highFailureRate bool // so many attempts fail that proxies eject servers
+	overloaded      bool // work takes longer than the latency objective allows
+	admitted        []admittedFraction
+
+	channel channel
+	random  random.PCG
+	pollAt  float64 // when discovery is polled next; infinite: not
+	timerAt float64 // when the next timer is set
+}
+
+// server is what is known of one server.
 type server struct {
 	Endpoint
-	place   int                 // in the order of servers
-	known   float64             // when its present start was heard of, if not there from the first
-	rows    []row               // the latest of each zone, oldest first
-	answers histogram.Histogram // queries a second that it usually answers
-	dropped bool                // the list has lost it
-	met     bool                // tries have shown what it does
-	able    bool                // and that it answers in calm time
-	deaf    float64             // until when reports of it are still of an outage that is over
-	intake  float64             // queries a second that the regulator wants it to get
+	position           int     // in Balancer.servers
+	discoveredAt       float64 // when its present incarnation was first listed; -infinity if it was cached at the start
+	ignoreReportsUntil float64 // until then reports may still tell of an outage that is over
+	delisted           bool    // removed by a list whose removals are only advice
+	observed           bool    // reports have shown how it performs
+	onTime             bool    // and that it answers well within the latency objective
+	samples            []sample
+	completionRates    histogram.Histogram // requests a second that it usually completes
+	intake             float64             // requests a second that the regulator wants it to get
+}
+
+// inZones tells whether the server stands in one of the zones; none named means all.
+func (s *server) inZones(zones []Zone) bool {
+	return len(zones) == 0 || slices.Contains(zones, s.Zone)
 }
 
-type row struct { // what the proxies of a zone met at a server in the time it covers; or, summed up, a second
-	zone                                 Zone
-	at, span, tries, good, lost, seconds float64
+// sample is what the proxies of one zone met at a server within an interval.
+type sample struct {
+	zone        Zone
+	reportedAt  float64
+	interval    float64 // seconds that it covers
+	attempts    float64
+	succeeded   float64
+	failed      float64
+	busySeconds float64 // sum of the latencies of all that succeeded
 }
 
-type group struct { // proxies that share tables: all, or some of one zone
-	home  Zone
-	share float64 // of all queries; 1 is an even one
-	pools []*pool // one for each reach
-	users float64 // proxies bound to its tables
-	lines float64 // of the message that this round writes to each of its proxies, head included; 0: none
+// trafficRates are a server's samples as rates per second, summed over the zones of the proxies.
+type trafficRates struct {
+	attempts     float64
+	succeeded    float64
+	failed       float64
+	inProcess    float64 // requests in process on average: completion rate times mean latency
+	attemptCount float64 // attempts in the samples that the rates rest on
+}
+
+// proxy is a proxy of this coordinator.
+type proxy struct {
+	ProxyEvent
+	group    *proxyGroup
+	bound    bool // it has been assigned the tables of its group
+	joinedAt float64
+	leftAt   float64
+	demand   []float64 // requests a second, by class
+
+	awaitedAck  AckID   // requested with the newest message to it; 0: none yet
+	messageSize float64 // of that message, in entries
+}
 
-	messages slidingwindow.Counter // that were written to its proxies
+// proxyGroup is a set of proxies that share weight tables: all proxies, or some of one zone.
+type proxyGroup struct {
+	zone         Zone
+	demandShare  float64        // of all requests, against an even share
+	tables       []*weightTable // one for each eligibility set
+	boundProxies float64        // proxies that have been assigned its tables
+	messageSize  float64        // of this round's message to each of them, in entries with overhead; 0: none yet
+	messages     slidingwindow.Counter
 }
 
-type reach struct { // the servers open to some classes
-	classes ClassSet
-	zones   []Zone // of the servers; none: all
-	own     bool   // only servers of the proxies' zone
+// eligibilitySet is a set of request classes that may go to the same servers.
+type eligibilitySet struct {
+	classes   ClassSet
+	zones     []Zone // of the servers; none named: all
+	zoneLocal bool   // only servers of the proxy's own zone
 }
 
-type pool struct { // a table, and what its proxies hold of it
-	table            Table
-	held             map[Server]float64
-	levels           map[Class]order
-	weighed, leveled float64 // when weights were last sent, and levels
+// weightTable is a table as the proxies of its group hold it.
+type weightTable struct {
+	id               Table
+	weights          map[Server]float64
+	weightsSentAt    float64
+	admissions       map[Class]admissionSetting
+	admissionsSentAt float64
 }
 
-// line is a server of a table, or of a group's stretch of servers.
-type line struct {
+// tableEntry is a server in a table with its weight, or in a group's part of the servers with the
+// requests a second that it takes there.
+type tableEntry struct {
 	server *server
 	weight float64
 }
 
-// move is a line that a table holds, and what is wanted of it.
-type move struct {
-	server     *server
-	held, want float64
+// weightChange is the weight that a table holds of a server, and the one that it is to hold; 0 is no
+// entry.
+type weightChange struct {
+	server  *server
+	current float64
+	wanted  float64
 }
 
-type order struct {
-	level float64
-	again RetryPolicy
+// admissionSetting is what proxies are ordered to admit of one class, and when they may retry it.
+type admissionSetting struct {
+	rate  float64 // a fraction or requests a second, by DataPlane.Admission
+	retry RetryPolicy
 }
 
-type proxy struct {
-	ProxyEvent
-	group *group
-	bound bool
-	since float64   // when it joined
-	left  float64   // when it left
-	rate  []float64 // queries a second by class
-
-	mark AckID   // of the newest message to it that asks for an acknowledgement
-	size float64 // of that message, in lines
+// admittedFraction is the part of a class's new requests that is admitted, from 0 to 1.
+type admittedFraction struct {
+	wanted   float64 // as decided last
+	observed float64 // as the reports at hand reflect it: they trail the decisions
 }
 
-// Balancer is one coordinator.
-type Balancer struct {
-	classes  []RequestClass
-	all      []Class // most benefit first
-	fleet    DataPlane
-	channel  channel
-	promise  Guarantees
-	chance   random.PCG
-	servers  map[Server]*server
-	order    []*server // by zone, as first listed, so that no order of a map reaches an output
-	reaches  []*reach  // narrowest first
-	groups   []*group  // by zone
-	joined   map[Proxy]*proxy
-	proxies  []*proxy            // in the order of joining
-	absent   []*proxy            // that left and have not come back
-	returned float64             // when the last of them did
-	lossy    bool                // proxies avoid servers, so many tries are lost
-	pressed  bool                // the work takes longer than the goal time bears
-	answers  histogram.Histogram // queries a second that a warm server usually answers
-	tries    float64             // a second, of joined proxies, repeats among them
-	let, was []float64           // by class, the share of new queries let in, and that which reports show
-	fresh    bool                // reports have come since the last period
-	cycle    float64             // seconds from one row of a server to the next
-
-	period, goal          float64 // of reports, and the longest goal time, seconds
-	closed, askAt, wakeAt float64 // when the last period was, discovery is asked and the next round is due
-}
-
-func (s *server) within(zones []Zone) bool { return len(zones) == 0 || slices.Contains(zones, s.Zone) }
-
-func offered(proxies []*proxy, g *group, set ClassSet) (sum float64) { // queries a second; g nil: of all
-	for _, x := range proxies {
-		for c, r := range x.rate {
-			if set>>c&1 == 1 && (g == nil || g == x.group) {
-				sum += r
-			}
-		}
-	}
-	return sum
+// channel is what is known of the way to the proxies. All that was sent and is not acknowledged may
+// still wait in it, at whatever pace it moves; that alone decides how much more may be sent, so that
+// the limit holds even if the channel slows down without notice. Amounts are in entries.
+type channel struct {
+	Channel
+	drainDeadline float64 // seconds
+	inFlight      inflight.Window
+	relativePace  float64 // against EntriesPerSecond, by the latest acknowledgements
+	lastAckID     AckID   // of the newest acknowledgement request
+	settledAt     float64 // when entries were last assumed to have been delivered
+	lastSentAt    float64
 }
 
-func (s *server) sum(periods int, cover, due float64) (t row, tries float64) {
-	for i, newest := range s.rows {
-		if slices.ContainsFunc(s.rows[i+1:], func(r row) bool { return r.zone == newest.zone }) {
+// includes tells whether a set names a class. It does not read 0 as all classes.
+func (cs ClassSet) includes(c Class) bool { return cs>>c&1 == 1 }
+
+// allClasses names every class.
+const allClasses = ^ClassSet(0)
+
+// offeredRate is the demand of proxies for some classes, in requests a second. A nil group stands for
+// all groups.
+func offeredRate(proxies []*proxy, group *proxyGroup, classes ClassSet) float64 {
+	total := 0.0
+	for _, p := range proxies {
+		if group != nil && group != p.group {
 			continue
 		}
-		a, n := row{span: max(due-newest.at, 0)}, 0 // rows that stay out while others' come count as silence
-		for _, r := range slices.Backward(s.rows[:i+1]) {
-			if r.zone == newest.zone && n < periods && a.span < cover {
-				a.tries, a.good, a.lost = a.tries+r.tries, a.good+r.good, a.lost+r.lost
-				a.seconds, a.span, n = a.seconds+r.seconds, a.span+r.span, n+1
+		for class, rate := range p.demand {
+			if classes.includes(Class(class)) {
+				total += rate
 			}
 		}
-		t.tries, t.good, t.lost = t.tries+a.tries/a.span, t.good+a.good/a.span, t.lost+a.lost/a.span
-		t.seconds, tries = t.seconds+a.seconds/a.span, tries+a.tries
 	}
-	return t, tries
+	return total
+}
+
+// minAdmitted is the least admitted fraction of all classes.
+func (b *Balancer) minAdmitted() float64 {
+	lowest := 1.0
+	for _, fraction := range b.admitted {
+		lowest = min(lowest, fraction.wanted)
+	}
+	return lowest
 }
--- a/internal/core/waterfill/waterfill.go
+++ b/internal/core/waterfill/waterfill.go
@@ -1,20 +1,29 @@
-// Package waterfill shares an amount among takers that are bounded. It is pure.
+// Package waterfill divides an amount among takers with bounds. It does no I/O and keeps no state.
 package waterfill
 
 import "slices"
 
 const (
-	largestFactor = 1e6  // that Factor finds
-	precision     = 1e-9 // of it
+	// maxFactor is the largest factor that Factor finds.
+	maxFactor = 1e6
+	// precision of the factor that Factor finds.
+	precision = 1e-9
 )
 
-// Factor is the least factor on all wants at which they make up a total, each at most its bound; if they never do, the largest.
-func Factor(wants, bounds []float64, total float64) float64 {
-	factor := largestFactor
+// Taker wants an amount and takes no more than its bound.
+type Taker struct {
+	Want  float64
+	Bound float64
+}
+
+// Factor returns the least factor on all wants at which the takers, each up to its bound, take the total. It
+// returns the largest factor if they never do.
+func Factor(takers []Taker, total float64) float64 {
+	factor := maxFactor
 	for step := factor / 2; step > precision; step /= 2 {
 		sum := 0.0
-		for i := range wants {
-			sum += min((factor-step)*wants[i], bounds[i])
+		for _, taker := range takers {
+			sum += min((factor-step)*taker.Want, taker.Bound)
 		}
 		if sum >= total {
 			factor -= step
@@ -23,15 +32,17 @@
 	return factor
 }
 
-// Cap is the bound on each of some amounts at which they make up a total; false where they do not exceed it together. Amounts under it
-// are given whole, and the others share what is left. The amounts are put in order.
+// Cap returns the bound at which amounts make up the total: those below it are given whole, and the others share
+// what is left. It returns false if the amounts do not exceed the total together. It sorts the amounts.
 func Cap(amounts []float64, total float64) (bound float64, needed bool) {
 	slices.Sort(amounts)
+	left := total
 	for i, amount := range amounts {
-		if each := total / float64(len(amounts)-i); amount > each {
-			return each, true
+		share := left / float64(len(amounts)-i)
+		if amount > share {
+			return share, true
 		}
-		total -= amount
+		left -= amount
 	}
 	return 0, false
 }
--- a/internal/core/waterfill/waterfill_test.go
+++ b/internal/core/waterfill/waterfill_test.go
@@ -13,45 +13,51 @@
 		amounts := rapid.SliceOfN(rapid.Float64Range(0.1, 100), 1, 20)
 		wants := amounts.Draw(t, "wants")
 		bounds := rapid.SliceOfN(rapid.Float64Range(0.1, 100), len(wants), len(wants)).Draw(t, "bounds")
+		takers := make([]Taker, len(wants))
 		possible := 0.0
-		for _, b := range bounds {
-			possible += b
+		for i := range takers {
+			takers[i] = Taker{Want: wants[i], Bound: bounds[i]}
+			possible += bounds[i]
 		}
 		total := rapid.Float64Range(0.01, 1).Draw(t, "part") * possible
-		factor, sum := Factor(wants, bounds, total), 0.0
-		for i := range wants {
-			sum += min(factor*wants[i], bounds[i])
+		factor := Factor(takers, total)
+		sum := 0.0
+		for _, taker := range takers {
+			sum += min(factor*taker.Want, taker.Bound)
 		}
 		if math.Abs(sum-total) > 1e-3*total+1e-6 {
-			t.Fatalf("with a factor of %v they make up %v of %v", factor, sum, total)
+			t.Fatalf("with a factor of %v they take %v of %v", factor, sum, total)
 		}
 	})
-	if got := Factor([]float64{1}, []float64{2}, 3); got != largestFactor {
-		t.Errorf("a total out of reach has the factor %v", got)
+}
+
+func TestFactorOfATotalOutOfReachIsTheLargest(t *testing.T) {
+	if got := Factor([]Taker{{Want: 1, Bound: 2}}, 3); got != maxFactor {
+		t.Errorf("the factor is %v, want %v", got, maxFactor)
 	}
 }
 
-func TestCapSharesWhatSmallOnesLeave(t *testing.T) {
+func TestCapSharesWhatSmallAmountsLeave(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		amounts := rapid.SliceOfN(rapid.Float64Range(0, 100), 1, 20).Draw(t, "amounts")
-		sum, all := 0.0, slices.Clone(amounts)
-		for _, a := range amounts {
-			sum += a
+		sum := 0.0
+		for _, amount := range amounts {
+			sum += amount
 		}
 		total := rapid.Float64Range(0, 1.5).Draw(t, "part") * sum
-		bound, needed := Cap(all, total)
+		bound, needed := Cap(slices.Clone(amounts), total)
 		if !needed {
 			if sum > total+1e-6 {
 				t.Fatalf("%v exceed %v and are not bounded", sum, total)
 			}
 			return
 		}
-		let := 0.0
-		for _, a := range amounts {
-			let += min(a, bound)
+		bounded := 0.0
+		for _, amount := range amounts {
+			bounded += min(amount, bound)
 		}
-		if math.Abs(let-total) > 1e-6 {
-			t.Fatalf("bounded by %v they make up %v of %v", bound, let, total)
+		if math.Abs(bounded-total) > 1e-6 {
+			t.Fatalf("bounded by %v they make up %v of %v", bound, bounded, total)
 		}
 	})
 }
