--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -1,16 +1,19 @@
 // Package balancer decides which servers the proxies use, and how much of each.
 //
-// New makes the Balancer of one coordinator. Its Reconcile is called once a round with all events that
-// came in since the last one, and writes the decisions into a CommandSink. The package does no I/O,
-// reads no clock and starts no goroutine: the same events at the same times give the same commands.
+// New makes the Balancer of one coordinator. Its Reconcile is called once a round with all events that came
+// in since the last one, and writes the decisions into a CommandSink. The package does no I/O, reads no
+// clock and starts no goroutine: the same events at the same times give the same commands.
 //
-// interface.go has the types that callers see, state.go what is remembered between rounds. A round
-// reads endpoint lists (endpoints.go), proxies that join or leave (proxies.go) and load reports
-// (reports.go). At the end of a report period (estimates.go) the regulator sets the intake that each
-// server is to get (regulator.go), and admission control what the proxies may let in (admission.go).
-// Publishing (publish.go) turns the intakes into weights (weights.go) for each group of proxies
-// (groups.go), bounded by what servers can take (health.go), and sends what has changed as far as the
-// channel allows (pacing.go, account.go).
+// interface.go has the types that callers see, state.go what is remembered between rounds. The steps of a
+// round, in their order:
+//
+//   - endpoints.go applies endpoint lists, proxies.go proxies that join or leave, account.go
+//     acknowledgements, and reports.go load reports.
+//   - At the end of a report period, estimates.go renews the estimates: regulator.go sets the intake that
+//     each server is to get, and admission.go the part of the requests that is admitted.
+//   - publish.go sends what has changed: the entries that weights.go wants of each table, for each group of
+//     proxies (groups.go), within what servers can take (health.go), and the admission settings
+//     (admission_settings.go), as far as the channel allows (pacing.go).
 package balancer
 
 import (
--- a/balancer/estimates.go
+++ b/balancer/estimates.go
@@ -7,9 +7,9 @@
 )
 
 const (
-	// minQueryRate is the rate in requests a second under which a server or a proxy has as good as nothing
-	// to do.
-	minQueryRate = 0.2
+	// minRequestRate is the rate in requests a second under which a server or a proxy has as good as
+	// nothing to do.
+	minRequestRate = 0.2
 	// forgetProxyAfter is the time in seconds after which a proxy that left is taken to be dead; outages
 	// last 5 to 20.
 	forgetProxyAfter = 30.0
@@ -18,9 +18,9 @@
 	minDemandShare = 0.5
 )
 
-// queryRateScale is the scale of histograms of completion rates in requests a second: 16 bins reach to
+// requestRateScale is the scale of histograms of completion rates in requests a second: 16 bins reach to
 // 130, and the latest half a minute to two minutes count.
-var queryRateScale = histogram.Scale{Least: minQueryRate, Growth: 1.5, Halve: 64}
+var requestRateScale = histogram.Scale{Least: minRequestRate, Growth: 1.5, Halve: 64}
 
 // endPeriod renews all estimates at the end of a report period, then the intakes and what is admitted.
 func (b *Balancer) endPeriod(now float64) {
@@ -93,7 +93,7 @@
 	})
 	proxies := slices.Concat(b.proxies, b.disconnected)
 	groupCount := float64(max(len(b.groups), 1))
-	even := max(offeredRate(proxies, nil, allClasses)/groupCount, minQueryRate)
+	even := max(offeredRate(proxies, nil, allClasses)/groupCount, minRequestRate)
 	for _, group := range b.groups {
 		group.demandShare = max(offeredRate(proxies, group, allClasses)/even, minDemandShare)
 	}
--- a/balancer/interface.go
+++ b/balancer/interface.go
@@ -129,7 +129,7 @@
 	ErrorRate
 )
 
-// Reporting is what the coordinator is told about its proxies' traffic.
+// Reporting says which reports of its proxies' traffic the coordinator gets.
 type Reporting struct {
 	Period           float64      // seconds between two reports of one kind
 	EntriesPerSecond float64      // pace of the reports
--- a/balancer/reports.go
+++ b/balancer/reports.go
@@ -52,9 +52,9 @@
 			continue
 		}
 		if report.Interval > 0 {
-			kept := math.Exp(-report.Interval / (averagingPeriods * b.reportPeriod))
+			decay := math.Exp(-report.Interval / (averagingPeriods * b.reportPeriod))
 			rate := report.Requests / report.Interval
-			p.demand[report.Class] += (rate - p.demand[report.Class]) * (1 - kept)
+			p.demand[report.Class] += (rate - p.demand[report.Class]) * (1 - decay)
 		}
 	}
 }
--- a/balancer/weights.go
+++ b/balancer/weights.go
@@ -84,11 +84,11 @@
 			summary.observed++
 		}
 	}
-	summary.demand = max(offeredRate(b.proxies, nil, allClasses), minQueryRate)
+	summary.demand = max(offeredRate(b.proxies, nil, allClasses), minRequestRate)
 	if summary.observed == 0 {
 		summary.mean = summary.demand / float64(max(len(b.servers), 1))
 	} else {
-		summary.mean = max(intakes/max(summary.observed, 1), minQueryRate/averageWeight)
+		summary.mean = max(intakes/max(summary.observed, 1), minRequestRate/averageWeight)
 	}
 	return candidates, summary
 }
@@ -135,16 +135,16 @@
 // whose part has not changed keep their weights. A table without entries gets the given scale.
 func (b *Balancer) scaleToTable(entries []tableEntry, table *weightTable, set *eligibilitySet,
 	scale float64) {
-	held := 0.0
+	current := 0.0
 	wanted := 0.0
 	for _, entry := range b.entries(table) {
 		if entry.server.Phase == Ready && entry.server.inZones(set.zones) {
-			held += entry.weight
+			current += entry.weight
 			wanted += weightOf(entries, entry.server)
 		}
 	}
-	if held > 0 && wanted > 0 {
-		scale = held / wanted
+	if current > 0 && wanted > 0 {
+		scale = current / wanted
 	}
 	largest := tiny
 	for _, entry := range entries {
