--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -1,4 +1,4 @@
-// Simhost hosts instances of the decision module on standard input and output, for the bench.
+// Command simhost hosts instances of the decision module for the simulator, on standard input and output.
 package main
 
 import (
--- /dev/null
+++ b/internal/simwire/events.go
@@ -0,0 +1,212 @@
+package simwire
+
+import (
+	"encoding/json"
+	"errors"
+	"fmt"
+	"math"
+
+	"snowquay/balancer"
+	"snowquay/internal/deployment"
+)
+
+// batch is one line from the simulator.
+type batch struct {
+	Clock  *float64 `json:"clock"`
+	Events []event  `json:"in"`
+}
+
+// event is any event of the wire; each type uses some of its fields.
+type event struct {
+	Type        string          `json:"type"`
+	Coordinator *int            `json:"coordinator-id"`
+	Seed        uint64          `json:"seed"`
+	Deployment  json.RawMessage `json:"boot-info"`
+	ListScope   string          `json:"scope"`
+	Endpoints   []endpoint      `json:"entries"`
+	Proxy       int             `json:"px"`
+	Zone        int             `json:"campus"`
+	Rate        float64         `json:"size"`
+	Default     bool            `json:"flag"`
+	Latency     float64         `json:"elapsed"`
+	Interval    float64         `json:"period-len"`
+	Failed      float64         `json:"lost"`
+	Server      string          `json:"backend"`
+	Attempts    float64         `json:"tries-n"`
+	Load        []float64       `json:"stats"`
+	Class       int             `json:"class"`
+	AckID       int64           `json:"number"`
+	Timer       int64           `json:"nonce"`
+	Health      string          `json:"code"`
+}
+
+// endpoint is a server of an endpoint list.
+type endpoint struct {
+	Started       float64 `json:"boot-time"`
+	Zone          int     `json:"campus"`
+	Kind          int     `json:"shape"`
+	FailureDomain int     `json:"pod"`
+	Server        string  `json:"backend"`
+	Weight        float64 `json:"size"`
+	Phase         string  `json:"phase"`
+}
+
+// The wire's names of enumerated values.
+var (
+	listScopes = map[string]balancer.ListScope{
+		"Persisted": balancer.CachedList,
+		"Complete":  balancer.FullList,
+		"Partial":   balancer.DeltaList,
+		"Error":     balancer.ListFailed,
+	}
+	phases = map[string]balancer.Phase{
+		"in_service":  balancer.Ready,
+		"terminating": balancer.Draining,
+		"terminated":  balancer.Removed,
+	}
+	healthStatuses = map[string]balancer.HealthStatus{
+		"GOOD":   balancer.HealthOK,
+		"BAD":    balancer.HealthError,
+		"FULL":   balancer.HealthRefused,
+		"LATE":   balancer.HealthTimeout,
+		"NOCONN": balancer.HealthUnreachable,
+		"RST":    balancer.HealthUnreachable,
+		"CXL":    balancer.HealthInconclusive,
+		"NOP":    balancer.HealthInconclusive,
+	}
+)
+
+// errNoDeployment is a Provision event without settings.
+var errNoDeployment = errors.New("provision without boot-info")
+
+// newBalancer makes the balancer that a Provision event describes.
+func (e *event) newBalancer() (*balancer.Balancer, error) {
+	if len(e.Deployment) == 0 {
+		return nil, errNoDeployment
+	}
+	settings, err := deployment.Read(e.Deployment)
+	if err != nil {
+		return nil, fmt.Errorf("boot-info: %w", err)
+	}
+	return settings.NewBalancer(e.Seed), nil
+}
+
+// addTo adds the event to those of its coordinator's next round. An error means that the event can be skipped.
+func (e *event) addTo(events *balancer.Events) error {
+	if err := e.checkFigures(); err != nil {
+		return err
+	}
+	switch e.Type {
+	case "Announce":
+		list, err := e.endpointList()
+		if err != nil {
+			return err
+		}
+		events.Lists = append(events.Lists, list)
+	case "Enrolled", "Detached":
+		events.ProxyEvents = append(events.ProxyEvents, e.proxyEvent())
+	case "TrafficReport":
+		events.Upstreams = append(events.Upstreams, e.upstreamReport())
+	case "OfferedLoad":
+		events.Demands = append(events.Demands, e.demandReport())
+	case "TookEffect":
+		ack := balancer.Ack{Proxy: balancer.Proxy(e.Proxy), ID: balancer.AckID(e.AckID), Latency: e.Latency}
+		events.Acks = append(events.Acks, ack)
+	case "PingResult":
+		result, err := e.healthCheckResult()
+		if err != nil {
+			return err
+		}
+		events.HealthChecks = append(events.HealthChecks, result)
+	case "Fired":
+		events.FiredTimers = append(events.FiredTimers, balancer.Timer(e.Timer))
+	case "SliceLoad", "Leased", "StoredLine", "Message":
+		// Slices and messages of other coordinators: nothing is decided by them.
+	default:
+		return fmt.Errorf("unknown event type %q", e.Type)
+	}
+	return nil
+}
+
+// checkFigures refuses events with negative or infinite figures.
+func (e *event) checkFigures() error {
+	figures := []float64{e.Rate, e.Latency, e.Interval, e.Failed, e.Attempts}
+	for _, figure := range append(figures, e.Load...) {
+		if figure < 0 || math.IsInf(figure, 0) {
+			return fmt.Errorf("%s holds the impossible figure %v", e.Type, figure)
+		}
+	}
+	return nil
+}
+
+func (e *event) endpointList() (balancer.EndpointList, error) {
+	scope, ok := listScopes[e.ListScope]
+	if !ok {
+		return balancer.EndpointList{}, fmt.Errorf("announce has the unknown scope %q", e.ListScope)
+	}
+	list := balancer.EndpointList{Scope: scope}
+	for _, listed := range e.Endpoints {
+		phase, ok := phases[listed.Phase]
+		if !ok {
+			return balancer.EndpointList{}, fmt.Errorf("%q has the unknown phase %q", listed.Server, listed.Phase)
+		}
+		list.Endpoints = append(list.Endpoints, balancer.Endpoint{
+			Server:        balancer.Server(listed.Server),
+			Zone:          balancer.Zone(listed.Zone),
+			Kind:          balancer.Kind(listed.Kind),
+			FailureDomain: balancer.FailureDomain(listed.FailureDomain),
+			Weight:        listed.Weight,
+			Phase:         phase,
+			Started:       listed.Started,
+		})
+	}
+	return list, nil
+}
+
+func (e *event) proxyEvent() balancer.ProxyEvent {
+	if e.Type == "Detached" {
+		return balancer.ProxyEvent{Proxy: balancer.Proxy(e.Proxy)}
+	}
+	return balancer.ProxyEvent{
+		Proxy:        balancer.Proxy(e.Proxy),
+		Joined:       true,
+		Zone:         balancer.Zone(e.Zone),
+		ExpectedRate: e.Rate,
+		DefaultTable: e.Default,
+	}
+}
+
+func (e *event) upstreamReport() balancer.UpstreamReport {
+	return balancer.UpstreamReport{
+		Server:   balancer.Server(e.Server),
+		Zone:     balancer.Zone(e.Zone),
+		Attempts: e.Attempts,
+		Failed:   e.Failed,
+		Latency:  e.Latency,
+		Interval: e.Interval,
+		Load:     e.Load,
+	}
+}
+
+func (e *event) demandReport() balancer.DemandReport {
+	return balancer.DemandReport{
+		Proxy:    balancer.Proxy(e.Proxy),
+		Class:    balancer.Class(e.Class),
+		Requests: e.Attempts,
+		Failed:   e.Failed,
+		Interval: e.Interval,
+	}
+}
+
+func (e *event) healthCheckResult() (balancer.HealthCheckResult, error) {
+	status, ok := healthStatuses[e.Health]
+	if !ok {
+		return balancer.HealthCheckResult{}, fmt.Errorf("PingResult has the unknown code %q", e.Health)
+	}
+	return balancer.HealthCheckResult{
+		Server:  balancer.Server(e.Server),
+		Status:  status,
+		Latency: e.Latency,
+		Load:    e.Load,
+	}, nil
+}
--- a/internal/simwire/host.go
+++ b/internal/simwire/host.go
@@ -1,3 +1,4 @@
+// Package simwire hosts balancers for the simulator and translates between its JSON lines and the decision module.
 package simwire
 
 import (
@@ -10,103 +11,141 @@
 	"snowquay/balancer"
 )
 
-// batch is one line from the bench.
-type batch struct {
-	Clock *float64 `json:"clock"`
-	In    []line   `json:"in"`
+// readBufferSize is the size in bytes of the buffer for the lines read.
+const readBufferSize = 1 << 20
+
+// errNoClock is a batch without the time at which it takes place.
+var errNoClock = errors.New("it has no clock")
+
+// host runs the instances of one stream. Instances share nothing but the line that their commands travel on.
+type host struct {
+	instances  map[int]*instance
+	reply      replyWriter
+	complaints io.Writer
 }
 
-// instance is one coordinator and what came in for it in the batch at hand.
+// instance is one coordinator and the events of its next round.
 type instance struct {
-	number  int
-	manager *balancer.Balancer
-	news    balancer.Events
-	waiting bool
+	number   int
+	balancer *balancer.Balancer // nil: it does not run
+	events   balancer.Events
+	isDue    bool // it has a round in the batch at hand
+}
+
+// reset replaces the instance's balancer; nil stops it.
+func (i *instance) reset(next *balancer.Balancer) {
+	i.balancer = next
+	i.events = balancer.Events{}
 }
 
-// Host answers batches from in on out until the input ends. Instances share nothing but the line
-// that their orders travel on. Events that can be skipped are told on complaints; an error means
-// that the stream could not be followed.
+// Host answers each batch of events from in with a line of actions on out, until the input ends. It tells events
+// that it skips on complaints. An error means that the stream could not be followed, and names the line.
 func Host(in io.Reader, out, complaints io.Writer) error {
-	reader := bufio.NewReaderSize(in, 1<<20)
-	instances := map[int]*instance{}
-	reply := &pen{}
-	for at := 1; ; at++ {
+	reader := bufio.NewReaderSize(in, readBufferSize)
+	h := &host{instances: map[int]*instance{}, complaints: complaints}
+	for line := 1; ; line++ {
 		text, err := reader.ReadBytes('\n')
-		if len(text) == 0 && errors.Is(err, io.EOF) {
-			return nil
-		}
-		if err != nil && !errors.Is(err, io.EOF) {
-			return fmt.Errorf("line %d: %v", at, err)
+		ended := errors.Is(err, io.EOF)
+		if err != nil && !ended {
+			return fmt.Errorf("line %d: %w", line, err)
 		}
-		var b batch
-		var kind *json.UnmarshalTypeError
-		if err := json.Unmarshal(text, &b); errors.As(err, &kind) && kind.Field != "" {
-			return fmt.Errorf("line %d: an event cannot be read: %v", at, err)
-		} else if err != nil {
-			return fmt.Errorf("line %d is no batch: %v", at, err)
+		if ended && len(text) == 0 {
+			return nil
 		}
-		if b.Clock == nil {
-			return fmt.Errorf("line %d is no batch: it has no clock", at)
+		next, err := readBatch(text, line)
+		if err != nil {
+			return err
 		}
-		reply.out, reply.none = append(reply.out[:0], `{"actions":[`...), true
-		if err := answer(b, instances, reply, at, complaints); err != nil {
+		reply, err := h.answer(next, line)
+		if err != nil {
 			return err
 		}
-		reply.out = append(reply.out, "]}\n"...)
-		if _, err := out.Write(reply.out); err != nil {
-			return fmt.Errorf("line %d: the answer could not be written: %v", at, err)
+		if _, err := out.Write(reply); err != nil {
+			return fmt.Errorf("line %d: the answer could not be written: %w", line, err)
 		}
 	}
 }
 
-// answer sorts a batch's events by instance, in their order, and calls each instance once.
-func answer(b batch, instances map[int]*instance, reply *pen, at int, complaints io.Writer) error {
-	var turn []*instance
-	for _, l := range b.In {
-		if l.Coordinator == nil {
-			return fmt.Errorf("line %d: %q names no instance", at, l.Type)
-		}
-		i := instances[*l.Coordinator]
-		switch l.Type {
-		case "Provision":
-			manager, err := provision(l)
-			if err != nil {
-				return fmt.Errorf("line %d: %v", at, err)
-			}
-			if i == nil {
-				i = &instance{number: *l.Coordinator}
-				instances[i.number] = i
-			}
-			i.manager, i.news = manager, balancer.Events{}
-		case "Destroy":
-			if i == nil || i.manager == nil {
-				return fmt.Errorf("line %d: Destroy for instance %d, which does not run", at, *l.Coordinator)
-			}
-			i.manager, i.news = nil, balancer.Events{}
-			continue
-		default:
-			if i == nil || i.manager == nil {
-				return fmt.Errorf("line %d: %q for instance %d, which does not run", at, l.Type, *l.Coordinator)
-			}
-			if err := add(&i.news, l); err != nil {
-				fmt.Fprintf(complaints, "line %d: skipped an event: %v\n", at, err)
-				continue
-			}
+func readBatch(text []byte, line int) (batch, error) {
+	var next batch
+	err := json.Unmarshal(text, &next)
+	var wrongType *json.UnmarshalTypeError
+	if errors.As(err, &wrongType) && wrongType.Field != "" {
+		return batch{}, fmt.Errorf("line %d: an event cannot be read: %w", line, err)
+	}
+	if err != nil {
+		return batch{}, fmt.Errorf("line %d is no batch: %w", line, err)
+	}
+	if next.Clock == nil {
+		return batch{}, fmt.Errorf("line %d is no batch: %w", line, errNoClock)
+	}
+	return next, nil
+}
+
+// answer hands a batch's events to their instances in their order, plays a round of each instance that got some,
+// and returns the reply.
+func (h *host) answer(b batch, line int) ([]byte, error) {
+	var due []*instance
+	for i := range b.Events {
+		target, err := h.take(&b.Events[i], line)
+		if err != nil {
+			return nil, err
 		}
-		if !i.waiting {
-			i.waiting = true
-			turn = append(turn, i)
+		if target != nil && !target.isDue {
+			target.isDue = true
+			due = append(due, target)
 		}
 	}
-	for _, i := range turn {
-		i.waiting = false
-		if i.manager == nil {
+	h.reply.start()
+	for _, target := range due {
+		target.isDue = false
+		if target.balancer == nil {
 			continue
 		}
-		reply.instance = i.number
-		i.manager.Reconcile(*b.Clock, i.news, reply)
-		i.news = balancer.Events{}
+		h.reply.instance = target.number
+		target.balancer.Reconcile(*b.Clock, target.events, &h.reply)
+		target.events = balancer.Events{}
+	}
+	return h.reply.finish(), nil
+}
+
+// take hands an event to its instance. It returns the instance if the event calls for a round of it.
+func (h *host) take(e *event, line int) (*instance, error) {
+	if e.Coordinator == nil {
+		return nil, fmt.Errorf("line %d: %q names no instance", line, e.Type)
+	}
+	number := *e.Coordinator
+	target := h.instances[number]
+	running := target != nil && target.balancer != nil
+	switch {
+	case e.Type == "Provision":
+		return h.provision(e, number, line)
+	case e.Type == "Destroy" && !running:
+		return nil, fmt.Errorf("line %d: Destroy for instance %d, which does not run", line, number)
+	case e.Type == "Destroy":
+		target.reset(nil)
+		return nil, nil
+	case !running:
+		return nil, fmt.Errorf("line %d: %q for instance %d, which does not run", line, e.Type, number)
+	}
+	if err := e.addTo(&target.events); err != nil {
+		_, _ = fmt.Fprintf(h.complaints, "line %d: skipped an event: %v\n", line, err) // the stream goes on without it
+		return nil, nil
+	}
+	return target, nil
+}
+
+// provision starts an instance, or starts it again.
+func (h *host) provision(e *event, number, line int) (*instance, error) {
+	started, err := e.newBalancer()
+	if err != nil {
+		return nil, fmt.Errorf("line %d: %w", line, err)
+	}
+	target := h.instances[number]
+	if target == nil {
+		target = &instance{number: number}
+		h.instances[number] = target
 	}
-	return nil
+	target.reset(started)
+	return target, nil
 }
--- a/internal/simwire/host_test.go
+++ b/internal/simwire/host_test.go
@@ -6,65 +6,71 @@
 	"testing"
 )
 
-const start1 = `{"clock":100,"in":[{"type":"Provision","coordinator-id":3,"seed":5,"boot-info":{"balancers":1,` +
+// provisionLine starts instance 3 with two servers.
+const provisionLine = `{"clock":100,"in":[{"type":"Provision","coordinator-id":3,"seed":5,"boot-info":{"balancers":1,` +
 	`"discovery":"pushed","family-info":{"data-plane-size":2,"egress-per-s":1000,"pending-max":900,"per-message":3,` +
 	`"period":1,"level-kind":"fraction","default-retry":1},"grades":[{"aim":1,"deadline":3,"effect":"free","points":2,` +
 	`"new-key":7}],"guarantees":{"cold":15,"cold-from":0.2},"a-new-key":[]}},{"type":"Announce","coordinator-id":3,` +
 	`"scope":"Persisted","entries":[{"backend":"10.0.0.1:80","size":3,"phase":"in_service"},` +
 	`{"backend":"10.0.0.2:80","size":1,"phase":"in_service"}]}]}` + "\n"
 
+// run plays lines and returns the lines of the reply.
 func run(t *testing.T, lines string) (replies []string, complaints string, err error) {
 	t.Helper()
-	var out, told strings.Builder
-	err = Host(strings.NewReader(lines), &out, &told)
-	for _, r := range strings.Split(strings.TrimSpace(out.String()), "\n") {
-		if r != "" && !json.Valid([]byte(r)) {
-			t.Errorf("no JSON: %s", r)
+	var out, skipped strings.Builder
+	err = Host(strings.NewReader(lines), &out, &skipped)
+	for _, reply := range strings.Split(strings.TrimSpace(out.String()), "\n") {
+		if reply != "" && !json.Valid([]byte(reply)) {
+			t.Errorf("no JSON: %s", reply)
 		}
-		replies = append(replies, r)
+		replies = append(replies, reply)
 	}
-	return replies, told.String(), err
+	return replies, skipped.String(), err
 }
 
-func TestABatchIsAnsweredByOneLine(t *testing.T) {
-	replies, told, err := run(t, `{"clock":99,"in":[]}`+"\n"+start1+
+func TestBatchIsAnsweredByOneLine(t *testing.T) {
+	replies, complaints, err := run(t, `{"clock":99,"in":[]}`+"\n"+provisionLine+
 		`{"clock":101,"in":[{"type":"Enrolled","coordinator-id":3,"px":41,"campus":0,"size":6.5,"flag":true}]}`+"\n")
-	if err != nil || told != "" || len(replies) != 3 || replies[0] != `{"actions":[]}` {
-		t.Fatalf("%q, %q, %v", replies, told, err)
+	if err != nil || complaints != "" || len(replies) != 3 || replies[0] != `{"actions":[]}` {
+		t.Fatalf("%q, %q, %v", replies, complaints, err)
 	}
 	if !strings.Contains(replies[2], `{"type":"HandTable","coordinator-id":3,"px":41,"sheet":1,"for-classes":1}`) {
 		t.Errorf("a joined proxy got %s", replies[2])
 	}
 }
 
-func TestWhatCannotBeFollowedEndsWithAPlainMessage(t *testing.T) {
-	for lines, want := range map[string]string{
-		"nonsense\n":                "line 1 is no batch",
-		`{"in":[]}` + "\n":          "has no clock",
-		start1 + `{"clock":101,"in`: "line 2 is no batch",
-		`{"clock":1,"in":[{"type":"Fired","coordinator-id":9,"nonce":1}]}` + "\n":       "which does not run",
-		`{"clock":1,"in":[{"type":"Fired"}]}` + "\n":                                    "names no instance",
-		`{"clock":1,"in":[{"type":"Provision","coordinator-id":1}]}` + "\n":             "without boot-info",
-		`{"clock":1,"in":[{"type":"Destroy","coordinator-id":1}]}` + "\n":               "which does not run",
-		start1 + `{"clock":101,"in":[{"type":"Detached","coordinator-id":3,"px":"x"}]}`: "cannot be read",
+func TestUnreadableStreamEndsWithAnError(t *testing.T) {
+	for name, test := range map[string]struct{ lines, want string }{
+		"no JSON":           {"nonsense\n", "line 1 is no batch"},
+		"no clock":          {`{"in":[]}` + "\n", "has no clock"},
+		"broken off":        {provisionLine + `{"clock":101,"in`, "line 2 is no batch"},
+		"unknown instance":  {`{"clock":1,"in":[{"type":"Fired","coordinator-id":9,"nonce":1}]}` + "\n", "which does not run"},
+		"no instance":       {`{"clock":1,"in":[{"type":"Fired"}]}` + "\n", "names no instance"},
+		"no settings":       {`{"clock":1,"in":[{"type":"Provision","coordinator-id":1}]}` + "\n", "without boot-info"},
+		"destroyed unknown": {`{"clock":1,"in":[{"type":"Destroy","coordinator-id":1}]}` + "\n", "which does not run"},
+		"wrong type": {provisionLine + `{"clock":101,"in":[{"type":"Detached","coordinator-id":3,"px":"x"}]}`,
+			"cannot be read"},
 	} {
-		if _, _, err := run(t, lines); err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("%.60q: %v, want %q", lines, err, want)
-		}
+		t.Run(name, func(t *testing.T) {
+			_, _, err := run(t, test.lines)
+			if err == nil || !strings.Contains(err.Error(), test.want) {
+				t.Errorf("%.60q: %v, want %q", test.lines, err, test.want)
+			}
+		})
 	}
 }
 
-func TestUnknownEventsAreToldAndSkipped(t *testing.T) {
-	replies, told, err := run(t, start1+`{"clock":101,"in":[{"type":"Riddle","coordinator-id":3},{"type":"Announce",`+
+func TestUnknownEventsAreReportedAndSkipped(t *testing.T) {
+	replies, complaints, err := run(t, provisionLine+`{"clock":101,"in":[{"type":"Riddle","coordinator-id":3},{"type":"Announce",`+
 		`"coordinator-id":3,"scope":"Odd"},{"type":"OfferedLoad","coordinator-id":3,"tries-n":-4}]}`+"\n")
-	if err != nil || len(replies) != 2 || strings.Count(told, "line 2: skipped") != 3 {
-		t.Errorf("%d replies, %q, %v", len(replies), told, err)
+	if err != nil || len(replies) != 2 || strings.Count(complaints, "line 2: skipped") != 3 {
+		t.Errorf("%d replies, %q, %v", len(replies), complaints, err)
 	}
 }
 
-func TestADestroyedInstanceIsSilentUntilItStartsAgain(t *testing.T) {
+func TestDestroyedInstanceIsSilentUntilItStartsAgain(t *testing.T) {
 	stop := `{"clock":102,"in":[{"type":"Fired","coordinator-id":3,"nonce":0},{"type":"Destroy","coordinator-id":3}]}` + "\n"
-	replies, _, err := run(t, start1+stop+start1)
+	replies, _, err := run(t, provisionLine+stop+provisionLine)
 	if err != nil || replies[1] != `{"actions":[]}` || replies[2] != replies[0] {
 		t.Errorf("%q, %v", replies, err)
 	}
