--- a/internal/core/archtest/policy_test.go
+++ b/internal/core/archtest/policy_test.go
@@ -9,13 +9,21 @@
 	"unicode/utf8"
 )
 
-// maxPolicyColumns is the operators' limit on the length of a line in the files that hold the decisions, in characters.
-const maxPolicyColumns = 110
+const (
+	projectRoot = "../../../"
+	// maxPolicyColumns is the operators' limit on the length of a line in the files that hold the decisions, in
+	// characters.
+	maxPolicyColumns = 110
+)
+
+// withoutPolicy are the files of the decision module that need not stand under policy: types and bookkeeping without
+// tuned values.
+var withoutPolicy = map[string]bool{"interface.go": true, "state.go": true, "account.go": true}
 
-// The files under policy in the deploy file keep the operators' limit, and no decision stands in a file beside them.
-func TestPolicyFilesKeepTheirLimit(t *testing.T) {
-	const root = "../../../"
-	deploy, err := os.ReadFile(root + "deploy/balancer.toml")
+// policyFiles are the files that deploy/balancer.toml lists under policy, relative to the project's root.
+func policyFiles(t *testing.T) []string {
+	t.Helper()
+	deploy, err := os.ReadFile(projectRoot + "deploy/balancer.toml")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -23,29 +31,40 @@
 	if list == nil {
 		t.Fatal("deploy/balancer.toml names no policy")
 	}
-	policy := map[string]bool{}
+	var files []string
 	for _, quoted := range regexp.MustCompile(`"([^"]+)"`).FindAllSubmatch(list[1], -1) {
-		name := string(quoted[1])
-		text, err := os.ReadFile(root + name)
+		files = append(files, string(quoted[1]))
+	}
+	return files
+}
+
+func TestPolicyFilesKeepTheColumnLimit(t *testing.T) {
+	for _, file := range policyFiles(t) {
+		text, err := os.ReadFile(projectRoot + file)
 		if err != nil {
 			t.Fatal(err)
 		}
-		policy[filepath.Base(name)] = true
-		lines := strings.Split(strings.TrimSuffix(string(text), "\n"), "\n")
-		for i, line := range lines {
-			if columns := utf8.RuneCountInString(line); columns > maxPolicyColumns {
-				t.Errorf("%s:%d has %d columns, %d at most", name, i+1, columns, maxPolicyColumns)
+		for i, line := range strings.Split(strings.TrimSuffix(string(text), "\n"), "\n") {
+			columns := utf8.RuneCountInString(line)
+			if columns > maxPolicyColumns {
+				t.Errorf("%s:%d has %d columns, %d at most", file, i+1, columns, maxPolicyColumns)
 			}
 		}
 	}
-	others := map[string]bool{"interface.go": true, "state.go": true, "account.go": true} // types without tuned values
-	files, err := filepath.Glob(root + "balancer/*.go")
+}
+
+func TestPolicyListsEveryDecisionFile(t *testing.T) {
+	listed := map[string]bool{}
+	for _, file := range policyFiles(t) {
+		listed[filepath.Base(file)] = true
+	}
+	files, err := filepath.Glob(projectRoot + "balancer/*.go")
 	if err != nil || len(files) == 0 {
 		t.Fatal("no files in balancer/", err)
 	}
 	for _, file := range files {
 		name := filepath.Base(file)
-		if !policy[name] && !others[name] && !strings.HasSuffix(name, "_test.go") {
+		if !listed[name] && !withoutPolicy[name] && !strings.HasSuffix(name, "_test.go") {
 			t.Errorf("balancer/%s is not listed under policy", name)
 		}
 	}
--- a/internal/core/histogram/histogram_test.go
+++ b/internal/core/histogram/histogram_test.go
@@ -5,31 +5,35 @@
 	"testing"
 )
 
-var scale = Scale{Least: 0.2, Growth: 1.5, Halve: 64}
+var testScale = Scale{Least: 0.2, Growth: 1.5, Halve: 64}
 
 func TestMeanIsWithinABin(t *testing.T) {
-	for _, figure := range []float64{0.01, 0.2, 3, 40, 1e9} {
+	for _, value := range []float64{0.01, 0.2, 3, 40, 1e9} {
 		var h Histogram
 		for range 200 {
-			h.Add(scale, figure)
+			h.Add(testScale, value)
 		}
-		bounded := min(max(figure, 0.2), 0.2*math.Pow(1.5, 15))
+		bounded := min(max(value, 0.2), 0.2*math.Pow(1.5, 15))
 		if ratio := h.Mean() / bounded; ratio < 1/1.5 || ratio > 1.5 {
-			t.Errorf("the mean of %v alone is %.3f", figure, h.Mean())
+			t.Errorf("the mean of %v alone is %.3f", value, h.Mean())
 		}
 	}
 }
 
-func TestOldEntriesAreForgotten(t *testing.T) {
+func TestEmptyHistogramHasNoMean(t *testing.T) {
 	var h Histogram
 	if h.Mean() != 0 || h.Entries() != 0 {
-		t.Error("an empty histogram has a mean")
+		t.Errorf("mean %v of %v entries", h.Mean(), h.Entries())
 	}
+}
+
+func TestOldValuesAreForgotten(t *testing.T) {
+	var h Histogram
 	for range 64 {
-		h.Add(scale, 1)
+		h.Add(testScale, 1)
 	}
 	for range 200 {
-		h.Add(scale, 20)
+		h.Add(testScale, 20)
 	}
 	if h.Mean() < 15 || h.Entries() > 64 {
 		t.Errorf("the mean is %.1f of %.0f entries after many of 20", h.Mean(), h.Entries())
--- a/internal/core/random/random.go
+++ b/internal/core/random/random.go
@@ -1,22 +1,25 @@
-// Package random is a small generator of random numbers whose sequence hangs on its seed alone. It is pure.
+// Package random generates pseudo-random numbers that depend on their seed alone. It does no I/O.
 package random
 
+// The multiplier and the increment of the linear congruential step, as in the reference implementation of PCG.
 const (
 	multiplier = 6364136223846793005
 	increment  = 1442695040888963407
 )
 
-// PCG is a permuted congruential generator (PCG-XSH-RR 64/32).
+// PCG is the state of a permuted congruential generator (PCG-XSH-RR 64/32). It is not safe for concurrent use, and
+// not for secrets.
 type PCG uint64
 
-// New makes a generator.
+// New returns a generator. Equal seeds give equal sequences.
 func New(seed uint64) PCG { return PCG(seed*multiplier + increment) }
 
-// Float draws evenly from 0 to 1.
+// Float returns a uniformly distributed number in [0, 1).
 func (p *PCG) Float() float64 {
-	old := uint64(*p)
-	*p = PCG(old*multiplier + increment)
-	shifted := uint32(((old >> 18) ^ old) >> 27)
-	rotation := uint32(old >> 59)
-	return float64(shifted>>rotation|shifted<<(-rotation&31)) / (1 << 32)
+	state := uint64(*p)
+	*p = PCG(state*multiplier + increment)
+	shifted := uint32(((state >> 18) ^ state) >> 27)
+	rotation := uint32(state >> 59)
+	rotated := shifted>>rotation | shifted<<(-rotation&31)
+	return float64(rotated) / (1 << 32)
 }
--- a/internal/core/slidingwindow/slidingwindow.go
+++ b/internal/core/slidingwindow/slidingwindow.go
@@ -1,28 +1,33 @@
-// Package slidingwindow counts events within the last seconds. It is pure: time is an argument.
+// Package slidingwindow counts the events within a span of time that ends now. It does no I/O and reads no clock: the
+// time is an argument, in seconds, and never goes back from one call to the next.
 package slidingwindow
 
-// Counter counts events. Its zero value has seen none.
+// Counter counts events. Its zero value has counted none.
 type Counter struct {
 	times []float64 // oldest first
 }
 
-// Add notes an event, and forgets those that are older than a span.
+// Add counts an event, and forgets those that are at least span seconds old.
 func (c *Counter) Add(now, span float64) {
-	c.Count(now, span)
+	c.forget(now, span)
 	c.times = append(c.times, now)
 }
 
-// Count is how many events there were within the last span; older ones are forgotten.
+// Count returns the number of events within the last span seconds, and forgets the others.
 func (c *Counter) Count(now, span float64) int {
+	c.forget(now, span)
+	return len(c.times)
+}
+
+func (c *Counter) forget(now, span float64) {
 	old := 0
 	for old < len(c.times) && c.times[old] <= now-span {
 		old++
 	}
 	c.times = append(c.times[:0], c.times[old:]...)
-	return len(c.times)
 }
 
-// Since is the time since the latest event that is remembered; false if there is none.
+// Since returns the seconds since the latest event, and false if none is remembered.
 func (c *Counter) Since(now float64) (seconds float64, ok bool) {
 	if len(c.times) == 0 {
 		return 0, false
--- a/internal/core/slidingwindow/slidingwindow_test.go
+++ b/internal/core/slidingwindow/slidingwindow_test.go
@@ -2,11 +2,15 @@
 
 import "testing"
 
-func TestEventsLeaveTheWindow(t *testing.T) {
+func TestEmptyCounterHasNoEvents(t *testing.T) {
 	var c Counter
 	if _, ok := c.Since(5); ok || c.Count(5, 10) != 0 {
-		t.Fatal("an empty counter has events")
+		t.Error("an empty counter has events")
 	}
+}
+
+func TestEventsLeaveTheWindow(t *testing.T) {
+	var c Counter
 	for i := range 20 {
 		c.Add(float64(i), 100)
 	}
@@ -21,8 +25,8 @@
 	}
 }
 
-// Guards against memory that grows where events are noted and nobody counts them.
-func TestEventsThatNobodyCountsAreForgotten(t *testing.T) {
+// Guards against memory that grows where events are added and nobody counts them.
+func TestEventsAreForgottenWithoutCounting(t *testing.T) {
 	var c Counter
 	for i := range 10000 {
 		c.Add(float64(i), 10)
