--- a/balancer/account.go
+++ b/balancer/account.go
@@ -6,7 +6,7 @@
 	"slices"
 )
 
-// entries are the entries that a table holds, in the order of the servers.
+// entries returns the entries of a table, ordered by server position.
 func (b *Balancer) entries(table *weightTable) []tableEntry {
 	entries := make([]tableEntry, 0, len(table.weights))
 	for address, weight := range table.weights {
@@ -18,8 +18,8 @@
 	return entries
 }
 
-// weightOf is the weight of a server in entries that stand in the order of the servers; 0 if it has
-// none.
+// weightOf returns the weight of a server in entries ordered by server position, and 0 if the server is
+// not among them.
 func weightOf(entries []tableEntry, srv *server) float64 {
 	i, found := slices.BinarySearchFunc(entries, srv, func(entry tableEntry, srv *server) int {
 		return cmp.Compare(entry.server.position, srv.position)
@@ -30,8 +30,9 @@
 	return entries[i].weight
 }
 
-// weightChanges merges the entries that a table holds with those wanted, both in the order of the
-// servers. It gives a change for each server that is in either, unchanged ones included.
+// weightChanges merges the current entries of a table with the wanted ones, which must be ordered by
+// server position. It returns one change for each server that appears in either, including servers
+// whose weight stays the same.
 func (b *Balancer) weightChanges(table *weightTable, wanted []tableEntry) []weightChange {
 	var changes []weightChange
 	for _, held := range b.entries(table) {
@@ -52,12 +53,12 @@
 	return changes
 }
 
-// size is what changes are ordered by, largest first. Removals come last.
+// size is the sort key of changes: the largest are sent first, removals last.
 func (c weightChange) size() float64 {
 	return math.Abs(c.wanted-c.current) * min(c.wanted, 1)
 }
 
-// apply brings a table up to date with a change that has been sent.
+// apply updates the table with a change that has been sent.
 func (table *weightTable) apply(change weightChange) {
 	if change.wanted == 0 {
 		delete(table.weights, change.server.Server)
@@ -66,8 +67,8 @@
 	table.weights[change.server.Server] = change.wanted
 }
 
-// requestAck asks the proxies that this round has written to for an acknowledgement. size is what the
-// round has put into the channel, in entries.
+// requestAck requests an acknowledgement from every proxy that this round has written to. size is the
+// number of entries that the round has put into the channel.
 func (b *Balancer) requestAck(size float64, sink CommandSink) {
 	c := &b.channel
 	c.lastAckID = c.lastAckID%maxAckID + 1
@@ -88,8 +89,9 @@
 	}
 }
 
-// acknowledge takes a proxy's acknowledgement. One of an older message than the newest to it counts for
-// what was sent before, not for its own entries, whose number is not remembered.
+// acknowledge processes the acknowledgement of a proxy. If it belongs to an older message than the
+// proxy's newest, it only proves that everything sent before that message has left the channel: the
+// size of the older message is no longer known.
 func (b *Balancer) acknowledge(ack Ack) {
 	entries := 0.0
 	if p := b.proxyByID[ack.Proxy]; p != nil && p.awaitedAck == ack.ID {
@@ -98,7 +100,7 @@
 	b.channel.acknowledge(ack, entries)
 }
 
-// joinSize is the size in entries of the message that assigns a proxy the tables of its group.
+// joinSize is the size, in entries, of the message that assigns a proxy the tables of its group.
 func (b *Balancer) joinSize(p *proxy) float64 {
 	size := b.channel.messageCost()
 	for _, table := range p.group.tables {
@@ -107,8 +109,8 @@
 	return size
 }
 
-// chargeRedelivered charges what the channel may carry a second time, and begins the messages of this
-// round.
+// chargeRedelivered charges the channel for commands that may be delivered twice, and resets the
+// message sizes of all groups for the new round.
 func (b *Balancer) chargeRedelivered(now float64, redelivered Redelivered) {
 	for _, group := range b.groups {
 		group.messageSize = 0
@@ -126,13 +128,13 @@
 	}
 }
 
-// has tells whether a table is one of the group's.
+// has reports whether the group has the given table.
 func (group *proxyGroup) has(id Table) bool {
 	return slices.ContainsFunc(group.tables, func(table *weightTable) bool { return table.id == id })
 }
 
-// chargeEntry charges an entry to each proxy of a group, and the overhead of a message with the first
-// one.
+// chargeEntry charges one entry for each proxy of a group, plus the message overhead if it is the first
+// entry of the round.
 func (b *Balancer) chargeEntry(now float64, group *proxyGroup) {
 	size := 1.0
 	if group.messageSize == 0 {
--- a/balancer/admission.go
+++ b/balancer/admission.go
@@ -1,34 +1,34 @@
 package balancer
 
 const (
-	// highFailureFraction is the part of all attempts that fail from which on some proxy ejects some
-	// server.
+	// highFailureFraction is the fraction of failed attempts above which some proxies are likely to have
+	// ejected a server.
 	highFailureFraction = 0.04
-	// overloadLatencyFraction is the part of the latency objective from which on work that takes longer
-	// counts as overload; the rest is for chance.
+	// overloadLatencyFraction is the fraction of the latency objective that the mean latency may reach
+	// before the fleet counts as overloaded. The rest of the objective is headroom for variance.
 	overloadLatencyFraction = 0.4
-	// admissionGrowth is the part by which an admitted fraction may grow in a second: reports may be 4 s
-	// late.
+	// admissionGrowth is the relative growth per second that an admitted fraction is limited to, since
+	// reports may be 4 s late.
 	admissionGrowth = 0.25
-	// admissionGrowthBase is the fraction from which it may at least grow, so that recovery does not
-	// outlast the fault.
+	// admissionGrowthBase is the fraction that growth is computed from if the admitted fraction is lower,
+	// so that recovery does not outlast the fault.
 	admissionGrowthBase = 0.1
-	// reportTrail is the time in seconds by which reports trail an admission setting, besides the time
-	// from one sample to the next: decisions, commands, answers and reports are all on the way.
+	// reportTrail is the delay in seconds, besides the time between two samples, until reports reflect an
+	// admission setting: decision, command, answer and report are all delayed.
 	reportTrail = 4.0
-	// minNewFraction is the least part of all requests that is taken to be new: clients retry three or
-	// four times.
+	// minNewFraction is the lower bound on the fraction of requests that are assumed to be new rather than
+	// retries by the client; clients retry three or four times.
 	minNewFraction = 0.1
 )
 
-// serverLoad is what admission control knows of one server in the present period.
+// serverLoad is the load of one server in the current period.
 type serverLoad struct {
-	capacity       float64 // requests a second that it may be given
-	completionRate float64 // requests a second, if known
+	capacity       float64 // requests per second that it can take
+	completionRate float64 // requests per second, if known
 	known          bool
 }
 
-// loadSum sums up the load of some servers.
+// loadSum is the total load of a set of servers.
 type loadSum struct {
 	servers        float64
 	completionRate float64
@@ -41,9 +41,9 @@
 	sum.inProcess += inProcess
 }
 
-// controlAdmission is the regulator for the fleet as a whole: while its work takes longer than the
-// latency objective allows, it admits the completion rate less the gain times the excess work in
-// process. The class with the least priority weight is rejected first.
+// controlAdmission applies the control law of the regulator to the fleet as a whole: while the mean
+// latency exceeds its limit, the admitted rate is the completion rate less the gain times the excess
+// work in process. Classes with the lowest priority weight are rejected first.
 func (b *Balancer) controlAdmission(now, expectedAt, gain float64) {
 	maxLatency := overloadLatencyFraction * b.latencyObjective
 	loads := b.measureLoad(now, expectedAt, gain, maxLatency)
@@ -58,11 +58,11 @@
 	}
 }
 
-// measureLoad gives the load of each server, in their order, and renews the attempt rate, the failure
-// rate and whether the fleet is overloaded.
+// measureLoad returns the load of each server, in server order. It also updates the attempt rate, the
+// failure flag and the overload flag of the fleet.
 func (b *Balancer) measureLoad(now, expectedAt, gain, maxLatency float64) []serverLoad {
 	loads := make([]serverLoad, len(b.servers))
-	var sound, failing loadSum // failing: that lose at least half of their attempts
+	var sound, failing loadSum // failing servers fail at least half of their attempts
 	attempts := 0.0
 	failed := 0.0
 	for i, srv := range b.servers {
@@ -80,7 +80,7 @@
 		completionRate := rates.succeeded
 		inProcess := rates.inProcess
 		if rates.failed/rates.attempts >= 0.5 {
-			inProcess += rates.failed * b.latencyObjective // failures are no overload where answers come in time
+			inProcess += rates.failed * b.latencyObjective // elsewhere failures are not overload
 			failing.add(completionRate, inProcess)
 		} else {
 			sound.add(completionRate, inProcess)
@@ -90,7 +90,7 @@
 		excess := inProcess - completionRate*maxLatency
 		admissible := max(completionRate, usual) - gain*excess/maxLatency
 		*load = serverLoad{
-			capacity:       max(admissible, usual/2), // what keeps it from half of the usual will pass
+			capacity:       max(admissible, usual/2), // a cut below half of the usual rate would be temporary
 			completionRate: completionRate,
 			known:          true,
 		}
@@ -101,8 +101,8 @@
 	return loads
 }
 
-// isOverloaded tells whether work takes longer than maxLatency on average. Servers that lose most of
-// their attempts count only if most servers do.
+// isOverloaded reports whether the mean latency exceeds maxLatency. Servers that fail most of their
+// attempts count only if they are the majority.
 func isOverloaded(sound, failing loadSum, maxLatency float64) bool {
 	weight := min(max(failing.servers-sound.servers, 0), 1)
 	inProcess := sound.inProcess + weight*failing.inProcess
@@ -110,8 +110,8 @@
 	return inProcess > completionRate*maxLatency
 }
 
-// learnCompletionRates notes what servers usually complete. Under overload or restricted admission they
-// only show it where they do more than before.
+// learnCompletionRates updates the usual completion rates. A server that is overloaded, or gets a
+// restricted load, does not show what it can do, so it counts only if it completes more than usual.
 func (b *Balancer) learnCompletionRates(loads []serverLoad) {
 	for i, srv := range b.servers {
 		load := &loads[i]
@@ -126,8 +126,9 @@
 	}
 }
 
-// updateAdmitted gives the capacity of the servers to the classes, those with the highest priority
-// weight first. Growth is bounded, since late reports show what was admitted before.
+// updateAdmitted assigns the capacity of the servers to the classes in the order of their priority, and
+// derives the admitted fraction of each class. Growth is limited because late reports reflect earlier
+// settings.
 func (b *Balancer) updateAdmitted(now float64, loads []serverLoad) {
 	requested, newFraction := b.requestedRates(now)
 	for _, class := range b.classesByPriority {
@@ -155,9 +156,9 @@
 	}
 }
 
-// requestedRates are the requests a second of each class, and the part of the restricted ones that is
-// new: rejected requests are retried and rejected again. Proxies that joined lately are left out, since
-// reports do not show all of their attempts yet.
+// requestedRates returns the requests per second of each class, and the fraction of the requests of
+// restricted classes that are new: rejected requests are retried and rejected again. Proxies that
+// joined recently are left out because reports do not yet cover all of their attempts.
 func (b *Balancer) requestedRates(now float64) (rates []float64, newFraction float64) {
 	settled := make([]*proxy, 0, len(b.proxies))
 	for _, p := range b.proxies {
@@ -167,7 +168,7 @@
 	}
 	rates = make([]float64, len(b.classes))
 	unrestricted := 0.0
-	restricted := 0.0 // what is admitted of the restricted classes
+	restricted := 0.0 // admitted requests of the restricted classes
 	for class := range rates {
 		rates[class] = offeredRate(settled, nil, 1<<class)
 		observed := b.admitted[class].observed
--- a/balancer/admission_settings.go
+++ b/balancer/admission_settings.go
@@ -7,16 +7,18 @@
 )
 
 const (
-	// admissionInterval is the time in seconds between two messages with admission settings of one table,
-	// for the last one to show its effect.
+	// admissionInterval is the minimum time in seconds between two updates of the admission settings of a
+	// table, so that the effect of one is visible before the next.
 	admissionInterval = 1.0
-	// minAdmissionRate keeps a class from vanishing: otherwise its demand could not be seen to fall.
+	// minAdmissionRate is the lower bound on admission rates. A class that is rejected completely would
+	// never be seen to recover.
 	minAdmissionRate = 1e-3
-	// unlimitedAdmission admits everything, as a fraction and as requests a second at a proxy.
+	// unlimitedAdmission is an admission rate that admits everything, whether read as a fraction or as
+	// requests per second.
 	unlimitedAdmission = 1e6
 )
 
-// admissionRate is what proxies are to admit of a class, in the form that they understand.
+// admissionRate returns the admission rate of a class in the unit of the admission mode.
 func (b *Balancer) admissionRate(class Class) float64 {
 	fraction := b.admitted[class].wanted
 	if fraction >= 1 || b.dataPlane.Admission == AdmissionIgnored {
@@ -37,7 +39,7 @@
 	return max(limit, minAdmissionRate)
 }
 
-// sendAdmissions sends a table's admission settings that have changed.
+// sendAdmissions sends the admission settings of a table that have changed.
 func (b *Balancer) sendAdmissions(now float64, group *proxyGroup, table *weightTable, classes ClassSet,
 	sink CommandSink) {
 	for _, class := range b.classesByPriority {
@@ -50,7 +52,7 @@
 			current = admissionSetting{rate: unlimitedAdmission, retry: wanted.retry}
 		}
 		if b.overloaded {
-			wanted.retry = RetryNever // what one server rejects would go to the others, warming ones above all
+			wanted.retry = RetryNever // retries would overload other servers, especially those warming up
 		}
 		moved := math.Abs(wanted.rate-current.rate) > minRelativeChange*current.rate
 		if !moved && wanted.retry == current.retry {
@@ -63,8 +65,8 @@
 	}
 }
 
-// usualRetry is the retry policy of a class while the fleet is not overloaded. A retry that the
-// balancer orders must never take effect twice.
+// usualRetry is the retry policy of a class while the fleet is not overloaded. The balancer never
+// orders a retry that could execute a request of a non-idempotent class twice.
 func (b *Balancer) usualRetry(class Class) RetryPolicy {
 	retry := b.dataPlane.DefaultRetry
 	if b.classes[class].Idempotency != Idempotent {
--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -25,18 +25,18 @@
 )
 
 const (
-	// timerInterval is the time in seconds between two timers: rounds for what is due by time alone.
+	// timerInterval is the time in seconds between two timer rounds, which handle whatever is due by time
+	// alone.
 	timerInterval = 0.25
-	// minReportPeriod bounds the configured report period, in seconds.
+	// minReportPeriod is the lower bound on the configured report period, in seconds.
 	minReportPeriod = 0.05
-	// pollRetriesPerDeadline is the largest number of polls within DiscoveryPollDeadline while they fail.
-	// The waits between them are random, up to twice the least one, so that coordinators do not poll
-	// together.
+	// pollRetriesPerDeadline is the maximum number of failed discovery polls within DiscoveryPollDeadline.
+	// The backoff is jittered up to twice its minimum, so that coordinators do not poll in step.
 	pollRetriesPerDeadline = 16
 )
 
-// New makes the balancer of one coordinator. Equal seeds give equal decisions. It starts no health
-// checks: load reports tell more.
+// New makes the balancer of one coordinator. The seed determines the jitter and the first AckID. The
+// balancer requests no health checks, because load reports carry more information.
 func New(seed uint64, classes []RequestClass, dataPlane DataPlane, limits Channel, guarantees Guarantees,
 	reporting Reporting, _ HealthChecking, discovery Discovery) *Balancer {
 	balancer := &Balancer{
@@ -51,7 +51,7 @@
 			Channel:       limits,
 			drainDeadline: guarantees.DrainDeadline,
 			relativePace:  1,
-			// Acknowledgements of an earlier incarnation must not be taken for ours: its IDs lie elsewhere.
+			// Different incarnations use different IDs, so that late acknowledgements are not confused.
 			lastAckID: AckID(seed % maxAckID),
 		},
 	}
@@ -74,7 +74,7 @@
 	return balancer
 }
 
-// eligibilitySetOf finds the set of a class by the servers that it may go to, or makes it.
+// eligibilitySetOf returns the eligibility set of a class, and adds it if there is none yet.
 func (b *Balancer) eligibilitySetOf(class RequestClass) *eligibilitySet {
 	for _, set := range b.eligibilitySets {
 		if set.zoneLocal == class.ZoneLocal && slices.Equal(set.zones, class.AllowedZones) {
@@ -86,13 +86,14 @@
 	return set
 }
 
-// width is the number of zones that a set names; a set of all zones is the widest.
+// width is the number of zones in the set. A set without named zones covers all of them and is the
+// widest.
 func (set *eligibilitySet) width() int {
 	return cmp.Or(len(set.zones), math.MaxInt)
 }
 
-// Reconcile takes all events since the last call and writes what is decided. Time never goes back from
-// one call to the next.
+// Reconcile processes all events since the last call and writes the resulting commands to the sink. now
+// is in seconds and must not decrease between calls.
 func (b *Balancer) Reconcile(now float64, events Events, sink CommandSink) {
 	for _, list := range events.Lists {
 		b.applyEndpointList(now, list)
@@ -118,7 +119,7 @@
 	}
 	b.chargeRedelivered(now, events.Redelivered)
 	if events.ChannelStalled {
-		b.channel.settledAt = now // nothing leaves the channel that has not reached it
+		b.channel.settledAt = now // nothing that has not reached the channel can leave it
 	} else {
 		b.publish(now, sink)
 	}
--- a/balancer/channel_emulator_test.go
+++ b/balancer/channel_emulator_test.go
@@ -263,7 +263,7 @@
 	clear(e.round)
 }
 
-// advance carries messages until a time, and gives what has been acknowledged by then.
+// advance carries messages until a time, and returns what has been acknowledged by then.
 func (e *channelEmulator) advance(until float64) []balancer.Ack {
 	e.credit += (until - e.now) * e.channel.EntriesPerSecond * e.pace(e.now)
 	e.now = until
@@ -292,7 +292,7 @@
 	return acks
 }
 
-// arrive applies the messages that have arrived at proxies, and gives the acknowledgements that have arrived.
+// arrive applies the messages that have arrived at proxies, and returns the acknowledgements that have arrived.
 func (e *channelEmulator) arrive() []balancer.Ack {
 	var acks []balancer.Ack
 	underway := e.deliveries[:0]
--- a/balancer/endpoints.go
+++ b/balancer/endpoints.go
@@ -6,7 +6,7 @@
 	"slices"
 )
 
-// applyEndpointList brings the servers up to date with a list from discovery.
+// applyEndpointList updates the known servers with a list from discovery.
 func (b *Balancer) applyEndpointList(now float64, list EndpointList) {
 	endpoints := list.Endpoints
 	if list.Scope == FullList {
@@ -21,7 +21,7 @@
 	}
 }
 
-// missingFrom gives a removal of each known server that a full list does not name.
+// missingFrom returns a removal for each known server that is absent from a full list.
 func (b *Balancer) missingFrom(endpoints []Endpoint) []Endpoint {
 	var removals []Endpoint
 	for _, srv := range b.servers {
@@ -43,7 +43,7 @@
 	}
 	if endpoint.Phase == Removed {
 		if b.guarantees.RemovalIsAdvisory && srv.Phase == Ready {
-			srv.delisted = true // the list may be wrong: the server stays for as long as it answers
+			srv.delisted = true // the list may be wrong: keep the server while it answers
 		} else {
 			srv.Phase = Removed
 		}
@@ -51,7 +51,7 @@
 	}
 	restarted := endpoint.Started != srv.Started || srv.Phase != Ready
 	if endpoint.Phase == Ready && restarted {
-		*srv = server{Endpoint: endpoint, discoveredAt: now} // nothing is known of another process
+		*srv = server{Endpoint: endpoint, discoveredAt: now} // a new process: forget the old one
 		return
 	}
 	srv.Endpoint = endpoint
--- a/balancer/estimates.go
+++ b/balancer/estimates.go
@@ -7,22 +7,22 @@
 )
 
 const (
-	// minRequestRate is the rate in requests a second under which a server or a proxy has as good as
-	// nothing to do.
+	// minRequestRate is the rate in requests per second below which a server or a proxy counts as idle.
 	minRequestRate = 0.2
-	// forgetProxyAfter is the time in seconds after which a proxy that left is taken to be dead; outages
-	// last 5 to 20.
+	// forgetProxyAfter is the time in seconds after which a disconnected proxy is assumed to be dead;
+	// outages last 5 to 20 s.
 	forgetProxyAfter = 30.0
-	// minDemandShare bounds a group's share of the requests, against an even share: a group with few
-	// requests still needs a table that can lose a server.
+	// minDemandShare is the lower bound on the demand share of a group, relative to an even share: even a
+	// group with little demand needs a table that can lose a server.
 	minDemandShare = 0.5
 )
 
-// requestRateScale is the scale of histograms of completion rates in requests a second: 16 bins reach to
-// 130, and the latest half a minute to two minutes count.
+// requestRateScale is the scale of completion rate histograms, in requests per second: 16 bins cover
+// rates up to 130, and values of the last half minute to two minutes count.
 var requestRateScale = histogram.Scale{Least: minRequestRate, Growth: 1.5, Halve: 64}
 
-// endPeriod renews all estimates at the end of a report period, then the intakes and what is admitted.
+// endPeriod updates all estimates at the end of a report period, then the intakes and the admitted
+// fractions.
 func (b *Balancer) endPeriod(now float64) {
 	b.periodEndedAt = now
 	b.reportsPending = false
@@ -36,15 +36,16 @@
 	b.controlAdmission(now, expectedAt, riccatiGain)
 }
 
-// newestSamples are sums over the newest sample of each server.
+// newestSamples holds sums over the newest sample of each server.
 type newestSamples struct {
-	samples           float64 // how many there are
+	samples           float64 // number of samples
 	attempts          float64
 	weightedIntervals float64 // seconds, weighted by attempts
 	reportTimes       float64
 }
 
-// forgetOldSamples drops the samples that no average goes back to, and sums up the newest ones.
+// forgetOldSamples drops samples that are too old for any average, and sums up the newest sample of
+// each server.
 func (b *Balancer) forgetOldSamples(now float64) newestSamples {
 	var sums newestSamples
 	for _, srv := range b.servers {
@@ -63,7 +64,7 @@
 	return sums
 }
 
-// forgetRemovedServers drops the servers that are removed, in no table any more, and reported by nobody.
+// forgetRemovedServers drops servers that are removed, in no table and without samples.
 func (b *Balancer) forgetRemovedServers() {
 	b.servers = slices.DeleteFunc(b.servers, func(srv *server) bool {
 		if srv.Phase != Removed || len(srv.samples) > 0 || b.isInTable(srv) {
@@ -85,8 +86,8 @@
 	return false
 }
 
-// updateDemandShares renews the share of each group. Disconnected proxies count until they are taken to
-// be dead, since they go on sending.
+// updateDemandShares updates the demand share of each group. Disconnected proxies count until they are
+// assumed to be dead, because they keep sending requests.
 func (b *Balancer) updateDemandShares(now float64) {
 	b.disconnected = slices.DeleteFunc(b.disconnected, func(p *proxy) bool {
 		return now-p.leftAt > forgetProxyAfter
--- a/balancer/groups.go
+++ b/balancer/groups.go
@@ -7,23 +7,25 @@
 )
 
 const (
-	// groupConnectionFraction is the part of a server's connections that the proxies of one group may take.
+	// groupConnectionFraction is the fraction of a server's connections that the proxies of one group may
+	// use.
 	groupConnectionFraction = 0.25
-	// tableTransferSeconds is the time in seconds within which the channel must carry a group's whole
-	// table.
+	// tableTransferSeconds is the time in seconds within which the channel must be able to carry a table
+	// to every proxy.
 	tableTransferSeconds = 1.0
-	// tableWidth is the number of servers in a group's table: few connections, and the loss of one is a
-	// twelfth.
+	// tableWidth is the number of servers in the table of a group. It keeps connections few, while the
+	// loss of a server costs only a twelfth of the table.
 	tableWidth = 12.0
-	// minGroupProxies is the least number of proxies in a group, so that there are few tables.
+	// minGroupProxies is the minimum number of proxies in a group, which keeps the number of tables low.
 	minGroupProxies = 5.0
-	// minIntakeFraction is the part of a server's intake that is not worth an entry in a second table.
+	// minIntakeFraction is the fraction of a server's intake below which it gets no entry in a second
+	// table.
 	minIntakeFraction = 0.1
 )
 
-// createGroups divides the proxies where one table for all would take too many of the servers'
-// connections, or keep the channel busy for too long. All coordinators divide them alike. Without that,
-// groups by zone are made only for classes that stay in their zone.
+// createGroups divides the proxies into groups if a single table for all of them would use too many
+// connections of the servers or occupy the channel for too long. All coordinators arrive at the same
+// division. Otherwise there is one group, or one per zone if some class is zone-local.
 func (b *Balancer) createGroups(firstZone Zone) {
 	zones := b.zones(firstZone)
 	proxies := float64(b.dataPlane.Proxies)
@@ -45,7 +47,7 @@
 	}
 }
 
-// zones are those of all servers and that of the first proxy, in order.
+// zones returns the zones of all servers and of the first proxy, sorted.
 func (b *Balancer) zones(firstZone Zone) []Zone {
 	zones := []Zone{firstZone}
 	for _, srv := range b.servers {
@@ -55,7 +57,7 @@
 	return slices.Compact(zones)
 }
 
-// addGroup adds a group with its tables, numbered from 1 on.
+// addGroup adds a group with empty tables. Tables are numbered from 1.
 func (b *Balancer) addGroup(zone Zone) {
 	group := &proxyGroup{zone: zone, demandShare: 1}
 	firstTable := len(b.groups)*len(b.eligibilitySets) + 1
@@ -69,7 +71,8 @@
 	b.groups = append(b.groups, group)
 }
 
-// groupOf is the group of a proxy that joins: one of its zone, or any if its zone has none.
+// groupOf returns the group for a joining proxy: one of its own zone, or any group if its zone has
+// none.
 func (b *Balancer) groupOf(event ProxyEvent) *proxyGroup {
 	var candidates []*proxyGroup
 	for _, group := range b.groups {
@@ -83,18 +86,19 @@
 	return candidates[int(event.Proxy)%len(candidates)]
 }
 
-// partitionServers gives each group its part of the candidates, in their order, with the intake that it
-// takes there. The intakes are laid end to end, and each group takes the stretch that is its share of
-// the demand: so most servers stand in one table, and most proxies use servers of their own zone.
+// partitionServers assigns each group some of the candidates, with the part of their intake that the
+// group uses. The intakes are laid end to end in server order, and each group gets an interval in
+// proportion to its demand share. As a result most servers are in a single table, and most proxies use
+// servers of their own zone.
 func (b *Balancer) partitionServers(candidates []candidate, totalIntake float64) [][]tableEntry {
 	totalShare := 0.0
 	for _, group := range b.groups {
 		totalShare += group.demandShare
 	}
 	parts := make([][]tableEntry, 0, len(b.groups))
-	first := 0        // of the candidates that reach into the group's stretch
-	firstBegin := 0.0 // where the first one's intake begins
-	end := 0.0        // of the group's stretch
+	first := 0        // first candidate that overlaps the interval of the group
+	firstBegin := 0.0 // position of that candidate
+	end := 0.0        // of the interval of the group
 	for _, group := range b.groups {
 		begin := end
 		end += group.demandShare / totalShare * totalIntake
@@ -107,7 +111,8 @@
 	return parts
 }
 
-// entriesWithin gives the candidates that lie in a stretch. The first one's intake begins at firstBegin.
+// entriesWithin returns the candidates whose intake overlaps the interval from begin to end. firstBegin
+// is the position of the first candidate.
 func entriesWithin(candidates []candidate, firstBegin, begin, end float64) []tableEntry {
 	var entries []tableEntry
 	position := firstBegin
@@ -125,7 +130,7 @@
 	return entries
 }
 
-// zoneServers gives each group all candidates of its own zone.
+// zoneServers assigns each group all candidates of its own zone.
 func (b *Balancer) zoneServers(candidates []candidate) [][]tableEntry {
 	parts := make([][]tableEntry, len(b.groups))
 	for i, group := range b.groups {
--- a/balancer/harness_test.go
+++ b/balancer/harness_test.go
@@ -123,7 +123,7 @@
 	ack       Ack
 }
 
-// arrivedAcks gives the acknowledgements that have arrived by a time, once.
+// arrivedAcks returns the acknowledgements that have arrived by a time, once.
 func (h *harness) arrivedAcks(now float64) []Ack {
 	var arrived []Ack
 	h.pendingAcks = slices.DeleteFunc(h.pendingAcks, func(pending pendingAck) bool {
--- a/balancer/health.go
+++ b/balancer/health.go
@@ -3,18 +3,19 @@
 import "snowquay/internal/core/waterfill"
 
 const (
-	// slowStartTime is the time in seconds in which a server that is new to this coordinator rises from its
-	// start to its full intake.
+	// slowStartTime is the duration in seconds of the slow start of a server that is new to this
+	// coordinator.
 	slowStartTime = 5.0
-	// reconnectSettleTime is the time in seconds for which a proxy that came back may go on ejecting
-	// servers; 2 to 8 are usual.
+	// reconnectSettleTime is the time in seconds for which a reconnected proxy may still eject servers; 2
+	// to 8 s are usual.
 	reconnectSettleTime = 8.0
-	// safeIntakeFactor is the multiple of its usual completion rate that a server can surely take: servers
-	// usually run at 0.6 of their capacity.
+	// safeIntakeFactor is the multiple of its usual completion rate that a server can safely take: servers
+	// usually run at about 0.6 of their capacity.
 	safeIntakeFactor = 1.6
 )
 
-// warmupFraction is the part of its capacity that a server surely has, by the time since it started.
+// warmupFraction is the guaranteed fraction of its capacity that a server has, given the time since its
+// start.
 func (b *Balancer) warmupFraction(now float64, srv *server) float64 {
 	age := max(now-srv.Started, 0)
 	if srv.Started > 0 && age < b.guarantees.WarmupDuration {
@@ -24,24 +25,24 @@
 	return 1
 }
 
-// isWarm tells whether a server has its whole capacity.
+// isWarm reports whether the server has completed its warm-up.
 func (b *Balancer) isWarm(now float64, srv *server) bool {
 	return b.warmupFraction(now, srv) >= 1
 }
 
-// slowStartFraction is the part of an average intake that a server may get, by its warm-up and by the
-// time that it has been known here.
+// slowStartFraction is the fraction of an average intake that a server may get, limited both by its
+// warm-up and by the time since this coordinator discovered it.
 func (b *Balancer) slowStartFraction(now float64, srv *server) float64 {
 	ramp := b.guarantees.WarmupStartFraction + (now-srv.discoveredAt)/slowStartTime
 	return min(b.warmupFraction(now, srv), ramp)
 }
 
-// safeIntake is the intake in requests a second that a server can surely take.
+// safeIntake is the intake in requests per second that a server can safely take.
 func (b *Balancer) safeIntake(now float64, srv *server) float64 {
 	warm := b.warmupFraction(now, srv)
 	if warm < 1 {
 		if b.mayBeEjecting(now) {
-			return 0 // a proxy that ejects servers may send everything to the one it has not met yet
+			return 0 // a proxy that has ejected the others would send everything to this one
 		}
 		return warm * b.completionRates.Mean() * min(safeIntakeFactor, b.guarantees.OverloadFactor/2)
 	}
@@ -52,8 +53,8 @@
 	return safeIntakeFactor * usual
 }
 
-// mayBeEjecting tells whether proxies may be ejecting servers by themselves: many attempts fail, or
-// proxies are out of reach or have just come back.
+// mayBeEjecting reports whether proxies may have ejected servers by their own outlier detection: many
+// attempts fail, or proxies are disconnected or have just reconnected.
 func (b *Balancer) mayBeEjecting(now float64) bool {
 	if b.dataPlane.EjectAfterFailures <= 0 {
 		return false
@@ -61,9 +62,10 @@
 	return b.highFailureRate || len(b.disconnected) > 0 || now-b.reconnectedAt < reconnectSettleTime
 }
 
-// boundIntakes bounds each candidate's part of the attempts by its safe intake, and gives the excess to
-// the others in proportion to theirs. Where all are at their bounds the warm ones share the rest: a
-// withdrawal of some servers must not overload the others, least of all those that warm up.
+// boundIntakes limits the intake of each candidate to what it can safely take, and distributes the
+// excess over the others in proportion to their intakes. If all of them are at their limits, the warm
+// ones share the rest. This prevents the loss of some servers from overloading the others, especially
+// those that are warming up.
 func boundIntakes(candidates []candidate, attemptRate float64) {
 	total := 0.0
 	warmTotal := 0.0
--- a/balancer/interface.go
+++ b/balancer/interface.go
@@ -74,7 +74,7 @@
 	AdmissionIgnored AdmissionMode = iota
 	// AdmissionFraction means the part of a class's requests that is admitted, from 0 to 1.
 	AdmissionFraction
-	// AdmissionRate means the requests a second that each proxy admits.
+	// AdmissionRate means the requests per second that each proxy admits.
 	AdmissionRate
 )
 
@@ -212,7 +212,7 @@
 	Proxy        Proxy
 	Joined       bool // otherwise it left
 	Zone         Zone
-	ExpectedRate float64 // requests a second that it usually gets
+	ExpectedRate float64 // requests per second that it usually gets
 	DefaultTable bool    // it holds only its default table
 }
 
@@ -299,7 +299,7 @@
 	RetryTwice
 )
 
-// CommandSink takes the decisions of a round. All commands of a round for a proxy travel in one message.
+// CommandSink receives the decisions of a round. All commands of a round for a proxy travel in one message.
 type CommandSink interface {
 	// SetWeight sets the entry of a server in a table; 0 removes it.
 	SetWeight(table Table, server Server, weight float64)
@@ -314,8 +314,8 @@
 	HealthCheck(server Server)
 	// PollDiscovery has discovery polled once; the result comes as an EndpointList.
 	PollDiscovery()
-	// SetTimer calls for a round after some seconds.
+	// SetTimer schedules a round after some seconds.
 	SetTimer(seconds float64, timer Timer)
-	// Log takes a message for the operators.
+	// Log records a message for the operators.
 	Log(text string)
 }
--- a/balancer/limits_test.go
+++ b/balancer/limits_test.go
@@ -290,7 +290,7 @@
 	return d
 }
 
-// hasEnoughMessages tells whether the limit on messages leaves one for each step of a release within its time.
+// hasEnoughMessages reports whether the limit on messages leaves one for each step of a release within its time.
 func (d deployment) hasEnoughMessages() bool {
 	needed := 2 + 2 + d.channel.MessageWindow/d.stepInterval
 	return d.channel.MaxMessages == 0 || float64(d.channel.MaxMessages) >= needed
--- a/balancer/pacing.go
+++ b/balancer/pacing.go
@@ -2,18 +2,18 @@
 
 import "math"
 
-// urgency says how much of the channel an update may use.
+// urgency determines how much of the channel an update may use.
 type urgency int
 
 const (
 	urgencyNormal   urgency = iota // weights and admission settings
-	urgencyHigh                    // joins, and tables that lack much of what they want
-	urgencyCritical                // drains, restarted servers, tables of which no server serves
-	urgencyDeferred                // none of it, until it is the table's turn
+	urgencyHigh                    // joins, and tables that lack many servers
+	urgencyCritical                // drains, restarted servers, tables without a serving server
+	urgencyDeferred                // none: waits for the next update of the table
 )
 
-// queueFractions are the parts of MaxQueued up to which updates may fill the channel. The rest of a
-// less urgent kind's is for more urgent ones, and the last tenth for a call that is delivered twice.
+// queueFractions are the fractions of MaxQueued up to which updates may fill the channel. The remainder
+// is reserved for more urgent updates, and the last tenth for a call that is delivered twice.
 var queueFractions = [...]float64{
 	urgencyNormal:   0.5,
 	urgencyHigh:     0.7,
@@ -21,61 +21,63 @@
 	urgencyDeferred: 0,
 }
 
-// Updates that can wait do so here, not in the channel, whose limit may be worth half a minute of its
-// pace: there nothing can overtake them, and they arrive out of date.
+// Updates that are not urgent wait here rather than in the channel, whose queue may hold half a minute of
+// entries: once queued they cannot be overtaken or replaced, and they arrive outdated.
 var (
-	// queueSeconds are the seconds within which all that waits in the channel has to leave it.
+	// queueSeconds is the time in seconds within which everything queued has to leave the channel.
 	queueSeconds = [...]float64{urgencyNormal: 2, urgencyHigh: 5}
-	// drainDeadlineFractions are the parts of the drain deadline within which it has to, where that is
-	// less: drains come behind it.
+	// drainDeadlineFractions limit the same time to a fraction of the drain deadline, because drains queue
+	// behind other updates.
 	drainDeadlineFractions = [...]float64{urgencyNormal: 0.25, urgencyHigh: 0.5}
 )
 
 const (
-	// assumedDeliveryFraction is the part of EntriesPerSecond at which entries are assumed to be delivered
-	// though nobody acknowledges them: all that were to may be dead.
+	// assumedDeliveryFraction is the fraction of EntriesPerSecond at which entries are assumed to be
+	// delivered without an acknowledgement, because all proxies that should acknowledge them may be dead.
 	assumedDeliveryFraction = 0.02
-	// probeJoinAfter is the time in seconds without anything sent after which a proxy that joins is sent
-	// its tables all the same: its acknowledgement shows whether the channel is alive.
+	// probeJoinAfter is the time in seconds without any message after which a joining proxy is sent its
+	// tables even if the channel looks full: its acknowledgement shows whether the channel works.
 	probeJoinAfter = 2.0
-	// probeQueueFraction is the part of MaxQueued up to which such a join may fill the channel.
+	// probeQueueFraction is the fraction of MaxQueued up to which such a message may fill the channel.
 	probeQueueFraction = 0.95
-	// paceSmoothing is the weight of one acknowledgement in the relative pace: single proxies may be slow.
+	// paceSmoothing is the weight of a single acknowledgement in the relative pace, because individual
+	// proxies may be slow.
 	paceSmoothing = 0.25
 	// minDeliverySeconds keeps the divisor of the pace above zero.
 	minDeliverySeconds = 1e-9
-	// reservedMessages of MaxMessages are never planned: the one that binds a proxy, and one delivered
-	// twice.
+	// reservedMessages is the part of MaxMessages that is never planned: the message that assigns a proxy
+	// its tables, and one that is delivered twice.
 	reservedMessages = 2
-	// drainMessageFraction is the part of the messages in a window that is kept for drains.
+	// drainMessageFraction is the fraction of the messages in a window that is reserved for drains.
 	drainMessageFraction = 0.2
-	// drainBatchFraction is the part of the drain deadline for which drains are gathered into one message
-	// once only the messages kept for them are left.
+	// drainBatchFraction is the fraction of the drain deadline for which drains are batched once only the
+	// reserved messages are left.
 	drainBatchFraction = 0.25
-	// maxAckID is the last ID of an acknowledgement request; they begin anew after it. The wire sets it.
+	// maxAckID is the largest acknowledgement ID that the wire allows. The next one is 1.
 	maxAckID = 65535
-	// minGroupSize stands in for the number of proxies of an empty group.
+	// minGroupSize replaces the number of proxies of an empty group as a divisor.
 	minGroupSize = 1e-3
 )
 
-// messageCost is what a message takes besides its entries: the overhead and an acknowledgement request.
+// messageCost is the cost of a message in addition to its entries: the overhead and an acknowledgement
+// request.
 func (c *channel) messageCost() float64 { return c.MessageOverhead + 1 }
 
-// charge notes that entries have been sent.
+// charge records that entries have been sent.
 func (c *channel) charge(now, entries float64) {
 	c.inFlight.Send(entries)
 	c.lastSentAt = now
 }
 
-// available is how many entries an update may still put into the channel. Normal updates leave a slow
-// channel emptier, for what comes after them.
+// available returns how many entries an update of the given urgency may still put into the channel. In
+// a slow channel normal updates may use less, to leave room for urgent ones.
 func (c *channel) available(now float64, u urgency) float64 {
 	c.inFlight.AssumeDelivered(assumedDeliveryFraction * c.EntriesPerSecond * (now - c.settledAt))
 	c.settledAt = now
 	limit := queueFractions[u] * c.MaxQueued
 	if u < urgencyCritical {
 		seconds := min(queueSeconds[u], drainDeadlineFractions[u]*c.drainDeadline)
-		delay := c.MaxDelay + seconds // an acknowledgement is as late as the way is long
+		delay := c.MaxDelay + seconds // acknowledgements are delayed by the channel
 		limit = min(limit, delay*c.EntriesPerSecond)
 	}
 	if u == urgencyNormal {
@@ -84,7 +86,7 @@
 	return limit - c.inFlight.Outstanding()
 }
 
-// mayJoin tells whether a proxy may be sent its whole tables, of so many entries.
+// mayJoin reports whether a proxy may be sent its whole tables, which take the given number of entries.
 func (c *channel) mayJoin(now, entries float64) bool {
 	if c.available(now, urgencyHigh) >= entries || c.inFlight.Outstanding() == 0 {
 		return true
@@ -93,8 +95,8 @@
 	return silent && probeQueueFraction*c.MaxQueued-c.inFlight.Outstanding() >= entries
 }
 
-// acknowledge takes the acknowledgement of a message of some entries. The relative pace is the time
-// that its delivery should have taken against the time that it took.
+// acknowledge processes the acknowledgement of a message with the given number of entries. The relative
+// pace is the expected delivery time divided by the actual one.
 func (c *channel) acknowledge(ack Ack, entries float64) {
 	outstanding, ok := c.inFlight.Acknowledge(int(ack.ID), entries)
 	if !ok {
@@ -105,14 +107,14 @@
 	c.relativePace += (pace - c.relativePace) * paceSmoothing
 }
 
-// mayMessage tells whether the proxies of a group may be sent another message. Messages are spread over
-// the window, so that some of it comes free at any time, and a part is kept for drains: these go at
-// once, and are gathered once only that part is left.
+// mayMessage reports whether the proxies of a group may be sent another message. Messages are spaced
+// over the window, and some of them are reserved for drains. Drains are sent immediately, or batched
+// once only the reserved messages are left.
 func (c *channel) mayMessage(now float64, group *proxyGroup, u urgency) bool {
 	if c.MaxMessages <= 0 {
 		return true
 	}
-	most := max(c.MaxMessages-reservedMessages, min(c.MaxMessages-1, 1)) // a single one binds the proxy
+	most := max(c.MaxMessages-reservedMessages, min(c.MaxMessages-1, 1)) // a single one assigns the tables
 	forAll := most - int(math.Ceil(drainMessageFraction*float64(most)))
 	sent := group.messages.Count(now, c.MessageWindow)
 	sinceLast, sentAny := group.messages.Since(now)
@@ -126,7 +128,8 @@
 	return sent < most && (!sentAny || sinceLast >= drainBatchFraction*c.drainDeadline)
 }
 
-// entryBudget is how many entries to each proxy of a group the channel and the limit on messages allow.
+// entryBudget returns how many entries each proxy of a group may be sent, considering both the channel
+// and the limit on messages.
 func (b *Balancer) entryBudget(now float64, group *proxyGroup, u urgency) int {
 	startsMessage := group.messageSize == 0
 	if startsMessage && !b.channel.mayMessage(now, group, u) {
@@ -135,7 +138,8 @@
 	return b.channelBudget(now, group, u)
 }
 
-// channelBudget is how many entries to each proxy of a group the channel alone allows.
+// channelBudget returns how many entries each proxy of a group may be sent, considering the channel
+// only.
 func (b *Balancer) channelBudget(now float64, group *proxyGroup, u urgency) int {
 	entries := b.channel.available(now, u) / max(group.boundProxies, minGroupSize)
 	if group.messageSize == 0 {
--- a/balancer/proxies.go
+++ b/balancer/proxies.go
@@ -2,12 +2,11 @@
 
 import "slices"
 
-// reportDelay is the time in seconds by which reports are late besides their period, give or take half
-// of it.
+// reportDelay is the delay of reports in seconds in addition to their period; it varies by about half.
 const reportDelay = 1.0
 
-// applyProxyEvent takes a proxy that joined or left. A proxy that joins again has left its old
-// connection.
+// applyProxyEvent processes a proxy that joined or left. If a connected proxy joins again, its old
+// connection is closed first.
 func (b *Balancer) applyProxyEvent(now float64, event ProxyEvent) {
 	if joining := b.proxyByID[event.Proxy]; joining != nil {
 		b.disconnect(now, joining)
@@ -44,9 +43,9 @@
 	delete(b.proxyByID, p.Proxy)
 }
 
-// recoverZone ends an outage of a zone when its first proxy comes back. What is still reported of the
-// servers that failed there is of the outage: it is ignored, and they get at least half of what they
-// usually complete.
+// recoverZone ends the outage of a zone when its first proxy reconnects. Reports of failing servers
+// there may still describe the outage: they are ignored for a while, and these servers get at least
+// half of their usual intake.
 func (b *Balancer) recoverZone(now float64, zone Zone) {
 	if slices.ContainsFunc(b.proxies, func(p *proxy) bool { return p.Zone == zone }) {
 		return
@@ -62,8 +61,9 @@
 	}
 }
 
-// expectedDemand divides a proxy's expected rate by class as the demand of the connected proxies is
-// divided, evenly where there is none. It counts until reports show the proxy's own demand.
+// expectedDemand splits the expected rate of a joining proxy into classes in proportion to the demand
+// of the connected proxies, or evenly if there is none. It applies until the proxy's own reports
+// arrive.
 func (b *Balancer) expectedDemand(rate float64) []float64 {
 	total := offeredRate(b.proxies, nil, allClasses)
 	demand := make([]float64, len(b.classes))
--- a/balancer/publish.go
+++ b/balancer/publish.go
@@ -7,24 +7,22 @@
 )
 
 const (
-	// minRelativeChange is the part of the held value that a change of a weight or an admission rate must
-	// exceed to be sent.
+	// minRelativeChange is the relative change above which a weight or an admission rate is sent.
 	minRelativeChange = 0.1
-	// weightsInterval is the time in seconds between two messages with weights of one table.
+	// weightsInterval is the minimum time in seconds between two weight updates of a table.
 	weightsInterval = 5.0
-	// largeRelativeChange is the part of the held weight that only a fault moves it by, not drift. As a
-	// part of what a table wants in servers that serve, it is the lack from which on the table does not
-	// wait.
+	// largeRelativeChange is the relative change of a weight that is too large for drift and indicates a
+	// fault. It is also the fraction of the wanted weights whose absence makes a table urgent.
 	largeRelativeChange = 0.33
-	// largeChangeInterval is the time in seconds between two messages while weights are off by that: time
-	// to gather others like it.
+	// largeChangeInterval is the minimum time in seconds between two weight updates if there are such
+	// changes, which leaves time to batch them.
 	largeChangeInterval = 1.0
-	// smallWeight is the weight below which changes are measured against it, not against the weight held.
+	// smallWeight is the lower bound on the weight that a change is compared with.
 	smallWeight = averageWeight / 4
 )
 
-// publish sends what has changed, as far as the channel allows. A group's commands stand together,
-// since they travel in one message to each of its proxies.
+// publish sends all changes, as far as the channel allows. The commands of a group are written
+// together, because they travel in one message to each of its proxies.
 func (b *Balancer) publish(now float64, sink CommandSink) {
 	taken := map[Server]float64{}
 	wanted := make([][][]tableEntry, len(b.eligibilitySets)) // by eligibility set and group
@@ -48,7 +46,7 @@
 	}
 }
 
-// assignTables binds the proxies that have joined to the tables of their groups, as far as the channel
+// assignTables assigns the tables of their groups to proxies that have joined, as far as the channel
 // allows.
 func (b *Balancer) assignTables(now float64, sink CommandSink) {
 	for _, p := range b.proxies {
@@ -69,18 +67,18 @@
 	}
 }
 
-// tableUpdate is how a table differs from what is wanted of it.
+// tableUpdate is the difference between the current and the wanted entries of a table.
 type tableUpdate struct {
-	changes  []weightChange // those worth sending, largest first
+	changes  []weightChange // worth sending, largest first
 	wanted   float64        // sum of the wanted weights
-	missing  float64        // of it, weights of servers that the table does not hold
-	serving  float64        // sum of the held weights that may go on serving
-	interval float64        // seconds between two messages with weights
-	critical bool           // some change must go at once
+	missing  float64        // sum of the wanted weights of servers that are not in the table
+	serving  float64        // sum of the current weights of servers that may keep serving
+	interval float64        // minimum seconds between two updates
+	critical bool           // some change is urgent in itself
 }
 
-// updateWeights sends the weights of a table that have changed, largest changes first, and at once what
-// drains or has restarted. What the channel does not allow yet is sent in a later round.
+// updateWeights sends the changed weights of a table, the largest changes first. Drains and restarts
+// are sent immediately. Changes that exceed the budget remain for a later round.
 func (b *Balancer) updateWeights(now float64, group *proxyGroup, table *weightTable, wanted []tableEntry,
 	sink CommandSink) {
 	update := b.compare(now, table, wanted)
@@ -91,7 +89,7 @@
 	missing := update.missing
 	for i, change := range update.changes {
 		if missing > 0 && change.wanted == 0 && b.isWarmAndReady(now, change.server) {
-			continue // it serves until the wanted ones are in the table
+			continue // keep it until the missing servers are in the table
 		}
 		if i >= budget && b.entryBudget(now, group, b.changeUrgency(now, change)) == 0 {
 			continue
@@ -105,7 +103,7 @@
 	}
 }
 
-// compare finds the changes of a table that are worth sending.
+// compare returns the changes of a table that are worth sending.
 func (b *Balancer) compare(now float64, table *weightTable, wanted []tableEntry) tableUpdate {
 	update := tableUpdate{interval: weightsInterval}
 	for _, change := range b.weightChanges(table, wanted) {
@@ -133,13 +131,13 @@
 	return update
 }
 
-// changeBudget is how many changes of a table may be sent now, besides those that are urgent by
-// themselves.
+// changeBudget returns how many changes of a table may be sent now, not counting those that are urgent
+// in themselves.
 func (b *Balancer) changeBudget(now float64, group *proxyGroup, table *weightTable, update *tableUpdate) int {
 	tableUrgency := update.urgency()
 	budget := b.entryBudget(now, group, tableUrgency)
 	sendsCritical := update.critical && b.entryBudget(now, group, urgencyCritical) > 0
-	if sendsCritical { // the message that has to go takes the other changes along
+	if sendsCritical { // send the other changes with the same message
 		budget = b.channelBudget(now, group, max(tableUrgency, urgencyHigh))
 	}
 	due := now-table.weightsSentAt >= update.interval || tableUrgency > urgencyNormal || sendsCritical
@@ -149,7 +147,8 @@
 	return budget
 }
 
-// urgency is that of the table as a whole: one that has lost much of its servers does not wait.
+// urgency is the urgency of the table as a whole: a table that has lost many of its servers does not
+// wait.
 func (update *tableUpdate) urgency() urgency {
 	switch {
 	case update.serving == 0:
@@ -161,7 +160,8 @@
 	}
 }
 
-// changeUrgency is how urgent a change is by itself, or that it waits for its table's turn.
+// changeUrgency is the urgency of a single change. Deferred changes are sent with the next update of
+// the table.
 func (b *Balancer) changeUrgency(now float64, change weightChange) urgency {
 	if change.server.Phase != Ready {
 		return urgencyCritical
@@ -169,7 +169,7 @@
 	if b.isWarm(now, change.server) {
 		return urgencyDeferred
 	}
-	if change.wanted == 0 { // another table takes it over
+	if change.wanted == 0 { // another table has taken it over
 		return urgencyHigh
 	}
 	if change.wanted < change.current/2 { // it has restarted
--- a/balancer/regulator.go
+++ b/balancer/regulator.go
@@ -3,15 +3,15 @@
 import "math"
 
 const (
-	// gainRatio is q/r of the regulator: the cost of an error in work in process against that of a
-	// correction.
+	// gainRatio is the ratio q/r of the regulator: the cost of an error in work in process relative to the
+	// cost of a correction.
 	gainRatio = 0.2
-	// errorDeadband is the part of the target below which an error is not corrected.
+	// errorDeadband is the fraction of the target below which an error is not corrected.
 	errorDeadband = 1.0 / 5.0
-	// maxIntakeGrowth is the factor by which an intake may exceed the completion rate.
+	// maxIntakeGrowth is the maximum ratio of the new intake to the completion rate.
 	maxIntakeGrowth = 2
-	// minIntakeBase is the divisor of the mean completion rate from which an intake may always grow, so
-	// that a server that completes nothing gets a trial.
+	// minIntakeBase divides the mean completion rate of the fleet. The result is the rate that any server
+	// may grow from, so that a server without completions is tried again.
 	minIntakeBase = 4
 	// tiny keeps divisors above zero.
 	tiny = 1e-9
@@ -26,29 +26,29 @@
 	return solution / (1 + solution)
 }
 
-// serverEstimate is what the samples tell of one server. A failed attempt counts as in process for a
-// latency objective. The zero value tells nothing.
+// serverEstimate is the estimate of one server from its samples. A failed attempt counts as in process
+// for the duration of the latency objective. The zero value means that nothing is known.
 type serverEstimate struct {
-	completionRate       float64 // requests a second
+	completionRate       float64 // requests per second
 	recentCompletionRate float64
 	inProcess            float64 // mean number of requests in process
 	recentInProcess      float64
-	successFraction      float64 // of its attempts
+	successFraction      float64 // fraction of its attempts
 }
 
-// fleetEstimate sums up the servers that are ready and have finished their slow start.
+// fleetEstimate is the sum over all servers that are ready and have completed their slow start.
 type fleetEstimate struct {
 	servers        float64
 	completionRate float64
 	inProcess      float64
-	// Of the servers among them that answer in calm time: what they lose is no fault of a single one.
+	// Totals of those with a low latency: their failures are not the fault of a single server.
 	calmAttempts  float64
 	calmSucceeded float64
 }
 
-// regulate sets the intake of each server: its completion rate less the gain times its excess work in
-// process over the target, per step. The target is the mean work in process; the step is the time in
-// which that is done.
+// regulate sets the intake of each server to its completion rate less the gain times its excess work in
+// process, per step. The excess is relative to the mean work in process of the fleet; the step is the
+// time in which the fleet completes that mean.
 func (b *Balancer) regulate(now, expectedAt, gain float64) {
 	estimates, fleet := b.estimateServers(now, expectedAt)
 	target := fleet.inProcess / max(fleet.servers, 1)
@@ -64,16 +64,16 @@
 		rate := estimate.completionRate * min(fleet.calmAttempts/fleet.calmSucceeded,
 			1/max(estimate.successFraction, tiny))
 		if excess < 0 {
-			rate = max(rate, estimate.recentCompletionRate) // its weight has risen since
+			rate = max(rate, estimate.recentCompletionRate) // its weight has increased since
 		}
 		growthBase := max(rate, fleet.completionRate/fleet.servers/minIntakeBase)
 		srv.intake = min(max(rate-gain*excess/step, 0), maxIntakeGrowth*growthBase)
 	}
 }
 
-// excess is the work in process over the target, negative where it is missing. Work that recent samples
-// show no more, or no longer miss, is not corrected again. What is missing counts by the part of
-// attempts that succeed: a server that fails at once has little in process.
+// excess is the work in process above the target, negative if below. An error that the recent samples
+// no longer show is not corrected again. Missing work counts in proportion to the success fraction,
+// because a server that fails immediately has little work in process.
 func (e *serverEstimate) excess(target float64) float64 {
 	over := max(min(e.inProcess, e.recentInProcess)-target, 0)
 	missing := min(max(e.inProcess, e.recentInProcess)-target, 0)
@@ -84,8 +84,8 @@
 	return excess
 }
 
-// estimateServers gives the estimate of each server, in their order, and that of the fleet. It removes
-// servers that a list has dropped once they complete nothing any more.
+// estimateServers returns the estimate of each server, in server order, and that of the fleet. Delisted
+// servers that complete nothing any more are marked as removed.
 func (b *Balancer) estimateServers(now, expectedAt float64) ([]serverEstimate, fleetEstimate) {
 	estimates := make([]serverEstimate, len(b.servers))
 	fleet := fleetEstimate{calmAttempts: tiny, calmSucceeded: tiny}
--- a/balancer/reports.go
+++ b/balancer/reports.go
@@ -6,16 +6,17 @@
 )
 
 const (
-	// averagingPeriods is the number of report periods, or of samples of a zone, that averages go over.
+	// averagingPeriods is the number of samples of each zone that averages cover, and the number of report
+	// periods over which demand is averaged.
 	averagingPeriods = 5
-	// recentSeconds is the time that recent rates cover: some ten attempts at usual loads.
+	// recentSeconds is the time that recent rates cover, in seconds: about ten attempts at usual loads.
 	recentSeconds = 1.5
-	// minAttempts is the number of attempts below which samples prove nothing: one failure in three is
-	// common by chance. Half of it is enough where nothing failed.
+	// minAttempts is the number of attempts below which samples are inconclusive, because one failure in
+	// three is common by chance. Half of it is sufficient if nothing failed.
 	minAttempts = 4.0
 )
 
-// recordUpstreams adds what proxies met at the servers to the servers' samples.
+// recordUpstreams adds upstream reports to the samples of the servers.
 func (b *Balancer) recordUpstreams(now float64, reports []UpstreamReport) {
 	for _, report := range reports {
 		srv := b.serverByAddress[report.Server]
@@ -29,7 +30,8 @@
 	}
 }
 
-// newSample takes over a report. More failures than attempts count as all of them.
+// newSample converts a report to a sample. If it has more failures than attempts, all attempts count as
+// failed.
 func (b *Balancer) newSample(now float64, report UpstreamReport) sample {
 	succeeded := max(report.Attempts-report.Failed, 0)
 	return sample{
@@ -43,8 +45,8 @@
 	}
 }
 
-// recordDemands averages the demand of each proxy. A period without requests brings no report, so a
-// report weighs by the time that it covers.
+// recordDemands updates the demand of each proxy, an exponential moving average weighted by the
+// interval of the reports: a period without requests produces no report.
 func (b *Balancer) recordDemands(reports []DemandReport) {
 	for _, report := range reports {
 		p := b.proxyByID[report.Proxy]
@@ -59,19 +61,19 @@
 	}
 }
 
-// averageRates are the server's rates over the latest samples of each zone. Samples are expected up to
-// expectedAt: a zone's samples that stay out although others have come count as silence.
+// averageRates returns the rates over the latest samples of each zone. If the samples of a zone end
+// before expectedAt, the missing time counts as silence.
 func (s *server) averageRates(expectedAt float64) trafficRates {
 	return s.rates(math.Inf(1), expectedAt)
 }
 
-// recentRates are the server's rates over the last seconds.
+// recentRates returns the rates over the last recentSeconds.
 func (s *server) recentRates(expectedAt float64) trafficRates {
 	return s.rates(recentSeconds, expectedAt)
 }
 
-// rates are the server's rates over as many samples of each zone as cover some seconds,
-// averagingPeriods at most.
+// rates returns the rates over the samples of each zone that cover the given time, at most
+// averagingPeriods of them.
 func (s *server) rates(seconds, expectedAt float64) trafficRates {
 	var rates trafficRates
 	for newest := range s.samples {
@@ -88,7 +90,7 @@
 	return !slices.ContainsFunc(later, func(other sample) bool { return other.zone == zone })
 }
 
-// sumZone adds up the samples of the newest one's zone, from the newest on back.
+// sumZone adds up the samples of one zone, from the newest backwards.
 func (s *server) sumZone(newest int, seconds, expectedAt float64) sample {
 	zone := s.samples[newest].zone
 	silence := max(expectedAt-s.samples[newest].reportedAt, 0)
@@ -103,7 +105,7 @@
 	return total
 }
 
-// add adds a sample of the same zone to a sum.
+// add adds another sample of the same zone.
 func (total *sample) add(other *sample) {
 	total.attempts += other.attempts
 	total.succeeded += other.succeeded
@@ -112,7 +114,7 @@
 	total.interval += other.interval
 }
 
-// add adds the sum of one zone's samples.
+// add adds the total of one zone.
 func (r *trafficRates) add(zone sample) {
 	r.attempts += zone.attempts / zone.interval
 	r.succeeded += zone.succeeded / zone.interval
@@ -121,7 +123,7 @@
 	r.attemptCount += zone.attempts
 }
 
-// conclusive tells whether there were enough attempts to judge a server by.
+// conclusive reports whether there are enough attempts to judge a server.
 func (r trafficRates) conclusive() bool {
 	if r.failed == 0 {
 		return r.attemptCount >= minAttempts/2
--- a/balancer/state.go
+++ b/balancer/state.go
@@ -9,9 +9,8 @@
 	"snowquay/internal/core/slidingwindow"
 )
 
-// Balancer holds the state of one coordinator and decides for its proxies. It is not safe for
-// concurrent use. All times are seconds of the clock that the caller of Reconcile keeps; all rates are
-// per second.
+// Balancer holds the state of one coordinator and makes its decisions. It is not safe for concurrent
+// use. Times are in seconds of the clock that is passed to Reconcile, and rates are per second.
 type Balancer struct {
 	// The configuration, fixed at New.
 	classes           []RequestClass
@@ -24,101 +23,101 @@
 
 	// Servers.
 	serverByAddress map[Server]*server
-	servers         []*server // by zone, then as first listed, so that the order of a map never reaches a decision
+	servers         []*server // by zone, then by discovery
 
 	// Proxies.
 	proxyByID     map[Proxy]*proxy
-	proxies       []*proxy      // connected ones, in the order of joining
-	disconnected  []*proxy      // those that left and have not come back
-	reconnectedAt float64       // when the latest of them came back
+	proxies       []*proxy      // connected, in the order of joining
+	disconnected  []*proxy      // left and not back yet
+	reconnectedAt float64       // when a disconnected proxy last came back
 	groups        []*proxyGroup // by zone
 
 	// Estimates, renewed at the end of each report period.
-	reportsPending  bool    // reports have come since the end of the last period
+	reportsPending  bool    // reports have arrived since the last period ended
 	periodEndedAt   float64 // end of the last period
 	sampleCycle     float64 // seconds from one sample of a server to its next
-	attemptRate     float64 // attempts of connected proxies, retries included
+	attemptRate     float64 // attempts per second, including retries
 	completionRates histogram.Histogram
-	highFailureRate bool // so many attempts fail that proxies eject servers
-	overloaded      bool // work takes longer than the latency objective allows
+	highFailureRate bool // proxies are likely to eject servers
+	overloaded      bool // the mean latency is too close to the objective
 	admitted        []admittedFraction
 
 	channel channel
 	random  random.PCG
-	pollAt  float64 // when discovery is polled next; infinite: not
-	timerAt float64 // when the next timer is set
+	pollAt  float64 // next poll of discovery; infinite if it is not polled
+	timerAt float64 // next timer
 }
 
-// server is what is known of one server.
+// server is the state of one server.
 type server struct {
 	Endpoint
-	position           int     // in Balancer.servers
-	discoveredAt       float64 // when its present incarnation was first listed; -infinity if it was cached at the start
-	ignoreReportsUntil float64 // until then reports may still tell of an outage that is over
-	delisted           bool    // removed by a list whose removals are only advice
-	observed           bool    // reports have shown how it performs
-	onTime             bool    // and that it answers well within the latency objective
-	samples            []sample
-	completionRates    histogram.Histogram // requests a second that it usually completes
-	intake             float64             // requests a second that the regulator wants it to get
-}
-
-// inZones tells whether the server stands in one of the zones; none named means all.
+	position           int                 // in Balancer.servers
+	discoveredAt       float64             // when this incarnation was listed; -infinity if it was cached at the start
+	ignoreReportsUntil float64             // until then reports may describe an outage that is over
+	delisted           bool                // removed from a list whose removals are advisory
+	observed           bool                // reports have shown its performance
+	onTime             bool                // at the last estimate, its latency was far below the objective
+	samples            []sample            // oldest first
+	completionRates    histogram.Histogram // usual completions per second
+	intake             float64             // requests per second, set by the regulator
+}
+
+// inZones reports whether the server is in one of the zones. An empty list means all zones.
 func (s *server) inZones(zones []Zone) bool {
 	return len(zones) == 0 || slices.Contains(zones, s.Zone)
 }
 
-// sample is what the proxies of one zone met at a server within an interval.
+// sample is the traffic between the proxies of one zone and a server within an interval.
 type sample struct {
 	zone        Zone
 	reportedAt  float64
-	interval    float64 // seconds that it covers
+	interval    float64 // seconds
 	attempts    float64
 	succeeded   float64
 	failed      float64
-	busySeconds float64 // sum of the latencies of all that succeeded
+	busySeconds float64 // total latency of the successful attempts
 }
 
-// trafficRates are a server's samples as rates per second, summed over the zones of the proxies.
+// trafficRates are the samples of a server as rates per second, summed over the zones of the proxies.
 type trafficRates struct {
 	attempts     float64
 	succeeded    float64
 	failed       float64
-	inProcess    float64 // requests in process on average: completion rate times mean latency
-	attemptCount float64 // attempts in the samples that the rates rest on
+	inProcess    float64 // mean number of requests in process: completion rate times mean latency
+	attemptCount float64 // number of attempts that the rates are based on
 }
 
-// proxy is a proxy of this coordinator.
+// proxy is the state of one proxy of this coordinator.
 type proxy struct {
 	ProxyEvent
 	group    *proxyGroup
-	bound    bool // it has been assigned the tables of its group
+	bound    bool // has been assigned the tables of its group
 	joinedAt float64
 	leftAt   float64
-	demand   []float64 // requests a second, by class
+	demand   []float64 // requests per second, by class
 
-	awaitedAck  AckID   // requested with the newest message to it; 0: none yet
-	messageSize float64 // of that message, in entries
+	awaitedAck  AckID   // ID in the newest message to it; 0 if none
+	messageSize float64 // size of that message in entries
 }
 
 // proxyGroup is a set of proxies that share weight tables: all proxies, or some of one zone.
 type proxyGroup struct {
 	zone         Zone
-	demandShare  float64        // of all requests, against an even share
-	tables       []*weightTable // one for each eligibility set
-	boundProxies float64        // proxies that have been assigned its tables
-	messageSize  float64        // of this round's message to each of them, in entries with overhead; 0: none yet
-	messages     slidingwindow.Counter
+	demandShare  float64               // relative to an even share
+	tables       []*weightTable        // one per eligibility set
+	boundProxies float64               // number of proxies that have been assigned its tables
+	messageSize  float64               // of this round, including overhead, in entries; 0 if there is no message yet
+	messages     slidingwindow.Counter // sent to each of its proxies
 }
 
 // eligibilitySet is a set of request classes that may go to the same servers.
 type eligibilitySet struct {
 	classes   ClassSet
-	zones     []Zone // of the servers; none named: all
-	zoneLocal bool   // only servers of the proxy's own zone
+	zones     []Zone // zones of the servers; empty for all
+	zoneLocal bool   // only servers in the zone of the proxy
 }
 
-// weightTable is a table as the proxies of its group hold it.
+// weightTable is a weight table as it was last sent to the proxies of its group.
 type weightTable struct {
 	id               Table
 	weights          map[Server]float64
@@ -127,14 +126,14 @@
 	admissionsSentAt float64
 }
 
-// tableEntry is a server in a table with its weight, or in a group's part of the servers with the
-// requests a second that it takes there.
+// tableEntry is a server with its weight in a table. While a table is being computed, the weight is the
+// intake in requests per second that the group uses of the server.
 type tableEntry struct {
 	server *server
 	weight float64
 }
 
-// weightChange is the weight that a table holds of a server, and the one that it is to hold; 0 is no
+// weightChange is the current and the wanted weight of a server in a table. A weight of 0 means no
 // entry.
 type weightChange struct {
 	server  *server
@@ -142,39 +141,39 @@
 	wanted  float64
 }
 
-// admissionSetting is what proxies are ordered to admit of one class, and when they may retry it.
+// admissionSetting is the admission rate and the retry policy of one class.
 type admissionSetting struct {
-	rate  float64 // a fraction or requests a second, by DataPlane.Admission
+	rate  float64 // fraction or requests per second, depending on DataPlane.Admission
 	retry RetryPolicy
 }
 
-// admittedFraction is the part of a class's new requests that is admitted, from 0 to 1.
+// admittedFraction is the fraction of the new requests of a class that is admitted, from 0 to 1.
 type admittedFraction struct {
-	wanted   float64 // as decided last
-	observed float64 // as the reports at hand reflect it: they trail the decisions
+	wanted   float64 // last decision
+	observed float64 // decision that the current reports reflect
 }
 
-// channel is what is known of the way to the proxies. All that was sent and is not acknowledged may
-// still wait in it, at whatever pace it moves; that alone decides how much more may be sent, so that
-// the limit holds even if the channel slows down without notice. Amounts are in entries.
+// channel is the account of the channel to the proxies. Everything that was sent and not acknowledged
+// may still be queued in it, regardless of its pace. Only this account limits what may be sent, so the
+// limit holds even if the channel slows down unnoticed. Amounts are in entries.
 type channel struct {
 	Channel
 	drainDeadline float64 // seconds
 	inFlight      inflight.Window
-	relativePace  float64 // against EntriesPerSecond, by the latest acknowledgements
-	lastAckID     AckID   // of the newest acknowledgement request
-	settledAt     float64 // when entries were last assumed to have been delivered
+	relativePace  float64 // relative to EntriesPerSecond, from recent acknowledgements
+	lastAckID     AckID   // newest acknowledgement request
+	settledAt     float64 // last time that entries were assumed to be delivered
 	lastSentAt    float64
 }
 
-// includes tells whether a set names a class. It does not read 0 as all classes.
+// includes reports whether the set names a class. Unlike in commands, 0 is the empty set.
 func (cs ClassSet) includes(c Class) bool { return cs>>c&1 == 1 }
 
 // allClasses names every class.
 const allClasses = ^ClassSet(0)
 
-// offeredRate is the demand of proxies for some classes, in requests a second. A nil group stands for
-// all groups.
+// offeredRate returns the demand of proxies for a set of classes, in requests per second. If group is
+// not nil, only its proxies count.
 func offeredRate(proxies []*proxy, group *proxyGroup, classes ClassSet) float64 {
 	total := 0.0
 	for _, p := range proxies {
@@ -190,7 +189,7 @@
 	return total
 }
 
-// minAdmitted is the least admitted fraction of all classes.
+// minAdmitted returns the lowest wanted fraction of all classes.
 func (b *Balancer) minAdmitted() float64 {
 	lowest := 1.0
 	for _, fraction := range b.admitted {
--- a/balancer/weights.go
+++ b/balancer/weights.go
@@ -2,43 +2,41 @@
 
 import "math"
 
-// Weights are relative capacities, as in the design: a whole number is not needed, an eighth is their
-// grain.
+// Weights are relative capacities. They need not be whole numbers.
 const (
-	// minWeight is the least weight: 1/16 of an average server's, enough to notice that a server has
-	// recovered.
+	// minWeight is the minimum weight: 1/16 of the average, enough to detect that a server has recovered.
 	minWeight = 8.0
-	// averageWeight is the weight of a server with an average intake: half of the largest, so that it can
-	// double.
+	// averageWeight is the weight of a server with an average intake. It is about half of the maximum, so
+	// that a weight can double.
 	averageWeight = 128.0
-	// maxWeight is the largest relative capacity.
+	// maxWeight is the maximum weight.
 	maxWeight = 255.0
-	// weightSteps is the number of steps that a weight of 1 is divided into.
+	// weightSteps is the number of steps per unit of weight that weights are rounded to.
 	weightSteps = 8
-	// unobservedFraction is the part of all intakes that the servers together get which were added while
-	// the coordinator ran and are not observed yet: the list may name servers that do not exist.
+	// unobservedFraction is the fraction of the total intake that is given to all servers that were added
+	// at run time and not observed yet. The list may name servers that do not exist.
 	unobservedFraction = 0.1
 )
 
-// candidate is a server that a table may name.
+// candidate is a server that is eligible for a table.
 type candidate struct {
 	server     *server
 	warm       bool
-	intake     float64 // requests a second that it is to get from the classes of the table
-	safeIntake float64 // of it, what the server can surely take
+	intake     float64 // requests per second from the classes of the table
+	safeIntake float64 // upper bound on it that the server can safely take
 }
 
-// intakeSummary is what the candidates for a table have in common.
+// intakeSummary is what is known about the candidates for a table as a whole.
 type intakeSummary struct {
-	mean         float64 // intake of the observed ones that have finished their slow start, or a guess
-	observed     float64 // how many these are
-	listedWeight float64 // sum of the weights in the endpoint list
-	demand       float64 // of all classes, requests a second
+	mean         float64 // mean intake of the observed servers, or an estimate if there are none
+	observed     float64 // number of observed servers that have completed their slow start
+	listedWeight float64 // sum of the listed weights
+	demand       float64 // demand of all classes in requests per second
 }
 
-// wantedEntries gives, for one eligibility set, the entries that each group's table is to have, on the
-// scale of the weights that it holds. Each server's part of the requests is added to taken: narrower
-// sets come first, and what they bring to a server is taken off its intake in the wider ones.
+// wantedEntries returns the wanted entries of each group's table for one eligibility set, scaled to the
+// weights that the table has now. Narrow sets must be computed first: taken accumulates the demand that
+// each server gets from them, which is subtracted from its intake in wider sets.
 func (b *Balancer) wantedEntries(now float64, setIndex int, taken map[Server]float64) [][]tableEntry {
 	set := b.eligibilitySets[setIndex]
 	candidates, summary := b.candidates(now, set)
@@ -68,7 +66,8 @@
 	return wanted
 }
 
-// candidates are the ready servers of an eligibility set's zones, without estimates.
+// candidates returns the ready servers in the zones of an eligibility set, without intakes, and their
+// summary.
 func (b *Balancer) candidates(now float64, set *eligibilitySet) ([]candidate, intakeSummary) {
 	var candidates []candidate
 	var summary intakeSummary
@@ -93,15 +92,15 @@
 	return candidates, summary
 }
 
-// estimateCandidate sets the intake that a candidate is to get, and what it can surely take, less what
-// narrower sets have taken already.
+// estimateCandidate sets the intake and the safe intake of a candidate, less what narrower sets have
+// taken.
 func (b *Balancer) estimateCandidate(now float64, entry *candidate, count int, summary *intakeSummary,
 	taken map[Server]float64) {
 	srv := entry.server
 	slowStart := b.slowStartFraction(now, srv)
 	intake := slowStart * summary.mean
 	switch {
-	case summary.observed == 0 && summary.listedWeight > 0: // a fresh coordinator goes by the listed weights
+	case summary.observed == 0 && summary.listedWeight > 0: // a new coordinator uses the listed weights
 		intake *= srv.Weight * float64(count) / summary.listedWeight
 	case srv.observed && slowStart >= 1:
 		intake = srv.intake
@@ -114,11 +113,11 @@
 	entry.intake = max(intake-taken[srv.Server], minWeight/averageWeight*summary.mean)
 	entry.safeIntake = max(b.safeIntake(now, srv)-taken[srv.Server], 0)
 	if entry.warm {
-		entry.safeIntake = max(entry.safeIntake, summary.mean/maxWeight) // it keeps an entry
+		entry.safeIntake = max(entry.safeIntake, summary.mean/maxWeight) // keep it in the table
 	}
 }
 
-// canBoundIntakes tells whether enough is known to bound the intakes.
+// canBoundIntakes reports whether enough is known to bound the intakes.
 func (b *Balancer) canBoundIntakes(candidates []candidate) bool {
 	if b.completionRates.Entries() <= 0 || b.attemptRate <= 0 {
 		return false
@@ -131,8 +130,8 @@
 	return false
 }
 
-// scaleToTable turns intakes into weights on the scale of those that a table holds, so that servers
-// whose part has not changed keep their weights. A table without entries gets the given scale.
+// scaleToTable converts intakes to weights on the scale of the current weights of a table, so that
+// servers whose intake has not changed keep their weight. An empty table uses the given scale.
 func (b *Balancer) scaleToTable(entries []tableEntry, table *weightTable, set *eligibilitySet,
 	scale float64) {
 	current := 0.0
--- a/internal/core/archtest/purity_test.go
+++ b/internal/core/archtest/purity_test.go
@@ -38,7 +38,7 @@
 	"github.com/fxamacker/cbor/v2",
 }
 
-// isPure tells whether a package of the project is held to the same rules.
+// isPure reports whether a package of the project is held to the same rules.
 func isPure(path string) bool {
 	return path == "snowquay/balancer" || strings.HasPrefix(path, "snowquay/internal/core/") ||
 		strings.HasPrefix(path, "snowquay/internal/wire/")
