--- a/internal/simwire/host.go
+++ b/internal/simwire/host.go
@@ -14,7 +14,7 @@
 // readBufferSize is the size in bytes of the buffer for the lines read.
 const readBufferSize = 1 << 20
 
-// errNoClock is a batch without the time at which it takes place.
+// errNoClock means that a batch does not say at which time it happens.
 var errNoClock = errors.New("it has no clock")
 
 // host runs the instances of one stream. Instances share nothing but the line that their commands travel on.
@@ -38,8 +38,8 @@
 	i.events = balancer.Events{}
 }
 
-// Host answers each batch of events from in with a line of actions on out, until the input ends. It tells events
-// that it skips on complaints. An error means that the stream could not be followed, and names the line.
+// Host answers each batch of events from in with a line of actions on out until the input ends. Events that it skips
+// are reported on complaints. An error means that the stream could not be followed, and names the line.
 func Host(in io.Reader, out, complaints io.Writer) error {
 	reader := bufio.NewReaderSize(in, readBufferSize)
 	h := &host{instances: map[int]*instance{}, complaints: complaints}
@@ -82,12 +82,12 @@
 	return next, nil
 }
 
-// answer hands a batch's events to their instances in their order, plays a round of each instance that got some,
+// answer passes the events of a batch to their instances in order, runs a round of each instance that received any,
 // and returns the reply.
-func (h *host) answer(b batch, line int) ([]byte, error) {
+func (h *host) answer(received batch, line int) ([]byte, error) {
 	var due []*instance
-	for i := range b.Events {
-		target, err := h.take(&b.Events[i], line)
+	for i := range received.Events {
+		target, err := h.take(&received.Events[i], line)
 		if err != nil {
 			return nil, err
 		}
@@ -103,32 +103,32 @@
 			continue
 		}
 		h.reply.instance = target.number
-		target.balancer.Reconcile(*b.Clock, target.events, &h.reply)
+		target.balancer.Reconcile(*received.Clock, target.events, &h.reply)
 		target.events = balancer.Events{}
 	}
 	return h.reply.finish(), nil
 }
 
-// take hands an event to its instance. It returns the instance if the event calls for a round of it.
-func (h *host) take(e *event, line int) (*instance, error) {
-	if e.Coordinator == nil {
-		return nil, fmt.Errorf("line %d: %q names no instance", line, e.Type)
+// take passes an event to its instance, and returns the instance if the event requires a round of it.
+func (h *host) take(incoming *event, line int) (*instance, error) {
+	if incoming.Coordinator == nil {
+		return nil, fmt.Errorf("line %d: %q names no instance", line, incoming.Type)
 	}
-	number := *e.Coordinator
+	number := *incoming.Coordinator
 	target := h.instances[number]
 	running := target != nil && target.balancer != nil
 	switch {
-	case e.Type == "Provision":
-		return h.provision(e, number, line)
-	case e.Type == "Destroy" && !running:
+	case incoming.Type == "Provision":
+		return h.provision(incoming, number, line)
+	case incoming.Type == "Destroy" && !running:
 		return nil, fmt.Errorf("line %d: Destroy for instance %d, which does not run", line, number)
-	case e.Type == "Destroy":
+	case incoming.Type == "Destroy":
 		target.reset(nil)
 		return nil, nil
 	case !running:
-		return nil, fmt.Errorf("line %d: %q for instance %d, which does not run", line, e.Type, number)
+		return nil, fmt.Errorf("line %d: %q for instance %d, which does not run", line, incoming.Type, number)
 	}
-	if err := e.addTo(&target.events); err != nil {
+	if err := incoming.addTo(&target.events); err != nil {
 		_, _ = fmt.Fprintf(h.complaints, "line %d: skipped an event: %v\n", line, err) // the stream goes on without it
 		return nil, nil
 	}
