--- a/balancer/weights.go
+++ b/balancer/weights.go
@@ -94,9 +94,9 @@
 
 // estimateCandidate sets the intake and the safe intake of a candidate, less what narrower sets have
 // taken.
-func (b *Balancer) estimateCandidate(now float64, entry *candidate, count int, summary *intakeSummary,
+func (b *Balancer) estimateCandidate(now float64, cand *candidate, count int, summary *intakeSummary,
 	taken map[Server]float64) {
-	srv := entry.server
+	srv := cand.server
 	slowStart := b.slowStartFraction(now, srv)
 	intake := slowStart * summary.mean
 	switch {
@@ -110,10 +110,10 @@
 		unobserved := float64(count) - summary.observed
 		intake = min(intake, unobservedFraction*summary.mean*summary.observed/unobserved)
 	}
-	entry.intake = max(intake-taken[srv.Server], minWeight/averageWeight*summary.mean)
-	entry.safeIntake = max(b.safeIntake(now, srv)-taken[srv.Server], 0)
-	if entry.warm {
-		entry.safeIntake = max(entry.safeIntake, summary.mean/maxWeight) // keep it in the table
+	cand.intake = max(intake-taken[srv.Server], minWeight/averageWeight*summary.mean)
+	cand.safeIntake = max(b.safeIntake(now, srv)-taken[srv.Server], 0)
+	if cand.warm {
+		cand.safeIntake = max(cand.safeIntake, summary.mean/maxWeight) // keep it in the table
 	}
 }
 
