--- /dev/null
+++ b/balancer/reports.go
@@ -0,0 +1,132 @@
+package balancer
+
+import (
+	"math"
+	"slices"
+)
+
+const (
+	// averagingPeriods is the number of samples of each zone that averages cover, and the number of report
+	// periods over which demand is averaged.
+	averagingPeriods = 5
+	// recentSeconds is the time that recent rates cover, in seconds: about ten attempts at usual loads.
+	recentSeconds = 1.5
+	// minAttempts is the number of attempts below which samples are inconclusive, because one failure in
+	// three is common by chance. Half of it is sufficient if nothing failed.
+	minAttempts = 4.0
+)
+
+// recordUpstreams adds upstream reports to the samples of the servers.
+func (b *Balancer) recordUpstreams(now float64, reports []UpstreamReport) {
+	for _, report := range reports {
+		srv := b.serverByAddress[report.Server]
+		if srv == nil || now < srv.ignoreReportsUntil {
+			continue
+		}
+		if report.Attempts > 0 {
+			b.reportsPending = true
+			srv.samples = append(srv.samples, b.newSample(now, report))
+		}
+	}
+}
+
+// newSample converts a report to a sample. If it has more failures than attempts, all attempts count as
+// failed.
+func (b *Balancer) newSample(now float64, report UpstreamReport) sample {
+	succeeded := max(report.Attempts-report.Failed, 0)
+	return sample{
+		zone:        report.Zone,
+		reportedAt:  now,
+		interval:    max(report.Interval, b.reportPeriod/2),
+		attempts:    report.Attempts,
+		succeeded:   succeeded,
+		failed:      report.Attempts - succeeded,
+		busySeconds: succeeded * report.Latency,
+	}
+}
+
+// recordDemands updates the demand of each proxy, an exponential moving average weighted by the
+// interval of the reports: a period without requests produces no report.
+func (b *Balancer) recordDemands(reports []DemandReport) {
+	for _, report := range reports {
+		p := b.proxyByID[report.Proxy]
+		if p == nil || int(report.Class) >= len(b.classes) {
+			continue
+		}
+		if report.Interval > 0 {
+			decay := math.Exp(-report.Interval / (averagingPeriods * b.reportPeriod))
+			rate := report.Requests / report.Interval
+			p.demand[report.Class] += (rate - p.demand[report.Class]) * (1 - decay)
+		}
+	}
+}
+
+// averageRates returns the rates over the latest samples of each zone. If the samples of a zone end
+// before expectedAt, the missing time counts as silence.
+func (s *server) averageRates(expectedAt float64) trafficRates {
+	return s.rates(math.Inf(1), expectedAt)
+}
+
+// recentRates returns the rates over the last recentSeconds.
+func (s *server) recentRates(expectedAt float64) trafficRates {
+	return s.rates(recentSeconds, expectedAt)
+}
+
+// rates returns the rates over the samples of each zone that cover the given time, at most
+// averagingPeriods of them.
+func (s *server) rates(seconds, expectedAt float64) trafficRates {
+	var rates trafficRates
+	for newest := range s.samples {
+		if s.isNewestOfZone(newest) {
+			rates.add(s.sumZone(newest, seconds, expectedAt))
+		}
+	}
+	return rates
+}
+
+func (s *server) isNewestOfZone(index int) bool {
+	zone := s.samples[index].zone
+	later := s.samples[index+1:]
+	return !slices.ContainsFunc(later, func(other sample) bool { return other.zone == zone })
+}
+
+// sumZone adds up the samples of one zone, from the newest backwards.
+func (s *server) sumZone(newest int, seconds, expectedAt float64) sample {
+	zone := s.samples[newest].zone
+	silence := max(expectedAt-s.samples[newest].reportedAt, 0)
+	total := sample{zone: zone, interval: silence}
+	count := 0
+	for i := newest; i >= 0 && count < averagingPeriods && total.interval < seconds; i-- {
+		if s.samples[i].zone == zone {
+			total.add(&s.samples[i])
+			count++
+		}
+	}
+	return total
+}
+
+// add adds another sample of the same zone.
+func (total *sample) add(other *sample) {
+	total.attempts += other.attempts
+	total.succeeded += other.succeeded
+	total.failed += other.failed
+	total.busySeconds += other.busySeconds
+	total.interval += other.interval
+}
+
+// add adds the total of one zone.
+func (r *trafficRates) add(zone sample) {
+	r.attempts += zone.attempts / zone.interval
+	r.succeeded += zone.succeeded / zone.interval
+	r.failed += zone.failed / zone.interval
+	r.inProcess += zone.busySeconds / zone.interval
+	r.attemptCount += zone.attempts
+}
+
+// conclusive reports whether there are enough attempts to judge a server.
+func (r trafficRates) conclusive() bool {
+	if r.failed == 0 {
+		return r.attemptCount >= minAttempts/2
+	}
+	return r.attemptCount >= minAttempts
+}
