--- /dev/null
+++ b/internal/core/controlplane/drains.go
@@ -0,0 +1,66 @@
+package controlplane
+
+import (
+	"snowquay/balancer"
+	"snowquay/internal/core/tables"
+)
+
+const maxPendingUIDs = 20 // in one DrainProgress
+
+// DrainProgress tells how far a drain has got.
+type DrainProgress struct {
+	Phase      balancer.Phase
+	NotifiedAt float64  // when the drain was ordered, in seconds; 0 if the server is ready
+	Joined     int      // proxies that are joined
+	Updated    int      // of these, those known to hold tables without the server
+	Pending    []string // UIDs of the first few of the others
+}
+
+// DrainProgress tells how far the drain of a server has got; ok is false if the server is unknown. When Updated reaches
+// Joined, none of this coordinator's proxies sends to the server any more.
+func (f *Fleet) DrainProgress(server balancer.Server) (progress DrainProgress, ok bool) {
+	if _, ok := f.Registry.Find(server); !ok {
+		return DrainProgress{}, false
+	}
+	progress.Phase, progress.NotifiedAt = f.Registry.Phase(server)
+	if progress.Phase == balancer.Ready {
+		progress.NotifiedAt = 0
+	}
+	for _, p := range f.sortedProxies() {
+		if !p.Joined {
+			continue
+		}
+		progress.Joined++
+		if f.holdsNoEntry(p, server) {
+			progress.Updated++
+		} else if len(progress.Pending) < maxPendingUIDs {
+			progress.Pending = append(progress.Pending, p.UID)
+		}
+	}
+	return progress, true
+}
+
+// holdsNoEntry tells whether a proxy is known to hold no entry of a server for any class.
+func (f *Fleet) holdsNoEntry(p *Proxy, server balancer.Server) bool {
+	for class := range p.Tables {
+		state := &p.Tables[class]
+		if !state.Bound || state.Full || state.AckedVersion == 0 {
+			return false
+		}
+		table := f.tables[state.Table]
+		if table.Weight(server) > 0 || table.lastChange(server) > state.AckedVersion {
+			return false
+		}
+	}
+	return true
+}
+
+// lastChange is the version in which a server's entry last changed; 0 if it has none and no removal is remembered.
+func (t *desiredTable) lastChange(server balancer.Server) tables.Version {
+	for entry := range t.ChangedSince(0) {
+		if entry.Server == server {
+			return entry.Changed
+		}
+	}
+	return 0
+}
--- /dev/null
+++ b/internal/core/controlplane/metrics.go
@@ -0,0 +1,190 @@
+package controlplane
+
+import (
+	"slices"
+
+	"snowquay/balancer"
+	"snowquay/internal/core/loadreport"
+)
+
+// Scopes of metrics, the first part of their paths.
+const (
+	scopeServers = "servers"
+	scopeClasses = "classes"
+	scopeFleet   = "fleet"
+)
+
+// Metric is one value of a fleet, for monitoring.
+type Metric struct {
+	Scope      string // "servers", "classes" or "fleet"
+	Name       string // of the server or class
+	Quantity   string
+	Class      string // of a weight
+	Cumulative bool   // a total since the coordinator's start
+	Value      float64
+}
+
+// Path is the name of the metric, in parts.
+func (m Metric) Path() []string {
+	parts := []string{m.Scope}
+	if m.Name != "" {
+		parts = append(parts, m.Name)
+	}
+	parts = append(parts, m.Quantity)
+	if m.Class != "" {
+		parts = append(parts, m.Class)
+	}
+	return parts
+}
+
+// trafficTotals is what proxies have reported since the coordinator's start.
+type trafficTotals struct {
+	servers map[balancer.Server]*loadreport.Totals
+	classes []loadreport.Totals
+}
+
+// countTraffic adds the reports of one period to the totals.
+func (f *Fleet) countTraffic(upstreams []balancer.UpstreamReport, demands []balancer.DemandReport) {
+	if f.traffic.servers == nil {
+		f.traffic = trafficTotals{
+			servers: map[balancer.Server]*loadreport.Totals{},
+			classes: make([]loadreport.Totals, len(f.site.Classes)),
+		}
+	}
+	for _, report := range upstreams {
+		totals := f.serverTotals(report.Server)
+		totals.Attempts += report.Attempts
+		totals.Failed += report.Failed
+		totals.Seconds += report.Latency * (report.Attempts - report.Failed)
+	}
+	for _, report := range demands {
+		if class := int(report.Class); class >= 0 && class < len(f.traffic.classes) {
+			f.traffic.classes[class].Attempts += report.Requests
+			f.traffic.classes[class].Failed += report.Failed
+		}
+	}
+}
+
+// serverTotals finds the totals of a server, and makes them if there are none. At the limit, those of servers that are
+// gone are dropped.
+func (f *Fleet) serverTotals(server balancer.Server) *loadreport.Totals {
+	totals := f.traffic.servers[server]
+	if totals != nil {
+		return totals
+	}
+	if len(f.traffic.servers) >= f.site.Limits.MaxServers {
+		for name := range f.traffic.servers {
+			if _, known := f.Registry.Find(name); !known {
+				delete(f.traffic.servers, name)
+			}
+		}
+	}
+	totals = &loadreport.Totals{}
+	f.traffic.servers[server] = totals
+	return totals
+}
+
+// Metrics lists the present values, in an order that is the same in every run. A server's weight for a class is the mean
+// over the joined proxies of the weights in their tables.
+func (f *Fleet) Metrics(now float64) (metrics []Metric) {
+	usage := f.tableUsage()
+	for _, server := range f.Registry.Servers() {
+		metrics = append(metrics, f.serverMetrics(now, server)...)
+		metrics = append(metrics, f.weightMetrics(server, usage)...)
+	}
+	for class, totals := range f.traffic.classes {
+		name := f.site.ClassNames[class]
+		metrics = append(metrics,
+			Metric{Scope: scopeClasses, Name: name, Quantity: "queries", Value: totals.Attempts, Cumulative: true},
+			Metric{Scope: scopeClasses, Name: name, Quantity: "lost", Value: totals.Failed, Cumulative: true})
+	}
+	return append(metrics, f.fleetMetrics()...)
+}
+
+// usedTable is a table with the number of joined proxies that use it for a class.
+type usedTable struct {
+	table   *desiredTable
+	proxies float64
+}
+
+// tableUsage is, for each class, the tables that joined proxies use.
+func (f *Fleet) tableUsage() [][]usedTable {
+	usage := make([][]usedTable, len(f.site.Classes))
+	for _, p := range f.sortedProxies() {
+		for class := range p.Tables {
+			state := &p.Tables[class]
+			if !p.Joined || !state.Bound {
+				continue
+			}
+			table := f.tables[state.Table]
+			i := slices.IndexFunc(usage[class], func(u usedTable) bool { return u.table == table })
+			if i < 0 {
+				i = len(usage[class])
+				usage[class] = append(usage[class], usedTable{table: table})
+			}
+			usage[class][i].proxies++
+		}
+	}
+	return usage
+}
+
+func (f *Fleet) serverMetrics(now float64, server balancer.Server) []Metric {
+	phase, _ := f.Registry.Phase(server)
+	warmingUp := f.Registry.WarmingUp(now, server, f.site.Guarantees.WarmupDuration)
+	name := string(server)
+	metrics := []Metric{
+		{Scope: scopeServers, Name: name, Quantity: "serves", Value: indicator(phase == balancer.Ready)},
+		{Scope: scopeServers, Name: name, Quantity: "drains", Value: indicator(phase == balancer.Draining)},
+		{Scope: scopeServers, Name: name, Quantity: "cold", Value: indicator(warmingUp)},
+	}
+	totals := f.traffic.servers[server]
+	if totals == nil {
+		return metrics
+	}
+	return append(metrics,
+		Metric{Scope: scopeServers, Name: name, Quantity: "tries", Value: totals.Attempts, Cumulative: true},
+		Metric{Scope: scopeServers, Name: name, Quantity: "lost", Value: totals.Failed, Cumulative: true},
+		Metric{Scope: scopeServers, Name: name, Quantity: "seconds", Value: totals.Seconds, Cumulative: true})
+}
+
+// weightMetrics are a server's mean weights for all classes that have a table in use.
+func (f *Fleet) weightMetrics(server balancer.Server, usage [][]usedTable) (metrics []Metric) {
+	for class, used := range usage {
+		sum := 0.0
+		proxies := 0.0
+		for _, u := range used {
+			sum += u.proxies * u.table.Weight(server)
+			proxies += u.proxies
+		}
+		if proxies > 0 {
+			metrics = append(metrics, Metric{
+				Scope:    scopeServers,
+				Name:     string(server),
+				Quantity: "weight",
+				Class:    f.site.ClassNames[class],
+				Value:    sum / proxies,
+			})
+		}
+	}
+	return metrics
+}
+
+func (f *Fleet) fleetMetrics() []Metric {
+	queued, _ := f.QueuedEntries()
+	return []Metric{
+		{Scope: scopeFleet, Quantity: "joined", Value: float64(f.Joined())},
+		{Scope: scopeFleet, Quantity: "holding", Value: float64(f.UpToDate())},
+		{Scope: scopeFleet, Quantity: "waiting", Value: queued},
+		{Scope: scopeFleet, Quantity: "rounds", Value: float64(f.Stats.Rounds), Cumulative: true},
+		{Scope: scopeFleet, Quantity: "messages", Value: float64(f.Stats.Messages), Cumulative: true},
+		{Scope: scopeFleet, Quantity: "lines", Value: float64(f.Stats.Entries), Cumulative: true},
+		{Scope: scopeFleet, Quantity: "cut", Value: float64(f.Stats.Disconnected), Cumulative: true},
+	}
+}
+
+func indicator(condition bool) float64 {
+	if condition {
+		return 1
+	}
+	return 0
+}
--- a/internal/core/controlplane/preview.go
+++ b/internal/core/controlplane/preview.go
@@ -1,134 +1,100 @@
 package controlplane
 
 import (
-	"cmp"
 	"slices"
 
 	"snowquay/balancer"
 	"snowquay/internal/core/tablecheck"
-	"snowquay/internal/core/tables"
 )
 
-// Preview looks at what would follow if some servers were drained now: why that must not be, none if it may. Each proxy may
-// hold the table that it has, or the one without them; where capacities are stated, what is left must bear the queries also once
-// they are gone. loseZone asks that any one zone could be lost besides.
+// Preview tells what would be wrong if some servers were drained now; nothing if they may be. It assumes that each proxy
+// holds either its present tables or those without the servers. Where capacities are configured, the remaining servers
+// must also bear the load once the drained ones are removed. With loseZone, they must do so with any one zone lost.
 func (f *Fleet) Preview(now float64, drain []balancer.Server, loseZone bool) []tablecheck.Finding {
-	s := f.guarded(now, drain, balancer.Draining, loseZone)
-	reasons := s.Check()
-	if len(reasons) == 0 && len(f.site.Pools) > 0 {
-		reasons = f.guarded(now, drain, balancer.Removed, loseZone).Check()
+	findings := f.snapshot(now, drain, balancer.Draining, loseZone).Check()
+	if len(findings) == 0 && len(f.site.Pools) > 0 {
+		findings = f.snapshot(now, drain, balancer.Removed, loseZone).Check()
 	}
-	return reasons
+	return findings
 }
 
-// guarded is the site as the guard sees it, with some servers in another phase.
-func (f *Fleet) guarded(now float64, drain []balancer.Server, phase balancer.Phase, loseZone bool) *tablecheck.Snapshot {
-	s := &tablecheck.Snapshot{Servers: map[balancer.Server]tablecheck.Server{}, WarmupFraction: f.site.Guarantees.WarmupStartFraction, LoseZone: loseZone}
-	for _, name := range f.Registry.Servers() {
-		rec, _ := f.Registry.Find(name)
-		v := tablecheck.Server{Zone: rec.Zone, Phase: rec.Phase, WarmingUp: f.Registry.WarmingUp(now, name, f.site.Guarantees.WarmupDuration)}
-		if v.Phase == balancer.Ready && slices.Contains(drain, name) {
-			v.Phase = phase
-		}
-		if x := f.site.Pools[name]; x.Capacity > 0 {
-			v.Pool, v.Capacity = x.Pool, x.Capacity
-		}
-		s.Servers[name] = v
+// tablePreview is a table in the two states that a proxy may hold.
+type tablePreview struct {
+	present  *tablecheck.Table
+	proposed *tablecheck.Table // without servers that are not ready
+}
+
+// snapshot is the site with some servers in another phase, for tablecheck.
+func (f *Fleet) snapshot(now float64, drain []balancer.Server, phase balancer.Phase, loseZone bool) *tablecheck.Snapshot {
+	snapshot := &tablecheck.Snapshot{
+		Servers:        f.previewServers(now, drain, phase),
+		WarmupFraction: f.site.Guarantees.WarmupStartFraction,
+		LoseZone:       loseZone,
 	}
-	next, held := map[*wanted]*tablecheck.Table{}, map[*wanted]*tablecheck.Table{}
-	for _, p := range f.sorted() {
-		for c := range p.Tables {
-			h := &p.Tables[c]
-			if !p.Joined || !h.Bound {
+	previews := map[*desiredTable]*tablePreview{} // proxies that share a table share its preview
+	for _, p := range f.sortedProxies() {
+		for class := range p.Tables {
+			state := &p.Tables[class]
+			if !p.Joined || !state.Bound {
 				continue
 			}
-			w := f.tables[h.Table]
-			if next[w] == nil {
-				next[w], held[w] = &tablecheck.Table{Weights: map[balancer.Server]float64{}}, &tablecheck.Table{Weights: map[balancer.Server]float64{}}
-				for l := range w.ChangedSince(0) {
-					if l.Weight == 0 {
-						continue
-					}
-					held[w].Weights[l.Server] = l.Weight
-					if s.Servers[l.Server].Phase == balancer.Ready {
-						next[w].Weights[l.Server] = l.Weight
-					}
-				}
+			table := f.tables[state.Table]
+			preview := previews[table]
+			if preview == nil {
+				preview = previewTable(table, snapshot.Servers)
+				previews[table] = preview
 			}
-			states := []*tablecheck.Table{next[w]}
-			if phase != balancer.Removed { // by then all have followed
-				states = append(states, held[w])
+			states := []*tablecheck.Table{preview.proposed}
+			if phase != balancer.Removed { // by the time of the removal, all proxies have followed
+				states = append(states, preview.present)
 			}
-			s.Proxies = append(s.Proxies, tablecheck.Proxy{UID: p.UID, Class: balancer.Class(c),
-				Demand: p.ExpectedRate / float64(len(f.site.Classes)), Tables: states})
+			snapshot.Proxies = append(snapshot.Proxies, tablecheck.Proxy{
+				UID:    p.UID,
+				Class:  balancer.Class(class),
+				Demand: p.ExpectedRate / float64(len(f.site.Classes)),
+				Tables: states,
+			})
 		}
 	}
-	return s
-}
-
-func (f *Fleet) sorted() []*Proxy {
-	all := make([]*Proxy, 0, len(f.proxies))
-	for _, p := range f.proxies {
-		all = append(all, p)
-	}
-	slices.SortFunc(all, func(a, b *Proxy) int { return cmp.Compare(a.ID, b.ID) })
-	return all
-}
-
-// DrainProgress is how far a drain has got.
-type DrainProgress struct {
-	Phase      balancer.Phase
-	NotifiedAt float64  // clock time; 0: it serves
-	Joined     int      // proxies that are joined
-	Updated    int      // of them, known to hold tables without it
-	Pending    []string // UIDs of the others, the first few
+	return snapshot
 }
 
-const mostWaiting = 20 // UIDs that an answer names
-
-// DrainProgress tells how far a drain has got: Holding reaches Joined when no proxy that we lead sends to it any more.
-func (f *Fleet) DrainProgress(s balancer.Server) (d DrainProgress, ok bool) {
-	if _, ok = f.Registry.Find(s); !ok {
-		return d, false
-	}
-	if d.Phase, d.NotifiedAt = f.Registry.Phase(s); d.Phase == balancer.Ready {
-		d.NotifiedAt = 0
-	}
-	for _, p := range f.sorted() {
-		if !p.Joined {
-			continue
+// previewServers are all servers, those that are ready and to be drained in the given phase.
+func (f *Fleet) previewServers(now float64, drain []balancer.Server, phase balancer.Phase) map[balancer.Server]tablecheck.Server {
+	servers := map[balancer.Server]tablecheck.Server{}
+	for _, name := range f.Registry.Servers() {
+		record, _ := f.Registry.Find(name)
+		server := tablecheck.Server{
+			Zone:      record.Zone,
+			Phase:     record.Phase,
+			WarmingUp: f.Registry.WarmingUp(now, name, f.site.Guarantees.WarmupDuration),
 		}
-		d.Joined++
-		if f.without(p, s) {
-			d.Updated++
-		} else if len(d.Pending) < mostWaiting {
-			d.Pending = append(d.Pending, p.UID)
+		if server.Phase == balancer.Ready && slices.Contains(drain, name) {
+			server.Phase = phase
 		}
+		if pool := f.site.Pools[name]; pool.Capacity > 0 {
+			server.Pool = pool.Pool
+			server.Capacity = pool.Capacity
+		}
+		servers[name] = server
 	}
-	return d, true
+	return servers
 }
 
-// without tells whether a proxy is known to hold no line to a server in any class that it is bound to.
-func (f *Fleet) without(p *Proxy, s balancer.Server) bool {
-	for c := range p.Tables {
-		h := &p.Tables[c]
-		if !h.Bound || h.Full || h.AckedVersion == 0 {
-			return false
+func previewTable(table *desiredTable, servers map[balancer.Server]tablecheck.Server) *tablePreview {
+	present := map[balancer.Server]float64{}
+	proposed := map[balancer.Server]float64{}
+	for entry := range table.ChangedSince(0) {
+		if entry.Weight == 0 {
+			continue
 		}
-		w := f.tables[h.Table]
-		if w.Weight(s) > 0 || w.changed(s) > h.AckedVersion {
-			return false
+		present[entry.Server] = entry.Weight
+		if servers[entry.Server].Phase == balancer.Ready {
+			proposed[entry.Server] = entry.Weight
 		}
 	}
-	return true
-}
-
-// changed is the version in which a server's line last changed; 0: it has none, and none is remembered.
-func (w *wanted) changed(s balancer.Server) (v tables.Version) {
-	for l := range w.ChangedSince(0) {
-		if l.Server == s {
-			return l.Changed
-		}
+	return &tablePreview{
+		present:  &tablecheck.Table{Weights: present},
+		proposed: &tablecheck.Table{Weights: proposed},
 	}
-	return 0
 }
--- /dev/null
+++ b/internal/core/controlplane/proxies.go
@@ -0,0 +1,270 @@
+package controlplane
+
+import (
+	"cmp"
+	"errors"
+	"fmt"
+	"math"
+	"slices"
+	"strings"
+
+	"snowquay/balancer"
+	"snowquay/internal/core/tables"
+)
+
+var (
+	// ErrUnlistedRelay says that the settings do not list a proxy and admit listed ones only.
+	ErrUnlistedRelay = errors.New("proxy is not listed in the settings")
+	// ErrTooManyRelays says that as many proxies are known as the limits allow.
+	ErrTooManyRelays = errors.New("too many proxies")
+	// ErrJoinRateExceeded says that a proxy joins more often than one that only reconnects after failures.
+	ErrJoinRateExceeded = errors.New("proxy joins too often")
+)
+
+const (
+	joinBurst      = 5.0 // joins of one proxy at once
+	joinsPerSecond = 1.0 // of one proxy, which dials at most once a second
+)
+
+// TableState is what is known of a proxy's copy of the table of one request class. The wanted version is that of the
+// table itself.
+type TableState struct {
+	Table        balancer.Table // the table that the class is assigned
+	Bound        bool           // the decision module has assigned a table
+	Full         bool           // the proxy needs the whole table: no version that it holds is known
+	Stale        bool           // the proxy may still hold entries of another table
+	SentVersion  tables.Version // newest version sent
+	AckedVersion tables.Version // newest version that the proxy is known to hold
+}
+
+// Proxy is a proxy that is joined, or has left so recently that its ID is still reserved.
+type Proxy struct {
+	ID                balancer.Proxy
+	UID               string
+	Zone              balancer.Zone
+	ExpectedRate      float64 // requests per second
+	Joined            bool
+	Polls             bool         // it fetches its tables by long polls; nothing is pushed to it
+	SupportsAdmission bool         // its frontend can send admission rates and retry policies
+	Tables            []TableState // by class
+
+	frontend   Frontend
+	leftAt     float64
+	joinTokens tokenBucket
+
+	// The message in flight. An update is built from the wanted state when it is sent, so none is queued here.
+	inFlight      bool
+	inFlightSince float64
+	inFlightAcks  []ackRequest // answered when the message is acknowledged
+	queuedAcks    []ackRequest // to go with the next message
+	urgentOnly    bool         // the next message brings it to the last urgent changes only
+	urgent        bool         // an urgent change is in flight or waits
+	urgentSince   float64
+	trace         MessageTrace
+	followUpTrace MessageTrace // of the message that follows one with urgent changes only
+
+	// Whether the proxy applies what it acknowledges.
+	clockOffset      float64 // least difference seen between our clock and the time of a report
+	deliveries       deliveryLog
+	noncompliantWith balancer.Server // its reports show attempts there after it was told of the removal
+}
+
+// tokenBucket limits how often something happens.
+type tokenBucket struct {
+	tokens float64
+	at     float64 // of the last refill; 0: never
+}
+
+// take takes a token if there is one. The bucket starts full.
+func (b *tokenBucket) take(now, rate, burst float64) bool {
+	if b.at == 0 {
+		b.tokens = burst
+	}
+	b.tokens = min(burst, b.tokens+max(0, now-b.at)*rate)
+	b.at = now
+	if b.tokens < 1 {
+		return false
+	}
+	b.tokens--
+	return true
+}
+
+// InFlight tells whether a message to the proxy is not yet acknowledged.
+func (p *Proxy) InFlight() bool { return p.inFlight }
+
+// Relay finds a proxy that is joined or still known by its UID; nil if there is none.
+func (f *Fleet) Relay(uid string) *Proxy { return f.proxiesByUID[uid] }
+
+// Listed tells whether the settings allow a proxy to join.
+func (f *Fleet) Listed(uid string) bool {
+	_, ok := f.listedProxies[uid]
+	return ok || f.site.AllowUnlisted && strings.HasPrefix(uid, f.site.UIDPrefix)
+}
+
+// Join adds a proxy that has connected through a frontend, which delivers its tables from now on. The flag fresh says
+// that the proxy holds its default table only. A proxy that is joined already moves to the new frontend, and the old
+// one is told so by Displaced. The errors are ErrWrongCoordinator, ErrUnlistedRelay, ErrTooManyRelays and
+// ErrJoinRateExceeded.
+func (f *Fleet) Join(now float64, uid string, frontend Frontend, fresh bool) (*Proxy, error) {
+	if !f.owns(now, uid) {
+		if f.owner.onRedirect != nil && f.Listed(uid) {
+			f.owner.onRedirect(now, uid)
+		}
+		return nil, fmt.Errorf("%w: %q", ErrWrongCoordinator, uid)
+	}
+	p := f.proxiesByUID[uid]
+	if p == nil {
+		var err error
+		p, err = f.addProxy(now, uid)
+		if err != nil {
+			return nil, err
+		}
+	}
+	if !f.allowJoin(now, p) {
+		return nil, fmt.Errorf("%w: %q", ErrJoinRateExceeded, uid)
+	}
+	if p.Joined {
+		previous := p.frontend
+		f.Disconnect(now, p)
+		previous.Displaced(now, p)
+	}
+	p.frontend = frontend
+	p.Polls = false
+	p.SupportsAdmission = false
+	p.Joined = true
+	p.clockOffset = math.Inf(1)
+	p.noncompliantWith = ""
+	p.deliveries.clear()
+	f.joinedCount++
+	f.pendingEvents.ProxyEvents = append(f.pendingEvents.ProxyEvents, balancer.ProxyEvent{
+		Proxy:        p.ID,
+		Joined:       true,
+		Zone:         p.Zone,
+		ExpectedRate: p.ExpectedRate,
+		DefaultTable: fresh,
+	})
+	return p, nil
+}
+
+// addProxy makes the entry of a proxy that is not known yet.
+func (f *Fleet) addProxy(now float64, uid string) (*Proxy, error) {
+	if !f.Listed(uid) {
+		return nil, fmt.Errorf("%w: %q", ErrUnlistedRelay, uid)
+	}
+	config, ok := f.listedProxies[uid]
+	if !ok {
+		config = Relay{UID: uid, Zone: f.site.UnlistedZone}
+	}
+	if len(f.proxies) >= f.site.Limits.MaxRelays {
+		f.forgetExpired(now)
+	}
+	if len(f.proxies) >= f.site.Limits.MaxRelays {
+		return nil, fmt.Errorf("%w: %d are known", ErrTooManyRelays, len(f.proxies))
+	}
+	p := &Proxy{
+		ID:           f.allocateProxyID(),
+		UID:          uid,
+		Zone:         config.Zone,
+		ExpectedRate: config.ExpectedRate,
+		Tables:       make([]TableState, len(f.site.Classes)),
+	}
+	f.proxies[p.ID] = p
+	f.proxiesByUID[uid] = p
+	return p, nil
+}
+
+// allocateProxyID reuses IDs, since the decision module wants them dense.
+func (f *Fleet) allocateProxyID() balancer.Proxy {
+	if n := len(f.freeProxyIDs); n > 0 {
+		id := f.freeProxyIDs[n-1]
+		f.freeProxyIDs = f.freeProxyIDs[:n-1]
+		return id
+	}
+	id := f.nextProxyID
+	f.nextProxyID++
+	return id
+}
+
+// allowJoin limits how often one proxy joins. Otherwise a proxy whose connection breaks all the time, or two with one
+// UID, would be sent whole tables each time and leave the channel no capacity for the drains of others. A proxy that is
+// refused keeps its tables and dials again.
+func (f *Fleet) allowJoin(now float64, p *Proxy) bool {
+	if f.site.DisabledGuards[GuardJoinRate] {
+		return true
+	}
+	if !p.joinTokens.take(now, joinsPerSecond, joinBurst) {
+		f.Stats.JoinsThrottled++
+		return false
+	}
+	return true
+}
+
+// Disconnect says that a proxy's connection ended. The message in flight is taken as lost, and what the proxy holds as
+// unknown, since it may come back after a restart. The cost is a full table for each reconnection.
+func (f *Fleet) Disconnect(now float64, p *Proxy) {
+	if !p.Joined {
+		return
+	}
+	f.finishTrace(p, 0)
+	f.joinedCount--
+	p.Joined = false
+	p.leftAt = now
+	p.inFlight = false
+	p.urgent = false
+	p.queuedAcks = p.queuedAcks[:0]
+	p.inFlightAcks = p.inFlightAcks[:0]
+	for class := range p.Tables {
+		state := &p.Tables[class]
+		f.unassign(p, state)
+		if f.site.DisabledGuards[GuardRejoin] {
+			state.Bound = false
+			continue
+		}
+		*state = TableState{}
+	}
+	f.sendQueue.Forget(p.ID)
+	f.pendingEvents.ProxyEvents = append(f.pendingEvents.ProxyEvents, balancer.ProxyEvent{Proxy: p.ID})
+}
+
+// unassign removes one class of a proxy from the users of its table.
+func (f *Fleet) unassign(p *Proxy, state *TableState) {
+	if !state.Bound {
+		return
+	}
+	table := f.tables[state.Table]
+	if table == nil {
+		return
+	}
+	table.classesByProxy[p.ID]--
+	if table.classesByProxy[p.ID] <= 0 {
+		delete(table.classesByProxy, p.ID)
+	}
+}
+
+// forgetExpired forgets proxies that left long ago and frees their IDs. It waits while the decision module has not yet
+// been told who left.
+func (f *Fleet) forgetExpired(now float64) {
+	for id, p := range f.proxies {
+		if !p.Joined && now-p.leftAt > f.site.Limits.RelayRetention && len(f.pendingEvents.ProxyEvents) == 0 {
+			delete(f.proxies, id)
+			delete(f.proxiesByUID, p.UID)
+			f.LoadReports.RemoveProxy(id)
+			f.freeProxyIDs = append(f.freeProxyIDs, id)
+		}
+	}
+	slices.Sort(f.freeProxyIDs)
+}
+
+// sortedProxies are all known proxies by ID.
+func (f *Fleet) sortedProxies() []*Proxy {
+	all := make([]*Proxy, 0, len(f.proxies))
+	for _, p := range f.proxies {
+		all = append(all, p)
+	}
+	sortByID(all)
+	return all
+}
+
+func sortByID(proxies []*Proxy) {
+	slices.SortFunc(proxies, func(a, b *Proxy) int { return cmp.Compare(a.ID, b.ID) })
+}
--- /dev/null
+++ b/internal/core/controlplane/proxies_test.go
@@ -0,0 +1,88 @@
+package controlplane
+
+import (
+	"errors"
+	"fmt"
+	"testing"
+)
+
+func TestJoinRejectsUnlistedProxies(t *testing.T) {
+	f := newFleet(t, testSite(3, 2), nil)
+	if _, err := f.Join(1000, "x", nil, true); !errors.Is(err, ErrUnlistedRelay) {
+		t.Errorf("an unlisted proxy: %v", err)
+	}
+}
+
+func TestJoinLimitsProxiesAndReusesTheirIDs(t *testing.T) {
+	site := testSite(3, 2)
+	site.AllowUnlisted = true
+	site.Limits.MaxRelays = 3
+	f := newFleet(t, site, nil)
+	var last *Proxy
+	for i := range 4 {
+		p, err := f.Join(1000, fmt.Sprint("x", i), nil, true)
+		if (i == 3) != errors.Is(err, ErrTooManyRelays) {
+			t.Errorf("proxy %d: %v", i, err)
+		}
+		if err == nil {
+			last = p
+		}
+	}
+	f.Disconnect(1001, last)
+	f.RunRound(1001)
+	if _, err := f.Join(1003, "y", nil, true); !errors.Is(err, ErrTooManyRelays) {
+		t.Errorf("an ID was reused too early: %v", err)
+	}
+	if p, err := f.Join(1007, "y", nil, true); err != nil || p.ID != last.ID {
+		t.Errorf("%v; IDs stay dense", err)
+	}
+}
+
+// A proxy that joins again and again is refused after a while; one that does so once a second is not.
+func TestJoinRateIsLimited(t *testing.T) {
+	f, now := startFleet(t, 4, 2)
+	frontend := &countingFrontend{fleet: f}
+	f.Relay("r0").frontend = frontend
+	refused := 0
+	for range 50 {
+		now += 0.02
+		if _, err := f.Join(now, "r0", frontend, true); errors.Is(err, ErrJoinRateExceeded) {
+			refused++
+		}
+	}
+	if refused < 40 || f.Stats.JoinsThrottled != refused {
+		t.Errorf("%d of 50 joins within a second are refused", refused)
+	}
+	for range 20 {
+		now += 1.01
+		join(t, f, now, "r0", frontend)
+	}
+	if p := f.Relay("r0"); !p.Joined {
+		t.Error("it is not joined")
+	}
+}
+
+// With ownership set, a fleet admits, sends to and keeps only the proxies that it owns at the moment that it asks.
+func TestOwnershipIsCheckedBeforeEveryMessage(t *testing.T) {
+	f := newFleet(t, testSite(3, 2), nil)
+	owned := map[string]bool{"r0": true}
+	f.SetOwnership(func(_ float64, uid string) bool { return owned[uid] }, func() uint64 { return 7 }, nil)
+	frontend := &countingFrontend{fleet: f}
+	if _, err := f.Join(1000, "r1", frontend, true); !errors.Is(err, ErrWrongCoordinator) {
+		t.Errorf("another coordinator's proxy: %v", err)
+	}
+	join(t, f, 1000, "r0", frontend)
+	f.RunRound(1000.1)
+	owned["r0"] = false // the lease ends between the decision and its sending
+	f.SendDue(1000.2)
+	if frontend.delivered != 0 || frontend.displaced != 1 || f.Joined() != 0 || f.Stats.Evicted != 1 {
+		t.Errorf("%d delivered, %d displaced, %d joined", frontend.delivered, frontend.displaced, f.Joined())
+	}
+	owned["r0"] = true
+	join(t, f, 1001, "r0", frontend)
+	owned["r0"] = false
+	f.EvictForeign(1001.1)
+	if frontend.displaced != 2 || f.Joined() != 0 {
+		t.Errorf("%d delivered, %d displaced, %d joined", frontend.delivered, frontend.displaced, f.Joined())
+	}
+}
--- /dev/null
+++ b/internal/core/controlplane/publish.go
@@ -0,0 +1,94 @@
+package controlplane
+
+import (
+	"cmp"
+	"maps"
+	"slices"
+
+	"snowquay/balancer"
+	"snowquay/internal/core/pacing"
+)
+
+// publishChanges queues an update for every proxy whose tables changed in this round.
+func (f *Fleet) publishChanges(now float64) {
+	slices.SortFunc(f.changedTables, func(a, b *desiredTable) int { return cmp.Compare(a.id, b.id) })
+	for _, table := range f.changedTables {
+		f.keepLastReadyServers(now, table)
+		priority := pacing.Ordinary
+		if table.urgent {
+			priority = pacing.Urgent
+			table.urgentVersion = table.Version()
+		}
+		for _, id := range slices.Sorted(maps.Keys(table.classesByProxy)) {
+			f.publishTo(now, f.proxies[id], table, priority)
+		}
+		table.changed = false
+		table.urgent = false
+		table.changedEntries = 0
+		table.changedAdmissions = 0
+	}
+	f.changedTables = f.changedTables[:0]
+}
+
+// publishTo queues a table's changes of this round for one proxy.
+func (f *Fleet) publishTo(now float64, p *Proxy, table *desiredTable, priority pacing.Priority) {
+	if p.trace.DecidedAt == 0 || !p.inFlight {
+		p.trace = f.roundTrace
+	}
+	if table.urgent && !p.urgent {
+		p.urgent = true
+		p.urgentSince = now
+	}
+	entries := table.changedEntries * float64(table.classesByProxy[p.ID]) // once for each class
+	if p.SupportsAdmission {
+		entries += table.changedAdmissions
+	}
+	if !p.Polls && entries > 0 {
+		f.enqueue(now, p, entries, priority)
+	}
+}
+
+// keepLastReadyServers restores the removed entries of a table that would be left without a server that is ready and
+// warmed up, though the removed ones still are. No decision, whatever its reason, may leave proxies without a server.
+// The cost is that a proxy goes on sending to a server that may fail all requests.
+func (f *Fleet) keepLastReadyServers(now float64, table *desiredTable) {
+	removed := table.removedReady
+	table.removedReady = table.removedReady[:0]
+	if len(removed) == 0 || len(table.classesByProxy) == 0 || f.site.DisabledGuards[GuardTable] {
+		return
+	}
+	for entry := range table.ChangedSince(0) {
+		phase, _ := f.Registry.Phase(entry.Server)
+		if entry.Weight > 0 && phase == balancer.Ready &&
+			!f.Registry.WarmingUp(now, entry.Server, f.site.Guarantees.WarmupDuration) {
+			return
+		}
+	}
+	f.Stats.TablesRejected++
+	for _, entry := range removed {
+		table.Set(now, entry.server, entry.weight)
+	}
+}
+
+// enqueue adds entries to what waits for a proxy.
+func (f *Fleet) enqueue(now float64, p *Proxy, entries float64, priority pacing.Priority) {
+	if p.inFlight {
+		f.sendQueue.Suspend(p.ID)
+	}
+	// An entry that changes several times while its proxy waits is sent once, so it counts once.
+	capacity := max(f.maxMessageEntries(p)-f.sendQueue.QueuedEntries(p.ID), 0)
+	f.sendQueue.Add(now, p.ID, min(entries, capacity), priority)
+}
+
+// maxMessageEntries is how many entries a message to a proxy can have: those of its tables, those removed from them, and
+// one for the message.
+func (f *Fleet) maxMessageEntries(p *Proxy) float64 {
+	entries := 0.0
+	for class := range p.Tables {
+		if state := &p.Tables[class]; state.Bound {
+			table := f.tables[state.Table]
+			entries += float64(table.TotalLen() + len(table.Admissions()))
+		}
+	}
+	return entries + 1
+}
--- /dev/null
+++ b/internal/core/controlplane/reconfigure_test.go
@@ -0,0 +1,86 @@
+package controlplane
+
+import (
+	"errors"
+	"reflect"
+	"slices"
+	"testing"
+
+	"snowquay/balancer"
+	"snowquay/internal/core/registry"
+)
+
+// changedSite is a site that differs from that of startFleet(t, 4, 3): a server is added, one removed and one moved, a
+// proxy is added and one removed.
+func changedSite() Site {
+	site := testSite(4, 4)
+	site.DataPlane.Proxies = 3
+	site.Servers = slices.Delete(site.Servers, 1, 2)
+	site.Servers = append(site.Servers, registry.ServerConfig{Server: serverName(9), Zone: 1, Weight: 1, Static: true})
+	site.Servers[0].Zone = 2
+	site.Relays = slices.Delete(site.Relays, 0, 1)
+	return site
+}
+
+// reconfigure starts a fleet and changes it to changedSite.
+func reconfigure(t *testing.T) (f *Fleet, now float64) {
+	t.Helper()
+	f, now = startFleet(t, 4, 3)
+	evicted := &countingFrontend{fleet: f}
+	f.Relay("r0").frontend = evicted
+	got, err := f.Reconfigure(now, changedSite())
+	want := Revision{
+		Removed:  []balancer.Server{serverName(1)},
+		Added:    []balancer.Server{serverName(9)},
+		Moved:    []balancer.Server{serverName(0)},
+		Evicted:  []string{"r0"},
+		Admitted: []string{"r3"},
+	}
+	if err != nil || !reflect.DeepEqual(got, want) {
+		t.Fatalf("%+v, %v, want %+v", got, err, want)
+	}
+	if evicted.displaced != 1 || f.Listed("r0") || !f.Listed("r3") || f.Joined() != 2 {
+		t.Error("proxies are not as listed")
+	}
+	for end := now + 6; now < end; now += 0.05 {
+		step(f, now)
+	}
+	return f, now
+}
+
+func TestReconfigureChangesServersAndProxies(t *testing.T) {
+	f, _ := reconfigure(t)
+	for _, table := range f.tables {
+		if table.Weight(serverName(1)) != 0 || table.Weight(serverName(9)) == 0 {
+			t.Errorf("weights %v and %v", table.Weight(serverName(1)), table.Weight(serverName(9)))
+		}
+	}
+	if _, known := f.Registry.Find(serverName(1)); known || !slices.Contains(f.Registry.KnownServers(), serverName(1)) {
+		t.Error("a server that is no longer listed is known, or can't be removed from tables")
+	}
+	next := changedSite()
+	if revision := CompareSites(f.Site(), &next); !revision.Empty() {
+		t.Errorf("%+v is left to do", revision)
+	}
+}
+
+func TestReconfigureRejectsWhatNeedsARestart(t *testing.T) {
+	f, now := reconfigure(t)
+	other := changedSite()
+	other.Guarantees.DrainDeadline++
+	if revision, err := f.Reconfigure(now, other); err == nil || revision.RestartReason != "rules" {
+		t.Errorf("%+v, %v", revision, err)
+	}
+}
+
+func TestReconfigureRejectsTooManyServers(t *testing.T) {
+	f, now := reconfigure(t)
+	f.site.Limits.MaxServers = 6
+	crowded := testSite(12, 4)
+	crowded.DataPlane.Proxies = 3
+	crowded.Limits.MaxServers = 6
+	crowded.Relays = changedSite().Relays
+	if _, err := f.Reconfigure(now, crowded); !errors.Is(err, registry.ErrFull) || f.Joined() != 2 {
+		t.Error(err)
+	}
+}
--- /dev/null
+++ b/internal/core/controlplane/rounds.go
@@ -0,0 +1,104 @@
+package controlplane
+
+import (
+	"snowquay/balancer"
+)
+
+// RunRound passes all that came in to the decision module, if anything did or its timer fired, and takes its decisions.
+// It reports whether the module was called. Changes of the registry are stored before they are acted on. If that fails,
+// a drain goes out all the same: one that a restart forgets is better than one that never began.
+func (f *Fleet) RunRound(now float64) bool {
+	f.Registry.ExpireHolds(now)
+	if now-f.lastRoundAt < f.site.Limits.MinRoundInterval || f.gathering(now) {
+		return false
+	}
+	f.collectEndpoints()
+	f.collectReports(now)
+	f.collectTimer(now)
+	events := f.pendingEvents
+	if isEmpty(&events) {
+		f.Stats.Idle++
+		return false
+	}
+	f.lastRoundAt = now
+	f.round++
+	f.Stats.Rounds++
+	f.roundTrace = MessageTrace{
+		Round:       f.round,
+		Lists:       len(events.Lists),
+		ProxyEvents: len(events.ProxyEvents),
+		Upstreams:   len(events.Upstreams),
+		Demands:     len(events.Demands),
+		DecidedAt:   now,
+	}
+	f.balancer.Reconcile(now, events, &RoundSink{fleet: f, now: now})
+	f.pendingEvents = balancer.Events{}
+	f.publishChanges(now)
+	return true
+}
+
+func isEmpty(events *balancer.Events) bool {
+	return len(events.Lists)+len(events.ProxyEvents)+len(events.Upstreams)+len(events.Demands)+
+		len(events.Acks)+len(events.FiredTimers) == 0
+}
+
+// collectEndpoints adds the registry's changes to the pending events.
+func (f *Fleet) collectEndpoints() {
+	if !f.Registry.HasChanges() {
+		return
+	}
+	f.Persist()
+	endpoints, whole := f.Registry.TakeChanges()
+	scope := balancer.DeltaList
+	switch {
+	case !f.initialListSent: // from the settings, and what an earlier process stored
+		scope = balancer.CachedList
+	case whole:
+		scope = balancer.FullList
+	}
+	if len(endpoints) > 0 || !f.initialListSent {
+		f.pendingEvents.Lists = append(f.pendingEvents.Lists, balancer.EndpointList{Scope: scope, Endpoints: endpoints})
+	}
+	f.initialListSent = true
+}
+
+// collectReports adds the load reports to the pending events, once a reporting period.
+func (f *Fleet) collectReports(now float64) {
+	if now-f.reportsFlushedAt < f.site.Reporting.Period || !f.LoadReports.HasPending() {
+		return
+	}
+	f.reportsFlushedAt = now
+	f.pendingEvents.Upstreams, f.pendingEvents.Demands = f.LoadReports.Flush()
+	f.countTraffic(f.pendingEvents.Upstreams, f.pendingEvents.Demands)
+}
+
+// collectTimer adds the decision module's timer to the pending events when it is due.
+func (f *Fleet) collectTimer(now float64) {
+	if now >= f.timerAt && f.timerAt > 0 {
+		f.pendingEvents.FiredTimers = append(f.pendingEvents.FiredTimers, 0)
+		f.timerAt = 0
+	}
+}
+
+// Persist stores the registry's changes now instead of with the next round, so that a drain that was confirmed to its
+// caller survives a crash. It reports whether all changes are durable.
+func (f *Fleet) Persist() (ok bool) {
+	if f.store == nil || f.site.DisabledGuards[GuardMemory] || !f.Registry.NeedsPersist() {
+		return true
+	}
+	if records := f.Registry.ChangedRecords(); len(records) > 0 {
+		if err := f.store.Save(records); err != nil {
+			f.Stats.SaveFailures++
+			return false
+		}
+	}
+	f.Registry.MarkPersisted()
+	return true
+}
+
+// gathering tells whether a coordinator that knows no server at its start still waits for servers to register. If they
+// came to the decision module one by one, each would be taken for a newly started server. The cost is that proxies keep
+// their default tables meanwhile.
+func (f *Fleet) gathering(now float64) bool {
+	return !f.initialListSent && !f.serversKnown && now < f.startedAt+f.site.Limits.StartupGather
+}
--- /dev/null
+++ b/internal/core/controlplane/roundsink.go
@@ -0,0 +1,163 @@
+package controlplane
+
+import (
+	"slices"
+
+	"snowquay/balancer"
+	"snowquay/internal/core/pacing"
+	"snowquay/internal/core/tables"
+)
+
+// urgentWarmupFraction is a part of an entry's weight. If the weight of a server that is warming up falls below that
+// part of what it was, the change is as urgent as a drain.
+const urgentWarmupFraction = 0.5
+
+// desiredTable is a table as the decision module wants it; its version is the wanted one.
+type desiredTable struct {
+	tables.Table
+	id             balancer.Table
+	classesByProxy map[balancer.Proxy]int // number of classes of each proxy that are assigned the table
+	urgentVersion  tables.Version         // newest version that had an urgent change
+
+	// Changes of the current round.
+	changed           bool
+	urgent            bool
+	removedReady      []removedEntry // of servers that are ready and warmed up
+	changedEntries    float64
+	changedAdmissions float64
+}
+
+// removedEntry is a table entry that was removed, with the weight that it had.
+type removedEntry struct {
+	server balancer.Server
+	weight float64
+}
+
+// ackRequest is an acknowledgement that the decision module asked for.
+type ackRequest struct {
+	id          balancer.AckID
+	requestedAt float64
+}
+
+// RoundSink takes the decisions of one round. It is the balancer.CommandSink of a Fleet.
+type RoundSink struct {
+	fleet *Fleet
+	now   float64
+}
+
+// table finds a table by its ID, and makes it if there is none.
+func (r *RoundSink) table(id balancer.Table) *desiredTable {
+	table := r.fleet.tables[id]
+	if table == nil {
+		table = &desiredTable{id: id, classesByProxy: map[balancer.Proxy]int{}}
+		r.fleet.tables[id] = table
+	}
+	return table
+}
+
+func (r *RoundSink) markChanged(table *desiredTable) {
+	if table.changed {
+		return
+	}
+	table.changed = true
+	r.fleet.changedTables = append(r.fleet.changedTables, table)
+}
+
+// SetWeight sets the weight of a table entry; 0 removes it.
+func (r *RoundSink) SetWeight(id balancer.Table, server balancer.Server, weight float64) {
+	table := r.table(id)
+	before := table.Weight(server)
+	if !table.Set(r.now, server, weight) {
+		return
+	}
+	phase, _ := r.fleet.Registry.Phase(server)
+	warmingUp := r.fleet.Registry.WarmingUp(r.now, server, r.fleet.site.Guarantees.WarmupDuration)
+	if weight == 0 && phase == balancer.Ready && !warmingUp {
+		table.removedReady = append(table.removedReady, removedEntry{server: server, weight: before})
+	}
+	if weight == 0 && phase != balancer.Ready || warmingUp && weight < urgentWarmupFraction*before {
+		table.urgent = true
+	}
+	table.changedEntries++
+	r.markChanged(table)
+}
+
+// AssignTable assigns a table to some classes of a proxy, all if the set is empty. The proxy is due the whole table.
+func (r *RoundSink) AssignTable(id balancer.Proxy, tableID balancer.Table, classes balancer.ClassSet) {
+	table := r.table(tableID)
+	p := r.fleet.proxies[id]
+	if p == nil || !p.Joined {
+		return
+	}
+	r.fleet.Stats.Binds++
+	entries := 1.0
+	for class := range p.Tables {
+		if !includes(classes, class) {
+			continue
+		}
+		state := &p.Tables[class]
+		r.fleet.unassign(p, state)
+		if r.fleet.site.DisabledGuards[GuardRejoin] && state.SentVersion > 0 && state.Table == tableID {
+			state.Bound = true
+		} else {
+			*state = TableState{Table: tableID, Bound: true, Full: true, Stale: state.Stale || state.SentVersion > 0}
+		}
+		table.classesByProxy[id]++
+		entries += float64(table.Len() + len(table.Admissions()))
+	}
+	p.trace = r.fleet.roundTrace
+	if !p.Polls {
+		r.fleet.sendQueue.Add(r.now, id, entries, pacing.Ordinary)
+	}
+}
+
+// SetAdmission sets the admission rate and retry policy of some classes of a table, all if the set is empty.
+func (r *RoundSink) SetAdmission(id balancer.Table, classes balancer.ClassSet, rate float64, retry balancer.RetryPolicy) {
+	table := r.table(id)
+	for class := range r.fleet.site.Classes {
+		if includes(classes, class) && table.SetAdmission(balancer.Class(class), rate, retry) {
+			r.fleet.Stats.Unsupported++
+			table.changedAdmissions++
+			r.markChanged(table)
+		}
+	}
+}
+
+// RequestAck asks for an acknowledgement by all proxies that this round concerns. It goes with their next messages.
+func (r *RoundSink) RequestAck(id balancer.AckID) {
+	for _, table := range r.fleet.changedTables {
+		for proxy := range table.classesByProxy {
+			r.requestAck(r.fleet.proxies[proxy], id)
+		}
+	}
+	for _, p := range r.fleet.proxies {
+		if p.Joined && slices.ContainsFunc(p.Tables, func(state TableState) bool { return state.Full }) {
+			r.requestAck(p, id)
+		}
+	}
+}
+
+func (r *RoundSink) requestAck(p *Proxy, id balancer.AckID) {
+	if n := len(p.queuedAcks); n > 0 && p.queuedAcks[n-1].id == id {
+		return
+	}
+	// The decision module waits for the newest one only.
+	p.queuedAcks = append(p.queuedAcks[:0], ackRequest{id: id, requestedAt: r.now})
+}
+
+// HealthCheck is never called, since the decision module is told that there are no health checks. It counts all the same.
+func (r *RoundSink) HealthCheck(balancer.Server) { r.fleet.Stats.Probes++ }
+
+// PollDiscovery is never called: the registry reports its changes by itself.
+func (r *RoundSink) PollDiscovery() {}
+
+// SetTimer asks for another round after some seconds.
+func (r *RoundSink) SetTimer(after float64, _ balancer.Timer) { r.fleet.timerAt = r.now + after }
+
+// Log counts the decision module's log messages.
+func (r *RoundSink) Log(string) { r.fleet.Stats.Notes++ }
+
+// includes tells whether a class belongs to a set; the empty set stands for all classes.
+func includes(classes balancer.ClassSet, class int) bool {
+	return classes == 0 || classes>>class&1 == 1
+}
