--- a/internal/core/controlplane/delivery.go
+++ b/internal/core/controlplane/delivery.go
@@ -87,7 +87,7 @@
 	}
 	state.Full = true
 	if state.Bound && !p.Polls && p.Joined {
-		f.enqueue(now, p, entries, pacing.Ordinary)
+		f.enqueue(now, p, entries, pacing.Normal)
 	}
 }
 
@@ -103,7 +103,7 @@
 			f.ScheduleFull(now, p, balancer.Class(class), float64(f.tables[state.Table].Len()))
 		}
 	}
-	priority := pacing.Ordinary
+	priority := pacing.Normal
 	if p.urgent {
 		priority = pacing.Urgent
 	}
@@ -173,7 +173,7 @@
 	if remaining > 0 && !p.Polls {
 		p.followUpTrace = p.trace
 		f.sendQueue.Suspend(p.ID)
-		f.sendQueue.Add(now, p.ID, remaining, pacing.Ordinary)
+		f.sendQueue.Add(now, p.ID, remaining, pacing.Normal)
 	}
 	p.inFlight = true
 	p.inFlightSince = now
--- a/internal/core/controlplane/publish.go
+++ b/internal/core/controlplane/publish.go
@@ -14,7 +14,7 @@
 	slices.SortFunc(f.changedTables, func(a, b *desiredTable) int { return cmp.Compare(a.id, b.id) })
 	for _, table := range f.changedTables {
 		f.keepLastReadyServers(now, table)
-		priority := pacing.Ordinary
+		priority := pacing.Normal
 		if table.urgent {
 			priority = pacing.Urgent
 			table.urgentVersion = table.Version()
--- a/internal/core/controlplane/roundsink.go
+++ b/internal/core/controlplane/roundsink.go
@@ -107,7 +107,7 @@
 	}
 	p.trace = r.fleet.roundTrace
 	if !p.Polls {
-		r.fleet.sendQueue.Add(r.now, id, entries, pacing.Ordinary)
+		r.fleet.sendQueue.Add(r.now, id, entries, pacing.Normal)
 	}
 }
 
