--- a/internal/core/tables/tables.go
+++ b/internal/core/tables/tables.go
@@ -1,5 +1,5 @@
-// Package tables keeps the tables that the decision module wants, each as lines in the order in which they last
-// changed, so that what changed since a version is found without looking at what did not. It is pure.
+// Package tables holds versioned weight tables, whose entries are ordered by their last change, so that the changes since
+// a version are found without looking at other entries. It is pure.
 package tables
 
 import (
@@ -8,177 +8,161 @@
 	"snowquay/balancer"
 )
 
-// mostRemoved is how many removed lines a table remembers beyond its live ones; who holds an older version than
-// the oldest of them gets the full table. 64 covers a fleet's rolling restart.
-const mostRemoved = 64
+// maxRemoved is how many removed entries a table remembers beside its live ones. A proxy that holds a version older than
+// the oldest of them gets the full table. 64 covers a rolling restart of all servers.
+const maxRemoved = 64
 
-// Version of a table: it grows by one with every change.
+// Version of a table. It grows by one with every change.
 type Version uint64
 
-// Entry of a table. A weight of 0 means that it was removed.
-type Entry struct {
-	Server       balancer.Server
-	Weight       float64
-	Changed      Version
-	ChangedAt    float64 // clock time of that change
-	older, newer *Entry
-}
-
-// Admission is what a table orders of one class besides lines.
+// Admission is the admission setting of a request class in a table.
 type Admission struct {
 	Class   balancer.Class
-	Rate    float64
+	Rate    float64 // admitted fraction of the requests
 	Retry   balancer.RetryPolicy
-	Changed Version
+	Changed Version // in which it last changed
 }
 
-// Table of one number. The zero value is an empty one.
+// Table is one weight table. The zero value is an empty one. It is not safe for concurrent use.
 type Table struct {
-	lines   map[balancer.Server]*Entry
-	newest  *Entry
-	oldest  *Entry
-	version Version
-	since   Version // changes from before it may be missing
-	live    int
-	levels  []Admission
+	version    Version
+	deltaSince Version // removals up to it may be forgotten
+	entries    map[balancer.Server]*Entry
+	byChange   entryList
+	live       int // entries with a weight
+	admissions []Admission
 }
 
-// Set gives a line a weight at a clock time; 0 removes it. It reports whether that is a change.
-func (t *Table) Set(now float64, s balancer.Server, weight float64) bool {
-	l := t.lines[s]
-	if l == nil && weight == 0 || l != nil && l.Weight == weight {
+// Set gives a server's entry a weight at a time in seconds; a weight of 0 removes it. It reports whether that is a change.
+func (t *Table) Set(now float64, server balancer.Server, weight float64) bool {
+	if t.Weight(server) == weight {
 		return false
 	}
-	if l == nil {
-		if t.lines == nil {
-			t.lines = map[balancer.Server]*Entry{}
+	entry := t.entries[server]
+	if entry == nil {
+		if t.entries == nil {
+			t.entries = map[balancer.Server]*Entry{}
 		}
-		l = &Entry{Server: s}
-		t.lines[s] = l
+		entry = &Entry{Server: server}
+		t.entries[server] = entry
 	} else {
-		t.unlink(l)
+		t.byChange.remove(entry)
 	}
-	if l.Weight == 0 {
+	if entry.Weight == 0 {
 		t.live++
 	}
 	if weight == 0 {
 		t.live--
 	}
 	t.version++
-	l.ChangedAt = now
-	l.Weight, l.Changed, l.older, l.newer = weight, t.version, t.newest, nil
-	if t.newest != nil {
-		t.newest.newer = l
-	} else {
-		t.oldest = l
-	}
-	t.newest = l
-	t.compact()
+	entry.Weight = weight
+	entry.Changed = t.version
+	entry.ChangedAt = now
+	t.byChange.pushNewest(entry)
+	t.forgetOldestRemoved()
 	return true
 }
 
-func (t *Table) unlink(l *Entry) {
-	if l.older != nil {
-		l.older.newer = l.newer
-	} else {
-		t.oldest = l.newer
-	}
-	if l.newer != nil {
-		l.newer.older = l.older
-	} else {
-		t.newest = l.older
-	}
-}
-
-// compact forgets the longest removed lines. Guards against a table that grows with every server that ever was.
-func (t *Table) compact() {
-	for l := t.oldest; l != nil && len(t.lines)-t.live > mostRemoved; {
-		next := l.newer
-		if l.Weight == 0 {
-			t.unlink(l)
-			delete(t.lines, l.Server)
-			t.since = max(t.since, l.Changed)
+// forgetOldestRemoved keeps a table from growing with every server that ever was.
+func (t *Table) forgetOldestRemoved() {
+	entry := t.byChange.oldest
+	for entry != nil && len(t.entries)-t.live > maxRemoved {
+		next := entry.newer
+		if entry.Weight == 0 {
+			t.byChange.remove(entry)
+			delete(t.entries, entry.Server)
+			t.deltaSince = max(t.deltaSince, entry.Changed)
 		}
-		l = next
+		entry = next
 	}
 }
 
-// SetAdmission orders a level and a way of repeating for a class. It reports whether that is a change.
-func (t *Table) SetAdmission(c balancer.Class, level float64, again balancer.RetryPolicy) bool {
-	for i := range t.levels {
-		if l := &t.levels[i]; l.Class == c {
-			if l.Rate == level && l.Retry == again {
-				return false
-			}
-			t.version++
-			*l = Admission{c, level, again, t.version}
-			return true
+// SetAdmission sets the admission rate and retry policy of a class. It reports whether that is a change.
+func (t *Table) SetAdmission(class balancer.Class, rate float64, retry balancer.RetryPolicy) bool {
+	for i := range t.admissions {
+		admission := &t.admissions[i]
+		if admission.Class != class {
+			continue
+		}
+		if admission.Rate == rate && admission.Retry == retry {
+			return false
 		}
+		t.version++
+		admission.Rate = rate
+		admission.Retry = retry
+		admission.Changed = t.version
+		return true
 	}
 	t.version++
-	t.levels = append(t.levels, Admission{c, level, again, t.version})
+	t.admissions = append(t.admissions, Admission{Class: class, Rate: rate, Retry: retry, Changed: t.version})
 	return true
 }
 
-// Admissions of the table, in the order in which classes were first ordered.
-func (t *Table) Admissions() []Admission { return t.levels }
+// Admissions lists the admission settings, in the order in which classes were first set. The table owns the slice.
+func (t *Table) Admissions() []Admission { return t.admissions }
 
-// Version of the newest change; 0: there was none yet.
+// Version is that of the newest change; 0 if there was none yet.
 func (t *Table) Version() Version { return t.version }
 
-// CanDelta tells whether all that changed after v is still known, so that v can be brought up to date by a delta.
-func (t *Table) CanDelta(v Version) bool { return v >= t.since && v <= t.version }
+// CanDelta tells whether all changes after a version are known, so that its holder can be updated by a delta.
+func (t *Table) CanDelta(version Version) bool {
+	return version >= t.deltaSince && version <= t.version
+}
 
-// RemovedAt is when a server's line was removed; ok is false where it has one, or none is remembered.
-func (t *Table) RemovedAt(s balancer.Server) (at float64, ok bool) {
-	if l := t.lines[s]; l != nil && l.Weight == 0 {
-		return l.ChangedAt, true
+// RemovedAt is the time in seconds when a server's entry was removed. ok is false if the server has an entry, or no
+// removal is remembered.
+func (t *Table) RemovedAt(server balancer.Server) (at float64, ok bool) {
+	entry := t.entries[server]
+	if entry == nil || entry.Weight != 0 {
+		return 0, false
 	}
-	return 0, false
+	return entry.ChangedAt, true
 }
 
-// Weight of a server, 0 where it has no line.
-func (t *Table) Weight(s balancer.Server) float64 {
-	if l := t.lines[s]; l != nil {
-		return l.Weight
+// Weight of a server's entry; 0 if it has none.
+func (t *Table) Weight(server balancer.Server) float64 {
+	entry := t.entries[server]
+	if entry == nil {
+		return 0
 	}
-	return 0
+	return entry.Weight
 }
 
-// Len is the number of lines with a weight.
+// Len is the number of entries with a weight.
 func (t *Table) Len() int { return t.live }
 
-// TotalLen is the number of lines, those among them that were removed and are not forgotten.
-func (t *Table) TotalLen() int { return len(t.lines) }
+// TotalLen is the number of entries, remembered removals included.
+func (t *Table) TotalLen() int { return len(t.entries) }
 
-// HasEntryUpTo tells whether a line with a weight last changed at v or before: whoever is brought up to v only, holds one.
-func (t *Table) HasEntryUpTo(v Version) bool {
+// HasEntryUpTo tells whether an entry with a weight last changed at a version or before: the holder of a table that is
+// updated up to that version only has one.
+func (t *Table) HasEntryUpTo(version Version) bool {
 	newer := 0
-	for l := range t.ChangedSince(v) {
-		if l.Weight > 0 {
+	for entry := range t.ChangedSince(version) {
+		if entry.Weight > 0 {
 			newer++
 		}
 	}
 	return t.live > newer
 }
 
-// ChangedBetween yields the lines that last changed after v and up to a version, newest first.
-func (t *Table) ChangedBetween(v, to Version) iter.Seq[*Entry] {
+// ChangedSince yields the entries that changed after a version, newest first, each once. Removed ones have no weight. The
+// cost is that of the entries yielded. The table must not change meanwhile, and owns the entries.
+func (t *Table) ChangedSince(version Version) iter.Seq[*Entry] {
 	return func(yield func(*Entry) bool) {
-		for l := range t.ChangedSince(v) {
-			if l.Changed <= to && !yield(l) {
+		for entry := t.byChange.newest; entry != nil && entry.Changed > version; entry = entry.older {
+			if !yield(entry) {
 				return
 			}
 		}
 	}
 }
 
-// ChangedSince yields all lines changed after v, newest first, each once however often it moved; removed ones have no
-// weight. The cost is that of what changed.
-func (t *Table) ChangedSince(v Version) iter.Seq[*Entry] {
+// ChangedBetween yields the entries that last changed after one version and up to another, newest first.
+func (t *Table) ChangedBetween(after, upTo Version) iter.Seq[*Entry] {
 	return func(yield func(*Entry) bool) {
-		for l := t.newest; l != nil && l.Changed > v; l = l.older {
-			if !yield(l) {
+		for entry := range t.ChangedSince(after) {
+			if entry.Changed <= upTo && !yield(entry) {
 				return
 			}
 		}
--- a/internal/core/tables/tables_test.go
+++ b/internal/core/tables/tables_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"maps"
 	"testing"
 
 	"pgregory.net/rapid"
@@ -12,52 +13,50 @@
 
 func TestMain(m *testing.M) { testseed.Main(m) }
 
-// Whoever applies what Since says holds the table, from any version that it reaches.
-func TestSinceBringsUpToDate(t *testing.T) {
+// weights is the content of a table.
+type weights map[balancer.Server]float64
+
+func (w weights) set(server balancer.Server, weight float64) {
+	w[server] = weight
+	if weight == 0 {
+		delete(w, server)
+	}
+}
+
+// replica is a table as a proxy held it at a version.
+type replica struct {
+	version Version
+	weights weights
+}
+
+// Deltas update a replica of any version that they reach to the newest table.
+func TestDeltasUpdateReplicas(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		var table Table
-		plain := map[balancer.Server]float64{}
-		type copy struct {
-			at    Version
-			lines map[balancer.Server]float64
-		}
-		var copies []copy
+		want := weights{}
+		replicas := []replica{{version: 0, weights: weights{}}}
 		for range rapid.IntRange(0, 300).Draw(rt, "steps") {
-			s := balancer.Server(fmt.Sprint(rapid.IntRange(0, 120).Draw(rt, "server")))
-			w := rapid.SampledFrom([]float64{0, 0, 1, 2}).Draw(rt, "weight")
-			if changed := table.Set(1, s, w); changed != (plain[s] != w) {
-				rt.Fatalf("setting %s from %v to %v is a change: %t", s, plain[s], w, changed)
+			server := balancer.Server(fmt.Sprint(rapid.IntRange(0, 120).Draw(rt, "server")))
+			weight := rapid.SampledFrom([]float64{0, 0, 1, 2}).Draw(rt, "weight")
+			if changed := table.Set(1, server, weight); changed != (want[server] != weight) {
+				rt.Fatalf("setting %s from %v to %v is a change: %t", server, want[server], weight, changed)
 			}
-			if plain[s] = w; w == 0 {
-				delete(plain, s)
-			}
-			if rapid.IntRange(0, 9).Draw(rt, "copy") == 0 {
-				c := copy{table.Version(), map[balancer.Server]float64{}}
-				for s, w := range plain {
-					c.lines[s] = w
-				}
-				copies = append(copies, c)
+			want.set(server, weight)
+			if rapid.IntRange(0, 9).Draw(rt, "replica") == 0 {
+				replicas = append(replicas, replica{version: table.Version(), weights: maps.Clone(want)})
 			}
 		}
-		if table.Len() != len(plain) || len(table.lines) > table.Len()+mostRemoved {
-			rt.Fatalf("%d lines of %d are kept, %d are live", len(table.lines), len(plain), table.Len())
+		if table.Len() != len(want) || len(table.entries) > table.Len()+maxRemoved {
+			rt.Fatalf("%d entries of %d are kept, %d are live", len(table.entries), len(want), table.Len())
 		}
-		for _, c := range append(copies, copy{0, map[balancer.Server]float64{}}) {
-			if !table.CanDelta(c.at) {
+		for _, r := range replicas {
+			if !table.CanDelta(r.version) {
 				continue
 			}
-			seen, last := map[balancer.Server]bool{}, table.Version()+1
-			for l := range table.ChangedSince(c.at) {
-				if seen[l.Server] || l.Changed >= last {
-					rt.Fatalf("%s twice, or out of order", l.Server)
-				}
-				seen[l.Server], last = true, l.Changed
-				if c.lines[l.Server] = l.Weight; l.Weight == 0 {
-					delete(c.lines, l.Server)
-				}
-			}
-			if fmt.Sprint(c.lines) != fmt.Sprint(plain) {
-				rt.Fatalf("from version %d: %v, want %v", c.at, c.lines, plain)
+			version := r.version
+			applyDelta(rt, &table, &r)
+			if fmt.Sprint(r.weights) != fmt.Sprint(want) {
+				rt.Fatalf("from version %d: %v, want %v", version, r.weights, want)
 			}
 		}
 		if table.CanDelta(table.Version() + 1) {
@@ -66,29 +65,39 @@
 	})
 }
 
-func full(n int) (t Table) {
-	for i := range n {
-		t.Set(1, balancer.Server(fmt.Sprint(i)), 1)
+// applyDelta updates a replica, and requires that the delta has each entry once, newest first.
+func applyDelta(rt *rapid.T, table *Table, r *replica) {
+	seen := map[balancer.Server]bool{}
+	last := table.Version() + 1
+	for entry := range table.ChangedSince(r.version) {
+		if seen[entry.Server] || entry.Changed >= last {
+			rt.Fatalf("%s twice, or out of order", entry.Server)
+		}
+		seen[entry.Server] = true
+		last = entry.Changed
+		r.weights.set(entry.Server, entry.Weight)
 	}
-	return t
 }
 
-// What changed of 300 lines, for one proxy, after one line moved: by order of change, and by looking at all lines.
+// BenchmarkOneChangeOf300 finds the one entry of 300 that changed: by the order of changes, and by a scan of all entries.
 func BenchmarkOneChangeOf300(b *testing.B) {
-	t := full(300)
-	v := t.Version() - 1
+	var table Table
+	for i := range 300 {
+		table.Set(1, balancer.Server(fmt.Sprint(i)), 1)
+	}
+	version := table.Version() - 1
 	b.Run("since", func(b *testing.B) {
 		for b.Loop() {
-			for l := range t.ChangedSince(v) {
-				_ = l
+			for entry := range table.ChangedSince(version) {
+				_ = entry
 			}
 		}
 	})
 	b.Run("scan", func(b *testing.B) {
 		for b.Loop() {
-			for _, l := range t.lines {
-				if l.Changed > v {
-					_ = l
+			for _, entry := range table.entries {
+				if entry.Changed > version {
+					_ = entry
 				}
 			}
 		}
