--- a/internal/core/tenancy/name.go
+++ b/internal/core/tenancy/name.go
@@ -1,6 +1,8 @@
-// Package tenancy keeps the tenants of a hosted service: their names, which of them there are and by which settings, what each
-// needs of what the host has, and to whom a connection belongs. It is pure: facts, calls and times come in, what becomes of them
-// is returned. docs/hosting.md tells why it is as it is.
+// Package tenancy holds what a host of many tenants agrees on: the tenants' names, the directory of tenants with their
+// settings, what each requires of the host's capacity, and to which tenant a connection belongs.
+//
+// The package is pure: facts, calls and times are arguments, and what becomes of them is returned. Times are in seconds.
+// docs/hosting.md gives the reasons for the design.
 package tenancy
 
 import (
@@ -9,30 +11,34 @@
 	"strings"
 )
 
-// Name of a tenant. Check makes one.
+// Name of a tenant. ParseName makes one.
 type Name string
 
-// Incarnation tells the lives of one name apart: a tenant that is removed and made again is another one. None is given twice.
+// Incarnation numbers tenants over all names. A tenant that is removed and created again gets another one, and none is
+// given twice.
 type Incarnation uint64
 
-// ErrInvalidName says that a text is no tenant's name.
+// ErrInvalidName says that a text can't be the name of a tenant. Its text is part of the administration API's answers.
 var ErrInvalidName = errors.New("no name of a tenant")
 
-// MaxNameLength in bytes: that of a label of the domain name system (RFC 1035, section 2.3.4), so that a name can be one.
+// MaxNameLength in bytes. It is that of a domain name label (RFC 1035, section 2.3.4), so that a name can be one.
 const MaxNameLength = 63
 
-// ParseName takes a text as a name. Names are of lower-case letters, digits and hyphens, not at either end. Nothing is folded or
-// normalised: a text that differs in case, in Unicode form or in length is another text, and none that could be taken for a name
-// is one. Guards against two tenants whose names look alike, and against a relay that reaches a tenant by a name that only
-// resembles its own; it does harm to nobody but those who wish for prettier names.
+// UIDSeparator separates a tenant's name from the tenant's own name of a proxy in a UID.
+const UIDSeparator = "/"
+
+// ParseName takes a text as a name, or returns ErrInvalidName. Names have lower-case letters, digits and inner hyphens.
+// Nothing is folded or normalised, so that no two tenants' names look alike, and no proxy reaches a tenant by a name that
+// only resembles its own.
 func ParseName(text string) (Name, error) {
-	if len(text) == 0 || len(text) > MaxNameLength {
+	if text == "" || len(text) > MaxNameLength {
 		return "", fmt.Errorf("%w: %d bytes, 1 to %d are possible", ErrInvalidName, len(text), MaxNameLength)
 	}
 	for i := range len(text) {
 		c := text[i]
 		switch {
-		case c >= 'a' && c <= 'z', c >= '0' && c <= '9', c == '-' && i > 0 && i < len(text)-1:
+		case c >= 'a' && c <= 'z', c >= '0' && c <= '9':
+		case c == '-' && i > 0 && i < len(text)-1:
 		case c >= 'A' && c <= 'Z':
 			return "", fmt.Errorf("%w: %q has upper case; %q would be one", ErrInvalidName, text, strings.ToLower(text))
 		default:
@@ -42,18 +48,15 @@
 	return Name(text), nil
 }
 
-// UIDSeparator a tenant's name and what its own staff calls a relay, in the UID that the relay says.
-const UIDSeparator = "/"
-
-// SplitUID takes a UID that a relay says, "tenant/relay", apart. ok is false where it names no tenant, or no relay of one.
-func SplitUID(uid string) (of Name, local string, ok bool) {
+// SplitUID divides a UID as a proxy sends it, "tenant/proxy". ok is false if it names no tenant or no proxy.
+func SplitUID(uid string) (tenant Name, local string, ok bool) {
 	text, local, found := strings.Cut(uid, UIDSeparator)
 	if !found || local == "" {
 		return "", "", false
 	}
-	n, err := ParseName(text)
-	return n, local, err == nil
+	tenant, err := ParseName(text)
+	return tenant, local, err == nil
 }
 
-// UID that a relay of a tenant says.
+// UID is what a proxy of a tenant sends as its UID, given the tenant's own name of the proxy.
 func (n Name) UID(local string) string { return string(n) + UIDSeparator + local }
--- /dev/null
+++ b/internal/core/tenancy/name_test.go
@@ -0,0 +1,43 @@
+package tenancy
+
+import (
+	"errors"
+	"strings"
+	"testing"
+)
+
+func TestParseName(t *testing.T) {
+	for _, valid := range []string{"a", "7", "north-1", strings.Repeat("x", MaxNameLength)} {
+		if name, err := ParseName(valid); err != nil || string(name) != valid {
+			t.Errorf("%q: %v", valid, err)
+		}
+	}
+	// Case, length, Unicode forms (composed, decomposed, full width, a letter of another script that looks alike), and
+	// what a path or a UID would divide.
+	for _, invalid := range []string{"", "A", "north ", "-a", "a-", "a/b", "a.b", "ä", "a\u0308", "ａ", "а", "a\x00", "%61",
+		strings.Repeat("x", MaxNameLength+1)} {
+		if name, err := ParseName(invalid); !errors.Is(err, ErrInvalidName) || name != "" {
+			t.Errorf("%q is taken for %q", invalid, name)
+		}
+	}
+}
+
+func TestSplitUID(t *testing.T) {
+	for uid, want := range map[string]Name{
+		"a/relay": "a",
+		"a/b/c":   "a",
+		"A/relay": "",
+		"a/":      "",
+		"a":       "",
+		"/relay":  "",
+		"a /x":    "",
+	} {
+		name, local, ok := SplitUID(uid)
+		if ok != (want != "") {
+			t.Errorf("%q belongs to %q, %t", uid, name, ok)
+		}
+		if name != want && ok || ok && name.UID(local) != uid {
+			t.Errorf("%q belongs to %q as %q", uid, name, local)
+		}
+	}
+}
--- /dev/null
+++ b/internal/core/tenancy/router.go
@@ -0,0 +1,233 @@
+package tenancy
+
+import (
+	"cmp"
+	"errors"
+	"fmt"
+	"math"
+	"net/netip"
+	"slices"
+
+	"snowquay/internal/core/fairshare"
+)
+
+// acceptWindow is the window in seconds for fair sharing of the accept rate.
+const acceptWindow = 0.1
+
+// ErrInvalidRoute says that a tenant can't be added to a router.
+var ErrInvalidRoute = errors.New("invalid route")
+
+// ConnectionRouter assigns connections to tenants. The proxies of all tenants connect to the same ports, and the first
+// message of a connection names its tenant for good. Use NewConnectionRouter. It is not safe for concurrent use.
+type ConnectionRouter struct {
+	// Rejected counts rejected connections.
+	Rejected map[RejectReason]int
+
+	limits  RouterLimits
+	parsers map[Frontend]IdentityParser
+
+	unidentified          map[Conn]*unidentifiedConn
+	unidentifiedByNetwork map[netip.Prefix]int
+	bufferedBytes         int // of all unidentified connections
+
+	tenants      map[Name]*tenantRoute
+	tenantByConn map[Conn]Name
+	acceptRate   *fairshare.Allocator
+}
+
+// NewConnectionRouter makes a router without tenants.
+func NewConnectionRouter(now float64, limits RouterLimits, parsers map[Frontend]IdentityParser) *ConnectionRouter {
+	return &ConnectionRouter{
+		Rejected:              map[RejectReason]int{},
+		limits:                limits,
+		parsers:               parsers,
+		unidentified:          map[Conn]*unidentifiedConn{},
+		unidentifiedByNetwork: map[netip.Prefix]int{},
+		tenants:               map[Name]*tenantRoute{},
+		tenantByConn:          map[Conn]Name{},
+		acceptRate: fairshare.New(now, fairshare.Config{
+			Rate:          limits.AcceptRate,
+			Burst:         limits.AcceptBurst,
+			BucketSeconds: 1,
+			MaxTenants:    limits.MaxTenants,
+			RecentWindow:  acceptWindow,
+		}),
+	}
+}
+
+// Set adds a tenant or changes it: its weight for the accept rate, its connection limit and the networks of its proxies
+// (none: any). The flag ready is false while the tenant starts. Without networks, whoever reaches the SASP port may act as
+// any proxy of the tenant, since the protocol has no credentials. The error is ErrInvalidRoute, with that of the
+// allocator.
+func (r *ConnectionRouter) Set(now float64, name Name, weight float64, maxConnections int, networks []netip.Prefix, ready bool) error {
+	if err := r.acceptRate.Set(now, fairshare.Tenant(name), "", weight); err != nil {
+		return fmt.Errorf("%w: %w", ErrInvalidRoute, err)
+	}
+	route := r.tenants[name]
+	if route == nil {
+		route = &tenantRoute{}
+		r.tenants[name] = route
+	}
+	route.maxConnections = maxConnections
+	route.networks = networks
+	route.ready = ready
+	return nil
+}
+
+// Remove removes a tenant. It returns the tenant's connections in ascending order, for the caller to close.
+func (r *ConnectionRouter) Remove(name Name) []Conn {
+	connections := r.Connections(name)
+	for _, conn := range connections {
+		delete(r.tenantByConn, conn)
+	}
+	r.acceptRate.Remove(fairshare.Tenant(name))
+	delete(r.tenants, name)
+	return connections
+}
+
+// Connections lists a tenant's connections in ascending order.
+func (r *ConnectionRouter) Connections(name Name) (connections []Conn) {
+	route := r.tenants[name]
+	if route == nil || route.connections == 0 {
+		return nil
+	}
+	for conn, tenant := range r.tenantByConn {
+		if tenant == name {
+			connections = append(connections, conn)
+		}
+	}
+	slices.Sort(connections)
+	return connections
+}
+
+// Tenant is the tenant of a connection; ok is false if it is not identified.
+func (r *ConnectionRouter) Tenant(conn Conn) (name Name, ok bool) {
+	name, ok = r.tenantByConn[conn]
+	return name, ok
+}
+
+// Count is the number of identified and of unidentified connections, and the bytes that the latter have sent.
+func (r *ConnectionRouter) Count() (identified, unidentified, buffered int) {
+	return len(r.tenantByConn), len(r.unidentified), r.bufferedBytes
+}
+
+// Opened takes a new connection. If a reason is returned, the caller closes it.
+func (r *ConnectionRouter) Opened(now float64, conn Conn, from netip.Addr, frontend Frontend) RejectReason {
+	from = from.Unmap()
+	network := networkOf(from)
+	if len(r.unidentified) >= r.limits.Unidentified ||
+		r.unidentifiedByNetwork[network] >= r.limits.UnidentifiedPerNetwork {
+		return r.reject(TooManyUnidentified)
+	}
+	r.unidentifiedByNetwork[network]++
+	r.unidentified[conn] = &unidentifiedConn{id: conn, from: from, frontend: frontend, openedAt: now}
+	return NotRejected
+}
+
+// Closed forgets a connection.
+func (r *ConnectionRouter) Closed(conn Conn) {
+	if c := r.unidentified[conn]; c != nil {
+		r.forgetUnidentified(c)
+	}
+	name, ok := r.tenantByConn[conn]
+	if !ok {
+		return
+	}
+	delete(r.tenantByConn, conn)
+	if route := r.tenants[name]; route != nil {
+		route.connections--
+	}
+}
+
+// RouteResult is what became of received bytes of an unidentified connection.
+type RouteResult struct {
+	Tenant     Name   // to which the connection belongs from now on; empty if it is not known yet or rejected
+	Bytes      []byte // all that the connection has sent, for that tenant
+	Frontend   Frontend
+	Reason     RejectReason // unless NotRejected, the caller closes the connection
+	RetryAfter float64      // seconds after which the proxy may come back; 0: unspecified
+}
+
+// Receive takes received bytes of an unidentified connection. With TenantStarting, the result names the tenant too.
+func (r *ConnectionRouter) Receive(now float64, conn Conn, received []byte) RouteResult {
+	c := r.unidentified[conn]
+	if c == nil {
+		return RouteResult{}
+	}
+	r.bufferedBytes += len(received)
+	c.received = append(c.received, received...)
+	uid, needMore, err := r.parsers[c.frontend](c.received)
+	if err == nil && needMore && len(c.received) < r.limits.UnidentifiedBytes && r.bufferedBytes <= r.limits.TotalBuffered {
+		return RouteResult{}
+	}
+	r.forgetUnidentified(c)
+	name, _, ok := SplitUID(uid)
+	if err != nil || needMore || !ok {
+		return RouteResult{Frontend: c.frontend, Reason: r.reject(MalformedIdentity)}
+	}
+	return r.route(now, c, name)
+}
+
+// route assigns an identified connection to its tenant, or rejects it.
+func (r *ConnectionRouter) route(now float64, conn *unidentifiedConn, name Name) RouteResult {
+	result := RouteResult{Frontend: conn.frontend, RetryAfter: r.limits.RetryAfter}
+	route := r.tenants[name]
+	switch {
+	case route == nil:
+		result.Reason = r.reject(UnknownTenant)
+		return result
+	case !route.allows(conn.from):
+		result.Reason = r.reject(NetworkNotAllowed)
+		result.RetryAfter = 0
+		return result
+	case !route.ready:
+		result.Reason = r.reject(TenantStarting)
+		result.Tenant = name
+		return result
+	case route.connections >= route.maxConnections:
+		result.Reason = r.reject(TenantConnectionsFull)
+		return result
+	}
+	wait, ok, err := r.acceptRate.Take(now, fairshare.Tenant(name), 1, false)
+	if !ok || err != nil {
+		result.Reason = r.reject(AcceptRateExceeded)
+		result.RetryAfter = math.Max(wait, r.limits.RetryAfter)
+		return result
+	}
+	route.connections++
+	r.tenantByConn[conn.id] = name
+	return RouteResult{Tenant: name, Bytes: conn.received, Frontend: conn.frontend}
+}
+
+// TakeExpired removes the connections that were not identified in time, and returns them in ascending order for the
+// caller to close.
+func (r *ConnectionRouter) TakeExpired(now float64) (connections []Conn) {
+	var expired []*unidentifiedConn
+	for _, c := range r.unidentified {
+		if now-c.openedAt > r.limits.IdentifyTimeout {
+			expired = append(expired, c)
+		}
+	}
+	slices.SortFunc(expired, func(a, b *unidentifiedConn) int { return cmp.Compare(a.id, b.id) })
+	for _, c := range expired {
+		r.forgetUnidentified(c)
+		r.reject(IdentifyTimedOut)
+		connections = append(connections, c.id)
+	}
+	return connections
+}
+
+func (r *ConnectionRouter) forgetUnidentified(conn *unidentifiedConn) {
+	r.bufferedBytes -= len(conn.received)
+	delete(r.unidentified, conn.id)
+	network := networkOf(conn.from)
+	r.unidentifiedByNetwork[network]--
+	if r.unidentifiedByNetwork[network] <= 0 {
+		delete(r.unidentifiedByNetwork, network)
+	}
+}
+
+func (r *ConnectionRouter) reject(reason RejectReason) RejectReason {
+	r.Rejected[reason]++
+	return reason
+}
--- /dev/null
+++ b/internal/core/tenancy/router_test.go
@@ -0,0 +1,162 @@
+package tenancy
+
+import (
+	"errors"
+	"fmt"
+	"net/netip"
+	"strings"
+	"testing"
+)
+
+// parseTestIdentity takes a text up to a full stop as a UID, and an exclamation mark at its start as malformed.
+func parseTestIdentity(received []byte) (uid string, needMore bool, err error) {
+	text := string(received)
+	switch {
+	case strings.HasPrefix(text, "!"):
+		return "", false, errors.New("malformed")
+	case strings.HasSuffix(text, "."):
+		return strings.TrimSuffix(text, "."), false, nil
+	}
+	return "", true, nil
+}
+
+// testAddress is an address in one of 256 networks.
+func testAddress(network byte) netip.Addr { return netip.AddrFrom4([4]byte{127, 0, network, 1}) }
+
+// testRouter opens connections with ascending numbers.
+type testRouter struct {
+	*ConnectionRouter
+	t    *testing.T
+	last Conn
+}
+
+// newTestRouter makes a router with the tenants "a" (two connections), "b" (from network 7 only) and "late" (starting).
+func newTestRouter(t *testing.T) *testRouter {
+	t.Helper()
+	limits := DefaultRouterLimits
+	limits.Unidentified = 4
+	limits.UnidentifiedPerNetwork = 3
+	limits.UnidentifiedBytes = 50
+	limits.TotalBuffered = 100
+	limits.AcceptRate = 20
+	limits.AcceptBurst = 20
+	r := NewConnectionRouter(1, limits, map[Frontend]IdentityParser{SASP: parseTestIdentity})
+	if err := errors.Join(
+		r.Set(1, "a", 1, 2, nil, true),
+		r.Set(1, "b", 1, 9, []netip.Prefix{netip.MustParsePrefix("127.0.7.0/24")}, true),
+		r.Set(1, "late", 1, 9, nil, false),
+	); err != nil {
+		t.Fatal(err)
+	}
+	return &testRouter{ConnectionRouter: r, t: t}
+}
+
+// open opens a connection from a network.
+func (r *testRouter) open(now float64, network byte) Conn {
+	r.t.Helper()
+	r.last++
+	if reason := r.Opened(now, r.last, testAddress(network), SASP); reason != NotRejected {
+		r.t.Fatalf("rejected: %s", reason)
+	}
+	return r.last
+}
+
+// receive passes a text of a connection to the router, and checks the result.
+func (r *testRouter) receive(conn Conn, text string, wantReason RejectReason, wantTenant Name) RouteResult {
+	r.t.Helper()
+	result := r.Receive(1, conn, []byte(text))
+	if result.Reason != wantReason || result.Tenant != wantTenant {
+		r.t.Errorf("%q: %v for %q, wanted %v for %q", text, result.Reason, result.Tenant, wantReason, wantTenant)
+	}
+	return result
+}
+
+func TestConnectionsAreRoutedByTheirFirstMessage(t *testing.T) {
+	r := newTestRouter(t)
+	conn := r.open(1, 1)
+	r.receive(conn, "a/re", NotRejected, "") // in two pieces
+	if result := r.receive(conn, "lay.", NotRejected, "a"); string(result.Bytes) != "a/relay." {
+		t.Errorf("its tenant is given %q", result.Bytes)
+	}
+	if name, ok := r.Tenant(conn); !ok || name != "a" {
+		t.Error("it is not identified")
+	}
+	r.receive(r.open(1, 1), "!", MalformedIdentity, "")
+	r.receive(r.open(1, 1), "A/relay.", MalformedIdentity, "")
+	r.receive(r.open(1, 1), "none/relay.", UnknownTenant, "")
+	r.receive(r.open(1, 1), "late/relay.", TenantStarting, "late")
+	r.receive(r.open(1, 1), strings.Repeat("x", 60), MalformedIdentity, "")
+	r.receive(r.open(1, 1), "b/relay.", NetworkNotAllowed, "")
+	r.receive(r.open(1, 7), "b/relay.", NotRejected, "b")
+	r.receive(r.open(1, 1), "a/other.", NotRejected, "a")
+	r.receive(r.open(1, 1), "a/third.", TenantConnectionsFull, "")
+	r.Closed(conn)
+	r.receive(r.open(1, 1), "a/third.", NotRejected, "a")
+	if identified, unidentified, buffered := r.Count(); identified != 3 || unidentified != 0 || buffered != 0 {
+		t.Errorf("%d identified, %d unidentified, %d bytes", identified, unidentified, buffered)
+	}
+	if connections := r.Remove("a"); len(connections) != 2 {
+		t.Errorf("%v were a's", connections)
+	}
+	r.receive(r.open(1, 1), "a/relay.", UnknownTenant, "")
+}
+
+// A network that only dials leaves room for another. All networks together have a limit, and their connections expire.
+func TestUnidentifiedConnectionsAreLimited(t *testing.T) {
+	r := newTestRouter(t)
+	for range 3 {
+		r.open(2, 1)
+	}
+	if r.Opened(2, 100, testAddress(1), SASP) != TooManyUnidentified {
+		t.Error("one network takes all connections")
+	}
+	r.open(2, 2)
+	if r.Opened(2, 101, testAddress(3), SASP) != TooManyUnidentified {
+		t.Error("there is no limit")
+	}
+	if expired := r.TakeExpired(2 + r.limits.IdentifyTimeout/2); len(expired) != 0 {
+		t.Error("too soon", expired)
+	}
+	if expired := r.TakeExpired(2.1 + r.limits.IdentifyTimeout); len(expired) != 4 {
+		t.Error("still there", expired)
+	}
+	r.open(9, 1)
+}
+
+// If many proxies of one tenant connect at once they are slowed; those of another are accepted.
+func TestAcceptRateIsSharedFairly(t *testing.T) {
+	limits := DefaultRouterLimits
+	limits.AcceptRate = 100
+	limits.AcceptBurst = 100
+	r := NewConnectionRouter(1, limits, map[Frontend]IdentityParser{SASP: parseTestIdentity})
+	for _, name := range []Name{"a", "b"} {
+		if err := r.Set(1, name, 1, 1<<20, nil, true); err != nil {
+			t.Fatal(err)
+		}
+	}
+	conn := Conn(0)
+	accepted := map[Name]int{}
+	slowed := map[Name]int{}
+	connect := func(now float64, name Name) {
+		conn++
+		r.Opened(now, conn, testAddress(0), SASP)
+		result := r.Receive(now, conn, fmt.Appendf(nil, "%s/x.", name))
+		switch {
+		case result.Reason == NotRejected:
+			accepted[name]++
+		case result.Reason == AcceptRateExceeded && result.RetryAfter > 0:
+			slowed[name]++
+		}
+	}
+	for now := 1.0; now < 11; now += 0.01 {
+		for range 20 {
+			connect(now, "a")
+		}
+		if int(now*100)%10 == 0 {
+			connect(now, "b")
+		}
+	}
+	if slowed["b"] > 0 || accepted["b"] < 90 || accepted["a"] > 1150 || slowed["a"] == 0 {
+		t.Errorf("accepted %v, slowed %v", accepted, slowed)
+	}
+}
