--- a/internal/core/controlplane/controlplane.go
+++ b/internal/core/controlplane/controlplane.go
@@ -74,7 +74,7 @@
 		return nil, fmt.Errorf("%d classes with %d names; 1 to %d are possible",
 			len(site.Classes), len(site.ClassNames), maxClasses)
 	}
-	f := &Fleet{
+	fleet := &Fleet{
 		Registry:         registry.New(site.Limits.ServerHold, site.Limits.MaxServers, site.DisabledGuards[GuardWarmup]),
 		LoadReports:      loadreport.New(site.Limits.MaxSeries),
 		site:             site,
@@ -88,24 +88,24 @@
 		lastRoundAt:      math.Inf(-1),
 		reportsFlushedAt: now,
 	}
-	f.balancer = balancer.New(site.Seed, site.Classes, site.DataPlane, site.channelInTableEntries(), site.Guarantees,
+	fleet.balancer = balancer.New(site.Seed, site.Classes, site.DataPlane, site.channelInTableEntries(), site.Guarantees,
 		site.Reporting, balancer.HealthChecking{}, balancer.Discovery{Weights: balancer.WeightsNominal})
 	if !site.DisabledGuards[GuardMemory] && len(records) > 0 {
-		f.serversKnown = true
-		if err := f.Registry.Restore(now, records); err != nil {
+		fleet.serversKnown = true
+		if err := fleet.Registry.Restore(now, records); err != nil {
 			return nil, fmt.Errorf("restoring the server registry: %w", err)
 		}
 	}
 	for _, server := range site.Servers {
-		f.serversKnown = f.serversKnown || server.Static
-		if err := f.Registry.Configure(now, server); err != nil {
+		fleet.serversKnown = fleet.serversKnown || server.Static
+		if err := fleet.Registry.Configure(now, server); err != nil {
 			return nil, fmt.Errorf("configuring server %s: %w", server.Server, err)
 		}
 	}
-	for _, proxy := range site.Relays {
-		f.listedProxies[proxy.UID] = proxy
+	for _, listed := range site.Relays {
+		fleet.listedProxies[listed.UID] = listed
 	}
-	return f, nil
+	return fleet, nil
 }
 
 // channelInTableEntries is the channel as the decision module counts it, in table entries. Classes that may use the
--- a/internal/core/controlplane/controlplane_test.go
+++ b/internal/core/controlplane/controlplane_test.go
@@ -56,11 +56,11 @@
 // join lets a proxy join and fails the test if it may not.
 func join(t testing.TB, f *Fleet, now float64, uid string, frontend Frontend) *Proxy {
 	t.Helper()
-	p, err := f.Join(now, uid, frontend, true)
+	proxy, err := f.Join(now, uid, frontend, true)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return p
+	return proxy
 }
 
 // startFleet makes a fleet whose proxies are joined and hold its tables. It returns the time by then.
@@ -85,20 +85,20 @@
 func step(f *Fleet, now float64) {
 	f.RunRound(now)
 	for {
-		p, ok := f.NextDue(now)
+		proxy, ok := f.NextDue(now)
 		if !ok {
 			return
 		}
 		sent := 0
-		for class := range p.Tables {
-			if entries, _, ok := f.Delta(p, balancer.Class(class)); ok {
+		for class := range proxy.Tables {
+			if entries, _, ok := f.Delta(proxy, balancer.Class(class)); ok {
 				for range entries {
 					sent++
 				}
 			}
 		}
-		f.MarkSent(now, p, sent)
-		f.MarkDelivered(now, p)
+		f.MarkSent(now, proxy, sent)
+		f.MarkDelivered(now, proxy)
 	}
 }
 
@@ -109,9 +109,9 @@
 	displaced int
 }
 
-func (c *countingFrontend) Deliver(_ float64, p *Proxy) {
+func (c *countingFrontend) Deliver(_ float64, proxy *Proxy) {
 	c.delivered++
-	c.fleet.Suspend(p)
+	c.fleet.Suspend(proxy)
 }
 
 func (c *countingFrontend) Displaced(float64, *Proxy) { c.displaced++ }
--- a/internal/core/controlplane/delivery.go
+++ b/internal/core/controlplane/delivery.go
@@ -9,10 +9,10 @@
 // Frontend speaks a protocol to proxies. The Fleet calls it, and it may call the Fleet meanwhile.
 type Frontend interface {
 	// Deliver sends a proxy its newest state and calls MarkSent, or calls SkipUpdate, Suspend or Disconnect.
-	Deliver(now float64, p *Proxy)
+	Deliver(now float64, proxy *Proxy)
 	// Displaced says that the proxy joined by another frontend or connection, or was evicted. The frontend closes
 	// its own connection and calls the Fleet no more for it.
-	Displaced(now float64, p *Proxy)
+	Displaced(now float64, proxy *Proxy)
 }
 
 const (
@@ -23,21 +23,21 @@
 // NextDue is the proxy that gets a message now; ok is false if none does. The caller sends the message and calls
 // MarkSent. A proxy that has not acknowledged its last message is passed over, so that nothing queues behind a slow
 // reader.
-func (f *Fleet) NextDue(now float64) (p *Proxy, ok bool) {
+func (f *Fleet) NextDue(now float64) (proxy *Proxy, ok bool) {
 	for {
 		id, ok := f.sendQueue.Next(now)
 		if !ok {
 			return nil, false
 		}
-		p := f.proxies[id]
+		proxy := f.proxies[id]
 		switch {
-		case p == nil || !p.Joined || p.Polls:
+		case proxy == nil || !proxy.Joined || proxy.Polls:
 			f.sendQueue.Forget(id)
-		case p.inFlight:
+		case proxy.inFlight:
 			f.sendQueue.Suspend(id)
 		default:
-			p.urgentOnly = f.sendsUrgentOnly(p)
-			return p, true
+			proxy.urgentOnly = f.sendsUrgentOnly(proxy)
+			return proxy, true
 		}
 	}
 }
@@ -45,70 +45,70 @@
 // SendDue lets the frontends send all messages that are due.
 func (f *Fleet) SendDue(now float64) {
 	for {
-		p, ok := f.NextDue(now)
+		proxy, ok := f.NextDue(now)
 		if !ok {
 			return
 		}
-		if !f.owns(now, p.UID) {
-			f.evict(now, p)
+		if !f.owns(now, proxy.UID) {
+			f.evict(now, proxy)
 			continue
 		}
-		p.frontend.Deliver(now, p)
+		proxy.frontend.Deliver(now, proxy)
 	}
 }
 
 // Suspend says that the proxy that is due can't be sent to now. Its updates wait until Resume.
-func (f *Fleet) Suspend(p *Proxy) { f.sendQueue.Suspend(p.ID) }
+func (f *Fleet) Suspend(proxy *Proxy) { f.sendQueue.Suspend(proxy.ID) }
 
 // Resume ends a Suspend.
-func (f *Fleet) Resume(now float64, p *Proxy) {
-	if p.Joined && !p.inFlight {
-		f.sendQueue.Resume(now, p.ID)
+func (f *Fleet) Resume(now float64, proxy *Proxy) {
+	if proxy.Joined && !proxy.inFlight {
+		f.sendQueue.Resume(now, proxy.ID)
 	}
 }
 
 // SetPolling says whether a proxy polls for its tables or has them pushed.
-func (f *Fleet) SetPolling(now float64, p *Proxy, polls bool) {
-	p.Polls = polls
+func (f *Fleet) SetPolling(now float64, proxy *Proxy, polls bool) {
+	proxy.Polls = polls
 	if polls {
 		return
 	}
-	for class := range p.Tables {
-		f.ScheduleFull(now, p, balancer.Class(class), 1)
+	for class := range proxy.Tables {
+		f.ScheduleFull(now, proxy, balancer.Class(class), 1)
 	}
 }
 
 // ScheduleFull makes the full table of a class due for a proxy whose state changed by its own doing, such as a
 // registration of members or of a group. The entries are the expected size of the message.
-func (f *Fleet) ScheduleFull(now float64, p *Proxy, class balancer.Class, entries float64) {
-	state := &p.Tables[class]
+func (f *Fleet) ScheduleFull(now float64, proxy *Proxy, class balancer.Class, entries float64) {
+	state := &proxy.Tables[class]
 	if f.site.DisabledGuards[GuardRejoin] && state.SentVersion > 0 {
 		return
 	}
 	state.Full = true
-	if state.Bound && !p.Polls && p.Joined {
-		f.enqueue(now, p, entries, pacing.Normal)
+	if state.Bound && !proxy.Polls && proxy.Joined {
+		f.enqueue(now, proxy, entries, pacing.Normal)
 	}
 }
 
 // ObserveVersions takes the table versions that a proxy itself says it holds, by class; 0 if it holds no known one.
 // What was sent beyond them is lost, and due again.
-func (f *Fleet) ObserveVersions(now float64, p *Proxy, versions []tables.Version) {
-	p.inFlight = false
-	for class := range p.Tables {
-		state := &p.Tables[class]
+func (f *Fleet) ObserveVersions(now float64, proxy *Proxy, versions []tables.Version) {
+	proxy.inFlight = false
+	for class := range proxy.Tables {
+		state := &proxy.Tables[class]
 		state.SentVersion = versions[class]
 		state.AckedVersion = versions[class]
 		if state.Bound && state.SentVersion == 0 && !state.Full {
-			f.ScheduleFull(now, p, balancer.Class(class), float64(f.tables[state.Table].Len()))
+			f.ScheduleFull(now, proxy, balancer.Class(class), float64(f.tables[state.Table].Len()))
 		}
 	}
 	priority := pacing.Normal
-	if p.urgent {
+	if proxy.urgent {
 		priority = pacing.Urgent
 	}
-	if f.NeedsUpdate(p) && !f.sendQueue.IsQueued(p.ID) {
-		f.enqueue(now, p, 1, priority)
+	if f.NeedsUpdate(proxy) && !f.sendQueue.IsQueued(proxy.ID) {
+		f.enqueue(now, proxy, 1, priority)
 	}
 }
 
@@ -116,14 +116,14 @@
 // channel all drains then go first, instead of waiting for the weights in each other's messages. The cost is a second
 // message, so it is not done for a proxy close to its message limit, nor where the table would be left with entries
 // that changed later only.
-func (f *Fleet) sendsUrgentOnly(p *Proxy) bool {
+func (f *Fleet) sendsUrgentOnly(proxy *Proxy) bool {
 	queued, _ := f.sendQueue.TotalQueued()
-	if !p.urgent || queued < f.site.Channel.EntriesPerSecond*urgentOnlyBacklogSeconds ||
-		f.sendQueue.MessagesLeft(p.ID) < urgentOnlyMinMessages {
+	if !proxy.urgent || queued < f.site.Channel.EntriesPerSecond*urgentOnlyBacklogSeconds ||
+		f.sendQueue.MessagesLeft(proxy.ID) < urgentOnlyMinMessages {
 		return false
 	}
-	for class := range p.Tables {
-		state := &p.Tables[class]
+	for class := range proxy.Tables {
+		state := &proxy.Tables[class]
 		if !state.Bound || state.Full || state.SentVersion == 0 {
 			return false
 		}
@@ -139,9 +139,9 @@
 }
 
 // targetVersion is the version to which a proxy's next message brings a class.
-func (f *Fleet) targetVersion(p *Proxy, state *TableState) tables.Version {
+func (f *Fleet) targetVersion(proxy *Proxy, state *TableState) tables.Version {
 	table := f.tables[state.Table]
-	if p.urgentOnly {
+	if proxy.urgentOnly {
 		return max(table.urgentVersion, state.SentVersion)
 	}
 	return table.Version()
@@ -149,85 +149,85 @@
 
 // MarkSent says that a message with the newest state of all assigned classes was sent to a proxy. The frontend calls
 // MarkDelivered when the proxy has acknowledged it.
-func (f *Fleet) MarkSent(now float64, p *Proxy, entries int) {
+func (f *Fleet) MarkSent(now float64, proxy *Proxy, entries int) {
 	full := false
 	remaining := 0.0
-	for class := range p.Tables {
-		state := &p.Tables[class]
+	for class := range proxy.Tables {
+		state := &proxy.Tables[class]
 		if !state.Bound {
 			continue
 		}
 		full = full || state.Full
-		state.SentVersion = f.targetVersion(p, state)
+		state.SentVersion = f.targetVersion(proxy, state)
 		state.Full = false
 		state.Stale = false
 		for range f.tables[state.Table].ChangedSince(state.SentVersion) {
 			remaining++
 		}
 	}
-	f.sendQueue.MarkSent(now, p.ID, float64(entries))
-	p.urgentOnly = false
-	if p.trace.DecidedAt == 0 { // the proxy's own doing: it registered members, or polled
-		p.trace.DecidedAt = now
+	f.sendQueue.MarkSent(now, proxy.ID, float64(entries))
+	proxy.urgentOnly = false
+	if proxy.trace.DecidedAt == 0 { // the proxy's own doing: it registered members, or polled
+		proxy.trace.DecidedAt = now
 	}
-	if remaining > 0 && !p.Polls {
-		p.followUpTrace = p.trace
-		f.sendQueue.Suspend(p.ID)
-		f.sendQueue.Add(now, p.ID, remaining, pacing.Normal)
+	if remaining > 0 && !proxy.Polls {
+		proxy.followUpTrace = proxy.trace
+		f.sendQueue.Suspend(proxy.ID)
+		f.sendQueue.Add(now, proxy.ID, remaining, pacing.Normal)
 	}
-	p.inFlight = true
-	p.inFlightSince = now
-	p.inFlightAcks = append(p.inFlightAcks[:0], p.queuedAcks...)
-	p.queuedAcks = p.queuedAcks[:0]
+	proxy.inFlight = true
+	proxy.inFlightSince = now
+	proxy.inFlightAcks = append(proxy.inFlightAcks[:0], proxy.queuedAcks...)
+	proxy.queuedAcks = proxy.queuedAcks[:0]
 	f.Stats.Messages++
 	f.Stats.Entries += entries
 	if full {
 		f.Stats.FullTables++
 	}
-	p.trace.markSent(now, p, entries, full)
+	proxy.trace.markSent(now, proxy, entries, full)
 }
 
 // SkipUpdate says that the proxy that was due needs no message: it holds the newest state.
-func (f *Fleet) SkipUpdate(now float64, p *Proxy) {
-	f.sendQueue.Drop(p.ID)
-	for class := range p.Tables {
-		state := &p.Tables[class]
+func (f *Fleet) SkipUpdate(now float64, proxy *Proxy) {
+	f.sendQueue.Drop(proxy.ID)
+	for class := range proxy.Tables {
+		state := &proxy.Tables[class]
 		if state.Bound {
 			state.SentVersion = f.tables[state.Table].Version()
 			state.Full = false
 			state.Stale = false
 		}
 	}
-	p.inFlightAcks = append(p.inFlightAcks, p.queuedAcks...)
-	p.queuedAcks = p.queuedAcks[:0]
-	f.MarkDelivered(now, p)
+	proxy.inFlightAcks = append(proxy.inFlightAcks, proxy.queuedAcks...)
+	proxy.queuedAcks = proxy.queuedAcks[:0]
+	f.MarkDelivered(now, proxy)
 }
 
 // MarkDelivered says that a proxy has acknowledged what was sent to it. The acknowledgements that the decision module
 // asked for are answered by it.
-func (f *Fleet) MarkDelivered(now float64, p *Proxy) {
-	if !p.Joined {
+func (f *Fleet) MarkDelivered(now float64, proxy *Proxy) {
+	if !proxy.Joined {
 		return
 	}
-	for class := range p.Tables {
-		state := &p.Tables[class]
+	for class := range proxy.Tables {
+		state := &proxy.Tables[class]
 		state.AckedVersion = state.SentVersion
 	}
-	if p.inFlight {
-		p.deliveries.add(p.inFlightSince, now)
+	if proxy.inFlight {
+		proxy.deliveries.add(proxy.inFlightSince, now)
 	}
-	for _, request := range p.inFlightAcks {
+	for _, request := range proxy.inFlightAcks {
 		f.pendingEvents.Acks = append(f.pendingEvents.Acks,
-			balancer.Ack{Proxy: p.ID, ID: request.id, Latency: now - request.requestedAt})
+			balancer.Ack{Proxy: proxy.ID, ID: request.id, Latency: now - request.requestedAt})
 	}
-	f.finishTrace(p, now)
-	if p.inFlight {
-		p.inFlight = false
-		f.sendQueue.Resume(now, p.ID)
+	f.finishTrace(proxy, now)
+	if proxy.inFlight {
+		proxy.inFlight = false
+		f.sendQueue.Resume(now, proxy.ID)
 	}
-	p.inFlightAcks = p.inFlightAcks[:0]
-	p.urgent = p.urgent && f.sendQueue.IsUrgent(p.ID)
-	if p.urgent {
-		p.urgentSince = max(p.urgentSince, p.inFlightSince) // it came after that message was sent
+	proxy.inFlightAcks = proxy.inFlightAcks[:0]
+	proxy.urgent = proxy.urgent && f.sendQueue.IsUrgent(proxy.ID)
+	if proxy.urgent {
+		proxy.urgentSince = max(proxy.urgentSince, proxy.inFlightSince) // it came after that message was sent
 	}
 }
--- a/internal/core/controlplane/delta.go
+++ b/internal/core/controlplane/delta.go
@@ -8,9 +8,9 @@
 )
 
 // NeedsUpdate tells whether a proxy was not yet sent the newest state of a class that it is assigned a table for.
-func (f *Fleet) NeedsUpdate(p *Proxy) bool {
-	for class := range p.Tables {
-		state := &p.Tables[class]
+func (f *Fleet) NeedsUpdate(proxy *Proxy) bool {
+	for class := range proxy.Tables {
+		state := &proxy.Tables[class]
 		if state.Bound && (state.Full || state.SentVersion != f.tables[state.Table].Version()) {
 			return true
 		}
@@ -20,8 +20,8 @@
 
 // Delta is what a proxy's next message says of a class. If full, it is all entries, and those without weight may be
 // left out; else those that changed, the newest first. ok is false if the class is not assigned a table yet.
-func (f *Fleet) Delta(p *Proxy, class balancer.Class) (entries iter.Seq[*tables.Entry], full, ok bool) {
-	state := &p.Tables[class]
+func (f *Fleet) Delta(proxy *Proxy, class balancer.Class) (entries iter.Seq[*tables.Entry], full, ok bool) {
+	state := &proxy.Tables[class]
 	if !state.Bound {
 		return nil, false, false
 	}
@@ -29,13 +29,13 @@
 	if state.Full || !table.CanDelta(state.SentVersion) {
 		return table.ChangedSince(0), true, true
 	}
-	return table.ChangedBetween(state.SentVersion, f.targetVersion(p, state)), false, true
+	return table.ChangedBetween(state.SentVersion, f.targetVersion(proxy, state)), false, true
 }
 
 // FullTable is the whole table of a class, as a full Delta, whatever the proxy holds. ok is false if the class is not
 // assigned a table yet.
-func (f *Fleet) FullTable(p *Proxy, class balancer.Class) (entries iter.Seq[*tables.Entry], ok bool) {
-	state := &p.Tables[class]
+func (f *Fleet) FullTable(proxy *Proxy, class balancer.Class) (entries iter.Seq[*tables.Entry], ok bool) {
+	state := &proxy.Tables[class]
 	if !state.Bound {
 		return nil, false
 	}
@@ -44,8 +44,8 @@
 
 // AdmissionsSince are the admission settings of a class that changed after what the proxy was sent; all of them if
 // full.
-func (f *Fleet) AdmissionsSince(p *Proxy, class balancer.Class, full bool) (changed []tables.Admission) {
-	state := &p.Tables[class]
+func (f *Fleet) AdmissionsSince(proxy *Proxy, class balancer.Class, full bool) (changed []tables.Admission) {
+	state := &proxy.Tables[class]
 	if !state.Bound {
 		return nil
 	}
@@ -60,17 +60,19 @@
 // MayHoldStale tells whether a proxy may hold entries that no delta removes: they belong to a table that it is no longer
 // assigned, or were removed so long ago that the removal is forgotten. It must be told that each server without an entry
 // has none.
-func (f *Fleet) MayHoldStale(p *Proxy, class balancer.Class) bool {
-	state := &p.Tables[class]
+func (f *Fleet) MayHoldStale(proxy *Proxy, class balancer.Class) bool {
+	state := &proxy.Tables[class]
 	return state.Stale || state.Bound && state.SentVersion > 0 && !f.tables[state.Table].CanDelta(state.SentVersion)
 }
 
 // Notified tells whether a proxy was sent anything of a class since it joined.
-func (f *Fleet) Notified(p *Proxy, class balancer.Class) bool { return p.Tables[class].SentVersion > 0 }
+func (f *Fleet) Notified(proxy *Proxy, class balancer.Class) bool {
+	return proxy.Tables[class].SentVersion > 0
+}
 
 // Weight is the wanted weight of a server for a proxy's class; 0 if the server has no entry.
-func (f *Fleet) Weight(p *Proxy, class balancer.Class, server balancer.Server) float64 {
-	state := &p.Tables[class]
+func (f *Fleet) Weight(proxy *Proxy, class balancer.Class, server balancer.Server) float64 {
+	state := &proxy.Tables[class]
 	if !state.Bound {
 		return 0
 	}
@@ -78,8 +80,8 @@
 }
 
 // TableSize is the number of entries of a class's table.
-func (f *Fleet) TableSize(p *Proxy, class balancer.Class) int {
-	state := &p.Tables[class]
+func (f *Fleet) TableSize(proxy *Proxy, class balancer.Class) int {
+	state := &proxy.Tables[class]
 	if !state.Bound {
 		return 0
 	}
--- a/internal/core/controlplane/disconnect.go
+++ b/internal/core/controlplane/disconnect.go
@@ -4,26 +4,26 @@
 // time, a drain has waited for it too long, or its load reports show that it does not apply what it acknowledges. A
 // proxy that reconnects gets the newest table first, so that it does not go on sending to a server that drains. The cost
 // is a reconnection of proxies that are only slow to acknowledge.
-func (f *Fleet) DisconnectReason(now float64, p *Proxy) string {
-	if reason := f.Noncompliance(p); reason != "" {
+func (f *Fleet) DisconnectReason(now float64, proxy *Proxy) string {
+	if reason := f.Noncompliance(proxy); reason != "" {
 		return reason
 	}
 	switch {
-	case !p.Joined:
+	case !proxy.Joined:
 		return ""
-	case p.inFlight && now-p.inFlightSince > f.site.Limits.StallTimeout:
+	case proxy.inFlight && now-proxy.inFlightSince > f.site.Limits.StallTimeout:
 		f.Stats.Stalled++
 		return "message not acknowledged within the stall timeout"
-	case p.inFlight || p.Polls:
-		return f.DrainOverdue(now, p)
+	case proxy.inFlight || proxy.Polls:
+		return f.DrainOverdue(now, proxy)
 	}
 	return ""
 }
 
 // DrainOverdue tells why a proxy must be disconnected for a drain that has waited for it too long; empty if none has.
-func (f *Fleet) DrainOverdue(now float64, p *Proxy) string {
+func (f *Fleet) DrainOverdue(now float64, proxy *Proxy) string {
 	limit := f.site.Limits.DrainFraction * f.site.Guarantees.DrainDeadline
-	if !p.Joined || !p.urgent || f.site.DisabledGuards[GuardOverdue] || now-p.urgentSince <= limit {
+	if !proxy.Joined || !proxy.urgent || f.site.DisabledGuards[GuardOverdue] || now-proxy.urgentSince <= limit {
 		return ""
 	}
 	f.Stats.Overdue++
@@ -32,13 +32,13 @@
 
 // Noncompliance tells why a proxy must be disconnected for load reports that show attempts at a server removed from its
 // tables; empty if there are none.
-func (f *Fleet) Noncompliance(p *Proxy) string {
-	if !p.Joined || p.noncompliantWith == "" {
+func (f *Fleet) Noncompliance(proxy *Proxy) string {
+	if !proxy.Joined || proxy.noncompliantWith == "" {
 		return ""
 	}
 	f.Stats.Noncompliant++
-	return "load reports show attempts at " + string(p.noncompliantWith) + " after its removal"
+	return "load reports show attempts at " + string(proxy.noncompliantWith) + " after its removal"
 }
 
 // HasUrgent tells whether an urgent change, such as a drain, waits for a proxy.
-func (f *Fleet) HasUrgent(p *Proxy) bool { return p.urgent }
+func (f *Fleet) HasUrgent(proxy *Proxy) bool { return proxy.urgent }
--- a/internal/core/controlplane/drains.go
+++ b/internal/core/controlplane/drains.go
@@ -26,24 +26,24 @@
 	if progress.Phase == balancer.Ready {
 		progress.NotifiedAt = 0
 	}
-	for _, p := range f.sortedProxies() {
-		if !p.Joined {
+	for _, proxy := range f.sortedProxies() {
+		if !proxy.Joined {
 			continue
 		}
 		progress.Joined++
-		if f.holdsNoEntry(p, server) {
+		if f.holdsNoEntry(proxy, server) {
 			progress.Updated++
 		} else if len(progress.Pending) < maxPendingUIDs {
-			progress.Pending = append(progress.Pending, p.UID)
+			progress.Pending = append(progress.Pending, proxy.UID)
 		}
 	}
 	return progress, true
 }
 
 // holdsNoEntry tells whether a proxy is known to hold no entry of a server for any class.
-func (f *Fleet) holdsNoEntry(p *Proxy, server balancer.Server) bool {
-	for class := range p.Tables {
-		state := &p.Tables[class]
+func (f *Fleet) holdsNoEntry(proxy *Proxy, server balancer.Server) bool {
+	for class := range proxy.Tables {
+		state := &proxy.Tables[class]
 		if !state.Bound || state.Full || state.AckedVersion == 0 {
 			return false
 		}
--- a/internal/core/controlplane/metrics.go
+++ b/internal/core/controlplane/metrics.go
@@ -110,10 +110,10 @@
 // tableUsage is, for each class, the tables that joined proxies use.
 func (f *Fleet) tableUsage() [][]usedTable {
 	usage := make([][]usedTable, len(f.site.Classes))
-	for _, p := range f.sortedProxies() {
-		for class := range p.Tables {
-			state := &p.Tables[class]
-			if !p.Joined || !state.Bound {
+	for _, proxy := range f.sortedProxies() {
+		for class := range proxy.Tables {
+			state := &proxy.Tables[class]
+			if !proxy.Joined || !state.Bound {
 				continue
 			}
 			table := f.tables[state.Table]
--- a/internal/core/controlplane/ownership.go
+++ b/internal/core/controlplane/ownership.go
@@ -35,14 +35,14 @@
 		return
 	}
 	var foreign []*Proxy
-	for _, p := range f.proxies {
-		if p.Joined && !f.owns(now, p.UID) {
-			foreign = append(foreign, p)
+	for _, proxy := range f.proxies {
+		if proxy.Joined && !f.owns(now, proxy.UID) {
+			foreign = append(foreign, proxy)
 		}
 	}
 	sortByID(foreign)
-	for _, p := range foreign {
-		f.evict(now, p)
+	for _, proxy := range foreign {
+		f.evict(now, proxy)
 	}
 }
 
@@ -50,8 +50,8 @@
 	return f.owner.owns == nil || f.owner.owns(now, uid)
 }
 
-func (f *Fleet) evict(now float64, p *Proxy) {
+func (f *Fleet) evict(now float64, proxy *Proxy) {
 	f.Stats.Evicted++
-	f.Disconnect(now, p)
-	p.frontend.Displaced(now, p)
+	f.Disconnect(now, proxy)
+	proxy.frontend.Displaced(now, proxy)
 }
--- a/internal/core/controlplane/preview.go
+++ b/internal/core/controlplane/preview.go
@@ -32,10 +32,10 @@
 		LoseZone:       loseZone,
 	}
 	previews := map[*desiredTable]*tablePreview{} // proxies that share a table share its preview
-	for _, p := range f.sortedProxies() {
-		for class := range p.Tables {
-			state := &p.Tables[class]
-			if !p.Joined || !state.Bound {
+	for _, proxy := range f.sortedProxies() {
+		for class := range proxy.Tables {
+			state := &proxy.Tables[class]
+			if !proxy.Joined || !state.Bound {
 				continue
 			}
 			table := f.tables[state.Table]
@@ -49,9 +49,9 @@
 				states = append(states, preview.present)
 			}
 			snapshot.Proxies = append(snapshot.Proxies, tablecheck.Proxy{
-				UID:    p.UID,
+				UID:    proxy.UID,
 				Class:  balancer.Class(class),
-				Demand: p.ExpectedRate / float64(len(f.site.Classes)),
+				Demand: proxy.ExpectedRate / float64(len(f.site.Classes)),
 				Tables: states,
 			})
 		}
--- a/internal/core/controlplane/proxies.go
+++ b/internal/core/controlplane/proxies.go
@@ -112,38 +112,38 @@
 		}
 		return nil, fmt.Errorf("%w: %q", ErrWrongCoordinator, uid)
 	}
-	p := f.proxiesByUID[uid]
-	if p == nil {
+	proxy := f.proxiesByUID[uid]
+	if proxy == nil {
 		var err error
-		p, err = f.addProxy(now, uid)
+		proxy, err = f.addProxy(now, uid)
 		if err != nil {
 			return nil, err
 		}
 	}
-	if !f.allowJoin(now, p) {
+	if !f.allowJoin(now, proxy) {
 		return nil, fmt.Errorf("%w: %q", ErrJoinRateExceeded, uid)
 	}
-	if p.Joined {
-		previous := p.frontend
-		f.Disconnect(now, p)
-		previous.Displaced(now, p)
+	if proxy.Joined {
+		previous := proxy.frontend
+		f.Disconnect(now, proxy)
+		previous.Displaced(now, proxy)
 	}
-	p.frontend = frontend
-	p.Polls = false
-	p.SupportsAdmission = false
-	p.Joined = true
-	p.clockOffset = math.Inf(1)
-	p.noncompliantWith = ""
-	p.deliveries.clear()
+	proxy.frontend = frontend
+	proxy.Polls = false
+	proxy.SupportsAdmission = false
+	proxy.Joined = true
+	proxy.clockOffset = math.Inf(1)
+	proxy.noncompliantWith = ""
+	proxy.deliveries.clear()
 	f.joinedCount++
 	f.pendingEvents.ProxyEvents = append(f.pendingEvents.ProxyEvents, balancer.ProxyEvent{
-		Proxy:        p.ID,
+		Proxy:        proxy.ID,
 		Joined:       true,
-		Zone:         p.Zone,
-		ExpectedRate: p.ExpectedRate,
+		Zone:         proxy.Zone,
+		ExpectedRate: proxy.ExpectedRate,
 		DefaultTable: fresh,
 	})
-	return p, nil
+	return proxy, nil
 }
 
 // addProxy makes the entry of a proxy that is not known yet.
@@ -161,16 +161,16 @@
 	if len(f.proxies) >= f.site.Limits.MaxRelays {
 		return nil, fmt.Errorf("%w: %d are known", ErrTooManyRelays, len(f.proxies))
 	}
-	p := &Proxy{
+	proxy := &Proxy{
 		ID:           f.allocateProxyID(),
 		UID:          uid,
 		Zone:         config.Zone,
 		ExpectedRate: config.ExpectedRate,
 		Tables:       make([]TableState, len(f.site.Classes)),
 	}
-	f.proxies[p.ID] = p
-	f.proxiesByUID[uid] = p
-	return p, nil
+	f.proxies[proxy.ID] = proxy
+	f.proxiesByUID[uid] = proxy
+	return proxy, nil
 }
 
 // allocateProxyID reuses IDs, since the decision module wants them dense.
@@ -188,11 +188,11 @@
 // allowJoin limits how often one proxy joins. Otherwise a proxy whose connection breaks all the time, or two with one
 // UID, would be sent whole tables each time and leave the channel no capacity for the drains of others. A proxy that is
 // refused keeps its tables and dials again.
-func (f *Fleet) allowJoin(now float64, p *Proxy) bool {
+func (f *Fleet) allowJoin(now float64, proxy *Proxy) bool {
 	if f.site.DisabledGuards[GuardJoinRate] {
 		return true
 	}
-	if !p.joinTokens.take(now, joinsPerSecond, joinBurst) {
+	if !proxy.joinTokens.take(now, joinsPerSecond, joinBurst) {
 		f.Stats.JoinsThrottled++
 		return false
 	}
@@ -201,33 +201,33 @@
 
 // Disconnect says that a proxy's connection ended. The message in flight is taken as lost, and what the proxy holds as
 // unknown, since it may come back after a restart. The cost is a full table for each reconnection.
-func (f *Fleet) Disconnect(now float64, p *Proxy) {
-	if !p.Joined {
+func (f *Fleet) Disconnect(now float64, proxy *Proxy) {
+	if !proxy.Joined {
 		return
 	}
-	f.finishTrace(p, 0)
+	f.finishTrace(proxy, 0)
 	f.joinedCount--
-	p.Joined = false
-	p.leftAt = now
-	p.inFlight = false
-	p.urgent = false
-	p.queuedAcks = p.queuedAcks[:0]
-	p.inFlightAcks = p.inFlightAcks[:0]
-	for class := range p.Tables {
-		state := &p.Tables[class]
-		f.unassign(p, state)
+	proxy.Joined = false
+	proxy.leftAt = now
+	proxy.inFlight = false
+	proxy.urgent = false
+	proxy.queuedAcks = proxy.queuedAcks[:0]
+	proxy.inFlightAcks = proxy.inFlightAcks[:0]
+	for class := range proxy.Tables {
+		state := &proxy.Tables[class]
+		f.unassign(proxy, state)
 		if f.site.DisabledGuards[GuardRejoin] {
 			state.Bound = false
 			continue
 		}
 		*state = TableState{}
 	}
-	f.sendQueue.Forget(p.ID)
-	f.pendingEvents.ProxyEvents = append(f.pendingEvents.ProxyEvents, balancer.ProxyEvent{Proxy: p.ID})
+	f.sendQueue.Forget(proxy.ID)
+	f.pendingEvents.ProxyEvents = append(f.pendingEvents.ProxyEvents, balancer.ProxyEvent{Proxy: proxy.ID})
 }
 
 // unassign removes one class of a proxy from the users of its table.
-func (f *Fleet) unassign(p *Proxy, state *TableState) {
+func (f *Fleet) unassign(proxy *Proxy, state *TableState) {
 	if !state.Bound {
 		return
 	}
@@ -235,19 +235,19 @@
 	if table == nil {
 		return
 	}
-	table.classesByProxy[p.ID]--
-	if table.classesByProxy[p.ID] <= 0 {
-		delete(table.classesByProxy, p.ID)
+	table.classesByProxy[proxy.ID]--
+	if table.classesByProxy[proxy.ID] <= 0 {
+		delete(table.classesByProxy, proxy.ID)
 	}
 }
 
 // forgetExpired forgets proxies that left long ago and frees their IDs. It waits while the decision module has not yet
 // been told who left.
 func (f *Fleet) forgetExpired(now float64) {
-	for id, p := range f.proxies {
-		if !p.Joined && now-p.leftAt > f.site.Limits.RelayRetention && len(f.pendingEvents.ProxyEvents) == 0 {
+	for id, proxy := range f.proxies {
+		if !proxy.Joined && now-proxy.leftAt > f.site.Limits.RelayRetention && len(f.pendingEvents.ProxyEvents) == 0 {
 			delete(f.proxies, id)
-			delete(f.proxiesByUID, p.UID)
+			delete(f.proxiesByUID, proxy.UID)
 			f.LoadReports.RemoveProxy(id)
 			f.freeProxyIDs = append(f.freeProxyIDs, id)
 		}
@@ -258,8 +258,8 @@
 // sortedProxies are all known proxies by ID.
 func (f *Fleet) sortedProxies() []*Proxy {
 	all := make([]*Proxy, 0, len(f.proxies))
-	for _, p := range f.proxies {
-		all = append(all, p)
+	for _, proxy := range f.proxies {
+		all = append(all, proxy)
 	}
 	sortByID(all)
 	return all
--- a/internal/core/controlplane/proxies_test.go
+++ b/internal/core/controlplane/proxies_test.go
@@ -20,12 +20,12 @@
 	f := newFleet(t, site, nil)
 	var last *Proxy
 	for i := range 4 {
-		p, err := f.Join(1000, fmt.Sprint("x", i), nil, true)
+		proxy, err := f.Join(1000, fmt.Sprint("x", i), nil, true)
 		if (i == 3) != errors.Is(err, ErrTooManyRelays) {
 			t.Errorf("proxy %d: %v", i, err)
 		}
 		if err == nil {
-			last = p
+			last = proxy
 		}
 	}
 	f.Disconnect(1001, last)
@@ -33,7 +33,7 @@
 	if _, err := f.Join(1003, "y", nil, true); !errors.Is(err, ErrTooManyRelays) {
 		t.Errorf("an ID was reused too early: %v", err)
 	}
-	if p, err := f.Join(1007, "y", nil, true); err != nil || p.ID != last.ID {
+	if proxy, err := f.Join(1007, "y", nil, true); err != nil || proxy.ID != last.ID {
 		t.Errorf("%v; IDs stay dense", err)
 	}
 }
@@ -57,7 +57,7 @@
 		now += 1.01
 		join(t, f, now, "r0", frontend)
 	}
-	if p := f.Relay("r0"); !p.Joined {
+	if proxy := f.Relay("r0"); !proxy.Joined {
 		t.Error("it is not joined")
 	}
 }
--- a/internal/core/controlplane/publish.go
+++ b/internal/core/controlplane/publish.go
@@ -31,20 +31,20 @@
 }
 
 // publishTo queues a table's changes of this round for one proxy.
-func (f *Fleet) publishTo(now float64, p *Proxy, table *desiredTable, priority pacing.Priority) {
-	if p.trace.DecidedAt == 0 || !p.inFlight {
-		p.trace = f.roundTrace
+func (f *Fleet) publishTo(now float64, proxy *Proxy, table *desiredTable, priority pacing.Priority) {
+	if proxy.trace.DecidedAt == 0 || !proxy.inFlight {
+		proxy.trace = f.roundTrace
 	}
-	if table.urgent && !p.urgent {
-		p.urgent = true
-		p.urgentSince = now
+	if table.urgent && !proxy.urgent {
+		proxy.urgent = true
+		proxy.urgentSince = now
 	}
-	entries := table.changedEntries * float64(table.classesByProxy[p.ID]) // once for each class
-	if p.SupportsAdmission {
+	entries := table.changedEntries * float64(table.classesByProxy[proxy.ID]) // once for each class
+	if proxy.SupportsAdmission {
 		entries += table.changedAdmissions
 	}
-	if !p.Polls && entries > 0 {
-		f.enqueue(now, p, entries, priority)
+	if !proxy.Polls && entries > 0 {
+		f.enqueue(now, proxy, entries, priority)
 	}
 }
 
@@ -71,21 +71,21 @@
 }
 
 // enqueue adds entries to what waits for a proxy.
-func (f *Fleet) enqueue(now float64, p *Proxy, entries float64, priority pacing.Priority) {
-	if p.inFlight {
-		f.sendQueue.Suspend(p.ID)
+func (f *Fleet) enqueue(now float64, proxy *Proxy, entries float64, priority pacing.Priority) {
+	if proxy.inFlight {
+		f.sendQueue.Suspend(proxy.ID)
 	}
 	// An entry that changes several times while its proxy waits is sent once, so it counts once.
-	capacity := max(f.maxMessageEntries(p)-f.sendQueue.QueuedEntries(p.ID), 0)
-	f.sendQueue.Add(now, p.ID, min(entries, capacity), priority)
+	capacity := max(f.maxMessageEntries(proxy)-f.sendQueue.QueuedEntries(proxy.ID), 0)
+	f.sendQueue.Add(now, proxy.ID, min(entries, capacity), priority)
 }
 
 // maxMessageEntries is how many entries a message to a proxy can have: those of its tables, those removed from them, and
 // one for the message.
-func (f *Fleet) maxMessageEntries(p *Proxy) float64 {
+func (f *Fleet) maxMessageEntries(proxy *Proxy) float64 {
 	entries := 0.0
-	for class := range p.Tables {
-		if state := &p.Tables[class]; state.Bound {
+	for class := range proxy.Tables {
+		if state := &proxy.Tables[class]; state.Bound {
 			table := f.tables[state.Table]
 			entries += float64(table.TotalLen() + len(table.Admissions()))
 		}
--- a/internal/core/controlplane/reconfigure.go
+++ b/internal/core/controlplane/reconfigure.go
@@ -145,20 +145,20 @@
 
 func (f *Fleet) reconfigureProxies(now float64, listed []Relay, evicted []string) {
 	clear(f.listedProxies)
-	for _, proxy := range listed {
-		f.listedProxies[proxy.UID] = proxy
+	for _, entry := range listed {
+		f.listedProxies[entry.UID] = entry
 	}
 	for _, uid := range evicted {
-		p := f.proxiesByUID[uid]
-		if p == nil {
+		proxy := f.proxiesByUID[uid]
+		if proxy == nil {
 			continue
 		}
 		if config, ok := f.listedProxies[uid]; ok {
-			p.Zone = config.Zone
-			p.ExpectedRate = config.ExpectedRate
+			proxy.Zone = config.Zone
+			proxy.ExpectedRate = config.ExpectedRate
 		}
-		if p.Joined {
-			f.evict(now, p)
+		if proxy.Joined {
+			f.evict(now, proxy)
 		}
 	}
 }
--- a/internal/core/controlplane/reports.go
+++ b/internal/core/controlplane/reports.go
@@ -41,8 +41,8 @@
 // ReportUpstream takes a proxy's running totals at a server, which it counted at a time of its own clock. Reports that
 // name an unknown server, or come from a proxy that is not joined, are counted and ignored.
 func (f *Fleet) ReportUpstream(now, at float64, uid string, server balancer.Server, totals loadreport.Totals) {
-	p := f.proxiesByUID[uid]
-	if p == nil || !p.Joined {
+	proxy := f.proxiesByUID[uid]
+	if proxy == nil || !proxy.Joined {
 		f.Stats.UnknownRelay++
 		return
 	}
@@ -50,10 +50,10 @@
 		f.Stats.UnknownServer++
 		return
 	}
-	p.clockOffset = min(p.clockOffset, now-at)
-	attempts, since := f.LoadReports.AddUpstream(now, at, p.ID, p.Zone, server, totals)
+	proxy.clockOffset = min(proxy.clockOffset, now-at)
+	attempts, since := f.LoadReports.AddUpstream(now, at, proxy.ID, proxy.Zone, server, totals)
 	if attempts > 0 && !f.site.DisabledGuards[GuardReports] {
-		f.checkCompliance(p, server, since)
+		f.checkCompliance(proxy, server, since)
 	}
 }
 
@@ -61,13 +61,13 @@
 // the proxy as noncompliant if its host had acknowledged, before then, that the server is removed from its tables:
 // an acknowledgement by the host says nothing about a program that does not read its messages. The proxy's clock is
 // compared with ours by the fastest of its reports, so that late reports are not held against it.
-func (f *Fleet) checkCompliance(p *Proxy, server balancer.Server, since float64) {
+func (f *Fleet) checkCompliance(proxy *Proxy, server balancer.Server, since float64) {
 	if phase, _ := f.Registry.Phase(server); phase == balancer.Ready {
 		return
 	}
 	removedAt := 0.0 // from the last of its tables
-	for class := range p.Tables {
-		state := &p.Tables[class]
+	for class := range proxy.Tables {
+		state := &proxy.Tables[class]
 		if !state.Bound {
 			return
 		}
@@ -78,22 +78,22 @@
 		removedAt = max(removedAt, at)
 	}
 	// The first message sent from then on contains the removal, since urgent changes go first.
-	ackedAt, ok := p.deliveries.ackedSince(removedAt)
-	if ok && !p.urgent && since+p.clockOffset > ackedAt+f.site.Limits.ApplyGrace {
-		p.noncompliantWith = server
+	ackedAt, ok := proxy.deliveries.ackedSince(removedAt)
+	if ok && !proxy.urgent && since+proxy.clockOffset > ackedAt+f.site.Limits.ApplyGrace {
+		proxy.noncompliantWith = server
 	}
 }
 
 // ReportDemand takes a proxy's running totals of a request class. Reports that name an unknown class, or come from a
 // proxy that is not joined, are counted and ignored.
 func (f *Fleet) ReportDemand(now, at float64, uid, className string, totals loadreport.Totals) {
-	p := f.proxiesByUID[uid]
+	proxy := f.proxiesByUID[uid]
 	class, ok := f.Class(className)
-	if p == nil || !p.Joined || !ok {
+	if proxy == nil || !proxy.Joined || !ok {
 		f.Stats.UnknownRelay++
 		return
 	}
-	f.LoadReports.AddDemand(now, at, p.ID, class, totals)
+	f.LoadReports.AddDemand(now, at, proxy.ID, class, totals)
 }
 
 // ObserveUptime takes the seconds since a server's start. An unknown server is counted and ignored.
--- a/internal/core/controlplane/rounds_test.go
+++ b/internal/core/controlplane/rounds_test.go
@@ -20,14 +20,14 @@
 func TestDrainIsPublishedWhenStoreFails(t *testing.T) {
 	store := &failingStore{}
 	f := newFleet(t, testSite(3, 1), store)
-	p := join(t, f, 1000, "r0", nil)
+	proxy := join(t, f, 1000, "r0", nil)
 	for now := 1000.1; now < 1002; now += 0.05 {
 		step(f, now)
 	}
 	f.Registry.SetDrain(1002, serverName(1), true)
 	step(f, 1002.1)
-	if f.Weight(p, 0, serverName(1)) != 0 || f.Stats.SaveFailures < 1 || store.calls < 1 {
-		t.Errorf("weight %v, %+v", f.Weight(p, 0, serverName(1)), f.Stats)
+	if f.Weight(proxy, 0, serverName(1)) != 0 || f.Stats.SaveFailures < 1 || store.calls < 1 {
+		t.Errorf("weight %v, %+v", f.Weight(proxy, 0, serverName(1)), f.Stats)
 	}
 }
 
--- a/internal/core/controlplane/roundsink.go
+++ b/internal/core/controlplane/roundsink.go
@@ -83,31 +83,31 @@
 }
 
 // AssignTable assigns a table to some classes of a proxy, all if the set is empty. The proxy is due the whole table.
-func (r *RoundSink) AssignTable(id balancer.Proxy, tableID balancer.Table, classes balancer.ClassSet) {
+func (r *RoundSink) AssignTable(proxyID balancer.Proxy, tableID balancer.Table, classes balancer.ClassSet) {
 	table := r.table(tableID)
-	p := r.fleet.proxies[id]
-	if p == nil || !p.Joined {
+	proxy := r.fleet.proxies[proxyID]
+	if proxy == nil || !proxy.Joined {
 		return
 	}
 	r.fleet.Stats.Binds++
 	entries := 1.0
-	for class := range p.Tables {
+	for class := range proxy.Tables {
 		if !includes(classes, class) {
 			continue
 		}
-		state := &p.Tables[class]
-		r.fleet.unassign(p, state)
+		state := &proxy.Tables[class]
+		r.fleet.unassign(proxy, state)
 		if r.fleet.site.DisabledGuards[GuardRejoin] && state.SentVersion > 0 && state.Table == tableID {
 			state.Bound = true
 		} else {
 			*state = TableState{Table: tableID, Bound: true, Full: true, Stale: state.Stale || state.SentVersion > 0}
 		}
-		table.classesByProxy[id]++
+		table.classesByProxy[proxyID]++
 		entries += float64(table.Len() + len(table.Admissions()))
 	}
-	p.trace = r.fleet.roundTrace
-	if !p.Polls {
-		r.fleet.sendQueue.Add(r.now, id, entries, pacing.Normal)
+	proxy.trace = r.fleet.roundTrace
+	if !proxy.Polls {
+		r.fleet.sendQueue.Add(r.now, proxyID, entries, pacing.Normal)
 	}
 }
 
@@ -126,23 +126,23 @@
 // RequestAck asks for an acknowledgement by all proxies that this round concerns. It goes with their next messages.
 func (r *RoundSink) RequestAck(id balancer.AckID) {
 	for _, table := range r.fleet.changedTables {
-		for proxy := range table.classesByProxy {
-			r.requestAck(r.fleet.proxies[proxy], id)
+		for proxyID := range table.classesByProxy {
+			r.requestAck(r.fleet.proxies[proxyID], id)
 		}
 	}
-	for _, p := range r.fleet.proxies {
-		if p.Joined && slices.ContainsFunc(p.Tables, func(state TableState) bool { return state.Full }) {
-			r.requestAck(p, id)
+	for _, proxy := range r.fleet.proxies {
+		if proxy.Joined && slices.ContainsFunc(proxy.Tables, func(state TableState) bool { return state.Full }) {
+			r.requestAck(proxy, id)
 		}
 	}
 }
 
-func (r *RoundSink) requestAck(p *Proxy, id balancer.AckID) {
-	if n := len(p.queuedAcks); n > 0 && p.queuedAcks[n-1].id == id {
+func (r *RoundSink) requestAck(proxy *Proxy, id balancer.AckID) {
+	if n := len(proxy.queuedAcks); n > 0 && proxy.queuedAcks[n-1].id == id {
 		return
 	}
 	// The decision module waits for the newest one only.
-	p.queuedAcks = append(p.queuedAcks[:0], ackRequest{id: id, requestedAt: r.now})
+	proxy.queuedAcks = append(proxy.queuedAcks[:0], ackRequest{id: id, requestedAt: r.now})
 }
 
 // HealthCheck is never called, since the decision module is told that there are no health checks. It counts all the same.
--- a/internal/core/controlplane/status.go
+++ b/internal/core/controlplane/status.go
@@ -44,16 +44,16 @@
 
 // ProxyStatuses lists the joined proxies by UID.
 func (f *Fleet) ProxyStatuses() (statuses []ProxyStatus) {
-	for _, p := range f.proxies {
-		if !p.Joined {
+	for _, proxy := range f.proxies {
+		if !proxy.Joined {
 			continue
 		}
 		statuses = append(statuses, ProxyStatus{
-			UID:      p.UID,
-			Zone:     p.Zone,
-			Polls:    p.Polls,
-			UpToDate: f.isUpToDate(p),
-			Urgent:   p.urgent,
+			UID:      proxy.UID,
+			Zone:     proxy.Zone,
+			Polls:    proxy.Polls,
+			UpToDate: f.isUpToDate(proxy),
+			Urgent:   proxy.urgent,
 		})
 	}
 	slices.SortFunc(statuses, func(a, b ProxyStatus) int { return cmp.Compare(a.UID, b.UID) })
@@ -61,9 +61,9 @@
 }
 
 // isUpToDate tells whether a proxy has acknowledged the newest tables of all classes.
-func (f *Fleet) isUpToDate(p *Proxy) bool {
-	for class := range p.Tables {
-		state := &p.Tables[class]
+func (f *Fleet) isUpToDate(proxy *Proxy) bool {
+	for class := range proxy.Tables {
+		state := &proxy.Tables[class]
 		if !state.Bound || state.Full || state.AckedVersion != f.tables[state.Table].Version() {
 			return false
 		}
@@ -74,8 +74,8 @@
 // UpToDate counts the joined proxies that are known to hold the newest tables of all classes.
 func (f *Fleet) UpToDate() int {
 	count := 0
-	for _, p := range f.proxies {
-		if p.Joined && f.isUpToDate(p) {
+	for _, proxy := range f.proxies {
+		if proxy.Joined && f.isUpToDate(proxy) {
 			count++
 		}
 	}
--- a/internal/core/controlplane/traces.go
+++ b/internal/core/controlplane/traces.go
@@ -24,26 +24,26 @@
 	AckedAt   float64 // 0: it was never acknowledged
 }
 
-func (t *MessageTrace) markSent(now float64, p *Proxy, entries int, full bool) {
-	t.Proxy = p.ID
-	t.UID = p.UID
+func (t *MessageTrace) markSent(now float64, proxy *Proxy, entries int, full bool) {
+	t.Proxy = proxy.ID
+	t.UID = proxy.UID
 	t.Entries = entries
 	t.Full = full
-	t.Urgent = p.urgent
+	t.Urgent = proxy.urgent
 	t.SentAt = now
 }
 
 // finishTrace closes the trace of the message in flight, if there is one. An acknowledgement at 0 means that none came.
-func (f *Fleet) finishTrace(p *Proxy, ackedAt float64) {
-	if p.trace.SentAt <= 0 {
+func (f *Fleet) finishTrace(proxy *Proxy, ackedAt float64) {
+	if proxy.trace.SentAt <= 0 {
 		return
 	}
-	p.trace.AckedAt = ackedAt
+	proxy.trace.AckedAt = ackedAt
 	if len(f.finishedTraces) < f.site.Limits.MaxTraces {
-		f.finishedTraces = append(f.finishedTraces, p.trace)
+		f.finishedTraces = append(f.finishedTraces, proxy.trace)
 	}
-	p.trace = p.followUpTrace
-	p.followUpTrace = MessageTrace{}
+	proxy.trace = proxy.followUpTrace
+	proxy.followUpTrace = MessageTrace{}
 }
 
 // TakeTraces hands out the traces of messages that were acknowledged or lost since the last call. The caller owns them.
