--- a/internal/core/controlplane/delivery.go
+++ b/internal/core/controlplane/delivery.go
@@ -140,11 +140,10 @@
 
 // targetVersion is the version to which a proxy's next message brings a class.
 func (f *Fleet) targetVersion(proxy *Proxy, state *TableState) tables.Version {
-	table := f.tables[state.Table]
 	if proxy.urgentOnly {
-		return max(table.urgentVersion, state.SentVersion)
+		return max(f.tables[state.Table].urgentVersion, state.SentVersion)
 	}
-	return table.Version()
+	return f.wantedVersion(state)
 }
 
 // MarkSent says that a message with the newest state of all assigned classes was sent to a proxy. The frontend calls
@@ -193,7 +192,7 @@
 	for class := range proxy.Tables {
 		state := &proxy.Tables[class]
 		if state.Bound {
-			state.SentVersion = f.tables[state.Table].Version()
+			state.SentVersion = f.wantedVersion(state)
 			state.Full = false
 			state.Stale = false
 		}
--- a/internal/core/controlplane/delta.go
+++ b/internal/core/controlplane/delta.go
@@ -11,7 +11,7 @@
 func (f *Fleet) NeedsUpdate(proxy *Proxy) bool {
 	for class := range proxy.Tables {
 		state := &proxy.Tables[class]
-		if state.Bound && (state.Full || state.SentVersion != f.tables[state.Table].Version()) {
+		if state.Bound && (state.Full || state.SentVersion != f.wantedVersion(state)) {
 			return true
 		}
 	}
--- a/internal/core/controlplane/metrics.go
+++ b/internal/core/controlplane/metrics.go
@@ -110,20 +110,15 @@
 // tableUsage is, for each class, the tables that joined proxies use.
 func (f *Fleet) tableUsage() [][]usedTable {
 	usage := make([][]usedTable, len(f.site.Classes))
-	for _, proxy := range f.sortedProxies() {
-		for class := range proxy.Tables {
-			state := &proxy.Tables[class]
-			if !proxy.Joined || !state.Bound {
-				continue
-			}
-			table := f.tables[state.Table]
-			i := slices.IndexFunc(usage[class], func(u usedTable) bool { return u.table == table })
-			if i < 0 {
-				i = len(usage[class])
-				usage[class] = append(usage[class], usedTable{table: table})
-			}
-			usage[class][i].proxies++
+	for assigned := range f.assignments() {
+		used := usage[assigned.class]
+		i := slices.IndexFunc(used, func(u usedTable) bool { return u.table == assigned.table })
+		if i < 0 {
+			i = len(used)
+			used = append(used, usedTable{table: assigned.table})
 		}
+		used[i].proxies++
+		usage[assigned.class] = used
 	}
 	return usage
 }
--- a/internal/core/controlplane/ownership.go
+++ b/internal/core/controlplane/ownership.go
@@ -16,7 +16,8 @@
 // that a coordinator stops at the moment its lease ends, whatever it was about to send. The function epoch is the
 // ownership epoch, for frontends that pass it on. The function onRedirect, which may be nil, is called for each listed
 // proxy that is refused because another coordinator owns it.
-func (f *Fleet) SetOwnership(owns func(now float64, uid string) bool, epoch func() uint64, onRedirect func(now float64, uid string)) {
+func (f *Fleet) SetOwnership(owns func(now float64, uid string) bool, epoch func() uint64,
+	onRedirect func(now float64, uid string)) {
 	f.owner = ownership{owns: owns, epoch: epoch, onRedirect: onRedirect}
 }
 
--- a/internal/core/controlplane/preview.go
+++ b/internal/core/controlplane/preview.go
@@ -32,35 +32,29 @@
 		LoseZone:       loseZone,
 	}
 	previews := map[*desiredTable]*tablePreview{} // proxies that share a table share its preview
-	for _, proxy := range f.sortedProxies() {
-		for class := range proxy.Tables {
-			state := &proxy.Tables[class]
-			if !proxy.Joined || !state.Bound {
-				continue
-			}
-			table := f.tables[state.Table]
-			preview := previews[table]
-			if preview == nil {
-				preview = previewTable(table, snapshot.Servers)
-				previews[table] = preview
-			}
-			states := []*tablecheck.Table{preview.proposed}
-			if phase != balancer.Removed { // by the time of the removal, all proxies have followed
-				states = append(states, preview.present)
-			}
-			snapshot.Proxies = append(snapshot.Proxies, tablecheck.Proxy{
-				UID:    proxy.UID,
-				Class:  balancer.Class(class),
-				Demand: proxy.ExpectedRate / float64(len(f.site.Classes)),
-				Tables: states,
-			})
+	for assigned := range f.assignments() {
+		preview := previews[assigned.table]
+		if preview == nil {
+			preview = previewTable(assigned.table, snapshot.Servers)
+			previews[assigned.table] = preview
 		}
+		possible := []*tablecheck.Table{preview.proposed}
+		if phase != balancer.Removed { // by the time of the removal, all proxies have followed
+			possible = append(possible, preview.present)
+		}
+		snapshot.Proxies = append(snapshot.Proxies, tablecheck.Proxy{
+			UID:    assigned.proxy.UID,
+			Class:  assigned.class,
+			Demand: assigned.proxy.ExpectedRate / float64(len(f.site.Classes)),
+			Tables: possible,
+		})
 	}
 	return snapshot
 }
 
 // previewServers are all servers, those that are ready and to be drained in the given phase.
-func (f *Fleet) previewServers(now float64, drain []balancer.Server, phase balancer.Phase) map[balancer.Server]tablecheck.Server {
+func (f *Fleet) previewServers(now float64, drain []balancer.Server,
+	phase balancer.Phase) map[balancer.Server]tablecheck.Server {
 	servers := map[balancer.Server]tablecheck.Server{}
 	for _, name := range f.Registry.Servers() {
 		record, _ := f.Registry.Find(name)
--- a/internal/core/controlplane/proxies.go
+++ b/internal/core/controlplane/proxies.go
@@ -4,6 +4,7 @@
 	"cmp"
 	"errors"
 	"fmt"
+	"iter"
 	"math"
 	"slices"
 	"strings"
@@ -27,7 +28,7 @@
 )
 
 // TableState is what is known of a proxy's copy of the table of one request class. The wanted version is that of the
-// table itself.
+// table itself, see Fleet.wantedVersion.
 type TableState struct {
 	Table        balancer.Table // the table that the class is assigned
 	Bound        bool           // the decision module has assigned a table
@@ -255,6 +256,38 @@
 	slices.Sort(f.freeProxyIDs)
 }
 
+// assignment is a joined proxy's class with the table that it is assigned.
+type assignment struct {
+	proxy *Proxy
+	class balancer.Class
+	table *desiredTable
+}
+
+// assignments yields the assigned classes of all joined proxies, in the order of IDs and classes.
+func (f *Fleet) assignments() iter.Seq[assignment] {
+	return func(yield func(assignment) bool) {
+		for _, proxy := range f.sortedProxies() {
+			if !proxy.Joined {
+				continue
+			}
+			for class := range proxy.Tables {
+				state := &proxy.Tables[class]
+				if !state.Bound {
+					continue
+				}
+				if !yield(assignment{proxy: proxy, class: balancer.Class(class), table: f.tables[state.Table]}) {
+					return
+				}
+			}
+		}
+	}
+}
+
+// wantedVersion is the version of the assigned table that the decision module wants a proxy to hold.
+func (f *Fleet) wantedVersion(state *TableState) tables.Version {
+	return f.tables[state.Table].Version()
+}
+
 // sortedProxies are all known proxies by ID.
 func (f *Fleet) sortedProxies() []*Proxy {
 	all := make([]*Proxy, 0, len(f.proxies))
--- a/internal/core/controlplane/status.go
+++ b/internal/core/controlplane/status.go
@@ -64,7 +64,7 @@
 func (f *Fleet) isUpToDate(proxy *Proxy) bool {
 	for class := range proxy.Tables {
 		state := &proxy.Tables[class]
-		if !state.Bound || state.Full || state.AckedVersion != f.tables[state.Table].Version() {
+		if !state.Bound || state.Full || state.AckedVersion != f.wantedVersion(state) {
 			return false
 		}
 	}
--- a/internal/core/loadreport/aggregator_test.go
+++ b/internal/core/loadreport/aggregator_test.go
@@ -22,7 +22,14 @@
 	r.report(100.7, 50.2, 1005, 11, 302) // reordered
 	r.report(101.5, 51.5, 1030, 12, 310) // one in between was lost
 	upstreams, _ := r.Flush()
-	want := balancer.UpstreamReport{Server: "a", Zone: 2, Attempts: 30, Failed: 2, Latency: 10.0 / 28, Interval: (10*0.5 + 20*1) / 30}
+	want := balancer.UpstreamReport{
+		Server:   "a",
+		Zone:     2,
+		Attempts: 30,
+		Failed:   2,
+		Latency:  10.0 / 28,
+		Interval: (10*0.5 + 20*1) / 30,
+	}
 	if len(upstreams) != 1 {
 		t.Fatalf("%+v, want %+v", upstreams, want)
 	}
@@ -69,8 +76,9 @@
 		t.Errorf("%d series", a.Len())
 	}
 	a.AddDemand(201, 201, 4, 0, Totals{Attempts: 9, Failed: 2})
-	if _, demands := a.Flush(); len(demands) != 1 || demands[0].Requests != 8 || demands[0].Failed != 2 || demands[0].Interval != 1 {
-		t.Errorf("%+v", demands)
+	want := balancer.DemandReport{Proxy: 4, Requests: 8, Failed: 2, Interval: 1}
+	if _, demands := a.Flush(); len(demands) != 1 || demands[0] != want {
+		t.Errorf("%+v, want %+v", demands, want)
 	}
 	a.RemoveProxy(4)
 	if a.Len() != 0 {
--- a/internal/core/pacing/queue_test.go
+++ b/internal/core/pacing/queue_test.go
@@ -13,7 +13,13 @@
 
 func TestMain(m *testing.M) { testseed.Main(m) }
 
-var testChannel = balancer.Channel{EntriesPerSecond: 100, MessageOverhead: 3, MaxQueued: 1000, MaxMessages: 3, MessageWindow: 10}
+var testChannel = balancer.Channel{
+	EntriesPerSecond: 100,
+	MessageOverhead:  3,
+	MaxQueued:        1000,
+	MaxMessages:      3,
+	MessageWindow:    10,
+}
 
 // sendAll sends all that is due at a time, each proxy a message of some entries.
 func sendAll(q *Queue, now, entries float64) (sent []balancer.Proxy) {
--- a/internal/core/tenancy/golden_test.go
+++ b/internal/core/tenancy/golden_test.go
@@ -14,13 +14,35 @@
 
 func goldenDirectory() Directory {
 	return Directory{
-		Version: 7, LastIncarnation: 3,
+		Version:         7,
+		LastIncarnation: 3,
 		Tenants: map[Name]*Tenant{
-			"one": {Name: "one", Incarnation: 1, Version: 5, Settings: []byte("<coordinator/>"), Weight: 2, Requirements: goldenRequirements(), CreatedAt: 1000, ChangedAt: 1500.5},
-			"two": {Name: "two", Incarnation: 3, Version: 7, Settings: []byte("<coordinator />"), Weight: 0.5, Requirements: goldenRequirements(), CreatedAt: 1600, ChangedAt: 1600},
+			"one": {
+				Name:         "one",
+				Incarnation:  1,
+				Version:      5,
+				Settings:     []byte("<coordinator/>"),
+				Weight:       2,
+				Requirements: goldenRequirements(),
+				CreatedAt:    1000,
+				ChangedAt:    1500.5,
+			},
+			"two": {
+				Name:         "two",
+				Incarnation:  3,
+				Version:      7,
+				Settings:     []byte("<coordinator />"),
+				Weight:       0.5,
+				Requirements: goldenRequirements(),
+				CreatedAt:    1600,
+				ChangedAt:    1600,
+			},
 		},
 		Quarantined: map[Name]float64{"three": 1550.25},
-		Outcomes:    []Outcome{{ID: 11, Fingerprint: 12, Code: 3, Detail: "it is at version 4, not 3", Version: 4, Incarnation: 2}, {ID: 13, Fingerprint: 14, Version: 7, Incarnation: 3}},
+		Outcomes: []Outcome{
+			{ID: 11, Fingerprint: 12, Code: 3, Detail: "it is at version 4, not 3", Version: 4, Incarnation: 2},
+			{ID: 13, Fingerprint: 14, Version: 7, Incarnation: 3},
+		},
 	}
 }
 
@@ -31,8 +53,17 @@
 }
 
 func TestStoredCommand(t *testing.T) {
-	golden.JSON(t, "command.json", Command{Kind: Change, Name: "one", IfVersion: 4, Settings: []byte("<coordinator/>"), Weight: 2, Requirements: goldenRequirements(),
-		Time: 1500.5, ID: 13, Fingerprint: 14})
+	golden.JSON(t, "command.json", Command{
+		Kind:         Change,
+		Name:         "one",
+		IfVersion:    4,
+		Settings:     []byte("<coordinator/>"),
+		Weight:       2,
+		Requirements: goldenRequirements(),
+		Time:         1500.5,
+		ID:           13,
+		Fingerprint:  14,
+	})
 }
 
 func TestStoredDirectory(t *testing.T) {
@@ -53,7 +84,16 @@
 
 // The outcomes of calls are stored by these numbers.
 func TestStoredErrorNumbers(t *testing.T) {
-	for code, want := range []error{nil, ErrExists, ErrUnknown, ErrVersionMismatch, ErrNameQuarantined, ErrKeyReused, ErrInvalidCommand, ErrNoCapacity} {
+	for code, want := range []error{
+		nil,
+		ErrExists,
+		ErrUnknown,
+		ErrVersionMismatch,
+		ErrNameQuarantined,
+		ErrKeyReused,
+		ErrInvalidCommand,
+		ErrNoCapacity,
+	} {
 		if !errors.Is(errorsByCode[code], want) {
 			t.Errorf("%d stands for %v, want %v", code, errorsByCode[code], want)
 		}
--- a/internal/core/tenancy/router.go
+++ b/internal/core/tenancy/router.go
@@ -59,7 +59,8 @@
 // (none: any). The flag ready is false while the tenant starts. Without networks, whoever reaches the SASP port may act as
 // any proxy of the tenant, since the protocol has no credentials. The error is ErrInvalidRoute, with that of the
 // allocator.
-func (r *ConnectionRouter) Set(now float64, name Name, weight float64, maxConnections int, networks []netip.Prefix, ready bool) error {
+func (r *ConnectionRouter) Set(now float64, name Name, weight float64, maxConnections int,
+	networks []netip.Prefix, ready bool) error {
 	if err := r.acceptRate.Set(now, fairshare.Tenant(name), "", weight); err != nil {
 		return fmt.Errorf("%w: %w", ErrInvalidRoute, err)
 	}
