--- /dev/null
+++ b/internal/coordinator/host_directory.go
@@ -0,0 +1,130 @@
+package coordinator
+
+import (
+	"errors"
+	"fmt"
+	"maps"
+	"slices"
+
+	"snowquay/internal/core/controlplane"
+	"snowquay/internal/core/tablecheck"
+	"snowquay/internal/core/tenancy"
+)
+
+var (
+	// ErrNotAgreed reports that the hosts have not committed a change in time. It may still be committed.
+	ErrNotAgreed = errors.New("the change was not agreed on in time")
+	// ErrNotPersisted reports that a change could not be made durable. Nothing has changed.
+	ErrNotPersisted = errors.New("the change could not be made durable")
+)
+
+// ChangeTenant creates, changes or removes a tenant. done is called once, when the change is durable and in force, or refused. Its
+// error is ErrNotPersisted or ErrNotAgreed; refusals are in the outcome.
+func (h *Host) ChangeTenant(now float64, command tenancy.Command, done func(outcome tenancy.Outcome, err error)) {
+	answered, ok := h.Directory.Find(command.ID)
+	if ok {
+		done(h.repeatedOutcome(answered, command), nil)
+		return
+	}
+	if h.shared != nil {
+		h.shared.propose(now, command, done)
+		return
+	}
+	outcome, err := h.applyCommand(command)
+	if err == nil && outcome.Err() == nil {
+		h.reconcile(now, command.Name)
+	}
+	done(outcome, err)
+}
+
+// repeatedOutcome returns the outcome of a command whose identifier was used before.
+func (h *Host) repeatedOutcome(answered tenancy.Outcome, command tenancy.Command) tenancy.Outcome {
+	if answered.Fingerprint != command.Fingerprint {
+		return h.Directory.Apply(command) // it refuses another command with the same identifier
+	}
+	return answered
+}
+
+// applyCommand applies a command to the directory and saves it.
+func (h *Host) applyCommand(command tenancy.Command) (tenancy.Outcome, error) {
+	previous, _ := h.Directory.Get(command.Name)
+	checkpoint := h.Directory.Checkpoint(command.Name)
+	outcome := h.Directory.Apply(command)
+	if outcome.Err() != nil {
+		return outcome, nil
+	}
+	ended := tenancy.Incarnation(0)
+	if command.Kind == tenancy.Remove {
+		ended = previous.Incarnation
+	}
+	err := h.store.Save(h.Directory, command.Name, ended)
+	if err != nil {
+		// A change that is confirmed must not be lost by a restart. So while the disk is full, no tenant can be changed; those that
+		// run are not affected.
+		h.Directory.Rollback(checkpoint)
+		h.Stats.SaveFailures++
+		return tenancy.Outcome{}, fmt.Errorf("%w: %w", ErrNotPersisted, err)
+	}
+	return outcome, nil
+}
+
+// directoryCommitted applies a change of the directory that the group has committed. An empty name stands for a change of the whole
+// directory.
+func (h *Host) directoryCommitted(now float64, name tenancy.Name) {
+	replaying := h.io == nil || h.shared.member.Group == nil
+	if replaying {
+		return // Start registers the tenants that result
+	}
+	if name != "" {
+		h.reconcile(now, name)
+		return
+	}
+	h.shared.invalidateDrains()
+	h.reconcileAll(now)
+}
+
+// reconcileAll brings all tenants to what the directory says.
+func (h *Host) reconcileAll(now float64) {
+	listedNames := map[tenancy.Name]bool{}
+	for _, listed := range h.Directory.All() {
+		listedNames[listed.Name] = true
+		tenant := h.tenants[listed.Name]
+		if tenant == nil || tenant.Incarnation != listed.Incarnation || tenant.Version != listed.Version {
+			h.reconcile(now, listed.Name)
+		}
+	}
+	for _, name := range slices.Sorted(maps.Keys(h.tenants)) {
+		if !listedNames[name] {
+			h.reconcile(now, name)
+		}
+	}
+}
+
+// TenantPreview is the expected effect of changed settings of a tenant.
+type TenantPreview struct {
+	Config   TenantConfig
+	Revision controlplane.Revision
+	Reasons  []tablecheck.Finding // why the change would do harm; none: it would not
+}
+
+// Preview checks changed settings of a tenant without applying them: whether they are valid, what would change, and whether that
+// would harm the connected proxies. The error is that of parsing.
+func (h *Host) Preview(now float64, listed tenancy.Tenant) (TenantPreview, error) {
+	config, err := h.config.ParseTenant(listed)
+	preview := TenantPreview{Config: config}
+	if err != nil {
+		return preview, err
+	}
+	tenant := h.running(listed.Name)
+	if tenant == nil {
+		preview.Revision.RestartReason = "there is none that runs"
+		return preview, nil
+	}
+	fleet := tenant.Program.Fleet
+	preview.Revision = controlplane.CompareSites(fleet.Site(), &preview.Config.Config.Site)
+	reasons := fleet.Preview(now, preview.Revision.Removed, false)
+	if len(preview.Revision.Removed) > 0 { // else the findings are not caused by the change
+		preview.Reasons = reasons
+	}
+	return preview, nil
+}
--- /dev/null
+++ b/internal/coordinator/host_group.go
@@ -0,0 +1,165 @@
+package coordinator
+
+import (
+	"snowquay/balancer"
+	"snowquay/internal/core/membership"
+	"snowquay/internal/core/registry"
+	"snowquay/internal/core/tenancy"
+)
+
+// serverDrains are the drains of one tenant's servers, with the clock time in seconds of their order.
+type serverDrains map[balancer.Server]float64
+
+// sharedTenants connects a Host to the group of hosts that share its tenants.
+type sharedTenants struct {
+	host          *Host
+	member        *Member
+	byIncarnation map[tenancy.Incarnation]*TenantRuntime
+	proposals     map[membership.Ticket]*proposal
+	drainOrders   map[membership.Ticket]tenancy.Incarnation // ordered here and not completed
+
+	drains           map[tenancy.Incarnation]serverDrains // committed drains; nil: to be computed
+	drainsOrderCount uint64                               // of the state that drains was computed from
+}
+
+// proposal is a change of a tenant that was proposed here and is not answered yet.
+type proposal struct {
+	outcome tenancy.Outcome
+	done    func(tenancy.Outcome, error)
+}
+
+// joinGroup makes the host a member of a group of hosts.
+func (h *Host) joinGroup(group GroupConfig) {
+	group.Capacity = h.config.Capacity
+	member := NewMember(group, h.config.Storage, h.config.Incarnation, func(event string, attributes ...any) {
+		h.log("", event, attributes...)
+	})
+	h.links.member = member
+	h.shared = &sharedTenants{
+		host:          h,
+		member:        member,
+		byIncarnation: map[tenancy.Incarnation]*TenantRuntime{},
+		proposals:     map[membership.Ticket]*proposal{},
+		drainOrders:   map[membership.Ticket]tenancy.Incarnation{},
+	}
+	member.OnFail = h.config.OnFail
+	member.OnDrain = h.shared.drainCommitted
+	member.OnOrderCompleted = h.shared.orderCompleted
+	member.OnRecords = h.shared.recordsCommitted
+	member.OnTenant = h.shared.tenantCommitted
+}
+
+// running returns the tenant of an incarnation; nil if it does not run here.
+func (s *sharedTenants) running(incarnation tenancy.Incarnation) *TenantRuntime {
+	tenant := s.byIncarnation[incarnation]
+	if tenant == nil || tenant.Program == nil {
+		return nil
+	}
+	return tenant
+}
+
+// ownerOf returns the running tenant of a server's scoped name, and the tenant's own name of the server.
+func (s *sharedTenants) ownerOf(scoped balancer.Server) (*TenantRuntime, balancer.Server) {
+	incarnation, server, ok := membership.SplitScoped(scoped)
+	if !ok {
+		return nil, ""
+	}
+	return s.running(incarnation), server
+}
+
+// drainCommitted passes a committed drain to its tenant.
+func (s *sharedTenants) drainCommitted(now float64, command membership.Command) {
+	s.invalidateDrains()
+	tenant, server := s.ownerOf(command.Server)
+	if tenant == nil {
+		return
+	}
+	command.Server = server
+	tenant.Program.drainCommitted(now, command)
+	s.host.Scheduler.MarkDue(now, tenant.Name, true)
+}
+
+// recordsCommitted passes committed records to their tenants.
+func (s *sharedTenants) recordsCommitted(now float64, records []registry.Record) {
+	for _, record := range records {
+		tenant, server := s.ownerOf(record.Server)
+		if tenant == nil {
+			continue
+		}
+		record.Server = server
+		tenant.Program.recordsCommitted(now, []registry.Record{record})
+	}
+}
+
+// tenantCommitted applies a committed change of the directory.
+func (s *sharedTenants) tenantCommitted(now float64, name tenancy.Name, ticket membership.Ticket, outcome tenancy.Outcome) {
+	pending := s.proposals[ticket]
+	if pending != nil {
+		pending.outcome = outcome
+	}
+	s.host.directoryCommitted(now, name)
+}
+
+// propose proposes a change to the hosts that share the tenants.
+func (s *sharedTenants) propose(now float64, command tenancy.Command, done func(tenancy.Outcome, error)) {
+	if !s.member.Ready() {
+		done(tenancy.Outcome{}, ErrNotAgreed)
+		return
+	}
+	ticket, ok := s.member.Group.SubmitOrder(now, membership.Command{Kind: membership.ChangeTenant, Tenant: &command})
+	if !ok {
+		done(tenancy.Outcome{}, ErrNotAgreed)
+		return
+	}
+	s.proposals[ticket] = &proposal{done: done}
+}
+
+// orderCompleted tells who ordered a drain or a change here whether it is in force.
+func (s *sharedTenants) orderCompleted(now float64, ticket membership.Ticket, committed bool) {
+	pending := s.proposals[ticket]
+	if pending != nil {
+		delete(s.proposals, ticket)
+		pending.complete(committed)
+		return
+	}
+	incarnation, known := s.drainOrders[ticket]
+	delete(s.drainOrders, ticket)
+	if !known {
+		return
+	}
+	tenant := s.running(incarnation)
+	if tenant != nil {
+		tenant.Program.orderCompleted(now, ticket, committed)
+	}
+}
+
+func (p *proposal) complete(committed bool) {
+	if !committed {
+		p.done(tenancy.Outcome{}, ErrNotAgreed)
+		return
+	}
+	p.done(p.outcome, nil)
+}
+
+func (s *sharedTenants) invalidateDrains() { s.drains = nil }
+
+// drainsByTenant returns the committed drains, computed again only after a change.
+func (s *sharedTenants) drainsByTenant() map[tenancy.Incarnation]serverDrains {
+	state := s.member.Group.State
+	if s.drains != nil && s.drainsOrderCount == state.OrderCount {
+		return s.drains
+	}
+	s.drains = map[tenancy.Incarnation]serverDrains{}
+	s.drainsOrderCount = state.OrderCount
+	for scoped, orderedAt := range state.Drains {
+		incarnation, server, ok := membership.SplitScoped(scoped)
+		if !ok {
+			continue
+		}
+		if s.drains[incarnation] == nil {
+			s.drains[incarnation] = serverDrains{}
+		}
+		s.drains[incarnation][server] = orderedAt
+	}
+	return s.drains
+}
--- /dev/null
+++ b/internal/coordinator/host_scheduling.go
@@ -0,0 +1,73 @@
+package coordinator
+
+import (
+	"snowquay/internal/core/tenancy"
+)
+
+// runTurns gives turns to the tenants that are due. When no more are due, it starts tenants of the start queue while the CPU budget
+// lasts.
+func (h *Host) runTurns(now float64) {
+	h.turnRequested = false
+	for {
+		name, ok := h.Scheduler.Next(now)
+		if !ok {
+			break
+		}
+		tenant := h.running(name)
+		if tenant == nil {
+			h.Scheduler.Charge(name, 0)
+			continue
+		}
+		h.runTurn(now, tenant)
+	}
+	for h.Scheduler.DueLen() == 0 && len(h.startQueue) > 0 && h.Scheduler.HasBudget(now) {
+		h.startNext(now)
+	}
+}
+
+// startNext starts the first tenant of the start queue.
+func (h *Host) startNext(now float64) {
+	name := h.startQueue[0]
+	h.startQueue = h.startQueue[1:]
+	tenant := h.tenants[name]
+	if tenant == nil || !tenant.startable() {
+		return
+	}
+	h.start(now, tenant)
+	h.Scheduler.Charge(name, tenantStartCPUSeconds)
+}
+
+// runRequestedTurns gives turns at once if a tenant has requested it.
+func (h *Host) runRequestedTurns(now float64) {
+	if h.turnRequested {
+		h.runTurns(now)
+	}
+}
+
+// runTurn gives a tenant its turn and charges the tenant for it.
+func (h *Host) runTurn(now float64, tenant *TenantRuntime) {
+	program := tenant.Program
+	program.TimerFired(now, 0)
+	tenant.idle = program.Idle()
+	stats := program.Fleet.Stats
+	usage := tenancy.Usage{
+		Rounds:   stats.Rounds - tenant.charged.Rounds,
+		Messages: stats.Messages - tenant.charged.Messages,
+		Lines:    stats.Entries - tenant.charged.Entries,
+		Servers:  program.Fleet.Registry.Len(),
+		Relays:   program.Fleet.Joined(),
+	}
+	h.Scheduler.Charge(tenant.Name, usage.CPUSeconds())
+	tenant.charged = stats
+}
+
+// chargeArrival charges a tenant for bytes that came in for it, and ends the long intervals of an idle one.
+func (h *Host) chargeArrival(now float64, tenant *TenantRuntime, bytes int) {
+	usage := tenancy.Usage{Arrivals: 1, Bytes: bytes}
+	h.Scheduler.Charge(tenant.Name, usage.CPUSeconds())
+	if tenant.idle {
+		tenant.idle = false
+		h.Scheduler.ScheduleAt(tenant.Name, now+tickInterval)
+	}
+	h.runRequestedTurns(now)
+}
--- /dev/null
+++ b/internal/coordinator/member_messages.go
@@ -0,0 +1,167 @@
+package coordinator
+
+import (
+	"encoding/json"
+	"errors"
+	"fmt"
+
+	"snowquay/internal/consensus"
+	"snowquay/internal/core/membership"
+	"snowquay/internal/core/registry"
+	"snowquay/internal/core/tenancy"
+	"snowquay/internal/env"
+	"snowquay/internal/wire/peer"
+)
+
+// Send implements consensus.Messenger.
+func (m *Member) Send(to consensus.ID, message []byte) {
+	m.peers.send(membership.MemberID(to), peer.Consensus, message)
+}
+
+// OwnershipChanged implements consensus.Messenger.
+func (m *Member) OwnershipChanged(_ float64, state *membership.State) {
+	m.log("proxy ownership changed", "epoch", state.Epoch, "alive_members", state.AliveMembers())
+}
+
+// DrainCommitted implements consensus.Messenger.
+func (m *Member) DrainCommitted(now float64, command membership.Command) {
+	if m.OnDrain != nil {
+		m.OnDrain(now, command)
+	}
+}
+
+// RecordsCommitted implements consensus.Messenger.
+func (m *Member) RecordsCommitted(now float64, records []registry.Record) {
+	if m.OnRecords != nil {
+		m.OnRecords(now, records)
+	}
+}
+
+// OrdersCompleted implements consensus.Messenger.
+func (m *Member) OrdersCompleted(now float64, committed, refused []membership.Ticket) {
+	if m.OnOrderCompleted == nil {
+		return
+	}
+	for _, ticket := range committed {
+		m.OnOrderCompleted(now, ticket, true)
+	}
+	for _, ticket := range refused {
+		m.OnOrderCompleted(now, ticket, false)
+	}
+}
+
+// TenantChanged implements consensus.Tenants.
+func (m *Member) TenantChanged(now float64, name tenancy.Name, ticket membership.Ticket, outcome tenancy.Outcome) {
+	if m.OnTenant != nil {
+		m.OnTenant(now, name, ticket, outcome)
+	}
+}
+
+// receiveReply handles a frame on a connection that this member dialled. The other side sends there only why it refuses this
+// member.
+func (m *Member) receiveReply(frame peer.Frame) {
+	if frame.Kind == peer.Refusal {
+		m.fail(fmt.Errorf("%w: number %d: %s", ErrRefused, frame.From, frame.Message))
+	}
+}
+
+// receiveFrame handles a frame on a connection that another member or a tool dialled. On an error the connection is to be closed.
+func (m *Member) receiveFrame(now float64, conn env.Conn, frame peer.Frame) error {
+	sender := membership.MemberID(frame.From)
+	if sender != 0 {
+		err := m.authorize(frame)
+		if err != nil {
+			m.io.Send(conn, m.peers.encode(sender, peer.Refusal, []byte(err.Error())))
+			return err
+		}
+	}
+	switch frame.Kind {
+	case peer.Consensus:
+		if sender == 0 {
+			return peer.ErrFrame
+		}
+		m.step(now, frame.Message)
+	case peer.Command:
+		return m.proposeRegistration(now, frame.Message)
+	case peer.Ask:
+		status, err := m.status(now)
+		if err != nil {
+			return err
+		}
+		m.io.Send(conn, m.peers.encode(sender, peer.Tell, status))
+	}
+	return nil
+}
+
+func (m *Member) step(now float64, message []byte) {
+	err := m.Group.Step(now, message)
+	switch {
+	case errors.Is(err, consensus.ErrInvalidMessage):
+		m.log("invalid consensus message from peer", "error", err)
+	case err != nil:
+		m.fail(err)
+	}
+}
+
+// proposeRegistration proposes that a member joins or is removed. Other commands are proposed only by members, through consensus.
+func (m *Member) proposeRegistration(now float64, message []byte) error {
+	command, err := membership.Decode(message)
+	if err != nil {
+		return err
+	}
+	if command.Kind != membership.RegisterMember && command.Kind != membership.RemoveRegistration {
+		return fmt.Errorf("%w: kind %d", membership.ErrInvalidCommand, command.Kind)
+	}
+	m.log("membership change requested", "kind", command.Kind, "member", command.MemberID, "address", command.Address)
+	m.Group.Propose(now, command)
+	return nil
+}
+
+// authorize checks that the sender was not removed from the group, and that it uses the data directory that its number always
+// had: one that was emptied has forgotten its votes.
+func (m *Member) authorize(frame peer.Frame) error {
+	sender := membership.MemberID(frame.From)
+	if m.Group != nil && m.Group.Removed(sender) {
+		return fmt.Errorf("number %d: %w", sender, consensus.ErrRemoved)
+	}
+	first, err := m.dataDirs.Verify(sender, frame.Mark, frame.Commit)
+	if err != nil || !first {
+		return err
+	}
+	err = m.storage.SavePeerDataDir(consensus.ID(sender), frame.Mark)
+	if err != nil {
+		m.fail(fmt.Errorf("%w: %w", consensus.ErrStorage, err))
+	}
+	return m.Failed
+}
+
+// Status is the state of a group as one member sees it, for operators.
+type Status struct {
+	Number        membership.MemberID                             `json:"number"`
+	Leader        membership.MemberID                             `json:"consensus-leader"` // 0: none is known
+	Commit        uint64                                          `json:"commit"`
+	Epoch         membership.Epoch                                `json:"epoch"`
+	HoldsLease    bool                                            `json:"holds-lease"`
+	Failed        string                                          `json:"failed,omitempty"` // why it issues no commands any more
+	Registrations map[membership.MemberID]membership.Registration `json:"seats"`
+	Members       map[membership.Peer]membership.Member           `json:"members"`
+	Drains        int                                             `json:"drains"`
+}
+
+func (m *Member) status(now float64) ([]byte, error) {
+	status := Status{Number: m.config.Self}
+	if m.Group != nil {
+		state := m.Group.State
+		status.Leader = membership.MemberID(m.Group.Node.Leader())
+		status.Commit = m.commitIndex()
+		status.Epoch = state.Epoch
+		status.HoldsLease = m.HoldsLease(now)
+		status.Registrations = state.Registrations
+		status.Members = state.Members
+		status.Drains = len(state.Drains)
+	}
+	if m.Failed != nil {
+		status.Failed = m.Failed.Error()
+	}
+	return json.Marshal(status)
+}
--- a/internal/coordinator/peers.go
+++ b/internal/coordinator/peers.go
@@ -1,219 +1,231 @@
 package coordinator
 
 import (
-	"encoding/json"
-	"fmt"
 	"net/netip"
 
-	"snowquay/internal/consensus"
 	"snowquay/internal/core/membership"
-	"snowquay/internal/core/tenancy"
 	"snowquay/internal/env"
 	"snowquay/internal/wire/peer"
 )
 
-// GroupConfig is what a coordinator that shares its fleet is told of the others.
-type GroupConfig struct {
-	Self      membership.MemberID
-	Weight    float64
-	Members   map[membership.MemberID]netip.AddrPort // of the group as far as it is known, ourselves among them
-	Join      bool                                   // the group runs already, and is to take us in
-	Key       []byte
-	Consensus consensus.Config
-	Lease     membership.LeaseConfig
-	Capacity  tenancy.Capacity // of a host of many tenants
+const (
+	peerRedialInterval      = 0.25    // seconds between two dials of a member that does not answer
+	maxUndeliveredPeerBytes = 4 << 20 // beyond it messages to a member are dropped; consensus repeats what is lost
+	maxIncomingPeers        = 32      // connections; a group has few members, and tools connect one at a time
+)
+
+// outgoingPeer is the connection that this member dials to another, for its messages to that one.
+type outgoingPeer struct {
+	id         membership.MemberID
+	conn       env.Conn // 0: none
+	connected  bool
+	nextDialAt float64 // clock time in seconds
+	sent       uint64  // bytes
+	delivered  uint64  // bytes
+	buffer     []byte  // received and not decoded
 }
 
-// PeerName of a coordinator by its number.
-func PeerName(n membership.MemberID) membership.Peer { return membership.Peer(fmt.Sprint("c", n)) }
+// peerTransport carries a group's messages. Each member dials each other one and sends on its own connections, so that a network
+// fault on one side stops one direction only.
+type peerTransport struct {
+	member   *Member
+	io       env.IO
+	byID     map[membership.MemberID]*outgoingPeer
+	byConn   map[env.Conn]*outgoingPeer
+	incoming map[env.Conn][]byte // bytes received and not decoded, by connection that others dialled
+	scratch  []byte              // of the latest frame that was encoded
+}
 
-const (
-	peerRedial = 0.25    // seconds between two dials of a coordinator that does not answer
-	peerUnread = 4 << 20 // bytes on their way to one; more is dropped: consensus sends anew what is lost
-	mostIn     = 32      // connections of others; one more is closed: a group has few, and tools come one at a time
-)
+func newPeerTransport(member *Member, io env.IO) *peerTransport {
+	return &peerTransport{
+		member:   member,
+		io:       io,
+		byID:     map[membership.MemberID]*outgoingPeer{},
+		byConn:   map[env.Conn]*outgoingPeer{},
+		incoming: map[env.Conn][]byte{},
+	}
+}
 
-// link is our connection to another coordinator, for what we say to it.
-type link struct {
-	id     membership.MemberID
-	conn   env.Conn
-	up     bool
-	dialAt float64
-	sent   uint64
-	taken  uint64
-	heard  []byte // what it says on it: only why it does not hear us
-}
-
-// peers carries a group's messages: each coordinator dials each other and speaks on its own connections, so that a cut on
-// one side stops one direction only.
-type peers struct {
-	member *Member
-	io     env.IO
-	links  map[membership.MemberID]*link
-	byOut  map[env.Conn]*link
-	in     map[env.Conn][]byte // of connections that others dialled
-	bytes  []byte
-}
-
-func newPeers(m *Member, io env.IO) *peers {
-	return &peers{member: m, io: io, links: map[membership.MemberID]*link{}, byOut: map[env.Conn]*link{}, in: map[env.Conn][]byte{}}
-}
-
-// tick dials those that are to be spoken to, where they are now, and lets go of those that are not in the group any more.
-func (p *peers) tick(now float64) {
-	at := p.member.addresses()
-	for id, l := range p.links {
-		if _, ok := at[id]; !ok {
-			delete(p.links, id)
-			if l.conn != 0 {
-				delete(p.byOut, l.conn)
-				p.io.Close(l.conn)
-			}
+// tick dials members without a connection, and closes connections to those that were removed.
+func (t *peerTransport) tick(now float64) {
+	addresses := t.member.addresses()
+	t.removeAbsent(addresses)
+	for _, id := range sortedIDs(addresses) {
+		link := t.byID[id]
+		if link == nil {
+			link = &outgoingPeer{id: id}
+			t.byID[id] = link
+		}
+		if link.conn == 0 && now >= link.nextDialAt {
+			link.nextDialAt = now + peerRedialInterval
+			t.dial(link, addresses[id])
 		}
 	}
-	for _, id := range sortedNumbers(at) {
-		l := p.links[id]
-		if l == nil {
-			l = &link{id: id}
-			p.links[id] = l
+}
+
+func (t *peerTransport) removeAbsent(addresses map[membership.MemberID]netip.AddrPort) {
+	for id, link := range t.byID {
+		_, present := addresses[id]
+		if present {
+			continue
 		}
-		if l.conn == 0 && now >= l.dialAt {
-			l.dialAt = now + peerRedial
-			l.conn, l.sent, l.taken, l.heard = p.io.Dial(at[id]), 0, 0, nil
-			p.byOut[l.conn] = l
+		delete(t.byID, id)
+		if link.conn != 0 {
+			delete(t.byConn, link.conn)
+			t.io.Close(link.conn)
 		}
 	}
 }
 
-// frame is what we say, with what tells our folder.
-func (p *peers) frame(to membership.MemberID, kind peer.Kind, b []byte) []byte {
-	m := p.member
-	p.bytes = peer.Append(p.bytes[:0], m.setup.Key, peer.Frame{From: uint64(m.setup.Self), To: uint64(to), Mark: m.disk.DataDirID(),
-		Commit: m.commit(), Kind: kind, Message: b})
-	return p.bytes
+func (t *peerTransport) dial(link *outgoingPeer, address netip.AddrPort) {
+	link.conn = t.io.Dial(address)
+	link.sent = 0
+	link.delivered = 0
+	link.buffer = nil
+	t.byConn[link.conn] = link
+}
+
+// encode returns a frame to a member, with what identifies this member's data directory. It is valid until the next call.
+func (t *peerTransport) encode(to membership.MemberID, kind peer.Kind, message []byte) []byte {
+	member := t.member
+	frame := peer.Frame{
+		From:    uint64(member.config.Self),
+		To:      uint64(to),
+		Mark:    member.storage.DataDirID(),
+		Commit:  member.commitIndex(),
+		Kind:    kind,
+		Message: message,
+	}
+	t.scratch = peer.Append(t.scratch[:0], member.config.Key, frame)
+	return t.scratch
 }
 
-func (p *peers) send(to membership.MemberID, kind peer.Kind, b []byte) {
-	l := p.links[to]
-	if l == nil || !l.up || l.sent-l.taken > peerUnread {
+// send sends a message if the member is connected and not far behind with what was sent before.
+func (t *peerTransport) send(to membership.MemberID, kind peer.Kind, message []byte) {
+	link := t.byID[to]
+	if link == nil || !link.connected || link.sent-link.delivered > maxUndeliveredPeerBytes {
 		return
 	}
-	f := p.frame(to, kind, b)
-	l.sent += uint64(len(f))
-	p.io.Send(l.conn, f)
+	frame := t.encode(to, kind, message)
+	link.sent += uint64(len(frame))
+	t.io.Send(link.conn, frame)
 }
 
-// broadcast says something to all that can be reached.
-func (p *peers) broadcast(kind peer.Kind, b []byte) {
-	for _, id := range sortedNumbers(p.links) {
-		p.send(id, kind, b)
+// broadcast sends a message to all members that are connected.
+func (t *peerTransport) broadcast(kind peer.Kind, message []byte) {
+	for _, id := range sortedIDs(t.byID) {
+		t.send(id, kind, message)
 	}
 }
 
-func (p *peers) opened(c env.Conn) {
-	if len(p.in) >= mostIn {
-		p.member.say("peer's connection closed", "why", "too many")
-		p.io.Close(c)
+func (t *peerTransport) opened(conn env.Conn) {
+	if len(t.incoming) >= maxIncomingPeers {
+		t.member.log("peer connection closed", "reason", "too many")
+		t.io.Close(conn)
 		return
 	}
-	p.in[c] = nil
+	t.incoming[conn] = nil
 }
 
-// connected, closed, taken and receive tell whether the connection is one of ours.
-func (p *peers) connected(c env.Conn, ok bool) bool {
-	l := p.byOut[c]
-	if l == nil {
+// connected takes the result of a dial. It reports whether the connection is to a member.
+func (t *peerTransport) connected(conn env.Conn, ok bool) bool {
+	link := t.byConn[conn]
+	if link == nil {
 		return false
 	}
-	if l.up = ok; !ok {
-		delete(p.byOut, c)
-		l.conn = 0
-	} else { // so that each knows each other's folder, also where consensus has nothing to say
-		p.send(l.id, peer.Hello, nil)
+	link.connected = ok
+	if !ok {
+		delete(t.byConn, conn)
+		link.conn = 0
+		return true
 	}
+	// The members learn each other's data directories, also where consensus has nothing to send.
+	t.send(link.id, peer.Hello, nil)
 	return true
 }
 
-func (p *peers) closed(c env.Conn) bool {
-	if _, ok := p.in[c]; ok {
-		delete(p.in, c)
+// closed reports whether the connection was of the group.
+func (t *peerTransport) closed(conn env.Conn) bool {
+	_, incoming := t.incoming[conn]
+	if incoming {
+		delete(t.incoming, conn)
 		return true
 	}
-	return p.connected(c, false)
+	return t.connected(conn, false)
 }
 
-func (p *peers) taken(c env.Conn, total uint64) bool {
-	if l := p.byOut[c]; l != nil {
-		l.taken = total
+// delivered takes the bytes that a member's host has received. It reports whether the connection is of the group.
+func (t *peerTransport) delivered(conn env.Conn, total uint64) bool {
+	link := t.byConn[conn]
+	if link != nil {
+		link.delivered = total
 		return true
 	}
-	_, ok := p.in[c]
-	return ok
+	_, incoming := t.incoming[conn]
+	return incoming
 }
 
-func (p *peers) receive(now float64, c env.Conn, b []byte) bool {
-	l := p.byOut[c]
-	buf, ok := p.in[c]
-	if !ok && l == nil {
+// receive handles the frames that data completes. It reports whether the connection is of the group.
+func (t *peerTransport) receive(now float64, conn env.Conn, data []byte) bool {
+	link := t.byConn[conn]
+	buffer, incoming := t.incoming[conn]
+	if !incoming && link == nil {
 		return false
 	}
-	if l != nil {
-		buf = l.heard
+	if link != nil {
+		buffer = link.buffer
 	}
-	buf = append(buf, b...)
+	rest, sender, err := t.receiveFrames(now, conn, link != nil, append(buffer, data...))
+	if err != nil {
+		t.member.log("peer connection closed", "from", sender, "reason", err)
+		t.abandon(conn)
+		return true
+	}
+	rest = append([]byte(nil), rest...)
+	if link != nil {
+		link.buffer = rest
+		return true
+	}
+	// A frame may have led to the end of the connection.
+	_, incoming = t.incoming[conn]
+	if incoming {
+		t.incoming[conn] = rest
+	}
+	return true
+}
+
+// receiveFrames handles all whole frames of a buffer and returns what is left of it. With an error, sender is that of the frame.
+func (t *peerTransport) receiveFrames(now float64, conn env.Conn, dialled bool, buffer []byte) (rest []byte, sender uint64, err error) {
 	for {
-		f, n, err := peer.Next(buf, p.member.setup.Key)
-		if err == nil && n > 0 && f.To != 0 && f.To != uint64(p.member.setup.Self) {
-			err = peer.ErrFrame
+		frame, size, err := peer.Next(buffer, t.member.config.Key)
+		if err != nil {
+			return nil, frame.From, err
 		}
-		if err == nil && n > 0 {
-			err = p.member.heard(now, c, f, l != nil)
+		if size == 0 {
+			return buffer, 0, nil
 		}
+		err = t.receiveFrame(now, conn, dialled, frame)
 		if err != nil {
-			p.member.say("peer's connection closed", "from", f.From, "why", err)
-			delete(p.in, c)
-			if l != nil {
-				p.connected(c, false)
-			}
-			p.io.Close(c)
-			return true
+			return nil, frame.From, err
 		}
-		if n == 0 {
-			break
-		}
-		buf = buf[n:]
-	}
-	rest := append([]byte(nil), buf...)
-	if l != nil {
-		l.heard = rest
-	} else if _, ok := p.in[c]; ok {
-		p.in[c] = rest
+		buffer = buffer[size:]
 	}
-	return true
 }
 
-// Status is how a group is, as one coordinator sees it.
-type Status struct {
-	Number        membership.MemberID                             `json:"number"`
-	Leader        membership.MemberID                             `json:"consensus-leader"` // 0: none is known
-	Commit        uint64                                          `json:"commit"`
-	Epoch         membership.Epoch                                `json:"epoch"`
-	HoldsLease    bool                                            `json:"holds-lease"`
-	Failed        string                                          `json:"failed,omitempty"` // why it orders nothing any more
-	Registrations map[membership.MemberID]membership.Registration `json:"seats"`
-	Members       map[membership.Peer]membership.Member           `json:"members"`
-	Drains        int                                             `json:"drains"`
-}
-
-func (m *Member) status(now float64) ([]byte, error) {
-	g := m.Group
-	s := Status{Number: m.setup.Self}
-	if g != nil {
-		s.Leader, s.Commit, s.Epoch, s.HoldsLease = membership.MemberID(g.Node.Leader()), m.commit(), g.State.Epoch, m.Failed == nil && g.Lease.Valid(now)
-		s.Registrations, s.Members, s.Drains = g.State.Registrations, g.State.Members, len(g.State.Drains)
+func (t *peerTransport) receiveFrame(now float64, conn env.Conn, dialled bool, frame peer.Frame) error {
+	if frame.To != 0 && frame.To != uint64(t.member.config.Self) {
+		return peer.ErrFrame
 	}
-	if m.Failed != nil {
-		s.Failed = m.Failed.Error()
+	if dialled {
+		t.member.receiveReply(frame)
+		return nil
 	}
-	return json.Marshal(s)
+	return t.member.receiveFrame(now, conn, frame)
+}
+
+// abandon closes a connection after an error on it.
+func (t *peerTransport) abandon(conn env.Conn) {
+	delete(t.incoming, conn)
+	t.connected(conn, false)
+	t.io.Close(conn)
 }
