--- a/internal/coordinator/graphite_test.go
+++ b/internal/coordinator/graphite_test.go
@@ -3,126 +3,153 @@
 import (
 	"fmt"
 	"maps"
+	"math"
 	"net/netip"
 	"slices"
 	"strings"
 	"testing"
 
-	"snowquay/internal/coordinator"
 	"snowquay/internal/core/spool"
-	"snowquay/internal/core/tenancy"
 	"snowquay/internal/emulator"
 	"snowquay/internal/env/simnet"
 	"snowquay/internal/feed/graphite"
 	"snowquay/internal/golden"
 	"snowquay/internal/scenario"
-	"snowquay/internal/settings"
 	"snowquay/internal/store"
 )
 
-// watched is a host with two tenants whose figures are sent to a receiver in virtual time.
-func watched(t *testing.T, change func(*graphite.Setup)) (*site, *simnet.Host, *emulator.GraphiteSink) {
+// joinedMetric is the number of joined proxies of the first tenant.
+const joinedMetric = "sq.test.tenants.t000.fleet.joined"
+
+// graphiteFixture is a host with two tenants whose metrics are sent to a sink.
+type graphiteFixture struct {
+	*hostFixture
+	sink        *emulator.GraphiteSink
+	sinkMachine *simnet.Host
+}
+
+func newGraphiteFixture(t *testing.T, configure func(*graphite.Setup)) *graphiteFixture {
 	t.Helper()
-	set, err := settings.ParseHost("host.xml", []byte(strings.Replace(scenario.HostSettings, "<caller", `<graphite address="127.0.9.9:2003" prefix="sq.test"/><caller`, 1)))
-	if err != nil {
-		t.Fatal(err)
-	}
-	change(set.Graphite)
-	set.ParseTenant = func(x tenancy.Tenant) (coordinator.TenantConfig, error) {
-		return settings.ParseTenant(x.Name, x.Settings, set)
+	text := strings.Replace(scenario.HostSettings, "<caller", `<graphite address="127.0.9.9:2003" prefix="sq.test"/><caller`, 1)
+	config := parseHostSettings(t, text)
+	configure(config.Graphite)
+	f := &graphiteFixture{hostFixture: startHostFixture(t, config, &store.MemoryTenantStore{}), sink: emulator.NewReceiver()}
+	for number, text := range tenantSettings(2) {
+		f.create(tenantName(number), text, 0)
 	}
-	s := &site{t: t, set: set, store: &store.MemoryTenantStore{}, net: simnet.New(1, 1000)}
-	s.place = s.net.Add(set.SASP.Addr(), 0, false)
-	s.start()
-	for i, text := range texts(2) {
-		if _, err := s.order(tenancy.Create, tenancy.Name(fmt.Sprintf("t%03d", i)), text, 0); err != nil {
-			t.Fatal(err)
-		}
-	}
-	r := emulator.NewReceiver()
-	at := s.net.Add(netip.MustParseAddr("127.0.9.9"), 1, false)
-	at.Start(r)
-	return s, at, r
+	f.sinkMachine = f.net.Add(netip.MustParseAddr("127.0.9.9"), 1, false)
+	f.sinkMachine.Start(f.sink)
+	return f
 }
 
-const joined = "sq.test.tenants.t000.fleet.joined"
-
-// Dashboards of users go by these paths.
+// Dashboards of users refer to these paths.
 func TestGraphitePathsOnTheWire(t *testing.T) {
-	s, _, r := watched(t, func(*graphite.Setup) {})
-	s.from(0, setBalancer("t000/relay-0"), register("t000/relay-0"))
-	s.run(60)
-	golden.Bytes(t, "graphite-paths.txt", []byte(strings.Join(slices.Sorted(maps.Keys(r.Values)), "\n")+"\n"))
+	f := newGraphiteFixture(t, func(*graphite.Setup) {})
+	f.connectProxy(0)
+	f.run(60)
+	paths := slices.Sorted(maps.Keys(f.sink.Values))
+	golden.Bytes(t, "graphite-paths.txt", []byte(strings.Join(paths, "\n")+"\n"))
 }
 
-// The receiver is down for an hour: nothing is lost where there is room, and with a tenth of the room the whole hour is there, coarser.
-func TestAReceiverThatIsDownForAnHour(t *testing.T) {
-	for _, room := range []int{1 << 17, 2000} {
-		s, at, r := watched(t, func(g *graphite.Setup) { g.Terms.Values, g.Terms.PerSize = room, 8 })
-		k := s.from(0, setBalancer("t000/relay-0"), register("t000/relay-0"))
-		s.run(60)
-		at.Kill()
-		s.run(3600)
-		at.Start(r)
-		s.run(60)
-		times := r.Values[joined]
-		first, last, gap, before := int64(1<<60), int64(0), int64(0), int64(0)
-		for i := int64(1000); i < 1000+3720; i++ {
-			if _, ok := times[i]; ok {
-				if first = min(first, i); before > 0 {
-					gap = max(gap, i-before)
-				}
-				before, last = i, i
+// The sink is down for an hour: no value is lost if the spool is large enough, and a small one still covers the whole hour at a
+// coarser resolution.
+func TestGraphiteSinkDownForAnHour(t *testing.T) {
+	tests := []struct {
+		spoolValues int
+		firstUntil  int64 // the latest time of the first value, in seconds
+		lastFrom    int64 // the earliest time of the last value, in seconds
+		maxGap      int64 // seconds between two values
+		minValues   int
+	}{
+		{spoolValues: 1 << 17, firstUntil: 1011, lastFrom: 4700, maxGap: 11, minValues: 371},
+		{spoolValues: 2000, firstUntil: 1011, lastFrom: 4700, maxGap: 1000, minValues: 20},
+	}
+	for _, test := range tests {
+		t.Run(fmt.Sprint(test.spoolValues), func(t *testing.T) {
+			f := newGraphiteFixture(t, func(setup *graphite.Setup) {
+				setup.Terms.Values = test.spoolValues
+				setup.Terms.PerSize = 8
+			})
+			proxy := f.connectProxy(0)
+			f.run(60)
+			f.sinkMachine.Kill()
+			f.run(3600)
+			f.sinkMachine.Start(f.sink)
+			f.run(60)
+			values := f.sink.Values[joinedMetric]
+			span := spanOf(values, 1000, 1000+3720)
+			if span.first > test.firstUntil || span.last < test.lastFrom || span.maxGap > test.maxGap || len(values) < test.minValues {
+				t.Errorf("%d values: %+v", len(values), span)
 			}
+			t.Logf("%d values, %+v; %d lines, %d of them again", len(values), span, f.sink.Lines, f.sink.Again)
+			if joined := values[span.last]; joined != 1 || f.sink.Garbled > 0 || len(proxy.rows) == 0 {
+				t.Errorf("%v joined, %d lines garbled, %d rows", joined, f.sink.Garbled, len(proxy.rows))
+			}
+			// A total that grew during the hour arrives with the growth.
+			turns := f.sink.Values["sq.test.host.turns"]
+			if turns[span.last] < turns[span.first]+1000 {
+				t.Errorf("turns grow from %v to %v", turns[span.first], turns[span.last])
+			}
+		})
+	}
+}
+
+// timeSpan describes the times of a metric's values, in seconds.
+type timeSpan struct{ first, last, maxGap int64 }
+
+func spanOf(values map[int64]float64, from, until int64) timeSpan {
+	span := timeSpan{first: math.MaxInt64}
+	for second := from; second < until; second++ {
+		_, ok := values[second]
+		if !ok {
+			continue
 		}
-		whole := room > 100000
-		if first > 1011 || last < 4700 || whole && (gap > 11 || len(times) < 371) || !whole && (gap > 1000 || len(times) < 20) {
-			t.Errorf("room for %d: %d values from %d to %d, at most %d s apart", room, len(times), first, last, gap)
-		}
-		t.Logf("room for %d: %d values of %d, at most %d s apart; %d lines, %d of them again", room, len(times), 371, gap, r.Lines, r.Again)
-		if v := times[last]; v != 1 || r.Garbled > 0 || len(k.rows) == 0 {
-			t.Errorf("joined %v, %d garbled", v, r.Garbled)
-		}
-		// What is sent after the hour is what was: a total that grew then has its end.
-		turns := r.Values["sq.test.host.turns"]
-		if turns[last] < turns[first]+1000 {
-			t.Errorf("turns %v to %v", turns[first], turns[last])
+		if span.last > 0 {
+			span.maxGap = max(span.maxGap, second-span.last)
 		}
+		span.first = min(span.first, second)
+		span.last = second
 	}
+	return span
 }
 
-// A receiver that stalls, whose host takes what its program never reads, and that is killed again and again: nothing is lost, and the
-// tenants' relays notice nothing.
-func TestAReceiverThatStallsAndDies(t *testing.T) {
-	s, at, r := watched(t, func(g *graphite.Setup) { g.Every, g.Terms.Stall = 1, 5 })
-	s.from(0, setBalancer("t000/relay-0"), register("t000/relay-0"))
-	s.run(5)
+// A sink that stalls while its host still accepts data, and that is killed repeatedly, loses no value, and the tenants' proxies are
+// not affected.
+func TestGraphiteSinkStallsAndDies(t *testing.T) {
+	f := newGraphiteFixture(t, func(setup *graphite.Setup) {
+		setup.Every = 1
+		setup.Terms.Stall = 5
+	})
+	f.connectProxy(0)
+	f.run(5)
 	for i := range 12 {
-		at.Stall(4) // its host goes on taking; what its program has not read is lost with it
-		s.run(2 + float64(i)/8)
-		at.Kill()
-		s.run(1)
-		at.Start(r)
-		s.run(8)
+		f.sinkMachine.Stall(4) // data that its host has accepted and the sink has not read is lost with it
+		f.run(2 + float64(i)/8)
+		f.sinkMachine.Kill()
+		f.run(1)
+		f.sinkMachine.Start(f.sink)
+		f.run(8)
 	}
-	at.Stall(20) // longer than the sender waits
-	s.run(30)
-	times := r.Values[joined]
-	end := int64(s.net.Now()) - 2
+	f.sinkMachine.Stall(20) // longer than the sender waits
+	f.run(30)
+	values := f.sink.Values[joinedMetric]
+	const start = 1002
+	end := int64(f.net.Now()) - 2
 	missing := 0
-	for i := int64(1002); i < end; i++ {
-		if _, ok := times[i]; !ok {
+	for second := int64(start); second < end; second++ {
+		if _, ok := values[second]; !ok {
 			missing++
 		}
 	}
 	if missing > 0 {
-		t.Errorf("%d of %d values are missing", missing, end-1002)
+		t.Errorf("%d of %d values are missing", missing, end-start)
 	}
-	x, _ := s.host.Tenant("t000")
-	if x.Program.Fleet.Joined() != 1 {
-		t.Error("a relay was lost by it")
+	tenant, _ := f.host.Tenant("t000")
+	if tenant.Program.Fleet.Joined() != 1 {
+		t.Error("the proxy is not joined any more")
 	}
-	if f := s.host.GraphiteSender(); f.Broken < 12 || f.State() != spool.Here {
-		t.Errorf("broken %d times, state %d: the test tests nothing", f.Broken, f.State())
+	sender := f.host.GraphiteSender()
+	if sender.Broken < 12 || sender.State() != spool.Here {
+		t.Errorf("broken %d times, state %d: the faults had no effect", sender.Broken, sender.State())
 	}
 }
--- /dev/null
+++ b/internal/coordinator/host_bench_test.go
@@ -0,0 +1,53 @@
+package coordinator_test
+
+import (
+	"fmt"
+	"runtime"
+	"testing"
+	"time"
+
+	"snowquay/internal/core/tenancy"
+	"snowquay/internal/scenario"
+	"snowquay/internal/store"
+)
+
+func heapBytes() float64 {
+	runtime.GC()
+	var stats runtime.MemStats
+	runtime.ReadMemStats(&stats)
+	return float64(stats.HeapAlloc)
+}
+
+// The cost of a tenant without connections: memory, and CPU time a second.
+func BenchmarkIdleTenant(b *testing.B) {
+	for _, tenants := range []int{10, 1000} {
+		b.Run(fmt.Sprint(tenants), func(b *testing.B) {
+			day := scenario.UsualHostedDay()
+			for b.Loop() {
+				before := heapBytes()
+				f := newHostFixture(b, &store.MemoryTenantStore{})
+				for number := range tenants {
+					f.create(tenantName(number), day.TenantSettings(number), 0)
+				}
+				f.run(5)
+				b.ReportMetric((heapBytes()-before)/float64(tenants), "B/tenant")
+				start := time.Now()
+				f.run(20)
+				b.ReportMetric(time.Since(start).Seconds()/20/float64(tenants)*1e6, "us/tenant/s")
+				runtime.KeepAlive(f)
+			}
+		})
+	}
+}
+
+// The cost of reading a tenant's settings, which a restarted host does for all its tenants.
+func BenchmarkParseTenant(b *testing.B) {
+	f := newHostFixture(b, &store.MemoryTenantStore{})
+	day := scenario.UsualHostedDay()
+	tenant := tenancy.Tenant{Name: "t000", Settings: day.TenantSettings(0)}
+	for b.Loop() {
+		if _, err := f.config.ParseTenant(tenant); err != nil {
+			b.Fatal(err)
+		}
+	}
+}
--- a/internal/coordinator/member_sockets_test.go
+++ b/internal/coordinator/member_sockets_test.go
@@ -13,65 +13,93 @@
 	"snowquay/internal/frontend/eventloop"
 )
 
-// The same members on event loops over loopback: all proxies are led, one member ends without a word, and the others lead
-// its proxies.
-func TestMembersOverSockets(t *testing.T) {
-	order, at := []membership.MemberID{1, 2, 3}, map[membership.MemberID]netip.AddrPort{}
-	for _, id := range order {
-		at[id] = netip.MustParseAddrPort(fmt.Sprint("127.0.0.1:", 14900+int(id)))
+// loopMember is a member on an event loop of its own.
+type loopMember struct {
+	member *coordinator.Member
+	loop   *eventloop.Server
+}
+
+func startLoopMember(t *testing.T, id membership.MemberID, addresses map[membership.MemberID]netip.AddrPort,
+	clock func() float64) *loopMember {
+	t.Helper()
+	storage, err := consensus.OpenFileStorage(filepath.Join(t.TempDir(), fmt.Sprint(id)), consensus.ID(id))
+	if err != nil {
+		t.Fatal(err)
 	}
-	members, loops := map[membership.MemberID]*coordinator.Member{}, map[membership.MemberID]*eventloop.Server{}
-	clock, dir := eventloop.Clock(), t.TempDir()
-	for _, id := range order {
-		f, err := consensus.OpenFileStorage(filepath.Join(dir, fmt.Sprint(id)), consensus.ID(id))
-		if err != nil {
-			t.Fatal(err)
-		}
-		defer f.Close()
-		lease := membership.DefaultLeaseConfig
-		lease.Duration, lease.RenewInterval, lease.SafetyMargin = 1.2, 0.3, 0.2
-		members[id] = coordinator.NewMember(coordinator.GroupConfig{Self: id, Weight: 1, Members: at,
-			Key: []byte("key"), Consensus: consensus.DefaultConfig, Lease: lease}, f, uint64(clock()*1e6), func(string, ...any) {})
-		s, err := eventloop.Listen(members[id], []netip.AddrPort{at[id]}, netip.AddrPort{}, clock)
-		if err != nil {
-			t.Fatal(err)
+	t.Cleanup(func() {
+		if err := storage.Close(); err != nil {
+			t.Error(err)
 		}
-		loops[id] = s
+	})
+	config := coordinator.GroupConfig{
+		Self:      id,
+		Weight:    1,
+		Members:   addresses,
+		Key:       []byte(testGroupKey),
+		Consensus: consensus.DefaultConfig,
+		Lease:     membership.DefaultLeaseConfig,
+	}
+	config.Lease.Duration = 1.2
+	config.Lease.RenewInterval = 0.3
+	config.Lease.SafetyMargin = 0.2
+	member := coordinator.NewMember(config, storage, uint64(clock()*1e6), func(string, ...any) {})
+	loop, err := eventloop.Listen(member, []netip.AddrPort{addresses[id]}, netip.AddrPort{}, clock)
+	if err != nil {
+		t.Fatal(err)
 	}
-	led := func() (n int) {
-		for i := range 20 {
-			for _, s := range loops {
-				id := membership.MemberID(0)
-				for k, v := range loops {
-					if v == s {
-						id = k
-					}
-				}
-				s.Do(func(now float64) {
-					if members[id].Owns(now, fmt.Sprint("relay-", i)) {
-						n++
-					}
-				})
+	return &loopMember{member: member, loop: loop}
+}
+
+// countOwned returns how many proxies the member owns.
+func (m *loopMember) countOwned() int {
+	owned := 0
+	m.loop.Do(func(now float64) {
+		for i := range testProxies {
+			if m.member.Owns(now, testProxyUID(i)) {
+				owned++
 			}
 		}
-		return n
+	})
+	return owned
+}
+
+// On event loops over loopback, all proxies have an owner, also soon after a member has ended without releasing its lease.
+func TestProxyOwnershipOverSockets(t *testing.T) {
+	addresses := map[membership.MemberID]netip.AddrPort{}
+	ids := []membership.MemberID{1, 2, 3}
+	for _, id := range ids {
+		addresses[id] = netip.MustParseAddrPort(fmt.Sprint("127.0.0.1:", 14900+int(id)))
 	}
-	until := func(what string) {
+	members := map[membership.MemberID]*loopMember{}
+	clock := eventloop.Clock()
+	for _, id := range ids {
+		members[id] = startLoopMember(t, id, addresses, clock)
+	}
+	waitForOwners := func(when string) {
 		t.Helper()
-		for end := time.Now().Add(20 * time.Second); led() != 20; time.Sleep(20 * time.Millisecond) {
-			if time.Now().After(end) {
-				t.Fatalf("%s: %d of 20 proxies are led", what, led())
+		deadline := time.Now().Add(20 * time.Second)
+		for {
+			owned := 0
+			for _, member := range members {
+				owned += member.countOwned()
+			}
+			if owned == testProxies {
+				return
+			}
+			if time.Now().After(deadline) {
+				t.Fatalf("%s: %d of %d proxies have an owner", when, owned, testProxies)
 			}
+			time.Sleep(20 * time.Millisecond)
 		}
 	}
-	until("at the start")
-	if err := loops[2].Stop(); err != nil {
+	waitForOwners("at the start")
+	if err := members[2].loop.Stop(); err != nil {
 		t.Error(err)
 	}
-	delete(loops, 2)
-	until("after one has ended")
-	for _, s := range loops {
-		if err := s.Stop(); err != nil {
+	delete(members, 2)
+	waitForOwners("after one member has ended")
+	for _, member := range members {
+		if err := member.loop.Stop(); err != nil {
 			t.Error(err)
 		}
 	}
--- a/internal/coordinator/member_test.go
+++ b/internal/coordinator/member_test.go
@@ -12,87 +12,148 @@
 	"snowquay/internal/env/simnet"
 )
 
-// Three members over a net that splits what is sent, each with a store on disk: killed, frozen and cut off in turn.
-func TestMembersOverANet(t *testing.T) {
-	net := simnet.New(5, 1000)
-	net.Faults.Split = 0.1
-	dir, order := t.TempDir(), []membership.MemberID{1, 2, 3}
-	at := map[membership.MemberID]netip.AddrPort{}
-	for _, id := range order {
-		at[id] = netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, byte(id)}), 7000)
+// testProxies is the number of proxies that a group shares in a test.
+const testProxies = 20
+
+func testProxyUID(i int) string { return fmt.Sprint("relay-", i) }
+
+// storedGroup is three members on a simulated network that splits deliveries, each with storage on disk.
+type storedGroup struct {
+	t           *testing.T
+	net         *simnet.Net
+	dir         string
+	ids         []membership.MemberID
+	addresses   map[membership.MemberID]netip.AddrPort
+	hosts       map[membership.MemberID]*simnet.Host
+	members     map[membership.MemberID]*coordinator.Member
+	storage     map[membership.MemberID]*consensus.FileStorage
+	incarnation uint64
+
+	owned    int    // proxies that have an owner, at the latest look
+	conflict string // a proxy that had two owners; empty: there was none
+}
+
+func newStoredGroup(t *testing.T) *storedGroup {
+	t.Helper()
+	g := &storedGroup{
+		t:         t,
+		net:       simnet.New(5, 1000),
+		dir:       t.TempDir(),
+		ids:       []membership.MemberID{1, 2, 3},
+		addresses: map[membership.MemberID]netip.AddrPort{},
+		hosts:     map[membership.MemberID]*simnet.Host{},
+		members:   map[membership.MemberID]*coordinator.Member{},
+		storage:   map[membership.MemberID]*consensus.FileStorage{},
 	}
-	hosts, members, files := map[membership.MemberID]*simnet.Host{}, map[membership.MemberID]*coordinator.Member{}, map[membership.MemberID]*consensus.FileStorage{}
-	life := uint64(0)
-	start := func(id membership.MemberID, key string) {
-		f, err := consensus.OpenFileStorage(filepath.Join(dir, fmt.Sprint(id)), consensus.ID(id))
-		if err != nil {
-			t.Fatal(err)
-		}
-		life++
-		files[id] = f
-		members[id] = coordinator.NewMember(coordinator.GroupConfig{Self: id, Weight: 1, Members: at,
-			Key: []byte(key), Consensus: consensus.DefaultConfig, Lease: membership.DefaultLeaseConfig}, f, life, func(string, ...any) {})
-		hosts[id].Start(members[id])
+	g.net.Faults.Split = 0.1
+	for _, id := range g.ids {
+		g.addresses[id] = memberAddress(id)
 	}
-	kill := func(id membership.MemberID) {
-		hosts[id].Kill()
-		if err := files[id].Close(); err != nil {
-			t.Fatal(err)
+	t.Cleanup(func() {
+		for _, storage := range g.storage {
+			_ = storage.Close() // some are closed already
 		}
+	})
+	for zone, id := range g.ids {
+		g.hosts[id] = g.net.Add(g.addresses[id].Addr(), zone, false)
+		g.start(id, testGroupKey)
 	}
-	defer func() {
-		for _, f := range files {
-			_ = f.Close() // some are closed already
-		}
-	}()
-	for i, id := range order {
-		hosts[id] = net.Add(at[id].Addr(), i, false)
-		start(id, "key")
+	return g
+}
+
+func (g *storedGroup) start(id membership.MemberID, key string) {
+	g.t.Helper()
+	storage, err := consensus.OpenFileStorage(filepath.Join(g.dir, fmt.Sprint(id)), consensus.ID(id))
+	if err != nil {
+		g.t.Fatal(err)
 	}
-	double, led := "", 0
-	look := func() {
-		led = 0
-		for i := range 20 {
-			uid, n := fmt.Sprint("relay-", i), 0
-			for _, id := range order {
-				if hosts[id].Up() && members[id].Owns(net.Now(), uid) {
-					n++
-				}
-			}
-			if led += min(n, 1); n > 1 {
-				double = fmt.Sprintf("at %.2f %s is led by %d", net.Now(), uid, n)
+	g.incarnation++
+	g.storage[id] = storage
+	config := coordinator.GroupConfig{
+		Self:      id,
+		Weight:    1,
+		Members:   g.addresses,
+		Key:       []byte(key),
+		Consensus: consensus.DefaultConfig,
+		Lease:     membership.DefaultLeaseConfig,
+	}
+	g.members[id] = coordinator.NewMember(config, storage, g.incarnation, func(string, ...any) {})
+	g.hosts[id].Start(g.members[id])
+}
+
+func (g *storedGroup) kill(id membership.MemberID) {
+	g.t.Helper()
+	g.hosts[id].Kill()
+	if err := g.storage[id].Close(); err != nil {
+		g.t.Fatal(err)
+	}
+}
+
+// run lets time pass and looks for the owners of the proxies meanwhile.
+func (g *storedGroup) run(seconds float64) {
+	end := g.net.Now() + seconds
+	for g.net.Now() < end {
+		g.net.Run(g.net.Now() + 0.05)
+		g.countOwned()
+	}
+}
+
+func (g *storedGroup) countOwned() {
+	g.owned = 0
+	for i := range testProxies {
+		uid := testProxyUID(i)
+		owners := 0
+		for _, id := range g.ids {
+			if g.hosts[id].Up() && g.members[id].Owns(g.net.Now(), uid) {
+				owners++
 			}
 		}
-	}
-	play := func(seconds float64) {
-		for end := net.Now() + seconds; net.Now() < end; look() {
-			net.Run(net.Now() + 0.05)
+		g.owned += min(owners, 1)
+		if owners > 1 {
+			g.conflict = fmt.Sprintf("at %.2f %s has %d owners", g.net.Now(), uid, owners)
 		}
 	}
-	if play(5); led != 20 {
-		t.Fatalf("%d of 20 proxies are led at the start", led)
+}
+
+func (g *storedGroup) holdsLease(id membership.MemberID) bool {
+	return g.members[id].Group.Lease.Valid(g.net.Now())
+}
+
+// Members are killed, frozen and cut off in turn: each proxy has at most one owner at any time, and one again soon after a fault.
+func TestProxyOwnershipUnderFaults(t *testing.T) {
+	g := newStoredGroup(t)
+	g.run(5)
+	if g.owned != testProxies {
+		t.Fatalf("%d of %d proxies have an owner at the start", g.owned, testProxies)
 	}
-	kill(1)
-	if play(7); led != 20 {
-		t.Errorf("%d are led after a death", led)
+	g.kill(1)
+	g.run(7)
+	if g.owned != testProxies {
+		t.Errorf("%d proxies have an owner after a member was killed", g.owned)
 	}
-	start(1, "key")
-	play(3)
-	hosts[2].Freeze(6)
-	play(9)
-	net.Cut(2, 3, true) // the third is alone in its zone
-	play(8)
-	if members[3].Owns(net.Now(), "relay-1") || members[3].Group.Lease.Valid(net.Now()) {
-		t.Error("one without a majority goes on leading")
+	g.start(1, testGroupKey)
+	g.run(3)
+	g.hosts[2].Freeze(6)
+	g.run(9)
+
+	const zones = 3
+	const isolatedZone = 2 // member 3 is alone in it
+	g.net.Cut(isolatedZone, zones, true)
+	g.run(8)
+	if g.members[3].Owns(g.net.Now(), testProxyUID(1)) || g.holdsLease(3) {
+		t.Error("a member without a quorum owns proxies")
 	}
-	net.Cut(2, 3, false)
-	if play(6); led != 20 || double != "" {
-		t.Errorf("%d are led in the end; %s", led, double)
+	g.net.Cut(isolatedZone, zones, false)
+	g.run(6)
+	if g.owned != testProxies || g.conflict != "" {
+		t.Errorf("%d proxies have an owner in the end; %s", g.owned, g.conflict)
 	}
-	kill(2)
-	start(2, "another key")
-	epoch := members[1].Group.State.Epoch
-	if play(8); members[2].Group.Lease.Valid(net.Now()) || led != 20 || members[1].Group.State.Epoch == epoch {
-		t.Error("one with another key takes part")
+
+	g.kill(2)
+	g.start(2, "another key")
+	epoch := g.members[1].Group.State.Epoch
+	g.run(8)
+	if g.holdsLease(2) || g.owned != testProxies || g.members[1].Group.State.Epoch == epoch {
+		t.Error("a member with another key takes part")
 	}
 }
