--- /dev/null
+++ b/internal/env/socketnet/host.go
@@ -0,0 +1,162 @@
+package socketnet
+
+import (
+	"bytes"
+	"net"
+	"net/netip"
+	"time"
+
+	"snowquay/internal/env"
+)
+
+// Host runs one program at a time. It implements env.IO for the program. Its methods are called under the lock of its Net.
+type Host struct {
+	net         *Net
+	addr        netip.AddrPort // port 0: it does not listen
+	zone        int
+	program     env.Program
+	incarnation int // incremented by each start and end of the program
+	up          bool
+
+	latestConn  env.Conn
+	connections map[env.Conn]*connection
+	listener    net.Listener
+	datagrams   *net.UDPConn
+
+	frozenUntil     float64 // clock time in seconds
+	dropsDatagrams  bool
+	datagramsLateBy float64 // seconds
+}
+
+// Start runs a program on the host. The error is that of listening.
+func (h *Host) Start(program env.Program) error {
+	h.program = program
+	h.up = true
+	h.frozenUntil = 0
+	h.incarnation++
+	datagrams, err := net.ListenUDP("udp", &net.UDPAddr{IP: h.addr.Addr().AsSlice()})
+	if err != nil {
+		return err
+	}
+	h.datagrams = datagrams
+	if h.addr.Port() != 0 {
+		listener, err := net.Listen("tcp", h.addr.String())
+		if err != nil {
+			return err
+		}
+		h.listener = listener
+		go h.acceptAll(listener, h.incarnation)
+	}
+	program.Start(h.net.clock(), h)
+	return nil
+}
+
+// acceptAll accepts connections until the listener is closed.
+func (h *Host) acceptAll(listener net.Listener, incarnation int) {
+	for {
+		socket, err := listener.Accept()
+		if err != nil {
+			return
+		}
+		h.accept(socket, incarnation)
+	}
+}
+
+func (h *Host) accept(socket net.Conn, incarnation int) {
+	h.net.mu.Lock()
+	defer h.net.mu.Unlock()
+	from, err := netip.ParseAddrPort(socket.RemoteAddr().String())
+	peerZone := h.net.zoneOf(from.Addr().Unmap())
+	if err != nil || h.incarnation != incarnation || !h.up || h.net.zonesPartitioned(h.zone, peerZone) {
+		_ = socket.Close()
+		return
+	}
+	conn := h.newConnection(peerZone)
+	conn.socket = socket
+	go conn.writeAll(socket)
+	h.program.Opened(h.net.clock(), conn.id, from.Addr().Unmap(), h.addr.Port())
+	go conn.readAll(incarnation)
+}
+
+// Kill ends the program at once. Peers see their connections reset.
+func (h *Host) Kill() {
+	if !h.up {
+		return
+	}
+	h.up = false
+	h.incarnation++
+	if h.listener != nil {
+		_ = h.listener.Close()
+	}
+	_ = h.datagrams.Close()
+	for _, conn := range h.connections {
+		tcp, ok := conn.socket.(*net.TCPConn)
+		if ok {
+			_ = tcp.SetLinger(0)
+		}
+		conn.close()
+	}
+}
+
+// Freeze stops the program for some seconds.
+func (h *Host) Freeze(seconds float64) {
+	h.frozenUntil = max(h.frozenUntil, h.net.clock()+seconds)
+}
+
+// waitWhileFrozen returns when the host is not frozen. The caller must not hold the lock.
+func (h *Host) waitWhileFrozen() {
+	for {
+		h.net.mu.Lock()
+		wait := h.frozenUntil - h.net.clock()
+		h.net.mu.Unlock()
+		if wait <= 0 {
+			return
+		}
+		time.Sleep(seconds(wait))
+	}
+}
+
+// Mute makes the datagrams that the host sends get lost, or late by some seconds.
+func (h *Host) Mute(lost bool, lateBy float64) {
+	h.dropsDatagrams = lost
+	h.datagramsLateBy = lateBy
+}
+
+// closePartitioned closes connections to zones that the host does not reach any more.
+func (h *Host) closePartitioned() {
+	for _, conn := range h.connections {
+		if h.net.zonesPartitioned(h.zone, conn.peerZone) && !conn.closed {
+			conn.close()
+			h.program.Closed(h.net.clock(), conn.id)
+		}
+	}
+}
+
+// Datagram implements env.IO.
+func (h *Host) Datagram(to netip.AddrPort, data []byte) {
+	if h.dropsDatagrams || h.net.zonesPartitioned(h.zone, h.net.zoneOf(to.Addr())) {
+		return
+	}
+	data = bytes.Clone(data)
+	socket := h.datagrams
+	send := func() { _, _ = socket.WriteToUDPAddrPort(data, to) } // a datagram may get lost
+	if h.datagramsLateBy > 0 {
+		h.net.At(h.net.clock()+h.datagramsLateBy, send)
+		return
+	}
+	send()
+}
+
+// SetTimer implements env.IO.
+func (h *Host) SetTimer(at float64, key int) {
+	incarnation := h.incarnation
+	h.net.At(at, func() {
+		switch {
+		case h.incarnation != incarnation:
+		case h.frozenUntil > h.net.clock():
+			h.SetTimer(h.frozenUntil, key)
+		default:
+			h.program.TimerFired(h.net.clock(), key)
+		}
+	})
+}
