--- /dev/null
+++ b/internal/core/indexedheap/indexedheap_test.go
@@ -0,0 +1,58 @@
+package indexedheap
+
+import (
+	"testing"
+
+	"pgregory.net/rapid"
+)
+
+type number struct {
+	Position
+	value int
+}
+
+func (n *number) Less(other *number) bool { return n.value < other.value }
+
+// Whatever is pushed, changed and removed, the first element is the least, and each knows where it is.
+func TestFirstIsLeast(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		elements := make([]*number, 20)
+		for i := range elements {
+			elements[i] = &number{}
+		}
+		var heap Heap[*number]
+		for range rapid.IntRange(1, 100).Draw(t, "steps") {
+			element := rapid.SampledFrom(elements).Draw(t, "element")
+			remove := rapid.Bool().Draw(t, "remove")
+			if remove {
+				heap.Remove(element)
+			} else {
+				element.value = rapid.IntRange(0, 10).Draw(t, "value")
+				heap.Fix(element)
+			}
+			if !remove && !element.InHeap() {
+				heap.Push(element)
+			}
+			checkHeap(t, &heap, elements)
+		}
+	})
+}
+
+func checkHeap(t *rapid.T, heap *Heap[*number], elements []*number) {
+	count := 0
+	for _, element := range elements {
+		if !element.InHeap() {
+			continue
+		}
+		count++
+		if heap.elements[element.number-1] != element {
+			t.Fatalf("the element with value %d is not at its position %d", element.value, element.number-1)
+		}
+		if element.Less(heap.First()) {
+			t.Fatalf("the first value is %d, there is a value %d", heap.First().value, element.value)
+		}
+	}
+	if heap.Len() != count {
+		t.Fatalf("%d elements are in the heap, its length is %d", count, heap.Len())
+	}
+}
