--- a/internal/coordinator/config.go
+++ b/internal/coordinator/config.go
@@ -28,6 +28,7 @@
 	User string
 	// Key verifies measurement packets. If it is empty, they need not be signed.
 	Key string
+	// Log is the logger; nil: nothing is logged.
 	Log *slog.Logger
 	// OnFail is called when the coordinator stops issuing commands for good. It may be nil.
 	OnFail func(error)
--- a/internal/env/simnet/host.go
+++ b/internal/env/simnet/host.go
@@ -83,7 +83,7 @@
 
 // partitionedFrom reports whether two hosts do not reach each other.
 func (h *Host) partitionedFrom(other *Host) bool {
-	return h.net.zonesPartitioned(h.zone, other.zone) || h.excludes(other) || other.excludes(h)
+	return h.net.partitions.Between(h.zone, other.zone) || h.excludes(other) || other.excludes(h)
 }
 
 func (h *Host) excludes(other *Host) bool { return h.unreachable != nil && h.unreachable(other.addr) }
--- a/internal/env/simnet/simnet.go
+++ b/internal/env/simnet/simnet.go
@@ -10,6 +10,7 @@
 	"slices"
 
 	"snowquay/internal/env"
+	"snowquay/internal/env/partition"
 )
 
 // randomStream separates the random numbers of a Net from others of the same seed.
@@ -29,11 +30,6 @@
 // DefaultFaults are those of a network without random faults.
 var DefaultFaults = Faults{SameZoneLatency: 0.0003, CrossZoneLatency: 0.001, Notice: 2}
 
-// zonePair are two zones, the lower number first.
-type zonePair struct{ lower, higher int }
-
-func pairOf(a, b int) zonePair { return zonePair{lower: min(a, b), higher: max(a, b)} }
-
 // Net is a simulated network with its clock. It is used by one goroutine. Use New.
 type Net struct {
 	// Faults may be changed at any time.
@@ -41,22 +37,21 @@
 	// Events is the number of events that have happened.
 	Events int
 
-	now         float64 // clock time in seconds
-	sequence    uint64  // of the latest event that was scheduled
-	events      eventQueue
-	random      *rand.Rand
-	hosts       map[netip.Addr]*Host
-	partitioned map[zonePair]bool
+	now        float64 // clock time in seconds
+	sequence   uint64  // of the latest event that was scheduled
+	events     eventQueue
+	random     *rand.Rand
+	hosts      map[netip.Addr]*Host
+	partitions partition.Zones
 }
 
 // New returns a network without hosts at a clock time in seconds.
 func New(seed uint64, now float64) *Net {
 	return &Net{
-		Faults:      DefaultFaults,
-		now:         now,
-		random:      rand.New(rand.NewPCG(seed, randomStream)),
-		hosts:       map[netip.Addr]*Host{},
-		partitioned: map[zonePair]bool{},
+		Faults: DefaultFaults,
+		now:    now,
+		random: rand.New(rand.NewPCG(seed, randomStream)),
+		hosts:  map[netip.Addr]*Host{},
 	}
 }
 
@@ -96,17 +91,13 @@
 // Cut partitions a zone from all others, of which there are zones in all, or ends the partition. Connections between them break when
 // that is detected.
 func (n *Net) Cut(zone, zones int, on bool) {
-	for other := range zones {
-		if other != zone {
-			n.partitioned[pairOf(zone, other)] = on
-		}
-	}
+	n.partitions.Isolate(zone, zones, on)
 	if !on {
 		return
 	}
 	for _, host := range n.sortedHosts() {
 		for _, conn := range host.sortedConnections() {
-			if conn.peer != nil && n.zonesPartitioned(host.zone, conn.peer.host.zone) {
+			if conn.peer != nil && n.partitions.Between(host.zone, conn.peer.host.zone) {
 				n.breakPartitioned(conn)
 			}
 		}
@@ -117,14 +108,12 @@
 func (n *Net) breakPartitioned(conn *endpoint) {
 	incarnation := conn.host.incarnation
 	n.At(n.now+n.Faults.Notice*(0.3+0.7*n.random.Float64()), func() {
-		if n.zonesPartitioned(conn.host.zone, conn.peer.host.zone) {
+		if n.partitions.Between(conn.host.zone, conn.peer.host.zone) {
 			conn.lost(incarnation)
 		}
 	})
 }
 
-func (n *Net) zonesPartitioned(a, b int) bool { return n.partitioned[pairOf(a, b)] }
-
 func (n *Net) sortedHosts() []*Host {
 	hosts := make([]*Host, 0, len(n.hosts))
 	for _, host := range n.hosts {
--- a/internal/env/socketnet/conn.go
+++ b/internal/env/socketnet/conn.go
@@ -65,7 +65,7 @@
 // connect opens a socket without the lock.
 func (h *Host) connect(to netip.AddrPort, zone int) (net.Conn, error) {
 	h.net.mu.Lock()
-	partitioned := h.net.zonesPartitioned(h.zone, zone)
+	partitioned := h.net.partitions.Between(h.zone, zone)
 	h.net.mu.Unlock()
 	if partitioned {
 		time.Sleep(dialTimeout)
--- a/internal/env/socketnet/host.go
+++ b/internal/env/socketnet/host.go
@@ -67,7 +67,7 @@
 	defer h.net.mu.Unlock()
 	from, err := netip.ParseAddrPort(socket.RemoteAddr().String())
 	peerZone := h.net.zoneOf(from.Addr().Unmap())
-	if err != nil || h.incarnation != incarnation || !h.up || h.net.zonesPartitioned(h.zone, peerZone) {
+	if err != nil || h.incarnation != incarnation || !h.up || h.net.partitions.Between(h.zone, peerZone) {
 		_ = socket.Close()
 		return
 	}
@@ -125,7 +125,7 @@
 // closePartitioned closes connections to zones that the host does not reach any more.
 func (h *Host) closePartitioned() {
 	for _, conn := range h.connections {
-		if h.net.zonesPartitioned(h.zone, conn.peerZone) && !conn.closed {
+		if h.net.partitions.Between(h.zone, conn.peerZone) && !conn.closed {
 			conn.close()
 			h.program.Closed(h.net.clock(), conn.id)
 		}
@@ -134,7 +134,7 @@
 
 // Datagram implements env.IO.
 func (h *Host) Datagram(to netip.AddrPort, data []byte) {
-	if h.dropsDatagrams || h.net.zonesPartitioned(h.zone, h.net.zoneOf(to.Addr())) {
+	if h.dropsDatagrams || h.net.partitions.Between(h.zone, h.net.zoneOf(to.Addr())) {
 		return
 	}
 	data = bytes.Clone(data)
--- a/internal/env/socketnet/socketnet.go
+++ b/internal/env/socketnet/socketnet.go
@@ -8,25 +8,21 @@
 	"time"
 
 	"snowquay/internal/env"
+	"snowquay/internal/env/partition"
 )
 
-// zonePair are two zones, the lower number first.
-type zonePair struct{ lower, higher int }
-
-func pairOf(a, b int) zonePair { return zonePair{lower: min(a, b), higher: max(a, b)} }
-
 // Net is a set of hosts whose programs take turns. Use New. Stop ends its programs.
 type Net struct {
-	mu          sync.Mutex // held while a program runs
-	clock       func() float64
-	hosts       map[netip.Addr]*Host // that listen, or whose zones are known
-	partitioned map[zonePair]bool
-	stopped     bool
+	mu         sync.Mutex // held while a program runs
+	clock      func() float64
+	hosts      map[netip.Addr]*Host // that listen, or whose zones are known
+	partitions partition.Zones
+	stopped    bool
 }
 
 // New returns a net without hosts. clock returns seconds.
 func New(clock func() float64) *Net {
-	return &Net{clock: clock, hosts: map[netip.Addr]*Host{}, partitioned: map[zonePair]bool{}}
+	return &Net{clock: clock, hosts: map[netip.Addr]*Host{}}
 }
 
 // Now returns the clock time in seconds.
@@ -79,11 +75,7 @@
 // Cut partitions a zone from all others, of which there are zones in all, or ends the partition: connections between them break, and
 // dials fail. The caller holds the lock.
 func (n *Net) Cut(zone, zones int, on bool) {
-	for other := range zones {
-		if other != zone {
-			n.partitioned[pairOf(zone, other)] = on
-		}
-	}
+	n.partitions.Isolate(zone, zones, on)
 	if !on {
 		return
 	}
@@ -92,8 +84,6 @@
 	}
 }
 
-func (n *Net) zonesPartitioned(a, b int) bool { return n.partitioned[pairOf(a, b)] }
-
 func (n *Net) zoneOf(addr netip.Addr) int {
 	host := n.hosts[addr]
 	if host == nil {
