--- a/internal/coordinator/connections.go
+++ b/internal/coordinator/connections.go
@@ -60,10 +60,10 @@
 		return
 	}
 	if c.pollConnections[conn] {
-		c.LongPoll.Taken(now, longpollhttp.Conn(conn), total)
+		c.LongPoll.Delivered(now, longpollhttp.Conn(conn), total)
 		return
 	}
-	c.SASP.Taken(now, saspsession.Conn(conn), total)
+	c.SASP.Delivered(now, saspsession.Conn(conn), total)
 }
 
 // Datagram implements env.Program: it takes a measurement packet.
--- a/internal/coordinator/coordinator.go
+++ b/internal/coordinator/coordinator.go
@@ -33,7 +33,7 @@
 	// SASP serves proxies and servers that speak SASP.
 	SASP *saspsession.Server
 	// LongPoll serves proxies that poll over HTTP.
-	LongPoll *longpollhttp.Front
+	LongPoll *longpollhttp.Frontend
 	// Collector reads measurement packets.
 	Collector *collectd.Collector
 	// Member is this coordinator's part in a group of its own; nil if it is in none.
@@ -73,7 +73,7 @@
 	coordinator.Fleet = fleet
 	coordinator.SASP = saspsession.New(fleet, coordinator, config.Limits, config.Policy)
 	coordinator.LongPoll = longpollhttp.New(coordinator, config.LongPoll, config.Site.ClassNames)
-	coordinator.LongPoll.Counter = longpoll.New(now, longPollEpoch(now), fleet, coordinator.LongPoll, config.Parking)
+	coordinator.LongPoll.LongPoll = longpoll.New(now, longPollEpoch(now), fleet, coordinator.LongPoll, config.Parking)
 	coordinator.Collector = collectd.New(fleet, config.User, config.Key)
 	if config.Graphite != nil {
 		coordinator.links.graphite = newGraphiteSender(now, *config.Graphite, config.Site.Seed)
@@ -104,7 +104,7 @@
 	site := &c.config.Site
 	entries := float64(len(site.Servers) * len(site.Classes))
 	group.Lease.RampUp = membership.RampUpFor(site.DataPlane.Proxies, len(group.Members), entries, site.Channel.EntriesPerSecond)
-	member := NewMember(group, c.config.Storage, c.config.Incarnation, c.Say)
+	member := NewMember(group, c.config.Storage, c.config.Incarnation, c.Log)
 	member.OnFail = c.config.OnFail
 	member.OnDrain = c.drainCommitted
 	member.OnOrderCompleted = c.orderCompleted
@@ -171,7 +171,7 @@
 	}
 	c.config.Limits = config.Limits
 	c.config.Policy = config.Policy
-	c.SASP.Revise(config.Limits, config.Policy)
+	c.SASP.Reconfigure(config.Limits, config.Policy)
 	return revision, nil
 }
 
@@ -188,8 +188,8 @@
 // reports that the group knows.
 func (c *Coordinator) Leave(now float64) (known bool) { return c.links.leave(now) }
 
-// Say implements saspsession.Out and longpollhttp.Out: it logs an event with attributes.
-func (c *Coordinator) Say(event string, attributes ...any) {
+// Log implements saspsession.Out and longpollhttp.Out: it logs an event with attributes.
+func (c *Coordinator) Log(event string, attributes ...any) {
 	if c.config.Log != nil {
 		c.config.Log.Log(context.Background(), slog.LevelInfo, event, attributes...)
 	}
--- a/internal/coordinator/host.go
+++ b/internal/coordinator/host.go
@@ -138,7 +138,7 @@
 	identifySASP := func(data []byte) (string, bool, error) { return sasp.Speaker(data, limits.UnidentifiedBytes) }
 	return tenancy.NewConnectionRouter(now, limits, map[tenancy.Frontend]tenancy.IdentityParser{
 		tenancy.SASP: identifySASP,
-		tenancy.HTTP: longpollhttp.Speaker,
+		tenancy.HTTP: longpollhttp.ParseIdentity,
 	})
 }
 
--- a/internal/coordinator/host_connections.go
+++ b/internal/coordinator/host_connections.go
@@ -187,5 +187,5 @@
 
 func rejection(route tenancy.RouteResult) []byte {
 	response := rejectionResponses[route.Reason]
-	return longpollhttp.Refusal(response.status, response.kind, route.Reason.String(), route.RetryAfter)
+	return longpollhttp.RejectResponse(response.status, response.kind, route.Reason.String(), route.RetryAfter)
 }
--- a/internal/coordinator/restore_test.go
+++ b/internal/coordinator/restore_test.go
@@ -37,8 +37,8 @@
 			Limits:    controlplane.DefaultLimits,
 		},
 		SASP:        saspAddress,
-		Limits:      saspsession.UsualLimits,
-		Policy:      saspsession.Policy{FleetUID: "fleet", NewOnes: true},
+		Limits:      saspsession.DefaultLimits,
+		Policy:      saspsession.Policy{FleetUID: "fleet", AllowUnlisted: true},
 		Storage:     storage,
 		Incarnation: incarnation,
 		Group: &coordinator.GroupConfig{
--- a/internal/coordinator/sharing.go
+++ b/internal/coordinator/sharing.go
@@ -52,8 +52,8 @@
 	return s.local.Save(records)
 }
 
-// Drain implements saspsession.Out. A drain has no effect until the group has committed it.
-func (c *Coordinator) Drain(now float64, server balancer.Server, draining bool) (ticket uint64, ok bool) {
+// OrderDrain implements saspsession.Out. A drain has no effect until the group has committed it.
+func (c *Coordinator) OrderDrain(now float64, server balancer.Server, draining bool) (ticket uint64, ok bool) {
 	if c.peers == nil {
 		return 0, true
 	}
@@ -66,7 +66,7 @@
 // RequestDrain orders a drain, or its end, for an administrator. done is called once, when the drain is committed and durable,
 // or refused.
 func (c *Coordinator) RequestDrain(now float64, server balancer.Server, draining bool, done func(ok bool)) {
-	ticket, ok := c.Drain(now, server, draining)
+	ticket, ok := c.OrderDrain(now, server, draining)
 	if !ok {
 		done(false)
 		return
@@ -103,7 +103,7 @@
 	ticket := uint64(order)
 	done := c.pendingDrains[ticket]
 	if done == nil {
-		c.SASP.Settled(now, ticket, committed)
+		c.SASP.OrderCompleted(now, ticket, committed)
 		return
 	}
 	delete(c.pendingDrains, ticket)
@@ -146,7 +146,7 @@
 		}
 		err := c.Fleet.Registry.Restore(now, []registry.Record{record})
 		if err != nil {
-			c.Say("server record from the group rejected", "server", record.Server, "error", err)
+			c.Log("server record from the group rejected", "server", record.Server, "error", err)
 		}
 	}
 }
--- a/internal/core/longpoll/longpoll.go
+++ b/internal/core/longpoll/longpoll.go
@@ -23,29 +23,29 @@
 
 // Poll is what a proxy asks.
 type Poll struct {
-	UID     string
-	Epoch   uint64 // 0: it holds nothing of ours
-	Version uint64
-	Wait    float64 // seconds that it will wait
-	Lead    uint64  // newest epoch of who leads what that it has followed; 0: none
+	UID            string
+	Epoch          uint64 // 0: it holds nothing of ours
+	Version        uint64
+	Wait           float64 // seconds that it will wait
+	OwnershipEpoch uint64  // newest epoch of who leads what that it has followed; 0: none
 }
 
-// Line of a class in an answer. A weight of 0 takes the line away.
-type Line struct {
-	Server balancer.Server
-	Weight float64
-	Drains bool // it has no line because it drains
+// Entry of a class in an answer. A weight of 0 takes the line away.
+type Entry struct {
+	Server   balancer.Server
+	Weight   float64
+	Draining bool // it has no line because it drains
 }
 
 // Class is what an answer says of one query class.
 type Class struct {
-	Class    balancer.Class
-	Full     bool // these are all lines: what the proxy holds besides is to be dropped
-	Lines    []Line
-	Leveled  bool // level and again are said
-	Level    float64
-	Again    balancer.RetryPolicy
-	ComeBack float64 // seconds after which a client that was refused may come again
+	Class        balancer.Class
+	Full         bool // these are all lines: what the proxy holds besides is to be dropped
+	Entries      []Entry
+	HasAdmission bool // level and again are said
+	Admission    float64
+	Retry        balancer.RetryPolicy
+	RetryAfter   float64 // seconds after which a client that was refused may come again
 }
 
 // Answer to a poll. Without classes nothing is newer than what the poll named; the proxy then holds what it held.
@@ -53,8 +53,8 @@
 	Epoch, Version uint64
 	From           uint64 // version that the proxy must hold, or a later one, to apply it; 0: any
 	Classes        []Class
-	AskWithin      float64 // seconds in which the proxy must ask again
-	Lead           uint64  // epoch of who leads what; the proxy drops the answer if it has followed a newer one
+	PollWithin     float64 // seconds in which the proxy must ask again
+	OwnershipEpoch uint64  // epoch of who leads what; the proxy drops the answer if it has followed a newer one
 }
 
 // RejectReason says why a poll is not served.
@@ -62,53 +62,53 @@
 
 // Why a poll is rejected.
 const (
-	NotListed  RejectReason = iota // the settings list no such proxy
-	Crowded                        // too many polls, or proxies
-	TooOften                       // this proxy asks too often
-	Superseded                     // another poll of this proxy has come
-	Elsewhere                      // another coordinator leads the proxy
-	Moved                          // the proxy has joined by another front
-	Behind                         // the proxy has followed a newer epoch than this coordinator knows
+	NotListed        RejectReason = iota // the settings list no such proxy
+	TooManyPolls                         // too many polls, or proxies
+	PollRateExceeded                     // this proxy asks too often
+	Superseded                           // another poll of this proxy has come
+	WrongCoordinator                     // another coordinator leads the proxy
+	JoinedElsewhere                      // the proxy has joined by another front
+	EpochOutdated                        // the proxy has followed a newer epoch than this coordinator knows
 )
 
-// Out takes what a Counter orders.
-type Out interface {
+// Handler takes what a Counter orders.
+type Handler interface {
 	// Answer must use what it is given before it returns.
 	Answer(PollID, *Answer)
-	// Refuse tells a poll to come back after some seconds, 0: not to.
-	Refuse(w PollID, why RejectReason, after float64)
+	// Reject tells a poll to come back after some seconds, 0: not to.
+	Reject(w PollID, why RejectReason, after float64)
 	// Dropped tells that a proxy counts as gone, so that connections of it that wait for nothing are closed and it notices.
 	Dropped(uid string)
-	// Say logs an event with pairs of names and values.
-	Say(event string, pairs ...any)
+	// Log logs an event with pairs of names and values.
+	Log(event string, pairs ...any)
 }
 
 // Limits bound what a Counter keeps and does; a poll beyond one is refused.
 type Limits struct {
-	Parked   int     // polls that wait, of proxies that are joined
-	Joins    float64 // of proxies a second, on average
-	Burst    float64 // joins at once
-	Asks     float64 // polls of one proxy a second, on average
-	AskBurst float64
-	Longest  float64 // seconds that a poll may wait; more is cut down to it
-	Between  float64 // seconds that a proxy may be between two polls; then it has left
-	UnderWay int     // answers that are not acknowledged; over it only drains are sent
-	Reserve  int     // further answers, for drains alone
-	ComeBack float64 // seconds after which those turned away come back, at least; they are spread over as much again
-}
-
-// UsualLimits are those that settings start from.
-var UsualLimits = Limits{
-	Parked:   16384, // three for each of 5,000 proxies
-	Joins:    500,   // 5,000 are back within ten seconds
-	Burst:    500,
-	Asks:     4, // a change a second, and as much again for lost answers
-	AskBurst: 20,
-	Longest:  55, // under the minute after which middle boxes forget a connection
-	Between:  2.5,
-	UnderWay: 2048, // a table of 300 lines each is 30 MB
-	Reserve:  8192,
-	ComeBack: 1,
+	MaxParked         int     // polls that wait, of proxies that are joined
+	JoinRate          float64 // of proxies a second, on average
+	JoinBurst         float64 // joins at once
+	PollRate          float64 // polls of one proxy a second, on average
+	PollBurst         float64
+	MaxWait           float64 // seconds that a poll may wait; more is cut down to it
+	PollGap           float64 // seconds that a proxy may be between two polls; then it has left
+	MaxUnacknowledged int     // answers that are not acknowledged; over it only drains are sent
+	DrainReserve      int     // further answers, for drains alone
+	RetryAfter        float64 // seconds after which those turned away come back, at least; they are spread over as much again
+}
+
+// DefaultLimits are those that settings start from.
+var DefaultLimits = Limits{
+	MaxParked:         16384, // three for each of 5,000 proxies
+	JoinRate:          500,   // 5,000 are back within ten seconds
+	JoinBurst:         500,
+	PollRate:          4, // a change a second, and as much again for lost answers
+	PollBurst:         20,
+	MaxWait:           55, // under the minute after which middle boxes forget a connection
+	PollGap:           2.5,
+	MaxUnacknowledged: 2048, // a table of 300 lines each is 30 MB
+	DrainReserve:      8192,
+	RetryAfter:        1,
 }
 
 const (
@@ -141,15 +141,15 @@
 	stuck    bool // it is due, and the limit of answers under way holds it back
 }
 
-// Counts is what happened, for metrics.
-type Counts struct {
-	Polls, Answers, Empty, Deltas, Fulls, Refused, Lost, Joins, Left, Unknown int
+// Stats is what happened, for metrics.
+type Stats struct {
+	Polls, Answers, Empty, Deltas, Full, Rejected, Lost, Joins, Left, Unknown int
 }
 
 // Server is the long-poll side of one coordinator. Use New.
 type Server struct {
 	fleet    *controlplane.Fleet
-	out      Out
+	out      Handler
 	limits   Limits
 	epoch    uint64
 	version  uint64 // newest that was given to any proxy
@@ -164,14 +164,14 @@
 	chance   uint64
 	answer   Answer
 	trusting bool // versions are believed unseen (a guard left out)
-	Counts   Counts
+	Stats    Stats
 }
 
 // New makes a counter for a life that began at a clock time. epoch must differ from those of former lives and not be 0.
-func New(now float64, epoch uint64, f *controlplane.Fleet, out Out, limits Limits) *Server {
+func New(now float64, epoch uint64, f *controlplane.Fleet, out Handler, limits Limits) *Server {
 	return &Server{fleet: f, out: out, limits: limits, epoch: epoch, clients: map[string]*client{},
 		byProxy: map[balancer.Proxy]*client{}, byWaiter: map[PollID]*client{}, wheel: timingwheel.New[*client](now, tick),
-		joins: limits.Burst, joinsAt: now, chance: f.Site().Seed*2 + 1, trusting: f.Site().DisabledGuards[controlplane.GuardVersions]}
+		joins: limits.JoinBurst, joinsAt: now, chance: f.Site().Seed*2 + 1, trusting: f.Site().DisabledGuards[controlplane.GuardVersions]}
 }
 
 // Parked is the number of polls that wait, and that of answers under way.
@@ -180,21 +180,21 @@
 // spread is a time to come back after, so that those turned away together do not come back together.
 func (c *Server) spread() float64 {
 	c.chance = c.chance*6364136223846793005 + 1442695040888963407
-	return c.limits.ComeBack * (1 + float64(c.chance>>40)/(1<<24))
+	return c.limits.RetryAfter * (1 + float64(c.chance>>40)/(1<<24))
 }
 
 func (c *Server) refuse(w PollID, why RejectReason, after float64) {
-	c.Counts.Refused++
-	c.out.Refuse(w, why, after)
+	c.Stats.Rejected++
+	c.out.Reject(w, why, after)
 }
 
-// Ask takes a poll.
-func (c *Server) Ask(now float64, w PollID, p Poll) {
-	c.Counts.Polls++
+// HandlePoll takes a poll.
+func (c *Server) HandlePoll(now float64, w PollID, p Poll) {
+	c.Stats.Polls++
 	// Guards against a coordinator that has not heard that the proxy changed hands, and leads it by an epoch that is over;
 	// it does harm where one is far behind, whose proxies then wait until it has caught up or its lease has ended.
-	if p.Lead > c.fleet.OwnershipEpoch() {
-		c.refuse(w, Behind, 0)
+	if p.OwnershipEpoch > c.fleet.OwnershipEpoch() {
+		c.refuse(w, EpochOutdated, 0)
 		return
 	}
 	x := c.clients[p.UID]
@@ -203,12 +203,12 @@
 			return
 		}
 	}
-	x.tokens = min(c.limits.AskBurst, x.tokens+(now-x.tokensAt)*c.limits.Asks)
+	x.tokens = min(c.limits.PollBurst, x.tokens+(now-x.tokensAt)*c.limits.PollRate)
 	if !x.unacked || p.Epoch != c.epoch || p.Version != x.version {
 		x.tokens-- // one that acknowledges an answer comes at our own pace
 	}
 	if x.tokensAt = now; x.tokens < 0 {
-		c.refuse(w, TooOften, c.spread())
+		c.refuse(w, PollRateExceeded, c.spread())
 		return
 	}
 	if x.waiter != 0 { // a poll whose connection is broken without our knowing, or a confused proxy: the newest counts
@@ -219,7 +219,7 @@
 	c.acknowledge(now, x, p)
 	x.waiter, x.parkedAt = w, now
 	c.byWaiter[w] = x
-	c.wheel.Set(&x.wait, now+min(max(p.Wait, 0), c.limits.Longest))
+	c.wheel.Set(&x.wait, now+min(max(p.Wait, 0), c.limits.MaxWait))
 	c.fleet.Resume(now, x.proxy)
 }
 
@@ -227,33 +227,33 @@
 // at the door takes no room from them.
 func (c *Server) join(now float64, w PollID, p Poll) *client {
 	if !c.fleet.Listed(p.UID) { // nor do those that may never join
-		c.out.Say("proxy refused", "uid", p.UID, "error", controlplane.ErrUnlistedRelay)
+		c.out.Log("proxy refused", "uid", p.UID, "error", controlplane.ErrUnlistedRelay)
 		c.refuse(w, NotListed, 0)
 		return nil
 	}
-	c.joins = min(c.limits.Burst, c.joins+(now-c.joinsAt)*c.limits.Joins)
+	c.joins = min(c.limits.JoinBurst, c.joins+(now-c.joinsAt)*c.limits.JoinRate)
 	c.joinsAt = now
-	if c.joins < 1 || len(c.clients) >= c.limits.Parked {
-		c.refuse(w, Crowded, c.spread())
+	if c.joins < 1 || len(c.clients) >= c.limits.MaxParked {
+		c.refuse(w, TooManyPolls, c.spread())
 		return nil
 	}
 	c.joins--
 	proxy, err := c.fleet.Join(now, p.UID, c, p.Epoch == 0)
 	if err != nil {
-		c.out.Say("proxy refused", "uid", p.UID, "error", err)
+		c.out.Log("proxy refused", "uid", p.UID, "error", err)
 		switch {
 		case errors.Is(err, controlplane.ErrWrongCoordinator):
-			c.refuse(w, Elsewhere, 0)
+			c.refuse(w, WrongCoordinator, 0)
 		case errors.Is(err, controlplane.ErrJoinRateExceeded):
-			c.refuse(w, TooOften, c.spread())
+			c.refuse(w, PollRateExceeded, c.spread())
 		default:
-			c.refuse(w, Crowded, c.spread())
+			c.refuse(w, TooManyPolls, c.spread())
 		}
 		return nil
 	}
-	c.Counts.Joins++
+	c.Stats.Joins++
 	proxy.SupportsAdmission = true
-	x := &client{uid: p.UID, proxy: proxy, tokens: c.limits.AskBurst, tokensAt: now, answered: now}
+	x := &client{uid: p.UID, proxy: proxy, tokens: c.limits.PollBurst, tokensAt: now, answered: now}
 	x.wait.Value = x
 	c.clients[p.UID], c.byProxy[proxy.ID] = x, x
 	c.fleet.Suspend(proxy)
@@ -281,12 +281,12 @@
 			c.fleet.MarkDelivered(now, x.proxy)
 			return
 		}
-		c.Counts.Lost++
+		c.Stats.Lost++
 		c.hold(now, x, s.of, s.bound)
 		return
 	}
 	if x.version > 0 || p.Epoch != 0 {
-		c.Counts.Unknown++
+		c.Stats.Unknown++
 	}
 	c.hold(now, x, nil, nil)
 }
@@ -311,16 +311,16 @@
 	}
 }
 
-// Gone takes the end of a poll's connection.
-func (c *Server) Gone(now float64, w PollID) {
+// PollClosed takes the end of a poll's connection.
+func (c *Server) PollClosed(now float64, w PollID) {
 	if x := c.byWaiter[w]; x != nil {
 		c.unpark(x)
 		x.answered = now
 	}
 }
 
-// Leave takes a proxy's word that it goes.
-func (c *Server) Leave(now float64, uid string) bool {
+// ProxyLeft takes a proxy's word that it goes.
+func (c *Server) ProxyLeft(now float64, uid string) bool {
 	x := c.clients[uid]
 	if x == nil {
 		return false
@@ -330,8 +330,8 @@
 }
 
 func (c *Server) drop(now float64, x *client, why string) {
-	c.Counts.Left++
-	c.out.Say("proxy left", "uid", x.uid, "why", why)
+	c.Stats.Left++
+	c.out.Log("proxy left", "uid", x.uid, "why", why)
 	if w := x.waiter; w != 0 {
 		c.unpark(x)
 		c.refuse(w, Superseded, 0)
@@ -359,7 +359,7 @@
 		delete(c.byWaiter, w)
 		c.wheel.Cancel(&x.wait)
 		x.waiter = 0
-		c.refuse(w, Moved, 0)
+		c.refuse(w, JoinedElsewhere, 0)
 	}
 	c.forget(x)
 }
@@ -371,9 +371,9 @@
 		c.fleet.Suspend(p)
 		return
 	}
-	most := c.limits.UnderWay
+	most := c.limits.MaxUnacknowledged
 	if c.fleet.HasUrgent(p) {
-		most += c.limits.Reserve
+		most += c.limits.DrainReserve
 	}
 	if c.underWay >= most {
 		x.stuck = true
@@ -405,33 +405,33 @@
 		k := len(a.Classes)
 		a.Classes = slices.Grow(a.Classes, 1)[:k+1]
 		said := &a.Classes[k]
-		*said = Class{Class: class, Full: full, Lines: said.Lines[:0]}
+		*said = Class{Class: class, Full: full, Entries: said.Entries[:0]}
 		for l := range changed {
 			if l.Weight == 0 && full {
 				continue
 			}
 			phase, _ := c.fleet.Registry.Phase(l.Server)
-			said.Lines = append(said.Lines, Line{l.Server, l.Weight, l.Weight == 0 && phase == balancer.Draining})
+			said.Entries = append(said.Entries, Entry{l.Server, l.Weight, l.Weight == 0 && phase == balancer.Draining})
 		}
 		// Lines that bring queries come before those that take them away, for whoever applies them one by one.
-		slices.SortStableFunc(said.Lines, func(a, b Line) int { return sign(b.Weight) - sign(a.Weight) })
+		slices.SortStableFunc(said.Entries, func(a, b Entry) int { return sign(b.Weight) - sign(a.Weight) })
 		for _, l := range c.fleet.AdmissionsSince(x.proxy, class, full) {
-			said.Leveled, said.Level, said.Again = true, l.Rate, l.Retry
-			if said.ComeBack = 0; l.Rate < 1 {
-				said.ComeBack = refusedFor
+			said.HasAdmission, said.Admission, said.Retry = true, l.Rate, l.Retry
+			if said.RetryAfter = 0; l.Rate < 1 {
+				said.RetryAfter = refusedFor
 			}
 		}
-		lines += len(said.Lines) + btoi(said.Leveled)
+		lines += len(said.Entries) + btoi(said.HasAdmission)
 		if !said.Full {
 			a.From = x.base
 		}
 		switch {
-		case !said.Full && !said.Leveled && len(said.Lines) == 0:
+		case !said.Full && !said.HasAdmission && len(said.Entries) == 0:
 			a.Classes = a.Classes[:k]
 		case full:
-			c.Counts.Fulls++
+			c.Stats.Full++
 		default:
-			c.Counts.Deltas++
+			c.Stats.Deltas++
 		}
 	}
 	if len(a.Classes) == 0 {
@@ -457,10 +457,10 @@
 	delete(c.byWaiter, w)
 	c.wheel.Cancel(&x.wait)
 	x.waiter, x.answered = 0, now
-	c.Counts.Answers++
+	c.Stats.Answers++
 	a := &c.answer
-	a.Epoch, a.Version, a.AskWithin = c.epoch, x.version, c.limits.Between/2
-	a.Lead = c.fleet.OwnershipEpoch()
+	a.Epoch, a.Version, a.PollWithin = c.epoch, x.version, c.limits.PollGap/2
+	a.OwnershipEpoch = c.fleet.OwnershipEpoch()
 	c.out.Answer(w, a)
 }
 
@@ -496,7 +496,7 @@
 		if reason := c.late(now, x); reason != "" {
 			why[x] = reason
 			found = append(found, x)
-		} else if x.stuck && c.underWay < c.limits.UnderWay {
+		} else if x.stuck && c.underWay < c.limits.MaxUnacknowledged {
 			found = append(found, x)
 		}
 	}
@@ -513,7 +513,7 @@
 // late tells why a proxy counts as gone. While no poll of it waits it can't be told of a drain; it is then not one that
 // is joined, and is given whole tables when it comes back.
 func (c *Server) late(now float64, x *client) string {
-	if x.waiter == 0 && now-x.answered > c.limits.Between {
+	if x.waiter == 0 && now-x.answered > c.limits.PollGap {
 		return "it has not asked again"
 	}
 	if x.waiter == 0 {
@@ -525,12 +525,12 @@
 // over ends a wait. If something is newer at that very moment it is sent, whosever turn it is: an answer that nothing is
 // newer would not be true.
 func (c *Server) over(now float64, x *client) {
-	if c.fleet.NeedsUpdate(x.proxy) && !x.proxy.InFlight() && c.underWay < c.limits.UnderWay {
+	if c.fleet.NeedsUpdate(x.proxy) && !x.proxy.InFlight() && c.underWay < c.limits.MaxUnacknowledged {
 		if c.send(now, x); x.waiter == 0 {
 			return
 		}
 	}
-	c.Counts.Empty++
+	c.Stats.Empty++
 	c.answer.Classes, c.answer.From = c.answer.Classes[:0], 0
 	c.reply(now, x)
 	c.fleet.Suspend(x.proxy)
--- a/internal/core/longpoll/longpoll_test.go
+++ b/internal/core/longpoll/longpoll_test.go
@@ -61,7 +61,7 @@
 	}
 	h.answers++
 	h.epoch, h.version = a.Epoch, a.Version
-	kept := &Answer{Epoch: a.Epoch, Version: a.Version, Lead: a.Lead}
+	kept := &Answer{Epoch: a.Epoch, Version: a.Version, OwnershipEpoch: a.OwnershipEpoch}
 	for _, c := range a.Classes {
 		if c.Full {
 			h.full++
@@ -71,22 +71,22 @@
 				}
 			}
 		}
-		for _, l := range c.Lines {
+		for _, l := range c.Entries {
 			k := fmt.Sprint(c.Class, " ", l.Server)
 			if h.lines[k] = l.Weight; l.Weight == 0 {
 				delete(h.lines, k)
 			}
 		}
-		if c.Leveled {
-			h.levels[c.Class] = c.Level
+		if c.HasAdmission {
+			h.levels[c.Class] = c.Admission
 		}
-		c.Lines = slices.Clone(c.Lines)
+		c.Entries = slices.Clone(c.Entries)
 		kept.Classes = append(kept.Classes, c)
 	}
 	h.latest = kept
 }
 
-func (s *shop) Refuse(w PollID, why RejectReason, after float64) {
+func (s *shop) Reject(w PollID, why RejectReason, after float64) {
 	uid := s.of[w]
 	s.refused[uid] = append(s.refused[uid], why)
 	s.retry[uid] = s.now + after
@@ -96,7 +96,7 @@
 }
 
 func (s *shop) Dropped(uid string) { s.dropped = append(s.dropped, uid) }
-func (s *shop) Say(string, ...any) {}
+func (s *shop) Log(string, ...any) {}
 
 func site(proxies int, without ...controlplane.Guard) controlplane.Site {
 	x := controlplane.Site{Seed: 3, ClassNames: []string{"search", "introduce"}, Zones: []string{"a"}, AllowUnlisted: true,
@@ -150,7 +150,7 @@
 	h := s.hold(uid)
 	s.next++
 	s.of[s.next], s.by[s.next], s.last[uid], h.waits = uid, h, s.next, true
-	s.counter.Ask(s.now, s.next, Poll{UID: uid, Epoch: h.epoch, Version: h.version, Wait: wait})
+	s.counter.HandlePoll(s.now, s.next, Poll{UID: uid, Epoch: h.epoch, Version: h.version, Wait: wait})
 }
 
 func (s *shop) step(seconds float64) {
@@ -200,7 +200,7 @@
 }
 
 func TestAPollWaitsForWhatIsNewer(t *testing.T) {
-	s := open(t, site(2), UsualLimits)
+	s := open(t, site(2), DefaultLimits)
 	s.pass(1, "a")
 	h := s.holds["a"]
 	if s.wants("a"); h.answers != 1 || h.full != 2 || !h.waits {
@@ -208,7 +208,7 @@
 	}
 	s.drain(1, true)
 	s.pass(0.2, "a")
-	if s.wants("a"); h.answers != 2 || h.full != 2 || len(h.latest.Classes[0].Lines) != 1 || !h.latest.Classes[0].Lines[0].Drains {
+	if s.wants("a"); h.answers != 2 || h.full != 2 || len(h.latest.Classes[0].Entries) != 1 || !h.latest.Classes[0].Entries[0].Draining {
 		t.Errorf("a drain came as %+v", h.latest)
 	}
 	if s.fleet.UpToDate() != 1 {
@@ -225,9 +225,9 @@
 }
 
 func TestAChangeAsTheWaitEnds(t *testing.T) {
-	s := open(t, site(1), UsualLimits)
+	s := open(t, site(1), DefaultLimits)
 	s.pass(1, "a")
-	s.counter.Gone(s.now, s.next) // its connection broke, and it asks for a second
+	s.counter.PollClosed(s.now, s.next) // its connection broke, and it asks for a second
 	s.ask("a", 1)
 	end := s.now + 1
 	for s.now+0.05 < end {
@@ -243,7 +243,7 @@
 }
 
 func TestALostAnswerIsGivenAgain(t *testing.T) {
-	s := open(t, site(1), UsualLimits)
+	s := open(t, site(1), DefaultLimits)
 	s.pass(1, "a")
 	before := s.holds["a"].version
 	s.lose["a"] = true
@@ -257,13 +257,13 @@
 	}
 	full := s.holds["a"].full
 	s.pass(0.2, "a")
-	if s.wants("a"); s.holds["a"].full != full || s.counter.Counts.Lost != 1 {
-		t.Errorf("%d full answers for a lost delta, %+v", s.holds["a"].full-full, s.counter.Counts)
+	if s.wants("a"); s.holds["a"].full != full || s.counter.Stats.Lost != 1 {
+		t.Errorf("%d full answers for a lost delta, %+v", s.holds["a"].full-full, s.counter.Stats)
 	}
 }
 
 func TestTwoPollsOfOneProxy(t *testing.T) {
-	s := open(t, site(1), UsualLimits)
+	s := open(t, site(1), DefaultLimits)
 	s.pass(1, "a")
 	s.ask("a", 30)
 	if got := s.refused["a"]; len(got) != 1 || got[0] != Superseded {
@@ -288,9 +288,9 @@
 			func(h *holding) { *h = holding{lines: map[string]float64{}, levels: h.levels} }, // it started anew
 			func(h *holding) { h.version = math.MaxUint64 },
 		} {
-			s := open(t, site(1, without...), UsualLimits)
+			s := open(t, site(1, without...), DefaultLimits)
 			s.pass(1, "a")
-			s.counter.Gone(s.now, s.next)
+			s.counter.PollClosed(s.now, s.next)
 			h := s.holds["a"]
 			h.waits, h.lines = false, map[string]float64{}
 			false1(h)
@@ -305,19 +305,19 @@
 
 func TestARestartWithAllPollsParked(t *testing.T) {
 	x := site(200)
-	s := open(t, x, UsualLimits)
+	s := open(t, x, DefaultLimits)
 	var all []string
 	for i := range 200 {
 		all = append(all, fmt.Sprint("p", i))
 	}
 	s.pass(3, all...)
-	s.life(x, UsualLimits)
+	s.life(x, DefaultLimits)
 	s.pass(4, all...)
 	for _, uid := range all {
 		s.wants(uid)
 	}
-	if s.fleet.UpToDate() != 200 || s.counter.Counts.Unknown != 200 {
-		t.Errorf("%d hold the tables, %d named a former life", s.fleet.UpToDate(), s.counter.Counts.Unknown)
+	if s.fleet.UpToDate() != 200 || s.counter.Stats.Unknown != 200 {
+		t.Errorf("%d hold the tables, %d named a former life", s.fleet.UpToDate(), s.counter.Stats.Unknown)
 	}
 }
 
@@ -325,7 +325,7 @@
 // the time that it takes is that of the channel.
 func TestACrowdIsSpread(t *testing.T) {
 	const n = 5000
-	limits := UsualLimits
+	limits := DefaultLimits
 	x := site(n)
 	x.Channel.EntriesPerSecond, x.Channel.MaxQueued = 20000, 30000
 	s := open(t, x, limits)
@@ -334,18 +334,18 @@
 		all = append(all, fmt.Sprint("p", i))
 		s.ask(all[i], 55)
 	}
-	away := n - int(limits.Burst)
+	away := n - int(limits.JoinBurst)
 	if len(s.after) != away {
 		t.Fatalf("%d were turned away", len(s.after))
 	}
 	slices.Sort(s.after)
-	if s.after[0] < limits.ComeBack || s.after[away-1] > 2*limits.ComeBack {
+	if s.after[0] < limits.RetryAfter || s.after[away-1] > 2*limits.RetryAfter {
 		t.Errorf("they are to come back within %v to %v s", s.after[0], s.after[away-1])
 	}
 	for i := range 10 { // in each tenth of the time some 450
 		k := 0
 		for _, v := range s.after {
-			if from := limits.ComeBack * (1 + float64(i)/10); v >= from && v < from+limits.ComeBack/10 {
+			if from := limits.RetryAfter * (1 + float64(i)/10); v >= from && v < from+limits.RetryAfter/10 {
 				k++
 			}
 		}
@@ -365,8 +365,8 @@
 	for _, uid := range all {
 		lines += len(s.holds[uid].lines) + 3
 	}
-	took, least := s.now-begun, max(float64(lines)/x.Channel.EntriesPerSecond, float64(away)/limits.Joins)
-	if s.fleet.UpToDate() != n || took > 1.5*least+2*limits.ComeBack {
+	took, least := s.now-begun, max(float64(lines)/x.Channel.EntriesPerSecond, float64(away)/limits.JoinRate)
+	if s.fleet.UpToDate() != n || took > 1.5*least+2*limits.RetryAfter {
 		t.Errorf("%d hold the tables after %.1f s; joins and channel need %.1f s", s.fleet.UpToDate(), took, least)
 	}
 	t.Logf("%d proxies hold the tables after %.1f s; joins and channel need %.1f s", n, took, least)
@@ -374,12 +374,12 @@
 
 // Half of the proxies are between polls when a drain comes, and not back for three seconds.
 func TestADrainBetweenPolls(t *testing.T) {
-	s := open(t, site(4), UsualLimits)
+	s := open(t, site(4), DefaultLimits)
 	s.pass(1, "a", "b", "c", "d")
 	for _, uid := range []string{"a", "b"} { // their connections break
 		for w, of := range s.of {
 			if of == uid {
-				s.counter.Gone(s.now, w)
+				s.counter.PollClosed(s.now, w)
 			}
 		}
 		s.holds[uid].waits = false
@@ -414,7 +414,7 @@
 func (p *plain) Displaced(float64, *controlplane.Proxy) { p.displaced++ }
 
 func TestAProxyMovesBetweenFronts(t *testing.T) {
-	s := open(t, site(1), UsualLimits)
+	s := open(t, site(1), DefaultLimits)
 	other := &plain{f: s.fleet}
 	if _, err := s.fleet.Join(s.now, "a", other, true); err != nil {
 		t.Fatal(err)
@@ -429,7 +429,7 @@
 	if _, err := s.fleet.Join(s.now, "a", other, true); err != nil {
 		t.Fatal(err)
 	}
-	if got := s.refused["a"]; len(got) != 1 || got[0] != Moved {
+	if got := s.refused["a"]; len(got) != 1 || got[0] != JoinedElsewhere {
 		t.Errorf("its poll ended with %v", got)
 	}
 	sent := other.sent
@@ -439,7 +439,7 @@
 }
 
 func TestAClockThatJumps(t *testing.T) {
-	s := open(t, site(1), UsualLimits)
+	s := open(t, site(1), DefaultLimits)
 	s.pass(1, "a")
 	s.now += 3600
 	s.pass(0.5, "a")
@@ -456,8 +456,8 @@
 
 // A flood of polls by proxies of one kind leaves room for drains to the others.
 func TestDrainsHaveAReserve(t *testing.T) {
-	limits := UsualLimits
-	limits.UnderWay, limits.Reserve = 3, 100
+	limits := DefaultLimits
+	limits.MaxUnacknowledged, limits.DrainReserve = 3, 100
 	s := open(t, site(20), limits)
 	var all []string
 	for i := range 20 {
@@ -477,13 +477,13 @@
 	if _, under := s.counter.Parked(); under != 20 {
 		t.Errorf("a drain is under way to %d", under)
 	}
-	if s.ask("x", 1); s.counter.Counts.Joins != 21 {
+	if s.ask("x", 1); s.counter.Stats.Joins != 21 {
 		t.Error("no room to join")
 	}
 	for range 40 {
 		s.ask("x", 1)
 	}
-	if !slices.Contains(s.refused["x"], TooOften) {
+	if !slices.Contains(s.refused["x"], PollRateExceeded) {
 		t.Error("a proxy that asks all the time is not told so")
 	}
 }
@@ -493,7 +493,7 @@
 func TestProxiesEndUpWithWhatIsWanted(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		x := site(3)
-		s := open(t, x, UsualLimits)
+		s := open(t, x, DefaultLimits)
 		uids := []string{"a", "b", "c"}
 		for range rapid.IntRange(5, 80).Draw(rt, "steps") {
 			uid := rapid.SampledFrom(uids).Draw(rt, "proxy")
@@ -505,12 +505,12 @@
 			case 3:
 				s.drain(rapid.IntRange(0, 5).Draw(rt, "server"), rapid.Bool().Draw(rt, "on"))
 			case 4:
-				s.counter.Leave(s.now, uid)
+				s.counter.ProxyLeft(s.now, uid)
 			case 5:
 				delete(s.holds, uid) // it starts anew; its poll is not yet known to be broken
 			case 6:
 				if rapid.IntRange(0, 5).Draw(rt, "dies") == 0 {
-					s.life(x, UsualLimits)
+					s.life(x, DefaultLimits)
 				}
 			default:
 				s.step(rapid.SampledFrom([]float64{0.001, 0.02, 0.06, 0.3, 3}).Draw(rt, "seconds"))
@@ -550,7 +550,7 @@
 		},
 	}
 	for seed := range uint64(20) {
-		s := open(t, site(1), UsualLimits)
+		s := open(t, site(1), DefaultLimits)
 		s.pass(1, "a")
 		var history []porcupine.Operation
 		chance, drained := seed*2862933555777941757+3037000493, uint64(0)
@@ -598,26 +598,26 @@
 // Answers say the epoch of who leads what, and a proxy that has followed a newer one is not served by a coordinator that
 // has not heard of it.
 func TestTheEpochOfWhoLeads(t *testing.T) {
-	s := open(t, site(2), UsualLimits)
+	s := open(t, site(2), DefaultLimits)
 	lead := uint64(7)
 	s.fleet.SetOwnership(func(float64, string) bool { return true }, func() uint64 { return lead }, nil)
 	s.ask("relay-0", 5)
 	s.pass(1)
 	h := s.holds["relay-0"]
-	if h.latest == nil || h.latest.Lead != 7 {
+	if h.latest == nil || h.latest.OwnershipEpoch != 7 {
 		t.Fatalf("%+v", h.latest)
 	}
 	s.next++
 	s.of[s.next], s.by[s.next] = "relay-1", s.hold("relay-1")
-	s.counter.Ask(s.now, s.next, Poll{UID: "relay-1", Wait: 5, Lead: 8})
-	if r := s.refused["relay-1"]; len(r) != 1 || r[0] != Behind {
+	s.counter.HandlePoll(s.now, s.next, Poll{UID: "relay-1", Wait: 5, OwnershipEpoch: 8})
+	if r := s.refused["relay-1"]; len(r) != 1 || r[0] != EpochOutdated {
 		t.Errorf("one that has followed epoch 8: %v", r)
 	}
 	lead = 8
 	s.next++
 	s.of[s.next], s.by[s.next] = "relay-1", s.hold("relay-1")
-	s.counter.Ask(s.now, s.next, Poll{UID: "relay-1", Wait: 5, Lead: 8})
-	if s.pass(1); len(s.refused["relay-1"]) != 1 || s.holds["relay-1"].latest == nil || s.holds["relay-1"].latest.Lead != 8 {
+	s.counter.HandlePoll(s.now, s.next, Poll{UID: "relay-1", Wait: 5, OwnershipEpoch: 8})
+	if s.pass(1); len(s.refused["relay-1"]) != 1 || s.holds["relay-1"].latest == nil || s.holds["relay-1"].latest.OwnershipEpoch != 8 {
 		t.Errorf("after it has heard of it: %v", s.refused["relay-1"])
 	}
 }
--- a/internal/core/saspsession/session.go
+++ b/internal/core/saspsession/session.go
@@ -17,53 +17,53 @@
 // Conn is a connection; the driver numbers them, each number is used once.
 type Conn uint64
 
-// Out takes what a Desk orders. Send must take the bytes before it returns: they are used again.
-type Out interface {
+// Handler takes what a Desk orders. Send must take the bytes before it returns: they are used again.
+type Handler interface {
 	Send(Conn, []byte)
 	Close(Conn)
-	// Drain takes a drain that a member or its agent ordered, or its end. With a ticket it is not to be acted on here and its
+	// OrderDrain takes a drain that a member or its agent ordered, or its end. With a ticket it is not to be acted on here and its
 	// teller waits until Settled says what became of it; without, it is in force. ok is false if it can't be taken.
-	Drain(now float64, s balancer.Server, on bool) (ticket uint64, ok bool)
-	// Say logs an event with pairs of names and values.
-	Say(event string, pairs ...any)
+	OrderDrain(now float64, s balancer.Server, on bool) (ticket uint64, ok bool)
+	// Log logs an event with pairs of names and values.
+	Log(event string, pairs ...any)
 }
 
 // Limits bound what a Desk keeps for what comes from outside; beyond each the connection concerned is closed, and
 // the log says so.
 type Limits struct {
-	Connections int     // one more is closed at once
-	Message     int     // bytes
-	Buffered    int     // bytes of unfinished messages, over all connections
-	Unread      int     // bytes that a connection may leave untaken
-	Silent      float64 // seconds until a connection must have said who it is
-	Inbound     float64 // messages a second on one connection, on average
-	Burst       float64 // messages that may come at once
-	Groups      int     // of one balancer; one more is answered with InvalidGroup
-	Members     int     // of one group; one more is answered with NotAccepted
-	Takeover    float64 // seconds between two connections that claim one UID
-}
-
-// UsualLimits are those that settings start from.
-var UsualLimits = Limits{
-	Connections: 16384,     // three for each of 5,000 relays while they reconnect
-	Message:     256 << 10, // 8,000 rows
-	Buffered:    64 << 20,  // 256 of the largest messages
-	Unread:      1 << 20,   // four of them
-	Silent:      10,        // the longest pause of a relay that is still alive
-	Inbound:     200,       // a relay says a few things a minute
-	Burst:       400,       // and registers each of its groups at the start
-	Groups:      64,        // as many as there may be classes
-	Members:     4096,      // the roll's limit
-	Takeover:    1,         // a relay dials at most once a second
+	MaxConnections   int     // one more is closed at once
+	MaxMessageBytes  int     // bytes
+	MaxBuffered      int     // bytes of unfinished messages, over all connections
+	MaxUnread        int     // bytes that a connection may leave untaken
+	IdentifyTimeout  float64 // seconds until a connection must have said who it is
+	MessageRate      float64 // messages a second on one connection, on average
+	MessageBurst     float64 // messages that may come at once
+	MaxGroups        int     // of one balancer; one more is answered with InvalidGroup
+	MaxMembers       int     // of one group; one more is answered with NotAccepted
+	TakeoverInterval float64 // seconds between two connections that claim one UID
+}
+
+// DefaultLimits are those that settings start from.
+var DefaultLimits = Limits{
+	MaxConnections:   16384,     // three for each of 5,000 relays while they reconnect
+	MaxMessageBytes:  256 << 10, // 8,000 rows
+	MaxBuffered:      64 << 20,  // 256 of the largest messages
+	MaxUnread:        1 << 20,   // four of them
+	IdentifyTimeout:  10,        // the longest pause of a relay that is still alive
+	MessageRate:      200,       // a relay says a few things a minute
+	MessageBurst:     400,       // and registers each of its groups at the start
+	MaxGroups:        64,        // as many as there may be classes
+	MaxMembers:       4096,      // the roll's limit
+	TakeoverInterval: 1,         // a relay dials at most once a second
 }
 
 // Policy is who may register what.
 type Policy struct {
-	FleetUID string // a UID under which members register with the coordinator itself; empty: none
-	Vouching bool   // servers are in service because a balancer registers them
-	AnyAgent bool   // a member's messages may come from another host than the member's
-	NewOnes  bool   // members that the settings do not list may register themselves
-	Members  bool   // only members speak here: relays need what SASP has no word for, and ask by another front
+	FleetUID          string // a UID under which members register with the coordinator itself; empty: none
+	BalancersRegister bool   // servers are in service because a balancer registers them
+	AnyAgent          bool   // a member's messages may come from another host than the member's
+	AllowUnlisted     bool   // members that the settings do not list may register themselves
+	MembersOnly       bool   // only members speak here: relays need what SASP has no word for, and ask by another front
 }
 
 const (
@@ -125,9 +125,9 @@
 	quiet    bool // the balancer quiesced it for itself
 }
 
-// Counts is what happened, for metrics.
-type Counts struct {
-	Received, Replied, Pushed, Refused, Malformed, Closed, Takeovers, Skipped int
+// Stats is what happened, for metrics.
+type Stats struct {
+	Received, Replied, Pushed, Rejected, Malformed, Closed, Takeovers, Skipped int
 }
 
 // told is a message with drains whose answer waits until all of them are agreed on.
@@ -141,7 +141,7 @@
 // Server is the SASP side of one coordinator. Use New.
 type Server struct {
 	fleet     *controlplane.Fleet
-	out       Out
+	out       Handler
 	limits    Limits
 	policy    Policy
 	conns     map[Conn]*conn
@@ -158,27 +158,27 @@
 	zeros     []sasp.Row
 	names     map[sasp.Address]balancer.Server
 	rows      map[balancer.Server]sasp.Address
-	Counts    Counts
+	Stats     Stats
 }
 
 // New makes a desk.
-func New(f *controlplane.Fleet, out Out, limits Limits, policy Policy) *Server {
+func New(f *controlplane.Fleet, out Handler, limits Limits, policy Policy) *Server {
 	return &Server{fleet: f, out: out, limits: limits, policy: policy, conns: map[Conn]*conn{},
 		balancers: map[string]*loadBalancer{}, byProxy: map[balancer.Proxy]*loadBalancer{},
 		waiting: map[uint64]*told{}, names: map[sasp.Address]balancer.Server{}, rows: map[balancer.Server]sasp.Address{}}
 }
 
-// Revise takes other limits and another policy from now on; what stands is not undone by it.
-func (d *Server) Revise(limits Limits, policy Policy) { d.limits, d.policy = limits, policy }
+// Reconfigure takes other limits and another policy from now on; what stands is not undone by it.
+func (d *Server) Reconfigure(limits Limits, policy Policy) { d.limits, d.policy = limits, policy }
 
 // Connections is their number, and the bytes that they keep of unfinished messages.
 func (d *Server) Connections() (n, buffered int) { return len(d.conns), d.buffered }
 
 // Opened takes a connection from an address.
 func (d *Server) Opened(now float64, id Conn, from netip.Addr) {
-	c := &conn{id: id, from: from.Unmap(), opened: now, tokens: d.limits.Burst, tokensAt: now}
+	c := &conn{id: id, from: from.Unmap(), opened: now, tokens: d.limits.MessageBurst, tokensAt: now}
 	d.conns[id] = c
-	if len(d.conns) > d.limits.Connections {
+	if len(d.conns) > d.limits.MaxConnections {
 		d.close(now, c, "too many connections")
 	}
 }
@@ -191,8 +191,8 @@
 }
 
 func (d *Server) close(now float64, c *conn, why string) {
-	d.Counts.Closed++
-	d.out.Say("connection closed", "why", why, "from", c.from, "uid", c.uid, "sent", c.sent, "taken", c.taken)
+	d.Stats.Closed++
+	d.out.Log("connection closed", "why", why, "from", c.from, "uid", c.uid, "sent", c.sent, "taken", c.taken)
 	d.end(now, c)
 	d.out.Close(c.id)
 }
@@ -227,7 +227,7 @@
 }
 
 func (d *Server) unvouch(now float64, b *loadBalancer, r *registration, s balancer.Server) {
-	if r.balancer && d.policy.Vouching {
+	if r.balancer && d.policy.BalancersRegister {
 		_ = d.fleet.Registry.AdjustVouchers(now, s, d.zone(b), -1) // it is on the roll, so there is room
 	}
 }
@@ -239,8 +239,8 @@
 	return d.fleet.Site().UnlistedZone
 }
 
-// Taken takes the kernel's word of how many of the bytes sent on a connection the peer's host has.
-func (d *Server) Taken(now float64, id Conn, total uint64) {
+// Delivered takes the kernel's word of how many of the bytes sent on a connection the peer's host has.
+func (d *Server) Delivered(now float64, id Conn, total uint64) {
 	c := d.conns[id]
 	if c == nil || total <= c.taken {
 		return
@@ -252,8 +252,8 @@
 	}
 }
 
-// Untaken tells whether bytes are on their way to a connection, so that the driver has to ask the kernel.
-func (d *Server) Untaken(id Conn) bool {
+// HasUndelivered tells whether bytes are on their way to a connection, so that the driver has to ask the kernel.
+func (d *Server) HasUndelivered(id Conn) bool {
 	c := d.conns[id]
 	return c != nil && c.taken < c.sent
 }
@@ -270,9 +270,9 @@
 		data = c.buf
 	}
 	for d.conns[id] == c {
-		n, err := sasp.Frame(data, d.limits.Message)
+		n, err := sasp.Frame(data, d.limits.MaxMessageBytes)
 		if err != nil {
-			d.Counts.Malformed++
+			d.Stats.Malformed++
 			d.close(now, c, err.Error())
 			return
 		}
@@ -283,7 +283,7 @@
 			d.close(now, c, "it floods")
 			return
 		}
-		d.Counts.Received++
+		d.Stats.Received++
 		d.message(now, c, data[:n])
 		data = data[n:]
 	}
@@ -294,13 +294,13 @@
 	if c.buf = append(c.buf[:0], data...); len(data) == 0 {
 		c.buf = nil // an idle connection keeps nothing
 	}
-	if d.buffered > d.limits.Buffered {
+	if d.buffered > d.limits.MaxBuffered {
 		d.close(now, c, "too many unfinished messages in all")
 	}
 }
 
 func (d *Server) admit(now float64, c *conn) bool {
-	c.tokens = min(d.limits.Burst, c.tokens+(now-c.tokensAt)*d.limits.Inbound) - 1
+	c.tokens = min(d.limits.MessageBurst, c.tokens+(now-c.tokensAt)*d.limits.MessageRate) - 1
 	c.tokensAt = now
 	return c.tokens >= 0
 }
@@ -310,15 +310,15 @@
 	if s, ok := d.names[a]; ok {
 		return s
 	}
-	s := Name(a)
+	s := ServerID(a)
 	if _, ok := d.fleet.Registry.Find(s); ok {
 		d.names[a], d.rows[s] = s, a
 	}
 	return s
 }
 
-// Name of a server by its address: the address and port, with the protocol before it where that is not TCP.
-func Name(a sasp.Address) balancer.Server {
+// ServerID of a server by its address: the address and port, with the protocol before it where that is not TCP.
+func ServerID(a sasp.Address) balancer.Server {
 	if a.Protocol == 6 {
 		return balancer.Server(a.AddrPort().String())
 	}
@@ -395,13 +395,13 @@
 		lines += d.render(m, b, g, false)
 	}
 	if lines == 0 {
-		d.Counts.Skipped++
+		d.Stats.Skipped++
 		d.fleet.SkipUpdate(now, b.proxy)
 		return
 	}
 	d.pushID++
 	m.ID = d.pushID
-	d.Counts.Pushed++
+	d.Stats.Pushed++
 	c := b.conn
 	if d.send(now, c, m); d.conns[c.id] == c {
 		c.awayEnd = c.sent
@@ -528,7 +528,7 @@
 	d.bytes = sasp.Append(d.bytes[:0], m)
 	c.sent += uint64(len(d.bytes))
 	d.out.Send(c.id, d.bytes)
-	if c.sent-c.taken > uint64(d.limits.Unread) {
+	if c.sent-c.taken > uint64(d.limits.MaxUnread) {
 		d.close(now, c, "it does not read")
 	}
 }
@@ -537,7 +537,7 @@
 func (d *Server) check(now float64) {
 	var silent []*conn
 	for _, c := range d.conns {
-		if c.role == stranger && now-c.opened > d.limits.Silent {
+		if c.role == stranger && now-c.opened > d.limits.IdentifyTimeout {
 			silent = append(silent, c)
 		}
 	}
--- a/internal/core/saspsession/session_test.go
+++ b/internal/core/saspsession/session_test.go
@@ -56,16 +56,16 @@
 				p.t.Errorf("a row with a weight comes after one without")
 			}
 			positive = r.Weight > 0
-			p.held[c][string(g.Name)+" "+string(Name(r.Address))] = r.Weight
+			p.held[c][string(g.Name)+" "+string(ServerID(r.Address))] = r.Weight
 		}
 	}
 }
 
 func (p *peers) Close(c Conn) { p.ended[c] = true }
 
-func (p *peers) Drain(float64, balancer.Server, bool) (uint64, bool) { return 0, true }
+func (p *peers) OrderDrain(float64, balancer.Server, bool) (uint64, bool) { return 0, true }
 
-func (p *peers) Say(event string, pairs ...any) {
+func (p *peers) Log(event string, pairs ...any) {
 	p.log = append(p.log, event+" "+fmt.Sprint(pairs...))
 }
 
@@ -114,7 +114,7 @@
 }
 
 func usual(t testing.TB) *peers {
-	return start(t, testSite(), UsualLimits, Policy{FleetUID: "fleet", NewOnes: true})
+	return start(t, testSite(), DefaultLimits, Policy{FleetUID: "fleet", AllowUnlisted: true})
 }
 
 func (p *peers) dial(from string) Conn {
@@ -173,7 +173,7 @@
 	for end := p.now + seconds; p.now < end; p.now += 0.04 {
 		for c := Conn(1); c <= p.next; c++ {
 			if !p.stuck[c] && p.sent[c] > 0 {
-				p.desk.Taken(p.now, c, p.sent[c])
+				p.desk.Delivered(p.now, c, p.sent[c])
 			}
 		}
 		p.fleet.RunRound(p.now)
@@ -298,7 +298,7 @@
 func TestADrainOfTheLastServerEmptiesTheTable(t *testing.T) {
 	site := testSite()
 	site.Servers = site.Servers[:1]
-	p := start(t, site, UsualLimits, Policy{FleetUID: "fleet", AnyAgent: true})
+	p := start(t, site, DefaultLimits, Policy{FleetUID: "fleet", AnyAgent: true})
 	c := p.relay("r1", wants) // a group without members
 	if p.pass(1); p.weights(c, "search") != 1 {
 		t.Fatalf("it holds %v", p.held[c])
@@ -360,7 +360,7 @@
 func stall(t *testing.T, without ...controlplane.Guard) (p *peers, c Conn) {
 	site := testSite(without...)
 	site.Limits.StallTimeout = 30
-	p = start(t, site, UsualLimits, Policy{FleetUID: "fleet"})
+	p = start(t, site, DefaultLimits, Policy{FleetUID: "fleet"})
 	c = p.relay("r1", wants, 0, 1, 2, 3)
 	p.pass(1)
 	before, sent := p.pushes, p.sent[c]
@@ -403,7 +403,7 @@
 	p := usual(t)
 	c := p.relay("r1", wants, 0)
 	p.stuck[c] = true
-	if p.pass(UsualLimits.Silent); p.ended[c] {
+	if p.pass(DefaultLimits.IdentifyTimeout); p.ended[c] {
 		t.Fatalf("too early: %q", p.log)
 	}
 	if p.pass(1.5); !p.ended[c] || p.fleet.Stats.Stalled != 1 {
@@ -416,7 +416,7 @@
 	for _, without := range [][]controlplane.Guard{nil, {controlplane.GuardPace}} {
 		site := testSite(without...)
 		site.DataPlane.Proxies, site.Channel.EntriesPerSecond, site.Channel.MaxQueued = 460, 4000, 9000
-		p := start(t, site, UsualLimits, Policy{FleetUID: "fleet"})
+		p := start(t, site, DefaultLimits, Policy{FleetUID: "fleet"})
 		var conns []Conn
 		for i := range 460 {
 			conns = append(conns, p.relay(fmt.Sprintf("r%d", i), wants, 0, 1))
@@ -447,8 +447,8 @@
 }
 
 func TestHostileConnections(t *testing.T) {
-	limits := UsualLimits
-	limits.Connections, limits.Buffered, limits.Message, limits.Groups = 2000, 1<<20, 64<<10, 2
+	limits := DefaultLimits
+	limits.MaxConnections, limits.MaxBuffered, limits.MaxMessageBytes, limits.MaxGroups = 2000, 1<<20, 64<<10, 2
 	p := start(t, testSite(), limits, Policy{FleetUID: "fleet"})
 	good := p.relay("r1", wants, 0)
 	bad := func(why string, bytes ...[]byte) {
@@ -481,23 +481,23 @@
 	for range 17 { // many that send most of a message
 		p.desk.Receive(p.now, p.dial("10.6.6.6"), half)
 	}
-	if n, buffered := p.desk.Connections(); buffered > limits.Buffered {
+	if n, buffered := p.desk.Connections(); buffered > limits.MaxBuffered {
 		t.Errorf("%d bytes are kept for %d connections", buffered, n)
 	}
 	for range 10000 { // that say nothing
 		p.dial("10.6.6.6")
 	}
-	if n, _ := p.desk.Connections(); n != limits.Connections {
+	if n, _ := p.desk.Connections(); n != limits.MaxConnections {
 		t.Errorf("%d connections stand", n)
 	}
-	p.pass(UsualLimits.Silent + 1)
+	p.pass(DefaultLimits.IdentifyTimeout + 1)
 	if n, _ := p.desk.Connections(); n != 1 || p.ended[good] || p.fleet.UpToDate() != 1 {
 		t.Errorf("%d connections are left; the good one is closed: %t", n, p.ended[good])
 	}
 	odd := frame(message(sasp.Registration, 1, "r1/search", 2))
 	odd[16] = 99 // a component's length
-	before := p.desk.Counts.Replied
-	if p.desk.Receive(p.now, good, odd); p.desk.Counts.Replied != before+1 ||
+	before := p.desk.Stats.Replied
+	if p.desk.Receive(p.now, good, odd); p.desk.Stats.Replied != before+1 ||
 		p.got[good][len(p.got[good])-1].Code != sasp.NotUnderstood || p.ended[good] {
 		t.Errorf("a malformed body: %v", p.got[good][len(p.got[good])-1])
 	}
@@ -594,7 +594,7 @@
 			case 3:
 				if c, ok := alive(i); ok {
 					if p.say(c, message(sasp.Deregistration, 1, uid+"/search", s)) == sasp.OK { // it has given it up
-						delete(p.held[c], "search "+string(Name(sasp.AddressOf(address(s)))))
+						delete(p.held[c], "search "+string(ServerID(sasp.AddressOf(address(s)))))
 					}
 				}
 			case 4:
--- a/internal/core/saspsession/speak.go
+++ b/internal/core/saspsession/speak.go
@@ -15,8 +15,8 @@
 func (d *Server) message(now float64, c *conn, frame []byte) {
 	kind, id := sasp.Head(frame)
 	if err := sasp.Decode(frame, &d.in); err != nil {
-		d.Counts.Malformed++
-		d.out.Say("message not understood", "from", c.from, "uid", c.uid, "error", err)
+		d.Stats.Malformed++
+		d.out.Log("message not understood", "from", c.from, "uid", c.uid, "error", err)
 		if sasp.ReplyTo(kind) == 0 { // nothing can be said to that
 			d.close(now, c, err.Error())
 			return
@@ -46,8 +46,8 @@
 		return
 	}
 	if code != sasp.OK {
-		d.Counts.Refused++
-		d.out.Say("refused", "kind", kind, "code", code.String(), "from", c.from, "uid", c.uid)
+		d.Stats.Rejected++
+		d.out.Log("refused", "kind", kind, "code", code.String(), "from", c.from, "uid", c.uid)
 	}
 	d.answer(now, c, sasp.ReplyTo(kind), id, code)
 }
@@ -56,7 +56,7 @@
 	if d.conns[c.id] != c {
 		return
 	}
-	d.Counts.Replied++
+	d.Stats.Replied++
 	m := &d.reply
 	*m = sasp.Message{Kind: kind, ID: id, Code: code, Groups: m.Groups[:0], Rows: m.Rows[:0]}
 	d.send(now, c, m)
@@ -71,7 +71,7 @@
 		return nil, sasp.InvalidBalancer
 	case c.role == memberRole, c.role == balancerRole && c.uid != string(uid):
 		return nil, sasp.NotAccepted
-	case string(uid) == d.policy.FleetUID, d.policy.Members:
+	case string(uid) == d.policy.FleetUID, d.policy.MembersOnly:
 		return nil, sasp.NotAccepted
 	}
 	b := d.balancers[string(uid)]
@@ -79,10 +79,10 @@
 		return b, sasp.OK
 	}
 	if b != nil {
-		if now-b.claimed < d.limits.Takeover {
+		if now-b.claimed < d.limits.TakeoverInterval {
 			return nil, sasp.NotAccepted
 		}
-		d.Counts.Takeovers++
+		d.Stats.Takeovers++
 		d.close(now, b.conn, "another connection has its UID")
 	}
 	b = &loadBalancer{uid: string(uid), uidBytes: bytes.Clone(uid), conn: c, groups: map[string]*group{}, claimed: now}
@@ -98,7 +98,7 @@
 	}
 	p, err := d.fleet.Join(now, b.uid, d, true)
 	if err != nil {
-		d.out.Say("relay refused", "uid", b.uid, "error", err)
+		d.out.Log("relay refused", "uid", b.uid, "error", err)
 		if errors.Is(err, controlplane.ErrWrongCoordinator) {
 			d.close(now, b.conn, "another coordinator leads this relay") // it dials another one
 		} else if errors.Is(err, controlplane.ErrJoinRateExceeded) {
@@ -203,7 +203,7 @@
 		if !d.policy.AnyAgent && r.AddrPort().Addr() != c.from {
 			return sasp.NotAccepted // it speaks for somebody else
 		}
-		if rec, ok := d.fleet.Registry.Find(d.server(r.Address)); !d.policy.NewOnes && (!ok || rec.Server == "") {
+		if rec, ok := d.fleet.Registry.Find(d.server(r.Address)); !d.policy.AllowUnlisted && (!ok || rec.Server == "") {
 			return sasp.NotAccepted
 		}
 	}
@@ -234,10 +234,10 @@
 				}
 			}
 			n += len(old.order)
-		} else if len(b.order) >= d.limits.Groups {
+		} else if len(b.order) >= d.limits.MaxGroups {
 			return sasp.InvalidGroup
 		}
-		if n > d.limits.Members {
+		if n > d.limits.MaxMembers {
 			return sasp.NotAccepted
 		}
 	}
@@ -288,9 +288,9 @@
 	to := b.group(string(g.Name), class)
 	for _, r := range m.Rows[g.From:g.To] {
 		s := d.server(r.Address)
-		if d.policy.Vouching {
+		if d.policy.BalancersRegister {
 			if err := d.fleet.Registry.AdjustVouchers(now, s, d.zone(b), 1); err != nil {
-				d.out.Say("server refused", "server", s, "error", err)
+				d.out.Log("server refused", "server", s, "error", err)
 				return sasp.NotAccepted
 			}
 		}
@@ -304,7 +304,7 @@
 	s := d.server(r.Address)
 	if c.servers[s] == 0 {
 		if err := d.fleet.Registry.Register(now, s, d.fleet.Site().UnlistedZone); err != nil {
-			d.out.Say("server refused", "server", s, "error", err)
+			d.out.Log("server refused", "server", s, "error", err)
 			return sasp.NotAccepted
 		}
 	}
@@ -353,7 +353,7 @@
 			s := d.server(r.Address)
 			delete(c.servers, s)
 			if rec, _ := d.fleet.Registry.Find(s); rec.DrainOrdered { // it ends everywhere; if it can't be said, the next one to look says so
-				_, _ = d.out.Drain(now, s, false)
+				_, _ = d.out.OrderDrain(now, s, false)
 			}
 			d.fleet.Registry.Deregister(now, s)
 		}
@@ -437,7 +437,7 @@
 	t := &told{conn: c.id, id: m.ID}
 	for _, r := range m.Rows {
 		s, on := d.server(r.Address), r.Flags&sasp.Quiesce != 0
-		ticket, ok := d.out.Drain(now, s, on)
+		ticket, ok := d.out.OrderDrain(now, s, on)
 		switch {
 		case !ok:
 			t.wrong = true
@@ -447,7 +447,7 @@
 			t.left++
 			d.waiting[ticket] = t
 		}
-		d.out.Say("member state", "server", s, "quiesced", on, "from", c.from, "taken", ok)
+		d.out.Log("member state", "server", s, "quiesced", on, "from", c.from, "taken", ok)
 	}
 	d.fleet.Persist() // before it is confirmed; if the disk fails it is in force all the same
 	if t.left > 0 {
@@ -459,8 +459,8 @@
 	return sasp.OK, false
 }
 
-// Settled tells what became of a drain that was told here: it was agreed on, or refused.
-func (d *Server) Settled(now float64, ticket uint64, kept bool) {
+// OrderCompleted tells what became of a drain that was told here: it was agreed on, or refused.
+func (d *Server) OrderCompleted(now float64, ticket uint64, kept bool) {
 	t := d.waiting[ticket]
 	if t == nil {
 		return
@@ -475,8 +475,8 @@
 	code := sasp.OK
 	if t.wrong {
 		code = sasp.NotAccepted
-		d.Counts.Refused++
-		d.out.Say("refused", "kind", sasp.SetMember, "why", "the coordinators could not agree in time", "from", c.from)
+		d.Stats.Rejected++
+		d.out.Log("refused", "kind", sasp.SetMember, "why", "the coordinators could not agree in time", "from", c.from)
 	}
 	d.answer(now, c, sasp.ReplyTo(sasp.SetMember), t.id, code)
 }
@@ -513,8 +513,8 @@
 	b := d.balancers[c.uid]
 	reply.Code = d.mayAsk(c, b, m)
 	if reply.Code != sasp.OK {
-		d.Counts.Refused++
-		d.out.Say("refused", "kind", m.Kind, "code", reply.Code.String(), "from", c.from, "uid", c.uid)
+		d.Stats.Rejected++
+		d.out.Log("refused", "kind", m.Kind, "code", reply.Code.String(), "from", c.from, "uid", c.uid)
 		d.send(now, c, reply)
 		return
 	}
--- a/internal/experiment/lab.go
+++ b/internal/experiment/lab.go
@@ -174,7 +174,7 @@
 	}
 	if c.Arm.Levels == "fraction" || c.Arm.Levels == "rate" {
 		site.DataPlane.Admission = map[string]balancer.AdmissionMode{"fraction": balancer.AdmissionFraction, "rate": balancer.AdmissionRate}[c.Arm.Levels]
-		d.Coordinator.Policy.Members = true // SASP has no word for them
+		d.Coordinator.Policy.MembersOnly = true // SASP has no word for them
 	}
 	d.Troubles = nil
 	for _, t := range c.Case.Troubles {
--- a/internal/frontend/admin/admin.go
+++ b/internal/frontend/admin/admin.go
@@ -41,8 +41,8 @@
 	Fleet(tenancy.Name) (f *controlplane.Fleet, ok bool)
 	// Drain orders a drain or its end; done is called once, when it is agreed on and durable, or refused.
 	Drain(now float64, of tenancy.Name, s balancer.Server, on bool, done func(ok bool))
-	// Orders are the latest ones of a tenant, newest first; those to one relay if it is named.
-	Orders(of tenancy.Name, relay string) []map[string]any
+	// MessageTraces are the latest ones of a tenant, newest first; those to one relay if it is named.
+	MessageTraces(of tenancy.Name, relay string) []map[string]any
 	authz.Authenticator
 }
 
@@ -309,7 +309,7 @@
 }
 
 func (a *API) orders(w http.ResponseWriter, r *http.Request, c call) {
-	reply(w, http.StatusOK, a.program.Orders(c.of, r.URL.Query().Get("relay")))
+	reply(w, http.StatusOK, a.program.MessageTraces(c.of, r.URL.Query().Get("relay")))
 }
 
 type relayRow struct {
--- a/internal/frontend/admin/hosted.go
+++ b/internal/frontend/admin/hosted.go
@@ -37,31 +37,31 @@
 
 // TenantRow tells of a tenant.
 type TenantRow struct {
-	Name        tenancy.Name         `json:"name"`
-	Incarnation tenancy.Incarnation  `json:"incarnation"`
-	Version     tenancy.Version      `json:"version"`
-	Weight      float64              `json:"weight"`
-	Needs       tenancy.Requirements `json:"needs"`
-	Runs        bool                 `json:"runs"`
-	Wrong       string               `json:"wrong,omitempty"` // why it does not, or goes on by former settings
-	Servers     int                  `json:"servers"`
-	Relays      int                  `json:"relays"`  // that are joined
-	Newest      int                  `json:"newest"`  // of them, known to hold the newest tables
-	Work        float64              `json:"work"`    // seconds of a core that it was reckoned at
-	Longest     float64              `json:"longest"` // seconds that it was due and waited for its turn
-	Waiting     float64              `json:"waiting"` // lines in its channel
+	Name          tenancy.Name         `json:"name"`
+	Incarnation   tenancy.Incarnation  `json:"incarnation"`
+	Version       tenancy.Version      `json:"version"`
+	Weight        float64              `json:"weight"`
+	Requirements  tenancy.Requirements `json:"needs"`
+	Running       bool                 `json:"runs"`
+	Error         string               `json:"wrong,omitempty"` // why it does not, or goes on by former settings
+	Servers       int                  `json:"servers"`
+	Relays        int                  `json:"relays"`  // that are joined
+	UpToDate      int                  `json:"newest"`  // of them, known to hold the newest tables
+	CPUSeconds    float64              `json:"work"`    // seconds of a core that it was reckoned at
+	LongestWait   float64              `json:"longest"` // seconds that it was due and waited for its turn
+	QueuedEntries float64              `json:"waiting"` // lines in its channel
 }
 
 // SettingsPreview is what would follow from settings.
 type SettingsPreview struct {
-	Weight   float64               `json:"weight"`
-	Needs    tenancy.Requirements  `json:"needs"`
-	Anew     string                `json:"starts-anew-for,omitempty"` // what can't be changed while it runs
-	Added    int                   `json:"servers-added"`
-	Removed  []string              `json:"servers-removed,omitempty"`
-	Sent     int                   `json:"relays-sent-away"`
-	Reasons  []string              `json:"reasons,omitempty"` // why it would do harm
-	Revision controlplane.Revision `json:"-"`
+	Weight        float64               `json:"weight"`
+	Requirements  tenancy.Requirements  `json:"needs"`
+	RestartReason string                `json:"starts-anew-for,omitempty"` // what can't be changed while it runs
+	Added         int                   `json:"servers-added"`
+	Removed       []string              `json:"servers-removed,omitempty"`
+	RelaysEvicted int                   `json:"relays-sent-away"`
+	Reasons       []string              `json:"reasons,omitempty"` // why it would do harm
+	Revision      controlplane.Revision `json:"-"`
 }
 
 const (
@@ -237,10 +237,10 @@
 			done(d)
 			return
 		}
-		c.Weight, c.Requirements = d.seen.Weight, d.seen.Needs
+		c.Weight, c.Requirements = d.seen.Weight, d.seen.Requirements
 		if c.Kind == tenancy.Change && who.Role < authz.RoleHost {
 			// What a tenant may take is the host's to say: its staff may ask for less, not for more.
-			if err := c.Requirements.CheckWithin(row.Needs); err != nil || c.Weight > row.Weight {
+			if err := c.Requirements.CheckWithin(row.Requirements); err != nil || c.Weight > row.Weight {
 				done(decided{status: http.StatusForbidden, seen: d.seen, err: fmt.Errorf("only the host may raise what a tenant takes: weight %g to %g; %w",
 					row.Weight, c.Weight, err)})
 				return
--- a/internal/frontend/eventloop/loop_test.go
+++ b/internal/frontend/eventloop/loop_test.go
@@ -31,7 +31,7 @@
 		a := netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, byte(i >> 8), byte(i)}), 80)
 		s.Servers = append(s.Servers, registry.ServerConfig{Server: balancer.Server(a.String()), Weight: 1, Static: true})
 	}
-	return coordinator.Config{Site: s, Limits: saspsession.UsualLimits, Policy: saspsession.Policy{FleetUID: "fleet"}}
+	return coordinator.Config{Site: s, Limits: saspsession.DefaultLimits, Policy: saspsession.Policy{FleetUID: "fleet"}}
 }
 
 func listen(t testing.TB, setup coordinator.Config, port uint16) (*coordinator.Coordinator, *Server, string) {
--- a/internal/frontend/longpollhttp/poll.go
+++ b/internal/frontend/longpollhttp/poll.go
@@ -31,55 +31,55 @@
 // Conn is a connection; the driver numbers them.
 type Conn uint64
 
-// Out is the driver's side.
-type Out interface {
+// Handler is the driver's side.
+type Handler interface {
 	SendPoll(Conn, []byte)
 	ClosePoll(Conn)
-	Say(event string, pairs ...any)
+	Log(event string, pairs ...any)
 }
 
 // Limits bound what connections may do; beyond each the connection is closed, after a response where one can be given.
 type Limits struct {
-	Connections int
-	Head        int     // bytes of a request's head
-	Unread      int     // bytes that a connection may leave untaken
-	Silent      float64 // seconds for a request's head to come whole, and for the next request to begin
-	Slow        float64 // seconds for an answer to be taken
+	MaxConnections  int
+	MaxHeadBytes    int     // bytes of a request's head
+	MaxUnread       int     // bytes that a connection may leave untaken
+	IdleTimeout     float64 // seconds for a request's head to come whole, and for the next request to begin
+	DeliveryTimeout float64 // seconds for an answer to be taken
 }
 
-// UsualLimits are those that settings start from.
-var UsualLimits = Limits{
-	Connections: 16384,   // three for each of 5,000 proxies
-	Head:        8 << 10, // the usual bound of web servers
-	Unread:      4 << 20, // a table of 1,000 servers for 20 classes
-	Silent:      15,      // a proxy asks again at once
-	Slow:        10,      // the longest pause of a proxy that is still alive
+// DefaultLimits are those that settings start from.
+var DefaultLimits = Limits{
+	MaxConnections:  16384,   // three for each of 5,000 proxies
+	MaxHeadBytes:    8 << 10, // the usual bound of web servers
+	MaxUnread:       4 << 20, // a table of 1,000 servers for 20 classes
+	IdleTimeout:     15,      // a proxy asks again at once
+	DeliveryTimeout: 10,      // the longest pause of a proxy that is still alive
 }
 
-// ErrSpeaker says that a connection's first bytes are no poll of anybody.
-var ErrSpeaker = errors.New("the first request is no poll")
+// ErrNotPoll says that a connection's first bytes are no poll of anybody.
+var ErrNotPoll = errors.New("the first request is no poll")
 
-// Speaker is the UID that the first request of a connection names. need says that more bytes are needed to tell.
-func Speaker(b []byte) (uid string, need bool, err error) {
+// ParseIdentity is the UID that the first request of a connection names. need says that more bytes are needed to tell.
+func ParseIdentity(b []byte) (uid string, need bool, err error) {
 	line, _, whole := bytes.Cut(b, []byte("\r\n"))
 	if !whole {
 		return "", true, nil
 	}
 	parts := strings.Split(string(line), " ")
 	if len(parts) != 3 || !strings.HasPrefix(parts[1], prefix) {
-		return "", false, ErrSpeaker
+		return "", false, ErrNotPoll
 	}
 	name, _, _ := strings.Cut(parts[1][len(prefix):], "/")
 	name, _, _ = strings.Cut(name, "?")
 	if uid, err = url.PathUnescape(name); err != nil || uid == "" {
-		return "", false, ErrSpeaker
+		return "", false, ErrNotPoll
 	}
 	return uid, false, nil
 }
 
-// Refusal is a whole response with a problem document, for a connection that is closed after it. after is when to come back, in
+// RejectResponse is a whole response with a problem document, for a connection that is closed after it. after is when to come back, in
 // seconds; 0: not to.
-func Refusal(status int, kind, detail string, after float64) []byte {
+func RejectResponse(status int, kind, detail string, after float64) []byte {
 	body, _ := json.Marshal(delta.Problem{Type: problems + kind, Title: http.StatusText(status), Status: status, Detail: detail,
 		RetryAfter: math.Round(after*1000) / 1000}) // figures are finite
 	b := fmt.Appendf(nil, "HTTP/1.1 %d %s\r\nContent-Type: %s\r\nContent-Length: %d\r\nConnection: close\r\n", status,
@@ -111,53 +111,53 @@
 	closing bool // once what was sent is taken
 }
 
-// Counts is what happened, for metrics.
-type Counts struct{ Requests, Malformed, Closed int }
-
-// Front is the API of one coordinator. Use New.
-type Front struct {
-	Counter *longpoll.Server
-	out     Out
-	limits  Limits
-	names   []string
-	conns   map[Conn]*conn
-	waiters map[longpoll.PollID]*conn
-	byUID   map[string]*conn // the latest connection of each proxy
-	next    longpoll.PollID
-	now     float64
-	checked float64
-	tables  delta.Tables
-	body    []byte
-	bytes   []byte
-	Counts  Counts
+// Stats is what happened, for metrics.
+type Stats struct{ Requests, Malformed, Closed int }
+
+// Frontend is the API of one coordinator. Use New.
+type Frontend struct {
+	LongPoll *longpoll.Server
+	out      Handler
+	limits   Limits
+	names    []string
+	conns    map[Conn]*conn
+	waiters  map[longpoll.PollID]*conn
+	byUID    map[string]*conn // the latest connection of each proxy
+	next     longpoll.PollID
+	now      float64
+	checked  float64
+	tables   delta.Tables
+	body     []byte
+	bytes    []byte
+	Stats    Stats
 }
 
 // New makes a front for classes of these names. Its Counter must be set before it is used.
-func New(out Out, limits Limits, names []string) *Front {
-	return &Front{out: out, limits: limits, names: names, conns: map[Conn]*conn{}, waiters: map[longpoll.PollID]*conn{},
+func New(out Handler, limits Limits, names []string) *Frontend {
+	return &Frontend{out: out, limits: limits, names: names, conns: map[Conn]*conn{}, waiters: map[longpoll.PollID]*conn{},
 		byUID: map[string]*conn{}}
 }
 
 // Connections is their number.
-func (f *Front) Connections() int { return len(f.conns) }
+func (f *Frontend) Connections() int { return len(f.conns) }
 
 // Opened takes a connection.
-func (f *Front) Opened(now float64, id Conn, from netip.Addr) {
+func (f *Frontend) Opened(now float64, id Conn, from netip.Addr) {
 	f.now = now
 	c := &conn{id: id, from: from, since: now}
-	if f.conns[id] = c; len(f.conns) > f.limits.Connections {
+	if f.conns[id] = c; len(f.conns) > f.limits.MaxConnections {
 		f.close(c, "too many connections")
 	}
 }
 
 // Closed takes the end of a connection.
-func (f *Front) Closed(now float64, id Conn) {
+func (f *Frontend) Closed(now float64, id Conn) {
 	if f.now = now; f.conns[id] != nil {
 		f.forget(f.conns[id])
 	}
 }
 
-func (f *Front) forget(c *conn) {
+func (f *Frontend) forget(c *conn) {
 	delete(f.conns, c.id)
 	if f.byUID[c.uid] == c {
 		delete(f.byUID, c.uid)
@@ -165,19 +165,19 @@
 	if w := c.waiter; w != 0 {
 		c.waiter = 0
 		delete(f.waiters, w)
-		f.Counter.Gone(f.now, w)
+		f.LongPoll.PollClosed(f.now, w)
 	}
 }
 
-func (f *Front) close(c *conn, why string) {
-	f.Counts.Closed++
-	f.out.Say("connection closed", "why", why, "from", c.from, "front", "poll")
+func (f *Frontend) close(c *conn, why string) {
+	f.Stats.Closed++
+	f.out.Log("connection closed", "why", why, "from", c.from, "front", "poll")
 	f.forget(c)
 	f.out.ClosePoll(c.id)
 }
 
-// Taken takes the kernel's word of how many bytes the peer's host has.
-func (f *Front) Taken(now float64, id Conn, total uint64) {
+// Delivered takes the kernel's word of how many bytes the peer's host has.
+func (f *Frontend) Delivered(now float64, id Conn, total uint64) {
 	f.now = now
 	if c := f.conns[id]; c != nil {
 		if c.taken = max(c.taken, total); c.closing && c.taken >= c.sent {
@@ -189,7 +189,7 @@
 
 // Receive takes bytes of a connection, split in any way. One request is served at a time; more of them wait in the
 // connection's buffer, up to its limit.
-func (f *Front) Receive(now float64, id Conn, b []byte) {
+func (f *Frontend) Receive(now float64, id Conn, b []byte) {
 	f.now = now
 	c := f.conns[id]
 	if c == nil || c.closing {
@@ -199,12 +199,12 @@
 	f.requests(c)
 }
 
-func (f *Front) requests(c *conn) {
+func (f *Frontend) requests(c *conn) {
 	for f.conns[c.id] == c && !c.closing && c.waiter == 0 {
 		end := bytes.Index(c.buf, []byte("\r\n\r\n"))
-		if end < 0 || end+4 > f.limits.Head {
-			if len(c.buf) > f.limits.Head {
-				f.fail(c, http.StatusRequestHeaderFieldsTooLarge, "head-too-large", "the head has over %d bytes", f.limits.Head)
+		if end < 0 || end+4 > f.limits.MaxHeadBytes {
+			if len(c.buf) > f.limits.MaxHeadBytes {
+				f.fail(c, http.StatusRequestHeaderFieldsTooLarge, "head-too-large", "the head has over %d bytes", f.limits.MaxHeadBytes)
 			}
 			return
 		}
@@ -213,22 +213,22 @@
 			c.buf = nil // an idle connection keeps nothing
 		}
 		c.since = f.now
-		f.Counts.Requests++
+		f.Stats.Requests++
 		f.request(c, head)
 	}
-	if f.conns[c.id] == c && c.waiter != 0 && len(c.buf) > f.limits.Head {
+	if f.conns[c.id] == c && c.waiter != 0 && len(c.buf) > f.limits.MaxHeadBytes {
 		f.close(c, "requests pile up behind a poll")
 	}
 }
 
 // fail answers with a problem after which the stream can't be followed.
-func (f *Front) fail(c *conn, status int, kind, format string, args ...any) {
-	f.Counts.Malformed++
+func (f *Frontend) fail(c *conn, status int, kind, format string, args ...any) {
+	f.Stats.Malformed++
 	c.closing = true
 	f.problem(c, status, kind, 0, format, args...)
 }
 
-func (f *Front) request(c *conn, head []byte) {
+func (f *Frontend) request(c *conn, head []byte) {
 	r, err := http.ReadRequest(bufio.NewReader(bytes.NewReader(head)))
 	if err != nil {
 		f.fail(c, http.StatusBadRequest, "malformed", "%v", err)
@@ -259,14 +259,14 @@
 	}
 }
 
-func (f *Front) proxy(c *conn, r *http.Request, rest string) {
+func (f *Frontend) proxy(c *conn, r *http.Request, rest string) {
 	name, part, tables := strings.Cut(rest, "/")
 	uid, err := url.PathUnescape(name)
 	switch {
 	case err != nil || uid == "" || len(uid) > longestUID:
 		f.problem(c, http.StatusBadRequest, "uid", 0, "no UID of 1 to %d bytes", longestUID)
 	case !tables && r.Method == http.MethodDelete:
-		if !f.Counter.Leave(f.now, uid) {
+		if !f.LongPoll.ProxyLeft(f.now, uid) {
 			f.problem(c, http.StatusNotFound, "not-joined", 0, "proxy %q has not joined", uid)
 			return
 		}
@@ -282,7 +282,7 @@
 	}
 }
 
-func (f *Front) poll(c *conn, uid string, q url.Values) {
+func (f *Frontend) poll(c *conn, uid string, q url.Values) {
 	p := longpoll.Poll{UID: uid}
 	var errs [4]error
 	if v := q.Get("epoch"); v != "" {
@@ -295,7 +295,7 @@
 		p.Wait, errs[2] = strconv.ParseFloat(v, 64)
 	}
 	if v := q.Get("lead"); v != "" {
-		p.Lead, errs[3] = strconv.ParseUint(v, 10, 64)
+		p.OwnershipEpoch, errs[3] = strconv.ParseUint(v, 10, 64)
 	}
 	for i, name := range []string{"epoch", "version", "wait", "lead"} {
 		if errs[i] != nil || len(q[name]) > 1 || !(p.Wait >= 0) || math.IsInf(p.Wait, 0) {
@@ -311,11 +311,11 @@
 	f.next++
 	c.waiter = f.next
 	f.waiters[c.waiter] = c
-	f.Counter.Ask(f.now, c.waiter, p)
+	f.LongPoll.HandlePoll(f.now, c.waiter, p)
 }
 
 // serve ends a poll's waiting and hands its connection back.
-func (f *Front) serve(w longpoll.PollID) *conn {
+func (f *Frontend) serve(w longpoll.PollID) *conn {
 	c := f.waiters[w]
 	if c != nil {
 		delete(f.waiters, w)
@@ -328,7 +328,7 @@
 	balancer.RetryTwice: "twice"}
 
 // Answer of longpoll.Out.
-func (f *Front) Answer(w longpoll.PollID, a *longpoll.Answer) {
+func (f *Frontend) Answer(w longpoll.PollID, a *longpoll.Answer) {
 	c := f.serve(w)
 	if c == nil {
 		return
@@ -340,8 +340,8 @@
 	}
 	version := fmt.Sprintf("Snowquay-Version: %x.%d\r\n", a.Epoch, a.Version)
 	t := &f.tables
-	t.From, t.Lead = a.From, a.Lead
-	t.Epoch, t.Version, t.AskWithin, t.Classes = strconv.FormatUint(a.Epoch, 16), a.Version, a.AskWithin, t.Classes[:0]
+	t.From, t.Lead = a.From, a.OwnershipEpoch
+	t.Epoch, t.Version, t.AskWithin, t.Classes = strconv.FormatUint(a.Epoch, 16), a.Version, a.PollWithin, t.Classes[:0]
 	for _, x := range a.Classes {
 		k := len(t.Classes)
 		t.Classes = slices.Grow(t.Classes, 1)[:k+1]
@@ -349,12 +349,12 @@
 		if *d = (delta.Class{Class: f.names[x.Class], Full: x.Full, Lines: d.Lines[:0]}); d.Lines == nil {
 			d.Lines = []delta.Line{}
 		}
-		for _, l := range x.Lines {
-			d.Lines = append(d.Lines, delta.Line{Server: string(l.Server), Weight: l.Weight, Drains: l.Drains})
+		for _, l := range x.Entries {
+			d.Lines = append(d.Lines, delta.Line{Server: string(l.Server), Weight: l.Weight, Drains: l.Draining})
 		}
-		if x.Leveled {
-			level, back := x.Level, x.ComeBack
-			if d.Level, d.Again = &level, ways[x.Again]; back > 0 {
+		if x.HasAdmission {
+			level, back := x.Admission, x.RetryAfter
+			if d.Level, d.Again = &level, ways[x.Retry]; back > 0 {
 				d.ComeBack = &back
 			}
 		}
@@ -372,17 +372,17 @@
 	status     int
 	kind, text string
 }{
-	longpoll.NotListed:  {http.StatusForbidden, "not-listed", "the settings list no such proxy"},
-	longpoll.Crowded:    {http.StatusServiceUnavailable, "crowded", "too many proxies come at once"},
-	longpoll.TooOften:   {http.StatusTooManyRequests, "too-often", "this proxy asks too often"},
-	longpoll.Superseded: {http.StatusConflict, "superseded", "another poll of this proxy has come, or it has left"},
-	longpoll.Elsewhere:  {http.StatusMisdirectedRequest, "elsewhere", "another coordinator leads this proxy"},
-	longpoll.Behind:     {http.StatusMisdirectedRequest, "behind", "the proxy has followed a newer lead than this coordinator knows"},
-	longpoll.Moved:      {http.StatusConflict, "moved", "this proxy has joined by another front"},
+	longpoll.NotListed:        {http.StatusForbidden, "not-listed", "the settings list no such proxy"},
+	longpoll.TooManyPolls:     {http.StatusServiceUnavailable, "crowded", "too many proxies come at once"},
+	longpoll.PollRateExceeded: {http.StatusTooManyRequests, "too-often", "this proxy asks too often"},
+	longpoll.Superseded:       {http.StatusConflict, "superseded", "another poll of this proxy has come, or it has left"},
+	longpoll.WrongCoordinator: {http.StatusMisdirectedRequest, "elsewhere", "another coordinator leads this proxy"},
+	longpoll.EpochOutdated:    {http.StatusMisdirectedRequest, "behind", "the proxy has followed a newer lead than this coordinator knows"},
+	longpoll.JoinedElsewhere:  {http.StatusConflict, "moved", "this proxy has joined by another front"},
 }
 
-// Refuse of longpoll.Out.
-func (f *Front) Refuse(w longpoll.PollID, why longpoll.RejectReason, after float64) {
+// Reject of longpoll.Out.
+func (f *Frontend) Reject(w longpoll.PollID, why longpoll.RejectReason, after float64) {
 	if c := f.serve(w); c != nil {
 		r := refusals[why]
 		f.problem(c, r.status, r.kind, after, "%s", r.text)
@@ -391,16 +391,16 @@
 }
 
 // Dropped of longpoll.Out.
-func (f *Front) Dropped(uid string) {
+func (f *Frontend) Dropped(uid string) {
 	if c := f.byUID[uid]; c != nil && c.waiter == 0 && !c.closing {
 		f.close(c, "its proxy counts as gone")
 	}
 }
 
-// Say of longpoll.Out.
-func (f *Front) Say(event string, pairs ...any) { f.out.Say(event, pairs...) }
+// Log of longpoll.Out.
+func (f *Frontend) Log(event string, pairs ...any) { f.out.Log(event, pairs...) }
 
-func (f *Front) problem(c *conn, status int, kind string, after float64, format string, args ...any) {
+func (f *Frontend) problem(c *conn, status int, kind string, after float64, format string, args ...any) {
 	body, err := json.Marshal(delta.Problem{Type: problems + kind, Title: http.StatusText(status), Status: status,
 		Detail: fmt.Sprintf(format, args...), RetryAfter: math.Round(after*1000) / 1000})
 	if err != nil {
@@ -413,7 +413,7 @@
 	f.respond(c, status, delta.ProblemMediaType, extra, body)
 }
 
-func (f *Front) respond(c *conn, status int, media, extra string, body []byte) {
+func (f *Frontend) respond(c *conn, status int, media, extra string, body []byte) {
 	b := fmt.Appendf(f.bytes[:0], "HTTP/1.1 %d %s\r\n%s", status, http.StatusText(status), extra)
 	if status != http.StatusNoContent {
 		b = fmt.Appendf(b, "Content-Type: %s\r\nContent-Length: %d\r\n", media, len(body))
@@ -427,23 +427,23 @@
 	}
 	c.sent += uint64(len(f.bytes))
 	f.out.SendPoll(c.id, f.bytes)
-	if c.sent-c.taken > uint64(f.limits.Unread) {
+	if c.sent-c.taken > uint64(f.limits.MaxUnread) {
 		f.close(c, "it does not read")
 	}
 }
 
 // Tick closes connections that are silent, or do not take their answers. A client that reads a byte a second is one of
 // them: its proxy then counts as not having asked again.
-func (f *Front) Tick(now float64) {
+func (f *Frontend) Tick(now float64) {
 	f.now = now
-	f.Counter.Tick(now)
+	f.LongPoll.Tick(now)
 	if now-f.checked < checkEvery {
 		return
 	}
 	f.checked = now
 	var late []*conn
 	for _, c := range f.conns {
-		if c.waiter == 0 && now-c.since > f.limits.Silent || c.sent > c.taken && now-c.sentAt > f.limits.Slow {
+		if c.waiter == 0 && now-c.since > f.limits.IdleTimeout || c.sent > c.taken && now-c.sentAt > f.limits.DeliveryTimeout {
 			late = append(late, c)
 		}
 	}
--- a/internal/frontend/longpollhttp/poll_test.go
+++ b/internal/frontend/longpollhttp/poll_test.go
@@ -43,9 +43,9 @@
 	for i := range servers {
 		s.Servers = append(s.Servers, registry.ServerConfig{Server: server(i), Weight: 1, Static: true})
 	}
-	limits := longpoll.UsualLimits
-	limits.Joins, limits.Burst = 1e6, 1e6
-	return coordinator.Config{Site: s, Limits: saspsession.UsualLimits, Policy: saspsession.Policy{FleetUID: "fleet"}, LongPoll: longpollhttp.UsualLimits,
+	limits := longpoll.DefaultLimits
+	limits.JoinRate, limits.JoinBurst = 1e6, 1e6
+	return coordinator.Config{Site: s, Limits: saspsession.DefaultLimits, Policy: saspsession.Policy{FleetUID: "fleet"}, LongPoll: longpollhttp.DefaultLimits,
 		Parking: limits, HTTP: netip.AddrPortFrom(netip.MustParseAddr("127.0.0.1"), port)}
 }
 
@@ -132,7 +132,7 @@
 	set := setup(5, 2, 14880)
 	set.Site.AllowUnlisted = false
 	set.Site.Relays = []controlplane.Relay{{UID: "r1", ExpectedRate: 5}, {UID: "r 2/x"}, {UID: "r3"}}
-	set.Parking.AskBurst = 15
+	set.Parking.PollBurst = 15
 	program, s, base := listen(t, set)
 	doc.Servers = openapi3.Servers{{URL: base}}
 	router, err := legacy.NewRouter(doc)
@@ -217,7 +217,7 @@
 
 func TestHostileRequests(t *testing.T) {
 	set := setup(3, 2, 14881)
-	set.LongPoll.Silent, set.LongPoll.Connections = 0.6, 50
+	set.LongPoll.IdleTimeout, set.LongPoll.MaxConnections = 0.6, 50
 	program, s, base := listen(t, set)
 	const get = "GET /openapi.json HTTP/1.1\r\nHost: x\r\n"
 	for name, c := range map[string]struct {
@@ -267,7 +267,7 @@
 // A client that takes a byte a second of a large answer is closed, and its proxy is held for gone.
 func TestASlowReader(t *testing.T) {
 	set := setup(3000, 1, 14882)
-	set.LongPoll.Slow, set.Parking.Between = 0.4, 0.8
+	set.LongPoll.DeliveryTimeout, set.Parking.PollGap = 0.4, 0.8
 	program, s, base := listen(t, set)
 	c, err := net.Dial("tcp", strings.TrimPrefix(base, "http://"))
 	if err != nil {
@@ -320,7 +320,7 @@
 	}
 	parked := 0
 	for end := time.Now().Add(20 * time.Second); parked < n; time.Sleep(time.Millisecond) {
-		if s.Do(func(float64) { parked, _ = program.LongPoll.Counter.Parked() }); time.Now().After(end) {
+		if s.Do(func(float64) { parked, _ = program.LongPoll.LongPoll.Parked() }); time.Now().After(end) {
 			b.Fatalf("%d of %d polls wait", parked, n)
 		}
 	}
--- a/internal/proxy/follower.go
+++ b/internal/proxy/follower.go
@@ -302,7 +302,7 @@
 		// Rows that bring queries come before those that take them away, so that no state on the way lacks a line.
 		var left []balancer.Server
 		for _, g := range m.Groups {
-			l, err := s.p.Core.Tables.ApplyRows(now, string(g.Name), m.Rows[g.From:g.To], saspsession.Name)
+			l, err := s.p.Core.Tables.ApplyRows(now, string(g.Name), m.Rows[g.From:g.To], saspsession.ServerID)
 			if err != nil || string(g.UID) != s.p.setup.UID {
 				s.p.setup.Log("weights refused", "group", string(g.Name), "of", string(g.UID), "error", err)
 				continue
--- a/internal/scenario/rehearse.go
+++ b/internal/scenario/rehearse.go
@@ -78,8 +78,8 @@
 	PeakQueue  float64
 	Complaints []string
 	Counts     controlplane.Stats
-	Desk       saspsession.Counts
-	Polls      longpoll.Counts
+	Desk       saspsession.Stats
+	Polls      longpoll.Stats
 	Bytes      int // of long-poll answers
 	WholeBytes int // of the same with whole tables
 	Events     int
@@ -358,22 +358,22 @@
 	p.ref.Queue(p.stage.Now(), peak)
 	p.result.PeakQueue = max(p.result.PeakQueue, peak)
 	add(&p.result.Counts, o.program.Fleet.Stats)
-	d, c := &p.result.Desk, o.program.SASP.Counts
+	d, c := &p.result.Desk, o.program.SASP.Stats
 	d.Received += c.Received
 	d.Replied += c.Replied
 	d.Pushed += c.Pushed
-	d.Refused += c.Refused
+	d.Rejected += c.Rejected
 	d.Malformed += c.Malformed
 	d.Closed += c.Closed
 	d.Takeovers += c.Takeovers
 	d.Skipped += c.Skipped
-	q, h := &p.result.Polls, o.program.LongPoll.Counter.Counts
+	q, h := &p.result.Polls, o.program.LongPoll.LongPoll.Stats
 	q.Polls += h.Polls
 	q.Answers += h.Answers
 	q.Empty += h.Empty
 	q.Deltas += h.Deltas
-	q.Fulls += h.Fulls
-	q.Refused += h.Refused
+	q.Full += h.Full
+	q.Rejected += h.Rejected
 	q.Lost += h.Lost
 	q.Unknown += h.Unknown
 	if len(p.coordinators) == 1 {
@@ -698,14 +698,14 @@
 	}
 	fmt.Fprintf(&b, "%d messages of %d lines reached relays; at most %.0f lines waited\n", r.Messages, r.Lines, r.PeakQueue)
 	fmt.Fprintf(&b, "%d rounds (%d idle), %d full tables, %d relays cut off, %d refusals, %d malformed\n", r.Counts.Rounds,
-		r.Counts.Idle, r.Counts.FullTables, r.Counts.Disconnected, r.Desk.Refused, r.Desk.Malformed)
+		r.Counts.Idle, r.Counts.FullTables, r.Counts.Disconnected, r.Desk.Rejected, r.Desk.Malformed)
 	if len(r.Led) > 0 {
 		fmt.Fprintf(&b, "%d deaths of coordinators; all relays led again after %.2f s (median), %.2f s (p90), %.2f s (most); told their tables after %.2f, %.2f, %.2f s\n",
 			len(r.Led), part(r.Led, 0.5), part(r.Led, 0.9), part(r.Led, 1), part(r.Told, 0.5), part(r.Told, 0.9), part(r.Told, 1))
 	}
 	if r.Polls.Polls > 0 {
 		fmt.Fprintf(&b, "%d polls: %d classes as deltas, %d in full, %d waits ended empty, %d refused, %d answers lost; %d bytes, %d with whole tables\n", r.Polls.Polls,
-			r.Polls.Deltas, r.Polls.Fulls, r.Polls.Empty, r.Polls.Refused, r.Polls.Lost, r.Bytes, r.WholeBytes)
+			r.Polls.Deltas, r.Polls.Full, r.Polls.Empty, r.Polls.Rejected, r.Polls.Lost, r.Bytes, r.WholeBytes)
 	}
 	for _, c := range r.Complaints[:min(len(r.Complaints), 10)] {
 		fmt.Fprintf(&b, "  seen: %s\n", c)
--- a/internal/scenario/rehearse_test.go
+++ b/internal/scenario/rehearse_test.go
@@ -95,7 +95,7 @@
 			d := badDay(t, string(BadDay))
 			d.Seed = seed + 100
 			Redraw(d)
-			if r, text := play1(t, d, Options{Front: fronts[seed%3]}); !r.Kept() || len(r.Complaints) > 0 && r.Desk.Refused == 0 {
+			if r, text := play1(t, d, Options{Front: fronts[seed%3]}); !r.Kept() || len(r.Complaints) > 0 && r.Desk.Rejected == 0 {
 				t.Errorf("%+v\n%s", d.Troubles, text)
 			}
 		})
--- a/internal/service/host.go
+++ b/internal/service/host.go
@@ -126,8 +126,8 @@
 	h.program.Drain(now, of, s, on, done)
 }
 
-// Orders of admin.Program.
-func (h *hosted) Orders(of tenancy.Name, relay string) []map[string]any {
+// MessageTraces of admin.Program.
+func (h *hosted) MessageTraces(of tenancy.Name, relay string) []map[string]any {
 	if relay != "" {
 		relay = of.UID(relay)
 	}
@@ -144,16 +144,16 @@
 }
 
 func (h *hosted) row(x *coordinator.TenantRuntime) admin.TenantRow {
-	r := admin.TenantRow{Name: x.Name, Incarnation: x.Incarnation, Version: x.Version, Weight: x.Weight, Needs: x.Requirements, Runs: x.Program != nil}
+	r := admin.TenantRow{Name: x.Name, Incarnation: x.Incarnation, Version: x.Version, Weight: x.Weight, Requirements: x.Requirements, Running: x.Program != nil}
 	if x.Err != nil {
-		r.Wrong = x.Err.Error()
+		r.Error = x.Err.Error()
 	}
 	if x.Program != nil {
 		f := x.Program.Fleet
-		r.Servers, r.Relays, r.Newest = len(f.Registry.Servers()), f.Joined(), f.UpToDate()
-		r.Waiting, _ = f.QueuedEntries()
+		r.Servers, r.Relays, r.UpToDate = len(f.Registry.Servers()), f.Joined(), f.UpToDate()
+		r.QueuedEntries, _ = f.QueuedEntries()
 	}
-	r.Work, r.Longest = h.program.Scheduler.Usage(x.Name)
+	r.CPUSeconds, r.LongestWait = h.program.Scheduler.Usage(x.Name)
 	return r
 }
 
@@ -201,7 +201,7 @@
 		return s, err
 	}
 	r := x.Revision
-	s = admin.SettingsPreview{Weight: x.Config.Weight, Needs: x.Config.Requirements, Anew: r.RestartReason, Added: len(r.Added), Sent: len(r.Evicted)}
+	s = admin.SettingsPreview{Weight: x.Config.Weight, Requirements: x.Config.Requirements, RestartReason: r.RestartReason, Added: len(r.Added), RelaysEvicted: len(r.Evicted)}
 	for _, v := range r.Removed {
 		s.Removed = append(s.Removed, string(v))
 	}
--- a/internal/service/service.go
+++ b/internal/service/service.go
@@ -202,8 +202,8 @@
 // Fleet of admin.Program.
 func (a *administered) Fleet(tenancy.Name) (*controlplane.Fleet, bool) { return a.program.Fleet, true }
 
-// Orders of admin.Program.
-func (a *administered) Orders(_ tenancy.Name, relay string) []map[string]any {
+// MessageTraces of admin.Program.
+func (a *administered) MessageTraces(_ tenancy.Name, relay string) []map[string]any {
 	return a.watch.latest.of("", relay)
 }
 
@@ -266,17 +266,17 @@
 		}
 		spooled(s.program.GraphiteSender(), gauge, count)
 		h := s.program.LongPoll
-		parked, underWay := h.Counter.Parked()
+		parked, underWay := h.LongPoll.Parked()
 		gauge("polls_parked", "Polls that wait.", float64(parked))
 		gauge("polls_unacknowledged", "Answers that no later poll has acknowledged.", float64(underWay))
 		gauge("poll_connections", "Connections of the long-poll API.", float64(h.Connections()))
-		count("polls", "Polls.", h.Counter.Counts.Polls)
-		count("polls_refused", "Polls that were refused.", h.Counter.Counts.Refused)
-		count("poll_deltas", "Classes answered with what changed.", h.Counter.Counts.Deltas)
-		count("poll_fulls", "Classes answered in full.", h.Counter.Counts.Fulls)
-		count("poll_answers_lost", "Answers that did not arrive.", h.Counter.Counts.Lost)
-		count("refused", "Messages refused with a response code.", d.Counts.Refused)
-		count("malformed", "Messages that could not be read.", d.Counts.Malformed)
+		count("polls", "Polls.", h.LongPoll.Stats.Polls)
+		count("polls_refused", "Polls that were refused.", h.LongPoll.Stats.Rejected)
+		count("poll_deltas", "Classes answered with what changed.", h.LongPoll.Stats.Deltas)
+		count("poll_fulls", "Classes answered in full.", h.LongPoll.Stats.Full)
+		count("poll_answers_lost", "Answers that did not arrive.", h.LongPoll.Stats.Lost)
+		count("refused", "Messages refused with a response code.", d.Stats.Rejected)
+		count("malformed", "Messages that could not be read.", d.Stats.Malformed)
 		count("measurements", "Measurement packets.", m.Packets)
 		count("measurements_garbled", "Those that could not be read.", m.Garbled)
 		count("measurements_unknown", "Values that name an unknown relay or server.", f.Stats.UnknownRelay+
--- a/internal/settings/host.go
+++ b/internal/settings/host.go
@@ -124,13 +124,13 @@
 		r.wrong(root.one("reports"), "user and key belong together")
 	}
 	if s.DataPlane.Admission != balancer.AdmissionIgnored && h.SASP.IsValid() {
-		c.Policy.Members = true
+		c.Policy.MembersOnly = true
 		if !h.HTTP.IsValid() {
 			r.wrong(root.one("fleet"), "levels: SASP has no word for them, and this host speaks nothing else")
 		}
 	}
 	for i, q := range s.Classes {
-		if c.Policy.NewOnes || c.Policy.Vouching {
+		if c.Policy.AllowUnlisted || c.Policy.BalancersRegister {
 			break // servers come as they like
 		}
 		if !served(q, s) {
@@ -148,12 +148,12 @@
 	take("relays", &s.Limits.MaxRelays, size.Relays)
 	take("servers", &s.Limits.MaxServers, size.Servers)
 	take("series", &s.Limits.MaxSeries, size.Series)
-	take("connections", &c.Limits.Connections, size.Connections)
-	take("buffered-bytes", &c.Limits.Buffered, size.Buffered)
+	take("connections", &c.Limits.MaxConnections, size.Connections)
+	take("buffered-bytes", &c.Limits.MaxBuffered, size.Buffered)
 	s.Limits.MaxTraces = max(s.Limits.MaxRelays*2, 64)
-	c.LongPoll.Connections, c.Parking.Parked = c.Limits.Connections, c.Limits.Connections
+	c.LongPoll.MaxConnections, c.Parking.MaxParked = c.Limits.MaxConnections, c.Limits.MaxConnections
 	size.Relays, size.Servers, size.Series = s.Limits.MaxRelays, s.Limits.MaxServers, s.Limits.MaxSeries
-	size.Connections, size.Buffered = c.Limits.Connections, c.Limits.Buffered
+	size.Connections, size.Buffered = c.Limits.MaxConnections, c.Limits.MaxBuffered
 	c.Measurements = h.Measurements
 	for _, n := range root.all("from") {
 		p, err := netip.ParsePrefix(n.attrs["network"])
@@ -162,7 +162,7 @@
 		}
 		m.Networks = append(m.Networks, p)
 	}
-	return coordinator.TenantConfig{Networks: m.Networks, Config: c.Config, Callers: c.Callers, Weight: root.number("weight"), Requirements: tenancy.RequirementsFor(size), MaxConnections: c.Limits.Connections},
+	return coordinator.TenantConfig{Networks: m.Networks, Config: c.Config, Callers: c.Callers, Weight: root.number("weight"), Requirements: tenancy.RequirementsFor(size), MaxConnections: c.Limits.MaxConnections},
 		errors.Join(r.errs...)
 }
 
--- a/internal/settings/host_test.go
+++ b/internal/settings/host_test.go
@@ -59,7 +59,7 @@
 	}
 	// Levels: relays then come by the long-poll API alone, and only servers speak SASP.
 	m, err = ParseTenant("first", []byte(strings.Replace(text, `<fleet relays`, `<fleet levels="fraction" relays`, 1)), h)
-	if err != nil || !m.Config.Policy.Members || m.Config.Site.DataPlane.Admission != balancer.AdmissionFraction {
+	if err != nil || !m.Config.Policy.MembersOnly || m.Config.Site.DataPlane.Admission != balancer.AdmissionFraction {
 		t.Error(err, m.Config.Policy)
 	}
 }
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -216,7 +216,7 @@
 		r.wrong(l, "neither sasp nor http: no proxy could join")
 	}
 	if levels := root.one("fleet").attrs["levels"]; levels != "ignored" && c.SASP.IsValid() {
-		if c.Policy.Members = true; !c.HTTP.IsValid() {
+		if c.Policy.MembersOnly = true; !c.HTTP.IsValid() {
 			r.wrong(root.one("fleet"), "levels=%q: SASP has no word for levels; with http they can be ordered", levels)
 		}
 	}
@@ -234,7 +234,7 @@
 func (r *reader) basis(root *node, without []controlplane.Guard) *Coordinator {
 	c := &Coordinator{}
 	s := &c.Site
-	s.Seed, s.Limits, c.Limits = uint64(root.int("seed")), controlplane.DefaultLimits, saspsession.UsualLimits
+	s.Seed, s.Limits, c.Limits = uint64(root.int("seed")), controlplane.DefaultLimits, saspsession.DefaultLimits
 	for _, g := range without {
 		if s.DisabledGuards == nil {
 			s.DisabledGuards = map[controlplane.Guard]bool{}
@@ -253,7 +253,7 @@
 		r.class(n, s)
 	}
 	r.fleet(root, s)
-	c.LongPoll, c.Parking = longpollhttp.UsualLimits, longpoll.UsualLimits
+	c.LongPoll, c.Parking = longpollhttp.DefaultLimits, longpoll.DefaultLimits
 	if levels := root.one("fleet").attrs["levels"]; levels != "ignored" {
 		s.DataPlane.Admission = levelKinds[levels]
 	}
@@ -418,7 +418,7 @@
 
 func (r *reader) servers(n *node, c *Coordinator) {
 	c.Policy = saspsession.Policy{FleetUID: n.attrs["uid"], AnyAgent: n.attrs["agents"] == "any",
-		NewOnes: n.attrs["register"] != "listed", Vouching: n.attrs["register"] == "balancers"}
+		AllowUnlisted: n.attrs["register"] != "listed", BalancersRegister: n.attrs["register"] == "balancers"}
 	if h := n.number("hold"); h > 0 {
 		c.Site.Limits.ServerHold = h
 	}
@@ -473,12 +473,12 @@
 	set("relays", &f.MaxRelays)
 	set("servers", &f.MaxServers)
 	set("series", &f.MaxSeries)
-	set("connections", &c.Limits.Connections)
-	set("message-bytes", &c.Limits.Message)
-	set("buffered-bytes", &c.Limits.Buffered)
-	set("unread-bytes", &c.Limits.Unread)
+	set("connections", &c.Limits.MaxConnections)
+	set("message-bytes", &c.Limits.MaxMessageBytes)
+	set("buffered-bytes", &c.Limits.MaxBuffered)
+	set("unread-bytes", &c.Limits.MaxUnread)
 	if v := n.number("silent-for"); v > 0 {
-		c.Limits.Silent = v
+		c.Limits.IdentifyTimeout = v
 	}
 	if v := n.number("stall-for"); v > 0 {
 		f.StallTimeout = v
@@ -602,7 +602,7 @@
 	fmt.Fprintf(&b, "drains within %g s: a relay that has not taken one after %.2f s is cut off\n", s.Guarantees.DrainDeadline,
 		s.Guarantees.DrainDeadline*s.Limits.DrainFraction)
 	fmt.Fprintf(&b, "limits: %d relays, %d servers, %d series, %d connections, %d bytes a message\n", s.Limits.MaxRelays,
-		s.Limits.MaxServers, s.Limits.MaxSeries, c.Limits.Connections, c.Limits.Message)
+		s.Limits.MaxServers, s.Limits.MaxSeries, c.Limits.MaxConnections, c.Limits.MaxMessageBytes)
 	return b.String()
 }
 
