--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -144,11 +144,11 @@
 
 func (c *check) Run(e *env) error {
 	if c.Day {
-		d, err := settings.LoadDay(c.Settings)
+		d, err := settings.LoadScenario(c.Settings)
 		if err != nil {
 			return err
 		}
-		_, err = fmt.Fprintf(e.out, "%s%g s, %d troubles\n", d.Coordinator, d.Seconds, len(d.Troubles))
+		_, err = fmt.Fprintf(e.out, "%s%g s, %d troubles\n", d.Coordinator, d.Seconds, len(d.Faults))
 		return err
 	}
 	s, err := settings.LoadCoordinator(c.Settings)
@@ -173,10 +173,10 @@
 	if err != nil {
 		return err
 	}
-	b, err := service.Call(c, authz.RoleStaff, "POST", "/v1/drains", map[string]any{"server": d.Server, "on": !d.End, "force": d.Force,
+	b, err := service.CallAdmin(c, authz.RoleStaff, "POST", "/v1/drains", map[string]any{"server": d.Server, "on": !d.End, "force": d.Force,
 		"lose-zone": d.LoseZone})
 	if err == nil && !d.End && d.Follow > 0 {
-		b, err = service.Call(c, authz.RoleViewer, "GET", fmt.Sprintf("/v1/drains/%s?wait=%g", service.Escape(d.Server), d.Follow), nil)
+		b, err = service.CallAdmin(c, authz.RoleViewer, "GET", fmt.Sprintf("/v1/drains/%s?wait=%g", service.Escape(d.Server), d.Follow), nil)
 	}
 	if err != nil {
 		return err
@@ -196,7 +196,7 @@
 	if err != nil {
 		return err
 	}
-	b, err := service.Call(c, authz.RoleViewer, "POST", "/v1/preview", map[string]any{"drain": p.Server, "lose-zone": p.LoseZone})
+	b, err := service.CallAdmin(c, authz.RoleViewer, "POST", "/v1/preview", map[string]any{"drain": p.Server, "lose-zone": p.LoseZone})
 	if err != nil {
 		return err
 	}
@@ -228,7 +228,7 @@
 	if err != nil {
 		return err
 	}
-	b, err := service.Call(c, authz.RoleViewer, "GET", "/v1/orders?relay="+url.QueryEscape(x.Proxy), nil)
+	b, err := service.CallAdmin(c, authz.RoleViewer, "GET", "/v1/orders?relay="+url.QueryEscape(x.Proxy), nil)
 	if err != nil {
 		return err
 	}
@@ -265,7 +265,7 @@
 	if err != nil {
 		return err
 	}
-	b, err := service.Call(c, authz.RoleViewer, "GET", "/v1/servers", nil)
+	b, err := service.CallAdmin(c, authz.RoleViewer, "GET", "/v1/servers", nil)
 	if err != nil {
 		return err
 	}
@@ -356,7 +356,7 @@
 	if err != nil {
 		return err
 	}
-	if err := service.GroupRemove(setup, membership.MemberID(g.Number), g.Wait); err != nil {
+	if err := service.RemoveMember(setup, membership.MemberID(g.Number), g.Wait); err != nil {
 		return err
 	}
 	_, err = fmt.Fprintf(e.out, "%d is taken out\n", g.Number)
@@ -391,7 +391,7 @@
 }
 
 func (t *takeovers) Run(e *env) (err error) {
-	day, err := settings.ParseDay("bad-day.xml", scenario.BadDay)
+	day, err := settings.ParseScenario("bad-day.xml", scenario.BadDay)
 	if err != nil {
 		return err
 	}
@@ -403,7 +403,7 @@
 	}
 	scenario.Takeovers(day, t.Kills, t.Every, t.Seed, t.Calm)
 	if t.Spare {
-		day.Troubles = slices.DeleteFunc(day.Troubles, func(x settings.Trouble) bool { return strings.HasPrefix(x.Kind, "coordinator_") })
+		day.Faults = slices.DeleteFunc(day.Faults, func(x settings.Fault) bool { return strings.HasPrefix(x.Kind, "coordinator_") })
 	}
 	if t.Virtual {
 		return show(e, day, scenario.Options{Log: e.log, Front: t.Front, Coordinators: 3, Proxies: t.Proxies})
@@ -430,7 +430,7 @@
 }
 
 // show plays a day and prints the verdicts.
-func show(e *env, day *settings.Day, opts scenario.Options) error {
+func show(e *env, day *settings.Scenario, opts scenario.Options) error {
 	result, err := scenario.Run(day, opts)
 	if err != nil {
 		return err
@@ -470,9 +470,9 @@
 		}
 		without = append(without, controlplane.Guard(name))
 	}
-	day, err := settings.ParseDay("bad-day.xml", scenario.BadDay, without...)
+	day, err := settings.ParseScenario("bad-day.xml", scenario.BadDay, without...)
 	if r.Day != "" {
-		day, err = settings.LoadDay(r.Day, without...)
+		day, err = settings.LoadScenario(r.Day, without...)
 	}
 	if err != nil {
 		return err
--- a/internal/cli/host.go
+++ b/internal/cli/host.go
@@ -66,7 +66,7 @@
 	if _, err := tenancy.ParseName(a.Tenant); err != nil {
 		return nil, err
 	}
-	return service.CallHost(c, needs, method, "/v1/tenants/"+a.Tenant+path, body)
+	return service.CallHostAdmin(c, needs, method, "/v1/tenants/"+a.Tenant+path, body)
 }
 
 type tenantList struct {
@@ -78,7 +78,7 @@
 	if err != nil {
 		return err
 	}
-	b, err := service.CallHost(c, authz.RoleViewer, "GET", "/v1/tenants", nil)
+	b, err := service.CallHostAdmin(c, authz.RoleViewer, "GET", "/v1/tenants", nil)
 	if err != nil {
 		return err
 	}
@@ -200,8 +200,8 @@
 }
 
 func (s *tenantServer) Run(e *env) error {
-	return s.call(e, authz.RoleStaff, "POST", fmt.Sprintf("/servers?force=%t", s.Force), settings.Edit{Server: s.Server, Remove: s.Remove, Zone: s.Zone, Pod: s.Pod,
-		Weight: s.Weight, Capacity: s.Capacity, Standing: s.Standing})
+	return s.call(e, authz.RoleStaff, "POST", fmt.Sprintf("/servers?force=%t", s.Force), settings.ServerEdit{Server: s.Server, Remove: s.Remove, Zone: s.Zone, FailureDomain: s.Pod,
+		Weight: s.Weight, Capacity: s.Capacity, Static: s.Standing})
 }
 
 type tenantDrain struct {
--- a/internal/coordinator/auxiliary.go
+++ b/internal/coordinator/auxiliary.go
@@ -27,7 +27,7 @@
 	member   *Member          // nil: not in a group
 }
 
-func newGraphiteSender(now float64, setup graphite.Setup, seed uint64) *graphite.Sender {
+func newGraphiteSender(now float64, setup graphite.Config, seed uint64) *graphite.Sender {
 	return graphite.New(now, setup, rand.New(rand.NewPCG(seed, graphiteRandomStream)).Float64)
 }
 
@@ -79,7 +79,7 @@
 
 // delivered reports whether the connection is not a client's.
 func (l *auxiliaryLinks) delivered(now float64, conn env.Conn, total uint64) bool {
-	if l.graphite != nil && l.graphite.Taken(now, conn, total) {
+	if l.graphite != nil && l.graphite.Delivered(now, conn, total) {
 		return true
 	}
 	return l.member != nil && l.member.peers.delivered(conn, total)
--- a/internal/coordinator/config.go
+++ b/internal/coordinator/config.go
@@ -43,7 +43,7 @@
 	// Peers replaces Group where a Host is the group's member on behalf of all its tenants. It may be nil.
 	Peers Peers
 	// Graphite configures the sending of metrics; nil: none are sent.
-	Graphite *graphite.Setup
+	Graphite *graphite.Config
 	// RequestTurn asks the scheduler of a Host to run the coordinator soon. If it is nil, urgent work is done at once.
 	RequestTurn func(now float64)
 }
--- a/internal/coordinator/graphite_test.go
+++ b/internal/coordinator/graphite_test.go
@@ -28,7 +28,7 @@
 	sinkMachine *simnet.Host
 }
 
-func newGraphiteFixture(t *testing.T, configure func(*graphite.Setup)) *graphiteFixture {
+func newGraphiteFixture(t *testing.T, configure func(*graphite.Config)) *graphiteFixture {
 	t.Helper()
 	text := strings.Replace(scenario.HostSettings, "<caller", `<graphite address="127.0.9.9:2003" prefix="sq.test"/><caller`, 1)
 	config := parseHostSettings(t, text)
@@ -44,7 +44,7 @@
 
 // Dashboards of users refer to these paths.
 func TestGraphitePathsOnTheWire(t *testing.T) {
-	f := newGraphiteFixture(t, func(*graphite.Setup) {})
+	f := newGraphiteFixture(t, func(*graphite.Config) {})
 	f.connectProxy(0)
 	f.run(60)
 	paths := slices.Sorted(maps.Keys(f.sink.Values))
@@ -66,9 +66,9 @@
 	}
 	for _, test := range tests {
 		t.Run(fmt.Sprint(test.spoolValues), func(t *testing.T) {
-			f := newGraphiteFixture(t, func(setup *graphite.Setup) {
-				setup.Terms.Values = test.spoolValues
-				setup.Terms.PerSize = 8
+			f := newGraphiteFixture(t, func(setup *graphite.Config) {
+				setup.Spool.MaxValues = test.spoolValues
+				setup.Spool.MaxPerSize = 8
 			})
 			proxy := f.connectProxy(0)
 			f.run(60)
@@ -116,9 +116,9 @@
 // A sink that stalls while its host still accepts data, and that is killed repeatedly, loses no value, and the tenants' proxies are
 // not affected.
 func TestGraphiteSinkStallsAndDies(t *testing.T) {
-	f := newGraphiteFixture(t, func(setup *graphite.Setup) {
-		setup.Every = 1
-		setup.Terms.Stall = 5
+	f := newGraphiteFixture(t, func(setup *graphite.Config) {
+		setup.Interval = 1
+		setup.Spool.StallTimeout = 5
 	})
 	f.connectProxy(0)
 	f.run(5)
@@ -149,7 +149,7 @@
 		t.Error("the proxy is not joined any more")
 	}
 	sender := f.host.GraphiteSender()
-	if sender.Broken < 12 || sender.State() != spool.Here {
-		t.Errorf("broken %d times, state %d: the faults had no effect", sender.Broken, sender.State())
+	if sender.Disconnects < 12 || sender.State() != spool.Connected {
+		t.Errorf("broken %d times, state %d: the faults had no effect", sender.Disconnects, sender.State())
 	}
 }
--- a/internal/coordinator/host.go
+++ b/internal/coordinator/host.go
@@ -38,7 +38,7 @@
 	// OnOrder receives the trace of each message to a tenant's proxy. It may be nil.
 	OnOrder func(tenancy.Name, tenancy.Incarnation, controlplane.MessageTrace)
 	// Graphite configures the sending of metrics; nil: none are sent.
-	Graphite *graphite.Setup
+	Graphite *graphite.Config
 	// Group is the group of hosts that share the tenants; nil for a host that is alone.
 	Group *GroupConfig
 	// Storage stores the consensus log of the group.
@@ -135,7 +135,7 @@
 }
 
 func newRouter(now float64, limits tenancy.RouterLimits) *tenancy.ConnectionRouter {
-	identifySASP := func(data []byte) (string, bool, error) { return sasp.Speaker(data, limits.UnidentifiedBytes) }
+	identifySASP := func(data []byte) (string, bool, error) { return sasp.ParseIdentity(data, limits.UnidentifiedBytes) }
 	return tenancy.NewConnectionRouter(now, limits, map[tenancy.Frontend]tenancy.IdentityParser{
 		tenancy.SASP: identifySASP,
 		tenancy.HTTP: longpollhttp.ParseIdentity,
--- a/internal/coordinator/host_connections.go
+++ b/internal/coordinator/host_connections.go
@@ -81,7 +81,7 @@
 // Datagram implements env.Program: it takes a measurement packet. The packet names the user that signed it, and by that the tenant,
 // whose key then verifies the signature.
 func (h *Host) Datagram(now float64, data []byte) {
-	user, ok := collectd.User(data)
+	user, ok := collectd.PacketUser(data)
 	if !ok {
 		h.Stats.Unsigned++
 		return
--- a/internal/coordinator/host_fixture_test.go
+++ b/internal/coordinator/host_fixture_test.go
@@ -149,7 +149,7 @@
 func (c *saspClient) Receive(_ float64, _ env.Conn, data []byte) {
 	c.buffer = append(c.buffer, data...)
 	for {
-		size, err := sasp.Frame(c.buffer, sasp.MostMessage)
+		size, err := sasp.Frame(c.buffer, sasp.MaxMessageBytes)
 		if size == 0 || err != nil {
 			return
 		}
--- a/internal/core/forwarding/forward_test.go
+++ b/internal/core/forwarding/forward_test.go
@@ -43,11 +43,11 @@
 }
 
 func table(full bool, version uint64, lead uint64, servers ...int) *delta.Tables {
-	t := &delta.Tables{Epoch: "a", Version: version, Lead: lead}
+	t := &delta.Tables{Epoch: "a", Version: version, OwnershipEpoch: lead}
 	for _, name := range []string{"free", "guarded", "single"} {
 		c := delta.Class{Class: name, Full: full}
 		for _, i := range servers {
-			c.Lines = append(c.Lines, delta.Line{Server: string(server(i)), Weight: 1})
+			c.Entries = append(c.Entries, delta.Entry{Server: string(server(i)), Weight: 1})
 		}
 		t.Classes = append(t.Classes, c)
 	}
@@ -220,7 +220,7 @@
 	p = open(t, 2, nil)
 	level, back := 0.3, 2.0
 	a := table(false, 2, 0)
-	a.Classes[0].Level, a.Classes[0].ComeBack, a.Classes[0].Again = &level, &back, "none"
+	a.Classes[0].Admission, a.Classes[0].RetryAfter, a.Classes[0].Retry = &level, &back, "none"
 	orders, _, err := p.Tables.Apply(1000, a)
 	if err != nil {
 		t.Fatal(err)
@@ -242,7 +242,7 @@
 		t.Errorf("%d of 100 are let in at a level of 0.3", in)
 	}
 	a = table(false, 3, 0)
-	a.Classes[2].Again = "failure" // whatever is ordered, a single-shot query is not repeated after a failure
+	a.Classes[2].Retry = "failure" // whatever is ordered, a single-shot query is not repeated after a failure
 	orders, _, _ = p.Tables.Apply(1000, a)
 	p.ApplyOrders(1000, orders)
 	_, o = p.HandleRequest(1000, Request{Class: single})
@@ -290,7 +290,7 @@
 		}
 	}
 	late := table(false, 12, 7, 3)
-	late.From = 11
+	late.Base = 11
 	if _, _, err := p.Tables.Apply(1002, late); err == nil {
 		t.Error("a delta to what is not held is applied")
 	}
@@ -455,7 +455,7 @@
 			for k := range texts {
 				t := &delta.Tables{Epoch: "a", Version: 2, Classes: []delta.Class{{Class: "free", Full: n > 1}}}
 				for i := range n {
-					t.Classes[0].Lines = append(t.Classes[0].Lines, delta.Line{Server: fmt.Sprintf("10.1.%d.%d:80", i/250, i%250), Weight: float64(1 + (i+k)%9)})
+					t.Classes[0].Entries = append(t.Classes[0].Entries, delta.Entry{Server: fmt.Sprintf("10.1.%d.%d:80", i/250, i%250), Weight: float64(1 + (i+k)%9)})
 				}
 				texts[k], _ = delta.Append(nil, delta.CBOR, t)
 			}
--- a/internal/core/saspsession/session_test.go
+++ b/internal/core/saspsession/session_test.go
@@ -40,7 +40,7 @@
 func (p *peers) Send(c Conn, b []byte) {
 	p.sent[c] += uint64(len(b))
 	var m sasp.Message
-	if n, err := sasp.Frame(b, sasp.MostMessage); err != nil || n != len(b) || sasp.Decode(b, &m) != nil {
+	if n, err := sasp.Frame(b, sasp.MaxMessageBytes); err != nil || n != len(b) || sasp.Decode(b, &m) != nil {
 		p.t.Fatalf("the desk sent what can't be read: %v", err)
 	}
 	p.got[c] = append(p.got[c], sasp.Message{Kind: m.Kind, ID: m.ID, Code: m.Code, Interval: m.Interval})
--- a/internal/core/spool/spool.go
+++ b/internal/core/spool/spool.go
@@ -19,15 +19,15 @@
 
 // Kinds of figures.
 const (
-	Gauge Kind = iota // moves up and down
-	Total             // only grows
+	Gauge   Kind = iota // moves up and down
+	Counter             // only grows
 )
 
 // Value of a series in a sample. Of one that was never merged the mean is the value, and so are the least and the most.
 type Value struct {
-	ID                ID
-	Kind              Kind
-	Mean, Least, Most float64
+	ID             ID
+	Kind           Kind
+	Mean, Min, Max float64
 }
 
 // Sample is all figures of a time, or of several that were merged.
@@ -38,38 +38,38 @@
 	Values []Value // by ID
 }
 
-// Terms of a spool.
-type Terms struct {
-	Values  int     // that are kept at most, over all samples
-	PerSize int     // samples of one size, before the two oldest of it are merged; 2 at least
-	Overlap float64 // seconds: samples that were taken by the receiver's host so recently are sent anew after a break, since it may not have read them
-	Window  int     // bytes that may be on their way
-	Rate    float64 // values a second that are sent at most: a receiver that comes back is not flooded
-	Again   float64 // seconds until the second try to reach the receiver; doubled with each further one
-	Longest float64 // seconds between two tries at most
-	Stall   float64 // seconds in which nothing on its way was taken, after which the connection is given up
+// Config of a spool.
+type Config struct {
+	MaxValues        int     // that are kept at most, over all samples
+	MaxPerSize       int     // samples of one size, before the two oldest of it are merged; 2 at least
+	Overlap          float64 // seconds: samples that were taken by the receiver's host so recently are sent anew after a break, since it may not have read them
+	MaxInFlightBytes int     // bytes that may be on their way
+	MaxRate          float64 // values a second that are sent at most: a receiver that comes back is not flooded
+	MinBackoff       float64 // seconds until the second try to reach the receiver; doubled with each further one
+	MaxBackoff       float64 // seconds between two tries at most
+	StallTimeout     float64 // seconds in which nothing on its way was taken, after which the connection is given up
 }
 
-// UsualTerms keep an hour of 300 series each ten seconds whole, in 4 MB.
-var UsualTerms = Terms{Values: 1 << 17, PerSize: 64, Overlap: 30, Window: 64 << 10, Rate: 20000, Again: 0.5, Longest: 30, Stall: 20}
+// DefaultConfig keep an hour of 300 series each ten seconds whole, in 4 MB.
+var DefaultConfig = Config{MaxValues: 1 << 17, MaxPerSize: 64, Overlap: 30, MaxInFlightBytes: 64 << 10, MaxRate: 20000, MinBackoff: 0.5, MaxBackoff: 30, StallTimeout: 20}
 
 // Spool of samples. Use New.
 type Spool struct {
-	terms   Terms
+	terms   Config
 	samples []*Sample // oldest first; larger ones are older
 	values  int
-	Counts  Counts
+	Stats   Stats
 }
 
-// Counts is what happened, for metrics.
-type Counts struct {
+// Stats is what happened, for metrics.
+type Stats struct {
 	Samples, Merged int
 	Dropped         int // values of samples that found no room even alone
 }
 
 // New makes an empty spool.
-func New(t Terms) *Spool {
-	t.PerSize = max(t.PerSize, 2)
+func New(t Config) *Spool {
+	t.MaxPerSize = max(t.MaxPerSize, 2)
 	return &Spool{terms: t}
 }
 
@@ -82,14 +82,14 @@
 		}
 		kept = append(kept, v)
 	}
-	if len(kept) > s.terms.Values {
-		s.Counts.Dropped += len(kept) - s.terms.Values
-		kept = kept[:s.terms.Values]
+	if len(kept) > s.terms.MaxValues {
+		s.Stats.Dropped += len(kept) - s.terms.MaxValues
+		kept = kept[:s.terms.MaxValues]
 	}
-	s.Counts.Samples++
+	s.Stats.Samples++
 	s.samples = append(s.samples, &Sample{At: at, From: at, Size: 1, Values: kept})
 	s.values += len(kept)
-	for s.values > s.terms.Values && s.merge() {
+	for s.values > s.terms.MaxValues && s.merge() {
 	}
 }
 
@@ -105,8 +105,8 @@
 		for begin > 0 && s.samples[begin-1].Size == s.samples[end-1].Size {
 			begin--
 		}
-		if n := end - begin; n >= 2 && (n > s.terms.PerSize || n > crowd) {
-			if best, crowd = begin, n; n > s.terms.PerSize {
+		if n := end - begin; n >= 2 && (n > s.terms.MaxPerSize || n > crowd) {
+			if best, crowd = begin, n; n > s.terms.MaxPerSize {
 				break
 			}
 		}
@@ -120,7 +120,7 @@
 	s.values += len(m.Values) - len(a.Values) - len(b.Values)
 	s.samples[best] = m
 	s.samples = append(s.samples[:best+1], s.samples[best+2:]...)
-	s.Counts.Merged++
+	s.Stats.Merged++
 	return true
 }
 
@@ -139,7 +139,7 @@
 		default:
 			v, w := a.Values[i], b.Values[j]
 			part := float64(a.Size) / float64(m.Size)
-			w.Least, w.Most = min(v.Least, w.Least), max(v.Most, w.Most)
+			w.Min, w.Max = min(v.Min, w.Min), max(v.Max, w.Max)
 			if w.Kind == Gauge { // a total is what it has grown to
 				w.Mean = v.Mean*part + w.Mean*(1-part)
 			}
@@ -178,6 +178,6 @@
 	for _, x := range list {
 		s.values += len(x.Values)
 	}
-	for s.values > s.terms.Values && s.merge() {
+	for s.values > s.terms.MaxValues && s.merge() {
 	}
 }
--- a/internal/core/spool/spool_test.go
+++ b/internal/core/spool/spool_test.go
@@ -10,7 +10,7 @@
 
 func values(n int, v float64) (all []Value) {
 	for i := range n {
-		all = append(all, Value{ID: ID(i), Kind: Kind(i % 2), Mean: v, Least: v, Most: v})
+		all = append(all, Value{ID: ID(i), Kind: Kind(i % 2), Mean: v, Min: v, Max: v})
 	}
 	return all
 }
@@ -19,8 +19,8 @@
 // their extremes and their mean over all.
 func TestSpoolKeepsTheWholeTime(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
-		terms := UsualTerms
-		terms.Values, terms.PerSize = rapid.IntRange(20, 400).Draw(r, "values"), rapid.IntRange(2, 10).Draw(r, "size")
+		terms := DefaultConfig
+		terms.MaxValues, terms.MaxPerSize = rapid.IntRange(20, 400).Draw(r, "values"), rapid.IntRange(2, 10).Draw(r, "size")
 		s := New(terms)
 		n := rapid.IntRange(1, 5).Draw(r, "series")
 		count, sum, least, most := 0, 0.0, math.Inf(1), math.Inf(-1)
@@ -29,8 +29,8 @@
 			s.Add(float64(1000+10*i), values(n, v))
 			count, sum, least, most = count+1, sum+v, min(least, v), max(most, v)
 			samples, kept := s.Len()
-			if kept > terms.Values || samples == 0 {
-				r.Fatalf("%d values are kept, %d may be", kept, terms.Values)
+			if kept > terms.MaxValues || samples == 0 {
+				r.Fatalf("%d values are kept, %d may be", kept, terms.MaxValues)
 			}
 			all, at := 0, 0.0
 			gauge, lo, hi := 0.0, math.Inf(1), math.Inf(-1)
@@ -41,7 +41,7 @@
 				at = x.At
 				all += x.Size
 				g := x.Values[0]
-				gauge, lo, hi = gauge+g.Mean*float64(x.Size), min(lo, g.Least), max(hi, g.Most)
+				gauge, lo, hi = gauge+g.Mean*float64(x.Size), min(lo, g.Min), max(hi, g.Max)
 			}
 			if all != count || s.Samples()[0].From != 1000 || at != float64(1000+10*i) {
 				r.Fatalf("%d of %d samples, from %v to %v", all, count, s.Samples()[0].From, at)
@@ -59,17 +59,17 @@
 }
 
 func TestSeriesComeAndGo(t *testing.T) {
-	s := New(Terms{Values: 4, PerSize: 2})
-	s.Add(1, []Value{{ID: 1, Mean: 1, Least: 1, Most: 1}, {ID: 3, Mean: 5, Least: 5, Most: 5}})
-	s.Add(2, []Value{{ID: 2, Mean: 2, Least: 2, Most: 2}, {ID: 3, Mean: 7, Least: 7, Most: 7}, {ID: 4, Mean: math.NaN()}})
-	s.Add(3, []Value{{ID: 3, Mean: 9, Least: 9, Most: 9}})
+	s := New(Config{MaxValues: 4, MaxPerSize: 2})
+	s.Add(1, []Value{{ID: 1, Mean: 1, Min: 1, Max: 1}, {ID: 3, Mean: 5, Min: 5, Max: 5}})
+	s.Add(2, []Value{{ID: 2, Mean: 2, Min: 2, Max: 2}, {ID: 3, Mean: 7, Min: 7, Max: 7}, {ID: 4, Mean: math.NaN()}})
+	s.Add(3, []Value{{ID: 3, Mean: 9, Min: 9, Max: 9}})
 	x := s.Samples()[0]
 	if len(x.Values) != 3 || x.Values[0].ID != 1 || x.Values[1].ID != 2 || x.Values[2].Mean != 6 && x.Values[2].Mean != 7 {
 		t.Errorf("%+v", x)
 	}
 	s.Add(4, values(9, 1))
-	if _, n := s.Len(); n > 4 || s.Counts.Dropped != 5 {
-		t.Errorf("%d values, %d dropped", n, s.Counts.Dropped)
+	if _, n := s.Len(); n > 4 || s.Stats.Dropped != 5 {
+		t.Errorf("%d values, %d dropped", n, s.Stats.Dropped)
 	}
 }
 
@@ -77,9 +77,9 @@
 // again, and nothing is sent beside window and pace.
 func TestCourier(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
-		terms := UsualTerms
-		terms.Window, terms.Overlap, terms.Rate, terms.Stall = 400, 5, 200, 3
-		c := NewCourier(1000, terms, func() float64 { return 0.5 })
+		terms := DefaultConfig
+		terms.MaxInFlightBytes, terms.Overlap, terms.MaxRate, terms.StallTimeout = 400, 5, 200, 3
+		c := NewSender(1000, terms, func() float64 { return 0.5 })
 		arrived := map[float64]bool{}
 		now, next := 1000.0, 1000.0
 		up, bytes, taken := false, uint64(0), uint64(0)
@@ -100,12 +100,12 @@
 			switch c.Tick(now) {
 			case Dial:
 				if quiet || rapid.IntRange(0, 3).Draw(r, "reached") > 0 {
-					c.Reached(now)
+					c.ConnectionEstablished(now)
 					up, bytes, taken, on = true, 0, 0, nil
 				} else {
-					c.Broke(now)
+					c.ConnectionLost(now)
 				}
-			case Drop:
+			case CloseConnection:
 				up, on = false, nil
 			}
 			for {
@@ -113,20 +113,20 @@
 				if !ok {
 					break
 				}
-				if !up || bytes-taken >= uint64(terms.Window) {
+				if !up || bytes-taken >= uint64(terms.MaxInFlightBytes) {
 					r.Fatal("it is sent though there is no room")
 				}
 				bytes += 100
 				on = append(on, way{x.At, bytes, 0})
-				c.Wrote(now, 100)
+				c.RecordWrite(now, 100)
 			}
 			if up && !quiet && rapid.IntRange(0, 99).Draw(r, "breaks") == 0 {
 				up, on = false, nil // what was not read is lost
-				c.Broke(now)
+				c.ConnectionLost(now)
 			}
 			if up && (quiet || rapid.IntRange(0, 9).Draw(r, "takes") < 7) {
 				taken = bytes
-				c.Taken(now, taken)
+				c.Delivered(now, taken)
 				for i := range on {
 					if on[i].in == 0 {
 						on[i].in = now
@@ -162,9 +162,9 @@
 
 // An hour's absence in memory for ten minutes: the plain ring has the last ten minutes, the spool the whole hour.
 func TestAnHourInTenMinutesMemory(t *testing.T) {
-	terms := UsualTerms
-	terms.Values, terms.PerSize = 60*100, 12 // 60 samples of 100 series: ten minutes at one each ten seconds
-	s, plain := New(terms), &ring{most: terms.Values}
+	terms := DefaultConfig
+	terms.MaxValues, terms.MaxPerSize = 60*100, 12 // 60 samples of 100 series: ten minutes at one each ten seconds
+	s, plain := New(terms), &ring{most: terms.MaxValues}
 	for i := range 360 {
 		s.Add(float64(10*i), values(100, float64(i)))
 		plain.add(float64(10*i), values(100, float64(i)))
@@ -175,12 +175,12 @@
 	if spans != 3590 || plainSpan > 600 || s.Coarsest() > 300 {
 		t.Errorf("the spool spans %.0f s, the coarsest %.0f s; the ring %.0f s", spans, s.Coarsest(), plainSpan)
 	}
-	whole := New(UsualTerms)
+	whole := New(DefaultConfig)
 	for i := range 360 {
 		whole.Add(float64(10*i), values(300, float64(i)))
 	}
-	if whole.Counts.Merged > 0 {
-		t.Errorf("an hour of 300 series is not kept whole: %d merged", whole.Counts.Merged)
+	if whole.Stats.Merged > 0 {
+		t.Errorf("an hour of 300 series is not kept whole: %d merged", whole.Stats.Merged)
 	}
 }
 
@@ -188,8 +188,8 @@
 	for _, n := range []int{100, 10000} {
 		v := values(n, 1)
 		b.Run(fmt.Sprint("spool-", n), func(b *testing.B) {
-			terms := UsualTerms
-			terms.Values = 60 * n
+			terms := DefaultConfig
+			terms.MaxValues = 60 * n
 			s := New(terms)
 			for i := 0; b.Loop(); i++ {
 				s.Add(float64(i), v)
--- a/internal/core/tablecache/follow.go
+++ b/internal/core/tablecache/follow.go
@@ -106,10 +106,10 @@
 	switch {
 	case a.Stale(t.lead):
 		t.Stats.Outdated++
-		return nil, nil, fmt.Errorf("%w: %d, %d was followed", ErrEpochOutdated, a.Lead, t.lead)
-	case !a.Fits(t.epoch, t.version):
+		return nil, nil, fmt.Errorf("%w: %d, %d was followed", ErrEpochOutdated, a.OwnershipEpoch, t.lead)
+	case !a.AppliesTo(t.epoch, t.version):
 		t.Stats.BaseUnknown++
-		return nil, nil, fmt.Errorf("%w: of version %d, %d is held", ErrUnknownBase, a.From, t.version)
+		return nil, nil, fmt.Errorf("%w: of version %d, %d is held", ErrUnknownBase, a.Base, t.version)
 	}
 	for _, c := range a.Classes {
 		k, ok := t.Class(c.Class)
@@ -117,7 +117,7 @@
 			t.Stats.Invalid++
 			return nil, nil, fmt.Errorf("%w: %q", ErrUnknownClass, c.Class)
 		}
-		if n := len(c.Lines); n > mostLines || !c.Full && t.by[k].Len()+n > mostLines+n/2 {
+		if n := len(c.Entries); n > mostLines || !c.Full && t.by[k].Len()+n > mostLines+n/2 {
 			t.Stats.Invalid++
 			return nil, nil, fmt.Errorf("%w: %d lines in class %q", ErrUnknownClass, n, c.Class)
 		}
@@ -131,31 +131,31 @@
 				touched[l.Server] = true
 			}
 			var lines []picker.Entry
-			for _, l := range c.Lines {
+			for _, l := range c.Entries {
 				if l.Weight > 0 {
 					lines = append(lines, picker.Entry{Server: balancer.Server(l.Server), Weight: l.Weight})
 				}
 			}
 			picker.Replace(x, lines)
 		} else {
-			for _, l := range c.Lines {
+			for _, l := range c.Entries {
 				touched[balancer.Server(l.Server)] = true
 				x.Set(balancer.Server(l.Server), l.Weight)
 			}
 		}
 		o := ClassOrder{Class: k, Admission: -1}
-		if c.Level != nil {
-			o.Admission = *c.Level
-			if c.ComeBack != nil {
-				o.RetryAfter = *c.ComeBack
+		if c.Admission != nil {
+			o.Admission = *c.Admission
+			if c.RetryAfter != nil {
+				o.RetryAfter = *c.RetryAfter
 			}
 		}
-		o.Retry, o.HasRetry = ways[c.Again], c.Again != ""
-		if c.Level != nil || o.HasRetry {
+		o.Retry, o.HasRetry = ways[c.Retry], c.Retry != ""
+		if c.Admission != nil || o.HasRetry {
 			orders = append(orders, o)
 		}
 	}
-	t.epoch, t.version, t.lead, t.at = a.Epoch, a.Version, a.Lead, now
+	t.epoch, t.version, t.lead, t.at = a.Epoch, a.Version, a.OwnershipEpoch, now
 	t.Stats.Applied++
 	return orders, t.left(now, touched), nil
 }
--- a/internal/emulator/asks.go
+++ b/internal/emulator/asks.go
@@ -96,14 +96,14 @@
 			r.Closed(now, c)
 			return
 		}
-		r.asks.lead = t.Lead
-		if !t.Fits(r.asks.epoch, r.asks.version) {
-			r.ref.complain(now, "relay %s was sent a delta to version %d, it holds %d", r.UID, t.From, r.asks.version)
+		r.asks.lead = t.OwnershipEpoch
+		if !t.AppliesTo(r.asks.epoch, r.asks.version) {
+			r.ref.complain(now, "relay %s was sent a delta to version %d, it holds %d", r.UID, t.Base, r.asks.version)
 			r.asks.epoch = ""
 			break
 		}
 		for _, c := range t.Classes {
-			lines += len(c.Lines)
+			lines += len(c.Entries)
 			r.change(now, c)
 		}
 		r.ref.message(now, r.UID, lines)
@@ -137,7 +137,7 @@
 		d := delta.Class{Class: c.Name, Full: true}
 		for _, l := range r.tables[k].lines {
 			if l.weight > 0 {
-				d.Lines = append(d.Lines, delta.Line{Server: l.server.String(), Weight: l.weight})
+				d.Entries = append(d.Entries, delta.Entry{Server: l.server.String(), Weight: l.weight})
 			}
 		}
 		t.Classes = append(t.Classes, d)
@@ -165,7 +165,7 @@
 		return
 	}
 	named := map[netip.AddrPort]bool{}
-	for _, l := range c.Lines {
+	for _, l := range c.Entries {
 		a, err := netip.ParseAddrPort(l.Server)
 		if err != nil {
 			r.ref.complain(now, "relay %s was told of server %q", r.UID, l.Server)
@@ -179,10 +179,10 @@
 			l.weight = 0
 		}
 	}
-	if c.Level != nil {
-		r.levels[k] = *c.Level
+	if c.Admission != nil {
+		r.levels[k] = *c.Admission
 	}
-	if way := slices.Index([]string{"none", "proof", "failure", "twice"}, c.Again); way >= 0 {
+	if way := slices.Index([]string{"none", "proof", "failure", "twice"}, c.Retry); way >= 0 {
 		r.again[k] = balancer.RetryPolicy(way)
 	}
 	r.tell(now)
--- a/internal/emulator/flood.go
+++ b/internal/emulator/flood.go
@@ -67,7 +67,7 @@
 		if f.chance.float() < 0.5 {
 			user, host = f.OtherUser, f.Others
 		}
-		p := collectd.NewPacker(now, host, user, key, func(b []byte) { f.io.Datagram(f.Collect, b) })
+		p := collectd.NewPacketWriter(now, host, user, key, func(b []byte) { f.io.Datagram(f.Collect, b) })
 		for i := range 20 {
 			p.Traffic(f.Server.String(), loadreport.Totals{Attempts: float64(i * 1000), Failed: float64(i * 900), Seconds: 1e6})
 		}
--- a/internal/emulator/relay.go
+++ b/internal/emulator/relay.go
@@ -649,7 +649,7 @@
 }
 
 func (r *Relay) report(now float64) {
-	p := collectd.NewPacker(now, r.UID, r.User, r.Key, func(b []byte) { r.io.Datagram(r.Collect, b) })
+	p := collectd.NewPacketWriter(now, r.UID, r.User, r.Key, func(b []byte) { r.io.Datagram(r.Collect, b) })
 	var servers []netip.AddrPort
 	for a := range r.targets {
 		servers = append(servers, a)
--- a/internal/emulator/server.go
+++ b/internal/emulator/server.go
@@ -356,7 +356,7 @@
 	switch {
 	case s.fallen:
 	case what == wakeReport:
-		p := collectd.NewPacker(now, s.Addr.String(), s.User, s.Key, func(b []byte) {
+		p := collectd.NewPacketWriter(now, s.Addr.String(), s.User, s.Key, func(b []byte) {
 			for _, a := range s.Coordinators {
 				s.io.Datagram(netip.AddrPortFrom(a.Addr(), s.Collect), b)
 			}
--- a/internal/emulator/standin.go
+++ b/internal/emulator/standin.go
@@ -57,7 +57,7 @@
 func (s *speaker) read(b []byte, take func(*sasp.Message)) bool {
 	s.buf = append(s.buf, b...)
 	for {
-		n, err := sasp.Frame(s.buf, sasp.MostMessage)
+		n, err := sasp.Frame(s.buf, sasp.MaxMessageBytes)
 		if err != nil {
 			return false
 		}
--- a/internal/experiment/lab.go
+++ b/internal/experiment/lab.go
@@ -37,8 +37,8 @@
 
 // Cell is what is played once.
 type Cell struct {
-	Fleet settings.LabFleet
-	Case  settings.LabCase
+	Fleet settings.ExperimentFleet
+	Case  settings.ExperimentCase
 	Arm   settings.Arm
 	Seed  uint64
 }
@@ -146,8 +146,8 @@
 )
 
 // Day of a cell, ready to be played.
-func (c Cell) Day() (*settings.Day, error) {
-	d, err := settings.ParseDay("bad-day.xml", scenario.BadDay, c.Arm.Without...)
+func (c Cell) Day() (*settings.Scenario, error) {
+	d, err := settings.ParseScenario("bad-day.xml", scenario.BadDay, c.Arm.Without...)
 	if err != nil {
 		return nil, err
 	}
@@ -167,7 +167,7 @@
 		site.Relays[i].ExpectedRate = d.Rate / float64(c.Fleet.Relays)
 	}
 	d.Model = settings.ServerModel{Connections: 40 + 3*c.Fleet.Relays, ConnWork: 0.004, KeyFor: 5, KeyLess: 0.15, KeyMost: 200, Stops: true}
-	d.Clients = settings.ClientModel{Popularity: 0.8, Again: c.Fleet.Again, Wait: 0.5, Patience: 0.8}
+	d.Clients = settings.ClientModel{Popularity: 0.8, Retries: c.Fleet.Retries, RetryWait: 0.5, Patience: 0.8}
 	d.Seconds, d.Seed = c.Case.Seconds, c.Seed
 	if c.Arm.Period > 0 {
 		site.Reporting.Period = c.Arm.Period
@@ -176,11 +176,11 @@
 		site.DataPlane.Admission = map[string]balancer.AdmissionMode{"fraction": balancer.AdmissionFraction, "rate": balancer.AdmissionRate}[c.Arm.Levels]
 		d.Coordinator.Policy.MembersOnly = true // SASP has no word for them
 	}
-	d.Troubles = nil
-	for _, t := range c.Case.Troubles {
+	d.Faults = nil
+	for _, t := range c.Case.Faults {
 		t.Server, t.Relay = t.Server%len(site.Servers), t.Relay%len(site.Relays)
-		t.Pod %= int(site.Servers[len(site.Servers)-1].FailureDomain) + 1
-		d.Troubles = append(d.Troubles, t)
+		t.FailureDomain %= int(site.Servers[len(site.Servers)-1].FailureDomain) + 1
+		d.Faults = append(d.Faults, t)
 	}
 	if c.Case.Drawn > 0 {
 		Draw(d, c.Case.Drawn, c.Case.Kinds)
@@ -216,7 +216,7 @@
 	return record(x, c, d, res), nil
 }
 
-func record(x *settings.Experiment, c Cell, d *settings.Day, res *scenario.Result) *Record {
+func record(x *settings.Experiment, c Cell, d *settings.Scenario, res *scenario.Result) *Record {
 	r := &Record{Experiment: x.Name, Fleet: c.Fleet.Name, Case: c.Case.Name, Arm: c.Arm.Name, Seed: c.Seed, Version: Version(),
 		Print: fingerprint(x), Servers: c.Fleet.Servers, Relays: c.Fleet.Relays, Seconds: c.Case.Seconds, Service: res.Service, Worst: res.Worst,
 		WorstClass: 1, Drained: res.Drained, Messages: res.Messages, Lines: res.Lines, Fulls: res.Counts.FullTables, PeakQueue: res.PeakQueue, Events: res.Events}
@@ -238,7 +238,7 @@
 	}
 	r.Held50, r.Held99 = quantile(res.Held, 0.5), quantile(res.Held, 0.99)
 	r.Led50, r.LedMost = quantile(res.Led, 0.5), quantile(res.Led, 1)
-	for _, t := range d.Troubles {
+	for _, t := range d.Faults {
 		r.Troubles = append(r.Troubles, t.Kind)
 	}
 	return r
@@ -263,21 +263,21 @@
 )
 
 // Draw gives a day so many troubles more, by its seed, of kinds that are named, or of any.
-func Draw(d *settings.Day, count int, kinds []string) {
+func Draw(d *settings.Scenario, count int, kinds []string) {
 	c := rand.New(rand.NewPCG(d.Seed, 0x1ab))
 	if len(kinds) == 0 {
 		kinds = Kinds
 	}
 	for k := range count {
-		d.Troubles = append(d.Troubles, Trouble(d, c, kinds[(k+c.IntN(len(kinds)))%len(kinds)]))
+		d.Faults = append(d.Faults, Trouble(d, c, kinds[(k+c.IntN(len(kinds)))%len(kinds)]))
 	}
 }
 
 // Trouble of a kind, somewhere and sometime on a day.
-func Trouble(d *settings.Day, c *rand.Rand, kind string) settings.Trouble {
+func Trouble(d *settings.Scenario, c *rand.Rand, kind string) settings.Fault {
 	site := &d.Coordinator.Site
-	t := settings.Trouble{Kind: kind, Server: c.IntN(len(site.Servers)), Relay: c.IntN(len(site.Relays)), Factor: 1,
-		Zone: site.Servers[c.IntN(len(site.Servers))].Zone, Pod: int(site.Servers[c.IntN(len(site.Servers))].FailureDomain)}
+	t := settings.Fault{Kind: kind, Server: c.IntN(len(site.Servers)), Relay: c.IntN(len(site.Relays)), Factor: 1,
+		Zone: site.Servers[c.IntN(len(site.Servers))].Zone, FailureDomain: int(site.Servers[c.IntN(len(site.Servers))].FailureDomain)}
 	t.At = firstTrouble + c.Float64()*max(d.Seconds-troubleFree-firstTrouble, 1)
 	between := func(a, b float64) float64 { return a + (b-a)*c.Float64() }
 	t.For = between(5, 20)
--- a/internal/experiment/lab_test.go
+++ b/internal/experiment/lab_test.go
@@ -179,21 +179,21 @@
 		t.Fatal("the day is not bad")
 	}
 	small := Shrink(d, bad, 60, io.Discard)
-	if !bad(small) || len(small.Troubles) != 2 || len(small.Coordinator.Site.Servers) > 8 || len(small.Coordinator.Site.Relays) > 6 || small.Seconds > 30 {
-		t.Errorf("%d troubles, %d servers, %d relays, %v s", len(small.Troubles), len(small.Coordinator.Site.Servers), len(small.Coordinator.Site.Relays), small.Seconds)
+	if !bad(small) || len(small.Faults) != 2 || len(small.Coordinator.Site.Servers) > 8 || len(small.Coordinator.Site.Relays) > 6 || small.Seconds > 30 {
+		t.Errorf("%d troubles, %d servers, %d relays, %v s", len(small.Faults), len(small.Coordinator.Site.Servers), len(small.Coordinator.Site.Relays), small.Seconds)
 	}
 	text, err := small.Write()
 	if err != nil {
 		t.Fatal(err)
 	}
-	again, err := settings.ParseDay("small.xml", text, c.Arm.Without...)
+	again, err := settings.ParseScenario("small.xml", text, c.Arm.Without...)
 	if err != nil {
 		t.Fatalf("%v\n%s", err, text)
 	}
 	if !bad(again) {
 		t.Error("what was written is not bad")
 	}
-	sound, err := settings.ParseDay("small.xml", text)
+	sound, err := settings.ParseScenario("small.xml", text)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/experiment/shrink.go
+++ b/internal/experiment/shrink.go
@@ -11,7 +11,7 @@
 )
 
 // Bad tells whether a day is still as bad as the one that is to be shrunk.
-type Bad func(*settings.Day) bool
+type Bad func(*settings.Scenario) bool
 
 const (
 	leastServers = 4
@@ -22,9 +22,9 @@
 
 // Shrink makes a bad day smaller for as long as it stays bad: fewer troubles, servers and relays, a shorter day, less traffic. Each step
 // is kept if the day is still bad, until none is, or so many days were played. The result is a day of its own.
-func Shrink(d *settings.Day, bad Bad, most int, progress io.Writer) *settings.Day {
+func Shrink(d *settings.Scenario, bad Bad, most int, progress io.Writer) *settings.Scenario {
 	played := 0
-	try := func(what string, change func(*settings.Day) bool) bool {
+	try := func(what string, change func(*settings.Scenario) bool) bool {
 		if played >= most {
 			return false
 		}
@@ -37,16 +37,16 @@
 			return false
 		}
 		d = next
-		console.Printf(progress, "%d played: %s; %d troubles, %d servers, %d relays, %.0f s\n", played, what, len(d.Troubles), len(d.Coordinator.Site.Servers),
+		console.Printf(progress, "%d played: %s; %d troubles, %d servers, %d relays, %.0f s\n", played, what, len(d.Faults), len(d.Coordinator.Site.Servers),
 			len(d.Coordinator.Site.Relays), d.Seconds)
 		return true
 	}
 	for again := true; again && played < most; {
 		again = false
-		for size := (len(d.Troubles) + 1) / 2; size >= 1; size /= 2 { // halves first, then single ones
-			for at := 0; at < len(d.Troubles); {
-				if !try("without some troubles", func(n *settings.Day) bool {
-					n.Troubles = slices.Delete(n.Troubles, at, min(at+size, len(n.Troubles)))
+		for size := (len(d.Faults) + 1) / 2; size >= 1; size /= 2 { // halves first, then single ones
+			for at := 0; at < len(d.Faults); {
+				if !try("without some troubles", func(n *settings.Scenario) bool {
+					n.Faults = slices.Delete(n.Faults, at, min(at+size, len(n.Faults)))
 					return true
 				}) {
 					at += size
@@ -55,41 +55,41 @@
 				}
 			}
 		}
-		again = try("half the servers", func(n *settings.Day) bool { return fewerServers(n, cutTo) }) || again
-		again = try("half the relays", func(n *settings.Day) bool { return fewerRelays(n, cutTo) }) || again
-		again = try("three quarters of the servers", func(n *settings.Day) bool { return fewerServers(n, 0.75) }) || again
-		again = try("three quarters of the relays", func(n *settings.Day) bool { return fewerRelays(n, 0.75) }) || again
+		again = try("half the servers", func(n *settings.Scenario) bool { return fewerServers(n, cutTo) }) || again
+		again = try("half the relays", func(n *settings.Scenario) bool { return fewerRelays(n, cutTo) }) || again
+		again = try("three quarters of the servers", func(n *settings.Scenario) bool { return fewerServers(n, 0.75) }) || again
+		again = try("three quarters of the relays", func(n *settings.Scenario) bool { return fewerRelays(n, 0.75) }) || again
 		again = try("a shorter day", shorter) || again
 		again = try("all earlier", earlier) || again
 	}
-	for i := range d.Troubles { // what is left, shorter and sooner
-		try("a shorter trouble", func(n *settings.Day) bool {
-			n.Troubles[i].For *= cutTo
-			return n.Troubles[i].For > 0.2
+	for i := range d.Faults { // what is left, shorter and sooner
+		try("a shorter trouble", func(n *settings.Scenario) bool {
+			n.Faults[i].For *= cutTo
+			return n.Faults[i].For > 0.2
 		})
 	}
 	return d
 }
 
-func clone(d *settings.Day) *settings.Day {
+func clone(d *settings.Scenario) *settings.Scenario {
 	n := *d
 	c := *d.Coordinator
 	n.Coordinator = &c
 	s := &c.Site
 	s.Servers, s.Relays = slices.Clone(s.Servers), slices.Clone(s.Relays)
-	n.Troubles = slices.Clone(d.Troubles)
+	n.Faults = slices.Clone(d.Faults)
 	return &n
 }
 
 // keep the troubles that are about what is left.
-func keep(n *settings.Day) {
+func keep(n *settings.Scenario) {
 	site := &n.Coordinator.Site
-	n.Troubles = slices.DeleteFunc(n.Troubles, func(t settings.Trouble) bool {
+	n.Faults = slices.DeleteFunc(n.Faults, func(t settings.Fault) bool {
 		return t.Server >= len(site.Servers) || t.Relay >= len(site.Relays)
 	})
 }
 
-func fewerServers(n *settings.Day, part float64) bool {
+func fewerServers(n *settings.Scenario, part float64) bool {
 	site := &n.Coordinator.Site
 	left := int(float64(len(site.Servers)) * part)
 	if left < leastServers || left == len(site.Servers) {
@@ -103,10 +103,10 @@
 		}
 	}
 	keep(n)
-	return len(n.Troubles) > 0
+	return len(n.Faults) > 0
 }
 
-func fewerRelays(n *settings.Day, part float64) bool {
+func fewerRelays(n *settings.Scenario, part float64) bool {
 	site := &n.Coordinator.Site
 	left := int(float64(len(site.Relays)) * part)
 	if left < leastRelays || left == len(site.Relays) {
@@ -117,33 +117,33 @@
 		site.Relays[i].ExpectedRate = n.Rate / float64(left)
 	}
 	keep(n)
-	return len(n.Troubles) > 0
+	return len(n.Faults) > 0
 }
 
-func shorter(n *settings.Day) bool {
+func shorter(n *settings.Scenario) bool {
 	last := 0.0
-	for _, t := range n.Troubles {
+	for _, t := range n.Faults {
 		last = max(last, t.At+t.For)
 	}
 	next := max(last+troubleFree, leastSeconds)
 	if next >= n.Seconds-1 {
 		next = n.Seconds * 0.8
 	}
-	if next < leastSeconds || slices.ContainsFunc(n.Troubles, func(t settings.Trouble) bool { return t.At > next }) {
+	if next < leastSeconds || slices.ContainsFunc(n.Faults, func(t settings.Fault) bool { return t.At > next }) {
 		return false
 	}
 	n.Seconds = next
 	return true
 }
 
-func earlier(n *settings.Day) bool {
+func earlier(n *settings.Scenario) bool {
 	first := n.Seconds
-	for _, t := range n.Troubles {
+	for _, t := range n.Faults {
 		first = min(first, t.At)
 	}
 	if by := first - firstTrouble; by > 1 {
-		for i := range n.Troubles {
-			n.Troubles[i].At -= by
+		for i := range n.Faults {
+			n.Faults[i].At -= by
 		}
 		n.Seconds -= by
 		return true
@@ -153,7 +153,7 @@
 
 // Breaks is a Bad for days that break a rule, 0: any, played in a way.
 func Breaks(rule int, opts scenario.Options) Bad {
-	return func(d *settings.Day) bool {
+	return func(d *settings.Scenario) bool {
 		opts := opts
 		opts.Seed = d.Seed
 		r, err := scenario.Run(d, opts)
@@ -171,7 +171,7 @@
 
 // Under is a Bad for days with a service under a figure.
 func Under(service float64, opts scenario.Options) Bad {
-	return func(d *settings.Day) bool {
+	return func(d *settings.Scenario) bool {
 		opts := opts
 		opts.Seed = d.Seed
 		r, err := scenario.Run(d, opts)
--- a/internal/feed/collectd/collect.go
+++ b/internal/feed/collectd/collect.go
@@ -33,19 +33,19 @@
 	uptimeType  = "uptime"
 	microsecond = 1e-6
 
-	// MostPacket is the largest packet that is read, in bytes: what collectd itself reads at most.
-	MostPacket = 65535
+	// MaxPacketBytes is the largest packet that is read, in bytes: what collectd itself reads at most.
+	MaxPacketBytes = 65535
 )
 
-// ErrPacket says that a packet was not read; nothing in it was taken.
-var ErrPacket = errors.New("measurement packet not read")
+// ErrInvalidPacket says that a packet was not read; nothing in it was taken.
+var ErrInvalidPacket = errors.New("measurement packet not read")
 
 // Collector hands packets to a fleet.
 type Collector struct {
 	fleet *controlplane.Fleet
 	opts  network.ParseOpts
 
-	Packets, Garbled, Foreign int
+	Packets, Malformed, Foreign int
 }
 
 type password struct{ user, key string }
@@ -72,8 +72,8 @@
 	signHead = 4 + 32 // its type and length, and an HMAC-SHA-256
 )
 
-// User is who signed a packet, as the packet itself says: its key alone proves it.
-func User(b []byte) (user string, ok bool) {
+// PacketUser is who signed a packet, as the packet itself says: its key alone proves it.
+func PacketUser(b []byte) (user string, ok bool) {
 	if len(b) < signHead || binary.BigEndian.Uint16(b) != signPart {
 		return "", false
 	}
@@ -90,25 +90,25 @@
 	c.Packets++
 	defer func() { // the parser is given whatever a network brings
 		if r := recover(); r != nil {
-			c.Garbled++
-			err = fmt.Errorf("%w: the parser failed: %v", ErrPacket, r)
+			c.Malformed++
+			err = fmt.Errorf("%w: the parser failed: %v", ErrInvalidPacket, r)
 		}
 	}()
-	if len(b) > 0 && b[0] > lastPart && len(b) <= MostPacket { // no part of the binary protocol starts so
+	if len(b) > 0 && b[0] > lastPart && len(b) <= MaxPacketBytes { // no part of the binary protocol starts so
 		if c.opts.PasswordLookup != nil { // text can't be signed
-			c.Garbled++
-			return fmt.Errorf("%w: text is not taken where measurements are signed", ErrPacket)
+			c.Malformed++
+			return fmt.Errorf("%w: text is not taken where measurements are signed", ErrInvalidPacket)
 		}
 		return c.text(now, b)
 	}
 	lists, err := network.Parse(b, c.opts)
 	if err != nil {
-		c.Garbled++
-		return fmt.Errorf("%w: %w", ErrPacket, err)
+		c.Malformed++
+		return fmt.Errorf("%w: %w", ErrInvalidPacket, err)
 	}
-	if len(b) > MostPacket {
-		c.Garbled++
-		return fmt.Errorf("%w: %d bytes, %d at most", ErrPacket, len(b), MostPacket)
+	if len(b) > MaxPacketBytes {
+		c.Malformed++
+		return fmt.Errorf("%w: %d bytes, %d at most", ErrInvalidPacket, len(b), MaxPacketBytes)
 	}
 	for _, l := range lists {
 		c.take(now, l)
@@ -150,28 +150,28 @@
 	return out, true
 }
 
-// Packer puts measurements into packets, for those who report.
-type Packer struct {
+// PacketWriter puts measurements into packets, for those who report.
+type PacketWriter struct {
 	host, user, key string
 	at              time.Time
 	buf             *network.Buffer
 	send            func([]byte)
 }
 
-// NewPacker reports as a host at a clock time, in seconds; with a key packets are signed. send takes each full packet.
-func NewPacker(now float64, host, user, key string, send func([]byte)) *Packer {
-	p := &Packer{host: host, user: user, key: key, at: time.Unix(0, int64(now*1e9)), send: send}
+// NewPacketWriter reports as a host at a clock time, in seconds; with a key packets are signed. send takes each full packet.
+func NewPacketWriter(now float64, host, user, key string, send func([]byte)) *PacketWriter {
+	p := &PacketWriter{host: host, user: user, key: key, at: time.Unix(0, int64(now*1e9)), send: send}
 	p.fresh()
 	return p
 }
 
-func (p *Packer) fresh() {
+func (p *PacketWriter) fresh() {
 	if p.buf = network.NewBuffer(0); p.key != "" {
 		p.buf.Sign(p.user, p.key)
 	}
 }
 
-func (p *Packer) add(plugin, instance, kind string, values ...api.Value) {
+func (p *PacketWriter) add(plugin, instance, kind string, values ...api.Value) {
 	l := &api.ValueList{Identifier: api.Identifier{Host: p.host, Plugin: plugin, PluginInstance: instance, Type: kind},
 		Time: p.at, Interval: time.Second, Values: values}
 	if err := p.buf.Write(context.Background(), l); errors.Is(err, network.ErrNotEnoughSpace) {
@@ -181,22 +181,22 @@
 }
 
 // Traffic adds a relay's totals at a server.
-func (p *Packer) Traffic(server string, t loadreport.Totals) {
+func (p *PacketWriter) Traffic(server string, t loadreport.Totals) {
 	p.add(plugin, server, trafficType, api.Derive(t.Attempts), api.Derive(t.Failed), api.Derive(t.Seconds/microsecond))
 }
 
 // Demand adds a relay's totals of a class.
-func (p *Packer) Demand(class string, t loadreport.Totals) {
+func (p *PacketWriter) Demand(class string, t loadreport.Totals) {
 	p.add(plugin, class, demandType, api.Derive(t.Attempts), api.Derive(t.Failed))
 }
 
 // Uptime adds a server's seconds since its start.
-func (p *Packer) Uptime(seconds float64) {
+func (p *PacketWriter) Uptime(seconds float64) {
 	p.add(uptimeType, "", uptimeType, api.Gauge(seconds))
 }
 
 // Flush sends what is left.
-func (p *Packer) Flush() {
+func (p *PacketWriter) Flush() {
 	b, err := p.buf.Bytes()
 	if err == nil && len(b) > 0 {
 		p.send(b)
--- a/internal/feed/collectd/collect_test.go
+++ b/internal/feed/collectd/collect_test.go
@@ -24,7 +24,7 @@
 }
 
 func packet(now, tries float64, key string) (out []byte) {
-	p := NewPacker(now, "r1", "relays", key, func(b []byte) { out = bytes.Clone(b) })
+	p := NewPacketWriter(now, "r1", "relays", key, func(b []byte) { out = bytes.Clone(b) })
 	p.Traffic("10.0.0.1:80", loadreport.Totals{Attempts: tries, Failed: 1, Seconds: tries / 4})
 	p.Demand("search", loadreport.Totals{Attempts: tries})
 	p.Uptime(77)
@@ -84,8 +84,8 @@
 	for _, b := range [][]byte{nil, {0}, {0, 0, 0, 0}, {0, 6, 0, 15, 0xff, 0xff}, bytes.Repeat([]byte{0xff}, 1400)} {
 		_ = c.Packet(1001, b)
 	}
-	if f.LoadReports.Len() != before || c.Garbled == 0 {
-		t.Errorf("%d series more, %d garbled", f.LoadReports.Len()-before, c.Garbled)
+	if f.LoadReports.Len() != before || c.Malformed == 0 {
+		t.Errorf("%d series more, %d garbled", f.LoadReports.Len()-before, c.Malformed)
 	}
 }
 
--- a/internal/feed/collectd/text.go
+++ b/internal/feed/collectd/text.go
@@ -12,8 +12,8 @@
 	"collectd.org/api"
 )
 
-// ErrLine says that a line of text is no value of collectd's plain text protocol; nothing of it was taken.
-var ErrLine = errors.New("not a PUTVAL line")
+// ErrInvalidLine says that a line of text is no value of collectd's plain text protocol; nothing of it was taken.
+var ErrInvalidLine = errors.New("not a PUTVAL line")
 
 const (
 	putval      = "PUTVAL "
@@ -27,7 +27,7 @@
 	for line := range bytes.Lines(b) {
 		l, err := parseLine(strings.TrimRight(string(line), "\r\n"))
 		if err != nil {
-			c.Garbled++
+			c.Malformed++
 			wrong = err
 			continue
 		}
@@ -41,7 +41,7 @@
 // whole; a time of N, for now, is not taken: a doubled line would look new.
 func parseLine(line string) (*api.ValueList, error) {
 	wrong := func(format string, args ...any) (*api.ValueList, error) {
-		return nil, fmt.Errorf("%w: %s", ErrLine, fmt.Sprintf(format, args...))
+		return nil, fmt.Errorf("%w: %s", ErrInvalidLine, fmt.Sprintf(format, args...))
 	}
 	if len(line) > longestLine {
 		return wrong("%d bytes", len(line))
--- a/internal/feed/collectd/text_test.go
+++ b/internal/feed/collectd/text_test.go
@@ -31,13 +31,13 @@
 		t.Errorf("%+v, %+v", traffic, demand)
 	}
 	signed := New(f, "relays", "secret")
-	if err := signed.Packet(1003, []byte(lines(2001, 50)[0])); !errors.Is(err, ErrPacket) {
+	if err := signed.Packet(1003, []byte(lines(2001, 50)[0])); !errors.Is(err, ErrInvalidPacket) {
 		t.Error("text is taken where measurements are signed")
 	}
 	for _, wrong := range []string{"PUTVAL ", "PUTVAL a/b 1:2", "PUTVAL a/b/c", "PUTVAL a/b/c N:1", "PUTVAL a/b/c 1:x", "PUTVAL a/b/c 1:-4", "PUTVAL a/b/c 1:1e3",
 		`PUTVAL "a/b/c 1:2`, "PUTVAL a/b/c opt 1:2", "PUTVAL a//c 1:2", "PUTVAL a/b/c 1" + strings.Repeat(":1", 20), "PUTVAL " + strings.Repeat("a", 2000),
 		"PUTVAL h/uptime/uptime 1:NaN", "PUTVAL a/b/c -1:2", "PUTVAL a/b/c inf:2"} {
-		if _, err := parseLine(wrong); !errors.Is(err, ErrLine) {
+		if _, err := parseLine(wrong); !errors.Is(err, ErrInvalidLine) {
 			t.Errorf("%q is taken", wrong)
 		}
 	}
@@ -77,8 +77,8 @@
 			traffic, _ := f.LoadReports.Flush()
 			all = append(all, traffic)
 		}
-		if dirty && (x.Garbled < 100 || f.LoadReports.Rejected.Stale < 30) {
-			t.Errorf("%d garbled, %d old: the test tests nothing", x.Garbled, f.LoadReports.Rejected.Stale)
+		if dirty && (x.Malformed < 100 || f.LoadReports.Rejected.Stale < 30) {
+			t.Errorf("%d garbled, %d old: the test tests nothing", x.Malformed, f.LoadReports.Rejected.Stale)
 		}
 		return all
 	}
@@ -95,6 +95,6 @@
 		if l, err := parseLine(line); err == nil && (l.Host == "" || len(l.Values) == 0 || len(l.Values) > mostValues) {
 			t.Errorf("%q is taken for %+v", line, l)
 		}
-		User([]byte(line))
+		PacketUser([]byte(line))
 	})
 }
--- a/internal/feed/graphite/graphite.go
+++ b/internal/feed/graphite/graphite.go
@@ -11,35 +11,35 @@
 	"snowquay/internal/wire/graphite"
 )
 
-// Setup of a sender.
-type Setup struct {
-	To     netip.AddrPort
-	Prefix string  // of all paths, with dots
-	Every  float64 // seconds between two samples
-	Series int     // paths that are known at most; further ones are left out and counted
-	Terms  spool.Terms
+// Config of a sender.
+type Config struct {
+	To        netip.AddrPort
+	Prefix    string  // of all paths, with dots
+	Interval  float64 // seconds between two samples
+	MaxSeries int     // paths that are known at most; further ones are left out and counted
+	Spool     spool.Config
 }
 
-// UsualSeries are those of 1,000 servers with 20 classes.
-const UsualSeries = 1 << 15
+// DefaultMaxSeries are those of 1,000 servers with 20 classes.
+const DefaultMaxSeries = 1 << 15
 
 // Sender is part of a env.Program, which hands it what is its own. Use New.
 type Sender struct {
 	*spool.Sender
-	setup  Setup
-	io     env.IO
-	conn   env.Conn
-	ids    map[string]spool.ID
-	names  []string
-	nextAt float64
-	values []spool.Value
-	bytes  []byte
-	Left   int // figures that were left out, since there are too many series
+	setup         Config
+	io            env.IO
+	conn          env.Conn
+	ids           map[string]spool.ID
+	names         []string
+	nextAt        float64
+	values        []spool.Value
+	bytes         []byte
+	SeriesDropped int // figures that were left out, since there are too many series
 }
 
 // New makes a sender. chance draws evenly from 0 to 1.
-func New(now float64, s Setup, chance func() float64) *Sender {
-	return &Sender{Sender: spool.NewCourier(now, s.Terms, chance), setup: s, ids: map[string]spool.ID{}, nextAt: now + s.Every}
+func New(now float64, s Config, chance func() float64) *Sender {
+	return &Sender{Sender: spool.NewSender(now, s.Spool, chance), setup: s, ids: map[string]spool.ID{}, nextAt: now + s.Interval}
 }
 
 // Start says where it may dial.
@@ -51,13 +51,13 @@
 	b.WriteString(s.setup.Prefix)
 	for _, p := range path {
 		b.WriteByte('.')
-		b.WriteString(graphite.Part(p))
+		b.WriteString(graphite.PathElement(p))
 	}
 	name := b.String()
 	id, known := s.ids[name]
 	if !known {
-		if len(s.names) >= s.setup.Series {
-			s.Left++
+		if len(s.names) >= s.setup.MaxSeries {
+			s.SeriesDropped++
 			return
 		}
 		id = spool.ID(len(s.names))
@@ -66,15 +66,15 @@
 	}
 	kind := spool.Gauge
 	if grows {
-		kind = spool.Total
+		kind = spool.Counter
 	}
-	s.values = append(s.values, spool.Value{ID: id, Kind: kind, Mean: value, Least: value, Most: value})
+	s.values = append(s.values, spool.Value{ID: id, Kind: kind, Mean: value, Min: value, Max: value})
 }
 
 // Tick makes a sample when it is due, by calling figures, and sends what may be sent.
 func (s *Sender) Tick(now float64, figures func()) {
 	if now >= s.nextAt {
-		s.nextAt = max(s.nextAt+s.setup.Every, now) // a clock that was paused makes one sample, not all that it missed
+		s.nextAt = max(s.nextAt+s.setup.Interval, now) // a clock that was paused makes one sample, not all that it missed
 		s.values = s.values[:0]
 		figures()
 		s.Sender.Add(now, sorted(s.values))
@@ -82,7 +82,7 @@
 	switch s.Sender.Tick(now) {
 	case spool.Dial:
 		s.conn = s.io.Dial(s.setup.To)
-	case spool.Drop:
+	case spool.CloseConnection:
 		s.io.Close(s.conn)
 		s.conn = 0
 	}
@@ -117,12 +117,12 @@
 		for _, v := range x.Values {
 			name := s.names[v.ID]
 			s.bytes = graphite.Append(s.bytes, name, v.Mean, x.At)
-			if v.Kind == spool.Gauge && v.Least != v.Most {
-				s.bytes = graphite.Append(s.bytes, name+".least", v.Least, x.At)
-				s.bytes = graphite.Append(s.bytes, name+".most", v.Most, x.At)
+			if v.Kind == spool.Gauge && v.Min != v.Max {
+				s.bytes = graphite.Append(s.bytes, name+".least", v.Min, x.At)
+				s.bytes = graphite.Append(s.bytes, name+".most", v.Max, x.At)
 			}
 		}
-		s.Wrote(now, len(s.bytes))
+		s.RecordWrite(now, len(s.bytes))
 		if len(s.bytes) > 0 {
 			s.io.Send(s.conn, s.bytes)
 		}
@@ -135,11 +135,11 @@
 		return false
 	}
 	if ok {
-		s.Reached(now)
+		s.ConnectionEstablished(now)
 		s.send(now)
 	} else {
 		s.conn = 0
-		s.Broke(now)
+		s.ConnectionLost(now)
 	}
 	return true
 }
@@ -150,16 +150,16 @@
 		return false
 	}
 	s.conn = 0
-	s.Broke(now)
+	s.ConnectionLost(now)
 	return true
 }
 
-// Taken takes the kernel's word, likewise.
-func (s *Sender) Taken(now float64, c env.Conn, total uint64) bool {
+// Delivered takes the kernel's word, likewise.
+func (s *Sender) Delivered(now float64, c env.Conn, total uint64) bool {
 	if s.conn == 0 || c != s.conn {
 		return false
 	}
-	s.Sender.Taken(now, total)
+	s.Sender.Delivered(now, total)
 	s.send(now)
 	return true
 }
--- a/internal/frontend/longpollhttp/poll.go
+++ b/internal/frontend/longpollhttp/poll.go
@@ -340,22 +340,22 @@
 	}
 	version := fmt.Sprintf("Snowquay-Version: %x.%d\r\n", a.Epoch, a.Version)
 	t := &f.tables
-	t.From, t.Lead = a.From, a.OwnershipEpoch
-	t.Epoch, t.Version, t.AskWithin, t.Classes = strconv.FormatUint(a.Epoch, 16), a.Version, a.PollWithin, t.Classes[:0]
+	t.Base, t.OwnershipEpoch = a.From, a.OwnershipEpoch
+	t.Epoch, t.Version, t.PollWithin, t.Classes = strconv.FormatUint(a.Epoch, 16), a.Version, a.PollWithin, t.Classes[:0]
 	for _, x := range a.Classes {
 		k := len(t.Classes)
 		t.Classes = slices.Grow(t.Classes, 1)[:k+1]
 		d := &t.Classes[k]
-		if *d = (delta.Class{Class: f.names[x.Class], Full: x.Full, Lines: d.Lines[:0]}); d.Lines == nil {
-			d.Lines = []delta.Line{}
+		if *d = (delta.Class{Class: f.names[x.Class], Full: x.Full, Entries: d.Entries[:0]}); d.Entries == nil {
+			d.Entries = []delta.Entry{}
 		}
 		for _, l := range x.Entries {
-			d.Lines = append(d.Lines, delta.Line{Server: string(l.Server), Weight: l.Weight, Drains: l.Draining})
+			d.Entries = append(d.Entries, delta.Entry{Server: string(l.Server), Weight: l.Weight, Draining: l.Draining})
 		}
 		if x.HasAdmission {
 			level, back := x.Admission, x.RetryAfter
-			if d.Level, d.Again = &level, ways[x.Retry]; back > 0 {
-				d.ComeBack = &back
+			if d.Admission, d.Retry = &level, ways[x.Retry]; back > 0 {
+				d.RetryAfter = &back
 			}
 		}
 	}
--- a/internal/frontend/longpollhttp/poll_test.go
+++ b/internal/frontend/longpollhttp/poll_test.go
@@ -143,7 +143,7 @@
 	resp, body := c.do("GET", "/v1/proxies/r1/tables?wait=5", "")
 	var first delta.Tables
 	if err := delta.Decode(body, delta.JSON, &first); err != nil || resp.StatusCode != 200 || len(first.Classes) != 1 ||
-		!first.Classes[0].Full || len(first.Classes[0].Lines) != 5 || first.From != 0 {
+		!first.Classes[0].Full || len(first.Classes[0].Entries) != 5 || first.Base != 0 {
 		t.Fatalf("%d %s, %v", resp.StatusCode, body, err)
 	}
 	at := fmt.Sprintf("epoch=%s&version=%d", first.Epoch, first.Version)
@@ -161,9 +161,9 @@
 		t.Errorf("the drain is answered with %d", resp.StatusCode)
 	}
 	var second delta.Tables
-	if err := delta.Decode(body, delta.CBOR, &second); err != nil || second.Classes[0].Full || second.From != first.Version ||
-		len(second.Classes[0].Lines) != 1 || !second.Classes[0].Lines[0].Drains || !second.Fits(first.Epoch, first.Version) ||
-		second.Fits("1", first.Version) {
+	if err := delta.Decode(body, delta.CBOR, &second); err != nil || second.Classes[0].Full || second.Base != first.Version ||
+		len(second.Classes[0].Entries) != 1 || !second.Classes[0].Entries[0].Draining || !second.AppliesTo(first.Epoch, first.Version) ||
+		second.AppliesTo("1", first.Version) {
 		t.Errorf("the drain: %+v, %v", second, err)
 	}
 	for _, x := range []struct {
--- a/internal/proxy/follower.go
+++ b/internal/proxy/follower.go
@@ -217,7 +217,7 @@
 			s.p.Core.ApplyOrders(now, orders)
 			lines := 0
 			for _, c := range t.Classes {
-				lines += len(c.Lines)
+				lines += len(c.Entries)
 			}
 			s.join(now)
 			s.p.changed(now, lines, left)
@@ -268,7 +268,7 @@
 // messages takes what a manager says.
 func (s *follower) messages(now float64) {
 	for id := s.conn; s.conn == id; {
-		n, err := sasp.Frame(s.buf, sasp.MostMessage)
+		n, err := sasp.Frame(s.buf, sasp.MaxMessageBytes)
 		if err == nil && n > 0 {
 			err = sasp.Decode(s.buf[:n], &s.in)
 		}
--- a/internal/proxy/hour_test.go
+++ b/internal/proxy/hour_test.go
@@ -121,7 +121,7 @@
 			w := 1 + math.Floor(chance.Float64()*20)
 			weights[name], sum = w, sum+w
 			for k := range table.Classes {
-				table.Classes[k].Lines = append(table.Classes[k].Lines, delta.Line{Server: string(name), Weight: w})
+				table.Classes[k].Entries = append(table.Classes[k].Entries, delta.Entry{Server: string(name), Weight: w})
 			}
 		}
 		d.tell(table)
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -594,7 +594,7 @@
 
 func (p *Proxy) reports(now float64) {
 	to := netip.AddrPortFrom(p.session.at().Addr(), p.setup.CollectorPort)
-	k := collectd.NewPacker(now, p.setup.UID, p.setup.User, p.setup.Key, func(b []byte) { p.io.Datagram(to, b) })
+	k := collectd.NewPacketWriter(now, p.setup.UID, p.setup.User, p.setup.Key, func(b []byte) { p.io.Datagram(to, b) })
 	p.Core.Reports(func(s balancer.Server, t loadreport.Totals) { k.Traffic(string(s), t) },
 		func(c balancer.Class, t loadreport.Totals) { k.Demand(p.setup.Forwarding.ClassNames[c], t) })
 	k.Flush()
--- a/internal/proxy/proxy_test.go
+++ b/internal/proxy/proxy_test.go
@@ -351,11 +351,11 @@
 }
 
 func tables(version, lead uint64, servers ...int) *delta.Tables {
-	t := &delta.Tables{Epoch: "e", Version: version, Lead: lead}
+	t := &delta.Tables{Epoch: "e", Version: version, OwnershipEpoch: lead}
 	for _, name := range []string{"search", "introduce", "once"} {
 		c := delta.Class{Class: name, Full: true}
 		for _, i := range servers {
-			c.Lines = append(c.Lines, delta.Line{Server: serverAt(i).String(), Weight: 1})
+			c.Entries = append(c.Entries, delta.Entry{Server: serverAt(i).String(), Weight: 1})
 		}
 		t.Classes = append(t.Classes, c)
 	}
@@ -480,7 +480,7 @@
 		t.Errorf("after the stall it holds %v", l)
 	}
 	late := tables(9, 0, 0)
-	late.From = 8
+	late.Base = 8
 	asked := len(d.asked)
 	d.tell(late)
 	w.run(1)
--- a/internal/scenario/draw.go
+++ b/internal/scenario/draw.go
@@ -18,10 +18,10 @@
 )
 
 // Kill adds deaths, restarts and pauses of coordinators, and cuts between them and the rest, to a day, at random moments by its seed.
-func Kill(d *settings.Day, times int) {
+func Kill(d *settings.Scenario, times int) {
 	c := rand.New(rand.NewPCG(d.Seed, 0x1c11))
 	for range times {
-		t := settings.Trouble{Kind: "coordinator_restart", Server: c.IntN(3), Relay: -1, Pod: -1, Zone: -1, Factor: 1,
+		t := settings.Fault{Kind: "coordinator_restart", Server: c.IntN(3), Relay: -1, FailureDomain: -1, Zone: -1, Factor: 1,
 			At: firstTrouble + c.Float64()*(d.Seconds-troubleFree-firstTrouble), For: 0.2 + 8*c.Float64()}
 		switch c.IntN(8) {
 		case 0, 1:
@@ -31,22 +31,22 @@
 		case 3:
 			t.Kind, t.For = "coordinator_alone", 1+10*c.Float64()
 		}
-		d.Troubles = append(d.Troubles, t)
+		d.Faults = append(d.Faults, t)
 	}
 }
 
 // Redraw gives a day other troubles, by its seed: two to six of any kind that the day's fleet can have, overlapping or
 // not, at any time.
-func Redraw(d *settings.Day) {
+func Redraw(d *settings.Scenario) {
 	c := rand.New(rand.NewPCG(d.Seed, 0xd4a3))
 	site := &d.Coordinator.Site
-	d.Troubles = nil
+	d.Faults = nil
 	kinds := []string{"slow", "fast_errors", "hang", "crash", "mass_restart", "zone_cut", "drain", "coordinator_restart",
 		"balancer_stall", "balancer_restart", "reconnect", "report_late", "reports_stop", "demand", "clock_gap"}
 	for range 2 + c.IntN(mostTroubles-1) {
-		t := settings.Trouble{Kind: kinds[c.IntN(len(kinds))], Server: c.IntN(len(site.Servers)),
+		t := settings.Fault{Kind: kinds[c.IntN(len(kinds))], Server: c.IntN(len(site.Servers)),
 			Relay: c.IntN(len(site.Relays)), Zone: site.Servers[c.IntN(len(site.Servers))].Zone,
-			Pod: int(site.Servers[c.IntN(len(site.Servers))].FailureDomain)}
+			FailureDomain: int(site.Servers[c.IntN(len(site.Servers))].FailureDomain)}
 		t.At = firstTrouble + c.Float64()*(d.Seconds-troubleFree-firstTrouble)
 		between := func(a, b float64) float64 { return a + (b-a)*c.Float64() }
 		switch t.Kind {
@@ -70,7 +70,7 @@
 		case "demand":
 			t.For, t.Factor = between(3, 10), between(1.3, 2)
 		}
-		d.Troubles = append(d.Troubles, t)
+		d.Faults = append(d.Faults, t)
 	}
 }
 
@@ -84,9 +84,9 @@
 )
 
 // Enlarge gives a day another number of servers and relays, with a channel to match; its troubles go.
-func Enlarge(d *settings.Day, servers, relays int) {
+func Enlarge(d *settings.Scenario, servers, relays int) {
 	site := &d.Coordinator.Site
-	site.Servers, site.Relays, d.Troubles = nil, nil, nil
+	site.Servers, site.Relays, d.Faults = nil, nil, nil
 	zones := len(site.Zones)
 	for i := range servers {
 		a := netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 1, byte(i / 250), byte(1 + i%250)}), enlargedPort)
--- a/internal/scenario/proxies.go
+++ b/internal/scenario/proxies.go
@@ -88,7 +88,7 @@
 }
 
 // proxyTrouble begins what goes wrong with real proxies, and sees to its end. It reports whether the kind is of theirs.
-func (p *play) proxyTrouble(t settings.Trouble, later func(func())) bool {
+func (p *play) proxyTrouble(t settings.Fault, later func(func())) bool {
 	if len(p.reals) == 0 {
 		return false
 	}
--- a/internal/scenario/proxies_test.go
+++ b/internal/scenario/proxies_test.go
@@ -22,10 +22,10 @@
 			d := badDay(t, string(BadDay))
 			d.Seed = seed + 9000
 			Redraw(d)
-			d.Troubles = d.Troubles[:min(len(d.Troubles), 2)]
+			d.Faults = d.Faults[:min(len(d.Faults), 2)]
 			Kill(d, 4)
 			if r, text := play1(t, d, Options{Coordinators: 3, Front: fronts[seed%3], Proxies: true}); !r.Kept() || r.Service < 0.3 {
-				t.Errorf("%+v\n%s", d.Troubles, text)
+				t.Errorf("%+v\n%s", d.Faults, text)
 			}
 		})
 	}
--- a/internal/scenario/rehearse.go
+++ b/internal/scenario/rehearse.go
@@ -124,7 +124,7 @@
 }
 
 type play struct {
-	day     *settings.Day
+	day     *settings.Scenario
 	opts    Options
 	ref     *emulator.InvariantChecker
 	classes []emulator.Class
@@ -146,7 +146,7 @@
 }
 
 // Run plays a day.
-func Run(day *settings.Day, opts Options) (*Result, error) {
+func Run(day *settings.Scenario, opts Options) (*Result, error) {
 	p := &play{day: day, opts: opts, pods: map[int]*emulator.Pod{}, fallen: map[int]bool{}}
 	if opts.Seed == 0 {
 		p.opts.Seed = day.Seed
@@ -193,7 +193,7 @@
 		}
 		p.addRelays()
 		p.look()
-		for _, t := range day.Troubles {
+		for _, t := range day.Faults {
 			p.stage.At(start+t.At, func() { p.trouble(t) })
 		}
 	})
@@ -502,7 +502,7 @@
 	return emulator.RelaySetup{Others: others, Asks: asks, UID: c.Site.Relays[i].UID, Host: relayAddr(i).Addr(), Coordinator: at, Collect: c.Measurements, User: c.User,
 		Key: c.Key, Flags: sasp.Push | sasp.Trust | sasp.NoChange, Classes: p.classes, Rate: rate,
 		Report: c.Site.Reporting.Period, EjectAfter: c.Site.DataPlane.EjectAfterFailures, EjectFor: 4, Keys: p.day.Keys,
-		Seed: uint64(i+1) + p.opts.Seed<<16, Popular: p.popular, Again: p.day.Clients.Again, Wait: p.day.Clients.Wait,
+		Seed: uint64(i+1) + p.opts.Seed<<16, Popular: p.popular, Again: p.day.Clients.Retries, Wait: p.day.Clients.RetryWait,
 		Patience: p.day.Clients.Patience, Policy: p.opts.Policy, Every: p.every()}
 }
 
@@ -518,7 +518,7 @@
 }
 
 // trouble begins what goes wrong, and sees to its end.
-func (p *play) trouble(t settings.Trouble) {
+func (p *play) trouble(t settings.Fault) {
 	later := func(do func()) { p.stage.At(p.stage.Now()+t.For, do) }
 	if p.proxyTrouble(t, later) {
 		return
@@ -541,7 +541,7 @@
 		later(func() { p.restartServer(t.Server) })
 	case "mass_restart":
 		for i, s := range p.day.Coordinator.Site.Servers {
-			if int(s.FailureDomain) == t.Pod {
+			if int(s.FailureDomain) == t.FailureDomain {
 				p.killServer(i)
 				later(func() { p.restartServer(i) })
 			}
@@ -606,7 +606,7 @@
 		during(&p.servers[t.Server].Room, 0)
 	case "shared_slow":
 		for i, v := range p.day.Coordinator.Site.Servers {
-			if int(v.FailureDomain) == t.Pod {
+			if int(v.FailureDomain) == t.FailureDomain {
 				during(&p.servers[i].Slow, 1)
 			}
 		}
--- a/internal/scenario/rehearse_test.go
+++ b/internal/scenario/rehearse_test.go
@@ -17,16 +17,16 @@
 
 func TestMain(m *testing.M) { testseed.Main(m) }
 
-func badDay(t *testing.T, text string, without ...controlplane.Guard) *settings.Day {
+func badDay(t *testing.T, text string, without ...controlplane.Guard) *settings.Scenario {
 	t.Helper()
-	d, err := settings.ParseDay("bad-day.xml", []byte(text), without...)
+	d, err := settings.ParseScenario("bad-day.xml", []byte(text), without...)
 	if err != nil {
 		t.Fatal(err)
 	}
 	return d
 }
 
-func play1(t *testing.T, d *settings.Day, opts Options) (*Result, string) {
+func play1(t *testing.T, d *settings.Scenario, opts Options) (*Result, string) {
 	t.Helper()
 	r, err := Run(d, opts)
 	if err != nil {
@@ -96,7 +96,7 @@
 			d.Seed = seed + 100
 			Redraw(d)
 			if r, text := play1(t, d, Options{Front: fronts[seed%3]}); !r.Kept() || len(r.Complaints) > 0 && r.Desk.Rejected == 0 {
-				t.Errorf("%+v\n%s", d.Troubles, text)
+				t.Errorf("%+v\n%s", d.Faults, text)
 			}
 		})
 	}
@@ -131,10 +131,10 @@
 	rapid.Check(t, func(rt *rapid.T) {
 		d := badDay(t, string(BadDay))
 		d.Seconds, d.Seed = 36, rapid.Uint64Range(1, 1<<20).Draw(rt, "seed")
-		d.Troubles = rapid.SliceOfN(rapid.Custom(func(rt *rapid.T) settings.Trouble {
+		d.Faults = rapid.SliceOfN(rapid.Custom(func(rt *rapid.T) settings.Fault {
 			k := rapid.SampledFrom([]string{"slow", "fast_errors", "hang", "crash", "drain", "coordinator_restart", "balancer_stall",
 				"balancer_restart", "reconnect", "report_late", "reports_stop", "clock_gap"}).Draw(rt, "kind")
-			x := settings.Trouble{Kind: k, At: 4 + rapid.Float64Range(0, 22).Draw(rt, "at"), Server: rapid.IntRange(0, 11).Draw(rt, "server"),
+			x := settings.Fault{Kind: k, At: 4 + rapid.Float64Range(0, 22).Draw(rt, "at"), Server: rapid.IntRange(0, 11).Draw(rt, "server"),
 				Relay: rapid.IntRange(0, 11).Draw(rt, "relay"), For: rapid.Float64Range(0.3, 4).Draw(rt, "for"), Factor: 3}
 			if k == "fast_errors" {
 				x.Factor = 0.7
@@ -143,7 +143,7 @@
 		}), 0, 4).Draw(rt, "troubles")
 		front := rapid.SampledFrom(fronts).Draw(rt, "front")
 		if r, text := play1(t, d, Options{Front: front}); !r.Kept() {
-			rt.Errorf("%s %+v\n%s", front, d.Troubles, text)
+			rt.Errorf("%s %+v\n%s", front, d.Faults, text)
 		}
 	})
 }
--- a/internal/scenario/takeover.go
+++ b/internal/scenario/takeover.go
@@ -34,18 +34,18 @@
 // Takeovers makes of a day one on which three coordinators are killed again and again, every so many seconds on average,
 // each for up to a little longer than that; one in four times one is stopped for a while instead. Other troubles go on
 // beside that, unless the day is calm.
-func Takeovers(d *settings.Day, kills int, every float64, seed uint64, calm bool) {
+func Takeovers(d *settings.Scenario, kills int, every float64, seed uint64, calm bool) {
 	c := rand.New(rand.NewPCG(seed, 0x7a4e))
-	d.Seed, d.Troubles = seed, nil
+	d.Seed, d.Faults = seed, nil
 	d.Seconds = killFrom + float64(kills)*every + killAfter
 	at := killFrom
 	for range kills {
-		t := settings.Trouble{Kind: "coordinator_restart", Server: c.IntN(3), Relay: -1, Pod: -1, Zone: -1, Factor: 1,
+		t := settings.Fault{Kind: "coordinator_restart", Server: c.IntN(3), Relay: -1, FailureDomain: -1, Zone: -1, Factor: 1,
 			At: at, For: 0.2 + 1.2*every*c.Float64()}
-		d.Troubles = append(d.Troubles, t)
+		d.Faults = append(d.Faults, t)
 		if c.IntN(pausesOneIn) == 0 {
 			t.Kind, t.At, t.For, t.Server = "coordinator_pause", at+every*c.Float64(), 0.5+7*c.Float64(), c.IntN(3)
-			d.Troubles = append(d.Troubles, t)
+			d.Faults = append(d.Faults, t)
 		}
 		at += every * (0.5 + c.Float64())
 	}
@@ -57,12 +57,12 @@
 	kinds := []string{"drain", "drain", "crash", "mass_restart", "reconnect", "balancer_restart", "slow"}
 	for at := killFrom; at < d.Seconds-killAfter; at += otherEvery * (0.5 + c.Float64()) {
 		i := c.IntN(len(site.Servers))
-		t := settings.Trouble{Kind: kinds[c.IntN(len(kinds))], Server: i, Relay: c.IntN(len(site.Relays)),
-			Pod: int(site.Servers[i].FailureDomain), Zone: site.Servers[i].Zone, At: at, For: 0.5 + 5*c.Float64(), Factor: 3}
+		t := settings.Fault{Kind: kinds[c.IntN(len(kinds))], Server: i, Relay: c.IntN(len(site.Relays)),
+			FailureDomain: int(site.Servers[i].FailureDomain), Zone: site.Servers[i].Zone, At: at, For: 0.5 + 5*c.Float64(), Factor: 3}
 		if t.Kind == "drain" {
 			t.For += 4
 		}
-		d.Troubles = append(d.Troubles, t)
+		d.Faults = append(d.Faults, t)
 	}
 }
 
@@ -88,7 +88,7 @@
 func (p *play) startProcess(i int) (host, error) {
 	x, c, n := p.opts.Processes, p.day.Coordinator, p.opts.Coordinators
 	file := func(what string) string { return filepath.Join(x.Folder, fmt.Sprintf("%d.%s", i+1, what)) }
-	m := settings.Member{Number: membership.MemberID(i + 1), SASP: p.at(i, c.SASP), Measurements: p.at(i, c.Measurements),
+	m := settings.GroupMember{Number: membership.MemberID(i + 1), SASP: p.at(i, c.SASP), Measurements: p.at(i, c.Measurements),
 		Store: file("db"), GroupStore: file("group"), Key: processKey, Peers: map[membership.MemberID]netip.AddrPort{}}
 	if c.HTTP.IsValid() {
 		m.HTTP = p.at(i, c.HTTP)
--- a/internal/scenario/takeover_test.go
+++ b/internal/scenario/takeover_test.go
@@ -18,10 +18,10 @@
 			d := badDay(t, string(BadDay))
 			d.Seed = seed + 5000
 			Redraw(d)
-			d.Troubles = d.Troubles[:min(len(d.Troubles), 2)]
+			d.Faults = d.Faults[:min(len(d.Faults), 2)]
 			Kill(d, 4)
 			if r, text := play1(t, d, Options{Coordinators: 3, Front: fronts[seed%3]}); !r.Kept() || r.Service < 0.3 {
-				t.Errorf("%+v\n%s", d.Troubles, text)
+				t.Errorf("%+v\n%s", d.Faults, text)
 			}
 		})
 	}
@@ -33,7 +33,7 @@
 	for _, kind := range []string{"coordinator_hidden", "coordinator_alone"} {
 		for server := range 3 {
 			d := badDay(t, string(BadDay))
-			d.Seconds, d.Troubles = 50, []settings.Trouble{{Kind: kind, Server: server, At: 8, For: 30, Relay: -1, Pod: -1, Zone: -1}}
+			d.Seconds, d.Faults = 50, []settings.Fault{{Kind: kind, Server: server, At: 8, For: 30, Relay: -1, FailureDomain: -1, Zone: -1}}
 			unled, lastUnled := 0.0, 0.0
 			r, text := play1(t, d, Options{Coordinators: 3, Front: fronts[server], Led: func(now float64, led bool) {
 				if !led && now-startAt < 38 { // then it is well, and takes its part back
--- a/internal/service/admin.go
+++ b/internal/service/admin.go
@@ -18,14 +18,14 @@
 
 const callWithin = 45 * time.Second // of the command line's calls: longer than a drain may take to be agreed on
 
-// Call makes a call of the administration API that a settings file names, by the first of its callers with at least a role.
+// CallAdmin makes a call of the administration API that a settings file names, by the first of its callers with at least a role.
 // What comes back is a JSON document; an error has the problem's words.
-func Call(c *settings.Coordinator, needs authz.Role, method, path string, body any) (json.RawMessage, error) {
+func CallAdmin(c *settings.Coordinator, needs authz.Role, method, path string, body any) (json.RawMessage, error) {
 	return call(c.Admin, c.Callers, needs, method, path, body)
 }
 
-// CallHost is Call of a host of many tenants. A body of bytes is sent as it is.
-func CallHost(c *settings.Host, needs authz.Role, method, path string, body any) (json.RawMessage, error) {
+// CallHostAdmin is Call of a host of many tenants. A body of bytes is sent as it is.
+func CallHostAdmin(c *settings.Host, needs authz.Role, method, path string, body any) (json.RawMessage, error) {
 	return call(c.Admin, c.Callers, needs, method, path, body)
 }
 
--- a/internal/service/admin_test.go
+++ b/internal/service/admin_test.go
@@ -64,7 +64,7 @@
 		}
 		s := serveOne(settled)
 		eventually(t, "it does not run", func() bool {
-			_, err := Call(settled, authz.RoleViewer, "GET", "/v1/servers", nil)
+			_, err := CallAdmin(settled, authz.RoleViewer, "GET", "/v1/servers", nil)
 			return err == nil
 		})
 		relay, err := net.Dial("tcp", "127.0.0.1:15841")
@@ -122,7 +122,7 @@
 		status, got, _ = asked(t, staff, "POST", "/v1/drains", two)
 		want("the last one", status, 409, got, "would do harm")
 		eventually(t, "why orders were given is not told", func() bool { // an order is told of when it is known to be held
-			raw, err := Call(settled, authz.RoleViewer, "GET", "/v1/orders?relay=relay-1", nil)
+			raw, err := CallAdmin(settled, authz.RoleViewer, "GET", "/v1/orders?relay=relay-1", nil)
 			return err == nil && strings.Contains(string(raw), `"facts.lists"`)
 		})
 		refused := 0
@@ -138,7 +138,7 @@
 		}
 		var raw json.RawMessage
 		eventually(t, "the audit", func() bool {
-			raw, err = Call(settled, authz.RoleStaff, "GET", "/v1/audit", nil)
+			raw, err = CallAdmin(settled, authz.RoleStaff, "GET", "/v1/audit", nil)
 			return err == nil
 		})
 		var entries []audit.Entry
@@ -149,7 +149,7 @@
 		s.end(t)
 		s = serveOne(settled) // what was confirmed outlives it
 		eventually(t, "the drain is forgotten", func() bool {
-			b, err := Call(settled, authz.RoleViewer, "GET", "/v1/drains/127.0.1.1:8080", nil)
+			b, err := CallAdmin(settled, authz.RoleViewer, "GET", "/v1/drains/127.0.1.1:8080", nil)
 			return err == nil && strings.Contains(string(b), `"phase":"drains"`)
 		})
 		s.end(t)
--- a/internal/service/group.go
+++ b/internal/service/group.go
@@ -24,9 +24,9 @@
 	return ask(at, key, nil)
 }
 
-// GroupRemove takes a coordinator out for good, by way of any of the others. A command may be lost while a leader is
+// RemoveMember takes a coordinator out for good, by way of any of the others. A command may be lost while a leader is
 // elected, so it is given again until one of them says that it is agreed on.
-func GroupRemove(g *coordinator.GroupConfig, gone membership.MemberID, wait time.Duration) error {
+func RemoveMember(g *coordinator.GroupConfig, gone membership.MemberID, wait time.Duration) error {
 	for end := time.Now().Add(wait); ; time.Sleep(removeAsk) {
 		var last error
 		for _, n := range slices.Sorted(maps.Keys(g.Members)) {
--- a/internal/service/group_test.go
+++ b/internal/service/group_test.go
@@ -142,7 +142,7 @@
 		t.Error("the metrics do not tell")
 	}
 	golden.Bytes(t, "metrics-group.txt", metricNames(get(t, "http://127.0.0.1:15231/metrics")))
-	if err := GroupRemove(all[1].c.Group, 2, 20*time.Second); err != nil {
+	if err := RemoveMember(all[1].c.Group, 2, 20*time.Second); err != nil {
 		t.Fatal(err)
 	}
 	all[4] = serveOne(groupXML(t, dir, 4, 4, true))
--- a/internal/service/host.go
+++ b/internal/service/host.go
@@ -172,13 +172,13 @@
 	if !ok {
 		return nil, tenancy.ErrUnknown
 	}
-	return settings.Mask(t.Settings)
+	return settings.MaskKeys(t.Settings)
 }
 
 // Merge of admin.Hosted.
 func (h *hosted) Merge(of tenancy.Name, text []byte) ([]byte, error) {
 	t, _ := h.program.Directory.Get(of) // a new one has no keys yet
-	return settings.Merge(text, t.Settings)
+	return settings.MergeKeys(text, t.Settings)
 }
 
 // Edit of admin.Hosted.
@@ -187,9 +187,9 @@
 	if !ok {
 		return nil, tenancy.ErrUnknown
 	}
-	var e settings.Edit
+	var e settings.ServerEdit
 	if err := json.Unmarshal(edit, &e); err != nil {
-		return nil, fmt.Errorf("%w: %w", settings.ErrEdit, err)
+		return nil, fmt.Errorf("%w: %w", settings.ErrInvalidEdit, err)
 	}
 	return e.Apply(t.Settings)
 }
--- a/internal/service/host_test.go
+++ b/internal/service/host_test.go
@@ -48,7 +48,7 @@
 	h := &hostOf{t, set, make(chan os.Signal, 1), make(chan error, 1)}
 	go func() { h.done <- ServeHost(set, slog.New(slog.DiscardHandler), h.stop) }()
 	eventually(t, "the host does not run", func() bool {
-		_, err := CallHost(set, authz.RoleViewer, "GET", "/v1/tenants", nil)
+		_, err := CallHostAdmin(set, authz.RoleViewer, "GET", "/v1/tenants", nil)
 		return err == nil
 	})
 	return h
--- a/internal/service/service.go
+++ b/internal/service/service.go
@@ -166,17 +166,17 @@
 	}
 	samples, values := f.Len()
 	here := 0.0
-	if f.State() == spool.Here {
+	if f.State() == spool.Connected {
 		here = 1
 	}
 	gauge("graphite_reached", "1 while the receiver of figures is connected.", here)
 	gauge("graphite_waiting_samples", "Samples that wait for it.", float64(samples))
 	gauge("graphite_waiting_values", "Values in them.", float64(values))
 	gauge("graphite_coarsest_seconds", "Seconds that the coarsest of them stands for.", f.Coarsest())
-	count("graphite_samples", "Samples made.", f.Counts.Samples)
-	count("graphite_merged", "Times that two samples became one, for want of room.", f.Counts.Merged)
-	count("graphite_broken", "Connections that broke with samples on their way.", f.Broken)
-	count("graphite_left", "Figures left out: too many series, or no room.", f.Left+f.Counts.Dropped)
+	count("graphite_samples", "Samples made.", f.Stats.Samples)
+	count("graphite_merged", "Times that two samples became one, for want of room.", f.Stats.Merged)
+	count("graphite_broken", "Connections that broke with samples on their way.", f.Disconnects)
+	count("graphite_left", "Figures left out: too many series, or no room.", f.SeriesDropped+f.Stats.Dropped)
 }
 
 // figures are how a collector hands out gauges and counters whose names start alike.
@@ -278,7 +278,7 @@
 		count("refused", "Messages refused with a response code.", d.Stats.Rejected)
 		count("malformed", "Messages that could not be read.", d.Stats.Malformed)
 		count("measurements", "Measurement packets.", m.Packets)
-		count("measurements_garbled", "Those that could not be read.", m.Garbled)
+		count("measurements_garbled", "Those that could not be read.", m.Malformed)
 		count("measurements_unknown", "Values that name an unknown relay or server.", f.Stats.UnknownRelay+
 			f.Stats.UnknownServer)
 		count("measurements_old", "Values that were doubled or overtaken.", f.LoadReports.Rejected.Stale)
--- a/internal/settings/host.go
+++ b/internal/settings/host.go
@@ -186,8 +186,8 @@
 // masked stands for a key in settings that are shown.
 const masked = "(unchanged)"
 
-// Mask makes settings that can be shown to whoever may read them: keys are left out. Merge puts them back.
-func Mask(text []byte) ([]byte, error) {
+// MaskKeys makes settings that can be shown to whoever may read them: keys are left out. Merge puts them back.
+func MaskKeys(text []byte) ([]byte, error) {
 	return rewrite(text, func(n *node) error {
 		for _, k := range n.secrets() {
 			k.attrs["key"] = masked
@@ -206,8 +206,8 @@
 	return all
 }
 
-// Merge takes the keys of a tenant's former settings where new ones have been shown without them.
-func Merge(text, former []byte) ([]byte, error) {
+// MergeKeys takes the keys of a tenant's former settings where new ones have been shown without them.
+func MergeKeys(text, former []byte) ([]byte, error) {
 	if !bytes.Contains(text, []byte(masked)) {
 		return text, nil
 	}
@@ -249,26 +249,26 @@
 	return b.Bytes(), nil
 }
 
-// Edit is a change of one server in a tenant's settings.
-type Edit struct {
-	Server   string  `json:"server"`
-	Remove   bool    `json:"remove,omitempty"`
-	Zone     string  `json:"zone,omitempty"`
-	Pod      *int    `json:"pod,omitempty"`
-	Kind     *int    `json:"kind,omitempty"`
-	Weight   float64 `json:"weight,omitempty"`
-	Capacity float64 `json:"capacity,omitempty"`
-	Standing *bool   `json:"standing,omitempty"`
+// ServerEdit is a change of one server in a tenant's settings.
+type ServerEdit struct {
+	Server        string  `json:"server"`
+	Remove        bool    `json:"remove,omitempty"`
+	Zone          string  `json:"zone,omitempty"`
+	FailureDomain *int    `json:"pod,omitempty"`
+	Kind          *int    `json:"kind,omitempty"`
+	Weight        float64 `json:"weight,omitempty"`
+	Capacity      float64 `json:"capacity,omitempty"`
+	Static        *bool   `json:"standing,omitempty"`
 }
 
-// ErrEdit says that an edit makes no sense for these settings.
-var ErrEdit = errors.New("the edit makes no sense")
+// ErrInvalidEdit says that an edit makes no sense for these settings.
+var ErrInvalidEdit = errors.New("the edit makes no sense")
 
 // Apply makes a tenant's settings with one server added, changed or removed. What comes out is held against the schema when it is read.
-func (e Edit) Apply(text []byte) ([]byte, error) {
+func (e ServerEdit) Apply(text []byte) ([]byte, error) {
 	a, err := netip.ParseAddrPort(e.Server)
 	if err != nil {
-		return nil, fmt.Errorf("%w: %w", ErrEdit, err)
+		return nil, fmt.Errorf("%w: %w", ErrInvalidEdit, err)
 	}
 	return rewrite(text, func(root *node) error {
 		n := root.one("servers")
@@ -280,24 +280,24 @@
 		}
 		switch {
 		case e.Remove && at < 0:
-			return fmt.Errorf("%w: %s is not listed", ErrEdit, a)
+			return fmt.Errorf("%w: %s is not listed", ErrInvalidEdit, a)
 		case e.Remove:
 			n.kids = append(n.kids[:at], n.kids[at+1:]...)
 			return nil
 		case at < 0 && e.Zone == "":
-			return fmt.Errorf("%w: %s is not listed, and a new server needs a zone", ErrEdit, a)
+			return fmt.Errorf("%w: %s is not listed, and a new server needs a zone", ErrInvalidEdit, a)
 		case at < 0:
 			n.kids = append(n.kids, &node{name: "server", attrs: map[string]string{"address": a.String()}})
 			at = len(n.kids) - 1
 		}
 		set := n.kids[at].attrs
-		for name, v := range map[string]*int{"pod": e.Pod, "kind": e.Kind} {
+		for name, v := range map[string]*int{"pod": e.FailureDomain, "kind": e.Kind} {
 			if v != nil {
 				set[name] = fmt.Sprint(*v)
 			}
 		}
-		if e.Standing != nil {
-			set["standing"] = fmt.Sprint(*e.Standing)
+		if e.Static != nil {
+			set["standing"] = fmt.Sprint(*e.Static)
 		}
 		if e.Zone != "" {
 			set["zone"] = e.Zone
--- a/internal/settings/host_test.go
+++ b/internal/settings/host_test.go
@@ -66,19 +66,19 @@
 
 func TestKeysAreKept(t *testing.T) {
 	text := readDoc(t, "example-tenant.xml")
-	shown, err := Mask([]byte(text))
+	shown, err := MaskKeys([]byte(text))
 	if err != nil || strings.Contains(string(shown), "change-this") {
 		t.Fatalf("%v %s", err, shown)
 	}
-	back, err := Merge(shown, []byte(text))
+	back, err := MergeKeys(shown, []byte(text))
 	if err != nil || !strings.Contains(string(back), `key="change-this-key-of-the-staff"`) || !strings.Contains(string(back), `key="change-this-key-of-measurements"`) {
 		t.Fatalf("%v %s", err, back)
 	}
 	// A key that was never there can't be left unchanged: the name that stands for it would become everybody's key.
-	if _, err := Merge([]byte(strings.Replace(string(shown), `name="ann"`, `name="eve"`, 1)), []byte(text)); err == nil {
+	if _, err := MergeKeys([]byte(strings.Replace(string(shown), `name="ann"`, `name="eve"`, 1)), []byte(text)); err == nil {
 		t.Error("a caller without a key is taken")
 	}
-	if _, err := Merge(shown, nil); err == nil {
+	if _, err := MergeKeys(shown, nil); err == nil {
 		t.Error("a new tenant without keys is taken")
 	}
 }
@@ -90,7 +90,7 @@
 	}
 	text := []byte(readDoc(t, "example-tenant.xml"))
 	pod := 1
-	next, err := Edit{Server: "127.0.1.9:8080", Zone: "south", Pod: &pod, Weight: 2.5, Capacity: 10}.Apply(text)
+	next, err := ServerEdit{Server: "127.0.1.9:8080", Zone: "south", FailureDomain: &pod, Weight: 2.5, Capacity: 10}.Apply(text)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -98,14 +98,14 @@
 	if err != nil || len(m.Config.Site.Servers) != 4 || m.Config.Site.Servers[3].Weight != 2.5 || m.Config.Site.Servers[3].FailureDomain != 1 {
 		t.Errorf("%v %+v", err, m.Config.Site.Servers)
 	}
-	if next, err = (Edit{Server: "127.0.1.9:8080", Remove: true}).Apply(next); err != nil {
+	if next, err = (ServerEdit{Server: "127.0.1.9:8080", Remove: true}).Apply(next); err != nil {
 		t.Fatal(err)
 	}
 	if m, err = ParseTenant("first", next, h); err != nil || len(m.Config.Site.Servers) != 3 {
 		t.Errorf("%v %+v", err, m.Config.Site.Servers)
 	}
-	for _, e := range []Edit{{Server: "x"}, {Server: "127.0.1.9:8080"}, {Server: "127.0.1.9:8080", Remove: true}} {
-		if _, err := e.Apply(text); !errors.Is(err, ErrEdit) {
+	for _, e := range []ServerEdit{{Server: "x"}, {Server: "127.0.1.9:8080"}, {Server: "127.0.1.9:8080", Remove: true}} {
+		if _, err := e.Apply(text); !errors.Is(err, ErrInvalidEdit) {
 			t.Errorf("%+v: %v", e, err)
 		}
 	}
--- a/internal/settings/lab.go
+++ b/internal/settings/lab.go
@@ -15,30 +15,30 @@
 	Name   string
 	Seeds  int
 	First  uint64
-	Fleets []LabFleet
-	Cases  []LabCase
+	Fleets []ExperimentFleet
+	Cases  []ExperimentCase
 	Arms   []Arm
 	Text   []byte // as it was read
 }
 
-// LabFleet is how large an experiment's fleet is, and how busy.
-type LabFleet struct {
+// ExperimentFleet is how large an experiment's fleet is, and how busy.
+type ExperimentFleet struct {
 	Name            string
 	Servers, Relays int
 	Load            float64 // part of the servers' capacity that is asked for
 	Rate            float64 // queries a second in its place; 0: by the load
 	Spread          float64 // of traffic between relays: a busy one has exp(2*spread) times the least
-	Again           int     // times that clients ask anew
+	Retries         int     // times that clients ask anew
 }
 
-// LabCase is a day: its own troubles, some that are drawn by the seed, deaths of coordinators.
-type LabCase struct {
-	Name     string
-	Seconds  float64
-	Drawn    int
-	Kinds    []string // that are drawn; none: any
-	Kills    int
-	Troubles []Trouble
+// ExperimentCase is a day: its own troubles, some that are drawn by the seed, deaths of coordinators.
+type ExperimentCase struct {
+	Name    string
+	Seconds float64
+	Drawn   int
+	Kinds   []string // that are drawn; none: any
+	Kills   int
+	Faults  []Fault
 }
 
 // Arm is one way in which it is played.
@@ -91,18 +91,18 @@
 		return v
 	}
 	for _, n := range root.all("fleet") {
-		x.Fleets = append(x.Fleets, LabFleet{Name: name(n), Servers: n.int("servers"), Relays: n.int("relays"), Load: n.number("load"),
-			Rate: n.number("rate"), Spread: n.number("spread"), Again: n.int("again")})
+		x.Fleets = append(x.Fleets, ExperimentFleet{Name: name(n), Servers: n.int("servers"), Relays: n.int("relays"), Load: n.number("load"),
+			Rate: n.number("rate"), Spread: n.number("spread"), Retries: n.int("again")})
 	}
 	for _, n := range root.all("case") {
-		c := LabCase{Name: name(n), Seconds: n.number("seconds"), Drawn: n.int("drawn"), Kills: n.int("kills"), Kinds: strings.Fields(n.attrs["kinds"])}
+		c := ExperimentCase{Name: name(n), Seconds: n.number("seconds"), Drawn: n.int("drawn"), Kills: n.int("kills"), Kinds: strings.Fields(n.attrs["kinds"])}
 		for _, t := range n.all("trouble") {
-			v := Trouble{Kind: t.attrs["kind"], At: t.number("at"), For: t.number("for"), Factor: t.number("factor"), Server: t.int("server"),
-				Relay: t.int("relay"), Pod: t.int("pod"), Zone: balancer.Zone(1)}
+			v := Fault{Kind: t.attrs["kind"], At: t.number("at"), For: t.number("for"), Factor: t.number("factor"), Server: t.int("server"),
+				Relay: t.int("relay"), FailureDomain: t.int("pod"), Zone: balancer.Zone(1)}
 			if v.At > c.Seconds {
 				r.wrong(t, "it comes after the day's end")
 			}
-			c.Troubles = append(c.Troubles, v)
+			c.Faults = append(c.Faults, v)
 		}
 		x.Cases = append(x.Cases, c)
 	}
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -40,23 +40,23 @@
 	GroupStore   string // file of what a coordinator that shares its fleet must not forget
 }
 
-// Query is a class in a day.
-type Query struct {
+// QueryMix is a class in a day.
+type QueryMix struct {
 	Class string
 	Share float64
 	Work  float64
 }
 
-// Trouble of a day. Fields that a kind does not use are -1 or empty.
-type Trouble struct {
-	Kind               string
-	At, For, Factor    float64
-	Server, Relay, Pod int
-	Zone               balancer.Zone
+// Fault of a day. Fields that a kind does not use are -1 or empty.
+type Fault struct {
+	Kind                         string
+	At, For, Factor              float64
+	Server, Relay, FailureDomain int
+	Zone                         balancer.Zone
 }
 
-// Day is a rehearsal.
-type Day struct {
+// Scenario is a rehearsal.
+type Scenario struct {
 	Coordinator      *Coordinator
 	coordinator      *node
 	Seconds          float64
@@ -65,10 +65,10 @@
 	Slowest, Fastest float64
 	Rate, Spread     float64
 	Keys             int
-	Queries          []Query
+	Queries          []QueryMix
 	Split, Loss      float64
 	Double, Late     float64
-	Troubles         []Trouble
+	Faults           []Fault
 	Model            ServerModel
 	Clients          ClientModel
 }
@@ -85,8 +85,8 @@
 // ClientModel is what clients of a day are like.
 type ClientModel struct {
 	Popularity float64 // exponent of Zipf's law for keys
-	Again      int     // times that a client asks anew
-	Wait       float64 // seconds before it does
+	Retries    int     // times that a client asks anew
+	RetryWait  float64 // seconds before it does
 	Patience   float64 // part of its client timeout after which it leaves
 }
 
@@ -117,17 +117,17 @@
 	return c, named(name, err)
 }
 
-// LoadDay reads a day's file.
-func LoadDay(path string, without ...controlplane.Guard) (*Day, error) {
+// LoadScenario reads a day's file.
+func LoadScenario(path string, without ...controlplane.Guard) (*Scenario, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
 		return nil, err
 	}
-	return ParseDay(path, text, without...)
+	return ParseScenario(path, text, without...)
 }
 
-// ParseDay reads a day's text.
-func ParseDay(name string, text []byte, without ...controlplane.Guard) (*Day, error) {
+// ParseScenario reads a day's text.
+func ParseScenario(name string, text []byte, without ...controlplane.Guard) (*Scenario, error) {
 	root, err := load(text, "day")
 	if err != nil {
 		return nil, named(name, err)
@@ -322,25 +322,25 @@
 var graphitePrefix = regexp.MustCompile(`^[A-Za-z0-9_-]+(\.[A-Za-z0-9_-]+)*$`)
 
 // graphite reads where figures are sent; nil: nowhere.
-func (r *reader) graphite(n *node) *graphite.Setup {
+func (r *reader) graphite(n *node) *graphite.Config {
 	if n == nil {
 		return nil
 	}
-	g := &graphite.Setup{To: r.endpoint(n, "address"), Prefix: n.attrs["prefix"], Every: n.number("every"), Series: graphite.UsualSeries,
-		Terms: spool.UsualTerms}
+	g := &graphite.Config{To: r.endpoint(n, "address"), Prefix: n.attrs["prefix"], Interval: n.number("every"), MaxSeries: graphite.DefaultMaxSeries,
+		Spool: spool.DefaultConfig}
 	if !graphitePrefix.MatchString(g.Prefix) {
 		r.wrong(n, "prefix %q: parts of letters, digits, _ and -, with dots between them", g.Prefix)
 	}
-	for name, to := range map[string]*int{"series": &g.Series, "values": &g.Terms.Values} {
+	for name, to := range map[string]*int{"series": &g.MaxSeries, "values": &g.Spool.MaxValues} {
 		if v := n.int(name); v > 0 {
 			*to = v
 		}
 	}
 	if v := n.number("per-second"); v > 0 {
-		g.Terms.Rate = v
+		g.Spool.MaxRate = v
 	}
 	if n.attrs["overlap"] != "" {
-		g.Terms.Overlap = n.number("overlap")
+		g.Spool.Overlap = n.number("overlap")
 	}
 	return g
 }
@@ -491,7 +491,7 @@
 	}
 }
 
-func day(root *node, without []controlplane.Guard) (*Day, error) {
+func day(root *node, without []controlplane.Guard) (*Scenario, error) {
 	c, err := parseCoordinatorNode(root.one("coordinator"), without)
 	if err != nil {
 		return nil, err
@@ -500,7 +500,7 @@
 	for i, z := range c.Site.Zones {
 		r.zones[z] = balancer.Zone(i)
 	}
-	d := &Day{Coordinator: c, coordinator: root.one("coordinator"), Seconds: root.number("seconds"), Seed: uint64(root.int("seed"))}
+	d := &Scenario{Coordinator: c, coordinator: root.one("coordinator"), Seconds: root.number("seconds"), Seed: uint64(root.int("seed"))}
 	m, q := root.one("servers"), root.one("queries")
 	d.Cores, d.Queue, d.Slowest, d.Fastest = m.int("cores"), m.int("queue"), m.number("slowest"), m.number("fastest")
 	if d.Slowest > d.Fastest {
@@ -509,13 +509,13 @@
 	d.Rate, d.Spread, d.Keys = q.number("rate"), q.number("spread"), q.int("keys")
 	d.Model = ServerModel{Connections: m.int("connections"), ConnWork: m.number("connection-work"), KeyFor: m.number("key-for"),
 		KeyLess: m.number("key-less"), KeyMost: m.int("key-most"), Stops: m.bool("stops")}
-	d.Clients = ClientModel{Popularity: q.number("popularity"), Again: q.int("again"), Wait: q.number("wait"), Patience: q.number("patience")}
+	d.Clients = ClientModel{Popularity: q.number("popularity"), Retries: q.int("again"), RetryWait: q.number("wait"), Patience: q.number("patience")}
 	sum := 0.0
 	for _, k := range q.all("query") {
 		if !slices.Contains(c.Site.ClassNames, k.attrs["class"]) {
 			r.wrong(k, "no class is named %q", k.attrs["class"])
 		}
-		d.Queries = append(d.Queries, Query{k.attrs["class"], k.number("share"), k.number("work")})
+		d.Queries = append(d.Queries, QueryMix{k.attrs["class"], k.number("share"), k.number("work")})
 		sum += k.number("share")
 	}
 	if sum < 0.999 || sum > 1.001 {
@@ -536,9 +536,9 @@
 	"drain": "server", "mass_restart": "pod", "zone_cut": "zone", "balancer_stall": "relay", "balancer_restart": "relay",
 	"balancer_deaf": "relay", "reconnect": "relay"}
 
-func (r *reader) trouble(n *node, d *Day) {
-	t := Trouble{Kind: n.attrs["kind"], At: n.number("at"), For: n.number("for"), Factor: n.number("factor"),
-		Server: -1, Relay: -1, Pod: -1, Zone: -1}
+func (r *reader) trouble(n *node, d *Scenario) {
+	t := Fault{Kind: n.attrs["kind"], At: n.number("at"), For: n.number("for"), Factor: n.number("factor"),
+		Server: -1, Relay: -1, FailureDomain: -1, Zone: -1}
 	field := needs[t.Kind]
 	if field != "" && n.attrs[field] == "" {
 		r.wrong(n, "%s needs a %s", t.Kind, field)
@@ -554,9 +554,9 @@
 	most("server", &t.Server, len(d.Coordinator.Site.Servers))
 	most("relay", &t.Relay, len(d.Coordinator.Site.Relays))
 	if n.attrs["pod"] != "" {
-		t.Pod = n.int("pod")
-		if !slices.ContainsFunc(d.Coordinator.Site.Servers, func(p registry.ServerConfig) bool { return int(p.FailureDomain) == t.Pod }) {
-			r.wrong(n, "no server is of pod %d", t.Pod)
+		t.FailureDomain = n.int("pod")
+		if !slices.ContainsFunc(d.Coordinator.Site.Servers, func(p registry.ServerConfig) bool { return int(p.FailureDomain) == t.FailureDomain }) {
+			r.wrong(n, "no server is of pod %d", t.FailureDomain)
 		}
 	}
 	if n.attrs["zone"] != "" {
@@ -565,7 +565,7 @@
 	if t.At > d.Seconds {
 		r.wrong(n, "it comes after the day's end")
 	}
-	d.Troubles = append(d.Troubles, t)
+	d.Faults = append(d.Faults, t)
 }
 
 // String says how the settings will act.
@@ -588,7 +588,7 @@
 			len(g.Members), how, g.Lease.Duration, g.Lease.ExpiryTimeout(), c.GroupStore)
 	}
 	if g := c.Graphite; g != nil {
-		fmt.Fprintf(&b, "figures to %s each %g s, below %s; room for %d values while it is away\n", g.To, g.Every, g.Prefix, g.Terms.Values)
+		fmt.Fprintf(&b, "figures to %s each %g s, below %s; room for %d values while it is away\n", g.To, g.Interval, g.Prefix, g.Spool.MaxValues)
 	}
 	fmt.Fprintf(&b, "measurements on %s (signed: %t), store %q\n", c.Measurements, c.Key != "", c.Store)
 	for i, q := range s.Classes {
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -118,13 +118,13 @@
 	good := fmt.Sprintf(`<day seconds="10">%s<servers cores="2" queue="4" slowest="1" fastest="1"/>
 <queries rate="5" keys="9"><query class="search" share="1" work="0.1"/></queries>
 <trouble kind="drain" at="2" server="1"/></day>`, "<coordinator"+after)
-	if d, err := ParseDay("d", []byte(good)); err != nil || len(d.Troubles) != 1 || d.Troubles[0].Server != 1 {
+	if d, err := ParseScenario("d", []byte(good)); err != nil || len(d.Faults) != 1 || d.Faults[0].Server != 1 {
 		t.Fatalf("%+v, %v", d, err)
 	}
 	for from, c := range map[string][2]string{`server="1"`: {`server="9"`, "there are 4"}, `at="2"`: {`at="20"`, "after the day's end"},
 		`kind="drain" at="2" server="1"`: {`kind="drain" at="2"`, "drain needs a server"}, `share="1"`: {`share="0.5"`, "add up"},
 		`class="search"`: {`class="x"`, "no class"}, `slowest="1"`: {`slowest="2"`, "faster"}} {
-		if _, err := ParseDay("d", []byte(strings.Replace(good, from, c[0], 1))); err == nil || !strings.Contains(err.Error(), c[1]) {
+		if _, err := ParseScenario("d", []byte(strings.Replace(good, from, c[0], 1))); err == nil || !strings.Contains(err.Error(), c[1]) {
 			t.Errorf("%s: %v, want %q", c[0], err, c[1])
 		}
 	}
--- a/internal/settings/write.go
+++ b/internal/settings/write.go
@@ -13,8 +13,8 @@
 	"snowquay/internal/core/membership"
 )
 
-// Member of a group, for settings that a rehearsal writes.
-type Member struct {
+// GroupMember of a group, for settings that a rehearsal writes.
+type GroupMember struct {
 	Number                   membership.MemberID
 	SASP, HTTP, Measurements netip.AddrPort // HTTP not valid: it is not spoken
 	Metrics                  netip.AddrPort // likewise
@@ -23,7 +23,7 @@
 }
 
 // Settings are those of one coordinator of a group on a day, as a file for serve.
-func (d *Day) Settings(m Member) ([]byte, error) {
+func (d *Scenario) Settings(m GroupMember) ([]byte, error) {
 	root := *d.coordinator
 	root.kids = nil
 	for _, k := range d.coordinator.kids {
@@ -56,7 +56,7 @@
 }
 
 // Write is the day as a file: what was read, with the fleet, the troubles and the figures that the day has now.
-func (d *Day) Write() ([]byte, error) {
+func (d *Scenario) Write() ([]byte, error) {
 	c := *d.coordinator
 	c.kids = nil
 	site := &d.Coordinator.Site
@@ -93,15 +93,15 @@
 			"fastest": num(d.Fastest), "connections": fmt.Sprint(d.Model.Connections), "connection-work": num(d.Model.ConnWork),
 			"key-for": num(d.Model.KeyFor), "key-less": num(d.Model.KeyLess), "key-most": fmt.Sprint(d.Model.KeyMost), "stops": fmt.Sprint(d.Model.Stops)}}}}
 	q := &node{name: "queries", attrs: map[string]string{"rate": num(d.Rate), "keys": fmt.Sprint(d.Keys), "spread": num(d.Spread),
-		"popularity": num(d.Clients.Popularity), "again": fmt.Sprint(d.Clients.Again), "wait": num(d.Clients.Wait), "patience": num(d.Clients.Patience)}}
+		"popularity": num(d.Clients.Popularity), "again": fmt.Sprint(d.Clients.Retries), "wait": num(d.Clients.RetryWait), "patience": num(d.Clients.Patience)}}
 	for _, x := range d.Queries {
 		q.kids = append(q.kids, &node{name: "query", attrs: map[string]string{"class": x.Class, "share": num(x.Share), "work": num(x.Work)}})
 	}
 	root.kids = append(root.kids, q, &node{name: "net", attrs: map[string]string{"split": num(d.Split), "loss": num(d.Loss), "double": num(d.Double),
 		"late": num(d.Late)}})
-	for _, t := range d.Troubles {
+	for _, t := range d.Faults {
 		x := &node{name: "trouble", attrs: map[string]string{"kind": t.Kind, "at": num(t.At), "for": num(t.For), "factor": num(t.Factor)}}
-		for name, v := range map[string]int{"server": t.Server, "relay": t.Relay, "pod": t.Pod} {
+		for name, v := range map[string]int{"server": t.Server, "relay": t.Relay, "pod": t.FailureDomain} {
 			if v >= 0 {
 				x.attrs[name] = fmt.Sprint(v)
 			}
--- a/internal/wire/delta/golden_test.go
+++ b/internal/wire/delta/golden_test.go
@@ -9,8 +9,8 @@
 
 func TestTablesOnTheWire(t *testing.T) {
 	level, comeBack := 0.75, 1.5
-	tables := Tables{Epoch: "00000000000000a1", Version: 12, From: 11, AskWithin: 30, Lead: 4, Classes: []Class{{Class: "search", Full: true,
-		Lines: []Line{{Server: "127.0.1.2:8080", Weight: 1.5, Drains: true}}, Level: &level, Again: "proof", ComeBack: &comeBack}}}
+	tables := Tables{Epoch: "00000000000000a1", Version: 12, Base: 11, PollWithin: 30, OwnershipEpoch: 4, Classes: []Class{{Class: "search", Full: true,
+		Entries: []Entry{{Server: "127.0.1.2:8080", Weight: 1.5, Draining: true}}, Admission: &level, Retry: "proof", RetryAfter: &comeBack}}}
 	golden.JSON(t, "tables.json", tables)
 	for name, media := range map[string]string{"tables.json": JSON, "tables.cbor": CBOR} {
 		b, err := Append(nil, media, &tables)
--- a/internal/wire/graphite/graphite.go
+++ b/internal/wire/graphite/graphite.go
@@ -11,14 +11,14 @@
 	"strconv"
 )
 
-// LongestLine that is read, in bytes.
-const LongestLine = 4096
+// MaxLineBytes that is read, in bytes.
+const MaxLineBytes = 4096
 
-// ErrLine says that a line is none of a figure; the next one can still be read.
-var ErrLine = errors.New("not a line of a figure")
+// ErrInvalidLine says that a line is none of a figure; the next one can still be read.
+var ErrInvalidLine = errors.New("not a line of a figure")
 
-// Part makes a text one part of a path: what would end the part, or the line, becomes "_". An empty text is "_" too.
-func Part(text string) string {
+// PathElement makes a text one part of a path: what would end the part, or the line, becomes "_". An empty text is "_" too.
+func PathElement(text string) string {
 	b := []byte(text)
 	for i, c := range b {
 		switch {
@@ -54,19 +54,19 @@
 
 // Parse a line without its end.
 func Parse(line []byte) (l Line, err error) {
-	if len(line) > LongestLine {
-		return l, fmt.Errorf("%w: %d bytes", ErrLine, len(line))
+	if len(line) > MaxLineBytes {
+		return l, fmt.Errorf("%w: %d bytes", ErrInvalidLine, len(line))
 	}
 	parts := bytes.Fields(line)
 	if len(parts) != 3 {
-		return l, fmt.Errorf("%w: %d words", ErrLine, len(parts))
+		return l, fmt.Errorf("%w: %d words", ErrInvalidLine, len(parts))
 	}
 	l.Path = string(parts[0])
 	if l.Value, err = strconv.ParseFloat(string(parts[1]), 64); err != nil || math.IsNaN(l.Value) || math.IsInf(l.Value, 0) {
-		return l, fmt.Errorf("%w: value %q", ErrLine, parts[1])
+		return l, fmt.Errorf("%w: value %q", ErrInvalidLine, parts[1])
 	}
 	if l.At, err = strconv.ParseInt(string(parts[2]), 10, 64); err != nil {
-		return l, fmt.Errorf("%w: time %q", ErrLine, parts[2])
+		return l, fmt.Errorf("%w: time %q", ErrInvalidLine, parts[2])
 	}
 	return l, nil
 }
--- a/internal/wire/graphite/graphite_test.go
+++ b/internal/wire/graphite/graphite_test.go
@@ -23,12 +23,12 @@
 		}
 	}
 	for text, want := range map[string]string{"10.0.0.1:80": "10_0_0_1_80", "": "_", "a b\n": "a_b_", "[::1]:80": "___1__80", "ü": "__", "ok-1_x": "ok-1_x"} {
-		if got := Part(text); got != want {
+		if got := PathElement(text); got != want {
 			t.Errorf("%q becomes %q, want %q", text, got, want)
 		}
 	}
 	for _, wrong := range []string{"", "a", "a 1", "a 1 2 3", "a x 1", "a NaN 1", "a Inf 1", "a 1 1.5", "a 1 " + strings.Repeat("9", 5000)} {
-		if _, err := Parse([]byte(wrong)); !errors.Is(err, ErrLine) {
+		if _, err := Parse([]byte(wrong)); !errors.Is(err, ErrInvalidLine) {
 			t.Errorf("%q is taken", wrong)
 		}
 	}
--- a/internal/wire/sasp/sasp.go
+++ b/internal/wire/sasp/sasp.go
@@ -18,13 +18,13 @@
 
 // Sizes and limits of messages.
 const (
-	HeaderSize    = 13      // bytes of the header component
-	MostMessage   = 1 << 20 // bytes of a message that is taken at most; 30,000 rows fit
-	MostText      = 255     // bytes of a UID, a group name or a label: their length is one byte
-	MostMembers   = 65535   // of one group in one message: their count is two bytes
-	version       = 1
-	memberSize    = 24 // of member data, without its label
-	groupDataSize = 6  // of group data, without UID and name
+	HeaderSize      = 13      // bytes of the header component
+	MaxMessageBytes = 1 << 20 // bytes of a message that is taken at most; 30,000 rows fit
+	MaxTextBytes    = 255     // bytes of a UID, a group name or a label: their length is one byte
+	MaxMembers      = 65535   // of one group in one message: their count is two bytes
+	version         = 1
+	memberSize      = 24 // of member data, without its label
+	groupDataSize   = 6  // of group data, without UID and name
 )
 
 // Kind is the type of a message component.
@@ -397,22 +397,22 @@
 }
 
 func appendText(b, text []byte) []byte {
-	if len(text) > MostText {
+	if len(text) > MaxTextBytes {
 		panic(fmt.Sprintf("sasp: a text of %d bytes", len(text)))
 	}
 	return append(append(b, byte(len(text))), text...)
 }
 
 func appendCount(b []byte, n int) []byte {
-	if n > MostMembers {
+	if n > MaxMembers {
 		panic(fmt.Sprintf("sasp: a count of %d", n))
 	}
 	return append(b, byte(n>>8), byte(n))
 }
 
-// Speaker is the UID that the first message of a connection names: the balancer's own, or that of the first group it is about. need
+// ParseIdentity is the UID that the first message of a connection names: the balancer's own, or that of the first group it is about. need
 // says that more bytes are needed; an error, that the message names nobody or is none.
-func Speaker(b []byte, most int) (uid string, need bool, err error) {
+func ParseIdentity(b []byte, most int) (uid string, need bool, err error) {
 	n, err := Frame(b, most)
 	if err != nil || n == 0 {
 		return "", n == 0, err
--- a/internal/wire/sasp/sasp_test.go
+++ b/internal/wire/sasp/sasp_test.go
@@ -69,11 +69,11 @@
 		m.ID = 77
 		b := Append([]byte("before"), m)[6:]
 		for i := range b { // a byte at a time
-			if n, err := Frame(b[:i], MostMessage); n != 0 || err != nil {
+			if n, err := Frame(b[:i], MaxMessageBytes); n != 0 || err != nil {
 				t.Fatalf("kind %#x: %d of %d bytes framed: %d, %v", m.Kind, i, len(b), n, err)
 			}
 		}
-		n, err := Frame(append(b, b...), MostMessage)
+		n, err := Frame(append(b, b...), MaxMessageBytes)
 		if n != len(b) || err != nil {
 			t.Fatalf("framed %d of %d: %v", n, len(b), err)
 		}
@@ -110,7 +110,7 @@
 		"wrong component": {change(19, 0x30), ErrBody, "0x3011 where 0x4011"},
 		"long name":       {change(29, 255), ErrBody, "missing"},
 	} {
-		n, err := Frame(c.b, MostMessage)
+		n, err := Frame(c.b, MaxMessageBytes)
 		if err == nil && n > 0 {
 			err = Decode(c.b[:n], &Message{})
 		}
@@ -140,7 +140,7 @@
 	f.Add(Append(nil, &Message{Kind: SetBalancer, UID: []byte("x"), Flags: Push}))
 	f.Add(Append(nil, &Message{Kind: GetWeightsReply, Code: UnknownGroup}))
 	f.Fuzz(func(t *testing.T, b []byte) {
-		n, err := Frame(b, MostMessage)
+		n, err := Frame(b, MaxMessageBytes)
 		var m Message
 		if err != nil || n == 0 || Decode(b[:n], &m) != nil {
 			return
