--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -391,7 +391,7 @@
 }
 
 func (t *takeovers) Run(e *env) (err error) {
-	day, err := settings.ParseScenario("bad-day.xml", scenario.BadDay)
+	day, err := settings.ParseScenario("bad-day.xml", scenario.DefaultScenario)
 	if err != nil {
 		return err
 	}
@@ -401,7 +401,7 @@
 		}
 		scenario.Enlarge(day, cmp.Or(t.Servers, len(day.Coordinator.Site.Servers)), cmp.Or(t.Relays, len(day.Coordinator.Site.Relays)))
 	}
-	scenario.Takeovers(day, t.Kills, t.Every, t.Seed, t.Calm)
+	scenario.AddTakeovers(day, t.Kills, t.Every, t.Seed, t.Calm)
 	if t.Spare {
 		day.Faults = slices.DeleteFunc(day.Faults, func(x settings.Fault) bool { return strings.HasPrefix(x.Kind, "coordinator_") })
 	}
@@ -470,7 +470,7 @@
 		}
 		without = append(without, controlplane.Guard(name))
 	}
-	day, err := settings.ParseScenario("bad-day.xml", scenario.BadDay, without...)
+	day, err := settings.ParseScenario("bad-day.xml", scenario.DefaultScenario, without...)
 	if r.Day != "" {
 		day, err = settings.LoadScenario(r.Day, without...)
 	}
--- a/internal/cli/host.go
+++ b/internal/cli/host.go
@@ -262,7 +262,7 @@
 	if !h.Virtual {
 		console.Printf(e.out, "playing %g s over loopback sockets ...\n", h.Seconds)
 	}
-	r, err := scenario.RunHosted(scenario.HostedDay{Tenants: h.Tenants, Servers: h.Servers, Relays: h.Relays, Seconds: h.Seconds, Seed: h.Seed,
+	r, err := scenario.RunHosted(scenario.HostedScenario{Tenants: h.Tenants, Servers: h.Servers, Relays: h.Relays, Seconds: h.Seconds, Seed: h.Seed,
 		Sockets: !h.Virtual, Hosts: h.Hosts, Kills: h.Kills, Only: -1, Rate: h.Rate, Flood: h.Flood, FloodRate: 2000, Restart: h.Restart, Down: 1, Remove: h.Remove, Drains: h.Drains, Log: e.log})
 	if err != nil {
 		return err
--- a/internal/cli/lab.go
+++ b/internal/cli/lab.go
@@ -69,13 +69,13 @@
 		if i >= l.Most {
 			continue
 		}
-		console.Printf(e.out, "%s.%s.%s.%d  service %.3f, worst 10 s %.3f", r.Fleet, r.Case, r.Arm, r.Seed, r.Service, r.Worst)
+		console.Printf(e.out, "%s.%s.%s.%d  service %.3f, worst 10 s %.3f", r.Fleet, r.Case, r.Arm, r.Seed, r.Service, r.WorstTenSeconds)
 		for _, v := range r.Rules {
 			if !v.Kept {
 				console.Printf(e.out, "; rule %d BROKEN: %s", v.Rule, v.Reasons[0])
 			}
 		}
-		console.Printf(e.out, "  [%s]\n", strings.Join(r.Troubles, " "))
+		console.Printf(e.out, "  [%s]\n", strings.Join(r.Faults, " "))
 	}
 	console.Println(e.out, "pairs of troubles, the worst first:")
 	for i, p := range experiment.Pairs(records) {
@@ -154,7 +154,7 @@
 	}
 	bad := experiment.Breaks(l.Rule, c.Options())
 	if l.Under > 0 {
-		bad = experiment.Under(l.Under, c.Options())
+		bad = experiment.ServiceBelow(l.Under, c.Options())
 	}
 	if !bad(d) {
 		return fmt.Errorf("the day %s is not bad in that way", l.Cell)
--- a/internal/coordinator/graphite_test.go
+++ b/internal/coordinator/graphite_test.go
@@ -33,7 +33,7 @@
 	text := strings.Replace(scenario.HostSettings, "<caller", `<graphite address="127.0.9.9:2003" prefix="sq.test"/><caller`, 1)
 	config := parseHostSettings(t, text)
 	configure(config.Graphite)
-	f := &graphiteFixture{hostFixture: startHostFixture(t, config, &store.MemoryTenantStore{}), sink: emulator.NewReceiver()}
+	f := &graphiteFixture{hostFixture: startHostFixture(t, config, &store.MemoryTenantStore{}), sink: emulator.NewGraphiteSink()}
 	for number, text := range tenantSettings(2) {
 		f.create(tenantName(number), text, 0)
 	}
@@ -81,9 +81,9 @@
 			if span.first > test.firstUntil || span.last < test.lastFrom || span.maxGap > test.maxGap || len(values) < test.minValues {
 				t.Errorf("%d values: %+v", len(values), span)
 			}
-			t.Logf("%d values, %+v; %d lines, %d of them again", len(values), span, f.sink.Lines, f.sink.Again)
-			if joined := values[span.last]; joined != 1 || f.sink.Garbled > 0 || len(proxy.rows) == 0 {
-				t.Errorf("%v joined, %d lines garbled, %d rows", joined, f.sink.Garbled, len(proxy.rows))
+			t.Logf("%d values, %+v; %d lines, %d of them again", len(values), span, f.sink.Lines, f.sink.Duplicates)
+			if joined := values[span.last]; joined != 1 || f.sink.Malformed > 0 || len(proxy.rows) == 0 {
+				t.Errorf("%v joined, %d lines garbled, %d rows", joined, f.sink.Malformed, len(proxy.rows))
 			}
 			// A total that grew during the hour arrives with the growth.
 			turns := f.sink.Values["sq.test.host.turns"]
--- a/internal/coordinator/host_bench_test.go
+++ b/internal/coordinator/host_bench_test.go
@@ -22,7 +22,7 @@
 func BenchmarkIdleTenant(b *testing.B) {
 	for _, tenants := range []int{10, 1000} {
 		b.Run(fmt.Sprint(tenants), func(b *testing.B) {
-			day := scenario.UsualHostedDay()
+			day := scenario.DefaultHostedScenario()
 			for b.Loop() {
 				before := heapBytes()
 				f := newHostFixture(b, &store.MemoryTenantStore{})
@@ -43,7 +43,7 @@
 // The cost of reading a tenant's settings, which a restarted host does for all its tenants.
 func BenchmarkParseTenant(b *testing.B) {
 	f := newHostFixture(b, &store.MemoryTenantStore{})
-	day := scenario.UsualHostedDay()
+	day := scenario.DefaultHostedScenario()
 	tenant := tenancy.Tenant{Name: "t000", Settings: day.TenantSettings(0)}
 	for b.Loop() {
 		if _, err := f.config.ParseTenant(tenant); err != nil {
--- a/internal/coordinator/host_fixture_test.go
+++ b/internal/coordinator/host_fixture_test.go
@@ -112,7 +112,7 @@
 
 // tenantSettings returns the settings of as many tenants, all of whose servers are in the default table.
 func tenantSettings(count int) [][]byte {
-	day := scenario.UsualHostedDay()
+	day := scenario.DefaultHostedScenario()
 	var all [][]byte
 	for number := range count {
 		text := strings.ReplaceAll(string(day.TenantSettings(number)), `pod="`, `standing="true" pod="`)
--- a/internal/emulator/crowd.go
+++ b/internal/emulator/crowd.go
@@ -12,8 +12,8 @@
 	"snowquay/internal/wire/http1"
 )
 
-// CrowdSetup is what a proxy's clients are like.
-type CrowdSetup struct {
+// ClientConfig is what a proxy's clients are like.
+type ClientConfig struct {
 	To      netip.AddrPort // the proxy
 	Classes []Class
 	Rate    float64 // queries a second
@@ -26,9 +26,9 @@
 	neverRan     = "HTTP/1.1 503 Service Unavailable\r\nSnowquay-Ran: no\r\nContent-Length: 0\r\n\r\n"
 )
 
-// Crowd are the clients of a real proxy: they ask over HTTP, wait as long as their class's client timeout, and leave.
-type Crowd struct {
-	CrowdSetup
+// ClientGenerator are the clients of a real proxy: they ask over HTTP, wait as long as their class's client timeout, and leave.
+type ClientGenerator struct {
+	ClientConfig
 	Load   float64 // times the usual rate
 	ref    *InvariantChecker
 	io     env.IO
@@ -49,24 +49,24 @@
 	timer int
 }
 
-// NewCrowd makes clients that tell a referee what they met.
-func NewCrowd(s CrowdSetup, ref *InvariantChecker) *Crowd {
-	return &Crowd{CrowdSetup: s, Load: 1, ref: ref, chance: newChance(s.Seed), nextID: s.Seed << 32, calls: map[env.Conn]*call{},
+// NewClientGenerator makes clients that tell a referee what they met.
+func NewClientGenerator(s ClientConfig, ref *InvariantChecker) *ClientGenerator {
+	return &ClientGenerator{ClientConfig: s, Load: 1, ref: ref, chance: newChance(s.Seed), nextID: s.Seed << 32, calls: map[env.Conn]*call{},
 		timers: map[int]env.Conn{}, next: crowdTimeout}
 }
 
 // Start of env.Program.
-func (c *Crowd) Start(now float64, io env.IO) {
+func (c *ClientGenerator) Start(now float64, io env.IO) {
 	c.io = io
 	c.arrive(now)
 }
 
-func (c *Crowd) arrive(now float64) {
+func (c *ClientGenerator) arrive(now float64) {
 	c.io.SetTimer(now-math.Log(1-c.chance.float())/max(c.Rate*c.Load, 1e-3), crowdArrival)
 }
 
 // TimerFired of env.Program.
-func (c *Crowd) TimerFired(now float64, what int) {
+func (c *ClientGenerator) TimerFired(now float64, what int) {
 	if what == crowdArrival {
 		c.arrive(now)
 		c.ask(now)
@@ -79,7 +79,7 @@
 	}
 }
 
-func (c *Crowd) ask(now float64) {
+func (c *ClientGenerator) ask(now float64) {
 	v, k := c.chance.float(), 0
 	for k < len(c.Classes)-1 && v >= c.Classes[k].Share {
 		v -= c.Classes[k].Share
@@ -104,7 +104,7 @@
 }
 
 // Connected of env.Program.
-func (c *Crowd) Connected(_ float64, conn env.Conn, ok bool) {
+func (c *ClientGenerator) Connected(_ float64, conn env.Conn, ok bool) {
 	if x := c.calls[conn]; x != nil && ok {
 		c.io.Send(conn, x.text)
 	} else if x != nil {
@@ -112,13 +112,13 @@
 	}
 }
 
-func (c *Crowd) forget(conn env.Conn, x *call) {
+func (c *ClientGenerator) forget(conn env.Conn, x *call) {
 	delete(c.calls, conn)
 	delete(c.timers, x.timer)
 }
 
 // Receive of env.Program.
-func (c *Crowd) Receive(now float64, conn env.Conn, b []byte) {
+func (c *ClientGenerator) Receive(now float64, conn env.Conn, b []byte) {
 	x := c.calls[conn]
 	if x == nil {
 		return
@@ -146,7 +146,7 @@
 }
 
 // Closed of env.Program.
-func (c *Crowd) Closed(_ float64, conn env.Conn) {
+func (c *ClientGenerator) Closed(_ float64, conn env.Conn) {
 	if x := c.calls[conn]; x != nil {
 		c.forget(conn, x)
 		return
@@ -160,13 +160,13 @@
 }
 
 // Opened of env.Program.
-func (c *Crowd) Opened(float64, env.Conn, netip.Addr, uint16) {}
+func (c *ClientGenerator) Opened(float64, env.Conn, netip.Addr, uint16) {}
 
 // Delivered of env.Program.
-func (c *Crowd) Delivered(float64, env.Conn, uint64) {}
+func (c *ClientGenerator) Delivered(float64, env.Conn, uint64) {}
 
 // Datagram of env.Program.
-func (c *Crowd) Datagram(float64, []byte) {}
+func (c *ClientGenerator) Datagram(float64, []byte) {}
 
 // http takes a query that a real proxy has passed on.
 func (s *Server) http(now float64, c env.Conn, b []byte) {
@@ -217,34 +217,34 @@
 }
 
 // AttemptSent of proxy.Observer.
-func (x *Seen) AttemptSent(now float64, s balancer.Server) {
+func (x *ProxyObserver) AttemptSent(now float64, s balancer.Server) {
 	if a, err := netip.ParseAddrPort(string(s)); err == nil {
-		x.Ref.try(now, x.UID, a)
+		x.Checker.try(now, x.UID, a)
 	}
 }
 
 // At tells the referee where a proxy sends from.
-func (x *Seen) At(host netip.Addr) { x.Ref.relayAt(x.UID, host) }
+func (x *ProxyObserver) At(host netip.Addr) { x.Checker.relayAt(x.UID, host) }
 
-// Seen is what a real proxy tells the referee of itself.
-type Seen struct {
-	Ref     *InvariantChecker
+// ProxyObserver is what a real proxy tells the referee of itself.
+type ProxyObserver struct {
+	Checker *InvariantChecker
 	UID     string
 	Classes []int // of the referee, by the proxy's class
 }
 
 // Joined of proxy.Watch.
-func (x *Seen) Joined(now float64) { x.Ref.joined(now, x.UID) }
+func (x *ProxyObserver) Joined(now float64) { x.Checker.joined(now, x.UID) }
 
 // Left of proxy.Watch.
-func (x *Seen) Left(now float64) { x.Ref.left(now, x.UID) }
+func (x *ProxyObserver) Left(now float64) { x.Checker.left(now, x.UID) }
 
 // TableChanged of proxy.Observer.
-func (x *Seen) TableChanged(now float64, lines int, has []bool) {
+func (x *ProxyObserver) TableChanged(now float64, lines int, has []bool) {
 	if lines >= 0 {
-		x.Ref.message(now, x.UID, lines)
+		x.Checker.message(now, x.UID, lines)
 	}
 	for c, ok := range has {
-		x.Ref.lines(now, x.UID, x.Classes[c], ok)
+		x.Checker.lines(now, x.UID, x.Classes[c], ok)
 	}
 }
--- a/internal/emulator/flood.go
+++ b/internal/emulator/flood.go
@@ -11,9 +11,9 @@
 	"snowquay/internal/wire/sasp"
 )
 
-// Flood is a tenant's host that has gone wrong, or means ill: it opens connections again and again, registers and asks for weights
+// FloodGenerator is a tenant's host that has gone wrong, or means ill: it opens connections again and again, registers and asks for weights
 // as fast as it can, sends measurements that are garbled, doubled, or of others, and names other tenants' relays, groups and users.
-type Flood struct {
+type FloodGenerator struct {
 	To, HTTP, Collect netip.AddrPort
 	UID, Others       string // its own relay, and another tenant's
 	User, Key         string
@@ -32,7 +32,7 @@
 const floodConns = 40 // connections at once
 
 // Start of env.Program.
-func (f *Flood) Start(now float64, io env.IO) {
+func (f *FloodGenerator) Start(now float64, io env.IO) {
 	f.io, f.chance, f.web, f.speak = io, newChance(f.Seed), map[env.Conn]bool{}, map[env.Conn]*speaker{}
 	io.SetTimer(now, 0)
 }
@@ -40,14 +40,14 @@
 const floodEvery = 0.01 // seconds between two bursts
 
 // TimerFired of env.Program.
-func (f *Flood) TimerFired(now float64, _ int) {
+func (f *FloodGenerator) TimerFired(now float64, _ int) {
 	for range int(f.Rate * floodEvery) {
 		f.act(now)
 	}
 	f.io.SetTimer(now+floodEvery, 0)
 }
 
-func (f *Flood) act(now float64) {
+func (f *FloodGenerator) act(now float64) {
 	switch v := f.chance.float(); {
 	case v < 0.15 && len(f.conns) < floodConns:
 		c := f.io.Dial(f.To)
@@ -77,7 +77,7 @@
 	}
 }
 
-func (f *Flood) say(c env.Conn) {
+func (f *FloodGenerator) say(c env.Conn) {
 	uid := f.UID
 	if f.chance.float() < 0.3 {
 		uid = f.Others
@@ -100,10 +100,10 @@
 }
 
 // Opened of env.Program.
-func (f *Flood) Opened(float64, env.Conn, netip.Addr, uint16) {}
+func (f *FloodGenerator) Opened(float64, env.Conn, netip.Addr, uint16) {}
 
 // Connected of env.Program.
-func (f *Flood) Connected(now float64, c env.Conn, ok bool) {
+func (f *FloodGenerator) Connected(now float64, c env.Conn, ok bool) {
 	if !ok {
 		f.Closed(now, c)
 		return
@@ -112,10 +112,10 @@
 }
 
 // Receive of env.Program.
-func (f *Flood) Receive(float64, env.Conn, []byte) {}
+func (f *FloodGenerator) Receive(float64, env.Conn, []byte) {}
 
 // Closed of env.Program.
-func (f *Flood) Closed(_ float64, c env.Conn) {
+func (f *FloodGenerator) Closed(_ float64, c env.Conn) {
 	for i, o := range f.conns {
 		if o == c {
 			f.conns = append(f.conns[:i], f.conns[i+1:]...)
@@ -127,7 +127,7 @@
 }
 
 // Delivered of env.Program.
-func (f *Flood) Delivered(float64, env.Conn, uint64) {}
+func (f *FloodGenerator) Delivered(float64, env.Conn, uint64) {}
 
 // Datagram of env.Program.
-func (f *Flood) Datagram(float64, []byte) {}
+func (f *FloodGenerator) Datagram(float64, []byte) {}
--- a/internal/emulator/queue_test.go
+++ b/internal/emulator/queue_test.go
@@ -85,10 +85,10 @@
 		}, func(l float64) float64 { return mean + l*mean*(13.0/12)/(2*(1-l)) }},
 	} {
 		classes := []Class{{Name: "q", Query: balancer.RequestClass{LatencyObjective: 1, ClientTimeout: 5}, Work: mean}}
-		ref := NewReferee(Rules{}, classes)
+		ref := NewInvariantChecker(Rules{}, classes)
 		net := simnet.New(7, 1000)
 		addr := netip.MustParseAddrPort("127.0.9.1:80")
-		s := NewServer(ServerSetup{Addr: addr, Pod: NewPod(), Cores: q.cores, Speed: 1, Queue: 1 << 30, ColdShare: 1, Warm: true, Classes: classes, Seed: 3}, ref)
+		s := NewServer(ServerConfig{Addr: addr, FailureDomain: NewFailureDomain(), Cores: q.cores, Speed: 1, Queue: 1 << 30, WarmupFraction: 1, Warm: true, Classes: classes, Seed: 3}, ref)
 		net.Add(addr.Addr(), 0, false).Start(s)
 		p := &probe{to: addr, rate: q.load * float64(q.cores) / mean, work: q.work, chance: newChance(11), from: 1100}
 		net.Add(netip.MustParseAddr("127.0.9.2"), 0, false).Start(p)
@@ -105,11 +105,11 @@
 // What servers are like besides: connections that are refused, their price, keys that are remembered, work that stops.
 func TestServersModel(t *testing.T) {
 	classes := []Class{{Name: "q", Query: balancer.RequestClass{LatencyObjective: 1, ClientTimeout: 5}}}
-	mean := func(change func(*ServerSetup), load float64) float64 {
-		ref := NewReferee(Rules{}, classes)
+	mean := func(change func(*ServerConfig), load float64) float64 {
+		ref := NewInvariantChecker(Rules{}, classes)
 		net := simnet.New(7, 1000)
 		addr := netip.MustParseAddrPort("127.0.9.1:80")
-		setup := ServerSetup{Addr: addr, Pod: NewPod(), Cores: 1, Speed: 1, Queue: 1 << 30, ColdShare: 1, Warm: true, Classes: classes, Seed: 3}
+		setup := ServerConfig{Addr: addr, FailureDomain: NewFailureDomain(), Cores: 1, Speed: 1, Queue: 1 << 30, WarmupFraction: 1, Warm: true, Classes: classes, Seed: 3}
 		change(&setup)
 		net.Add(addr.Addr(), 0, false).Start(NewServer(setup, ref))
 		p := &probe{to: addr, rate: load / 0.1, work: func(chance) float64 { return 0.1 }, chance: newChance(11), from: 1001}
@@ -117,18 +117,18 @@
 		net.Run(1400)
 		return p.sum / float64(p.count)
 	}
-	plain := mean(func(*ServerSetup) {}, 0.3)
-	if known := mean(func(s *ServerSetup) { s.KeyFor, s.KeyLess, s.KeyMost = 100, 0.5, 10 }, 0.3); known > 0.62*plain {
+	plain := mean(func(*ServerConfig) {}, 0.3)
+	if known := mean(func(s *ServerConfig) { s.KeyFor, s.KeyLess, s.KeyMost = 100, 0.5, 10 }, 0.3); known > 0.62*plain {
 		t.Errorf("a remembered key's query takes %.3f s, %.3f without", known, plain)
 	}
-	if shut := mean(func(s *ServerSetup) { s.Connections = 1; s.ConnWork = 0.05 }, 0.3); math.Abs(shut-plain) > 0.01*plain {
+	if shut := mean(func(s *ServerConfig) { s.Connections = 1; s.ConnWork = 0.05 }, 0.3); math.Abs(shut-plain) > 0.01*plain {
 		t.Errorf("one connection that stays costs %.3f s a query, %.3f without", shut, plain)
 	}
 	// Five dial a server that takes three.
-	ref := NewReferee(Rules{}, classes)
+	ref := NewInvariantChecker(Rules{}, classes)
 	net := simnet.New(7, 1000)
 	addr := netip.MustParseAddrPort("127.0.9.1:80")
-	s := NewServer(ServerSetup{Addr: addr, Pod: NewPod(), Cores: 1, Speed: 1, Queue: 9, ColdShare: 1, Warm: true, Classes: classes, Seed: 3, Connections: 3}, ref)
+	s := NewServer(ServerConfig{Addr: addr, FailureDomain: NewFailureDomain(), Cores: 1, Speed: 1, Queue: 9, WarmupFraction: 1, Warm: true, Classes: classes, Seed: 3, Connections: 3}, ref)
 	net.Add(addr.Addr(), 0, false).Start(s)
 	answered := 0
 	var probes []*probe
@@ -149,7 +149,7 @@
 	// Work that is given up: it stops, or goes on for nobody.
 	for _, stops := range []bool{true, false} {
 		net := simnet.New(7, 1000)
-		s := NewServer(ServerSetup{Addr: addr, Pod: NewPod(), Cores: 1, Speed: 1, Queue: 9, ColdShare: 1, Warm: true, Classes: classes, Seed: 3, Stops: stops}, NewReferee(Rules{}, classes))
+		s := NewServer(ServerConfig{Addr: addr, FailureDomain: NewFailureDomain(), Cores: 1, Speed: 1, Queue: 9, WarmupFraction: 1, Warm: true, Classes: classes, Seed: 3, Stops: stops}, NewInvariantChecker(Rules{}, classes))
 		net.Add(addr.Addr(), 0, false).Start(s)
 		p := &probe{to: addr, rate: 1e-9, work: func(chance) float64 { return 1 }, chance: newChance(1)}
 		net.Add(netip.MustParseAddr("127.0.9.2"), 0, false).Start(p)
--- a/internal/emulator/receiver.go
+++ b/internal/emulator/receiver.go
@@ -11,15 +11,15 @@
 // GraphiteSink takes figures in Graphite's plaintext form and keeps one value for each path and time, as Graphite does. What it has read
 // outlives its process; what its host has taken and it has not read does not.
 type GraphiteSink struct {
-	Values  map[string]map[int64]float64
-	Lines   int // that came, again ones among them
-	Again   int // with a path and a time that were there already
-	Garbled int
-	parts   map[env.Conn][]byte
+	Values     map[string]map[int64]float64
+	Lines      int // that came, again ones among them
+	Duplicates int // with a path and a time that were there already
+	Malformed  int
+	parts      map[env.Conn][]byte
 }
 
-// NewReceiver makes a receiver.
-func NewReceiver() *GraphiteSink { return &GraphiteSink{Values: map[string]map[int64]float64{}} }
+// NewGraphiteSink makes a receiver.
+func NewGraphiteSink() *GraphiteSink { return &GraphiteSink{Values: map[string]map[int64]float64{}} }
 
 // Start of env.Program.
 func (r *GraphiteSink) Start(float64, env.IO) { r.parts = map[env.Conn][]byte{} }
@@ -35,7 +35,7 @@
 		b = rest
 		l, err := graphite.Parse(line)
 		if err != nil {
-			r.Garbled++
+			r.Malformed++
 			continue
 		}
 		r.Lines++
@@ -43,7 +43,7 @@
 			r.Values[l.Path] = map[int64]float64{}
 		}
 		if _, ok := r.Values[l.Path][l.At]; ok {
-			r.Again++
+			r.Duplicates++
 		}
 		r.Values[l.Path][l.At] = l.Value
 	}
--- a/internal/emulator/referee.go
+++ b/internal/emulator/referee.go
@@ -22,10 +22,10 @@
 
 // Rules are the figures by which the referee judges.
 type Rules struct {
-	Promise balancer.Guarantees
-	Channel balancer.Channel
-	Hold    float64 // seconds after which a coordinator holds a server for gone that it does not hear of
-	Slack   float64 // seconds for what stand-ins see late
+	Guarantees balancer.Guarantees
+	Channel    balancer.Channel
+	Hold       float64 // seconds after which a coordinator holds a server for gone that it does not hear of
+	Slack      float64 // seconds for what stand-ins see late
 }
 
 // Verdict on one rule.
@@ -92,8 +92,8 @@
 
 const mostReasons = 5 // of one rule that are kept as examples
 
-// NewReferee makes a referee.
-func NewReferee(rules Rules, classes []Class) *InvariantChecker {
+// NewInvariantChecker makes a referee.
+func NewInvariantChecker(rules Rules, classes []Class) *InvariantChecker {
 	f := &InvariantChecker{rules: rules, classes: classes, servers: map[netip.AddrPort]*seenServer{},
 		relays: map[string]*seenRelay{}, ran: map[uint64][]netip.AddrPort{},
 		Asked: make([]float64, len(classes)), Answered: make([]float64, len(classes)), InTime: make([]float64, len(classes))}
@@ -262,7 +262,7 @@
 func (f *InvariantChecker) bare(now float64) {
 	warm := false
 	for _, s := range f.servers {
-		warm = warm || s.up && s.listed && !s.draining && now-s.started >= f.rules.Promise.WarmupDuration
+		warm = warm || s.up && s.listed && !s.draining && now-s.started >= f.rules.Guarantees.WarmupDuration
 	}
 	for uid, r := range f.relays {
 		for k, has := range r.has {
@@ -274,7 +274,7 @@
 				r.bareFrom[k] = now
 			}
 			f.longestBare = max(f.longestBare, now-r.bareFrom[k])
-			if now-r.bareFrom[k] > f.rules.Promise.EmptyTableDeadline+f.rules.Slack {
+			if now-r.bareFrom[k] > f.rules.Guarantees.EmptyTableDeadline+f.rules.Slack {
 				f.broken(1, now, "%s has had no line for %s for %.2f s", uid, f.classes[k].Name, now-r.bareFrom[k])
 			}
 		}
@@ -315,7 +315,7 @@
 	}
 	after := now - max(s.told, r.joinedAt)
 	f.latestDrain = max(f.latestDrain, after)
-	if after > f.rules.Promise.DrainDeadline+f.rules.Slack {
+	if after > f.rules.Guarantees.DrainDeadline+f.rules.Slack {
 		f.broken(3, now, "%s sent to %s, %.2f s after it was told to drain", uid, a, after)
 	}
 }
@@ -385,7 +385,7 @@
 	for _, r := range f.relays {
 		if r.host == from && r.joinedAt > 0 && s.listed {
 			n := len(r.messages)
-			return now-s.listedAt > f.rules.Promise.DrainDeadline ||
+			return now-s.listedAt > f.rules.Guarantees.DrainDeadline ||
 				n > 0 && r.messages[n-1] > s.listedAt+f.rules.Slack+roundSlack
 		}
 	}
@@ -484,7 +484,7 @@
 func (f *InvariantChecker) Verdicts() []Verdict {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	p, c := f.rules.Promise, f.rules.Channel
+	p, c := f.rules.Guarantees, f.rules.Channel
 	all := []Verdict{
 		{1, "no relay without a line", false, fmt.Sprintf("longest %.2f s of %.2f s", f.longestBare, p.EmptyTableDeadline), nil},
 		{2, "no effect twice", false, fmt.Sprintf("%d doubled of %d", f.doubled, len(f.ran)), nil},
--- a/internal/emulator/relay.go
+++ b/internal/emulator/relay.go
@@ -13,31 +13,31 @@
 	"snowquay/internal/wire/sasp"
 )
 
-// RelaySetup is what a relay is like.
-type RelaySetup struct {
-	UID         string
-	Host        netip.Addr // that it dials from
-	Coordinator netip.AddrPort
-	Others      []netip.AddrPort // further coordinators, tried in turn
-	Asks        bool             // it speaks the long-poll API there, not SASP
-	Collect     netip.AddrPort
-	User, Key   string
-	Standing    []netip.AddrPort // the table that it starts with
-	Flags       uint8            // Push, Trust, NoChange
-	Classes     []Class
-	Rate        float64 // queries a second
-	Report      float64 // seconds between two reports
-	EjectAfter  int     // failures in a row, after which it avoids a server
-	EjectFor    float64
-	Keys        int
-	Seed        uint64
-
-	Popular  []float64 // how the queries spread over keys, as Popularity says; none: evenly
-	Again    int       // times that a client asks anew when it was not answered
-	Wait     float64   // seconds that it waits before
-	Patience float64   // part of its client timeout after which a client leaves; 0: all of it
-	Policy   Policy
-	Every    []netip.AddrPort // servers, for policies that need no coordinator
+// RelayConfig is what a relay is like.
+type RelayConfig struct {
+	UID          string
+	Host         netip.Addr // that it dials from
+	Coordinator  netip.AddrPort
+	Others       []netip.AddrPort // further coordinators, tried in turn
+	Polls        bool             // it speaks the long-poll API there, not SASP
+	Collector    netip.AddrPort
+	User, Key    string
+	DefaultTable []netip.AddrPort // the table that it starts with
+	Flags        uint8            // Push, Trust, NoChange
+	Classes      []Class
+	Rate         float64 // queries a second
+	Report       float64 // seconds between two reports
+	EjectAfter   int     // failures in a row, after which it avoids a server
+	EjectFor     float64
+	Keys         int
+	Seed         uint64
+
+	Popular    []float64 // how the queries spread over keys, as Popularity says; none: evenly
+	Retries    int       // times that a client asks anew when it was not answered
+	RetryWait  float64   // seconds that it waits before
+	Patience   float64   // part of its client timeout after which a client leaves; 0: all of it
+	Policy     Policy
+	AllServers []netip.AddrPort // servers, for policies that need no coordinator
 }
 
 // Policy by which a relay picks.
@@ -45,9 +45,9 @@
 
 // The policies that a relay knows.
 const (
-	ByTable Policy = ""      // as its coordinator orders
-	Robin   Policy = "robin" // all servers in turn, whatever is ordered
-	OfTwo   Policy = "two"   // of two servers drawn from its table the one with fewer of its own queries under way
+	ByTable           Policy = ""      // as its coordinator orders
+	RoundRobin        Policy = "robin" // all servers in turn, whatever is ordered
+	PowerOfTwoChoices Policy = "two"   // of two servers drawn from its table the one with fewer of its own queries under way
 )
 
 const (
@@ -105,7 +105,7 @@
 
 // Relay is a proxy with its clients.
 type Relay struct {
-	RelaySetup
+	RelayConfig
 	Load float64 // times the usual rate
 	Lies float64 // part of its tries that it reports as lost, whatever became of them
 
@@ -151,17 +151,17 @@
 }
 
 // NewRelay makes a relay that tells a referee what it does.
-func NewRelay(s RelaySetup, ref *InvariantChecker) *Relay {
-	r := &Relay{RelaySetup: s, Load: 1, ref: ref, targets: map[netip.AddrPort]*target{},
+func NewRelay(s RelayConfig, ref *InvariantChecker) *Relay {
+	r := &Relay{RelayConfig: s, Load: 1, ref: ref, targets: map[netip.AddrPort]*target{},
 		byConn: map[env.Conn]netip.AddrPort{}, parts: map[env.Conn][]byte{}, tries: map[int]*try{},
 		byID: map[uint64]*try{}, again0: map[int]*query{}, nextTry: relayTries, demand: make([]loadreport.Totals, len(s.Classes)),
 		chance: newChance(s.Seed), nextID: s.Seed << 32}
 	for _, c := range s.Classes {
 		r.levels, r.again = append(r.levels, 1), append(r.again, c.Repeats)
 		t := &table{}
-		start := s.Standing
-		if s.Policy == Robin {
-			start = s.Every
+		start := s.DefaultTable
+		if s.Policy == RoundRobin {
+			start = s.AllServers
 		}
 		for _, a := range start {
 			t.lines = append(t.lines, &line{server: a, weight: 1})
@@ -208,7 +208,7 @@
 			r.io.SetTimer(now+r.pause(), relayDial)
 			return
 		}
-		if r.Asks {
+		if r.Polls {
 			r.asks.buf, r.deaf = nil, false
 			if r.ask(now); len(r.Others) == 0 { // one that is paused has not heard of it
 				r.join(now)
@@ -258,12 +258,12 @@
 func (r *Relay) Receive(now float64, c env.Conn, b []byte) {
 	if c == r.sasp {
 		if r.deaf {
-			if r.asks.out = false; r.Asks {
+			if r.asks.out = false; r.Polls {
 				r.io.SetTimer(now+askBetween, relayBetween+r.asks.polls)
 			}
 			return
 		}
-		if r.Asks {
+		if r.Polls {
 			r.answers(now, b)
 			return
 		}
@@ -329,7 +329,7 @@
 }
 
 func (r *Relay) set(t *table, a netip.AddrPort, weight float64) {
-	if r.Policy == Robin {
+	if r.Policy == RoundRobin {
 		return
 	}
 	i := slices.IndexFunc(t.lines, func(l *line) bool { return l.server == a })
@@ -423,9 +423,9 @@
 		r.io.SetTimer(now+relayBeats, relayBeat)
 		switch {
 		case !r.joined:
-		case r.beat || r.Asks && r.asks.out && now-r.asks.since > askShort+relayBeats:
+		case r.beat || r.Polls && r.asks.out && now-r.asks.since > askShort+relayBeats:
 			r.Drop(now)
-		case !r.Asks:
+		case !r.Polls:
 			r.beat = true
 			r.io.Send(r.sasp, r.speak.write(&sasp.Message{Kind: sasp.SetBalancer, UID: []byte(r.UID), Flags: r.Flags}))
 		}
@@ -436,7 +436,7 @@
 	case relayDial:
 		if n := len(r.Others); n > 0 { // the next one, in turn
 			r.Coordinator, r.Others = r.Others[0], append(r.Others[1:n:n], r.Coordinator)
-			r.Collect = netip.AddrPortFrom(r.Coordinator.Addr(), r.Collect.Port())
+			r.Collector = netip.AddrPortFrom(r.Coordinator.Addr(), r.Collector.Port())
 		}
 		r.sasp = r.io.Dial(r.Coordinator)
 	case relayPoll:
@@ -510,18 +510,18 @@
 // anew lets a client ask once more, as another query of the same work: what it repeats is its own doing.
 func (r *Relay) anew(now float64, q *query) {
 	q.decided = true
-	if q.asks >= r.Again || now+r.Wait-q.came > r.patience(q) {
+	if q.asks >= r.Retries || now+r.RetryWait-q.came > r.patience(q) {
 		return
 	}
 	r.nextID++
 	r.asked++
 	r.again0[r.asked] = &query{id: r.nextID, class: q.class, key: q.key, came: q.came, work: q.work, asks: q.asks + 1}
-	r.io.SetTimer(now+r.Wait*(0.5+r.chance.float()), relayAgain+r.asked)
+	r.io.SetTimer(now+r.RetryWait*(0.5+r.chance.float()), relayAgain+r.asked)
 }
 
 // pick is evenly by weight, past servers that it avoids, unless it avoids all; not one that the query has tried.
 func (r *Relay) pick(now float64, q *query) (netip.AddrPort, bool) {
-	if r.Policy == OfTwo {
+	if r.Policy == PowerOfTwoChoices {
 		if a, ok := r.ofTwo(now, q); ok {
 			return a, true
 		}
@@ -649,7 +649,7 @@
 }
 
 func (r *Relay) report(now float64) {
-	p := collectd.NewPacketWriter(now, r.UID, r.User, r.Key, func(b []byte) { r.io.Datagram(r.Collect, b) })
+	p := collectd.NewPacketWriter(now, r.UID, r.User, r.Key, func(b []byte) { r.io.Datagram(r.Collector, b) })
 	var servers []netip.AddrPort
 	for a := range r.targets {
 		servers = append(servers, a)
--- a/internal/emulator/server.go
+++ b/internal/emulator/server.go
@@ -10,27 +10,27 @@
 	"snowquay/internal/wire/sasp"
 )
 
-// Pod is what servers share that drop each other's repeats. One goroutine at a time uses it.
-type Pod struct{ seen map[uint64]float64 }
-
-// ServerSetup is what a match server is like.
-type ServerSetup struct {
-	Addr         netip.AddrPort
-	Pod          *Pod
-	Cores        int
-	Speed        float64
-	Queue        int     // queries that may wait
-	ColdShare    float64 // of its capacity, when it starts
-	ColdFor      float64 // seconds
-	Multiple     float64 // of its present capacity; more of it for Within pushes it over
-	Within       float64
-	Warm         bool             // it started long ago
-	Coordinators []netip.AddrPort // it registers with all of them
-	Collect      uint16           // port of their collectors
-	User, Key    string
-	FleetUID     string
-	Classes      []Class
-	Seed         uint64
+// FailureDomain is what servers share that drop each other's repeats. One goroutine at a time uses it.
+type FailureDomain struct{ seen map[uint64]float64 }
+
+// ServerConfig is what a match server is like.
+type ServerConfig struct {
+	Addr           netip.AddrPort
+	FailureDomain  *FailureDomain
+	Cores          int
+	Speed          float64
+	Queue          int     // queries that may wait
+	WarmupFraction float64 // of its capacity, when it starts
+	WarmupDuration float64 // seconds
+	OverloadFactor float64 // of its present capacity; more of it for Within pushes it over
+	OverloadWindow float64
+	Warm           bool             // it started long ago
+	Coordinators   []netip.AddrPort // it registers with all of them
+	Collect        uint16           // port of their collectors
+	User, Key      string
+	FleetUID       string
+	Classes        []Class
+	Seed           uint64
 
 	Connections int     // that it takes at once; 0: any number
 	ConnWork    float64 // seconds on a core of speed 1 that a new connection costs
@@ -73,7 +73,7 @@
 
 // Server is a match server.
 type Server struct {
-	ServerSetup
+	ServerConfig
 	Slow   float64 // times that its work takes; 1: as usual
 	Errors float64 // chance that a query fails at once
 	Hangs  bool    // it takes queries and answers none
@@ -105,8 +105,8 @@
 }
 
 // NewServer makes a match server that tells a referee what it does.
-func NewServer(s ServerSetup, ref *InvariantChecker) *Server {
-	return &Server{ServerSetup: s, Slow: 1, ref: ref, running: map[int]job{}, real: map[env.Conn]bool{}, parts: map[env.Conn][]byte{},
+func NewServer(s ServerConfig, ref *InvariantChecker) *Server {
+	return &Server{ServerConfig: s, Slow: 1, ref: ref, running: map[int]job{}, real: map[env.Conn]bool{}, parts: map[env.Conn][]byte{},
 		sasp: map[env.Conn]*registrar{}, from: map[env.Conn]netip.Addr{}, chance: newChance(s.Seed), nextJob: wakeJobs}
 }
 
@@ -222,8 +222,8 @@
 func (s *Server) Datagram(float64, []byte) {}
 
 func (s *Server) part(now float64) float64 { // of its capacity
-	if age := now - s.started; age < s.ColdFor {
-		return s.ColdShare + (1-s.ColdShare)*age/s.ColdFor
+	if age := now - s.started; age < s.WarmupDuration {
+		return s.WarmupFraction + (1-s.WarmupFraction)*age/s.WarmupDuration
 	}
 	return 1
 }
@@ -241,12 +241,12 @@
 		return
 	}
 	if q := s.Classes[j.class].Query; q.Idempotency != 0 {
-		if at, ok := s.Pod.seen[j.id]; ok && now-at < q.DedupWindow { // a repeat: dropped, and answered as the first was
+		if at, ok := s.FailureDomain.seen[j.id]; ok && now-at < q.DedupWindow { // a repeat: dropped, and answered as the first was
 			s.reply(j, answered)
 			return
 		}
 		if len(s.waiting) < s.Queue || len(s.running) < s.Cores {
-			s.Pod.seen[j.id] = now
+			s.FailureDomain.seen[j.id] = now
 		}
 	}
 	if !s.take(now, j) {
@@ -331,20 +331,20 @@
 
 // push counts what comes to a cold server: too much of it, and it falls over.
 func (s *Server) push(now float64, j job) {
-	if now-s.started >= s.ColdFor {
+	if now-s.started >= s.WarmupDuration {
 		s.recent, s.times = nil, nil
 		return
 	}
 	j.knowing = s.ref.knows(now, j.from, s.Addr)
 	s.recent, s.times = append(s.recent, j), append(s.times, now)
 	sum, knowing := 0.0, 0.0
-	for i := len(s.recent) - 1; i >= 0 && now-s.times[i] <= s.Within; i-- {
+	for i := len(s.recent) - 1; i >= 0 && now-s.times[i] <= s.OverloadWindow; i-- {
 		sum += s.recent[i].work
 		if s.recent[i].knowing {
 			knowing += s.recent[i].work
 		}
 	}
-	if sum > s.Multiple*s.part(now)*float64(s.Cores)*s.Speed*s.Within+fallSlack {
+	if sum > s.OverloadFactor*s.part(now)*float64(s.Cores)*s.Speed*s.OverloadWindow+fallSlack {
 		s.fallen = true
 		s.ref.fell(now, s.Addr, knowing/sum)
 		s.Fall()
@@ -400,8 +400,8 @@
 	}
 }
 
-// NewPod makes a pod.
-func NewPod() *Pod { return &Pod{seen: map[uint64]float64{}} }
+// NewFailureDomain makes a pod.
+func NewFailureDomain() *FailureDomain { return &FailureDomain{seen: map[uint64]float64{}} }
 
 // Agent tells the coordinator once that a server drains, or does so no more, and goes.
 type Agent struct {
@@ -410,7 +410,7 @@
 	at              int
 	FleetUID, Group string
 	Quiesce         bool
-	Ref             *InvariantChecker
+	Checker         *InvariantChecker
 	io              env.IO
 	speak           speaker
 	done            bool
@@ -435,7 +435,7 @@
 	if a.Quiesce {
 		row.Flags = sasp.Quiesce
 	} else { // its end may be in force before it is confirmed
-		a.Ref.drain(now, a.Server, false)
+		a.Checker.drain(now, a.Server, false)
 	}
 	a.io.Send(c, a.speak.write(&sasp.Message{Kind: sasp.SetMember, Rows: []sasp.Row{row},
 		Groups: []sasp.Group{{UID: []byte(a.FleetUID), Name: []byte(a.Group), To: 1}}}))
@@ -445,9 +445,9 @@
 func (a *Agent) Receive(now float64, c env.Conn, b []byte) {
 	a.speak.read(b, func(m *sasp.Message) {
 		if a.done = true; m.Code == sasp.OK {
-			a.Ref.drain(now, a.Server, a.Quiesce)
+			a.Checker.drain(now, a.Server, a.Quiesce)
 		} else {
-			a.Ref.complain(now, "agent of %s: %s", a.Server, m.Code)
+			a.Checker.complain(now, "agent of %s: %s", a.Server, m.Code)
 		}
 		a.io.Close(c)
 	})
--- a/internal/experiment/compare.go
+++ b/internal/experiment/compare.go
@@ -15,23 +15,23 @@
 	"snowquay/internal/console"
 )
 
-// Figure of a record that is compared.
-type Figure struct {
-	Name string
-	Of   func(*Record) float64
+// Metric of a record that is compared.
+type Metric struct {
+	Name  string
+	Value func(*Record) float64
 }
 
-// Figures that tables have.
-var Figures = []Figure{
+// Metrics that tables have.
+var Metrics = []Metric{
 	{"service", func(r *Record) float64 { return r.Service }},
-	{"worst10s", func(r *Record) float64 { return r.Worst }},
+	{"worst10s", func(r *Record) float64 { return r.WorstTenSeconds }},
 	{"worstclass", func(r *Record) float64 { return r.WorstClass }},
 	{"p50", func(r *Record) float64 { return tail(r, func(c ClassRecord) float64 { return c.P50 }) }},
 	{"p99", func(r *Record) float64 { return tail(r, func(c ClassRecord) float64 { return c.P99 }) }},
-	{"held50", func(r *Record) float64 { return r.Held50 }},
-	{"held99", func(r *Record) float64 { return r.Held99 }},
-	{"drained", func(r *Record) float64 { return r.Drained }},
-	{"led", func(r *Record) float64 { return r.LedMost }},
+	{"held50", func(r *Record) float64 { return r.AckedP50 }},
+	{"held99", func(r *Record) float64 { return r.AckedP99 }},
+	{"drained", func(r *Record) float64 { return r.DrainTime }},
+	{"led", func(r *Record) float64 { return r.TakeoverMax }},
 	{"lines/s", func(r *Record) float64 { return float64(r.Lines) / r.Seconds }},
 	{"waiting", func(r *Record) float64 { return r.PeakQueue }},
 	{"broken", func(r *Record) float64 { return float64(len(r.Broken())) }},
@@ -46,19 +46,19 @@
 }
 
 // Find a figure by its name.
-func figure(name string) (Figure, bool) {
-	i := slices.IndexFunc(Figures, func(f Figure) bool { return f.Name == name })
+func figure(name string) (Metric, bool) {
+	i := slices.IndexFunc(Metrics, func(f Metric) bool { return f.Name == name })
 	if i < 0 {
-		return Figure{}, false
+		return Metric{}, false
 	}
-	return Figures[i], true
+	return Metrics[i], true
 }
 
 // Interval is a mean with the half of its 95% interval by Student's distribution; of one value that is not a number.
 type Interval struct {
-	Mean float64 `json:"Mean"`
-	Half float64 `json:"Half"` // half of the interval's width
-	N    int     `json:"N"`    // number of observations
+	Mean      float64 `json:"Mean"`
+	HalfWidth float64 `json:"Half"` // half of the interval's width
+	N         int     `json:"N"`    // number of observations
 }
 
 // Estimate of a mean.
@@ -75,12 +75,12 @@
 	return Interval{mean, t * sd / math.Sqrt(float64(n)), n}
 }
 
-// Sure tells whether the interval leaves zero out.
-func (i Interval) Sure() bool { return i.N > 1 && math.Abs(i.Mean) > i.Half }
+// Significant tells whether the interval leaves zero out.
+func (i Interval) Significant() bool { return i.N > 1 && math.Abs(i.Mean) > i.HalfWidth }
 
 // Difference of two arms in one figure, over the seeds that both have.
 type Difference struct {
-	Fleet, Case, Figure string
+	Fleet, Case, Metric string
 	Interval
 }
 
@@ -98,11 +98,11 @@
 		for _, r := range groups[i].Records {
 			seeds[r.Seed] = r
 		}
-		for _, f := range Figures {
+		for _, f := range Metrics {
 			var d []float64
 			for _, r := range g.Records {
 				if o := seeds[r.Seed]; o != nil {
-					d = append(d, f.Of(o)-f.Of(r))
+					d = append(d, f.Value(o)-f.Value(r))
 				}
 			}
 			if len(d) > 0 {
@@ -118,10 +118,10 @@
 	console.Printf(w, "%s less %s, by paired seeds, 95%% intervals; * leaves zero out (simulated servers)\n", other, base)
 	for _, d := range all {
 		star := " "
-		if d.Sure() {
+		if d.Significant() {
 			star = "*"
 		}
-		console.Printf(w, "%-14s %-16s %-11s %s %+10.4f +- %.4f (%d)\n", d.Fleet, d.Case, d.Figure, star, d.Mean, d.Half, d.N)
+		console.Printf(w, "%-14s %-16s %-11s %s %+10.4f +- %.4f (%d)\n", d.Fleet, d.Case, d.Metric, star, d.Mean, d.HalfWidth, d.N)
 	}
 }
 
@@ -137,10 +137,10 @@
 	var rows []row
 	for _, g := range groups {
 		r := row{g.Fleet, g.Case, g.Arm, len(g.Records), map[string]Interval{}}
-		for _, f := range Figures {
+		for _, f := range Metrics {
 			var v []float64
 			for _, x := range g.Records {
-				v = append(v, f.Of(x))
+				v = append(v, f.Value(x))
 			}
 			r.Figures[f.Name] = Estimate(v)
 		}
@@ -150,8 +150,8 @@
 	case "json":
 		for _, r := range rows { // what is not a number has no form there
 			for name, v := range r.Figures {
-				if math.IsNaN(v.Half) {
-					v.Half = 0
+				if math.IsNaN(v.HalfWidth) {
+					v.HalfWidth = 0
 					r.Figures[name] = v
 				}
 			}
@@ -162,7 +162,7 @@
 	case "csv":
 		c := csv.NewWriter(w)
 		head := []string{"fleet", "case", "arm", "seeds"}
-		for _, f := range Figures {
+		for _, f := range Metrics {
 			head = append(head, f.Name, f.Name+"-half")
 		}
 		if err := c.Write(head); err != nil {
@@ -170,9 +170,9 @@
 		}
 		for _, r := range rows {
 			line := []string{r.Fleet, r.Case, r.Arm, strconv.Itoa(r.Seeds)}
-			for _, f := range Figures {
+			for _, f := range Metrics {
 				v := r.Figures[f.Name]
-				line = append(line, strconv.FormatFloat(v.Mean, 'g', 6, 64), strconv.FormatFloat(v.Half, 'g', 6, 64))
+				line = append(line, strconv.FormatFloat(v.Mean, 'g', 6, 64), strconv.FormatFloat(v.HalfWidth, 'g', 6, 64))
 			}
 			if err := c.Write(line); err != nil {
 				return err
@@ -182,13 +182,13 @@
 		return c.Error()
 	}
 	console.Printf(w, "%-12s %-16s %-12s %5s", "fleet", "case", "arm", "seeds")
-	for _, f := range Figures {
+	for _, f := range Metrics {
 		console.Printf(w, " %11s", f.Name)
 	}
 	console.Println(w)
 	for _, r := range rows {
 		console.Printf(w, "%-12s %-16s %-12s %5d", r.Fleet, r.Case, r.Arm, r.Seeds)
-		for _, f := range Figures {
+		for _, f := range Metrics {
 			console.Printf(w, " %11.4g", r.Figures[f.Name].Mean)
 		}
 		console.Println(w)
@@ -208,8 +208,8 @@
 	at := map[[2]string][]*Record{}
 	for _, r := range Worst(records) {
 		seen := map[[2]string]bool{}
-		for i, a := range r.Troubles {
-			for _, b := range r.Troubles[i+1:] {
+		for i, a := range r.Faults {
+			for _, b := range r.Faults[i+1:] {
 				k := [2]string{min(a, b), max(a, b)}
 				if !seen[k] {
 					seen[k] = true
--- a/internal/experiment/lab.go
+++ b/internal/experiment/lab.go
@@ -29,10 +29,10 @@
 )
 
 var (
-	// ErrOther says that a folder has the runs of another experiment.
-	ErrOther = errors.New("the folder has the runs of another experiment")
-	// ErrNoSuch says that there is no cell of that name.
-	ErrNoSuch = errors.New("the experiment has no such cell")
+	// ErrOtherExperiment says that a folder has the runs of another experiment.
+	ErrOtherExperiment = errors.New("the folder has the runs of another experiment")
+	// ErrNoCell says that there is no cell of that name.
+	ErrNoCell = errors.New("the experiment has no such cell")
 )
 
 // Cell is what is played once.
@@ -85,32 +85,32 @@
 
 // Record is what one play came to. The same cell has the same bytes with the same build.
 type Record struct {
-	Experiment string        `json:"Experiment"`
-	Fleet      string        `json:"Fleet"`
-	Case       string        `json:"Case"`
-	Arm        string        `json:"Arm"`
-	Seed       uint64        `json:"Seed"`
-	Version    string        `json:"Version"` // of the build
-	Print      string        `json:"Print"`   // of the experiment
-	Servers    int           `json:"Servers"`
-	Relays     int           `json:"Relays"`
-	Seconds    float64       `json:"Seconds"`
-	Service    float64       `json:"Service"` // benefit answered within the goal time over the benefit asked for
-	Worst      float64       `json:"Worst"`   // of the worst ten seconds
-	WorstClass float64       `json:"WorstClass"`
-	Classes    []ClassRecord `json:"Classes"`
-	Rules      []RuleRecord  `json:"Rules"`
-	Held50     float64       `json:"Held50"`  // seconds from a decision until a relay was known to hold it
-	Held99     float64       `json:"Held99"`  // seconds from a decision until a relay was known to hold it
-	Drained    float64       `json:"Drained"` // seconds from a drain until the last query after it
-	Led50      float64       `json:"Led50"`   // seconds from a coordinator's death until all relays were led again
-	LedMost    float64       `json:"LedMost"` // seconds from a coordinator's death until all relays were led again
-	Messages   int           `json:"Messages"`
-	Lines      int           `json:"Lines"`
-	Fulls      int           `json:"Fulls"`
-	PeakQueue  float64       `json:"PeakQueue"`
-	Events     int           `json:"Events"`
-	Troubles   []string      `json:"Troubles"`
+	Experiment      string        `json:"Experiment"`
+	Fleet           string        `json:"Fleet"`
+	Case            string        `json:"Case"`
+	Arm             string        `json:"Arm"`
+	Seed            uint64        `json:"Seed"`
+	Version         string        `json:"Version"` // of the build
+	Fingerprint     string        `json:"Print"`   // of the experiment
+	Servers         int           `json:"Servers"`
+	Relays          int           `json:"Relays"`
+	Seconds         float64       `json:"Seconds"`
+	Service         float64       `json:"Service"` // benefit answered within the goal time over the benefit asked for
+	WorstTenSeconds float64       `json:"Worst"`   // of the worst ten seconds
+	WorstClass      float64       `json:"WorstClass"`
+	Classes         []ClassRecord `json:"Classes"`
+	Rules           []RuleRecord  `json:"Rules"`
+	AckedP50        float64       `json:"Held50"`  // seconds from a decision until a relay was known to hold it
+	AckedP99        float64       `json:"Held99"`  // seconds from a decision until a relay was known to hold it
+	DrainTime       float64       `json:"Drained"` // seconds from a drain until the last query after it
+	TakeoverP50     float64       `json:"Led50"`   // seconds from a coordinator's death until all relays were led again
+	TakeoverMax     float64       `json:"LedMost"` // seconds from a coordinator's death until all relays were led again
+	Messages        int           `json:"Messages"`
+	Lines           int           `json:"Lines"`
+	FullTables      int           `json:"Fulls"`
+	PeakQueue       float64       `json:"PeakQueue"`
+	Events          int           `json:"Events"`
+	Faults          []string      `json:"Troubles"`
 }
 
 // Broken are the rules that were.
@@ -147,7 +147,7 @@
 
 // Day of a cell, ready to be played.
 func (c Cell) Day() (*settings.Scenario, error) {
-	d, err := settings.ParseScenario("bad-day.xml", scenario.BadDay, c.Arm.Without...)
+	d, err := settings.ParseScenario("bad-day.xml", scenario.DefaultScenario, c.Arm.Without...)
 	if err != nil {
 		return nil, err
 	}
@@ -183,10 +183,10 @@
 		d.Faults = append(d.Faults, t)
 	}
 	if c.Case.Drawn > 0 {
-		Draw(d, c.Case.Drawn, c.Case.Kinds)
+		DrawFaults(d, c.Case.Drawn, c.Case.Kinds)
 	}
 	if c.Case.Kills > 0 {
-		scenario.Kill(d, c.Case.Kills)
+		scenario.AddKills(d, c.Case.Kills)
 	}
 	return d, nil
 }
@@ -196,9 +196,9 @@
 	o := scenario.Options{Seed: c.Seed, Front: c.Arm.Front, Coordinators: c.Arm.Coordinators, Mute: c.Arm.Policy == "listed"}
 	switch c.Arm.Policy {
 	case "robin":
-		o.Policy = emulator.Robin
+		o.Policy = emulator.RoundRobin
 	case "two":
-		o.Policy = emulator.OfTwo
+		o.Policy = emulator.PowerOfTwoChoices
 	}
 	return o
 }
@@ -218,8 +218,8 @@
 
 func record(x *settings.Experiment, c Cell, d *settings.Scenario, res *scenario.Result) *Record {
 	r := &Record{Experiment: x.Name, Fleet: c.Fleet.Name, Case: c.Case.Name, Arm: c.Arm.Name, Seed: c.Seed, Version: Version(),
-		Print: fingerprint(x), Servers: c.Fleet.Servers, Relays: c.Fleet.Relays, Seconds: c.Case.Seconds, Service: res.Service, Worst: res.Worst,
-		WorstClass: 1, Drained: res.Drained, Messages: res.Messages, Lines: res.Lines, Fulls: res.Counts.FullTables, PeakQueue: res.PeakQueue, Events: res.Events}
+		Fingerprint: fingerprint(x), Servers: c.Fleet.Servers, Relays: c.Fleet.Relays, Seconds: c.Case.Seconds, Service: res.Service, WorstTenSeconds: res.Worst,
+		WorstClass: 1, DrainTime: res.Drained, Messages: res.Messages, Lines: res.Lines, FullTables: res.Counts.FullTables, PeakQueue: res.PeakQueue, Events: res.Events}
 	for k, q := range d.Queries {
 		h := res.Times[k]
 		at := func(q float64) float64 { return float64(h.ValueAtQuantile(q)) / 1e6 }
@@ -236,10 +236,10 @@
 	for _, v := range res.Verdicts {
 		r.Rules = append(r.Rules, RuleRecord{v.Rule, v.Kept, v.Figure, v.Reasons})
 	}
-	r.Held50, r.Held99 = quantile(res.Held, 0.5), quantile(res.Held, 0.99)
-	r.Led50, r.LedMost = quantile(res.Led, 0.5), quantile(res.Led, 1)
+	r.AckedP50, r.AckedP99 = quantile(res.Held, 0.5), quantile(res.Held, 0.99)
+	r.TakeoverP50, r.TakeoverMax = quantile(res.Led, 0.5), quantile(res.Led, 1)
 	for _, t := range d.Faults {
-		r.Troubles = append(r.Troubles, t.Kind)
+		r.Faults = append(r.Faults, t.Kind)
 	}
 	return r
 }
@@ -252,8 +252,8 @@
 	return s[min(int(part*float64(len(s))), len(s)-1)]
 }
 
-// Kinds of troubles that can be drawn.
-var Kinds = []string{"slow", "fast_errors", "hang", "crash", "mass_restart", "zone_cut", "drain", "coordinator_restart", "balancer_stall",
+// FaultKinds of troubles that can be drawn.
+var FaultKinds = []string{"slow", "fast_errors", "hang", "crash", "mass_restart", "zone_cut", "drain", "coordinator_restart", "balancer_stall",
 	"balancer_restart", "reconnect", "report_late", "reports_stop", "demand", "clock_gap", "answer_lost", "heavy_tail", "ageing", "conn_squeeze",
 	"shared_slow", "vanish", "grow", "give_up", "false_reports"}
 
@@ -262,19 +262,19 @@
 	troubleFree  = 8.0 // seconds at the end
 )
 
-// Draw gives a day so many troubles more, by its seed, of kinds that are named, or of any.
-func Draw(d *settings.Scenario, count int, kinds []string) {
+// DrawFaults gives a day so many troubles more, by its seed, of kinds that are named, or of any.
+func DrawFaults(d *settings.Scenario, count int, kinds []string) {
 	c := rand.New(rand.NewPCG(d.Seed, 0x1ab))
 	if len(kinds) == 0 {
-		kinds = Kinds
+		kinds = FaultKinds
 	}
 	for k := range count {
-		d.Faults = append(d.Faults, Trouble(d, c, kinds[(k+c.IntN(len(kinds)))%len(kinds)]))
+		d.Faults = append(d.Faults, DrawFault(d, c, kinds[(k+c.IntN(len(kinds)))%len(kinds)]))
 	}
 }
 
-// Trouble of a kind, somewhere and sometime on a day.
-func Trouble(d *settings.Scenario, c *rand.Rand, kind string) settings.Fault {
+// DrawFault of a kind, somewhere and sometime on a day.
+func DrawFault(d *settings.Scenario, c *rand.Rand, kind string) settings.Fault {
 	site := &d.Coordinator.Site
 	t := settings.Fault{Kind: kind, Server: c.IntN(len(site.Servers)), Relay: c.IntN(len(site.Relays)), Factor: 1,
 		Zone: site.Servers[c.IntN(len(site.Servers))].Zone, FailureDomain: int(site.Servers[c.IntN(len(site.Servers))].FailureDomain)}
@@ -330,7 +330,7 @@
 	case err != nil:
 		return nil, err
 	case string(old) != string(x.Text):
-		return nil, fmt.Errorf("%w: %s differs; choose another folder", ErrOther, at)
+		return nil, fmt.Errorf("%w: %s differs; choose another folder", ErrOtherExperiment, at)
 	}
 	return &Folder{path}, nil
 }
@@ -349,8 +349,8 @@
 	return err == nil
 }
 
-// Keep a record. What is there is never written over.
-func (f *Folder) Keep(c Cell, r *Record) error {
+// Save a record. What is there is never written over.
+func (f *Folder) Save(c Cell, r *Record) error {
 	b, err := json.MarshalIndent(r, "", " ")
 	if err != nil {
 		return err
@@ -389,7 +389,7 @@
 			return c, nil
 		}
 	}
-	return Cell{}, fmt.Errorf("%w: %q", ErrNoSuch, name)
+	return Cell{}, fmt.Errorf("%w: %q", ErrNoCell, name)
 }
 
 // Run plays what a folder lacks, several cells at once, and says how far it is. An arm of another program is played by that.
@@ -421,7 +421,7 @@
 			for c := range next {
 				r, err := f.play(x, c)
 				if err == nil {
-					err = f.Keep(c, r)
+					err = f.Save(c, r)
 				}
 				mu.Lock()
 				if done++; err != nil {
--- a/internal/experiment/lab_test.go
+++ b/internal/experiment/lab_test.go
@@ -55,10 +55,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := f.Keep(cells[0], r); err != nil {
+	if err := f.Save(cells[0], r); err != nil {
 		t.Fatal(err)
 	}
-	if err := f.Keep(cells[0], &Record{}); err == nil {
+	if err := f.Save(cells[0], &Record{}); err == nil {
 		t.Error("a record was written over")
 	}
 	var out bytes.Buffer
@@ -80,7 +80,7 @@
 	if string(before) != string(b)+"\n" {
 		t.Error("the same cell has other bytes")
 	}
-	if _, err := Open(path, parse(t, strings.Replace(small, `seeds="3"`, `seeds="4"`, 1))); !errors.Is(err, ErrOther) {
+	if _, err := Open(path, parse(t, strings.Replace(small, `seeds="3"`, `seeds="4"`, 1))); !errors.Is(err, ErrOtherExperiment) {
 		t.Error(err)
 	}
 	records, err := f.Records(x)
@@ -103,7 +103,7 @@
 	}
 	// Against servers of different speed, weights that are learnt are no worse than all in turn.
 	for _, d := range Compare(Groups(x, records), "robin", "snowquay") {
-		if d.Figure == "service" && d.Case == "calm" && d.Mean < -0.01 {
+		if d.Metric == "service" && d.Case == "calm" && d.Mean < -0.01 {
 			t.Errorf("%+v", d)
 		}
 	}
@@ -112,10 +112,10 @@
 func TestIntervals(t *testing.T) {
 	// By hand: mean 3, standard deviation 1.5811, Student's 0.975 quantile at 4 degrees 2.7764.
 	i := Estimate([]float64{1, 2, 3, 4, 5})
-	if i.Mean != 3 || math.Abs(i.Half-2.7764*1.58114/math.Sqrt(5)) > 1e-3 || !i.Sure() {
+	if i.Mean != 3 || math.Abs(i.HalfWidth-2.7764*1.58114/math.Sqrt(5)) > 1e-3 || !i.Significant() {
 		t.Errorf("%+v", i)
 	}
-	if one := Estimate([]float64{2}); one.Sure() || !math.IsNaN(one.Half) {
+	if one := Estimate([]float64{2}); one.Significant() || !math.IsNaN(one.HalfWidth) {
 		t.Errorf("%+v", one)
 	}
 }
--- a/internal/experiment/report.go
+++ b/internal/experiment/report.go
@@ -182,14 +182,14 @@
 				}
 				var v []float64
 				for _, r := range g.Records {
-					v = append(v, f.Of(r))
+					v = append(v, f.Value(r))
 				}
 				e := Estimate(v)
-				if math.IsNaN(e.Half) {
-					e.Half = 0
+				if math.IsNaN(e.HalfWidth) {
+					e.HalfWidth = 0
 				}
 				pts = append(pts, plotter.XY{X: float64(fleet.Servers), Y: e.Mean})
-				bars = append(bars, struct{ Low, High float64 }{e.Half, e.Half})
+				bars = append(bars, struct{ Low, High float64 }{e.HalfWidth, e.HalfWidth})
 			}
 		}
 		if len(pts) == 0 {
--- a/internal/experiment/shrink.go
+++ b/internal/experiment/shrink.go
@@ -169,8 +169,8 @@
 	}
 }
 
-// Under is a Bad for days with a service under a figure.
-func Under(service float64, opts scenario.Options) Bad {
+// ServiceBelow is a Bad for days with a service under a figure.
+func ServiceBelow(service float64, opts scenario.Options) Bad {
 	return func(d *settings.Scenario) bool {
 		opts := opts
 		opts.Seed = d.Seed
--- a/internal/scenario/draw.go
+++ b/internal/scenario/draw.go
@@ -17,8 +17,8 @@
 	mostTroubles = 6
 )
 
-// Kill adds deaths, restarts and pauses of coordinators, and cuts between them and the rest, to a day, at random moments by its seed.
-func Kill(d *settings.Scenario, times int) {
+// AddKills adds deaths, restarts and pauses of coordinators, and cuts between them and the rest, to a day, at random moments by its seed.
+func AddKills(d *settings.Scenario, times int) {
 	c := rand.New(rand.NewPCG(d.Seed, 0x1c11))
 	for range times {
 		t := settings.Fault{Kind: "coordinator_restart", Server: c.IntN(3), Relay: -1, FailureDomain: -1, Zone: -1, Factor: 1,
@@ -35,9 +35,9 @@
 	}
 }
 
-// Redraw gives a day other troubles, by its seed: two to six of any kind that the day's fleet can have, overlapping or
+// RedrawServers gives a day other troubles, by its seed: two to six of any kind that the day's fleet can have, overlapping or
 // not, at any time.
-func Redraw(d *settings.Scenario) {
+func RedrawServers(d *settings.Scenario) {
 	c := rand.New(rand.NewPCG(d.Seed, 0xd4a3))
 	site := &d.Coordinator.Site
 	d.Faults = nil
--- a/internal/scenario/hosted.go
+++ b/internal/scenario/hosted.go
@@ -25,8 +25,8 @@
 	"snowquay/internal/wire/sasp"
 )
 
-// HostedDay is a day of many tenants on one host.
-type HostedDay struct {
+// HostedScenario is a day of many tenants on one host.
+type HostedScenario struct {
 	Tenants, Servers, Relays int // servers and relays of each tenant
 	Seconds                  float64
 	Seed                     uint64
@@ -48,9 +48,9 @@
 	Anywhere                 bool                 // relays of a tenant may come from any network: a guard left out
 }
 
-// UsualHostedDay is one that CI plays.
-func UsualHostedDay() HostedDay {
-	return HostedDay{Tenants: 20, Servers: 4, Relays: 4, Seconds: 30, Seed: 1, Only: -1, Rate: 24, Flood: -1, FloodRate: 2000, Remove: -1}
+// DefaultHostedScenario is one that CI plays.
+func DefaultHostedScenario() HostedScenario {
+	return HostedScenario{Tenants: 20, Servers: 4, Relays: 4, Seconds: 30, Seed: 1, Only: -1, Rate: 24, Flood: -1, FloodRate: 2000, Remove: -1}
 }
 
 // TenantResult is one tenant's day.
@@ -113,7 +113,7 @@
 }
 
 // TenantSettings are those of the tenant with a number, with servers and relays of its own in two zones.
-func (d *HostedDay) TenantSettings(t int) []byte {
+func (d *HostedScenario) TenantSettings(t int) []byte {
 	var b strings.Builder
 	fmt.Fprintf(&b, `<tenant seed="%d">
   <caller name="staff" key="the-staff-key-of-%s" role="staff"/>
@@ -150,7 +150,7 @@
 }
 
 type hostedPlay struct {
-	day  HostedDay
+	day  HostedScenario
 	host *settings.Host
 	scene
 	hosts   []*aHost
@@ -174,7 +174,7 @@
 }
 
 // RunHosted plays it.
-func RunHosted(day HostedDay) (*HostedResult, error) {
+func RunHosted(day HostedScenario) (*HostedResult, error) {
 	p := &hostedPlay{day: day}
 	var err error
 	if p.host, err = settings.ParseHost("host.xml", []byte(HostSettings)); err != nil {
@@ -392,9 +392,9 @@
 	if p.day.Sockets {
 		slack = socketSlack
 	}
-	p.rules = emulator.Rules{Promise: site.Guarantees, Channel: site.Channel, Hold: site.Limits.ServerHold + noticeMost, Slack: slack}
+	p.rules = emulator.Rules{Guarantees: site.Guarantees, Channel: site.Channel, Hold: site.Limits.ServerHold + noticeMost, Slack: slack}
 	p.rules.Channel.EntriesPerSecond *= float64(len(p.hosts)) // each has a channel of its own
-	x.ref = emulator.NewReferee(p.rules, x.classes)
+	x.ref = emulator.NewInvariantChecker(p.rules, x.classes)
 	p.tenants = append(p.tenants, x)
 	p.order(tenancy.Command{Kind: tenancy.Create, Name: x.name, Settings: text})
 }
@@ -408,11 +408,11 @@
 
 func (p *hostedPlay) startTenant(x *hostedTenant) {
 	chance := rand.New(rand.NewPCG(p.day.Seed, uint64(x.number)))
-	pods := map[int]*emulator.Pod{0: emulator.NewPod(), 1: emulator.NewPod()}
+	pods := map[int]*emulator.FailureDomain{0: emulator.NewFailureDomain(), 1: emulator.NewFailureDomain()}
 	for i := range p.day.Servers {
 		half := i * 2 / p.day.Servers
-		s := emulator.NewServer(emulator.ServerSetup{Addr: tenantServer(x.number, i), Pod: pods[half], Cores: 4, Speed: 0.8 + 0.4*chance.Float64(),
-			Queue: 30, ColdShare: 0.1, ColdFor: 18, Multiple: 2, Within: 1.5, Warm: true,
+		s := emulator.NewServer(emulator.ServerConfig{Addr: tenantServer(x.number, i), FailureDomain: pods[half], Cores: 4, Speed: 0.8 + 0.4*chance.Float64(),
+			Queue: 30, WarmupFraction: 0.1, WarmupDuration: 18, OverloadFactor: 2, OverloadWindow: 1.5, Warm: true,
 			Coordinators: p.all(hostPort), Collect: hostCollect, User: string(x.name),
 			Key: fmt.Sprintf("measurements-%03d", x.number), FleetUID: x.name.UID("fleet"), Classes: x.classes, Seed: chance.Uint64()}, x.ref)
 		x.servers = append(x.servers, s)
@@ -420,12 +420,12 @@
 	}
 	for i := range p.day.Relays {
 		half := i * 2 / p.day.Relays
-		setup := emulator.RelaySetup{UID: x.name.UID(fmt.Sprint("relay-", i)), Host: tenantRelay(x.number, i), Asks: i%2 == 1,
-			Coordinator: netip.AddrPortFrom(hostAt, hostPort), Collect: netip.AddrPortFrom(hostAt, hostCollect), User: string(x.name),
+		setup := emulator.RelayConfig{UID: x.name.UID(fmt.Sprint("relay-", i)), Host: tenantRelay(x.number, i), Polls: i%2 == 1,
+			Coordinator: netip.AddrPortFrom(hostAt, hostPort), Collector: netip.AddrPortFrom(hostAt, hostCollect), User: string(x.name),
 			Key: fmt.Sprintf("measurements-%03d", x.number), Flags: sasp.Push | sasp.Trust | sasp.NoChange, Classes: x.classes,
 			Rate: p.day.Rate / float64(p.day.Relays), Report: 0.5, EjectAfter: 8, EjectFor: 4, Keys: 200, Seed: chance.Uint64() >> 16}
 		port := uint16(hostPort)
-		if setup.Asks {
+		if setup.Polls {
 			port = hostPoll
 		}
 		if all := p.all(port); len(all) > 1 {
@@ -433,7 +433,7 @@
 		}
 		setup.Coordinator = netip.AddrPortFrom(hostAt, port)
 		for k := range min(p.day.Servers, 3) {
-			setup.Standing = append(setup.Standing, tenantServer(x.number, k))
+			setup.DefaultTable = append(setup.DefaultTable, tenantServer(x.number, k))
 		}
 		r := emulator.NewRelay(setup, x.ref)
 		x.relays = append(x.relays, r)
@@ -601,7 +601,7 @@
 
 // flood makes a tenant's own side as bad as it can be: see emulator.Flood.
 func (p *hostedPlay) flood(t int) {
-	f := &emulator.Flood{To: netip.AddrPortFrom(hostAt, hostPort), HTTP: netip.AddrPortFrom(hostAt, hostPoll), Collect: netip.AddrPortFrom(hostAt, hostCollect),
+	f := &emulator.FloodGenerator{To: netip.AddrPortFrom(hostAt, hostPort), HTTP: netip.AddrPortFrom(hostAt, hostPoll), Collect: netip.AddrPortFrom(hostAt, hostCollect),
 		UID: tenantName(t).UID("relay-0"), Others: tenantName((t + 1) % max(p.day.Tenants, 2)).UID("relay-0"), User: string(tenantName(t)),
 		Key: fmt.Sprintf("measurements-%03d", t), Class: "search", Rate: p.day.FloodRate, Server: tenantServer(t, 0), Seed: p.day.Seed,
 		OtherUser: string(tenantName((t + 1) % max(p.day.Tenants, 2)))}
--- a/internal/scenario/hosted_test.go
+++ b/internal/scenario/hosted_test.go
@@ -7,7 +7,7 @@
 	"snowquay/internal/core/controlplane"
 )
 
-func playHosted(t *testing.T, d HostedDay) *HostedResult {
+func playHosted(t *testing.T, d HostedScenario) *HostedResult {
 	t.Helper()
 	r, err := RunHosted(d)
 	if err != nil {
@@ -24,7 +24,7 @@
 // Twenty tenants on one host, each with its own servers and relays on both fronts: all rules are kept by each, and none is given a
 // line to another's server.
 func TestHosted(t *testing.T) {
-	d := UsualHostedDay()
+	d := DefaultHostedScenario()
 	d.Drains = true
 	if r := playHosted(t, d); !r.Kept() || r.AllLed == 0 {
 		t.Error("not kept")
@@ -34,7 +34,7 @@
 // One tenant's relays and measurements flood the host, and name other tenants' relays and users, while all others drain a server.
 // Each other tenant keeps all rules, has the service that it has alone, and never waits for its turn for long.
 func TestHostedFlood(t *testing.T) {
-	d := UsualHostedDay()
+	d := DefaultHostedScenario()
 	d.Drains, d.Flood = true, 3
 	r := playHosted(t, d)
 	for k, x := range r.Tenants {
@@ -69,7 +69,7 @@
 // What the guards are for: without them a flood holds back drains, of the tenant that it comes from and of the one that it names.
 func TestHostedGuards(t *testing.T) {
 	broken := func(tenant int, anywhere bool, without ...controlplane.Guard) bool {
-		d := UsualHostedDay()
+		d := DefaultHostedScenario()
 		d.Tenants, d.Drains, d.Flood, d.Anywhere, d.Without = 6, true, 3, anywhere, without
 		r, err := RunHosted(d)
 		if err != nil {
@@ -94,7 +94,7 @@
 
 // The host's process is killed in the middle of drains: what was confirmed goes on.
 func TestHostedRestart(t *testing.T) {
-	d := UsualHostedDay()
+	d := DefaultHostedScenario()
 	d.Drains, d.Restart, d.Down = true, 15.2, 1
 	if r := playHosted(t, d); !r.Kept() || r.Counts.Starts != 2*d.Tenants {
 		t.Error("not kept", r.Counts)
@@ -104,7 +104,7 @@
 // A tenant is removed while its relays hold orders, and made again under its name: the new one is another tenant, its relays are told
 // whole tables, and nobody else notices.
 func TestHostedRemoved(t *testing.T) {
-	d := UsualHostedDay()
+	d := DefaultHostedScenario()
 	d.Drains, d.Remove, d.Seconds = true, 5, 40
 	if r := playHosted(t, d); !r.Kept() || r.Counts.Stops != 1 || r.Refused[4] == 0 {
 		t.Error("not kept", r.Counts, r.Refused)
@@ -114,7 +114,7 @@
 // Three hosts share twenty tenants; they are killed one after the other while every tenant has a server drained, and one is removed and
 // made again.
 func TestHostedTakeovers(t *testing.T) {
-	d := UsualHostedDay()
+	d := DefaultHostedScenario()
 	d.Hosts, d.Kills, d.Down, d.Drains, d.Seconds, d.Remove = 3, 3, 2, true, 60, 5
 	if r := playHosted(t, d); !r.Kept() {
 		t.Error("not kept", r.Counts, r.Problems)
@@ -125,7 +125,7 @@
 	if testing.Short() {
 		t.Skip("real time")
 	}
-	d := UsualHostedDay()
+	d := DefaultHostedScenario()
 	d.Drains, d.Flood, d.Sockets, d.Seconds = true, 3, true, 12
 	r := playHosted(t, d)
 	for k, x := range r.Tenants {
--- a/internal/scenario/proxies.go
+++ b/internal/scenario/proxies.go
@@ -33,7 +33,7 @@
 type ownProxy struct {
 	proxy *proxy.Proxy
 	host  host
-	crowd *emulator.Crowd
+	crowd *emulator.ClientGenerator
 	shelf shelf
 	lives uint64
 }
@@ -43,7 +43,7 @@
 	site := &c.Site
 	x := p.reals[i]
 	seed := p.opts.Seed<<16 + uint64(i+1) + x.lives<<40
-	seen := &emulator.Seen{Ref: p.ref, UID: site.Relays[i].UID}
+	seen := &emulator.ProxyObserver{Checker: p.ref, UID: site.Relays[i].UID}
 	s := proxy.Config{UID: seen.UID, Limits: proxy.DefaultLimits, CollectorPort: c.Measurements.Port(), User: c.User, Key: c.Key,
 		ReportInterval: site.Reporting.Period, Seed: seed, Store: &x.shelf, Observer: seen,
 		Forwarding: forwarding.Config{ClassNames: site.ClassNames, Classes: site.Classes, RetryPolicies: site.RetryPolicies, AdmissionMode: site.DataPlane.Admission,
@@ -83,7 +83,7 @@
 	at := netip.AddrPortFrom(relayAddr(i).Addr(), clientPort)
 	x.proxy = proxy.New(p.stage.Now(), s)
 	x.host = p.add(at, zone, x.proxy, false)
-	x.crowd = emulator.NewCrowd(emulator.CrowdSetup{To: at, Classes: p.classes, Rate: rate, Seed: uint64(i+1) + p.opts.Seed<<16}, p.ref)
+	x.crowd = emulator.NewClientGenerator(emulator.ClientConfig{To: at, Classes: p.classes, Rate: rate, Seed: uint64(i+1) + p.opts.Seed<<16}, p.ref)
 	p.add(netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 0, crowdNet + byte(i/250), byte(1 + i%250)}), 0), zone, x.crowd, false)
 }
 
--- a/internal/scenario/rehearse.go
+++ b/internal/scenario/rehearse.go
@@ -31,10 +31,10 @@
 	"snowquay/internal/wire/sasp"
 )
 
-// BadDay is the day that is played if none is named.
+// DefaultScenario is the day that is played if none is named.
 //
 //go:embed bad-day.xml
-var BadDay []byte
+var DefaultScenario []byte
 
 const (
 	peerPort    = 13900  // of coordinators that share the fleet
@@ -134,7 +134,7 @@
 	coordinators []*one
 	servers      []*emulator.Server
 	serverHosts  []host
-	pods         map[int]*emulator.Pod
+	pods         map[int]*emulator.FailureDomain
 	fallen       map[int]bool
 	relays       []*emulator.Relay
 	relayHosts   []host
@@ -147,7 +147,7 @@
 
 // Run plays a day.
 func Run(day *settings.Scenario, opts Options) (*Result, error) {
-	p := &play{day: day, opts: opts, pods: map[int]*emulator.Pod{}, fallen: map[int]bool{}}
+	p := &play{day: day, opts: opts, pods: map[int]*emulator.FailureDomain{}, fallen: map[int]bool{}}
 	if opts.Seed == 0 {
 		p.opts.Seed = day.Seed
 	}
@@ -168,7 +168,7 @@
 	if opts.Sockets {
 		slack = socketSlack
 	}
-	p.ref = emulator.NewReferee(emulator.Rules{Promise: site.Guarantees, Channel: rules,
+	p.ref = emulator.NewInvariantChecker(emulator.Rules{Guarantees: site.Guarantees, Channel: rules,
 		Hold: site.Limits.ServerHold + noticeMost, Slack: slack}, p.classes)
 	if opts.Sockets {
 		p.sock = socketnet.New(eventloop.Clock())
@@ -399,19 +399,19 @@
 	to.Evicted += c.Evicted
 }
 
-func (p *play) serverSetup(i int, warm bool) emulator.ServerSetup {
+func (p *play) serverSetup(i int, warm bool) emulator.ServerConfig {
 	c := p.day.Coordinator
 	s := c.Site.Servers[i]
 	pod := p.pods[int(s.FailureDomain)]
 	if pod == nil {
-		pod = emulator.NewPod()
+		pod = emulator.NewFailureDomain()
 		p.pods[int(s.FailureDomain)] = pod
 	}
 	g := c.Site.Guarantees
 	speeds := rand.New(rand.NewPCG(p.opts.Seed, uint64(i)))
-	return emulator.ServerSetup{Addr: netip.MustParseAddrPort(string(s.Server)), Pod: pod, Cores: p.day.Cores,
-		Speed: p.day.Slowest + (p.day.Fastest-p.day.Slowest)*speeds.Float64(), Queue: p.day.Queue, ColdShare: g.WarmupStartFraction,
-		ColdFor: g.WarmupDuration, Multiple: g.OverloadFactor, Within: g.OverloadWindow, Warm: warm, Coordinators: p.all(c.SASP),
+	return emulator.ServerConfig{Addr: netip.MustParseAddrPort(string(s.Server)), FailureDomain: pod, Cores: p.day.Cores,
+		Speed: p.day.Slowest + (p.day.Fastest-p.day.Slowest)*speeds.Float64(), Queue: p.day.Queue, WarmupFraction: g.WarmupStartFraction,
+		WarmupDuration: g.WarmupDuration, OverloadFactor: g.OverloadFactor, OverloadWindow: g.OverloadWindow, Warm: warm, Coordinators: p.all(c.SASP),
 		Collect: c.Measurements.Port(), User: c.User, Key: c.Key, FleetUID: c.Policy.FleetUID, Classes: p.classes,
 		Seed: p.chance.Uint64(), Connections: p.day.Model.Connections, ConnWork: p.day.Model.ConnWork, KeyFor: p.day.Model.KeyFor,
 		KeyLess: p.day.Model.KeyLess, KeyMost: p.day.Model.KeyMost, Stops: p.day.Model.Stops}
@@ -462,12 +462,12 @@
 		for range site.DataPlane.DefaultTableSize { // servers of its zone if there are enough, as they come
 			s := site.Servers[p.chance.IntN(len(site.Servers))]
 			a := netip.MustParseAddrPort(string(s.Server))
-			if !contains(setup.Standing, a) {
-				setup.Standing = append(setup.Standing, a)
+			if !contains(setup.DefaultTable, a) {
+				setup.DefaultTable = append(setup.DefaultTable, a)
 			}
 		}
 		if p.opts.Proxies {
-			p.addProxy(i, setup.Rate, setup.Standing)
+			p.addProxy(i, setup.Rate, setup.DefaultTable)
 			continue
 		}
 		p.relays = append(p.relays, emulator.NewRelay(setup, p.ref))
@@ -488,7 +488,7 @@
 	return false
 }
 
-func (p *play) relaySetup(i int, rate float64) emulator.RelaySetup {
+func (p *play) relaySetup(i int, rate float64) emulator.RelayConfig {
 	c := p.day.Coordinator
 	asks := p.opts.Front == "http" || p.opts.Front == "both" && i%2 == 1
 	at := c.SASP
@@ -499,16 +499,16 @@
 	for k := range p.coordinators[1:] {
 		others = append(others, p.at(k+1, at))
 	}
-	return emulator.RelaySetup{Others: others, Asks: asks, UID: c.Site.Relays[i].UID, Host: relayAddr(i).Addr(), Coordinator: at, Collect: c.Measurements, User: c.User,
+	return emulator.RelayConfig{Others: others, Polls: asks, UID: c.Site.Relays[i].UID, Host: relayAddr(i).Addr(), Coordinator: at, Collector: c.Measurements, User: c.User,
 		Key: c.Key, Flags: sasp.Push | sasp.Trust | sasp.NoChange, Classes: p.classes, Rate: rate,
 		Report: c.Site.Reporting.Period, EjectAfter: c.Site.DataPlane.EjectAfterFailures, EjectFor: 4, Keys: p.day.Keys,
-		Seed: uint64(i+1) + p.opts.Seed<<16, Popular: p.popular, Again: p.day.Clients.Retries, Wait: p.day.Clients.RetryWait,
-		Patience: p.day.Clients.Patience, Policy: p.opts.Policy, Every: p.every()}
+		Seed: uint64(i+1) + p.opts.Seed<<16, Popular: p.popular, Retries: p.day.Clients.Retries, RetryWait: p.day.Clients.RetryWait,
+		Patience: p.day.Clients.Patience, Policy: p.opts.Policy, AllServers: p.every()}
 }
 
 // every is all servers of the day, for relays that need no coordinator.
 func (p *play) every() (all []netip.AddrPort) {
-	if p.opts.Policy != emulator.Robin {
+	if p.opts.Policy != emulator.RoundRobin {
 		return nil
 	}
 	for _, s := range p.day.Coordinator.Site.Servers {
@@ -588,8 +588,8 @@
 		p.ref.RelayDown(p.relays[t.Relay].UID)
 		later(func() {
 			p.life[t.Relay]++
-			setup := p.relays[t.Relay].RelaySetup
-			setup.Standing = nil // it knows no server before it is told
+			setup := p.relays[t.Relay].RelayConfig
+			setup.DefaultTable = nil // it knows no server before it is told
 			setup.Seed += p.life[t.Relay] << 20
 			p.relays[t.Relay] = emulator.NewRelay(setup, p.ref)
 			p.fail(restart(p.relayHosts[t.Relay], p.relays[t.Relay]))
@@ -659,7 +659,7 @@
 func (p *play) agent(server int, on bool) {
 	s := p.servers[server]
 	p.add(s.Addr, int(p.day.Coordinator.Site.Servers[server].Zone), &emulator.Agent{Coordinators: s.Coordinators,
-		Server: s.Addr, FleetUID: s.FleetUID, Group: p.classes[0].Name, Quiesce: on, Ref: p.ref}, true)
+		Server: s.Addr, FleetUID: s.FleetUID, Group: p.classes[0].Name, Quiesce: on, Checker: p.ref}, true)
 }
 
 func (p *play) finish(start float64) {
--- a/internal/scenario/rehearse_test.go
+++ b/internal/scenario/rehearse_test.go
@@ -41,7 +41,7 @@
 
 func TestBadDayKeepsAllRules(t *testing.T) {
 	for _, front := range fronts {
-		r, text := play1(t, badDay(t, string(BadDay)), Options{Front: front})
+		r, text := play1(t, badDay(t, string(DefaultScenario)), Options{Front: front})
 		if !r.Kept() || len(r.Complaints) > 0 {
 			t.Errorf("%s: a rule was broken or something was not understood:\n%s", front, text)
 		}
@@ -49,8 +49,8 @@
 			t.Errorf("%s: the day was not what it is meant to be:\n%s", front, text)
 		}
 	}
-	_, text := play1(t, badDay(t, string(BadDay)), Options{})
-	if _, again := play1(t, badDay(t, string(BadDay)), Options{}); again != text {
+	_, text := play1(t, badDay(t, string(DefaultScenario)), Options{})
+	if _, again := play1(t, badDay(t, string(DefaultScenario)), Options{}); again != text {
 		t.Errorf("the same seed brought another day:\n%s\n%s", text, again)
 	}
 }
@@ -71,11 +71,11 @@
 		controlplane.GuardReports: {3, 0}, controlplane.GuardWarmup: {4, 0}, controlplane.GuardPace: {5, 0}} {
 		t.Run(string(guard), func(t *testing.T) {
 			t.Parallel()
-			r, text := play1(t, badDay(t, string(BadDay), guard), Options{Seed: c.seed})
+			r, text := play1(t, badDay(t, string(DefaultScenario), guard), Options{Seed: c.seed})
 			if r.Verdicts[c.rule-1].Kept {
 				t.Errorf("rule %d was kept without it:\n%s", c.rule, text)
 			}
-			r, text = play1(t, badDay(t, string(BadDay)), Options{Seed: c.seed})
+			r, text = play1(t, badDay(t, string(DefaultScenario)), Options{Seed: c.seed})
 			if !r.Verdicts[c.rule-1].Kept {
 				t.Errorf("rule %d was broken with it:\n%s", c.rule, text)
 			}
@@ -92,9 +92,9 @@
 	for seed := range *drawn {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
-			d := badDay(t, string(BadDay))
+			d := badDay(t, string(DefaultScenario))
 			d.Seed = seed + 100
-			Redraw(d)
+			RedrawServers(d)
 			if r, text := play1(t, d, Options{Front: fronts[seed%3]}); !r.Kept() || len(r.Complaints) > 0 && r.Desk.Rejected == 0 {
 				t.Errorf("%+v\n%s", d.Faults, text)
 			}
@@ -104,7 +104,7 @@
 
 func TestShortDayOverSockets(t *testing.T) {
 	// Relays by both fronts.
-	before, _, found := strings.Cut(string(BadDay), "  <trouble")
+	before, _, found := strings.Cut(string(DefaultScenario), "  <trouble")
 	if !found {
 		t.Fatal("the bad day has no trouble")
 	}
@@ -129,7 +129,7 @@
 // Days drawn by rapid, which cuts a day that breaks a rule down to the troubles that it takes.
 func TestDaysThatCanBeCutDown(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		d := badDay(t, string(BadDay))
+		d := badDay(t, string(DefaultScenario))
 		d.Seconds, d.Seed = 36, rapid.Uint64Range(1, 1<<20).Draw(rt, "seed")
 		d.Faults = rapid.SliceOfN(rapid.Custom(func(rt *rapid.T) settings.Fault {
 			k := rapid.SampledFrom([]string{"slow", "fast_errors", "hang", "crash", "drain", "coordinator_restart", "balancer_stall",
--- a/internal/scenario/seeds_test.go
+++ b/internal/scenario/seeds_test.go
@@ -10,7 +10,7 @@
 // Drawn days of three hosts that are killed, with a tenant that floods and one that is removed.
 func TestHostedDrawn(t *testing.T) {
 	for seed := range *hostedSeeds {
-		d := UsualHostedDay()
+		d := DefaultHostedScenario()
 		d.Tenants, d.Hosts, d.Kills, d.Down, d.Drains, d.Seconds, d.Remove, d.Flood, d.FloodRate, d.Seed = 6, 3, 4, 1+float64(seed%4), true, 60, 5, 2, 500, uint64(seed+2)
 		r, err := RunHosted(d)
 		if err != nil {
--- a/internal/scenario/takeover.go
+++ b/internal/scenario/takeover.go
@@ -31,10 +31,10 @@
 	pausesOneIn = 4                           // kills, one is a pause instead
 )
 
-// Takeovers makes of a day one on which three coordinators are killed again and again, every so many seconds on average,
+// AddTakeovers makes of a day one on which three coordinators are killed again and again, every so many seconds on average,
 // each for up to a little longer than that; one in four times one is stopped for a while instead. Other troubles go on
 // beside that, unless the day is calm.
-func Takeovers(d *settings.Scenario, kills int, every float64, seed uint64, calm bool) {
+func AddTakeovers(d *settings.Scenario, kills int, every float64, seed uint64, calm bool) {
 	c := rand.New(rand.NewPCG(seed, 0x7a4e))
 	d.Seed, d.Faults = seed, nil
 	d.Seconds = killFrom + float64(kills)*every + killAfter
--- a/internal/scenario/takeover_test.go
+++ b/internal/scenario/takeover_test.go
@@ -15,11 +15,11 @@
 	for seed := range *takeovers {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
-			d := badDay(t, string(BadDay))
+			d := badDay(t, string(DefaultScenario))
 			d.Seed = seed + 5000
-			Redraw(d)
+			RedrawServers(d)
 			d.Faults = d.Faults[:min(len(d.Faults), 2)]
-			Kill(d, 4)
+			AddKills(d, 4)
 			if r, text := play1(t, d, Options{Coordinators: 3, Front: fronts[seed%3]}); !r.Kept() || r.Service < 0.3 {
 				t.Errorf("%+v\n%s", d.Faults, text)
 			}
@@ -32,7 +32,7 @@
 func TestACoordinatorThatReachesOneSideOnly(t *testing.T) {
 	for _, kind := range []string{"coordinator_hidden", "coordinator_alone"} {
 		for server := range 3 {
-			d := badDay(t, string(BadDay))
+			d := badDay(t, string(DefaultScenario))
 			d.Seconds, d.Faults = 50, []settings.Fault{{Kind: kind, Server: server, At: 8, For: 30, Relay: -1, FailureDomain: -1, Zone: -1}}
 			unled, lastUnled := 0.0, 0.0
 			r, text := play1(t, d, Options{Coordinators: 3, Front: fronts[server], Led: func(now float64, led bool) {
@@ -49,7 +49,7 @@
 
 func TestTheBadDayOfThree(t *testing.T) {
 	for _, front := range fronts {
-		if r, text := play1(t, badDay(t, string(BadDay)), Options{Coordinators: 3, Front: front}); !r.Kept() || r.Service < 0.6 {
+		if r, text := play1(t, badDay(t, string(DefaultScenario)), Options{Coordinators: 3, Front: front}); !r.Kept() || r.Service < 0.6 {
 			t.Errorf("%s:\n%s", front, text)
 		}
 	}
