--- a/internal/coordinator/authorization_test.go
+++ b/internal/coordinator/authorization_test.go
@@ -50,7 +50,7 @@
 	}
 	group.start(1, coordinator.GroupConfig{Members: group.addresses})
 	group.run(8)
-	frames := []peer.Frame{{Kind: peer.Command, Message: removeMember(t, 3)}, {Kind: peer.Ask}}
+	frames := []peer.Frame{{Kind: peer.Command, Message: removeMember(t, 3)}, {Kind: peer.StatusRequest}}
 	tool := &groupTool{to: group.addresses[2], frames: frames}
 	group.net.Add(netip.AddrFrom4([4]byte{10, 0, 0, 99}), 9, false).Start(tool)
 	group.run(4)
@@ -69,13 +69,13 @@
 	renewal := []byte(`{"kind":1,"peer":"c1","weight":1,"renewal":99999}`)
 	expiry := []byte(`{"kind":2,"peer":"c1","renewal":5}`)
 	cases := map[string]*groupTool{
-		"wrong key":                {key: "x", frames: []peer.Frame{{Kind: peer.Ask}}},
+		"wrong key":                {key: "x", frames: []peer.Frame{{Kind: peer.StatusRequest}}},
 		"lease renewal":            {frames: []peer.Frame{{Kind: peer.Command, Message: renewal}}},
 		"lease expiry":             {frames: []peer.Frame{{Kind: peer.Command, Message: expiry}}},
 		"malformed command":        {frames: []peer.Frame{{Kind: peer.Command, Message: []byte(`{`)}}},
 		"consensus without number": {frames: []peer.Frame{{Kind: peer.Consensus, Message: []byte(`x`)}}},
-		"addressed to another":     {frames: []peer.Frame{{To: 3, Kind: peer.Ask}}},
-		"another's number":         {frames: []peer.Frame{{From: 1, Mark: 5, Kind: peer.Consensus, Message: []byte(`x`)}}},
+		"addressed to another":     {frames: []peer.Frame{{To: 3, Kind: peer.StatusRequest}}},
+		"another's number":         {frames: []peer.Frame{{From: 1, DataDirID: 5, Kind: peer.Consensus, Message: []byte(`x`)}}},
 	}
 	group := newMemberGroup(2, 3)
 	address := byte(100)
--- a/internal/coordinator/member_messages.go
+++ b/internal/coordinator/member_messages.go
@@ -60,7 +60,7 @@
 // receiveReply handles a frame on a connection that this member dialled. The other side sends there only why it refuses this
 // member.
 func (m *Member) receiveReply(frame peer.Frame) {
-	if frame.Kind == peer.Refusal {
+	if frame.Kind == peer.Rejection {
 		m.fail(fmt.Errorf("%w: number %d: %s", ErrRefused, frame.From, frame.Message))
 	}
 }
@@ -71,7 +71,7 @@
 	if sender != 0 {
 		err := m.authorize(frame)
 		if err != nil {
-			m.io.Send(conn, m.peers.encode(sender, peer.Refusal, []byte(err.Error())))
+			m.io.Send(conn, m.peers.encode(sender, peer.Rejection, []byte(err.Error())))
 			return err
 		}
 	}
@@ -83,12 +83,12 @@
 		m.step(now, frame.Message)
 	case peer.Command:
 		return m.proposeRegistration(now, frame.Message)
-	case peer.Ask:
+	case peer.StatusRequest:
 		status, err := m.status(now)
 		if err != nil {
 			return err
 		}
-		m.io.Send(conn, m.peers.encode(sender, peer.Tell, status))
+		m.io.Send(conn, m.peers.encode(sender, peer.StatusResponse, status))
 	}
 	return nil
 }
@@ -124,11 +124,11 @@
 	if m.Group != nil && m.Group.Removed(sender) {
 		return fmt.Errorf("number %d: %w", sender, consensus.ErrRemoved)
 	}
-	first, err := m.dataDirs.Verify(sender, frame.Mark, frame.Commit)
+	first, err := m.dataDirs.Verify(sender, frame.DataDirID, frame.Commit)
 	if err != nil || !first {
 		return err
 	}
-	err = m.storage.SavePeerDataDir(consensus.ID(sender), frame.Mark)
+	err = m.storage.SavePeerDataDir(consensus.ID(sender), frame.DataDirID)
 	if err != nil {
 		m.fail(fmt.Errorf("%w: %w", consensus.ErrStorage, err))
 	}
--- a/internal/coordinator/peers.go
+++ b/internal/coordinator/peers.go
@@ -89,12 +89,12 @@
 func (t *peerTransport) encode(to membership.MemberID, kind peer.Kind, message []byte) []byte {
 	member := t.member
 	frame := peer.Frame{
-		From:    uint64(member.config.Self),
-		To:      uint64(to),
-		Mark:    member.storage.DataDirID(),
-		Commit:  member.commitIndex(),
-		Kind:    kind,
-		Message: message,
+		From:      uint64(member.config.Self),
+		To:        uint64(to),
+		DataDirID: member.storage.DataDirID(),
+		Commit:    member.commitIndex(),
+		Kind:      kind,
+		Message:   message,
 	}
 	t.scratch = peer.Append(t.scratch[:0], member.config.Key, frame)
 	return t.scratch
--- a/internal/service/group.go
+++ b/internal/service/group.go
@@ -71,7 +71,7 @@
 		}
 		b = peer.Append(b, key, peer.Frame{Kind: peer.Command, Message: text})
 	}
-	if _, err := c.Write(peer.Append(b, key, peer.Frame{Kind: peer.Ask})); err != nil {
+	if _, err := c.Write(peer.Append(b, key, peer.Frame{Kind: peer.StatusRequest})); err != nil {
 		return s, err
 	}
 	var buf []byte
--- a/internal/wire/peer/frame.go
+++ b/internal/wire/peer/frame.go
@@ -34,8 +34,8 @@
 var (
 	// ErrFrame says that a stream is not one of frames, or is of another version.
 	ErrFrame = errors.New("not a peer's frame")
-	// ErrCode says that the sender does not have the group's key.
-	ErrCode = errors.New("a peer's frame with a wrong code")
+	// ErrAuthentication says that the sender does not have the group's key.
+	ErrAuthentication = errors.New("a peer's frame with a wrong code")
 )
 
 // Kind is the kind of a frame's message. Frames carry these numbers.
@@ -43,22 +43,22 @@
 
 // Kinds of messages.
 const (
-	Consensus Kind = iota + 1 // a message of the raft library
-	Command                   // a membership command to be proposed: a registration, or an operator's order
-	Ask                       // a request for the group's status
-	Tell                      // the answer to it
-	Refusal                   // why the sender rejects the receiver's frames, as text
-	Hello                     // nothing but who the sender is
+	Consensus      Kind = iota + 1 // a message of the raft library
+	Command                        // a membership command to be proposed: a registration, or an operator's order
+	StatusRequest                  // a request for the group's status
+	StatusResponse                 // the answer to it
+	Rejection                      // why the sender rejects the receiver's frames, as text
+	Hello                          // nothing but who the sender is
 )
 
 // Frame is one message with its sender and receiver.
 type Frame struct {
-	From    uint64 // number of the sending coordinator; 0: an operator's tool
-	To      uint64 // number of the receiving coordinator; 0: any
-	Mark    uint64 // ID of the sender's data directory
-	Commit  uint64 // index up to which the sender knows, durably, that log entries are committed
-	Kind    Kind
-	Message []byte
+	From      uint64 // number of the sending coordinator; 0: an operator's tool
+	To        uint64 // number of the receiving coordinator; 0: any
+	DataDirID uint64 // ID of the sender's data directory
+	Commit    uint64 // index up to which the sender knows, durably, that log entries are committed
+	Kind      Kind
+	Message   []byte
 }
 
 // Append appends an encoded frame to b.
@@ -67,7 +67,7 @@
 	b = binary.BigEndian.AppendUint32(b, magic)
 	b = binary.BigEndian.AppendUint32(b, uint32(messageOffset+len(frame.Message)+codeBytes))
 	b = binary.BigEndian.AppendUint64(b, frame.From)
-	b = binary.BigEndian.AppendUint64(b, frame.Mark)
+	b = binary.BigEndian.AppendUint64(b, frame.DataDirID)
 	b = binary.BigEndian.AppendUint64(b, frame.Commit)
 	b = binary.BigEndian.AppendUint64(b, frame.To)
 	b = append(b, byte(frame.Kind))
@@ -84,15 +84,15 @@
 	}
 	end := length - codeBytes
 	if !hmac.Equal(authenticationCode(key, b[:end]), b[end:length]) {
-		return Frame{}, 0, ErrCode
+		return Frame{}, 0, ErrAuthentication
 	}
 	frame = Frame{
-		From:    binary.BigEndian.Uint64(b[fromOffset:]),
-		To:      binary.BigEndian.Uint64(b[toOffset:]),
-		Mark:    binary.BigEndian.Uint64(b[markOffset:]),
-		Commit:  binary.BigEndian.Uint64(b[commitOffset:]),
-		Kind:    Kind(b[kindOffset]),
-		Message: b[messageOffset:end],
+		From:      binary.BigEndian.Uint64(b[fromOffset:]),
+		To:        binary.BigEndian.Uint64(b[toOffset:]),
+		DataDirID: binary.BigEndian.Uint64(b[markOffset:]),
+		Commit:    binary.BigEndian.Uint64(b[commitOffset:]),
+		Kind:      Kind(b[kindOffset]),
+		Message:   b[messageOffset:end],
 	}
 	if frame.Kind < Consensus || frame.Kind > Hello {
 		return Frame{}, 0, fmt.Errorf("%w: of kind %d", ErrFrame, frame.Kind)
--- a/internal/wire/peer/frame_test.go
+++ b/internal/wire/peer/frame_test.go
@@ -9,24 +9,24 @@
 var key = []byte("the group's key")
 
 func TestFramesAreDecoded(t *testing.T) {
-	b := Append(nil, key, Frame{From: 1, To: 2, Mark: 7, Commit: 9, Kind: Command, Message: []byte("hello")})
-	b = Append(b, key, Frame{From: 1, To: 3, Kind: Ask})
+	b := Append(nil, key, Frame{From: 1, To: 2, DataDirID: 7, Commit: 9, Kind: Command, Message: []byte("hello")})
+	b = Append(b, key, Frame{From: 1, To: 3, Kind: StatusRequest})
 	for i := range 60 {
 		if _, n, err := Next(b[:i], key); n != 0 || err != nil {
 			t.Fatalf("%d bytes: %d, %v", i, n, err)
 		}
 	}
 	f, n, err := Next(b, key)
-	if f.From != 1 || f.To != 2 || f.Mark != 7 || f.Commit != 9 || f.Kind != Command || string(f.Message) != "hello" || err != nil {
+	if f.From != 1 || f.To != 2 || f.DataDirID != 7 || f.Commit != 9 || f.Kind != Command || string(f.Message) != "hello" || err != nil {
 		t.Fatalf("%+v %v", f, err)
 	}
-	if f, _, err = Next(b[n:], key); f.To != 3 || f.Kind != Ask || len(f.Message) != 0 || err != nil {
+	if f, _, err = Next(b[n:], key); f.To != 3 || f.Kind != StatusRequest || len(f.Message) != 0 || err != nil {
 		t.Errorf("%+v %v", f, err)
 	}
 }
 
 func TestForgedFramesAreRejected(t *testing.T) {
-	good := Append(nil, key, Frame{From: 1, To: 2, Mark: 7, Commit: 9, Kind: Consensus, Message: []byte("hello")})
+	good := Append(nil, key, Frame{From: 1, To: 2, DataDirID: 7, Commit: 9, Kind: Consensus, Message: []byte("hello")})
 	for i := range good {
 		b := bytes.Clone(good)
 		b[i] ^= 1
@@ -34,7 +34,7 @@
 			t.Errorf("byte %d changed: %d bytes taken, %v", i, n, err)
 		}
 	}
-	if _, _, err := Next(good, []byte("another key")); !errors.Is(err, ErrCode) {
+	if _, _, err := Next(good, []byte("another key")); !errors.Is(err, ErrAuthentication) {
 		t.Errorf("another key: %v", err)
 	}
 	huge := bytes.Clone(good)
@@ -45,7 +45,7 @@
 }
 
 func FuzzNext(f *testing.F) {
-	f.Add(Append(nil, key, Frame{From: 1, To: 2, Mark: 7, Commit: 9, Kind: Consensus, Message: []byte("hello")}))
+	f.Add(Append(nil, key, Frame{From: 1, To: 2, DataDirID: 7, Commit: 9, Kind: Consensus, Message: []byte("hello")}))
 	f.Fuzz(func(t *testing.T, b []byte) {
 		if frame, n, err := Next(b, key); err == nil && n > 0 && !bytes.Equal(Append(nil, key, frame), b[:n]) {
 			t.Errorf("%x came back otherwise", b[:n])
--- a/internal/wire/peer/golden_test.go
+++ b/internal/wire/peer/golden_test.go
@@ -9,7 +9,7 @@
 
 func TestFrameOnTheWire(t *testing.T) {
 	key := []byte("a key of the group")
-	frame := Frame{From: 1, To: 2, Mark: 0x0102030405060708, Commit: 99, Kind: Command, Message: []byte(`{"kind":6}`)}
+	frame := Frame{From: 1, To: 2, DataDirID: 0x0102030405060708, Commit: 99, Kind: Command, Message: []byte(`{"kind":6}`)}
 	golden.Filled(t, "frame", frame)
 	golden.Bytes(t, "frame.bin", Append(nil, key, frame))
 	text := golden.Read(t, "frame.bin")
@@ -21,7 +21,7 @@
 
 // Frames carry these numbers.
 func TestKindsOnTheWire(t *testing.T) {
-	for i, kind := range []Kind{Consensus, Command, Ask, Tell, Refusal, Hello} {
+	for i, kind := range []Kind{Consensus, Command, StatusRequest, StatusResponse, Rejection, Hello} {
 		if kind != Kind(i+1) {
 			t.Errorf("kind %d has the number %d", i+1, kind)
 		}
