--- a/internal/coordinator/config.go
+++ b/internal/coordinator/config.go
@@ -32,8 +32,8 @@
 	Log *slog.Logger
 	// OnFail is called when the coordinator stops issuing commands for good. It may be nil.
 	OnFail func(error)
-	// OnOrder receives the trace of each message to a proxy. It may be nil.
-	OnOrder func(controlplane.MessageTrace)
+	// OnMessageTrace receives the trace of each message to a proxy. It may be nil.
+	OnMessageTrace func(controlplane.MessageTrace)
 	// Group is the group of coordinators that share the fleet; nil for a coordinator that is alone.
 	Group *GroupConfig
 	// Storage stores the consensus log of the group.
--- a/internal/coordinator/coordinator.go
+++ b/internal/coordinator/coordinator.go
@@ -126,8 +126,8 @@
 		sender.Tick(now, func() { addFleetMetrics(sender, c.Fleet, now) })
 	}
 	for _, trace := range c.Fleet.TakeTraces() {
-		if c.config.OnOrder != nil {
-			c.config.OnOrder(trace)
+		if c.config.OnMessageTrace != nil {
+			c.config.OnMessageTrace(trace)
 		}
 	}
 	if c.config.RequestTurn != nil && c.Idle() {
--- a/internal/coordinator/graphite_test.go
+++ b/internal/coordinator/graphite_test.go
@@ -145,7 +145,7 @@
 		t.Errorf("%d of %d values are missing", missing, end-start)
 	}
 	tenant, _ := f.host.Tenant("t000")
-	if tenant.Program.Fleet.Joined() != 1 {
+	if tenant.Coordinator.Fleet.Joined() != 1 {
 		t.Error("the proxy is not joined any more")
 	}
 	sender := f.host.GraphiteSender()
--- a/internal/coordinator/host.go
+++ b/internal/coordinator/host.go
@@ -35,8 +35,8 @@
 	ParseTenant func(tenancy.Tenant) (TenantConfig, error)
 	// Log returns the logger of a tenant, or of the host for the empty name. It may be nil: nothing is logged then.
 	Log func(tenancy.Name) *slog.Logger
-	// OnOrder receives the trace of each message to a tenant's proxy. It may be nil.
-	OnOrder func(tenancy.Name, tenancy.Incarnation, controlplane.MessageTrace)
+	// OnMessageTrace receives the trace of each message to a tenant's proxy. It may be nil.
+	OnMessageTrace func(tenancy.Name, tenancy.Incarnation, controlplane.MessageTrace)
 	// Graphite configures the sending of metrics; nil: none are sent.
 	Graphite *graphite.Config
 	// Group is the group of hosts that share the tenants; nil for a host that is alone.
--- a/internal/coordinator/host_connections.go
+++ b/internal/coordinator/host_connections.go
@@ -48,7 +48,7 @@
 	if tenant == nil {
 		return
 	}
-	tenant.Program.Receive(now, conn, data)
+	tenant.Coordinator.Receive(now, conn, data)
 	h.chargeArrival(now, tenant, len(data))
 }
 
@@ -63,7 +63,7 @@
 	if tenant == nil {
 		return
 	}
-	tenant.Program.Closed(now, conn)
+	tenant.Coordinator.Closed(now, conn)
 	h.chargeArrival(now, tenant, 0)
 }
 
@@ -74,7 +74,7 @@
 	}
 	tenant := h.tenantOf(conn)
 	if tenant != nil {
-		tenant.Program.Delivered(now, conn, total)
+		tenant.Coordinator.Delivered(now, conn, total)
 	}
 }
 
@@ -91,14 +91,14 @@
 		h.Stats.Foreign++
 		return
 	}
-	tenant.Program.Datagram(now, data)
+	tenant.Coordinator.Datagram(now, data)
 	h.chargeArrival(now, tenant, len(data))
 }
 
 // running returns the tenant of a name; nil if it does not run.
 func (h *Host) running(name tenancy.Name) *TenantRuntime {
 	tenant := h.tenants[name]
-	if tenant == nil || tenant.Program == nil {
+	if tenant == nil || tenant.Coordinator == nil {
 		return nil
 	}
 	return tenant
@@ -128,7 +128,7 @@
 	delete(h.unidentified, conn)
 	tenant := h.running(route.Tenant)
 	if accepted && tenant != nil {
-		tenant.Program.Opened(now, conn, from, h.port(route.Frontend))
+		tenant.Coordinator.Opened(now, conn, from, h.port(route.Frontend))
 		return tenant, route.Bytes
 	}
 	if route.Reason == tenancy.TenantStarting {
--- a/internal/coordinator/host_directory.go
+++ b/internal/coordinator/host_directory.go
@@ -120,7 +120,7 @@
 		preview.Revision.RestartReason = "there is none that runs"
 		return preview, nil
 	}
-	fleet := tenant.Program.Fleet
+	fleet := tenant.Coordinator.Fleet
 	preview.Revision = controlplane.CompareSites(fleet.Site(), &preview.Config.Config.Site)
 	reasons := fleet.Preview(now, preview.Revision.Removed, false)
 	if len(preview.Revision.Removed) > 0 { // else the findings are not caused by the change
--- a/internal/coordinator/host_group.go
+++ b/internal/coordinator/host_group.go
@@ -52,7 +52,7 @@
 // running returns the tenant of an incarnation; nil if it does not run here.
 func (s *sharedTenants) running(incarnation tenancy.Incarnation) *TenantRuntime {
 	tenant := s.byIncarnation[incarnation]
-	if tenant == nil || tenant.Program == nil {
+	if tenant == nil || tenant.Coordinator == nil {
 		return nil
 	}
 	return tenant
@@ -75,7 +75,7 @@
 		return
 	}
 	command.Server = server
-	tenant.Program.drainCommitted(now, command)
+	tenant.Coordinator.drainCommitted(now, command)
 	s.host.Scheduler.MarkDue(now, tenant.Name, true)
 }
 
@@ -87,7 +87,7 @@
 			continue
 		}
 		record.Server = server
-		tenant.Program.recordsCommitted(now, []registry.Record{record})
+		tenant.Coordinator.recordsCommitted(now, []registry.Record{record})
 	}
 }
 
@@ -129,7 +129,7 @@
 	}
 	tenant := s.running(incarnation)
 	if tenant != nil {
-		tenant.Program.orderCompleted(now, ticket, committed)
+		tenant.Coordinator.orderCompleted(now, ticket, committed)
 	}
 }
 
--- a/internal/coordinator/host_group_test.go
+++ b/internal/coordinator/host_group_test.go
@@ -115,7 +115,7 @@
 	}
 	for i, host := range g.hosts {
 		tenant, ok := host.Tenant("t000")
-		if !ok || tenant.Program == nil || tenant.Incarnation != first.outcome.Incarnation {
+		if !ok || tenant.Coordinator == nil || tenant.Incarnation != first.outcome.Incarnation {
 			t.Errorf("host %d does not run the tenant", i)
 		}
 	}
@@ -150,7 +150,7 @@
 	incarnations := map[tenancy.Incarnation]bool{}
 	for i, host := range g.hosts {
 		tenant, ok := host.Tenant(name)
-		if !ok || tenant.Program == nil {
+		if !ok || tenant.Coordinator == nil {
 			g.t.Fatalf("round %d: host %d does not run %s", round, i, name)
 		}
 		incarnations[tenant.Incarnation] = true
--- a/internal/coordinator/host_metrics.go
+++ b/internal/coordinator/host_metrics.go
@@ -10,12 +10,12 @@
 	sender.Add(true, float64(h.Scheduler.Stats.Turns), "host", "turns")
 	sender.Add(true, float64(h.Scheduler.Stats.BudgetExhausted), "host", "held")
 	for _, tenant := range h.Tenants() {
-		if tenant.Program == nil {
+		if tenant.Coordinator == nil {
 			continue
 		}
 		name := string(tenant.Name)
 		work, _ := h.Scheduler.Usage(tenant.Name)
 		sender.Add(true, work, "tenants", name, "work")
-		addFleetMetrics(sender, tenant.Program.Fleet, now, "tenants", name)
+		addFleetMetrics(sender, tenant.Coordinator.Fleet, now, "tenants", name)
 	}
 }
--- a/internal/coordinator/host_scheduling.go
+++ b/internal/coordinator/host_scheduling.go
@@ -46,7 +46,7 @@
 
 // runTurn gives a tenant its turn and charges the tenant for it.
 func (h *Host) runTurn(now float64, tenant *TenantRuntime) {
-	program := tenant.Program
+	program := tenant.Coordinator
 	program.TimerFired(now, 0)
 	tenant.idle = program.Idle()
 	stats := program.Fleet.Stats
--- a/internal/coordinator/host_tenants.go
+++ b/internal/coordinator/host_tenants.go
@@ -76,7 +76,7 @@
 		h.log(tenant.Name, "tenant failed to start", "error", err)
 		return
 	}
-	tenant.Program = program
+	tenant.Coordinator = program
 	tenant.Err = nil
 	tenant.idle = false
 	tenant.charged = controlplane.Stats{}
@@ -102,8 +102,8 @@
 		config.Peers = newTenantPeers(h.shared, incarnation)
 		siteForGroup(&config.Site, h.config.Group)
 	}
-	if h.config.OnOrder != nil {
-		config.OnOrder = func(trace controlplane.MessageTrace) { h.config.OnOrder(name, incarnation, trace) }
+	if h.config.OnMessageTrace != nil {
+		config.OnMessageTrace = func(trace controlplane.MessageTrace) { h.config.OnMessageTrace(name, incarnation, trace) }
 	}
 	return config
 }
@@ -113,7 +113,7 @@
 	for _, conn := range h.Router.Remove(tenant.Name) {
 		h.io.Close(env.Conn(conn))
 	}
-	tenant.Program = nil
+	tenant.Coordinator = nil
 }
 
 // remove stops a tenant and forgets it.
@@ -164,7 +164,7 @@
 		return
 	}
 	tenant.config = config
-	err = h.applySettings(now, tenant, tenant.Program != nil)
+	err = h.applySettings(now, tenant, tenant.Coordinator != nil)
 	if err != nil {
 		tenant.Err = err
 		tenant.config = previous
@@ -172,7 +172,7 @@
 		return
 	}
 	tenant.Err = nil
-	if tenant.Program == nil {
+	if tenant.Coordinator == nil {
 		return
 	}
 	sameUser := previous.Config.User == config.Config.User && previous.Config.Key == config.Config.Key
@@ -186,7 +186,7 @@
 
 // reconfigure applies a tenant's settings to its running coordinator and reports whether that was possible.
 func (h *Host) reconfigure(now float64, tenant *TenantRuntime) bool {
-	revision, err := tenant.Program.Reconfigure(now, tenant.config.Config)
+	revision, err := tenant.Coordinator.Reconfigure(now, tenant.config.Config)
 	if err != nil {
 		return false
 	}
--- a/internal/coordinator/host_test.go
+++ b/internal/coordinator/host_test.go
@@ -144,7 +144,7 @@
 	proxy = f.connect(0, setBalancer("t000/relay-0"), register("t000/relay-0"), setBalancer("t000/relay-0"))
 	f.run(3)
 	tenant, _ := f.host.Tenant("t000")
-	drain, _ := tenant.Program.Fleet.DrainProgress(firstServer)
+	drain, _ := tenant.Coordinator.Fleet.DrainProgress(firstServer)
 	if drain.Phase != balancer.Ready || len(proxy.rows) < 4 {
 		t.Errorf("%+v, %d rows", drain, len(proxy.rows))
 	}
@@ -159,7 +159,7 @@
 	proxy := f.connectProxy(0)
 	f.run(2)
 	before, _ := f.host.Tenant("t000")
-	program := before.Program
+	program := before.Coordinator
 	replace := func(old, replacement string) {
 		t.Helper()
 		if !strings.Contains(text, old) {
@@ -184,7 +184,7 @@
 		t.Errorf("weights %v, closed %d", weights, proxy.closed)
 	}
 	after, _ := f.host.Tenant("t000")
-	if after.Program != program || f.host.Stats.Reconfigured != 1 {
+	if after.Coordinator != program || f.host.Stats.Reconfigured != 1 {
 		t.Error("the tenant has restarted")
 	}
 
@@ -206,7 +206,7 @@
 	}
 	replace(`drain-within="3"`, `drain-within="4"`)
 	after, _ = f.host.Tenant("t000")
-	if after.Program == program || after.Program == nil || f.host.Stats.Restarts != 1 {
+	if after.Coordinator == program || after.Coordinator == nil || f.host.Stats.Restarts != 1 {
 		t.Error("the tenant has not restarted")
 	}
 }
@@ -227,7 +227,7 @@
 	}
 	f.run(0.02) // the proxy was told to retry
 	tenant, _ := f.host.Tenant("t063")
-	if tenant.Program == nil {
+	if tenant.Coordinator == nil {
 		t.Error("the tenant whose proxy has connected does not start first")
 	}
 	f.run(1)
--- a/internal/coordinator/member_test.go
+++ b/internal/coordinator/member_test.go
@@ -45,7 +45,7 @@
 		members:   map[membership.MemberID]*coordinator.Member{},
 		storage:   map[membership.MemberID]*consensus.FileStorage{},
 	}
-	g.net.Faults.Split = 0.1
+	g.net.Faults.SplitProbability = 0.1
 	for _, id := range g.ids {
 		g.addresses[id] = memberAddress(id)
 	}
--- a/internal/coordinator/tenant.go
+++ b/internal/coordinator/tenant.go
@@ -23,8 +23,8 @@
 // TenantRuntime is a tenant of a Host, whether or not it runs.
 type TenantRuntime struct {
 	tenancy.Tenant
-	// Program is the tenant's coordinator; nil while it is not started, or if it failed to start.
-	Program *Coordinator
+	// Coordinator is the tenant's coordinator; nil while it is not started, or if it failed to start.
+	Coordinator *Coordinator
 	// Err is why the tenant does not run, or does not run by its latest settings.
 	Err error
 
@@ -35,7 +35,7 @@
 }
 
 // startable reports whether the tenant is to be started.
-func (t *TenantRuntime) startable() bool { return t.Program == nil && t.Err == nil }
+func (t *TenantRuntime) startable() bool { return t.Coordinator == nil && t.Err == nil }
 
 // siteForGroup sets how many hosts share the tenant, and the position of this one.
 func siteForGroup(site *controlplane.Site, group *GroupConfig) {
@@ -80,6 +80,6 @@
 		done(false)
 		return
 	}
-	tenant.Program.RequestDrain(now, server, draining, done)
+	tenant.Coordinator.RequestDrain(now, server, draining, done)
 	tenant.idle = false
 }
--- a/internal/env/simnet/conn.go
+++ b/internal/env/simnet/conn.go
@@ -101,7 +101,7 @@
 	net := e.host.net
 	delay := net.latency(e.host, peer.host)
 	if e.host.partitionedFrom(peer.host) {
-		delay = net.Faults.Notice * (0.5 + net.random.Float64()/2)
+		delay = net.Faults.DetectionDelay * (0.5 + net.random.Float64()/2)
 	}
 	incarnation := peer.host.incarnation
 	net.At(max(net.now+delay, peer.lastArrival), func() { peer.lost(incarnation) })
@@ -124,7 +124,7 @@
 func (e *endpoint) loseSoon() {
 	net := e.host.net
 	incarnation := e.host.incarnation
-	net.At(net.now+net.Faults.Notice*net.random.Float64(), func() { e.lost(incarnation) })
+	net.At(net.now+net.Faults.DetectionDelay*net.random.Float64(), func() { e.lost(incarnation) })
 }
 
 // Send implements env.IO.
@@ -138,7 +138,7 @@
 	data = bytes.Clone(data)
 	at := max(net.now+net.latency(h, peer.host), peer.lastArrival)
 	pieces := 1
-	if net.Faults.Split > 0 && net.random.Float64() < net.Faults.Split {
+	if net.Faults.SplitProbability > 0 && net.random.Float64() < net.Faults.SplitProbability {
 		pieces = min(len(data), maxPieces)
 	}
 	pieceSize := (len(data) + pieces - 1) / pieces
--- a/internal/env/simnet/host.go
+++ b/internal/env/simnet/host.go
@@ -67,9 +67,9 @@
 	h.Stall(seconds)
 }
 
-// Shun partitions the host from the addresses for which a function returns true, in both directions; nil ends it. Connections to
+// Isolate partitions the host from the addresses for which a function returns true, in both directions; nil ends it. Connections to
 // them break when that is detected.
-func (h *Host) Shun(unreachable func(netip.Addr) bool) {
+func (h *Host) Isolate(unreachable func(netip.Addr) bool) {
 	h.unreachable = unreachable
 	for _, conn := range h.sortedConnections() {
 		peer := conn.peer
@@ -88,8 +88,8 @@
 
 func (h *Host) excludes(other *Host) bool { return h.unreachable != nil && h.unreachable(other.addr) }
 
-// Mute makes the datagrams that the host sends get lost, or late by some seconds.
-func (h *Host) Mute(lost bool, lateBy float64) {
+// DisturbDatagrams makes the datagrams that the host sends get lost, or late by some seconds.
+func (h *Host) DisturbDatagrams(lost bool, lateBy float64) {
 	h.dropsDatagrams = lost
 	h.datagramsLateBy = lateBy
 }
@@ -111,15 +111,15 @@
 	}
 	data = bytes.Clone(data)
 	copies := 1
-	if net.random.Float64() < net.Faults.Double {
+	if net.random.Float64() < net.Faults.DuplicateProbability {
 		copies = 2
 	}
 	for range copies {
-		if net.random.Float64() < net.Faults.Loss {
+		if net.random.Float64() < net.Faults.LossProbability {
 			continue
 		}
 		latency := net.latency(h, receiver)
-		delay := net.random.Float64() * net.Faults.LateMost
+		delay := net.random.Float64() * net.Faults.MaxDelay
 		net.At(net.now+latency+h.datagramsLateBy+delay, func() {
 			if receiver.up {
 				receiver.program.Datagram(net.now, data)
--- a/internal/env/simnet/simnet.go
+++ b/internal/env/simnet/simnet.go
@@ -18,17 +18,17 @@
 
 // Faults are the latencies of a network and its random faults.
 type Faults struct {
-	Split            float64 // probability that a delivery is split into pieces
-	Loss             float64 // probability that a datagram is lost
-	Double           float64 // probability that a datagram is duplicated
-	LateMost         float64 // seconds by which a datagram may be late, at most
-	SameZoneLatency  float64 // seconds one way, on average
-	CrossZoneLatency float64 // seconds one way, on average
-	Notice           float64 // seconds until a broken connection is detected, at most
+	SplitProbability     float64 // probability that a delivery is split into pieces
+	LossProbability      float64 // probability that a datagram is lost
+	DuplicateProbability float64 // probability that a datagram is duplicated
+	MaxDelay             float64 // seconds by which a datagram may be late, at most
+	SameZoneLatency      float64 // seconds one way, on average
+	CrossZoneLatency     float64 // seconds one way, on average
+	DetectionDelay       float64 // seconds until a broken connection is detected, at most
 }
 
 // DefaultFaults are those of a network without random faults.
-var DefaultFaults = Faults{SameZoneLatency: 0.0003, CrossZoneLatency: 0.001, Notice: 2}
+var DefaultFaults = Faults{SameZoneLatency: 0.0003, CrossZoneLatency: 0.001, DetectionDelay: 2}
 
 // Net is a simulated network with its clock. It is used by one goroutine. Use New.
 type Net struct {
@@ -107,7 +107,7 @@
 // breakPartitioned ends one side of a connection, unless the partition has ended before it is detected.
 func (n *Net) breakPartitioned(conn *endpoint) {
 	incarnation := conn.host.incarnation
-	n.At(n.now+n.Faults.Notice*(0.3+0.7*n.random.Float64()), func() {
+	n.At(n.now+n.Faults.DetectionDelay*(0.3+0.7*n.random.Float64()), func() {
 		if n.partitions.Between(conn.host.zone, conn.peer.host.zone) {
 			conn.lost(incarnation)
 		}
--- a/internal/env/socketnet/host.go
+++ b/internal/env/socketnet/host.go
@@ -116,8 +116,8 @@
 	}
 }
 
-// Mute makes the datagrams that the host sends get lost, or late by some seconds.
-func (h *Host) Mute(lost bool, lateBy float64) {
+// DisturbDatagrams makes the datagrams that the host sends get lost, or late by some seconds.
+func (h *Host) DisturbDatagrams(lost bool, lateBy float64) {
 	h.dropsDatagrams = lost
 	h.datagramsLateBy = lateBy
 }
--- a/internal/env/socketnet/socketnet.go
+++ b/internal/env/socketnet/socketnet.go
@@ -59,8 +59,8 @@
 	}
 }
 
-// Zone sets the zone of an address on which a program outside the net listens.
-func (n *Net) Zone(addr netip.Addr, zone int) { n.hosts[addr] = &Host{net: n, zone: zone} }
+// SetZone sets the zone of an address on which a program outside the net listens.
+func (n *Net) SetZone(addr netip.Addr, zone int) { n.hosts[addr] = &Host{net: n, zone: zone} }
 
 // Add adds a host in a zone. It listens if it has a port. A guest shares its address with an earlier host, and does not listen.
 func (n *Net) Add(addr netip.AddrPort, zone int) *Host {
--- a/internal/frontend/platform/platform_test.go
+++ b/internal/frontend/platform/platform_test.go
@@ -439,7 +439,7 @@
 	s := begin(t, 1, 256)
 	s.desk.join(1, "a")
 	s.net.Run(1002)
-	s.host["relay"].Shun(func(a netip.Addr) bool { return a == self.Addr() })
+	s.host["relay"].Isolate(func(a netip.Addr) bool { return a == self.Addr() })
 	s.net.Run(1004)
 	s.agent.tell(false, server("s-3", "draining"))
 	for at := 1004.0; at < 1011; at += 0.5 {
@@ -447,7 +447,7 @@
 		s.agent.tell(false, server("s-1", "ready")) // nothing new: rounds go on
 	}
 	s.net.Run(1011)
-	s.host["relay"].Shun(nil)
+	s.host["relay"].Isolate(nil)
 	s.net.Run(1011.6)
 	if _, there := s.desk.lines["s-3"]; there {
 		t.Error("0.6 s after the relay is back s-3, which drains, is in the table")
@@ -738,7 +738,7 @@
 func TestBadDaysEndWithTheRightTables(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := begin(t, rapid.Uint64Range(0, 1000).Draw(t, "seed"), 256)
-		s.net.Faults.Split = rapid.SampledFrom([]float64{0, 0.3}).Draw(t, "pieces")
+		s.net.Faults.SplitProbability = rapid.SampledFrom([]float64{0, 0.3}).Draw(t, "pieces")
 		s.desk.join(0, "a")
 		now, state := 1000.5, map[string]string{"s-1": "ready", "s-2": "ready", "s-3": "ready"}
 		for range rapid.IntRange(3, 12).Draw(t, "events") {
--- a/internal/proxy/hour_test.go
+++ b/internal/proxy/hour_test.go
@@ -76,7 +76,7 @@
 func TestAnHour(t *testing.T) {
 	const servers, rate, minutes = 8, 30.0, 60
 	net, chance := simnet.New(4, 1000), rand.New(rand.NewPCG(4, 4))
-	net.Faults.Split = 0.05
+	net.Faults.SplitProbability = 0.05
 	all, pods := &town{sent: map[balancer.Server]int{}, gone: map[balancer.Server]float64{}}, make([]map[string]int, servers/2)
 	s := setup(servers)
 	at := netip.MustParseAddrPort("10.0.3.1:3000")
--- a/internal/proxy/proxy_test.go
+++ b/internal/proxy/proxy_test.go
@@ -143,7 +143,7 @@
 
 func build(t *testing.T, servers int, change func(*Config)) *street {
 	w := &street{t: t, net: simnet.New(1, 1000), store: &shelf{}}
-	w.net.Faults.Split = 0.3
+	w.net.Faults.SplitProbability = 0.3
 	s := setup(servers)
 	if change != nil {
 		change(&s)
--- a/internal/scenario/hosted.go
+++ b/internal/scenario/hosted.go
@@ -206,7 +206,7 @@
 	}
 	if day.Sockets {
 		p.sock = socketnet.New(eventloop.Clock())
-		p.sock.Zone(hostAt, 0)
+		p.sock.SetZone(hostAt, 0)
 		p.stage = p.sock
 	} else {
 		p.sim = simnet.New(day.Seed, startAt)
--- a/internal/scenario/proxies.go
+++ b/internal/scenario/proxies.go
@@ -109,8 +109,8 @@
 		p.reals[t.Relay].proxy.Reconnect(p.stage.Now())
 	case "report_late", "reports_stop":
 		for _, x := range p.reals {
-			x.host.Mute(t.Kind == "reports_stop", t.Factor)
-			later(func() { x.host.Mute(false, 0) })
+			x.host.DisturbDatagrams(t.Kind == "reports_stop", t.Factor)
+			later(func() { x.host.DisturbDatagrams(false, 0) })
 		}
 	case "demand":
 		for _, x := range p.reals {
--- a/internal/scenario/rehearse.go
+++ b/internal/scenario/rehearse.go
@@ -102,7 +102,7 @@
 type host interface {
 	Kill()
 	Freeze(seconds float64)
-	Mute(lost bool, lateBy float64)
+	DisturbDatagrams(lost bool, lateBy float64)
 }
 
 // stage is the world of a day.
@@ -174,12 +174,12 @@
 		p.sock = socketnet.New(eventloop.Clock())
 		p.stage = p.sock
 		for i := range max(opts.Coordinators, 1) {
-			p.sock.Zone(p.at(i, day.Coordinator.SASP).Addr(), i%len(site.Zones))
+			p.sock.SetZone(p.at(i, day.Coordinator.SASP).Addr(), i%len(site.Zones))
 		}
 	} else {
 		p.sim = simnet.New(p.opts.Seed, startAt)
 		f := &p.sim.Faults
-		f.Split, f.Loss, f.Double, f.LateMost, f.Notice = day.Split, day.Loss, day.Double, day.Late, noticeMost
+		f.SplitProbability, f.LossProbability, f.DuplicateProbability, f.MaxDelay, f.DetectionDelay = day.Split, day.Loss, day.Double, day.Late, noticeMost
 		p.stage = p.sim
 	}
 	start := p.stage.Now()
@@ -269,9 +269,9 @@
 	fail   func(error)
 }
 
-func (m *mainHost) Kill()              { m.fail(m.server.Stop()) }
-func (m *mainHost) Freeze(float64)     {}
-func (m *mainHost) Mute(bool, float64) {}
+func (m *mainHost) Kill()                          { m.fail(m.server.Stop()) }
+func (m *mainHost) Freeze(float64)                 {}
+func (m *mainHost) DisturbDatagrams(bool, float64) {}
 
 // at is where a coordinator is, by one of the day's addresses.
 func (p *play) at(i int, of netip.AddrPort) netip.AddrPort {
@@ -301,7 +301,7 @@
 	c := p.day.Coordinator
 	setup := c.Config
 	setup.Log = p.opts.Log
-	setup.OnOrder = func(o controlplane.MessageTrace) {
+	setup.OnMessageTrace = func(o controlplane.MessageTrace) {
 		if o.AckedAt > 0 {
 			p.result.Held = append(p.result.Held, o.AckedAt-o.DecidedAt)
 		}
@@ -473,7 +473,7 @@
 		p.relays = append(p.relays, emulator.NewRelay(setup, p.ref))
 		p.relayHosts = append(p.relayHosts, p.add(relayAddr(i), int(site.Relays[i].Zone), p.relays[i], false))
 		if p.opts.Mute {
-			p.relayHosts[i].Mute(true, 0)
+			p.relayHosts[i].DisturbDatagrams(true, 0)
 		}
 	}
 	p.life = make([]uint64, len(p.relays))
@@ -571,8 +571,8 @@
 		for _, a := range p.all(p.day.Coordinator.SASP) {
 			peers[a.Addr()] = true
 		}
-		h.Shun(func(a netip.Addr) bool { return peers[a] == (t.Kind == "coordinator_alone") })
-		later(func() { h.Shun(nil) })
+		h.Isolate(func(a netip.Addr) bool { return peers[a] == (t.Kind == "coordinator_alone") })
+		later(func() { h.Isolate(nil) })
 	case "balancer_stall":
 		p.relayHosts[t.Relay].Freeze(t.For)
 	case "balancer_deaf":
@@ -612,11 +612,11 @@
 		}
 	case "vanish": // silent: no reset, no answer; it comes back with a new process
 		if h, ok := p.serverHosts[t.Server].(*simnet.Host); ok {
-			h.Shun(func(netip.Addr) bool { return true })
+			h.Isolate(func(netip.Addr) bool { return true })
 			p.ref.ServerDown(p.stage.Now(), p.servers[t.Server].Addr)
 			later(func() {
 				h.Kill()
-				h.Shun(nil)
+				h.Isolate(nil)
 				p.restartServer(t.Server)
 			})
 		}
@@ -642,8 +642,8 @@
 		})
 	case "report_late", "reports_stop":
 		for _, h := range p.relayHosts {
-			h.Mute(t.Kind == "reports_stop", t.Factor)
-			later(func() { h.Mute(false, 0) })
+			h.DisturbDatagrams(t.Kind == "reports_stop", t.Factor)
+			later(func() { h.DisturbDatagrams(false, 0) })
 		}
 	case "demand":
 		for _, r := range p.relays {
--- a/internal/scenario/takeover.go
+++ b/internal/scenario/takeover.go
@@ -82,7 +82,7 @@
 	_ = h.cmd.Process.Signal(syscall.SIGSTOP)
 	h.play.stage.At(h.play.stage.Now()+seconds, func() { _ = h.cmd.Process.Signal(syscall.SIGCONT) })
 }
-func (h *procHost) Mute(bool, float64) {}
+func (h *procHost) DisturbDatagrams(bool, float64) {}
 
 // startProcess starts a coordinator as a process of its own.
 func (p *play) startProcess(i int) (host, error) {
--- a/internal/service/host.go
+++ b/internal/service/host.go
@@ -41,7 +41,7 @@
 	c.ParseTenant = func(t tenancy.Tenant) (coordinator.TenantConfig, error) {
 		return settings.ParseTenant(t.Name, t.Settings, c)
 	}
-	c.Log, c.OnOrder = logs.of, watch.orderOf
+	c.Log, c.OnMessageTrace = logs.of, watch.orderOf
 	part, err := openGroup(c.Group, c.GroupStore)
 	if err != nil {
 		return err
@@ -115,10 +115,10 @@
 // Fleet of admin.Program.
 func (h *hosted) Fleet(of tenancy.Name) (*controlplane.Fleet, bool) {
 	x, ok := h.program.Tenant(of)
-	if !ok || x.Program == nil {
+	if !ok || x.Coordinator == nil {
 		return nil, false
 	}
-	return x.Program.Fleet, true
+	return x.Coordinator.Fleet, true
 }
 
 // Drain of admin.Program.
@@ -144,12 +144,12 @@
 }
 
 func (h *hosted) row(x *coordinator.TenantRuntime) admin.TenantRow {
-	r := admin.TenantRow{Name: x.Name, Incarnation: x.Incarnation, Version: x.Version, Weight: x.Weight, Requirements: x.Requirements, Running: x.Program != nil}
+	r := admin.TenantRow{Name: x.Name, Incarnation: x.Incarnation, Version: x.Version, Weight: x.Weight, Requirements: x.Requirements, Running: x.Coordinator != nil}
 	if x.Err != nil {
 		r.Error = x.Err.Error()
 	}
-	if x.Program != nil {
-		f := x.Program.Fleet
+	if x.Coordinator != nil {
+		f := x.Coordinator.Fleet
 		r.Servers, r.Relays, r.UpToDate = len(f.Registry.Servers()), f.Joined(), f.UpToDate()
 		r.QueuedEntries, _ = f.QueuedEntries()
 	}
@@ -324,18 +324,18 @@
 	desc *prometheus.Desc
 	of   func(h *coordinator.Host, x *coordinator.TenantRuntime) float64
 }{
-	{tenantDesc("runs", "1 while the tenant's coordinator runs."), func(_ *coordinator.Host, x *coordinator.TenantRuntime) float64 { return one(x.Program != nil) }},
+	{tenantDesc("runs", "1 while the tenant's coordinator runs."), func(_ *coordinator.Host, x *coordinator.TenantRuntime) float64 { return one(x.Coordinator != nil) }},
 	{tenantDesc("relays_joined", "Relays that are joined."), func(_ *coordinator.Host, x *coordinator.TenantRuntime) float64 {
-		if x.Program == nil {
+		if x.Coordinator == nil {
 			return 0
 		}
-		return float64(x.Program.Fleet.Joined())
+		return float64(x.Coordinator.Fleet.Joined())
 	}},
 	{tenantDesc("waiting_lines", "Lines that wait in the tenant's channel."), func(_ *coordinator.Host, x *coordinator.TenantRuntime) float64 {
-		if x.Program == nil {
+		if x.Coordinator == nil {
 			return 0
 		}
-		waiting, _ := x.Program.Fleet.QueuedEntries()
+		waiting, _ := x.Coordinator.Fleet.QueuedEntries()
 		return waiting
 	}},
 	{tenantDesc("work_seconds_total", "Seconds of a core that it was reckoned at."), func(h *coordinator.Host, x *coordinator.TenantRuntime) float64 {
--- a/internal/service/service.go
+++ b/internal/service/service.go
@@ -53,7 +53,7 @@
 	defer func() { err = errors.Join(err, part.close()) }()
 	c.Storage, c.Incarnation, c.OnFail = part.disk, part.life, part.fail
 	watch := newWatch(keptSpans)
-	c.Log, c.OnOrder = log, watch.order
+	c.Log, c.OnMessageTrace = log, watch.order
 	clock := eventloop.Clock()
 	program, err := coordinator.New(clock(), c.Config, records)
 	if err != nil {
