--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -399,7 +399,7 @@
 		if !t.Virtual {
 			return errors.New("another number of servers or relays is played in virtual time only, with --virtual")
 		}
-		scenario.Enlarge(day, cmp.Or(t.Servers, len(day.Coordinator.Site.Servers)), cmp.Or(t.Relays, len(day.Coordinator.Site.Relays)))
+		scenario.Enlarge(day, cmp.Or(t.Servers, len(day.Coordinator.Site.Servers)), cmp.Or(t.Relays, len(day.Coordinator.Site.Proxies)))
 	}
 	scenario.AddTakeovers(day, t.Kills, t.Every, t.Seed, t.Calm)
 	if t.Spare {
--- a/internal/cli/host.go
+++ b/internal/cli/host.go
@@ -183,7 +183,7 @@
 	}
 	s := &m.Config.Site
 	_, err = fmt.Fprintf(e.out, "tenant %s: %d classes, %d servers, %d relays listed; weight %g\ntakes at most %.1f MB, %.0f lines a second, %.0f connections, %.4f of a core\n",
-		name, len(s.Classes), len(s.Servers), len(s.Relays), m.Weight, m.Requirements.Memory/(1<<20), m.Requirements.Lines, m.Requirements.Connections, m.Requirements.Work)
+		name, len(s.Classes), len(s.Servers), len(s.Proxies), m.Weight, m.Requirements.Memory/(1<<20), m.Requirements.EntriesPerSecond, m.Requirements.Connections, m.Requirements.CPU)
 	return err
 }
 
--- a/internal/coordinator/host_scheduling.go
+++ b/internal/coordinator/host_scheduling.go
@@ -53,9 +53,9 @@
 	usage := tenancy.Usage{
 		Rounds:   stats.Rounds - tenant.charged.Rounds,
 		Messages: stats.Messages - tenant.charged.Messages,
-		Lines:    stats.Entries - tenant.charged.Entries,
+		Entries:  stats.Entries - tenant.charged.Entries,
 		Servers:  program.Fleet.Registry.Len(),
-		Relays:   program.Fleet.Joined(),
+		Proxies:  program.Fleet.Joined(),
 	}
 	h.Scheduler.Charge(tenant.Name, usage.CPUSeconds())
 	tenant.charged = stats
@@ -63,7 +63,7 @@
 
 // chargeArrival charges a tenant for bytes that came in for it, and ends the long intervals of an idle one.
 func (h *Host) chargeArrival(now float64, tenant *TenantRuntime, bytes int) {
-	usage := tenancy.Usage{Arrivals: 1, Bytes: bytes}
+	usage := tenancy.Usage{Receipts: 1, Bytes: bytes}
 	h.Scheduler.Charge(tenant.Name, usage.CPUSeconds())
 	if tenant.idle {
 		tenant.idle = false
--- a/internal/core/controlplane/controlplane.go
+++ b/internal/core/controlplane/controlplane.go
@@ -44,7 +44,7 @@
 
 	proxies       map[balancer.Proxy]*Proxy
 	proxiesByUID  map[string]*Proxy
-	listedProxies map[string]Relay
+	listedProxies map[string]ProxyConfig
 	joinedCount   int
 	nextProxyID   balancer.Proxy
 	freeProxyIDs  []balancer.Proxy // of forgotten proxies, ascending
@@ -81,16 +81,16 @@
 		store:            store,
 		proxies:          map[balancer.Proxy]*Proxy{},
 		proxiesByUID:     map[string]*Proxy{},
-		listedProxies:    map[string]Relay{},
+		listedProxies:    map[string]ProxyConfig{},
 		tables:           map[balancer.Table]*desiredTable{},
-		sendQueue:        pacing.New(site.Channel, site.DisabledGuards[GuardPace]),
+		sendQueue:        pacing.New(site.Channel, site.DisabledGuards[GuardPacing]),
 		startedAt:        now,
 		lastRoundAt:      math.Inf(-1),
 		reportsFlushedAt: now,
 	}
 	fleet.balancer = balancer.New(site.Seed, site.Classes, site.DataPlane, site.channelInTableEntries(), site.Guarantees,
 		site.Reporting, balancer.HealthChecking{}, balancer.Discovery{Weights: balancer.WeightsNominal})
-	if !site.DisabledGuards[GuardMemory] && len(records) > 0 {
+	if !site.DisabledGuards[GuardPersistence] && len(records) > 0 {
 		fleet.serversKnown = true
 		if err := fleet.Registry.Restore(now, records); err != nil {
 			return nil, fmt.Errorf("restoring the server registry: %w", err)
@@ -102,7 +102,7 @@
 			return nil, fmt.Errorf("configuring server %s: %w", server.Server, err)
 		}
 	}
-	for _, listed := range site.Relays {
+	for _, listed := range site.Proxies {
 		fleet.listedProxies[listed.UID] = listed
 	}
 	return fleet, nil
@@ -114,7 +114,7 @@
 // their own.
 func (s *Site) channelInTableEntries() balancer.Channel {
 	channel := s.Channel
-	if s.DisabledGuards[GuardEntries] || s.DisabledGuards[GuardPace] {
+	if s.DisabledGuards[GuardEntries] || s.DisabledGuards[GuardPacing] {
 		return channel
 	}
 	maxSharing := 1
--- a/internal/core/controlplane/controlplane_test.go
+++ b/internal/core/controlplane/controlplane_test.go
@@ -43,13 +43,13 @@
 		Reporting: balancer.Reporting{Period: 0.5},
 		Limits:    DefaultLimits,
 	}
-	site.Limits.RelayRetention = 5
+	site.Limits.ProxyRetention = 5
 	for i := range servers {
 		site.Servers = append(site.Servers,
 			registry.ServerConfig{Server: serverName(i), Zone: balancer.Zone(i % 3), Weight: 1, Static: true})
 	}
 	for i := range proxies {
-		site.Relays = append(site.Relays, Relay{UID: proxyUID(i), Zone: balancer.Zone(i % 3), ExpectedRate: 10})
+		site.Proxies = append(site.Proxies, ProxyConfig{UID: proxyUID(i), Zone: balancer.Zone(i % 3), ExpectedRate: 10})
 	}
 	return site
 }
--- a/internal/core/controlplane/delivery.go
+++ b/internal/core/controlplane/delivery.go
@@ -85,8 +85,8 @@
 	if f.site.DisabledGuards[GuardRejoin] && state.SentVersion > 0 {
 		return
 	}
-	state.Full = true
-	if state.Bound && !proxy.Polls && proxy.Joined {
+	state.NeedsFull = true
+	if state.Assigned && !proxy.Polls && proxy.Joined {
 		f.enqueue(now, proxy, entries, pacing.Normal)
 	}
 }
@@ -99,7 +99,7 @@
 		state := &proxy.Tables[class]
 		state.SentVersion = versions[class]
 		state.AckedVersion = versions[class]
-		if state.Bound && state.SentVersion == 0 && !state.Full {
+		if state.Assigned && state.SentVersion == 0 && !state.NeedsFull {
 			f.ScheduleFull(now, proxy, balancer.Class(class), float64(f.tables[state.Table].Len()))
 		}
 	}
@@ -124,7 +124,7 @@
 	}
 	for class := range proxy.Tables {
 		state := &proxy.Tables[class]
-		if !state.Bound || state.Full || state.SentVersion == 0 {
+		if !state.Assigned || state.NeedsFull || state.SentVersion == 0 {
 			return false
 		}
 		table := f.tables[state.Table]
@@ -153,12 +153,12 @@
 	remaining := 0.0
 	for class := range proxy.Tables {
 		state := &proxy.Tables[class]
-		if !state.Bound {
+		if !state.Assigned {
 			continue
 		}
-		full = full || state.Full
+		full = full || state.NeedsFull
 		state.SentVersion = f.targetVersion(proxy, state)
-		state.Full = false
+		state.NeedsFull = false
 		state.Stale = false
 		for range f.tables[state.Table].ChangedSince(state.SentVersion) {
 			remaining++
@@ -191,9 +191,9 @@
 	f.sendQueue.Drop(proxy.ID)
 	for class := range proxy.Tables {
 		state := &proxy.Tables[class]
-		if state.Bound {
+		if state.Assigned {
 			state.SentVersion = f.wantedVersion(state)
-			state.Full = false
+			state.NeedsFull = false
 			state.Stale = false
 		}
 	}
--- a/internal/core/controlplane/delta.go
+++ b/internal/core/controlplane/delta.go
@@ -11,7 +11,7 @@
 func (f *Fleet) NeedsUpdate(proxy *Proxy) bool {
 	for class := range proxy.Tables {
 		state := &proxy.Tables[class]
-		if state.Bound && (state.Full || state.SentVersion != f.wantedVersion(state)) {
+		if state.Assigned && (state.NeedsFull || state.SentVersion != f.wantedVersion(state)) {
 			return true
 		}
 	}
@@ -22,11 +22,11 @@
 // left out; else those that changed, the newest first. ok is false if the class is not assigned a table yet.
 func (f *Fleet) Delta(proxy *Proxy, class balancer.Class) (entries iter.Seq[*tables.Entry], full, ok bool) {
 	state := &proxy.Tables[class]
-	if !state.Bound {
+	if !state.Assigned {
 		return nil, false, false
 	}
 	table := f.tables[state.Table]
-	if state.Full || !table.CanDelta(state.SentVersion) {
+	if state.NeedsFull || !table.CanDelta(state.SentVersion) {
 		return table.ChangedSince(0), true, true
 	}
 	return table.ChangedBetween(state.SentVersion, f.targetVersion(proxy, state)), false, true
@@ -36,7 +36,7 @@
 // assigned a table yet.
 func (f *Fleet) FullTable(proxy *Proxy, class balancer.Class) (entries iter.Seq[*tables.Entry], ok bool) {
 	state := &proxy.Tables[class]
-	if !state.Bound {
+	if !state.Assigned {
 		return nil, false
 	}
 	return f.tables[state.Table].ChangedSince(0), true
@@ -46,7 +46,7 @@
 // full.
 func (f *Fleet) AdmissionsSince(proxy *Proxy, class balancer.Class, full bool) (changed []tables.Admission) {
 	state := &proxy.Tables[class]
-	if !state.Bound {
+	if !state.Assigned {
 		return nil
 	}
 	for _, admission := range f.tables[state.Table].Admissions() {
@@ -62,7 +62,7 @@
 // has none.
 func (f *Fleet) MayHoldStale(proxy *Proxy, class balancer.Class) bool {
 	state := &proxy.Tables[class]
-	return state.Stale || state.Bound && state.SentVersion > 0 && !f.tables[state.Table].CanDelta(state.SentVersion)
+	return state.Stale || state.Assigned && state.SentVersion > 0 && !f.tables[state.Table].CanDelta(state.SentVersion)
 }
 
 // Notified tells whether a proxy was sent anything of a class since it joined.
@@ -73,7 +73,7 @@
 // Weight is the wanted weight of a server for a proxy's class; 0 if the server has no entry.
 func (f *Fleet) Weight(proxy *Proxy, class balancer.Class, server balancer.Server) float64 {
 	state := &proxy.Tables[class]
-	if !state.Bound {
+	if !state.Assigned {
 		return 0
 	}
 	return f.tables[state.Table].Weight(server)
@@ -82,7 +82,7 @@
 // TableSize is the number of entries of a class's table.
 func (f *Fleet) TableSize(proxy *Proxy, class balancer.Class) int {
 	state := &proxy.Tables[class]
-	if !state.Bound {
+	if !state.Assigned {
 		return 0
 	}
 	return f.tables[state.Table].Len()
--- a/internal/core/controlplane/drains.go
+++ b/internal/core/controlplane/drains.go
@@ -44,7 +44,7 @@
 func (f *Fleet) holdsNoEntry(proxy *Proxy, server balancer.Server) bool {
 	for class := range proxy.Tables {
 		state := &proxy.Tables[class]
-		if !state.Bound || state.Full || state.AckedVersion == 0 {
+		if !state.Assigned || state.NeedsFull || state.AckedVersion == 0 {
 			return false
 		}
 		table := f.tables[state.Table]
--- a/internal/core/controlplane/proxies.go
+++ b/internal/core/controlplane/proxies.go
@@ -14,10 +14,10 @@
 )
 
 var (
-	// ErrUnlistedRelay says that the settings do not list a proxy and admit listed ones only.
-	ErrUnlistedRelay = errors.New("proxy is not listed in the settings")
-	// ErrTooManyRelays says that as many proxies are known as the limits allow.
-	ErrTooManyRelays = errors.New("too many proxies")
+	// ErrUnlistedProxy says that the settings do not list a proxy and admit listed ones only.
+	ErrUnlistedProxy = errors.New("proxy is not listed in the settings")
+	// ErrTooManyProxies says that as many proxies are known as the limits allow.
+	ErrTooManyProxies = errors.New("too many proxies")
 	// ErrJoinRateExceeded says that a proxy joins more often than one that only reconnects after failures.
 	ErrJoinRateExceeded = errors.New("proxy joins too often")
 )
@@ -31,8 +31,8 @@
 // table itself, see Fleet.wantedVersion.
 type TableState struct {
 	Table        balancer.Table // the table that the class is assigned
-	Bound        bool           // the decision module has assigned a table
-	Full         bool           // the proxy needs the whole table: no version that it holds is known
+	Assigned     bool           // the decision module has assigned a table
+	NeedsFull    bool           // the proxy needs the whole table: no version that it holds is known
 	Stale        bool           // the proxy may still hold entries of another table
 	SentVersion  tables.Version // newest version sent
 	AckedVersion tables.Version // newest version that the proxy is known to hold
@@ -93,8 +93,8 @@
 // InFlight tells whether a message to the proxy is not yet acknowledged.
 func (p *Proxy) InFlight() bool { return p.inFlight }
 
-// Relay finds a proxy that is joined or still known by its UID; nil if there is none.
-func (f *Fleet) Relay(uid string) *Proxy { return f.proxiesByUID[uid] }
+// FindProxy finds a proxy that is joined or still known by its UID; nil if there is none.
+func (f *Fleet) FindProxy(uid string) *Proxy { return f.proxiesByUID[uid] }
 
 // Listed tells whether the settings allow a proxy to join.
 func (f *Fleet) Listed(uid string) bool {
@@ -150,17 +150,17 @@
 // addProxy makes the entry of a proxy that is not known yet.
 func (f *Fleet) addProxy(now float64, uid string) (*Proxy, error) {
 	if !f.Listed(uid) {
-		return nil, fmt.Errorf("%w: %q", ErrUnlistedRelay, uid)
+		return nil, fmt.Errorf("%w: %q", ErrUnlistedProxy, uid)
 	}
 	config, ok := f.listedProxies[uid]
 	if !ok {
-		config = Relay{UID: uid, Zone: f.site.UnlistedZone}
+		config = ProxyConfig{UID: uid, Zone: f.site.UnlistedZone}
 	}
-	if len(f.proxies) >= f.site.Limits.MaxRelays {
+	if len(f.proxies) >= f.site.Limits.MaxProxies {
 		f.forgetExpired(now)
 	}
-	if len(f.proxies) >= f.site.Limits.MaxRelays {
-		return nil, fmt.Errorf("%w: %d are known", ErrTooManyRelays, len(f.proxies))
+	if len(f.proxies) >= f.site.Limits.MaxProxies {
+		return nil, fmt.Errorf("%w: %d are known", ErrTooManyProxies, len(f.proxies))
 	}
 	proxy := &Proxy{
 		ID:           f.allocateProxyID(),
@@ -218,7 +218,7 @@
 		state := &proxy.Tables[class]
 		f.unassign(proxy, state)
 		if f.site.DisabledGuards[GuardRejoin] {
-			state.Bound = false
+			state.Assigned = false
 			continue
 		}
 		*state = TableState{}
@@ -229,7 +229,7 @@
 
 // unassign removes one class of a proxy from the users of its table.
 func (f *Fleet) unassign(proxy *Proxy, state *TableState) {
-	if !state.Bound {
+	if !state.Assigned {
 		return
 	}
 	table := f.tables[state.Table]
@@ -246,7 +246,7 @@
 // been told who left.
 func (f *Fleet) forgetExpired(now float64) {
 	for id, proxy := range f.proxies {
-		if !proxy.Joined && now-proxy.leftAt > f.site.Limits.RelayRetention && len(f.pendingEvents.ProxyEvents) == 0 {
+		if !proxy.Joined && now-proxy.leftAt > f.site.Limits.ProxyRetention && len(f.pendingEvents.ProxyEvents) == 0 {
 			delete(f.proxies, id)
 			delete(f.proxiesByUID, proxy.UID)
 			f.LoadReports.RemoveProxy(id)
@@ -272,7 +272,7 @@
 			}
 			for class := range proxy.Tables {
 				state := &proxy.Tables[class]
-				if !state.Bound {
+				if !state.Assigned {
 					continue
 				}
 				if !yield(assignment{proxy: proxy, class: balancer.Class(class), table: f.tables[state.Table]}) {
--- a/internal/core/controlplane/proxies_test.go
+++ b/internal/core/controlplane/proxies_test.go
@@ -8,7 +8,7 @@
 
 func TestJoinRejectsUnlistedProxies(t *testing.T) {
 	f := newFleet(t, testSite(3, 2), nil)
-	if _, err := f.Join(1000, "x", nil, true); !errors.Is(err, ErrUnlistedRelay) {
+	if _, err := f.Join(1000, "x", nil, true); !errors.Is(err, ErrUnlistedProxy) {
 		t.Errorf("an unlisted proxy: %v", err)
 	}
 }
@@ -16,12 +16,12 @@
 func TestJoinLimitsProxiesAndReusesTheirIDs(t *testing.T) {
 	site := testSite(3, 2)
 	site.AllowUnlisted = true
-	site.Limits.MaxRelays = 3
+	site.Limits.MaxProxies = 3
 	f := newFleet(t, site, nil)
 	var last *Proxy
 	for i := range 4 {
 		proxy, err := f.Join(1000, fmt.Sprint("x", i), nil, true)
-		if (i == 3) != errors.Is(err, ErrTooManyRelays) {
+		if (i == 3) != errors.Is(err, ErrTooManyProxies) {
 			t.Errorf("proxy %d: %v", i, err)
 		}
 		if err == nil {
@@ -30,7 +30,7 @@
 	}
 	f.Disconnect(1001, last)
 	f.RunRound(1001)
-	if _, err := f.Join(1003, "y", nil, true); !errors.Is(err, ErrTooManyRelays) {
+	if _, err := f.Join(1003, "y", nil, true); !errors.Is(err, ErrTooManyProxies) {
 		t.Errorf("an ID was reused too early: %v", err)
 	}
 	if proxy, err := f.Join(1007, "y", nil, true); err != nil || proxy.ID != last.ID {
@@ -42,7 +42,7 @@
 func TestJoinRateIsLimited(t *testing.T) {
 	f, now := startFleet(t, 4, 2)
 	frontend := &countingFrontend{fleet: f}
-	f.Relay("r0").frontend = frontend
+	f.FindProxy("r0").frontend = frontend
 	refused := 0
 	for range 50 {
 		now += 0.02
@@ -57,7 +57,7 @@
 		now += 1.01
 		join(t, f, now, "r0", frontend)
 	}
-	if proxy := f.Relay("r0"); !proxy.Joined {
+	if proxy := f.FindProxy("r0"); !proxy.Joined {
 		t.Error("it is not joined")
 	}
 }
--- a/internal/core/controlplane/publish.go
+++ b/internal/core/controlplane/publish.go
@@ -85,7 +85,7 @@
 func (f *Fleet) maxMessageEntries(proxy *Proxy) float64 {
 	entries := 0.0
 	for class := range proxy.Tables {
-		if state := &proxy.Tables[class]; state.Bound {
+		if state := &proxy.Tables[class]; state.Assigned {
 			table := f.tables[state.Table]
 			entries += float64(table.TotalLen() + len(table.Admissions()))
 		}
--- a/internal/core/controlplane/reconfigure.go
+++ b/internal/core/controlplane/reconfigure.go
@@ -33,7 +33,7 @@
 		return Revision{RestartReason: reason}
 	}
 	servers := compareLists(old.Servers, next.Servers, func(c registry.ServerConfig) balancer.Server { return c.Server })
-	proxies := compareLists(old.Relays, next.Relays, func(r Relay) string { return r.UID })
+	proxies := compareLists(old.Proxies, next.Proxies, func(r ProxyConfig) string { return r.UID })
 	return Revision{
 		Removed:  servers.removed,
 		Added:    servers.added,
@@ -134,16 +134,16 @@
 			return revision, fmt.Errorf("configuring server %s: %w", server.Server, err)
 		}
 	}
-	f.reconfigureProxies(now, next.Relays, revision.Evicted)
+	f.reconfigureProxies(now, next.Proxies, revision.Evicted)
 	f.site.Servers = next.Servers
-	f.site.Relays = next.Relays
+	f.site.Proxies = next.Proxies
 	f.site.AllowUnlisted = next.AllowUnlisted
 	f.site.UnlistedZone = next.UnlistedZone
 	f.site.Pools = next.Pools
 	return revision, nil
 }
 
-func (f *Fleet) reconfigureProxies(now float64, listed []Relay, evicted []string) {
+func (f *Fleet) reconfigureProxies(now float64, listed []ProxyConfig, evicted []string) {
 	clear(f.listedProxies)
 	for _, entry := range listed {
 		f.listedProxies[entry.UID] = entry
--- a/internal/core/controlplane/reconfigure_test.go
+++ b/internal/core/controlplane/reconfigure_test.go
@@ -18,7 +18,7 @@
 	site.Servers = slices.Delete(site.Servers, 1, 2)
 	site.Servers = append(site.Servers, registry.ServerConfig{Server: serverName(9), Zone: 1, Weight: 1, Static: true})
 	site.Servers[0].Zone = 2
-	site.Relays = slices.Delete(site.Relays, 0, 1)
+	site.Proxies = slices.Delete(site.Proxies, 0, 1)
 	return site
 }
 
@@ -27,7 +27,7 @@
 	t.Helper()
 	f, now = startFleet(t, 4, 3)
 	evicted := &countingFrontend{fleet: f}
-	f.Relay("r0").frontend = evicted
+	f.FindProxy("r0").frontend = evicted
 	got, err := f.Reconfigure(now, changedSite())
 	want := Revision{
 		Removed:  []balancer.Server{serverName(1)},
@@ -79,7 +79,7 @@
 	crowded := testSite(12, 4)
 	crowded.DataPlane.Proxies = 3
 	crowded.Limits.MaxServers = 6
-	crowded.Relays = changedSite().Relays
+	crowded.Proxies = changedSite().Proxies
 	if _, err := f.Reconfigure(now, crowded); !errors.Is(err, registry.ErrFull) || f.Joined() != 2 {
 		t.Error(err)
 	}
--- a/internal/core/controlplane/reports.go
+++ b/internal/core/controlplane/reports.go
@@ -43,7 +43,7 @@
 func (f *Fleet) ReportUpstream(now, at float64, uid string, server balancer.Server, totals loadreport.Totals) {
 	proxy := f.proxiesByUID[uid]
 	if proxy == nil || !proxy.Joined {
-		f.Stats.UnknownRelay++
+		f.Stats.UnknownProxy++
 		return
 	}
 	if _, ok := f.Registry.Find(server); !ok {
@@ -68,7 +68,7 @@
 	removedAt := 0.0 // from the last of its tables
 	for class := range proxy.Tables {
 		state := &proxy.Tables[class]
-		if !state.Bound {
+		if !state.Assigned {
 			return
 		}
 		at, ok := f.tables[state.Table].RemovedAt(server)
@@ -90,7 +90,7 @@
 	proxy := f.proxiesByUID[uid]
 	class, ok := f.Class(className)
 	if proxy == nil || !proxy.Joined || !ok {
-		f.Stats.UnknownRelay++
+		f.Stats.UnknownProxy++
 		return
 	}
 	f.LoadReports.AddDemand(now, at, proxy.ID, class, totals)
--- a/internal/core/controlplane/rounds.go
+++ b/internal/core/controlplane/rounds.go
@@ -83,7 +83,7 @@
 // Persist stores the registry's changes now instead of with the next round, so that a drain that was confirmed to its
 // caller survives a crash. It reports whether all changes are durable.
 func (f *Fleet) Persist() (ok bool) {
-	if f.store == nil || f.site.DisabledGuards[GuardMemory] || !f.Registry.NeedsPersist() {
+	if f.store == nil || f.site.DisabledGuards[GuardPersistence] || !f.Registry.NeedsPersist() {
 		return true
 	}
 	if records := f.Registry.ChangedRecords(); len(records) > 0 {
--- a/internal/core/controlplane/roundsink.go
+++ b/internal/core/controlplane/roundsink.go
@@ -89,7 +89,7 @@
 	if proxy == nil || !proxy.Joined {
 		return
 	}
-	r.fleet.Stats.Binds++
+	r.fleet.Stats.TablesAssigned++
 	entries := 1.0
 	for class := range proxy.Tables {
 		if !includes(classes, class) {
@@ -98,9 +98,9 @@
 		state := &proxy.Tables[class]
 		r.fleet.unassign(proxy, state)
 		if r.fleet.site.DisabledGuards[GuardRejoin] && state.SentVersion > 0 && state.Table == tableID {
-			state.Bound = true
+			state.Assigned = true
 		} else {
-			*state = TableState{Table: tableID, Bound: true, Full: true, Stale: state.Stale || state.SentVersion > 0}
+			*state = TableState{Table: tableID, Assigned: true, NeedsFull: true, Stale: state.Stale || state.SentVersion > 0}
 		}
 		table.classesByProxy[proxyID]++
 		entries += float64(table.Len() + len(table.Admissions()))
@@ -116,7 +116,7 @@
 	table := r.table(id)
 	for class := range r.fleet.site.Classes {
 		if includes(classes, class) && table.SetAdmission(balancer.Class(class), rate, retry) {
-			r.fleet.Stats.Unsupported++
+			r.fleet.Stats.AdmissionChanges++
 			table.changedAdmissions++
 			r.markChanged(table)
 		}
@@ -131,7 +131,7 @@
 		}
 	}
 	for _, proxy := range r.fleet.proxies {
-		if proxy.Joined && slices.ContainsFunc(proxy.Tables, func(state TableState) bool { return state.Full }) {
+		if proxy.Joined && slices.ContainsFunc(proxy.Tables, func(state TableState) bool { return state.NeedsFull }) {
 			r.requestAck(proxy, id)
 		}
 	}
@@ -146,7 +146,7 @@
 }
 
 // HealthCheck is never called, since the decision module is told that there are no health checks. It counts all the same.
-func (r *RoundSink) HealthCheck(balancer.Server) { r.fleet.Stats.Probes++ }
+func (r *RoundSink) HealthCheck(balancer.Server) { r.fleet.Stats.HealthChecks++ }
 
 // PollDiscovery is never called: the registry reports its changes by itself.
 func (r *RoundSink) PollDiscovery() {}
@@ -155,7 +155,7 @@
 func (r *RoundSink) SetTimer(after float64, _ balancer.Timer) { r.fleet.timerAt = r.now + after }
 
 // Log counts the decision module's log messages.
-func (r *RoundSink) Log(string) { r.fleet.Stats.Notes++ }
+func (r *RoundSink) Log(string) { r.fleet.Stats.LogMessages++ }
 
 // includes tells whether a class belongs to a set; the empty set stands for all classes.
 func includes(classes balancer.ClassSet, class int) bool {
--- a/internal/core/controlplane/safeguards.go
+++ b/internal/core/controlplane/safeguards.go
@@ -12,12 +12,12 @@
 	GuardRejoin Guard = "rejoin"
 	// GuardRetries allows no retry policy by which a request could take effect twice (rule 2).
 	GuardRetries Guard = "repeats"
-	// GuardMemory stores drains, so that they survive a restart of the coordinator (rule 3).
-	GuardMemory Guard = "memory"
+	// GuardPersistence stores drains, so that they survive a restart of the coordinator (rule 3).
+	GuardPersistence Guard = "memory"
 	// GuardWarmup treats a server that starts as warming up (rule 4).
 	GuardWarmup Guard = "cold"
-	// GuardPace keeps to the rate of the channel and to the message limit of each proxy (rule 5).
-	GuardPace Guard = "pace"
+	// GuardPacing keeps to the rate of the channel and to the message limit of each proxy (rule 5).
+	GuardPacing Guard = "pace"
 	// GuardOverdue disconnects a proxy that does not acknowledge a drain in time (rule 3).
 	GuardOverdue Guard = "overdue"
 	// GuardVersions counts a polling proxy's versions only if they were sent by this process (rule 1).
@@ -36,9 +36,9 @@
 var Guards = []Guard{
 	GuardRejoin,
 	GuardRetries,
-	GuardMemory,
+	GuardPersistence,
 	GuardWarmup,
-	GuardPace,
+	GuardPacing,
 	GuardOverdue,
 	GuardReports,
 	GuardVersions,
--- a/internal/core/controlplane/site.go
+++ b/internal/core/controlplane/site.go
@@ -5,8 +5,8 @@
 	"snowquay/internal/core/registry"
 )
 
-// Relay is the configuration of one proxy.
-type Relay struct {
+// ProxyConfig is the configuration of one proxy.
+type ProxyConfig struct {
 	UID          string
 	Zone         balancer.Zone
 	ExpectedRate float64 // requests per second
@@ -24,7 +24,7 @@
 	ClassNames     []string // in the order of Classes
 	Classes        []balancer.RequestClass
 	Zones          []string
-	Relays         []Relay
+	Proxies        []ProxyConfig
 	AllowUnlisted  bool          // proxies that are not in Relays may join
 	UnlistedZone   balancer.Zone // the zone that such proxies count for
 	Servers        []registry.ServerConfig
@@ -41,11 +41,11 @@
 
 // Limits bounds what a coordinator keeps, and how long it waits. Times are in seconds.
 type Limits struct {
-	MaxRelays        int     // proxies known at once; one more is refused
+	MaxProxies       int     // proxies known at once; one more is refused
 	MaxServers       int     // servers in the registry; one more is refused
 	MaxSeries        int     // series of load reports; reports of one more are counted and ignored
 	ServerHold       float64 // how long a server stays registered after its connection broke
-	RelayRetention   float64 // how long the ID of a proxy that left is kept for it
+	ProxyRetention   float64 // how long the ID of a proxy that left is kept for it
 	StallTimeout     float64 // how long a message may stay unacknowledged before the proxy is disconnected
 	DrainFraction    float64 // part of the drain deadline after which a proxy that has not acknowledged is disconnected
 	ApplyGrace       float64 // how long a proxy may take to apply a message that its host has acknowledged
@@ -56,11 +56,11 @@
 
 // DefaultLimits are the limits without settings.
 var DefaultLimits = Limits{
-	MaxRelays:        8192, // the design target is 5,000
+	MaxProxies:       8192, // the design target is 5,000
 	MaxServers:       4096, // the design target is 1,000, twice that while they are replaced
 	MaxSeries:        1 << 21,
 	ServerHold:       2.5,   // a broken connection is dialled again within 2 seconds
-	RelayRetention:   600,   // a proxy's host restarts within 10 minutes
+	ProxyRetention:   600,   // a proxy's host restarts within 10 minutes
 	StallTimeout:     10,    // the longest pause of a proxy that is still alive
 	DrainFraction:    0.6,   // leaves the rest of the deadline for detection and delivery
 	ApplyGrace:       0.25,  // a table of 5,000 entries at 50 microseconds each
--- a/internal/core/controlplane/status.go
+++ b/internal/core/controlplane/status.go
@@ -21,16 +21,16 @@
 	Overdue      int // for a drain that was not acknowledged in time
 	Noncompliant int // for load reports against their tables
 
-	Unsupported    int // admission rates and retry policies set
-	UnknownRelay   int // load reports of unknown or disconnected proxies, or about unknown classes
-	UnknownServer  int // reports about unknown servers
-	SaveFailures   int // records that could not be stored
-	Probes         int // health checks that the decision module asked for
-	Notes          int // log messages of the decision module
-	Binds          int // tables assigned
-	JoinsThrottled int // joins refused for their rate
-	TablesRejected int // tables that would have been left without a ready server
-	Evicted        int // proxies that another coordinator owns now
+	AdmissionChanges int // admission rates and retry policies set
+	UnknownProxy     int // load reports of unknown or disconnected proxies, or about unknown classes
+	UnknownServer    int // reports about unknown servers
+	SaveFailures     int // records that could not be stored
+	HealthChecks     int // health checks that the decision module asked for
+	LogMessages      int // log messages of the decision module
+	TablesAssigned   int // tables assigned
+	JoinsThrottled   int // joins refused for their rate
+	TablesRejected   int // tables that would have been left without a ready server
+	Evicted          int // proxies that another coordinator owns now
 }
 
 // ProxyStatus tells how far a joined proxy is.
@@ -64,7 +64,7 @@
 func (f *Fleet) isUpToDate(proxy *Proxy) bool {
 	for class := range proxy.Tables {
 		state := &proxy.Tables[class]
-		if !state.Bound || state.Full || state.AckedVersion != f.wantedVersion(state) {
+		if !state.Assigned || state.NeedsFull || state.AckedVersion != f.wantedVersion(state) {
 			return false
 		}
 	}
--- a/internal/core/longpoll/longpoll.go
+++ b/internal/core/longpoll/longpoll.go
@@ -227,7 +227,7 @@
 // at the door takes no room from them.
 func (c *Server) join(now float64, w PollID, p Poll) *client {
 	if !c.fleet.Listed(p.UID) { // nor do those that may never join
-		c.out.Log("proxy refused", "uid", p.UID, "error", controlplane.ErrUnlistedRelay)
+		c.out.Log("proxy refused", "uid", p.UID, "error", controlplane.ErrUnlistedProxy)
 		c.refuse(w, NotListed, 0)
 		return nil
 	}
@@ -295,7 +295,7 @@
 func (c *Server) hold(now float64, x *client, of []tables.Version, bound []balancer.Table) {
 	versions := make([]tables.Version, len(x.proxy.Tables))
 	for i := range of {
-		if h := &x.proxy.Tables[i]; h.Bound && bound[i] == h.Table {
+		if h := &x.proxy.Tables[i]; h.Assigned && bound[i] == h.Table {
 			versions[i] = of[i]
 		}
 	}
--- a/internal/core/longpoll/longpoll_test.go
+++ b/internal/core/longpoll/longpoll_test.go
@@ -175,7 +175,7 @@
 
 // check compares what a proxy holds with the tables that the module wants.
 func (s *shop) check(uid string) string {
-	h, p := s.holds[uid], s.fleet.Relay(uid)
+	h, p := s.holds[uid], s.fleet.FindProxy(uid)
 	n := 0
 	for c := range balancer.Class(2) {
 		for i := range 6 {
@@ -525,7 +525,7 @@
 		}
 		if s.fleet.UpToDate() != 3 {
 			for _, uid := range uids {
-				p := s.fleet.Relay(uid)
+				p := s.fleet.FindProxy(uid)
 				rt.Logf("%s %+v waits %t away %t behind %t", uid, p.Tables, s.holds[uid].waits, p.InFlight(), s.fleet.NeedsUpdate(p))
 			}
 			rt.Errorf("%d of 3 are known to hold the newest tables", s.fleet.UpToDate())
--- a/internal/core/membership/golden_test.go
+++ b/internal/core/membership/golden_test.go
@@ -18,7 +18,7 @@
 }
 
 func goldenNeeds() tenancy.Requirements {
-	return tenancy.Requirements{Memory: 1 << 20, Lines: 250.5, Connections: 40, Work: 0.125}
+	return tenancy.Requirements{Memory: 1 << 20, EntriesPerSecond: 250.5, Connections: 40, CPU: 0.125}
 }
 
 func goldenState() State {
--- a/internal/core/saspsession/session_test.go
+++ b/internal/core/saspsession/session_test.go
@@ -88,7 +88,7 @@
 			Static: i < 4})
 	}
 	for i := range 500 {
-		s.Relays = append(s.Relays, controlplane.Relay{UID: fmt.Sprintf("r%d", i), ExpectedRate: 20})
+		s.Proxies = append(s.Proxies, controlplane.ProxyConfig{UID: fmt.Sprintf("r%d", i), ExpectedRate: 20})
 	}
 	return s
 }
@@ -413,7 +413,7 @@
 
 // A mass of relays that dial at once is paced by the channel, joins by age, and a drain does not wait for them.
 func TestAMassOfRelaysIsPaced(t *testing.T) {
-	for _, without := range [][]controlplane.Guard{nil, {controlplane.GuardPace}} {
+	for _, without := range [][]controlplane.Guard{nil, {controlplane.GuardPacing}} {
 		site := testSite(without...)
 		site.DataPlane.Proxies, site.Channel.EntriesPerSecond, site.Channel.MaxQueued = 460, 4000, 9000
 		p := start(t, site, DefaultLimits, Policy{FleetUID: "fleet"})
@@ -556,7 +556,7 @@
 		if p.ended[c] != (late == 0) {
 			t.Errorf("reports %v s late: cut off %t, %q", late, p.ended[c], p.log)
 		}
-		if p.fleet.Stats.UnknownRelay == 0 || p.fleet.Stats.UnknownServer == 0 {
+		if p.fleet.Stats.UnknownProxy == 0 || p.fleet.Stats.UnknownServer == 0 {
 			t.Errorf("strangers were not counted: %+v", p.fleet.Stats)
 		}
 	}
--- a/internal/core/tenancy/cost.go
+++ b/internal/core/tenancy/cost.go
@@ -24,14 +24,14 @@
 
 // Size is how large a tenant may become, by its limits.
 type Size struct {
-	Classes     int
-	Servers     int
-	Relays      int // proxies
-	Series      int // of load reports
-	Connections int
-	Buffered    int     // bytes of unfinished messages
-	Lines       float64 // table entries per second
-	Period      float64 // seconds between two load reports
+	Classes          int
+	Servers          int
+	Proxies          int // proxies
+	Series           int // of load reports
+	Connections      int
+	BufferedBytes    int     // bytes of unfinished messages
+	EntriesPerSecond float64 // table entries per second
+	ReportingPeriod  float64 // seconds between two load reports
 }
 
 // DefaultSize is the size of a tenant whose settings state no limits. It has room for twice what is listed, since all of
@@ -39,10 +39,10 @@
 func DefaultSize(listed Size) Size {
 	size := listed
 	size.Servers = max(2*listed.Servers, 16)
-	size.Relays = max(2*listed.Relays, 16)
-	size.Series = size.Relays * (size.Servers + size.Classes)
-	size.Connections = 3*size.Relays + 2*size.Servers + 16 // a proxy's old, present and next one; a server's and its agent's
-	size.Buffered = 256<<10 + 64*size.Servers*size.Classes // half of a large message, and a registration of all servers
+	size.Proxies = max(2*listed.Proxies, 16)
+	size.Series = size.Proxies * (size.Servers + size.Classes)
+	size.Connections = 3*size.Proxies + 2*size.Servers + 16     // a proxy's old, present and next one; a server's and its agent's
+	size.BufferedBytes = 256<<10 + 64*size.Servers*size.Classes // half of a large message, and a registration of all servers
 	return size
 }
 
@@ -50,16 +50,16 @@
 // at once.
 func RequirementsFor(size Size) Requirements {
 	servers := float64(size.Servers)
-	proxies := float64(size.Relays)
+	proxies := float64(size.Proxies)
 	return Requirements{
 		Memory: tenantBytes + servers*serverBytes + servers*float64(size.Classes)*entryBytes + proxies*proxyBytes +
-			float64(size.Series)*seriesBytes + float64(size.Connections)*connectionBytes + float64(size.Buffered),
-		Lines:       size.Lines,
-		Connections: float64(size.Connections),
+			float64(size.Series)*seriesBytes + float64(size.Connections)*connectionBytes + float64(size.BufferedBytes),
+		EntriesPerSecond: size.EntriesPerSecond,
+		Connections:      float64(size.Connections),
 		// One round in each reporting period, and a channel full of messages of one entry.
-		Work: ticksPerSecond*idleCPUSeconds +
-			(roundCPUSeconds+servers*serverCPUSeconds+proxies*proxyCPUSeconds)/max(size.Period, minReportSeconds) +
-			size.Lines*messageCPUSeconds/2,
+		CPU: ticksPerSecond*idleCPUSeconds +
+			(roundCPUSeconds+servers*serverCPUSeconds+proxies*proxyCPUSeconds)/max(size.ReportingPeriod, minReportSeconds) +
+			size.EntriesPerSecond*messageCPUSeconds/2,
 	}
 }
 
@@ -67,11 +67,11 @@
 type Usage struct {
 	Rounds   int
 	Messages int
-	Lines    int // table entries in the messages
+	Entries  int // table entries in the messages
 	Servers  int // in each round
-	Relays   int // proxies in each round
+	Proxies  int // proxies in each round
 	Bytes    int // received
-	Arrivals int // receipts
+	Receipts int // receipts
 }
 
 // CPUSeconds estimates the CPU time of a usage. It is not measured, so that the scheduling of tenants depends on events
@@ -79,7 +79,7 @@
 func (u Usage) CPUSeconds() float64 {
 	rounds := float64(u.Rounds)
 	return idleCPUSeconds +
-		rounds*(roundCPUSeconds+float64(u.Servers)*serverCPUSeconds+float64(u.Relays)*proxyCPUSeconds) +
+		rounds*(roundCPUSeconds+float64(u.Servers)*serverCPUSeconds+float64(u.Proxies)*proxyCPUSeconds) +
 		float64(u.Messages)*messageCPUSeconds +
-		float64(u.Lines)*entryCPUSeconds + float64(u.Bytes)*byteCPUSeconds + float64(u.Arrivals)*receiveCPUSeconds
+		float64(u.Entries)*entryCPUSeconds + float64(u.Bytes)*byteCPUSeconds + float64(u.Receipts)*receiveCPUSeconds
 }
--- a/internal/core/tenancy/directory_test.go
+++ b/internal/core/tenancy/directory_test.go
@@ -11,7 +11,7 @@
 
 // requirements has the same number of everything.
 func requirements(v float64) Requirements {
-	return Requirements{Memory: v, Lines: v, Connections: v, Work: v}
+	return Requirements{Memory: v, EntriesPerSecond: v, Connections: v, CPU: v}
 }
 
 func testCommand(kind CommandKind, name Name, now float64) Command {
@@ -29,7 +29,7 @@
 }
 
 func newDirectory() *Directory {
-	return &Directory{Capacity: Capacity{Requirements: requirements(3), WorkOvercommit: 1, MaxTenants: 10}}
+	return &Directory{Capacity: Capacity{Requirements: requirements(3), CPUOvercommit: 1, MaxTenants: 10}}
 }
 
 func TestCreate(t *testing.T) {
@@ -165,7 +165,7 @@
 func TestDirectoryModel(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		model := &directoryModel{
-			capacity:     Capacity{Requirements: requirements(6), WorkOvercommit: 1, MaxTenants: 4},
+			capacity:     Capacity{Requirements: requirements(6), CPUOvercommit: 1, MaxTenants: 4},
 			commandIDs:   map[Name]uint64{},
 			outcomes:     map[uint64]Outcome{},
 			fingerprints: map[uint64]uint64{},
--- a/internal/core/tenancy/golden_test.go
+++ b/internal/core/tenancy/golden_test.go
@@ -9,7 +9,7 @@
 )
 
 func goldenRequirements() Requirements {
-	return Requirements{Memory: 1 << 20, Lines: 250.5, Connections: 40, Work: 0.125}
+	return Requirements{Memory: 1 << 20, EntriesPerSecond: 250.5, Connections: 40, CPU: 0.125}
 }
 
 func goldenDirectory() Directory {
--- a/internal/core/tenancy/requirements.go
+++ b/internal/core/tenancy/requirements.go
@@ -15,36 +15,36 @@
 
 // Requirements is what a tenant takes of its host when it is as large and as busy as its limits allow.
 type Requirements struct {
-	Memory      float64 `json:"memory"`      // bytes
-	Lines       float64 `json:"lines"`       // table entries per second on the channel
-	Connections float64 `json:"connections"` // at once
-	Work        float64 `json:"work"`        // CPU seconds per second
+	Memory           float64 `json:"memory"`      // bytes
+	EntriesPerSecond float64 `json:"lines"`       // table entries per second on the channel
+	Connections      float64 `json:"connections"` // at once
+	CPU              float64 `json:"work"`        // CPU seconds per second
 }
 
 // Capacity is what a host has for all its tenants. Their requirements together must fit into it. CPU time may be
 // overcommitted: it is shared as tenants need it, and a tenant that asks for more than its share waits.
 type Capacity struct {
 	Requirements
-	WorkOvercommit float64 // how many times the CPU time may be required
-	MaxTenants     int
+	CPUOvercommit float64 // how many times the CPU time may be required
+	MaxTenants    int
 }
 
 // DefaultCapacity is that of a host with four cores and 8 GiB for tenants, whose programs run on one of the cores.
 var DefaultCapacity = Capacity{
 	Requirements: Requirements{
-		Memory:      8 << 30,
-		Lines:       500e3,
-		Connections: 200e3,
-		Work:        0.7,
+		Memory:           8 << 30,
+		EntriesPerSecond: 500e3,
+		Connections:      200e3,
+		CPU:              0.7,
 	},
-	WorkOvercommit: 4,
-	MaxTenants:     20000,
+	CPUOvercommit: 4,
+	MaxTenants:    20000,
 }
 
 // fits returns ErrNoCapacity if a tenant's requirements do not fit beside what others use.
 func (c Capacity) fits(used, required Requirements) error {
 	available := c.Requirements
-	available.Work *= c.WorkOvercommit
+	available.CPU *= c.CPUOvercommit
 	return required.CheckWithin(available.minus(used))
 }
 
@@ -56,9 +56,9 @@
 		available float64
 	}{
 		{"bytes of memory", r.Memory, available.Memory},
-		{"lines a second", r.Lines, available.Lines},
+		{"lines a second", r.EntriesPerSecond, available.EntriesPerSecond},
 		{"connections", r.Connections, available.Connections},
-		{"of a core's time", r.Work, available.Work},
+		{"of a core's time", r.CPU, available.CPU},
 	} {
 		if resource.required > resource.available*(1+capacityTolerance) {
 			return errorf(ErrNoCapacity, "it needs %.4g %s, there are %.4g",
@@ -70,7 +70,7 @@
 
 // Valid tells whether all requirements are numbers within bounds.
 func (r Requirements) Valid() bool {
-	for _, value := range [...]float64{r.Memory, r.Lines, r.Connections, r.Work} {
+	for _, value := range [...]float64{r.Memory, r.EntriesPerSecond, r.Connections, r.CPU} {
 		if math.IsNaN(value) || value < 0 || value > maxRequirement {
 			return false
 		}
@@ -82,27 +82,27 @@
 // directory must agree on what is free to the last bit.
 func (r Requirements) rounded() Requirements {
 	return Requirements{
-		Memory:      math.Ceil(r.Memory),
-		Lines:       math.Ceil(r.Lines*requirementPrecision) / requirementPrecision,
-		Connections: math.Ceil(r.Connections),
-		Work:        math.Ceil(r.Work*requirementPrecision) / requirementPrecision,
+		Memory:           math.Ceil(r.Memory),
+		EntriesPerSecond: math.Ceil(r.EntriesPerSecond*requirementPrecision) / requirementPrecision,
+		Connections:      math.Ceil(r.Connections),
+		CPU:              math.Ceil(r.CPU*requirementPrecision) / requirementPrecision,
 	}
 }
 
 func (r Requirements) plus(other Requirements) Requirements {
 	return Requirements{
-		Memory:      r.Memory + other.Memory,
-		Lines:       r.Lines + other.Lines,
-		Connections: r.Connections + other.Connections,
-		Work:        r.Work + other.Work,
+		Memory:           r.Memory + other.Memory,
+		EntriesPerSecond: r.EntriesPerSecond + other.EntriesPerSecond,
+		Connections:      r.Connections + other.Connections,
+		CPU:              r.CPU + other.CPU,
 	}
 }
 
 func (r Requirements) minus(other Requirements) Requirements {
 	return Requirements{
-		Memory:      r.Memory - other.Memory,
-		Lines:       r.Lines - other.Lines,
-		Connections: r.Connections - other.Connections,
-		Work:        r.Work - other.Work,
+		Memory:           r.Memory - other.Memory,
+		EntriesPerSecond: r.EntriesPerSecond - other.EntriesPerSecond,
+		Connections:      r.Connections - other.Connections,
+		CPU:              r.CPU - other.CPU,
 	}
 }
--- a/internal/experiment/lab.go
+++ b/internal/experiment/lab.go
@@ -163,8 +163,8 @@
 	if d.Rate == 0 {
 		d.Rate = c.Fleet.Load * float64(c.Fleet.Servers) * cores * meanSpeed / meanWork
 	}
-	for i := range site.Relays {
-		site.Relays[i].ExpectedRate = d.Rate / float64(c.Fleet.Relays)
+	for i := range site.Proxies {
+		site.Proxies[i].ExpectedRate = d.Rate / float64(c.Fleet.Relays)
 	}
 	d.Model = settings.ServerModel{Connections: 40 + 3*c.Fleet.Relays, ConnWork: 0.004, KeyFor: 5, KeyLess: 0.15, KeyMost: 200, Stops: true}
 	d.Clients = settings.ClientModel{Popularity: 0.8, Retries: c.Fleet.Retries, RetryWait: 0.5, Patience: 0.8}
@@ -178,7 +178,7 @@
 	}
 	d.Faults = nil
 	for _, t := range c.Case.Faults {
-		t.Server, t.Relay = t.Server%len(site.Servers), t.Relay%len(site.Relays)
+		t.Server, t.Relay = t.Server%len(site.Servers), t.Relay%len(site.Proxies)
 		t.FailureDomain %= int(site.Servers[len(site.Servers)-1].FailureDomain) + 1
 		d.Faults = append(d.Faults, t)
 	}
@@ -276,7 +276,7 @@
 // DrawFault of a kind, somewhere and sometime on a day.
 func DrawFault(d *settings.Scenario, c *rand.Rand, kind string) settings.Fault {
 	site := &d.Coordinator.Site
-	t := settings.Fault{Kind: kind, Server: c.IntN(len(site.Servers)), Relay: c.IntN(len(site.Relays)), Factor: 1,
+	t := settings.Fault{Kind: kind, Server: c.IntN(len(site.Servers)), Relay: c.IntN(len(site.Proxies)), Factor: 1,
 		Zone: site.Servers[c.IntN(len(site.Servers))].Zone, FailureDomain: int(site.Servers[c.IntN(len(site.Servers))].FailureDomain)}
 	t.At = firstTrouble + c.Float64()*max(d.Seconds-troubleFree-firstTrouble, 1)
 	between := func(a, b float64) float64 { return a + (b-a)*c.Float64() }
--- a/internal/experiment/lab_test.go
+++ b/internal/experiment/lab_test.go
@@ -179,8 +179,8 @@
 		t.Fatal("the day is not bad")
 	}
 	small := Shrink(d, bad, 60, io.Discard)
-	if !bad(small) || len(small.Faults) != 2 || len(small.Coordinator.Site.Servers) > 8 || len(small.Coordinator.Site.Relays) > 6 || small.Seconds > 30 {
-		t.Errorf("%d troubles, %d servers, %d relays, %v s", len(small.Faults), len(small.Coordinator.Site.Servers), len(small.Coordinator.Site.Relays), small.Seconds)
+	if !bad(small) || len(small.Faults) != 2 || len(small.Coordinator.Site.Servers) > 8 || len(small.Coordinator.Site.Proxies) > 6 || small.Seconds > 30 {
+		t.Errorf("%d troubles, %d servers, %d relays, %v s", len(small.Faults), len(small.Coordinator.Site.Servers), len(small.Coordinator.Site.Proxies), small.Seconds)
 	}
 	text, err := small.Write()
 	if err != nil {
--- a/internal/experiment/shrink.go
+++ b/internal/experiment/shrink.go
@@ -38,7 +38,7 @@
 		}
 		d = next
 		console.Printf(progress, "%d played: %s; %d troubles, %d servers, %d relays, %.0f s\n", played, what, len(d.Faults), len(d.Coordinator.Site.Servers),
-			len(d.Coordinator.Site.Relays), d.Seconds)
+			len(d.Coordinator.Site.Proxies), d.Seconds)
 		return true
 	}
 	for again := true; again && played < most; {
@@ -76,7 +76,7 @@
 	c := *d.Coordinator
 	n.Coordinator = &c
 	s := &c.Site
-	s.Servers, s.Relays = slices.Clone(s.Servers), slices.Clone(s.Relays)
+	s.Servers, s.Proxies = slices.Clone(s.Servers), slices.Clone(s.Proxies)
 	n.Faults = slices.Clone(d.Faults)
 	return &n
 }
@@ -85,7 +85,7 @@
 func keep(n *settings.Scenario) {
 	site := &n.Coordinator.Site
 	n.Faults = slices.DeleteFunc(n.Faults, func(t settings.Fault) bool {
-		return t.Server >= len(site.Servers) || t.Relay >= len(site.Relays)
+		return t.Server >= len(site.Servers) || t.Relay >= len(site.Proxies)
 	})
 }
 
@@ -108,13 +108,13 @@
 
 func fewerRelays(n *settings.Scenario, part float64) bool {
 	site := &n.Coordinator.Site
-	left := int(float64(len(site.Relays)) * part)
-	if left < leastRelays || left == len(site.Relays) {
+	left := int(float64(len(site.Proxies)) * part)
+	if left < leastRelays || left == len(site.Proxies) {
 		return false
 	}
-	site.Relays, site.DataPlane.Proxies = site.Relays[:left], left
-	for i := range site.Relays {
-		site.Relays[i].ExpectedRate = n.Rate / float64(left)
+	site.Proxies, site.DataPlane.Proxies = site.Proxies[:left], left
+	for i := range site.Proxies {
+		site.Proxies[i].ExpectedRate = n.Rate / float64(left)
 	}
 	keep(n)
 	return len(n.Faults) > 0
--- a/internal/frontend/admin/golden_test.go
+++ b/internal/frontend/admin/golden_test.go
@@ -15,7 +15,7 @@
 	golden.JSON(t, "relay.json", relayRow{UID: "relay-1", Zone: "a", Newest: true, Asks: true, Urgent: true})
 	golden.JSON(t, "preview-call.json", previewCall{Drain: []balancer.Server{"127.0.1.2:8080"}, LoseZone: true})
 	golden.JSON(t, "drain-call.json", drainCall{Server: "127.0.1.2:8080", On: true, Force: true, LoseZone: true})
-	needs := tenancy.Requirements{Memory: 1 << 20, Lines: 250.5, Connections: 40, Work: 0.125}
+	needs := tenancy.Requirements{Memory: 1 << 20, EntriesPerSecond: 250.5, Connections: 40, CPU: 0.125}
 	golden.JSON(t, "tenant.json", TenantRow{Name: "one", Incarnation: 1, Version: 5, Weight: 2, Requirements: needs, Running: true, Error: "why", Servers: 6,
 		Relays: 4, UpToDate: 3, CPUSeconds: 0.5, LongestWait: 0.25, QueuedEntries: 12})
 	golden.JSON(t, "seen.json", SettingsPreview{Weight: 2, Requirements: needs, RestartReason: "listeners", Added: 1, Removed: []string{"127.0.1.3:8080"}, RelaysEvicted: 2,
--- a/internal/frontend/longpollhttp/poll_test.go
+++ b/internal/frontend/longpollhttp/poll_test.go
@@ -131,7 +131,7 @@
 	}
 	set := setup(5, 2, 14880)
 	set.Site.AllowUnlisted = false
-	set.Site.Relays = []controlplane.Relay{{UID: "r1", ExpectedRate: 5}, {UID: "r 2/x"}, {UID: "r3"}}
+	set.Site.Proxies = []controlplane.ProxyConfig{{UID: "r1", ExpectedRate: 5}, {UID: "r 2/x"}, {UID: "r3"}}
 	set.Parking.PollBurst = 15
 	program, s, base := listen(t, set)
 	doc.Servers = openapi3.Servers{{URL: base}}
--- a/internal/scenario/draw.go
+++ b/internal/scenario/draw.go
@@ -45,7 +45,7 @@
 		"balancer_stall", "balancer_restart", "reconnect", "report_late", "reports_stop", "demand", "clock_gap"}
 	for range 2 + c.IntN(mostTroubles-1) {
 		t := settings.Fault{Kind: kinds[c.IntN(len(kinds))], Server: c.IntN(len(site.Servers)),
-			Relay: c.IntN(len(site.Relays)), Zone: site.Servers[c.IntN(len(site.Servers))].Zone,
+			Relay: c.IntN(len(site.Proxies)), Zone: site.Servers[c.IntN(len(site.Servers))].Zone,
 			FailureDomain: int(site.Servers[c.IntN(len(site.Servers))].FailureDomain)}
 		t.At = firstTrouble + c.Float64()*(d.Seconds-troubleFree-firstTrouble)
 		between := func(a, b float64) float64 { return a + (b-a)*c.Float64() }
@@ -86,7 +86,7 @@
 // Enlarge gives a day another number of servers and relays, with a channel to match; its troubles go.
 func Enlarge(d *settings.Scenario, servers, relays int) {
 	site := &d.Coordinator.Site
-	site.Servers, site.Relays, d.Faults = nil, nil, nil
+	site.Servers, site.Proxies, d.Faults = nil, nil, nil
 	zones := len(site.Zones)
 	for i := range servers {
 		a := netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 1, byte(i / 250), byte(1 + i%250)}), enlargedPort)
@@ -94,7 +94,7 @@
 			Zone: balancer.Zone(i / podSize % zones), FailureDomain: balancer.FailureDomain(i / podSize)})
 	}
 	for i := range relays {
-		site.Relays = append(site.Relays, controlplane.Relay{UID: fmt.Sprint("relay-", i), Zone: balancer.Zone(i % zones), ExpectedRate: usualRate})
+		site.Proxies = append(site.Proxies, controlplane.ProxyConfig{UID: fmt.Sprint("relay-", i), Zone: balancer.Zone(i % zones), ExpectedRate: usualRate})
 	}
 	site.DataPlane.Proxies = relays
 	lines := float64(relays * servers * len(site.Classes))
--- a/internal/scenario/proxies.go
+++ b/internal/scenario/proxies.go
@@ -43,7 +43,7 @@
 	site := &c.Site
 	x := p.reals[i]
 	seed := p.opts.Seed<<16 + uint64(i+1) + x.lives<<40
-	seen := &emulator.ProxyObserver{Checker: p.ref, UID: site.Relays[i].UID}
+	seen := &emulator.ProxyObserver{Checker: p.ref, UID: site.Proxies[i].UID}
 	s := proxy.Config{UID: seen.UID, Limits: proxy.DefaultLimits, CollectorPort: c.Measurements.Port(), User: c.User, Key: c.Key,
 		ReportInterval: site.Reporting.Period, Seed: seed, Store: &x.shelf, Observer: seen,
 		Forwarding: forwarding.Config{ClassNames: site.ClassNames, Classes: site.Classes, RetryPolicies: site.RetryPolicies, AdmissionMode: site.DataPlane.Admission,
@@ -79,7 +79,7 @@
 	for _, a := range standing {
 		s.DefaultServers = append(s.DefaultServers, balancer.Server(a.String()))
 	}
-	zone := int(p.day.Coordinator.Site.Relays[i].Zone)
+	zone := int(p.day.Coordinator.Site.Proxies[i].Zone)
 	at := netip.AddrPortFrom(relayAddr(i).Addr(), clientPort)
 	x.proxy = proxy.New(p.stage.Now(), s)
 	x.host = p.add(at, zone, x.proxy, false)
@@ -99,7 +99,7 @@
 	case "balancer_restart":
 		x := p.reals[t.Relay]
 		x.host.Kill()
-		p.ref.RelayDown(p.day.Coordinator.Site.Relays[t.Relay].UID)
+		p.ref.RelayDown(p.day.Coordinator.Site.Proxies[t.Relay].UID)
 		later(func() {
 			x.lives++
 			x.proxy = proxy.New(p.stage.Now(), p.proxySetup(t.Relay))
--- a/internal/scenario/rehearse.go
+++ b/internal/scenario/rehearse.go
@@ -391,11 +391,11 @@
 	to.Stalled += c.Stalled
 	to.Overdue += c.Overdue
 	to.Noncompliant += c.Noncompliant
-	to.Unsupported += c.Unsupported
-	to.UnknownRelay += c.UnknownRelay
+	to.AdmissionChanges += c.AdmissionChanges
+	to.UnknownProxy += c.UnknownProxy
 	to.UnknownServer += c.UnknownServer
 	to.SaveFailures += c.SaveFailures
-	to.Binds += c.Binds
+	to.TablesAssigned += c.TablesAssigned
 	to.Evicted += c.Evicted
 }
 
@@ -452,12 +452,12 @@
 
 func (p *play) addRelays() {
 	site := &p.day.Coordinator.Site
-	parts, sum := make([]float64, len(site.Relays)), 0.0
+	parts, sum := make([]float64, len(site.Proxies)), 0.0
 	for i := range parts {
 		parts[i] = math.Exp(p.day.Spread * (p.chance.Float64()*2 - 1))
 		sum += parts[i]
 	}
-	for i := range site.Relays {
+	for i := range site.Proxies {
 		setup := p.relaySetup(i, p.day.Rate*parts[i]/sum)
 		for range site.DataPlane.DefaultTableSize { // servers of its zone if there are enough, as they come
 			s := site.Servers[p.chance.IntN(len(site.Servers))]
@@ -471,7 +471,7 @@
 			continue
 		}
 		p.relays = append(p.relays, emulator.NewRelay(setup, p.ref))
-		p.relayHosts = append(p.relayHosts, p.add(relayAddr(i), int(site.Relays[i].Zone), p.relays[i], false))
+		p.relayHosts = append(p.relayHosts, p.add(relayAddr(i), int(site.Proxies[i].Zone), p.relays[i], false))
 		if p.opts.Mute {
 			p.relayHosts[i].DisturbDatagrams(true, 0)
 		}
@@ -499,7 +499,7 @@
 	for k := range p.coordinators[1:] {
 		others = append(others, p.at(k+1, at))
 	}
-	return emulator.RelayConfig{Others: others, Polls: asks, UID: c.Site.Relays[i].UID, Host: relayAddr(i).Addr(), Coordinator: at, Collector: c.Measurements, User: c.User,
+	return emulator.RelayConfig{Others: others, Polls: asks, UID: c.Site.Proxies[i].UID, Host: relayAddr(i).Addr(), Coordinator: at, Collector: c.Measurements, User: c.User,
 		Key: c.Key, Flags: sasp.Push | sasp.Trust | sasp.NoChange, Classes: p.classes, Rate: rate,
 		Report: c.Site.Reporting.Period, EjectAfter: c.Site.DataPlane.EjectAfterFailures, EjectFor: 4, Keys: p.day.Keys,
 		Seed: uint64(i+1) + p.opts.Seed<<16, Popular: p.popular, Retries: p.day.Clients.Retries, RetryWait: p.day.Clients.RetryWait,
--- a/internal/scenario/rehearse_test.go
+++ b/internal/scenario/rehearse_test.go
@@ -67,8 +67,8 @@
 	for guard, c := range map[controlplane.Guard]struct {
 		rule int
 		seed uint64 // of the day's chances; 0: its own
-	}{controlplane.GuardRejoin: {1, 18}, controlplane.GuardRetries: {2, 0}, controlplane.GuardMemory: {3, 0},
-		controlplane.GuardReports: {3, 0}, controlplane.GuardWarmup: {4, 0}, controlplane.GuardPace: {5, 0}} {
+	}{controlplane.GuardRejoin: {1, 18}, controlplane.GuardRetries: {2, 0}, controlplane.GuardPersistence: {3, 0},
+		controlplane.GuardReports: {3, 0}, controlplane.GuardWarmup: {4, 0}, controlplane.GuardPacing: {5, 0}} {
 		t.Run(string(guard), func(t *testing.T) {
 			t.Parallel()
 			r, text := play1(t, badDay(t, string(DefaultScenario), guard), Options{Seed: c.seed})
--- a/internal/scenario/takeover.go
+++ b/internal/scenario/takeover.go
@@ -57,7 +57,7 @@
 	kinds := []string{"drain", "drain", "crash", "mass_restart", "reconnect", "balancer_restart", "slow"}
 	for at := killFrom; at < d.Seconds-killAfter; at += otherEvery * (0.5 + c.Float64()) {
 		i := c.IntN(len(site.Servers))
-		t := settings.Fault{Kind: kinds[c.IntN(len(kinds))], Server: i, Relay: c.IntN(len(site.Relays)),
+		t := settings.Fault{Kind: kinds[c.IntN(len(kinds))], Server: i, Relay: c.IntN(len(site.Proxies)),
 			FailureDomain: int(site.Servers[i].FailureDomain), Zone: site.Servers[i].Zone, At: at, For: 0.5 + 5*c.Float64(), Factor: 3}
 		if t.Kind == "drain" {
 			t.For += 4
--- a/internal/service/service.go
+++ b/internal/service/service.go
@@ -246,7 +246,7 @@
 		count("relays_defied", "Those whose reports showed that they did not follow a drain.", f.Stats.Noncompliant)
 		count("tables_refused", "Tables that were refused, since they had no open, warm server left.", f.Stats.TablesRejected)
 		count("keep_failed", "Records that could not be made durable.", f.Stats.SaveFailures)
-		count("unsaid", "Levels and ways of repeating that SASP has no word for.", f.Stats.Unsupported)
+		count("unsaid", "Levels and ways of repeating that SASP has no word for.", f.Stats.AdmissionChanges)
 		if m := s.program.Member; m != nil && m.Group != nil {
 			g, leads := m.Group, 0.0
 			if m.Failed == nil && g.Lease.Valid(now) {
@@ -279,7 +279,7 @@
 		count("malformed", "Messages that could not be read.", d.Stats.Malformed)
 		count("measurements", "Measurement packets.", m.Packets)
 		count("measurements_garbled", "Those that could not be read.", m.Malformed)
-		count("measurements_unknown", "Values that name an unknown relay or server.", f.Stats.UnknownRelay+
+		count("measurements_unknown", "Values that name an unknown relay or server.", f.Stats.UnknownProxy+
 			f.Stats.UnknownServer)
 		count("measurements_old", "Values that were doubled or overtaken.", f.LoadReports.Rejected.Stale)
 	})
--- a/internal/settings/host.go
+++ b/internal/settings/host.go
@@ -58,8 +58,8 @@
 	}
 	h.Capacity, h.Router, h.Scheduler = tenancy.DefaultCapacity, tenancy.DefaultRouterLimits, fairqueue.DefaultConfig
 	if n := root.one("room"); n != nil {
-		for name, to := range map[string]*float64{"lines-per-second": &h.Capacity.Lines, "connections": &h.Capacity.Connections, "work": &h.Capacity.Work,
-			"work-times": &h.Capacity.WorkOvercommit} {
+		for name, to := range map[string]*float64{"lines-per-second": &h.Capacity.EntriesPerSecond, "connections": &h.Capacity.Connections, "work": &h.Capacity.CPU,
+			"work-times": &h.Capacity.CPUOvercommit} {
 			if v := n.number(name); v > 0 {
 				*to = v
 			}
@@ -70,7 +70,7 @@
 		if v := n.int("tenants"); v > 0 {
 			h.Capacity.MaxTenants = v
 		}
-		h.Scheduler.Rate, h.Router.MaxTenants = h.Capacity.Work, h.Capacity.MaxTenants
+		h.Scheduler.Rate, h.Router.MaxTenants = h.Capacity.CPU, h.Capacity.MaxTenants
 	}
 	if n := root.one("entry"); n != nil {
 		if v := n.int("strangers"); v > 0 {
@@ -114,8 +114,8 @@
 	}
 	s := &c.Site
 	s.UIDPrefix = of.UID("")
-	for i, x := range s.Relays {
-		if s.Relays[i].UID = of.UID(x.UID); len(s.Relays[i].UID) > mostUID {
+	for i, x := range s.Proxies {
+		if s.Proxies[i].UID = of.UID(x.UID); len(s.Proxies[i].UID) > mostUID {
 			r.wrong(root.one("relays"), "relay %q: with the tenant's name it has over %d bytes", x.UID, mostUID)
 		}
 	}
@@ -137,23 +137,23 @@
 			r.wrong(root.all("class")[i], "no server is listed in a zone that may take it")
 		}
 	}
-	size := tenancy.DefaultSize(tenancy.Size{Classes: len(s.Classes), Servers: len(s.Servers), Relays: max(len(s.Relays), s.DataPlane.Proxies),
-		Lines: s.Channel.EntriesPerSecond, Period: s.Reporting.Period})
+	size := tenancy.DefaultSize(tenancy.Size{Classes: len(s.Classes), Servers: len(s.Servers), Proxies: max(len(s.Proxies), s.DataPlane.Proxies),
+		EntriesPerSecond: s.Channel.EntriesPerSecond, ReportingPeriod: s.Reporting.Period})
 	limits := root.one("limits")
 	take := func(name string, to *int, usual int) {
 		if limits == nil || limits.attrs[name] == "" {
 			*to = usual
 		}
 	}
-	take("relays", &s.Limits.MaxRelays, size.Relays)
+	take("relays", &s.Limits.MaxProxies, size.Proxies)
 	take("servers", &s.Limits.MaxServers, size.Servers)
 	take("series", &s.Limits.MaxSeries, size.Series)
 	take("connections", &c.Limits.MaxConnections, size.Connections)
-	take("buffered-bytes", &c.Limits.MaxBuffered, size.Buffered)
-	s.Limits.MaxTraces = max(s.Limits.MaxRelays*2, 64)
+	take("buffered-bytes", &c.Limits.MaxBuffered, size.BufferedBytes)
+	s.Limits.MaxTraces = max(s.Limits.MaxProxies*2, 64)
 	c.LongPoll.MaxConnections, c.Parking.MaxParked = c.Limits.MaxConnections, c.Limits.MaxConnections
-	size.Relays, size.Servers, size.Series = s.Limits.MaxRelays, s.Limits.MaxServers, s.Limits.MaxSeries
-	size.Connections, size.Buffered = c.Limits.MaxConnections, c.Limits.MaxBuffered
+	size.Proxies, size.Servers, size.Series = s.Limits.MaxProxies, s.Limits.MaxServers, s.Limits.MaxSeries
+	size.Connections, size.BufferedBytes = c.Limits.MaxConnections, c.Limits.MaxBuffered
 	c.Measurements = h.Measurements
 	for _, n := range root.all("from") {
 		p, err := netip.ParsePrefix(n.attrs["network"])
@@ -327,6 +327,6 @@
 			g.Lease.ExpiryTimeout())
 	}
 	fmt.Fprintf(&b, "room for %d tenants: %.0f MB, %.0f lines a second, %.0f connections, %.2f of a core promised %g times\n", h.Capacity.MaxTenants,
-		h.Capacity.Memory/(1<<20), h.Capacity.Lines, h.Capacity.Connections, h.Capacity.Work, h.Capacity.WorkOvercommit)
+		h.Capacity.Memory/(1<<20), h.Capacity.EntriesPerSecond, h.Capacity.Connections, h.Capacity.CPU, h.Capacity.CPUOvercommit)
 	return b.String()
 }
--- a/internal/settings/host_test.go
+++ b/internal/settings/host_test.go
@@ -33,7 +33,7 @@
 		t.Fatal(err)
 	}
 	s := &m.Config.Site
-	if s.Relays[0].UID != "first/relay-1" || m.Config.Policy.FleetUID != "first/fleet" || s.UIDPrefix != "first/" || len(m.Networks) != 1 ||
+	if s.Proxies[0].UID != "first/relay-1" || m.Config.Policy.FleetUID != "first/fleet" || s.UIDPrefix != "first/" || len(m.Networks) != 1 ||
 		s.Pools["127.0.1.1:8080"].Capacity != 50 || m.Requirements.CheckWithin(h.Capacity.Requirements) != nil || !m.Requirements.Valid() || s.Limits.MaxSeries > 1000 {
 		t.Errorf("%+v", m)
 	}
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -453,9 +453,9 @@
 			r.wrong(k, "relay %q is listed already, in line %d", uid, line)
 		}
 		seen[uid] = k.line
-		s.Relays = append(s.Relays, controlplane.Relay{UID: uid, Zone: r.zone(k, "zone"), ExpectedRate: k.number("usual")})
+		s.Proxies = append(s.Proxies, controlplane.ProxyConfig{UID: uid, Zone: r.zone(k, "zone"), ExpectedRate: k.number("usual")})
 	}
-	if !s.AllowUnlisted && len(s.Relays) == 0 {
+	if !s.AllowUnlisted && len(s.Proxies) == 0 {
 		r.wrong(n, "no relay may join: none is listed, and strangers may not")
 	}
 }
@@ -470,7 +470,7 @@
 		}
 	}
 	f := &c.Site.Limits
-	set("relays", &f.MaxRelays)
+	set("relays", &f.MaxProxies)
 	set("servers", &f.MaxServers)
 	set("series", &f.MaxSeries)
 	set("connections", &c.Limits.MaxConnections)
@@ -486,8 +486,8 @@
 	if len(c.Site.Servers) > f.MaxServers {
 		r.wrong(n, "servers: %d are listed", len(c.Site.Servers))
 	}
-	if len(c.Site.Relays) > f.MaxRelays {
-		r.wrong(n, "relays: %d are listed", len(c.Site.Relays))
+	if len(c.Site.Proxies) > f.MaxProxies {
+		r.wrong(n, "relays: %d are listed", len(c.Site.Proxies))
 	}
 }
 
@@ -552,7 +552,7 @@
 		}
 	}
 	most("server", &t.Server, len(d.Coordinator.Site.Servers))
-	most("relay", &t.Relay, len(d.Coordinator.Site.Relays))
+	most("relay", &t.Relay, len(d.Coordinator.Site.Proxies))
 	if n.attrs["pod"] != "" {
 		t.FailureDomain = n.int("pod")
 		if !slices.ContainsFunc(d.Coordinator.Site.Servers, func(p registry.ServerConfig) bool { return int(p.FailureDomain) == t.FailureDomain }) {
@@ -595,13 +595,13 @@
 		fmt.Fprintf(&b, "class %s: benefit %g, goal time %g s, client timeout %g s, repeats %s\n", s.ClassNames[i], q.PriorityWeight,
 			q.LatencyObjective, q.ClientTimeout, nameOf(ways, s.RetryPolicies[i]))
 	}
-	fmt.Fprintf(&b, "%d servers listed, %d relays listed (strangers: %t), %d zones\n", len(s.Servers), len(s.Relays),
+	fmt.Fprintf(&b, "%d servers listed, %d relays listed (strangers: %t), %d zones\n", len(s.Servers), len(s.Proxies),
 		s.AllowUnlisted, len(s.Zones))
 	fmt.Fprintf(&b, "channel: %g lines a second, %g may wait, %d messages to one relay in %g s\n", s.Channel.EntriesPerSecond,
 		s.Channel.MaxQueued, s.Channel.MaxMessages, s.Channel.MessageWindow)
 	fmt.Fprintf(&b, "drains within %g s: a relay that has not taken one after %.2f s is cut off\n", s.Guarantees.DrainDeadline,
 		s.Guarantees.DrainDeadline*s.Limits.DrainFraction)
-	fmt.Fprintf(&b, "limits: %d relays, %d servers, %d series, %d connections, %d bytes a message\n", s.Limits.MaxRelays,
+	fmt.Fprintf(&b, "limits: %d relays, %d servers, %d series, %d connections, %d bytes a message\n", s.Limits.MaxProxies,
 		s.Limits.MaxServers, s.Limits.MaxSeries, c.Limits.MaxConnections, c.Limits.MaxMessageBytes)
 	return b.String()
 }
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -24,7 +24,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if len(c.Site.Servers) != 4 || len(c.Site.Relays) != 2 || c.Site.Guarantees.DrainDeadline != 3 || !c.Policy.AllowUnlisted ||
+	if len(c.Site.Servers) != 4 || len(c.Site.Proxies) != 2 || c.Site.Guarantees.DrainDeadline != 3 || !c.Policy.AllowUnlisted ||
 		c.Site.Classes[1].Idempotency != balancer.Keyed || c.Site.Servers[2].Zone != 1 || !c.Metrics.IsValid() {
 		t.Errorf("%+v", c)
 	}
--- a/internal/settings/write.go
+++ b/internal/settings/write.go
@@ -73,7 +73,7 @@
 			}
 		case "relays":
 			x.kids = nil
-			for _, r := range site.Relays {
+			for _, r := range site.Proxies {
 				x.kids = append(x.kids, &node{name: "relay", attrs: map[string]string{"uid": r.UID, "zone": site.Zones[r.Zone], "usual": num(r.ExpectedRate)}})
 			}
 		case "fleet":
--- a/internal/store/golden_test.go
+++ b/internal/store/golden_test.go
@@ -106,7 +106,7 @@
 
 func goldenTenant(version tenancy.Version) tenancy.Command {
 	return tenancy.Command{Kind: tenancy.Create, Name: "one", Settings: []byte("<coordinator/>"), Weight: 2,
-		Requirements: tenancy.Requirements{Memory: 1 << 20, Lines: 250.5, Connections: 40, Work: 0.125}, Time: 1500.5, ID: 13 + uint64(version), Fingerprint: 14}
+		Requirements: tenancy.Requirements{Memory: 1 << 20, EntriesPerSecond: 250.5, Connections: 40, CPU: 0.125}, Time: 1500.5, ID: 13 + uint64(version), Fingerprint: 14}
 }
 
 // goldenTenants makes a file and returns the encoded directory that it holds.
