--- a/internal/deployment/deployment.go
+++ b/internal/deployment/deployment.go
@@ -1,5 +1,7 @@
-// Package deployment reads what the bench and the platform tell a coordinator of the deployment that it is part of: the
-// settings object, the same on both. Times are seconds.
+// Package deployment reads the settings object that describes the deployment of a coordinator, the same on the simulator and on the
+// platform, and makes the balancer that it asks for.
+//
+// The settings name things in the platform's words; the fields here have the terms of the rest of the program. Times are in seconds.
 package deployment
 
 import (
@@ -10,140 +12,156 @@
 	"snowquay/balancer"
 )
 
-// Deployment is the settings object. Keys that are not named here decide nothing.
+// ErrNoClasses reports settings without any request class.
+var ErrNoClasses = errors.New("grades: no class is named")
+
+// Deployment is the settings object. Keys without a field decide nothing.
 type Deployment struct {
-	Balancers  int    `json:"balancers"`
-	Discovery  string `json:"discovery"`
-	FamilyInfo struct {
-		ClassOwnZone  []bool  `json:"class-own-zone"`
-		ClassWrites   []bool  `json:"class-writes"`
-		DataPlaneSize int     `json:"data-plane-size"`
-		DefaultRetry  int     `json:"default-retry"`
-		EgressPerS    float64 `json:"egress-per-s"`
-		InitialSet    int     `json:"initial-set"`
-		LateMost      float64 `json:"late-most"`
-		LevelKind     string  `json:"level-kind"`
-		OutlierAfter  int     `json:"outlier-after"`
-		PendingMax    float64 `json:"pending-max"`
-		PerMessage    float64 `json:"per-message"`
-		Period        float64 `json:"period"`
-		Propagation   float64 `json:"propagation"`
-		ReloadsMax    int     `json:"reloads-max"`
-		ReportsPerS   float64 `json:"reports-per-s"`
-		Slices        int     `json:"slices"`
-		SmallestConn  float64 `json:"smallest-conn-table"`
-		TryAims       float64 `json:"try-aims"`
-		UnservedMax   float64 `json:"unserved-max"`
-		UpdateWindow  float64 `json:"update-window"`
-	} `json:"family-info"`
-	Grades []struct {
-		Aim        float64 `json:"aim"`
-		AimStretch float64 `json:"aim-stretch"`
-		Deadline   float64 `json:"deadline"`
-		Effect     string  `json:"effect"`
-		Group      string  `json:"group"`
-		LateWorth  float64 `json:"late-worth"`
-		OnlyZones  []int   `json:"only-zones"`
-		Points     float64 `json:"points"`
-		Window     float64 `json:"window"`
-		Name       string  `json:"name"`
-	} `json:"grades"`
-	Guarantees struct {
-		AskWithin         float64 `json:"ask-within"`
-		Cold              float64 `json:"cold"`
-		ColdFrom          float64 `json:"cold-from"`
-		Fall              float64 `json:"fall"`
-		FallMultiple      float64 `json:"fall-multiple"`
-		StopSendingWithin float64 `json:"stop-sending-within"`
-		GoneIsAdvice      bool    `json:"gone-is-advice"`
-	} `json:"guarantees"`
-	HostTypes    []string `json:"host-types"`
-	Ordinal      int      `json:"ordinal"`
-	PolicyLimits struct {
-		ConnectTimeout float64 `json:"connect-timeout"`
-		MayProbe       bool    `json:"may-probe"`
-	} `json:"policy-limits"`
-	Prices struct {
-		Probe float64 `json:"probe"`
-	} `json:"prices"`
-	Report struct {
-		How   string   `json:"how"`
-		Names []string `json:"names"`
-	} `json:"report"`
-	WeightSource string   `json:"weight-source"`
-	Zones        []string `json:"zones"`
+	Coordinators   int            `json:"balancers"`
+	DiscoveryMode  string         `json:"discovery"`
+	DataPlane      DataPlane      `json:"family-info"`
+	Classes        []Class        `json:"grades"`
+	Guarantees     Guarantees     `json:"guarantees"`
+	MachineKinds   []string       `json:"host-types"`
+	Ordinal        int            `json:"ordinal"` // of this coordinator
+	HealthChecking HealthChecking `json:"policy-limits"`
+	Prices         Prices         `json:"prices"`
+	LoadReport     LoadReport     `json:"report"`
+	WeightSource   string         `json:"weight-source"`
+	Zones          []string       `json:"zones"`
+}
+
+// DataPlane describes the proxies, the channel to them and their reports.
+type DataPlane struct {
+	ZoneLocalClasses       []bool  `json:"class-own-zone"` // by class: requests stay in the zone of the proxy
+	WriteClasses           []bool  `json:"class-writes"`   // by class
+	Proxies                int     `json:"data-plane-size"`
+	DefaultRetry           int     `json:"default-retry"` // a balancer.RetryPolicy
+	EntriesPerSecond       float64 `json:"egress-per-s"`
+	DefaultTableSize       int     `json:"initial-set"`
+	MaxDelay               float64 `json:"late-most"`
+	AdmissionMode          string  `json:"level-kind"`
+	EjectAfterFailures     int     `json:"outlier-after"`
+	MaxQueuedEntries       float64 `json:"pending-max"`
+	MessageOverhead        float64 `json:"per-message"` // in entries
+	ReportPeriod           float64 `json:"period"`
+	MeanDelay              float64 `json:"propagation"`
+	MaxMessages            int     `json:"reloads-max"` // to a proxy within MessageWindow; 0 stands for no limit
+	ReportEntriesPerSecond float64 `json:"reports-per-s"`
+	Slices                 int     `json:"slices"` // decides nothing, but has to be an integer
+	MinConnections         float64 `json:"smallest-conn-table"`
+	AttemptTimeoutFactor   float64 `json:"try-aims"` // of the latency objective
+	EmptyTableDeadline     float64 `json:"unserved-max"`
+	MessageWindow          float64 `json:"update-window"`
+}
+
+// Class describes a request class.
+type Class struct {
+	LatencyObjective float64 `json:"aim"`
+	ObjectiveStretch float64 `json:"aim-stretch"`
+	ClientTimeout    float64 `json:"deadline"`
+	Idempotency      string  `json:"effect"`
+	DedupScope       string  `json:"group"`
+	LateWeight       float64 `json:"late-worth"`
+	AllowedZones     []int   `json:"only-zones"`
+	PriorityWeight   float64 `json:"points"`
+	DedupWindow      float64 `json:"window"`
+	Name             string  `json:"name"`
+}
+
+// Guarantees are the figures of the rules that the coordinator keeps.
+type Guarantees struct {
+	DiscoveryPollDeadline float64 `json:"ask-within"`
+	WarmupDuration        float64 `json:"cold"`
+	WarmupStartFraction   float64 `json:"cold-from"`
+	OverloadWindow        float64 `json:"fall"`
+	OverloadFactor        float64 `json:"fall-multiple"`
+	DrainDeadline         float64 `json:"stop-sending-within"`
+	RemovalIsAdvisory     bool    `json:"gone-is-advice"`
+}
+
+// HealthChecking says whether the coordinator may check the health of servers.
+type HealthChecking struct {
+	ConnectTimeout float64 `json:"connect-timeout"`
+	Allowed        bool    `json:"may-probe"`
+}
+
+// Prices are the costs of what the coordinator does, in points.
+type Prices struct {
+	HealthCheck float64 `json:"probe"`
+}
+
+// LoadReport says how servers report their load.
+type LoadReport struct {
+	Delivery string   `json:"how"`
+	Metrics  []string `json:"names"`
 }
 
+// Values of the settings with a special meaning.
+const (
+	polledDiscovery    = "on_request"
+	piggybackedReports = "piggyback"
+)
+
+// The names of enumerations in the settings. Unknown names count as the zero value, except those of Class.Idempotency.
 var (
-	effects = map[string]balancer.Idempotency{"free": balancer.Idempotent, "guarded": balancer.Keyed,
-		"single_shot": balancer.NonIdempotent}
-	groups = map[string]balancer.DedupScope{"all": balancer.EveryServer, "zone": balancer.SameZone,
-		"cell": balancer.SameFailureDomain}
-	levels = map[string]balancer.AdmissionMode{"silent": balancer.AdmissionIgnored, "fraction": balancer.AdmissionFraction,
-		"per_second": balancer.AdmissionRate}
-	figures = map[string]balancer.LoadMetric{"rif": balancer.InProgress, "q": balancer.QueueLength,
-		"busy": balancer.Utilization, "lat_ms": balancer.ServiceTime, "rate": balancer.CompletionRate,
-		"fail_rate": balancer.ErrorRate}
-	sources = map[string]balancer.WeightSource{"silent": balancer.WeightsAbsent,
-		"nominal": balancer.WeightsNominal, "rough": balancer.WeightsApproximate, "live": balancer.WeightsLive}
+	idempotencies = map[string]balancer.Idempotency{
+		"free":        balancer.Idempotent,
+		"guarded":     balancer.Keyed,
+		"single_shot": balancer.NonIdempotent,
+	}
+	dedupScopes = map[string]balancer.DedupScope{
+		"all":  balancer.EveryServer,
+		"zone": balancer.SameZone,
+		"cell": balancer.SameFailureDomain,
+	}
+	admissionModes = map[string]balancer.AdmissionMode{
+		"silent":     balancer.AdmissionIgnored,
+		"fraction":   balancer.AdmissionFraction,
+		"per_second": balancer.AdmissionRate,
+	}
+	loadMetrics = map[string]balancer.LoadMetric{
+		"rif":       balancer.InProgress,
+		"q":         balancer.QueueLength,
+		"busy":      balancer.Utilization,
+		"lat_ms":    balancer.ServiceTime,
+		"rate":      balancer.CompletionRate,
+		"fail_rate": balancer.ErrorRate,
+	}
+	weightSources = map[string]balancer.WeightSource{
+		"silent":  balancer.WeightsAbsent,
+		"nominal": balancer.WeightsNominal,
+		"rough":   balancer.WeightsApproximate,
+		"live":    balancer.WeightsLive,
+	}
 )
 
-// Read reads a settings object.
+// Read reads a settings object. It returns ErrNoClasses, a *RangeError or an error of encoding/json for settings by which no decisions
+// can be made.
 func Read(text []byte) (*Deployment, error) {
 	d := &Deployment{}
 	if err := json.Unmarshal(text, d); err != nil {
 		return nil, err
 	}
-	if len(d.Grades) == 0 {
-		return nil, errors.New("grades: no class is named")
+	if len(d.Classes) == 0 {
+		return nil, ErrNoClasses
 	}
-	for k, c := range d.Grades {
-		if _, ok := effects[c.Effect]; !ok {
-			return nil, fmt.Errorf("grades: class %d has the unknown effect %q", k, c.Effect)
+	for number, class := range d.Classes {
+		if _, ok := idempotencies[class.Idempotency]; !ok {
+			return nil, fmt.Errorf("grades: class %d has the unknown effect %q", number, class.Idempotency)
 		}
 	}
-	if err := d.inRange(); err != nil {
+	if err := d.checkRanges(); err != nil {
 		return nil, err
 	}
 	return d, nil
 }
 
-// LoadMetrics are those of a load report, in its order.
-func (d *Deployment) LoadMetrics() (list []balancer.LoadMetric) {
-	for _, n := range d.Report.Names {
-		list = append(list, figures[n])
-	}
-	return list
-}
-
-// NewBalancer makes the one of this deployment that the settings were given to.
-func (d *Deployment) NewBalancer(seed uint64) *balancer.Balancer {
-	f, g := d.FamilyInfo, d.Guarantees
-	classes := make([]balancer.RequestClass, 0, len(d.Grades))
-	for k, c := range d.Grades {
-		q := balancer.RequestClass{PriorityWeight: c.Points, LateWeight: c.LateWorth, LatencyObjective: c.Aim,
-			ObjectiveStretch: c.AimStretch, ClientTimeout: c.Deadline, Idempotency: effects[c.Effect], DedupScope: groups[c.Group],
-			DedupWindow: c.Window, ZoneLocal: k < len(f.ClassOwnZone) && f.ClassOwnZone[k],
-			Writes: k < len(f.ClassWrites) && f.ClassWrites[k]}
-		for _, z := range c.OnlyZones {
-			q.AllowedZones = append(q.AllowedZones, balancer.Zone(z))
-		}
-		classes = append(classes, q)
+// LoadMetrics returns the metrics of a load report in its order.
+func (d *Deployment) LoadMetrics() []balancer.LoadMetric {
+	var metrics []balancer.LoadMetric
+	for _, name := range d.LoadReport.Metrics {
+		metrics = append(metrics, loadMetrics[name])
 	}
-	reporting := balancer.Reporting{Period: f.Period, EntriesPerSecond: f.ReportsPerS,
-		Piggybacked: d.Report.How == "piggyback", Metrics: d.LoadMetrics()}
-	return balancer.New(seed, classes,
-		balancer.DataPlane{Proxies: f.DataPlaneSize, Coordinators: d.Balancers,
-			Self: balancer.Coordinator(d.Ordinal), DefaultTableSize: f.InitialSet, EjectAfterFailures: f.OutlierAfter,
-			DefaultRetry: balancer.RetryPolicy(f.DefaultRetry), AttemptTimeoutFactor: f.TryAims, MinConnections: f.SmallestConn, Admission: levels[f.LevelKind]},
-		balancer.Channel{EntriesPerSecond: f.EgressPerS, MessageOverhead: f.PerMessage, MaxQueued: f.PendingMax,
-			MeanDelay: f.Propagation, MaxDelay: f.LateMost, MaxMessages: f.ReloadsMax,
-			MessageWindow: f.UpdateWindow},
-		balancer.Guarantees{DrainDeadline: g.StopSendingWithin, EmptyTableDeadline: f.UnservedMax, WarmupStartFraction: g.ColdFrom,
-			WarmupDuration: g.Cold, OverloadFactor: g.FallMultiple, OverloadWindow: g.Fall, DiscoveryPollDeadline: g.AskWithin,
-			RemovalIsAdvisory: g.GoneIsAdvice},
-		reporting,
-		balancer.HealthChecking{Allowed: d.PolicyLimits.MayProbe, Price: d.Prices.Probe,
-			Timeout: d.PolicyLimits.ConnectTimeout},
-		balancer.Discovery{Polled: d.Discovery == "on_request", Weights: sources[d.WeightSource]})
+	return metrics
 }
--- a/internal/deployment/deployment_test.go
+++ b/internal/deployment/deployment_test.go
@@ -80,19 +80,19 @@
 	} {
 		d, page := site(t, want.name)
 		var names []string
-		for k, c := range d.Grades {
+		for k, c := range d.Classes {
 			names = append(names, c.Name)
-			if effects[c.Effect] != want.effects[k] || d.FamilyInfo.ClassOwnZone[k] != want.own[k] || c.Aim <= 0 || c.Aim >= c.Deadline || c.Points <= 0 {
-				t.Errorf("%s: class %+v, own zone %v", want.name, c, d.FamilyInfo.ClassOwnZone[k])
+			if idempotencies[c.Idempotency] != want.effects[k] || d.DataPlane.ZoneLocalClasses[k] != want.own[k] || c.LatencyObjective <= 0 || c.LatencyObjective >= c.ClientTimeout || c.PriorityWeight <= 0 {
+				t.Errorf("%s: class %+v, own zone %v", want.name, c, d.DataPlane.ZoneLocalClasses[k])
 			}
 		}
-		for _, name := range slices.Concat(names, d.Zones, d.HostTypes) {
+		for _, name := range slices.Concat(names, d.Zones, d.MachineKinds) {
 			if !strings.Contains(page, fmt.Sprintf("%q", name)) {
 				t.Errorf("%s: the site does not name %q", want.name, name)
 			}
 		}
-		if f, g := d.FamilyInfo, d.Guarantees; g.StopSendingWithin < want.drains || g.StopSendingWithin > want.drains+2 || f.EgressPerS < 1000 ||
-			f.PendingMax < f.EgressPerS || f.ReloadsMax < 20 || f.UpdateWindow != 10 || f.Period != 0.5 || f.DataPlaneSize < 100 || d.Balancers != 5 {
+		if f, g := d.DataPlane, d.Guarantees; g.DrainDeadline < want.drains || g.DrainDeadline > want.drains+2 || f.EntriesPerSecond < 1000 ||
+			f.MaxQueuedEntries < f.EntriesPerSecond || f.MaxMessages < 20 || f.MessageWindow != 10 || f.ReportPeriod != 0.5 || f.Proxies < 100 || d.Coordinators != 5 {
 			t.Errorf("%s: %+v, %+v", want.name, f, g)
 		}
 		obeyed(t, want.name, d, want.own)
@@ -101,9 +101,9 @@
 
 func obeyed(t *testing.T, name string, d *Deployment, own []bool) {
 	t.Helper()
-	d.FamilyInfo.DefaultRetry = int(balancer.RetryTwice) // orders of less are needed then
+	d.DataPlane.DefaultRetry = int(balancer.RetryTwice) // orders of less are needed then
 	m, l := d.NewBalancer(7), &ledger{map[balancer.Table]map[balancer.Server]float64{}, map[balancer.Proxy]map[balancer.Class]balancer.Table{},
-		make([]balancer.RetryPolicy, len(d.Grades))}
+		make([]balancer.RetryPolicy, len(d.Classes))}
 	list, zone := balancer.EndpointList{Scope: balancer.FullList}, map[balancer.Server]balancer.Zone{}
 	var streams []balancer.ProxyEvent
 	for z := range d.Zones {
@@ -127,7 +127,7 @@
 		m.Reconcile(now, balancer.Events{Upstreams: traffic}, l)
 	}
 	for _, s := range streams {
-		for c := range d.Grades {
+		for c := range d.Classes {
 			table, bound := l.bound[s.Proxy][balancer.Class(c)]
 			open := 0
 			for server, v := range l.lines[table] {
@@ -147,7 +147,7 @@
 		t.Errorf("%s: at most %d was ordered for the class that may run any time", name, l.levels[0])
 	}
 	for c, again := range l.levels {
-		if effects[d.Grades[c].Effect] != balancer.Idempotent && again > balancer.RetryIfNotExecuted {
+		if idempotencies[d.Classes[c].Idempotency] != balancer.Idempotent && again > balancer.RetryIfNotExecuted {
 			t.Errorf("%s: class %d may run twice: %d", name, c, again)
 		}
 	}
--- a/internal/deployment/limits.go
+++ b/internal/deployment/limits.go
@@ -3,68 +3,87 @@
 import "fmt"
 
 const (
-	most          = 1e12 // of any figure
-	mostPlatforms = 1e6  // proxies or coordinators
-	fewMessages   = 3    // of a window: one binds a proxy, one may go twice, and one is left for drains
+	maxFigure    = 1e12 // of any figure in the settings
+	maxInstances = 1e6  // proxies or coordinators
+
+	// minMessages within a window: one assigns a table to a proxy, one may be sent twice, and one is left for drains.
+	minMessages = 3
 )
 
-// figure is a number of the settings, by its key.
+// RangeError reports a figure of the settings by which no decisions can be made.
+type RangeError struct {
+	Key   string
+	Value float64
+	Max   float64
+}
+
+func (e *RangeError) Error() string {
+	return fmt.Sprintf("%s: %v is not between 0 and %v", e.Key, e.Value, e.Max)
+}
+
+// figure is a number of the settings, by its key, and its upper limit.
 type figure struct {
 	key   string
 	value float64
-	most  float64
+	limit float64
 }
 
 func (d *Deployment) figures() []figure {
-	f, g := d.FamilyInfo, d.Guarantees
-	list := []figure{
-		{"balancers", float64(d.Balancers), mostPlatforms},
-		{"family-info.data-plane-size", float64(f.DataPlaneSize), mostPlatforms},
-		{"family-info.egress-per-s", f.EgressPerS, most},
-		{"family-info.late-most", f.LateMost, most},
-		{"family-info.pending-max", f.PendingMax, most},
-		{"family-info.per-message", f.PerMessage, most},
-		{"family-info.period", f.Period, most},
-		{"family-info.propagation", f.Propagation, most},
-		{"family-info.reloads-max", float64(f.ReloadsMax), most},
-		{"family-info.reports-per-s", f.ReportsPerS, most},
-		{"family-info.smallest-conn-table", f.SmallestConn, most},
-		{"family-info.unserved-max", f.UnservedMax, most},
-		{"family-info.update-window", f.UpdateWindow, most},
-		{"guarantees.cold", g.Cold, most},
-		{"guarantees.cold-from", g.ColdFrom, most},
-		{"guarantees.fall", g.Fall, most},
-		{"guarantees.fall-multiple", g.FallMultiple, most},
-		{"guarantees.stop-sending-within", g.StopSendingWithin, most},
+	plane := d.DataPlane
+	guarantees := d.Guarantees
+	figures := []figure{
+		{"balancers", float64(d.Coordinators), maxInstances},
+		{"family-info.data-plane-size", float64(plane.Proxies), maxInstances},
+		{"family-info.egress-per-s", plane.EntriesPerSecond, maxFigure},
+		{"family-info.late-most", plane.MaxDelay, maxFigure},
+		{"family-info.pending-max", plane.MaxQueuedEntries, maxFigure},
+		{"family-info.per-message", plane.MessageOverhead, maxFigure},
+		{"family-info.period", plane.ReportPeriod, maxFigure},
+		{"family-info.propagation", plane.MeanDelay, maxFigure},
+		{"family-info.reloads-max", float64(plane.MaxMessages), maxFigure},
+		{"family-info.reports-per-s", plane.ReportEntriesPerSecond, maxFigure},
+		{"family-info.smallest-conn-table", plane.MinConnections, maxFigure},
+		{"family-info.unserved-max", plane.EmptyTableDeadline, maxFigure},
+		{"family-info.update-window", plane.MessageWindow, maxFigure},
+		{"guarantees.cold", guarantees.WarmupDuration, maxFigure},
+		{"guarantees.cold-from", guarantees.WarmupStartFraction, maxFigure},
+		{"guarantees.fall", guarantees.OverloadWindow, maxFigure},
+		{"guarantees.fall-multiple", guarantees.OverloadFactor, maxFigure},
+		{"guarantees.stop-sending-within", guarantees.DrainDeadline, maxFigure},
 	}
-	for k, c := range d.Grades {
-		list = append(list, figure{fmt.Sprintf("grades[%d].aim", k), c.Aim, most},
-			figure{fmt.Sprintf("grades[%d].deadline", k), c.Deadline, most}, figure{fmt.Sprintf("grades[%d].points", k), c.Points, most})
+	for number, class := range d.Classes {
+		prefix := fmt.Sprintf("grades[%d].", number)
+		figures = append(figures,
+			figure{prefix + "aim", class.LatencyObjective, maxFigure},
+			figure{prefix + "deadline", class.ClientTimeout, maxFigure},
+			figure{prefix + "points", class.PriorityWeight, maxFigure})
 	}
-	return list
+	return figures
 }
 
-// inRange is nil where no figure is out of the range in which decisions can be made at all.
-func (d *Deployment) inRange() error {
+// checkRanges returns a *RangeError for the first figure that is out of range.
+func (d *Deployment) checkRanges() error {
 	for _, f := range d.figures() {
-		if f.value < 0 || f.value > f.most {
-			return fmt.Errorf("%s: %v is not between 0 and %v", f.key, f.value, f.most)
+		if f.value < 0 || f.value > f.limit {
+			return &RangeError{Key: f.key, Value: f.value, Max: f.limit}
 		}
 	}
 	return nil
 }
 
-// Warnings names settings under which a coordinator runs, but can't keep every rule.
-func (d *Deployment) Warnings() (doubts []string) {
-	f := d.FamilyInfo
-	if f.EgressPerS == 0 {
-		doubts = append(doubts, "family-info.egress-per-s: no lines a second: only what is acknowledged makes room for more")
+// Warnings describes the settings, each by its key, under which a coordinator runs but cannot keep every rule.
+func (d *Deployment) Warnings() []string {
+	var warnings []string
+	plane := d.DataPlane
+	if plane.EntriesPerSecond == 0 {
+		warnings = append(warnings, "family-info.egress-per-s: the channel has no rate: only acknowledgements make room for more entries")
 	}
-	if f.PendingMax <= f.PerMessage+1 {
-		doubts = append(doubts, "family-info.pending-max: no message fits the channel")
+	if plane.MaxQueuedEntries <= plane.MessageOverhead+1 {
+		warnings = append(warnings, "family-info.pending-max: no message fits the channel")
 	}
-	if f.ReloadsMax > 0 && f.ReloadsMax < fewMessages {
-		doubts = append(doubts, fmt.Sprintf("family-info.reloads-max: of %d messages none is left for drains once a proxy has joined", f.ReloadsMax))
+	if plane.MaxMessages > 0 && plane.MaxMessages < minMessages {
+		warnings = append(warnings, fmt.Sprintf(
+			"family-info.reloads-max: of %d messages none is left for drains once a proxy has joined", plane.MaxMessages))
 	}
-	return doubts
+	return warnings
 }
--- a/internal/frontend/platform/links.go
+++ b/internal/frontend/platform/links.go
@@ -349,7 +349,7 @@
 		p.roster.EndList(now, l.says, &p.news)
 		return
 	}
-	if x.Proxy == nil || *x.Proxy < 0 || *x.Proxy >= p.dep.FamilyInfo.DataPlaneSize {
+	if x.Proxy == nil || *x.Proxy < 0 || *x.Proxy >= p.dep.DataPlane.Proxies {
 		p.counts.Spoilt++
 		return
 	}
--- a/internal/frontend/platform/platform.go
+++ b/internal/frontend/platform/platform.go
@@ -80,7 +80,7 @@
 func New(p Config, log *slog.Logger) *Program {
 	d := p.Deployment
 	var names jsonrpc.ClassNames
-	for _, c := range d.Grades {
+	for _, c := range d.Classes {
 		names = append(names, c.Name)
 	}
 	var figures []string
@@ -88,7 +88,7 @@
 		figures = append(figures, words[f])
 	}
 	x := &Program{dep: d, names: names, figures: figures, manager: d.NewBalancer(p.Seed), log: log, roster: platformstate.NewProxyRegistry(),
-		servers: platformstate.NewEndpointSet(d.Zones, d.HostTypes), calls: platformstate.NewCommandBuffer(names),
+		servers: platformstate.NewEndpointSet(d.Zones, d.MachineKinds), calls: platformstate.NewCommandBuffer(names),
 		callers: map[env.Conn]*caller{}, most: max(p.Sockets-reserve, leastCallers), links: map[env.Conn]*link{},
 		probes: map[env.Conn]*probe{}, asked: map[balancer.Server]bool{}}
 	x.relay.main.to, x.relay.second.to, x.listing.to = p.Relay, p.Relay, p.Discovery
--- a/internal/frontend/platform/platform_test.go
+++ b/internal/frontend/platform/platform_test.go
@@ -703,7 +703,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	d.FamilyInfo.ClassOwnZone = []bool{true}
+	d.DataPlane.ZoneLocalClasses = []bool{true}
 	s := &scene{net: simnet.New(1, 1000), desk: newDesk(), agent: &agent{mute: true}, caller: newDialler(), host: map[string]*simnet.Host{}}
 	s.program = New(Config{Discovery: discoveryAddress, Relay: hub, Sockets: 256, Seed: 7, Deployment: d}, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	s.net.Add(hub.Addr(), 0, false).Start(s.desk)
--- a/internal/frontend/platform/probes.go
+++ b/internal/frontend/platform/probes.go
@@ -25,7 +25,7 @@
 // probe asks a server how it is. One that can't be asked now is moot.
 func (p *Program) probe(now float64, s balancer.Server) {
 	to := p.servers.Address(s)
-	if !p.dep.PolicyLimits.MayProbe || !to.IsValid() || p.asked[s] || len(p.probes) >= mostProbes {
+	if !p.dep.HealthChecking.Allowed || !to.IsValid() || p.asked[s] || len(p.probes) >= mostProbes {
 		p.news.HealthChecks = append(p.news.HealthChecks, balancer.HealthCheckResult{Server: s, Status: balancer.HealthInconclusive})
 		p.dirty(now)
 		return
