--- /dev/null
+++ b/internal/core/platformstate/proxy_registry_test.go
@@ -0,0 +1,99 @@
+package platformstate
+
+import (
+	"fmt"
+	"testing"
+
+	"snowquay/balancer"
+)
+
+// A connection that is replaced while it stands leaves no gap, whenever its last heartbeat came: no proxy joins anew. After a longer
+// silence all do.
+func TestReplacedConnectionLeavesNoGap(t *testing.T) {
+	for silence, rejoined := range map[float64]int{0.1: 0, 0.9: 0, 1.2: 0, 1.4: 1, 3: 1} {
+		r := NewProxyRegistry()
+		events := &balancer.Events{}
+		replaced := NewSource(10)
+		r.SwitchSource(10, replaced, events)
+		r.ProxyJoined(10, replaced, balancer.ProxyEvent{Proxy: 1, Zone: 0}, events)
+		r.EndSnapshot(10.1, replaced, events)
+		r.Touch(20, replaced)
+		at := 20 + silence
+		next := NewSource(at)
+		*events = balancer.Events{}
+		r.MarkReplaced(at, replaced)
+		r.SwitchSource(at, next, events)
+		r.ProxyJoined(at, next, balancer.ProxyEvent{Proxy: 1, Zone: 0}, events)
+		r.EndSnapshot(at+0.1, next, events)
+		if len(events.ProxyEvents) != rejoined {
+			t.Errorf("after %.1f s of silence %d joined anew, want %d", silence, len(events.ProxyEvents), rejoined)
+		}
+	}
+}
+
+// takeEvents returns the proxy events in short, "+1" for a join of proxy 1 and "-1" for its departure, and clears them.
+func takeEvents(events *balancer.Events) string {
+	text := ""
+	for _, event := range events.ProxyEvents {
+		text += map[bool]string{true: "+", false: "-"}[event.Joined] + fmt.Sprint(event.Proxy)
+	}
+	*events = balancer.Events{}
+	return text
+}
+
+func TestStandbySourceTakesOverWithoutRejoins(t *testing.T) {
+	r := NewProxyRegistry()
+	events := &balancer.Events{}
+	primary := NewSource(0)
+	standby := NewSource(0)
+	r.SwitchSource(0, primary, events)
+	for _, source := range []*Source{primary, standby} {
+		for p := range 3 {
+			r.ProxyJoined(0.1, source, balancer.ProxyEvent{Proxy: balancer.Proxy(p), DefaultTable: true}, events)
+		}
+		r.Touch(1, source)
+		r.EndSnapshot(1, source, events)
+	}
+	if got := takeEvents(events); got != "+0+1+2" {
+		t.Fatal(got)
+	}
+	// The primary falls silent; meanwhile 0 leaves, 1 leaves and joins again, 3 joins.
+	r.ProxyLeft(standby, 0, events)
+	r.ProxyLeft(standby, 1, events)
+	r.ProxyJoined(2.5, standby, balancer.ProxyEvent{Proxy: 1}, events)
+	r.ProxyJoined(2.6, standby, balancer.ProxyEvent{Proxy: 3}, events)
+	r.Touch(2.6, standby)
+	if takeEvents(events) != "" || !standby.Complete(2.7) || standby.Complete(9) {
+		t.Fatal("the standby source was followed before the switch")
+	}
+	r.SwitchSource(2.7, standby, events)
+	if takeEvents(events) != "-0+1+3" || r.Len() != 3 {
+		t.Error("the events are not what has changed")
+	}
+}
+
+func TestNewSourceAfterAGapMakesAllJoinAnew(t *testing.T) {
+	for _, gap := range []float64{0.01, 5} {
+		r := NewProxyRegistry()
+		events := &balancer.Events{}
+		first := NewSource(0)
+		r.SwitchSource(0, first, events)
+		for p := range 3 {
+			r.ProxyJoined(0, first, balancer.ProxyEvent{Proxy: balancer.Proxy(p)}, events)
+		}
+		r.EndSnapshot(1, first, events)
+		r.Touch(8, first)
+		takeEvents(events)
+		second := NewSource(8 + gap)
+		r.SwitchSource(8+gap, second, events)
+		r.ProxyJoined(8+gap, second, balancer.ProxyEvent{Proxy: 1}, events)
+		r.ProxyJoined(8+gap, second, balancer.ProxyEvent{Proxy: 2}, events)
+		if got := takeEvents(events); got != "" {
+			t.Errorf("after %g s the snapshot has not ended, and %s", gap, got)
+		}
+		r.ExpireSnapshot(8+gap+snapshotTimeout, second, events)
+		if got, want := takeEvents(events), map[float64]string{0.01: "-0", 5: "-0+1+2"}[gap]; got != want {
+			t.Errorf("after %g s %q, want %q", gap, got, want)
+		}
+	}
+}
--- a/internal/deployment/limits.go
+++ b/internal/deployment/limits.go
@@ -17,6 +17,7 @@
 	Max   float64
 }
 
+// Error names the key, the value and the range.
 func (e *RangeError) Error() string {
 	return fmt.Sprintf("%s: %v is not between 0 and %v", e.Key, e.Value, e.Max)
 }
--- a/internal/frontend/platform/crossing_test.go
+++ b/internal/frontend/platform/crossing_test.go
@@ -125,9 +125,11 @@
 			return
 		}
 		var m struct {
-			ID     uint64
-			Method string
-			Params struct{ Changes []map[string]any }
+			ID     uint64 `json:"id"`
+			Method string `json:"method"`
+			Params struct {
+				Changes []map[string]any `json:"changes"`
+			} `json:"params"`
 		}
 		if json.Unmarshal([]byte(text), &m) != nil {
 			return
@@ -347,7 +349,7 @@
 	known := discovery.List{Full: true, Version: 5, Servers: []discovery.Server{server("s-1", "ready"), server("s-2", "ready"), server("s-3", "ready")}}
 	text, _ := json.Marshal(known)
 	g := &ground{counter: openCounter(t, 1), office: openOffice(t, string(text), "")}
-	g.program = New(Config{Discovery: address(t, g.office.Listener), Relay: address(t, g.counter.Listener), Sockets: 256, Known: &known, Seed: 7,
+	g.program = New(Config{Discovery: address(t, g.office.Listener), Relay: address(t, g.counter.Listener), MaxDescriptors: 256, CachedList: &known, Seed: 7,
 		Deployment: d}, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	free, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -361,8 +363,8 @@
 	t.Cleanup(func() { _ = g.server.Stop() })
 	g.until(t, "binds proxy 1", func(c call) bool { return slices.Contains(c.binds(), 1) }).answer(t)
 	g.eventually(t, "two links to the relay and one to discovery", func(p *Program) bool {
-		return p.relay.main.cur != nil && p.relay.second.cur != nil && p.listing.cur != nil && !p.calls.InFlight() && p.roster.Contains(1) &&
-			p.relay.second.cur.says.Complete(p.relay.second.cur.heard) && p.relay.main.cur.says.Complete(p.relay.main.cur.heard)
+		return p.relay.primary.active != nil && p.relay.standby.active != nil && p.discovery.active != nil && !p.commands.InFlight() && p.proxies.Contains(1) &&
+			p.relay.standby.active.source.Complete(p.relay.standby.active.heardAt) && p.relay.primary.active.source.Complete(p.relay.primary.active.heardAt)
 	})
 	return g
 }
@@ -392,7 +394,7 @@
 
 // patient has the program wait for the answer to the call that is out for a minute: what happens then is not by its time limit.
 func (g *ground) patient() {
-	g.see(func(now float64, p *Program) { p.relay.saidAt = now + 60 })
+	g.see(func(now float64, p *Program) { p.relay.callSentAt = now + 60 })
 }
 
 // drain has discovery tell that a server drains.
@@ -409,7 +411,7 @@
 	text, _ := json.Marshal(l)
 	g.whole = string(text)
 	g.office.mu.Unlock()
-	g.office.say(line(l.Version, false, server(id, discovery.Draining)) + "\n")
+	g.say(line(l.Version, false, server(id, discovery.Draining)) + "\n")
 }
 
 func takes(id string) func(call) bool {
@@ -427,16 +429,16 @@
 	g.patient() // the answer is in time, however long the test takes
 	for end := time.Now().Add(bound); next.open() < 2 && time.Now().Before(end); time.Sleep(time.Millisecond) {
 	}
-	g.see(func(now float64, p *Program) {
-		if !p.calls.InFlight() || p.relay.parting == nil {
+	g.see(func(_ float64, p *Program) {
+		if !p.commands.InFlight() || p.relay.retired == nil {
 			t.Error("the call is not awaited on the link that it was made on")
 		}
 	})
 	out.answer(t)
-	g.eventually(t, "the answer is taken, the old link gone", func(p *Program) bool { return !p.calls.InFlight() && p.relay.parting == nil })
+	g.eventually(t, "the answer is taken, the old link gone", func(p *Program) bool { return !p.commands.InFlight() && p.relay.retired == nil })
 	g.see(func(_ float64, p *Program) {
-		if p.calls.Resends != 0 {
-			t.Errorf("%d calls went again", p.calls.Resends)
+		if p.commands.Resends != 0 {
+			t.Errorf("%d calls went again", p.commands.Resends)
 		}
 	})
 	next.none(t, "it goes to the new relay once more, or binds anew", func(c call) bool { return takes("s-3")(c) || len(c.binds()) > 0 })
@@ -450,10 +452,10 @@
 	g.cut()
 	again := g.until(t, "takes s-3 out again", takes("s-3"))
 	again.answer(t)
-	g.eventually(t, "it is known to be out", func(p *Program) bool { return !p.calls.InFlight() && p.calls.Pending() == 0 })
+	g.eventually(t, "it is known to be out", func(p *Program) bool { return !p.commands.InFlight() && p.commands.Pending() == 0 })
 	g.see(func(_ float64, p *Program) {
-		if p.calls.Resends != 1 || !p.roster.Contains(1) {
-			t.Errorf("%d calls went again; joined: %v", p.calls.Resends, p.roster.Contains(1))
+		if p.commands.Resends != 1 || !p.proxies.Contains(1) {
+			t.Errorf("%d calls went again; joined: %v", p.commands.Resends, p.proxies.Contains(1))
 		}
 	})
 }
@@ -474,16 +476,16 @@
 
 func TestTheFirstLinkEndsWhileTheSecondListsWhoIsJoined(t *testing.T) {
 	g := stand(t)
-	g.see(func(now float64, p *Program) { p.cut(now, p.relay.second.cur) }) // a new second link is made
-	g.eventually(t, "the second link lists", func(p *Program) bool { return p.relay.second.cur != nil })
+	g.see(func(now float64, p *Program) { p.disconnect(now, p.relay.standby.active) }) // a new second link is made
+	g.eventually(t, "the second link lists", func(p *Program) bool { return p.relay.standby.active != nil })
 	g.see(func(now float64, p *Program) {
-		p.relay.second.cur.says.Complete(now)
-		p.cut(now, p.relay.main.cur) // in the same moment, list or no list
+		p.relay.standby.active.source.Complete(now)
+		p.disconnect(now, p.relay.primary.active) // in the same moment, list or no list
 	})
 	g.join(2)
 	g.until(t, "binds proxy 2", func(c call) bool { return slices.Contains(c.binds(), 2) }).answer(t)
 	g.eventually(t, "two links", func(p *Program) bool {
-		return p.relay.main.cur != nil && p.relay.second.cur != nil && p.roster.Contains(1) && p.roster.Contains(2)
+		return p.relay.primary.active != nil && p.relay.standby.active != nil && p.proxies.Contains(1) && p.proxies.Contains(2)
 	})
 }
 
@@ -492,19 +494,23 @@
 	dumb, next := openCounter(t), openCounter(t, 1)
 	disc, first := address(t, g.office.Listener), address(t, g.counter.Listener)
 	g.see(func(now float64, p *Program) { p.SetAddresses(now, disc, address(t, dumb.Listener)) })
-	g.eventually(t, "links to the dumb relay are up", func(p *Program) bool { return p.relay.main.next != nil && p.relay.main.next.up })
+	g.eventually(t, "links to the dumb relay are up", func(p *Program) bool {
+		return p.relay.primary.candidate != nil && p.relay.primary.candidate.established
+	})
 	g.see(func(now float64, p *Program) { // twice more within a moment: back, and on
 		p.SetAddresses(now, disc, first)
 		p.SetAddresses(now, disc, address(t, next.Listener))
-		if n := p.relay.main.next; n == nil || n.to != address(t, next.Listener) {
+		if n := p.relay.primary.candidate; n == nil || n.address != address(t, next.Listener) {
 			t.Errorf("the new address is not dialled at once: %+v", n)
 		}
 	})
 	g.eventually(t, "links to the new relay", func(p *Program) bool {
-		return p.relay.main.cur != nil && p.relay.main.cur.to == address(t, next.Listener) && p.relay.second.cur.to == p.relay.main.cur.to
+		return p.relay.primary.active != nil && p.relay.primary.active.address == address(t, next.Listener) && p.relay.standby.active.address == p.relay.primary.active.address
 	})
 	g.see(func(now float64, p *Program) { p.SetAddresses(now, disc, first) })
-	g.eventually(t, "links to the first relay again", func(p *Program) bool { return p.relay.main.cur.to == first && p.relay.second.cur.to == first })
+	g.eventually(t, "links to the first relay again", func(p *Program) bool {
+		return p.relay.primary.active.address == first && p.relay.standby.active.address == first
+	})
 	g.none(t, "proxies are bound anew", func(c call) bool { return len(c.binds()) > 0 })
 }
 
@@ -514,7 +520,7 @@
 	g.office.mu.Lock()
 	g.first = line(7, false, server("s-3", discovery.Draining), server("s-2", discovery.Ready)) // all after version 5, as it then is
 	g.office.mu.Unlock()
-	g.office.say(`{"version":6,"full":false,"servers":[{"id":"s-3","st` + "\n" + line(7, false, server("s-2", discovery.Ready)) + "\n")
+	g.say(`{"version":6,"full":false,"servers":[{"id":"s-3","st` + "\n" + line(7, false, server("s-2", discovery.Ready)) + "\n")
 	g.until(t, "takes s-3 out", takes("s-3")).answer(t)
 	if paths := g.paths(); len(paths) <= before || !strings.HasSuffix(paths[len(paths)-1], "index=5") {
 		t.Errorf("asked for %q", paths)
@@ -529,7 +535,7 @@
 		p.SetAddresses(now, address(t, next.Listener), address(t, g.counter.Listener))
 	})
 	g.until(t, "takes s-3 out, which the new list lacks", takes("s-3")).answer(t)
-	g.eventually(t, "the new watch stands", func(p *Program) bool { return len(next.paths()) == 2 && p.servers.CompleteVersion() == 2 })
+	g.eventually(t, "the new watch stands", func(p *Program) bool { return len(next.paths()) == 2 && p.endpoints.CompleteVersion() == 2 })
 	next.say(line(3, false, server("s-2", discovery.Draining)) + "\n")
 	g.until(t, "takes s-2 out", takes("s-2")).answer(t)
 }
@@ -539,9 +545,9 @@
 	g.join(2)
 	out := g.until(t, "binds proxy 2", func(c call) bool { return slices.Contains(c.binds(), 2) })
 	g.tell(`{"jsonrpc":"2.0","method":"detach","params":{"sidecar":2}}`)
-	g.eventually(t, "it has left", func(p *Program) bool { return !p.roster.Contains(2) })
+	g.eventually(t, "it has left", func(p *Program) bool { return !p.proxies.Contains(2) })
 	g.tell(attach(2))
-	g.eventually(t, "it has joined again", func(p *Program) bool { return p.roster.Contains(2) })
+	g.eventually(t, "it has joined again", func(p *Program) bool { return p.proxies.Contains(2) })
 	_ = out.on.Close() // and what became of the call is not known
 	bound := 0
 	for range 5 {
@@ -564,7 +570,7 @@
 	out := g.until(t, "takes s-3 out", takes("s-3"))
 	g.join(2)
 	g.drain("s-2")
-	g.eventually(t, "the newer is known", func(p *Program) bool { return p.roster.Contains(2) && p.servers.CompleteVersion() == 7 })
+	g.eventually(t, "the newer is known", func(p *Program) bool { return p.proxies.Contains(2) && p.endpoints.CompleteVersion() == 7 })
 	out.say(t, `{"jsonrpc":"2.0","id":%d,"result":{"accepted":"all"}}`, out.id)
 	bound, gone := false, map[string]bool{}
 	for !bound || !gone["s-2"] || !gone["s-3"] {
@@ -593,7 +599,7 @@
 			t.Fatal(err)
 		}
 	}
-	g.eventually(t, "a report a byte at a time", func(p *Program) bool { return p.counts.Reports == 1 })
+	g.eventually(t, "a report a byte at a time", func(p *Program) bool { return p.counts.reports == 1 })
 	var many []byte
 	for range 500 {
 		many = append(append(many, report...), resp.Append(nil, "upstream_stats", "az", "a", "host", "nobody")...)
@@ -605,7 +611,7 @@
 		p.SetAddresses(now, address(t, g.office.Listener), address(t, next.Listener))
 	})
 	_, _ = c.Write(many[half:])
-	g.eventually(t, "500 reports at once, over a hand-over", func(p *Program) bool { return p.counts.Reports == 501 && p.counts.Spoilt == 500 })
+	g.eventually(t, "500 reports at once, over a hand-over", func(p *Program) bool { return p.counts.reports == 501 && p.counts.malformed == 500 })
 }
 
 func TestAPeerThatHalfClosesIsAnswered(t *testing.T) {
@@ -636,14 +642,14 @@
 	hello := resp.Append(nil, "telemetry", "az", "a")
 	_, _ = c.Write(hello[:9])
 	g.eventually(t, "half a message has come", func(p *Program) bool {
-		return len(p.unjoined) == 1 && p.callers[p.unjoined[0].conn] != nil && p.unjoined[0].in.Buffered() == 9
+		return len(p.unidentified) == 1 && p.clients[p.unidentified[0].conn] != nil && p.unidentified[0].reader.Buffered() == 9
 	})
-	g.see(func(now float64, p *Program) {
-		x := p.unjoined[0]
-		p.Receive(x.since+joinWithin, x.conn, hello[9:]) // the read comes first
-		p.TimerFired(x.since+joinWithin+tendEvery, 0)
-		if !x.joined || p.callers[x.conn] != x || len(p.unjoined) != 0 {
-			t.Errorf("joined %v, kept %v", x.joined, p.callers[x.conn] == x)
+	g.see(func(_ float64, p *Program) {
+		x := p.unidentified[0]
+		p.Receive(x.acceptedAt+identifyTimeout, x.conn, hello[9:]) // the read comes first
+		p.TimerFired(x.acceptedAt+identifyTimeout+maintenanceInterval, 0)
+		if !x.identified || p.clients[x.conn] != x || len(p.unidentified) != 0 {
+			t.Errorf("joined %v, kept %v", x.identified, p.clients[x.conn] == x)
 		}
 	})
 }
--- /dev/null
+++ b/internal/frontend/platform/discovery_watch.go
@@ -0,0 +1,185 @@
+package platform
+
+import (
+	"bytes"
+	"net/http"
+
+	"snowquay/internal/wire/discovery"
+	"snowquay/internal/wire/http1"
+)
+
+// Times in seconds.
+const (
+	discoverySilence  = 4.6 // without a line until the connection counts as silent: a heartbeat comes every 2
+	minRefetchBackoff = 0.1 // before a list that could not be read is requested again
+	maxRefetchBackoff = 8.0 // discovery delivers the same list again
+)
+
+// maxRefetchDoublings bounds the exponent of the backoff, which has reached its maximum before.
+const maxRefetchDoublings = 10
+
+// discoveryWatch keeps a connection on which discovery delivers the changes of its list of servers.
+type discoveryWatch struct {
+	peer
+	fullListFirst   bool // the next connection requests the full list, then the changes
+	incompleteLists int  // consecutive requests after which the list was incomplete
+}
+
+// discoveryStream is what a connection has received of discovery's responses.
+type discoveryStream struct {
+	fullList  bool        // the response is the full list, not the stream of changes
+	delivered bool        // a list has been received
+	buffer    []byte      // of the full list, or of the stream's head, until it is complete
+	body      *http1.Body // of the stream; nil before its head is complete
+}
+
+// requestLists requests the full list if it is needed, otherwise the changes since the last complete version.
+func (p *Program) requestLists(_ float64, c *connection) {
+	path := discovery.WatchPath(p.endpoints.CompleteVersion())
+	c.lists.fullList = p.discovery.fullListFirst
+	if c.lists.fullList {
+		path = discovery.ListPath
+	}
+	p.io.Send(c.conn, []byte("GET "+path+" HTTP/1.1\r\nHost: "+c.address.String()+"\r\n\r\n"))
+}
+
+func (p *Program) receiveDiscovery(now float64, c *connection, b []byte) {
+	if c.lists.fullList {
+		p.receiveFullList(now, c, b)
+		return
+	}
+	if c.lists.body == nil {
+		var ok bool
+		b, ok = p.receiveStreamHead(now, c, b)
+		if !ok {
+			return
+		}
+	}
+	p.receiveStream(now, c, b)
+}
+
+// receiveStreamHead reads the head of the stream of changes and returns the bytes after it. ok is false while it is incomplete and if it
+// cannot be used.
+func (p *Program) receiveStreamHead(now float64, c *connection, b []byte) (rest []byte, ok bool) {
+	c.lists.buffer = append(c.lists.buffer, b...)
+	var head http1.Message
+	length, body, err := http1.ResponseHead(c.lists.buffer, httpLimits, &head)
+	if err != nil || length > 0 && head.Status != http.StatusOK {
+		p.rejectDiscoveryResponse(now, c, head.Status, err)
+		return nil, false
+	}
+	if length == 0 {
+		return nil, false
+	}
+	rest = c.lists.buffer[length:]
+	c.lists.body = &body
+	c.lists.buffer = nil
+	return rest, true
+}
+
+// receiveStream reads lines of the stream of changes; a connection on which it ends is of no use.
+func (p *Program) receiveStream(now float64, c *connection, b []byte) {
+	lineTooLong := false
+	ended, err := c.lists.body.Read(b, func(part []byte) {
+		err := c.lines.Read(part, maxLineBytes, func(line []byte) {
+			if p.isOpen(c) {
+				p.handleList(now, c, line)
+			}
+		})
+		lineTooLong = lineTooLong || err != nil
+	})
+	if (ended || err != nil || lineTooLong) && p.isOpen(c) {
+		p.disconnect(now, c)
+	}
+}
+
+// receiveFullList reads the response with the full list, then requests the changes on the same connection.
+func (p *Program) receiveFullList(now float64, on *connection, b []byte) {
+	on.lists.buffer = append(on.lists.buffer, b...)
+	var response http1.Message
+	length, err := http1.Response(on.lists.buffer, http.MethodGet, httpLimits, &response)
+	if err == nil && length == 0 {
+		return
+	}
+	if err == nil {
+		_, err = discovery.Parse(response.Body)
+	}
+	if err != nil || response.Status != http.StatusOK { // changes mean nothing without the list, so it is requested again
+		p.rejectDiscoveryResponse(now, on, response.Status, err)
+		return
+	}
+	rest := bytes.Clone(on.lists.buffer[length:])
+	p.handleList(now, on, bytes.TrimSpace(response.Body))
+	p.discovery.fullListFirst = false
+	on.lists.delivered = true
+	on.lists.buffer = nil
+	if response.Close {
+		p.disconnect(now, on)
+		return
+	}
+	p.requestLists(now, on)
+	if len(rest) > 0 {
+		p.receiveDiscovery(now, on, rest)
+	}
+}
+
+func (p *Program) rejectDiscoveryResponse(now float64, c *connection, status int, err error) {
+	p.log.Warn("discovery response cannot be used", "status", status, "error", err)
+	p.disconnect(now, c)
+}
+
+// handleList takes a line of discovery: a list, or an empty line as a heartbeat.
+//
+// Where something in a list cannot be read, its changes would be lost for good when the versions go on. The connection stays for the others,
+// and one beside it requests everything since the last complete version.
+func (p *Program) handleList(now float64, c *connection, line []byte) {
+	if len(line) > 0 {
+		if !p.applyList(now, c, line) {
+			return
+		}
+		c.lists.delivered = true
+		p.scheduleRefetch(now, c)
+	}
+	if p.discovery.candidate == c {
+		p.activate(now, &p.discovery.peer)
+	}
+}
+
+// applyList returns false if the connection has been closed, since its versions are not those that the coordinator knows.
+func (p *Program) applyList(now float64, c *connection, line []byte) bool {
+	list, err := discovery.Parse(line)
+	if err != nil {
+		p.counts.malformed++
+		p.endpoints.MarkIncomplete()
+		return true
+	}
+	first := !c.lists.delivered
+	if first && !c.lists.fullList && !list.Full && list.Version < p.endpoints.NewestVersion() {
+		p.discovery.fullListFirst = true
+		p.disconnect(now, c)
+		return false
+	}
+	p.trace("discovery list", line)
+	p.endpoints.Apply(list, first, &p.events)
+	p.scheduleRound(now)
+	return true
+}
+
+// scheduleRefetch plans a new connection while the set of servers is incomplete, with growing pauses.
+func (p *Program) scheduleRefetch(now float64, c *connection) {
+	watch := &p.discovery
+	if !p.endpoints.Incomplete() {
+		watch.replaceAt = 0
+		if now-c.dialledAt > maxRefetchBackoff { // the first list of a new connection proves little
+			watch.incompleteLists = 0
+		}
+		return
+	}
+	if watch.replaceAt != 0 {
+		return
+	}
+	backoff := min(minRefetchBackoff*float64(int(1)<<min(watch.incompleteLists, maxRefetchDoublings)), maxRefetchBackoff)
+	watch.incompleteLists++
+	watch.replaceAt = now + backoff
+	p.log.Warn("discovery list is incomplete", "retry_after_seconds", backoff)
+}
--- a/internal/frontend/platform/platform_test.go
+++ b/internal/frontend/platform/platform_test.go
@@ -107,9 +107,11 @@
 func (d *desk) Receive(now float64, c env.Conn, b []byte) {
 	_ = d.in[c].Read(b, 1<<20, func(line []byte) {
 		var m struct {
-			ID     uint64
-			Method string
-			Params struct{ Changes []map[string]any }
+			ID     uint64 `json:"id"`
+			Method string `json:"method"`
+			Params struct {
+				Changes []map[string]any `json:"changes"`
+			} `json:"params"`
 		}
 		if json.Unmarshal(line, &m) != nil {
 			panic(string(line))
@@ -327,7 +329,7 @@
 	s := &scene{net: simnet.New(seed, 1000), desk: newDesk(), agent: &agent{}, caller: newDialler(), host: map[string]*simnet.Host{}}
 	known := &discovery.List{Full: true, Servers: servers}
 	s.agent.list = *known
-	s.program = New(Config{Discovery: discoveryAddress, Relay: hub, Sockets: sockets, Known: known, Seed: 7, Deployment: d},
+	s.program = New(Config{Discovery: discoveryAddress, Relay: hub, MaxDescriptors: sockets, CachedList: known, Seed: 7, Deployment: d},
 		slog.New(slog.NewTextHandler(io.Discard, nil)))
 	for name, x := range map[string]struct {
 		at netip.AddrPort
@@ -355,8 +357,8 @@
 	s.caller.io.Send(c, resp.Append(nil, "client_stats", "sidecar", "4", "kind", "lookup", "n", "19", "bad", "0", "window", "1000.0"))
 	s.agent.tell(false, server("s-2", "draining"))
 	s.net.Run(1001.6)
-	if s.program.counts.Reports != 2 || s.program.counts.Spoilt != 0 {
-		t.Errorf("%d reports, %d spoilt", s.program.counts.Reports, s.program.counts.Spoilt)
+	if s.program.counts.reports != 2 || s.program.counts.malformed != 0 {
+		t.Errorf("%d reports, %d spoilt", s.program.counts.reports, s.program.counts.malformed)
 	}
 	if _, there := s.desk.lines["s-2"]; there {
 		t.Error("a tenth of a second after it drains s-2 is in the table")
@@ -387,8 +389,8 @@
 	}
 	s.caller.io.Send(c, resp.Append(nil, append(good, "more", "1")...))
 	s.net.Run(1001.5)
-	if got := s.program.counts; got.Spoilt != uint64(bad) || got.Reports != 1 || s.caller.closed[c] != 0 {
-		t.Errorf("%d spoilt of %d, %d count, closed at %g", got.Spoilt, bad, got.Reports, s.caller.closed[c])
+	if got := s.program.counts; got.malformed != uint64(bad) || got.reports != 1 || s.caller.closed[c] != 0 {
+		t.Errorf("%d spoilt of %d, %d count, closed at %g", got.malformed, bad, got.reports, s.caller.closed[c])
 	}
 	s.caller.io.Send(c, []byte("GET / HTTP/1.1\r\n\r\n"))
 	if s.net.Run(1001.6); s.caller.closed[c] == 0 {
@@ -411,8 +413,8 @@
 			t.Errorf("%.30q was not closed within a second: %g", s.caller.say[c], at)
 		}
 	}
-	if len(s.program.callers) != 0 || len(s.program.unjoined) != 0 || s.desk.calls > 3 {
-		t.Errorf("%d callers are left, %d calls went out", len(s.program.callers), s.desk.calls)
+	if len(s.program.clients) != 0 || len(s.program.unidentified) != 0 || s.desk.calls > 3 {
+		t.Errorf("%d callers are left, %d calls went out", len(s.program.clients), s.desk.calls)
 	}
 }
 
@@ -424,13 +426,13 @@
 		s.caller.dial(nil)
 	}
 	s.net.Run(1000.8)
-	if n := len(s.program.callers); n > 200-reserve {
+	if n := len(s.program.clients); n > 200-reservedDescriptors {
 		t.Errorf("%d callers hold descriptors", n)
 	}
 	late := s.caller.dial(resp.Append(nil, "telemetry", "az", "a"))
 	s.net.Run(1003)
-	if s.caller.closed[first] != 0 || s.caller.closed[late] != 0 || len(s.program.callers) != 2 {
-		t.Errorf("%d callers are left", len(s.program.callers))
+	if s.caller.closed[first] != 0 || s.caller.closed[late] != 0 || len(s.program.clients) != 2 {
+		t.Errorf("%d callers are left", len(s.program.clients))
 	}
 }
 
@@ -488,14 +490,14 @@
 	s.desk.away = true
 	s.agent.tell(false, server("s-3", "draining"))
 	s.net.Run(1002.02)
-	if !s.program.calls.InFlight() || s.program.stalled(1002.02) {
+	if !s.program.commands.InFlight() || s.program.stalled(1002.02) {
 		t.Error("a call that may still be answered is given up")
 	}
 	s.net.Run(1004)
-	waiting := s.program.calls.Pending()
+	waiting := s.program.commands.Pending()
 	s.agent.tell(false, server("s-2", "draining"))
-	if s.net.Run(1005); !s.program.stalled(1005) || s.program.calls.Pending() > waiting || !s.program.relay.held {
-		t.Errorf("%d orders wait, %d before; held %v", s.program.calls.Pending(), waiting, s.program.relay.held)
+	if s.net.Run(1005); !s.program.stalled(1005) || s.program.commands.Pending() > waiting || !s.program.relay.stalled {
+		t.Errorf("%d orders wait, %d before; held %v", s.program.commands.Pending(), waiting, s.program.relay.stalled)
 	}
 }
 
@@ -520,13 +522,13 @@
 	for at := s.net.Now(); len(desk.watch) < 2 && at < 1003.2; at += 0.001 {
 		s.net.Run(at)
 	}
-	if len(desk.watch) != 2 || !s.program.calls.InFlight() || len(s.desk.in) != 1 {
-		t.Fatalf("%d new links, %d old ones, a call is out: %v", len(desk.watch), len(s.desk.in), s.program.calls.InFlight())
+	if len(desk.watch) != 2 || !s.program.commands.InFlight() || len(s.desk.in) != 1 {
+		t.Fatalf("%d new links, %d old ones, a call is out: %v", len(desk.watch), len(s.desk.in), s.program.commands.InFlight())
 	}
 	send()
 	s.net.Run(s.net.Now() + 0.05)
-	if s.program.calls.InFlight() || s.program.calls.Resends != 0 || len(s.desk.in) != 0 {
-		t.Errorf("after the answer a call is out: %v; %d went again, %d old links", s.program.calls.InFlight(), s.program.calls.Resends, len(s.desk.in))
+	if s.program.commands.InFlight() || s.program.commands.Resends != 0 || len(s.desk.in) != 0 {
+		t.Errorf("after the answer a call is out: %v; %d went again, %d old links", s.program.commands.InFlight(), s.program.commands.Resends, len(s.desk.in))
 	}
 }
 
@@ -563,11 +565,11 @@
 			delete(all, c)
 		}
 	}
-	for c := range s.program.links {
-		s.program.cut(s.net.Now(), s.program.links[c])
+	for c := range s.program.connections {
+		s.program.disconnect(s.net.Now(), s.program.connections[c])
 	}
 	s.net.Run(1002.3)
-	if n := s.program.relay.main.next; n == nil || !n.up {
+	if n := s.program.relay.primary.candidate; n == nil || !n.established {
 		t.Fatalf("no link is in the making: %+v", n)
 	}
 	desk, agent := newDesk(), &agent{list: s.agent.list}
@@ -705,7 +707,7 @@
 	}
 	d.DataPlane.ZoneLocalClasses = []bool{true}
 	s := &scene{net: simnet.New(1, 1000), desk: newDesk(), agent: &agent{mute: true}, caller: newDialler(), host: map[string]*simnet.Host{}}
-	s.program = New(Config{Discovery: discoveryAddress, Relay: hub, Sockets: 256, Seed: 7, Deployment: d}, slog.New(slog.NewTextHandler(io.Discard, nil)))
+	s.program = New(Config{Discovery: discoveryAddress, Relay: hub, MaxDescriptors: 256, Seed: 7, Deployment: d}, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	s.net.Add(hub.Addr(), 0, false).Start(s.desk)
 	s.net.Add(discoveryAddress.Addr(), 0, false).Start(s.agent)
 	s.net.Add(self.Addr(), 0, false).Start(s.program)
--- /dev/null
+++ b/internal/frontend/platform/program.go
@@ -0,0 +1,278 @@
+// Package platform runs a coordinator on the platform: it serves collectors, keeps connections to the relay and to discovery, and checks
+// the health of servers.
+//
+// Program is an env.Program: the same code runs on sockets and in virtual time, with times in seconds of the environment's clock. It makes
+// no balancing decision: what it reads becomes the events of a round of package balancer, and the commands of the round leave as calls to
+// the relay.
+package platform
+
+import (
+	"log/slog"
+	"net/netip"
+	"slices"
+
+	"snowquay/balancer"
+	"snowquay/internal/core/platformstate"
+	"snowquay/internal/deployment"
+	"snowquay/internal/env"
+	"snowquay/internal/wire/discovery"
+	"snowquay/internal/wire/jsonrpc"
+)
+
+const (
+	maintenanceInterval = 0.1 // seconds between two checks of what is due by time alone
+	stateLogInterval    = 5.0 // seconds between two log lines with the counters
+
+	maxUnreadBytes = 128 << 10 // that a peer may leave unread: the platform's limit
+)
+
+// Config says where a coordinator runs and what it knows at its start.
+type Config struct {
+	Discovery      netip.AddrPort
+	Relay          netip.AddrPort
+	MaxDescriptors int             // that the process may hold
+	CachedList     *discovery.List // the servers as they were known last; nil if there is no readable list
+	CachedListErr  error           // why CachedList is nil; nil if no list was given
+	Seed           uint64
+	Deployment     *deployment.Deployment
+}
+
+// Program is one coordinator. It is made by New and is not safe for concurrent use: the environment calls its methods one at a time.
+type Program struct {
+	deployment *deployment.Deployment
+	classes    jsonrpc.ClassNames
+	metrics    []balancer.LoadMetric // of load reports, in their order
+	balancer   *balancer.Balancer
+	log        *slog.Logger
+	io         env.IO
+
+	events        balancer.Events // for the next round
+	inspected     int             // proxy events among them that dropDeparted has seen
+	joinsWithheld bool            // the balancer has not been given the joined proxies
+	eventsSince   float64         // since when events wait for their round; 0 if none do
+	timers        []timer         // requested by the balancer
+
+	proxies   *platformstate.ProxyRegistry
+	endpoints *platformstate.EndpointSet
+	commands  *platformstate.CommandBuffer
+
+	clients      map[env.Conn]*client
+	unidentified []*client // oldest first, including some that have been identified or closed
+	maxClients   int
+	connections  map[env.Conn]*connection
+	relay        relay
+	discovery    discoveryWatch
+	healthChecks map[env.Conn]*healthCheck
+	checking     map[balancer.Server]bool
+
+	maintenanceAt float64
+	stateLogAt    float64
+	wakeAt        float64 // when the environment's timer fires; 0 if it is not set
+	counts        counters
+}
+
+// counters are logged at intervals.
+type counters struct {
+	rounds    uint64
+	calls     uint64 // to the relay
+	reports   uint64 // from collectors, that were used
+	malformed uint64 // messages of collectors, relay and discovery
+	rejected  uint64 // clients
+	closed    uint64 // connections of clients, other than rejected ones
+}
+
+// New returns a coordinator that does nothing until Start.
+func New(config Config, log *slog.Logger) *Program {
+	var classes jsonrpc.ClassNames
+	for _, class := range config.Deployment.Classes {
+		classes = append(classes, class.Name)
+	}
+	program := &Program{
+		deployment:   config.Deployment,
+		classes:      classes,
+		metrics:      config.Deployment.LoadMetrics(),
+		balancer:     config.Deployment.NewBalancer(config.Seed),
+		log:          log,
+		proxies:      platformstate.NewProxyRegistry(),
+		endpoints:    platformstate.NewEndpointSet(config.Deployment.Zones, config.Deployment.MachineKinds),
+		commands:     platformstate.NewCommandBuffer(classes),
+		clients:      map[env.Conn]*client{},
+		maxClients:   max(config.MaxDescriptors-reservedDescriptors, minClients),
+		connections:  map[env.Conn]*connection{},
+		healthChecks: map[env.Conn]*healthCheck{},
+		checking:     map[balancer.Server]bool{},
+	}
+	program.relay.primary = peer{address: config.Relay, connected: program.subscribe, receive: program.receiveRelay}
+	program.relay.standby = peer{address: config.Relay, connected: program.subscribe, receive: program.receiveRelay}
+	program.discovery.peer = peer{address: config.Discovery, connected: program.requestLists, receive: program.receiveDiscovery}
+	if config.CachedList != nil {
+		program.endpoints.LoadCached(config.CachedList, &program.events)
+	} else if config.CachedListErr != nil {
+		log.Warn("starting without a cached list of servers", "error", config.CachedListErr)
+	}
+	return program
+}
+
+// IgnoreDelivery implements eventloop.DeliveryIgnorer: the program does not use reports of what the peers' hosts have received.
+func (p *Program) IgnoreDelivery() {}
+
+// MaxUnread implements eventloop.UnreadLimiter, in bytes. The relay reads a call before it responds, and no call is larger.
+func (p *Program) MaxUnread() int { return maxUnreadBytes }
+
+// Start implements env.Program.
+func (p *Program) Start(now float64, io env.IO) {
+	p.io = io
+	p.stateLogAt = now + stateLogInterval
+	p.round(now)
+	p.maintain(now)
+	p.finishTurn(now)
+}
+
+// SetAddresses moves to other addresses of discovery and relay. The connections to the old ones stay until those to the new ones work.
+func (p *Program) SetAddresses(now float64, discovery, relay netip.AddrPort) {
+	if p.discovery.address != discovery {
+		p.discovery.fullListFirst = true // the versions of one discovery mean nothing to another
+	}
+	p.move(&p.relay.primary, relay)
+	p.move(&p.relay.standby, relay)
+	p.move(&p.discovery.peer, discovery)
+	p.maintain(now)
+	p.finishTurn(now)
+}
+
+// Shutdown closes all connections of clients, relay and discovery, so that the clients go elsewhere.
+func (p *Program) Shutdown() {
+	for conn := range p.clients {
+		p.io.Close(conn)
+	}
+	for conn := range p.connections {
+		p.io.Close(conn)
+	}
+	p.clients = map[env.Conn]*client{}
+	p.connections = map[env.Conn]*connection{}
+}
+
+// Opened implements env.Program.
+func (p *Program) Opened(now float64, conn env.Conn, _ netip.Addr, _ uint16) {
+	p.acceptClient(now, conn)
+	p.finishTurn(now)
+}
+
+// Connected implements env.Program.
+func (p *Program) Connected(now float64, conn env.Conn, ok bool) {
+	switch {
+	case p.connections[conn] != nil:
+		p.dialled(now, p.connections[conn], ok)
+	case p.healthChecks[conn] != nil:
+		p.healthCheckConnected(now, p.healthChecks[conn], ok)
+	case ok: // it was given up meanwhile
+		p.io.Close(conn)
+	}
+	p.finishTurn(now)
+}
+
+// Receive implements env.Program.
+func (p *Program) Receive(now float64, conn env.Conn, b []byte) {
+	switch {
+	case p.clients[conn] != nil:
+		p.receiveClient(now, p.clients[conn], b)
+	case p.connections[conn] != nil:
+		c := p.connections[conn]
+		c.heardAt = now
+		c.peer.receive(now, c, b)
+	case p.healthChecks[conn] != nil:
+		p.receiveHealth(now, p.healthChecks[conn], b)
+	}
+	p.finishTurn(now)
+}
+
+// Closed implements env.Program.
+func (p *Program) Closed(now float64, conn env.Conn) {
+	switch {
+	case p.clients[conn] != nil:
+		delete(p.clients, conn)
+	case p.connections[conn] != nil:
+		p.lost(now, p.connections[conn])
+	case p.healthChecks[conn] != nil:
+		p.finishHealthCheck(now, p.healthChecks[conn], balancer.HealthUnreachable, nil)
+	}
+	p.finishTurn(now)
+}
+
+// Delivered implements env.Program.
+func (p *Program) Delivered(float64, env.Conn, uint64) {}
+
+// Datagram implements env.Program.
+func (p *Program) Datagram(float64, []byte) {}
+
+// TimerFired implements env.Program.
+func (p *Program) TimerFired(now float64, _ int) {
+	p.wakeAt = 0
+	p.fireTimers(now)
+	if p.roundDue(now) {
+		p.round(now)
+	}
+	if now >= p.maintenanceAt {
+		p.maintain(now)
+	}
+	p.finishTurn(now)
+}
+
+// maintain handles what is due by time alone.
+func (p *Program) maintain(now float64) {
+	p.maintenanceAt = now + maintenanceInterval
+	p.rejectUnidentified(now)
+	p.maintainRelay(now)
+	p.maintainPeer(now, &p.discovery.peer, discoverySilence)
+	p.expireHealthChecks(now)
+	if now >= p.stateLogAt {
+		p.stateLogAt = now + stateLogInterval
+		p.logState()
+	}
+}
+
+func (p *Program) logState() {
+	p.log.Info("state",
+		"proxies", p.proxies.Len(),
+		"servers", p.endpoints.Len(),
+		"clients", len(p.clients),
+		"rounds", p.counts.rounds,
+		"calls", p.counts.calls,
+		"pending_commands", p.commands.Pending(),
+		"resent_calls", p.commands.Resends,
+		"dropped_commands", p.commands.Dropped,
+		"reports", p.counts.reports,
+		"malformed", p.counts.malformed+p.endpoints.Malformed,
+		"rejected", p.counts.rejected,
+		"closed", p.counts.closed)
+}
+
+// finishTurn ends the handling of an event: it sends the next call, and has the program woken for what is due next.
+func (p *Program) finishTurn(now float64) {
+	p.dropDeparted(now)
+	p.sendCall(now)
+	at := p.maintenanceAt
+	if p.eventsSince > 0 {
+		at = min(at, p.eventsSince+gatherTime)
+	}
+	for _, t := range p.timers {
+		at = min(at, t.at)
+	}
+	if p.commands.InFlight() {
+		at = min(at, p.relay.callSentAt+responseTimeout)
+	}
+	if p.wakeAt == 0 || at < p.wakeAt {
+		p.wakeAt = at
+		p.io.SetTimer(at, 0)
+	}
+}
+
+// zone returns the number of a zone; below 0 if the settings do not list it.
+func (p *Program) zone(name string) balancer.Zone {
+	return balancer.Zone(slices.Index(p.deployment.Zones, name))
+}
+
+// class returns the number of a request class; below 0 if the settings do not list it.
+func (p *Program) class(name string) balancer.Class {
+	return balancer.Class(slices.Index(p.classes, name))
+}
--- a/internal/frontend/platform/scale_test.go
+++ b/internal/frontend/platform/scale_test.go
@@ -63,7 +63,7 @@
 		s.net.Run(at)
 	}
 	s.net.Run(at + 11.3)
-	if n := len(s.program.roster.JoinEvents()); n != own+joiners {
+	if n := len(s.program.proxies.JoinEvents()); n != own+joiners {
 		t.Errorf("%d proxies are held to have joined, want %d", n, own+joiners)
 	}
 	for p := range s.desk.joined {
@@ -78,8 +78,8 @@
 			}
 		}
 	}
-	if s.desk.most > jsonrpc.MaxCallBytes || s.program.calls.Dropped > 0 || s.program.counts.Spoilt+s.program.servers.Malformed > 0 {
-		t.Errorf("a call of %d bytes, %d orders dropped, %d messages spoilt", s.desk.most, s.program.calls.Dropped, s.program.counts.Spoilt)
+	if s.desk.most > jsonrpc.MaxCallBytes || s.program.commands.Dropped > 0 || s.program.counts.malformed+s.program.endpoints.Malformed > 0 {
+		t.Errorf("a call of %d bytes, %d orders dropped, %d messages spoilt", s.desk.most, s.program.commands.Dropped, s.program.counts.malformed)
 	}
 }
 
--- a/internal/platform/crossing_test.go
+++ b/internal/platform/crossing_test.go
@@ -212,7 +212,9 @@
 	within(t, "no proxy was bound", func() bool { return hub.saw(`"do":"bind","sidecar":1`) })
 	l.rush(t, 50)
 	_ = l.Process.Kill()
-	<-l.ended
+	if err := <-l.ended; err == nil {
+		t.Error("a killed process ended without an error")
+	}
 	hub.mu.Lock()
 	hub.said = ""
 	hub.mu.Unlock()
@@ -229,7 +231,7 @@
 	free := make(chan struct{})
 	defer close(free)
 	at := time.Now()
-	leave(func() { <-free })
+	shutDown(func() { <-free })
 	if took := time.Since(at); took > 650*time.Millisecond {
 		t.Errorf("it left after %v", took)
 	}
@@ -244,8 +246,8 @@
 		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		if _, _, place, err := read(path); err != nil || place.Known != nil || place.KnownErr == nil {
-			t.Errorf("%s: %v, %+v", known, err, place.Known)
+		if c, err := readConfig(path); err != nil || c.program.CachedList != nil || c.program.CachedListErr == nil {
+			t.Errorf("%s: %v, %+v", known, err, c)
 		}
 	}
 }
--- a/internal/platform/platform_test.go
+++ b/internal/platform/platform_test.go
@@ -76,9 +76,11 @@
 func relay(t *testing.T) *party {
 	return serve(t, func(line string) string {
 		var m struct {
-			ID     int
-			Method string
-			Params struct{ Changes []any }
+			ID     int    `json:"id"`
+			Method string `json:"method"`
+			Params struct {
+				Changes []any `json:"changes"`
+			} `json:"params"`
 		}
 		_ = json.Unmarshal([]byte(line), &m)
 		if m.Method == "relay.watch" {
@@ -138,7 +140,7 @@
 	case <-time.After(5 * time.Second):
 		t.Fatal("it does not end")
 	}
-	if n := strings.Count(l.said(), "configuration stands as it was"); n != 1 {
+	if n := strings.Count(l.said(), "configuration not reloaded"); n != 1 {
 		t.Errorf("a wrong configuration was told %d times: %s", n, l.said())
 	}
 }
@@ -154,7 +156,7 @@
 		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		if _, _, _, err := read(path); err == nil || !strings.Contains(err.Error(), want) || !strings.Contains(err.Error(), path) {
+		if _, err := readConfig(path); err == nil || !strings.Contains(err.Error(), want) || !strings.Contains(err.Error(), path) {
 			t.Errorf("%.60q: %v, want %q and the file", text, err, want)
 		}
 	}
--- a/internal/wire/jsonrpc/golden_test.go
+++ b/internal/wire/jsonrpc/command_golden_test.go
@@ -1,25 +1,27 @@
 package jsonrpc
 
 import (
-	"slices"
+	"bytes"
 	"testing"
 
 	"snowquay/internal/golden"
 )
 
-// The calls of one round: weights, bindings, admission and the request for acknowledgements.
+// The golden file holds the calls of one round: weights, assignments, admission and the request for acknowledgements.
 func TestCallsOfARoundOnTheWire(t *testing.T) {
 	names := ClassNames{"lookup", "order"}
-	orders := [][]byte{
+	first := [][]byte{
 		AppendWeight(nil, 1, "s-5be2a07c", 1.5),
 		AppendWeight(nil, 1, "s-00000001", 0),
 		names.AppendAdmission(nil, 1, 2, 0.75, 1),
+	}
+	second := [][]byte{
 		names.AppendAdmission(nil, 1, 0, 1e6, 3),
 		names.AppendAssignment(nil, 17, 1, 3),
 		AppendAckRequest(nil, 905, false),
 	}
 	b := AppendWatch(nil, 1)
-	b = AppendApply(b, 2, slices.Concat(orders[0], []byte(","), orders[1], []byte(","), orders[2]))
-	b = AppendApply(b, 3, slices.Concat(orders[3], []byte(","), orders[4], []byte(","), orders[5]))
+	b = AppendApply(b, 2, bytes.Join(first, []byte(",")))
+	b = AppendApply(b, 3, bytes.Join(second, []byte(",")))
 	golden.Bytes(t, "round.jsonl", b)
 }
--- /dev/null
+++ b/internal/wire/jsonrpc/message.go
@@ -0,0 +1,176 @@
+// Package jsonrpc reads and writes the relay's protocol: JSON-RPC 2.0, one object on each line.
+//
+// The package is pure: it keeps no connection and no clock. It maps the relay's field names to the terms of the rest of the
+// program, so that no other package knows them.
+package jsonrpc
+
+import (
+	"bytes"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"strings"
+)
+
+// ErrUnknownLine reports a JSON object that is neither a response nor a notification.
+var ErrUnknownLine = errors.New("neither a response nor a notification")
+
+// Message is a line from the relay: a *Response or an *Event.
+type Message interface{ isMessage() }
+
+// Response is the relay's response to a call.
+type Response struct {
+	ID     uint64       // of the call
+	Err    *RemoteError // nil if the call succeeded
+	result json.RawMessage
+}
+
+// EventKind says what an Event reports.
+type EventKind int
+
+// The kinds of events.
+const (
+	UnknownEvent EventKind = iota // a method that this program does not use
+	Heartbeat
+	ProxyJoined
+	ProxyLeft
+	CommandsAcknowledged
+)
+
+var eventKinds = map[string]EventKind{
+	"ping":   Heartbeat,
+	"attach": ProxyJoined,
+	"detach": ProxyLeft,
+	"done":   CommandsAcknowledged,
+}
+
+// Event is a notification from the relay's event stream. Fields that its kind does not have are zero.
+type Event struct {
+	Kind         EventKind
+	Proxy        int     // -1 if the notification names none
+	Zone         string  // of a proxy that joined
+	ExpectedRate float64 // of a proxy that joined, in requests per second
+	DefaultTable bool    // the proxy that joined holds the default table only
+	AckID        int64   // of an acknowledgement
+	Latency      float64 // of an acknowledgement: seconds from the command to its effect
+	Incomplete   bool    // a field that the kind requires is absent or negative; Proxy and Zone are not checked
+}
+
+func (*Response) isMessage() {}
+func (*Event) isMessage()    {}
+
+// RemoteError is an error that the relay returned for a call.
+type RemoteError struct{ Message string }
+
+// malformedCall is the message by which the relay rejects a call that it cannot read.
+const malformedCall = "malformed"
+
+// Error returns the message of the relay.
+func (e *RemoteError) Error() string { return e.Message }
+
+// Malformed reports whether the relay could not read the call.
+func (e *RemoteError) Malformed() bool { return e.Message == malformedCall }
+
+// envelope is any line of the relay.
+type envelope struct {
+	ID     *uint64         `json:"id"`
+	Method string          `json:"method"`
+	Result json.RawMessage `json:"result"`
+	Error  json.RawMessage `json:"error"`
+	Params json.RawMessage `json:"params"`
+}
+
+// params are the parameters of all notifications. Pointers tell absent fields from zero values.
+type params struct {
+	Proxy        *int     `json:"sidecar"`
+	Zone         string   `json:"az"`
+	ExpectedRate *float64 `json:"share"`
+	DefaultTable *bool    `json:"standing"`
+	AckID        *int64   `json:"version"`
+	LatencyMS    *float64 `json:"lag_ms"`
+}
+
+// Parse reads one line. It returns ErrUnknownLine for an object of another kind, and an error of encoding/json for other text.
+func Parse(line []byte) (Message, error) {
+	var fields envelope
+	if err := json.Unmarshal(line, &fields); err != nil {
+		return nil, fmt.Errorf("relay line: %w", err)
+	}
+	switch {
+	case fields.Method != "":
+		return parseEvent(fields.Method, fields.Params)
+	case fields.ID != nil && (fields.Result != nil || fields.Error != nil):
+		return &Response{ID: *fields.ID, Err: parseError(fields.Error), result: fields.Result}, nil
+	}
+	return nil, ErrUnknownLine
+}
+
+func parseEvent(method string, text json.RawMessage) (Message, error) {
+	var given params
+	if len(text) > 0 {
+		if err := json.Unmarshal(text, &given); err != nil {
+			return nil, fmt.Errorf("parameters of notification %q: %w", method, err)
+		}
+	}
+	event := &Event{Kind: eventKinds[method], Proxy: -1}
+	if given.Proxy != nil {
+		event.Proxy = *given.Proxy
+	}
+	switch event.Kind {
+	case ProxyJoined:
+		if given.ExpectedRate == nil || *given.ExpectedRate < 0 || given.DefaultTable == nil {
+			event.Incomplete = true
+			return event, nil
+		}
+		event.Zone = given.Zone
+		event.ExpectedRate = *given.ExpectedRate
+		event.DefaultTable = *given.DefaultTable
+	case CommandsAcknowledged:
+		if given.AckID == nil || given.LatencyMS == nil || *given.LatencyMS < 0 {
+			event.Incomplete = true
+			return event, nil
+		}
+		event.AckID = *given.AckID
+		event.Latency = *given.LatencyMS / 1000
+	}
+	return event, nil
+}
+
+func parseError(text json.RawMessage) *RemoteError {
+	if text == nil || bytes.Equal(text, []byte("null")) {
+		return nil
+	}
+	message := errorMessage(text)
+	if message == "" {
+		return nil
+	}
+	return &RemoteError{Message: message}
+}
+
+// errorMessage returns the text of an error member, which is a string or an object with a message and optional data.
+func errorMessage(text json.RawMessage) string {
+	var plain string
+	if json.Unmarshal(text, &plain) == nil && plain != "" {
+		return plain
+	}
+	var object struct {
+		Message string          `json:"message"`
+		Data    json.RawMessage `json:"data"`
+	}
+	if json.Unmarshal(text, &object) == nil && object.Message != "" {
+		return strings.TrimSpace(object.Message + " " + strings.Trim(string(object.Data), `"`))
+	}
+	return string(text)
+}
+
+// AcceptedCount returns how many commands of a batch were applied. ok is false if the call failed or the result holds no
+// such count.
+func (r *Response) AcceptedCount() (count int, ok bool) {
+	var result struct {
+		Accepted *int `json:"accepted"`
+	}
+	if r.Err != nil || json.Unmarshal(r.result, &result) != nil || result.Accepted == nil || *result.Accepted < 0 {
+		return 0, false
+	}
+	return *result.Accepted, true
+}
