--- a/internal/core/platformstate/endpoint_set_test.go
+++ b/internal/core/platformstate/endpoint_set_test.go
@@ -13,7 +13,7 @@
 func TestUnusableEntryLeavesTheSetIncomplete(t *testing.T) {
 	s := NewEndpointSet([]string{"a"}, nil)
 	events := &balancer.Events{}
-	entry := func(id, state string) discovery.Server {
+	entry := func(id string, state discovery.State) discovery.Server {
 		return discovery.Server{ID: id, Address: "127.0.0.1:1", Zone: "a", State: state, Weight: 1}
 	}
 	if !s.Apply(&discovery.List{Version: 4, Full: true, Servers: []discovery.Server{entry("x", "ready"), entry("y", "ready")}}, true, events) {
@@ -51,7 +51,7 @@
 func TestOlderListsChangeNothing(t *testing.T) {
 	s := NewEndpointSet([]string{"z"}, nil)
 	events := &balancer.Events{}
-	list := func(version int64, full bool, state string, ids ...string) *discovery.List {
+	list := func(version int64, full bool, state discovery.State, ids ...string) *discovery.List {
 		l := &discovery.List{Version: version, Full: full}
 		for _, id := range ids {
 			l.Servers = append(l.Servers, discovery.Server{ID: id, Zone: "z", State: state, Address: "10.0.0.1:80"})
--- a/internal/frontend/platform/platform_test.go
+++ b/internal/frontend/platform/platform_test.go
@@ -313,7 +313,7 @@
 	host    map[string]*simnet.Host
 }
 
-func server(id, state string) discovery.Server {
+func server(id string, state discovery.State) discovery.Server {
 	return discovery.Server{ID: id, Address: "10.1.0.18:8000", Zone: "a", Kind: "m", State: state, Weight: 1}
 }
 
@@ -466,7 +466,7 @@
 	s.agent.tell(false, server("s-3", "draining"))
 	s.net.Run(1002.2)
 	for at := 1002.2; at < 1008; at += 0.5 {
-		s.agent.tell(false, server("s-2", []string{"ready", "draining"}[int(at*2)%2]))
+		s.agent.tell(false, server("s-2", []discovery.State{"ready", "draining"}[int(at*2)%2]))
 		s.net.Run(at)
 	}
 	if n := s.desk.calls - before; n < 1 || n > 2 {
@@ -742,14 +742,14 @@
 		s := begin(t, rapid.Uint64Range(0, 1000).Draw(t, "seed"), 256)
 		s.net.Faults.Split = rapid.SampledFrom([]float64{0, 0.3}).Draw(t, "pieces")
 		s.desk.join(0, "a")
-		now, state := 1000.5, map[string]string{"s-1": "ready", "s-2": "ready", "s-3": "ready"}
+		now, state := 1000.5, map[string]discovery.State{"s-1": "ready", "s-2": "ready", "s-3": "ready"}
 		for range rapid.IntRange(3, 12).Draw(t, "events") {
 			switch rapid.IntRange(0, 9).Draw(t, "event") {
 			case 0, 1:
 				s.desk.join(rapid.IntRange(0, 8).Draw(t, "proxy"), "a")
 			case 2, 3:
 				id := rapid.SampledFrom([]string{"s-2", "s-3"}).Draw(t, "server")
-				state[id] = rapid.SampledFrom([]string{"ready", "draining", "gone"}).Draw(t, "state")
+				state[id] = rapid.SampledFrom([]discovery.State{"ready", "draining", "gone"}).Draw(t, "state")
 				s.agent.tell(false, server(id, state[id]))
 			case 4:
 				spoilt := rapid.SampledFrom([]string{"", "reset", `"result":{}`, `"error":"limit"`, `"nothing":0`}).Draw(t, "answer")
--- a/internal/platform/run.go
+++ b/internal/platform/run.go
@@ -63,7 +63,7 @@
 		"descriptors", cfg.program.MaxDescriptors)
 	for {
 		select {
-		case err := <-server.Ended(): // a coordinator that accepts no connection is of no use: it is to be cfg anew
+		case err := <-server.Ended(): // a coordinator that accepts no connection is of no use: it is to be started anew
 			return fmt.Errorf("the event loop has ended by itself: %w", cmp.Or(err, errDescriptors))
 		case received := <-signals:
 			if received != syscall.SIGHUP {
