--- a/internal/frontend/platform/discovery_watch.go
+++ b/internal/frontend/platform/discovery_watch.go
@@ -27,10 +27,10 @@
 
 // discoveryStream is what a connection has received of discovery's responses.
 type discoveryStream struct {
-	fullList  bool        // the response is the full list, not the stream of changes
-	delivered bool        // a list has been received
-	buffer    []byte      // of the full list, or of the stream's head, until it is complete
-	body      *http1.Body // of the stream; nil before its head is complete
+	fullList  bool              // the response is the full list, not the stream of changes
+	delivered bool              // a list has been received
+	buffer    []byte            // of the full list, or of the stream's head, until it is complete
+	body      *http1.BodyReader // of the stream; nil before its head is complete
 }
 
 // requestLists requests the full list if it is needed, otherwise the changes since the last complete version.
--- /dev/null
+++ b/internal/wire/http1/parse.go
@@ -0,0 +1,139 @@
+package http1
+
+import (
+	"bytes"
+	"strconv"
+	"strings"
+)
+
+// Request reads a request from the beginning of data and returns its length. The length is 0 while the request is incomplete; request.Continue
+// then says whether its sender waits for 100 (Continue). Errors are of type *Error.
+func Request(b []byte, limits Limits, m *Message) (int, error) {
+	lines, headLength, err := splitHead(b, limits)
+	if headLength == 0 || err != nil {
+		return 0, err
+	}
+	*m = Message{Fields: m.Fields[:0]}
+	parts := strings.Split(lines[0], " ")
+	if len(parts) != 3 || !isToken(parts[0]) || parts[1] == "" {
+		return 0, errorf(statusBadRequest, "no request: %.40q", lines[0])
+	}
+	minor, ok := parseVersion(parts[2])
+	if !ok {
+		return 0, errorf(statusVersionNotSupported, "version %.20q", parts[2])
+	}
+	m.Method = parts[0]
+	m.Target = parts[1]
+	m.Minor = minor
+	m.Close = minor == 0
+	if m.Method == methodConnect || m.Target[0] != '/' && m.Target != "*" {
+		return 0, errorf(statusBadRequest, "target %.40q is not a path", m.Target)
+	}
+	body, err := m.parseFields(lines[1:], limits)
+	if err != nil {
+		return 0, err
+	}
+	return m.parseBody(b, headLength, body, limits)
+}
+
+// Response reads a response to a request with the given method from the beginning of data and returns its length. The length is 0 while the
+// response is incomplete; if response.UntilClose is set it ends with the connection, and ResponseAtEOF then completes it. Errors are of type
+// *Error with status 502, except those of the head's form.
+func Response(b []byte, requestMethod string, limits Limits, m *Message) (int, error) {
+	lines, headLength, err := splitHead(b, limits)
+	if headLength == 0 || err != nil {
+		return 0, err
+	}
+	body, err := m.parseResponseHead(lines, limits)
+	if err != nil {
+		return 0, err
+	}
+	if m.bodyless(requestMethod) {
+		return headLength, nil
+	}
+	if body.kind == unframed {
+		m.UntilClose = true
+		m.Close = true
+		if len(b)-headLength > limits.Body {
+			return 0, errorf(statusBadGateway, "a body of over %d bytes", limits.Body)
+		}
+		return 0, nil
+	}
+	length, err := m.parseBody(b, headLength, body, limits)
+	if err != nil {
+		return 0, errorf(statusBadGateway, "%v", err)
+	}
+	return length, nil
+}
+
+// ResponseAtEOF completes a response that Response has read from data, and whose body went on until the connection ended. It returns
+// ErrUnexpectedEnd for any other response.
+func ResponseAtEOF(b []byte, m *Message) error {
+	if !m.UntilClose {
+		return ErrUnexpectedEnd
+	}
+	m.Body = b[bytes.Index(b, []byte(headEnd))+len(headEnd):]
+	return nil
+}
+
+// ResponseHead reads the head of a response whose body may never end. It returns the length of the head, 0 while that is incomplete, and a reader
+// for the body that follows. Errors are of type *Error.
+func ResponseHead(b []byte, limits Limits, m *Message) (int, BodyReader, error) {
+	lines, headLength, err := splitHead(b, limits)
+	if headLength == 0 || err != nil {
+		return 0, BodyReader{}, err
+	}
+	body, err := m.parseResponseHead(lines, limits)
+	return headLength, newBodyReader(body, limits), err
+}
+
+func (m *Message) parseResponseHead(lines []string, limits Limits) (framing, error) {
+	*m = Message{Fields: m.Fields[:0]}
+	version, rest, _ := strings.Cut(lines[0], " ")
+	code, _, _ := strings.Cut(rest, " ")
+	minor, ok := parseVersion(version)
+	if !ok {
+		return framing{}, errorf(statusBadGateway, "version %.20q", version)
+	}
+	m.Minor = minor
+	status, err := strconv.Atoi(code)
+	m.Status = status
+	if err != nil || len(code) != 3 || status < 100 {
+		return framing{}, errorf(statusBadGateway, "no response: %.40q", lines[0])
+	}
+	m.Close = minor == 0
+	body, err := m.parseFields(lines[1:], limits)
+	if err != nil {
+		return framing{}, errorf(statusBadGateway, "%v", err)
+	}
+	return body, nil
+}
+
+// parseBody reads the body after a head of the given length, and returns the length of both; 0 while the body is incomplete.
+func (m *Message) parseBody(b []byte, headLength int, body framing, limits Limits) (int, error) {
+	switch body.kind {
+	case chunked:
+		return m.parseChunks(b, headLength, limits)
+	case byLength:
+		end := headLength + body.length
+		if len(b) < end {
+			return 0, nil
+		}
+		if body.length > 0 {
+			m.Body = b[headLength:end]
+		}
+		return end, nil
+	}
+	return headLength, nil
+}
+
+func (m *Message) parseChunks(b []byte, headLength int, limits Limits) (int, error) {
+	var parts [][]byte
+	decoder := chunkDecoder{maxBody: limits.Body, maxTrailers: limits.Head}
+	length, err := decoder.decode(b[headLength:], func(data []byte) { parts = append(parts, data) })
+	if err != nil || decoder.state != chunksEnded {
+		return 0, err
+	}
+	m.Body = bytes.Join(parts, nil)
+	return headLength + length, nil
+}
