--- a/internal/wire/http1/chunked.go
+++ b/internal/wire/http1/chunked.go
@@ -35,8 +35,8 @@
 }
 
 // decode calls take with the parts of the chunks' data, and returns how many bytes belong to the body: all until it has ended.
-func (d *chunkDecoder) decode(b []byte, take func([]byte)) (int, error) {
-	rest := b
+func (d *chunkDecoder) decode(data []byte, take func([]byte)) (int, error) {
+	rest := data
 	for len(rest) > 0 && d.state != chunksEnded {
 		var count int
 		var err error
@@ -60,7 +60,7 @@
 		}
 		rest = rest[count:]
 	}
-	return len(b) - len(rest), nil
+	return len(data) - len(rest), nil
 }
 
 // readSize reads the line with a chunk's size.
--- a/internal/wire/http1/parse.go
+++ b/internal/wire/http1/parse.go
@@ -8,12 +8,12 @@
 
 // Request reads a request from the beginning of data and returns its length. The length is 0 while the request is incomplete; request.Continue
 // then says whether its sender waits for 100 (Continue). Errors are of type *Error.
-func Request(b []byte, limits Limits, m *Message) (int, error) {
-	lines, headLength, err := splitHead(b, limits)
+func Request(data []byte, limits Limits, request *Message) (int, error) {
+	lines, headLength, err := splitHead(data, limits)
 	if headLength == 0 || err != nil {
 		return 0, err
 	}
-	*m = Message{Fields: m.Fields[:0]}
+	*request = Message{Fields: request.Fields[:0]}
 	parts := strings.Split(lines[0], " ")
 	if len(parts) != 3 || !isToken(parts[0]) || parts[1] == "" {
 		return 0, errorf(statusBadRequest, "no request: %.40q", lines[0])
@@ -22,44 +22,44 @@
 	if !ok {
 		return 0, errorf(statusVersionNotSupported, "version %.20q", parts[2])
 	}
-	m.Method = parts[0]
-	m.Target = parts[1]
-	m.Minor = minor
-	m.Close = minor == 0
-	if m.Method == methodConnect || m.Target[0] != '/' && m.Target != "*" {
-		return 0, errorf(statusBadRequest, "target %.40q is not a path", m.Target)
+	request.Method = parts[0]
+	request.Target = parts[1]
+	request.Minor = minor
+	request.Close = minor == 0
+	if request.Method == methodConnect || request.Target[0] != '/' && request.Target != "*" {
+		return 0, errorf(statusBadRequest, "target %.40q is not a path", request.Target)
 	}
-	body, err := m.parseFields(lines[1:], limits)
+	body, err := request.parseFields(lines[1:], limits)
 	if err != nil {
 		return 0, err
 	}
-	return m.parseBody(b, headLength, body, limits)
+	return request.parseBody(data, headLength, body, limits)
 }
 
 // Response reads a response to a request with the given method from the beginning of data and returns its length. The length is 0 while the
 // response is incomplete; if response.UntilClose is set it ends with the connection, and ResponseAtEOF then completes it. Errors are of type
 // *Error with status 502, except those of the head's form.
-func Response(b []byte, requestMethod string, limits Limits, m *Message) (int, error) {
-	lines, headLength, err := splitHead(b, limits)
+func Response(data []byte, requestMethod string, limits Limits, response *Message) (int, error) {
+	lines, headLength, err := splitHead(data, limits)
 	if headLength == 0 || err != nil {
 		return 0, err
 	}
-	body, err := m.parseResponseHead(lines, limits)
+	body, err := response.parseResponseHead(lines, limits)
 	if err != nil {
 		return 0, err
 	}
-	if m.bodyless(requestMethod) {
+	if response.bodyless(requestMethod) {
 		return headLength, nil
 	}
 	if body.kind == unframed {
-		m.UntilClose = true
-		m.Close = true
-		if len(b)-headLength > limits.Body {
+		response.UntilClose = true
+		response.Close = true
+		if len(data)-headLength > limits.Body {
 			return 0, errorf(statusBadGateway, "a body of over %d bytes", limits.Body)
 		}
 		return 0, nil
 	}
-	length, err := m.parseBody(b, headLength, body, limits)
+	length, err := response.parseBody(data, headLength, body, limits)
 	if err != nil {
 		return 0, errorf(statusBadGateway, "%v", err)
 	}
@@ -68,22 +68,22 @@
 
 // ResponseAtEOF completes a response that Response has read from data, and whose body went on until the connection ended. It returns
 // ErrUnexpectedEnd for any other response.
-func ResponseAtEOF(b []byte, m *Message) error {
-	if !m.UntilClose {
+func ResponseAtEOF(data []byte, response *Message) error {
+	if !response.UntilClose {
 		return ErrUnexpectedEnd
 	}
-	m.Body = b[bytes.Index(b, []byte(headEnd))+len(headEnd):]
+	response.Body = data[bytes.Index(data, []byte(headEnd))+len(headEnd):]
 	return nil
 }
 
 // ResponseHead reads the head of a response whose body may never end. It returns the length of the head, 0 while that is incomplete, and a reader
 // for the body that follows. Errors are of type *Error.
-func ResponseHead(b []byte, limits Limits, m *Message) (int, BodyReader, error) {
-	lines, headLength, err := splitHead(b, limits)
+func ResponseHead(data []byte, limits Limits, response *Message) (int, BodyReader, error) {
+	lines, headLength, err := splitHead(data, limits)
 	if headLength == 0 || err != nil {
 		return 0, BodyReader{}, err
 	}
-	body, err := m.parseResponseHead(lines, limits)
+	body, err := response.parseResponseHead(lines, limits)
 	return headLength, newBodyReader(body, limits), err
 }
 
@@ -110,17 +110,17 @@
 }
 
 // parseBody reads the body after a head of the given length, and returns the length of both; 0 while the body is incomplete.
-func (m *Message) parseBody(b []byte, headLength int, body framing, limits Limits) (int, error) {
+func (m *Message) parseBody(data []byte, headLength int, body framing, limits Limits) (int, error) {
 	switch body.kind {
 	case chunked:
-		return m.parseChunks(b, headLength, limits)
+		return m.parseChunks(data, headLength, limits)
 	case byLength:
 		end := headLength + body.length
-		if len(b) < end {
+		if len(data) < end {
 			return 0, nil
 		}
 		if body.length > 0 {
-			m.Body = b[headLength:end]
+			m.Body = data[headLength:end]
 		}
 		return end, nil
 	}
