--- a/internal/wire/resp/resp_test.go
+++ b/internal/wire/resp/reader_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"bytes"
+	"errors"
 	"runtime"
 	"strings"
 	"testing"
@@ -9,7 +10,7 @@
 
 var limits = Limits{Bytes: 1 << 20, Elements: 512}
 
-// read takes b apart as it comes in pieces of a size.
+// read returns the messages in b, which comes in pieces of a size.
 func read(b []byte, size int) (messages [][]string, err error) {
 	var r Reader
 	for len(b) > 0 {
@@ -17,24 +18,24 @@
 		r.Feed(b[:n])
 		b = b[n:]
 		for {
-			words, ok, err := r.Next(nil, limits)
+			elements, ok, err := r.Next(nil, limits)
 			if err != nil {
 				return messages, err
 			}
 			if !ok {
 				break
 			}
-			var m []string
-			for _, w := range words {
-				m = append(m, string(w))
+			var message []string
+			for _, element := range elements {
+				message = append(message, string(element))
 			}
-			messages = append(messages, m)
+			messages = append(messages, message)
 		}
 	}
 	return messages, nil
 }
 
-func TestMessagesComeOutAsTheyWentIn(t *testing.T) {
+func TestReadWhatWasAppended(t *testing.T) {
 	b := Append(Append(Append(nil, "hb"), "telemetry", "az", ""), "x", "\r\n$1\r\n", strings.Repeat("y", 5000))
 	for size := range 40 {
 		got, err := read(b, size+1)
@@ -44,17 +45,17 @@
 	}
 }
 
-func TestWhatIsNoMessageIsRefusedAtOnce(t *testing.T) {
+func TestOtherInputIsRejectedAtOnce(t *testing.T) {
 	for b, want := range map[string]error{"GET /": ErrFraming, "{": ErrFraming, "*x": ErrFraming, "*-1\r\n": ErrFraming, "*1\n": ErrFraming, "*1\r\n:": ErrFraming,
 		"*1\r\n$2\r\nabcd": ErrFraming, "*0\r\n": ErrTooLong, "*513\r\n": ErrTooLong, "*1\r\n$1048577\r\n": ErrTooLong, "*12345678901234": ErrFraming,
 		"*1\r\n$-1\r\n": ErrFraming, "*9999999999\r\n": ErrTooLong} {
-		if _, err := read([]byte(b), 1); err != want {
+		if _, err := read([]byte(b), 1); !errors.Is(err, want) {
 			t.Errorf("%q: %v, want %v", b, err, want)
 		}
 	}
 }
 
-func TestAClaimedLengthAllocatesNothing(t *testing.T) {
+func TestClaimedLengthAllocatesNothing(t *testing.T) {
 	var before, after runtime.MemStats
 	runtime.ReadMemStats(&before)
 	for range 1000 {
@@ -62,7 +63,8 @@
 			t.Fatal(err)
 		}
 	}
-	if runtime.ReadMemStats(&after); after.TotalAlloc-before.TotalAlloc > 1<<20 {
+	runtime.ReadMemStats(&after)
+	if after.TotalAlloc-before.TotalAlloc > 1<<20 {
 		t.Errorf("%d bytes allocated", after.TotalAlloc-before.TotalAlloc)
 	}
 }
