--- a/internal/frontend/platform/scale_test.go
+++ b/internal/frontend/platform/scale_test.go
@@ -30,17 +30,17 @@
 
 // 350 coordinators and 1,024 servers: proxies join here and come from coordinators that restart, half of the servers are replaced, and
 // no list has a cap on the way.
-func TestHundredsOfCoordinatorsAndAThousandServers(t *testing.T) {
+func TestLargeDeployment(t *testing.T) {
 	const servers, own, joiners, steps, window = 1024, 24, 60, 4, 10
 	all := manyServers(servers)
-	s := beginWith(t, 1, 1024, largeSettings(350, 2400), all...)
-	s.desk.done = true
+	sim := simulateWith(t, 1, 1024, largeSettings(350, 2400), all...)
+	sim.relay.acknowledges = true
 	for p := range own {
-		s.desk.join(p*39, []string{"a", "b"}[p%2])
+		sim.relay.join(p*39, []string{"a", "b"}[p%2])
 	}
-	c := s.caller.dial(append(resp.Append(nil, "hb"), resp.Append(nil, "telemetry", "az", "a")...))
-	s.net.Run(1010)
-	if got := s.caller.got[c]; got != string(resp.Append(nil, "hb_ok")) {
+	c := sim.client.dial(append(resp.Append(nil, "hb"), resp.Append(nil, "telemetry", "az", "a")...))
+	sim.net.Run(1010)
+	if got := sim.client.received[c]; got != string(resp.Append(nil, "hb_ok")) {
 		t.Fatalf("the collector was answered %q", got)
 	}
 	drained := map[string]bool{}
@@ -55,20 +55,20 @@
 			n.Zone, n.StartedMS = x.Zone, (at)*1000
 			list = append(list, x, n)
 		}
-		s.agent.tell(false, list...)
+		sim.discovery.publish(false, list...)
 		for p := range joiners / steps {
-			s.desk.join(3+39*(step*joiners/steps+p), []string{"a", "b"}[p%2])
+			sim.relay.join(3+39*(step*joiners/steps+p), []string{"a", "b"}[p%2])
 		}
 		at += 3
-		s.net.Run(at)
+		sim.net.Run(at)
 	}
-	s.net.Run(at + 11.3)
-	if n := len(s.program.proxies.JoinEvents()); n != own+joiners {
+	sim.net.Run(at + 11.3)
+	if n := len(sim.program.proxies.JoinEvents()); n != own+joiners {
 		t.Errorf("%d proxies are held to have joined, want %d", n, own+joiners)
 	}
-	for p := range s.desk.joined {
-		table := s.desk.tables[s.desk.on[p]]
-		if s.desk.on[p] == 0 || len(table) == 0 {
+	for p := range sim.relay.zones {
+		table := sim.relay.tables[sim.relay.tableOf[p]]
+		if sim.relay.tableOf[p] == 0 || len(table) == 0 {
 			t.Errorf("proxy %d has a table of %d lines", p, len(table))
 		}
 		for id := range table {
@@ -78,8 +78,8 @@
 			}
 		}
 	}
-	if s.desk.most > jsonrpc.MaxCallBytes || s.program.commands.Dropped > 0 || s.program.counts.malformed+s.program.endpoints.Malformed > 0 {
-		t.Errorf("a call of %d bytes, %d orders dropped, %d messages spoilt", s.desk.most, s.program.commands.Dropped, s.program.counts.malformed)
+	if sim.relay.largestCall > jsonrpc.MaxCallBytes || sim.program.commands.Dropped > 0 || sim.program.counts.malformed+sim.program.endpoints.Malformed > 0 {
+		t.Errorf("a call of %d bytes, %d orders dropped, %d messages spoilt", sim.relay.largestCall, sim.program.commands.Dropped, sim.program.counts.malformed)
 	}
 }
 
@@ -87,18 +87,18 @@
 func BenchmarkRound(b *testing.B) {
 	for _, servers := range []int{24, 200, 1024} {
 		b.Run(fmt.Sprintf("servers=%d", servers), func(b *testing.B) {
-			s := beginWith(b, 1, 1024, largeSettings(5, 2400), manyServers(servers)...)
-			s.desk.done = true
+			sim := simulateWith(b, 1, 1024, largeSettings(5, 2400), manyServers(servers)...)
+			sim.relay.acknowledges = true
 			for p := range 480 {
-				s.desk.join(p, []string{"a", "b"}[p%2])
+				sim.relay.join(p, []string{"a", "b"}[p%2])
 			}
-			s.net.Run(1030)
+			sim.net.Run(1030)
 			now := 1030.0
 			b.ReportAllocs()
 			b.ResetTimer()
 			for range b.N {
 				now += 0.05
-				s.program.round(now)
+				sim.program.round(now)
 			}
 		})
 	}
