--- a/internal/frontend/platform/clients_test.go
+++ b/internal/frontend/platform/clients_test.go
@@ -1,100 +1,134 @@
 package platform
 
 import (
+	"slices"
 	"strings"
 	"testing"
 
 	"snowquay/internal/wire/resp"
 )
 
+// hello is the first message of a collector.
+func hello(zone string) []byte { return resp.Append(nil, "telemetry", "az", zone) }
+
+var (
+	readinessCheck = resp.Append(nil, "hb")
+	readyAnswer    = string(resp.Append(nil, "hb_ok"))
+)
+
 func TestCollectorsRelayAndDiscoveryAreServed(t *testing.T) {
-	sim := simulate(t, 1, 256)
+	sim := simulate(t, 1)
 	sim.relay.join(4, "a")
-	c := sim.client.dial(append(resp.Append(nil, "hb"), resp.Append(nil, "telemetry", "az", "a")...))
+	conn := sim.client.dial(slices.Concat(readinessCheck, hello("a")))
 	sim.net.Run(1001.5)
-	if sim.client.received[c] != string(resp.Append(nil, "hb_ok")) || len(sim.relay.weights) != 3 || sim.relay.assignedAt[4] == 0 {
-		t.Fatalf("%q, %d lines, bound at %g", sim.client.received[c], len(sim.relay.weights), sim.relay.assignedAt[4])
+	if sim.client.received[conn] != readyAnswer || len(sim.relay.weights) != 3 || sim.relay.assignedAt[4] == 0 {
+		t.Fatalf("answered %q, %d weights, proxy assigned at %g", sim.client.received[conn], len(sim.relay.weights), sim.relay.assignedAt[4])
 	}
-	sim.client.io.Send(c, resp.Append(nil, "upstream_stats", "az", "a", "host", "s-1", "n", "12", "bad", "3", "avg", "41.7", "window", "1000.0",
+	sim.client.io.Send(conn, resp.Append(nil, "upstream_stats", "az", "a", "host", "s-1", "n", "12", "bad", "3", "avg", "41.7", "window", "1000.0",
 		"report", "queue:7,util:0.61,other:2"))
-	sim.client.io.Send(c, resp.Append(nil, "client_stats", "sidecar", "4", "kind", "lookup", "n", "19", "bad", "0", "window", "1000.0"))
+	sim.client.io.Send(conn, resp.Append(nil, "client_stats", "sidecar", "4", "kind", "lookup", "n", "19", "bad", "0", "window", "1000.0"))
 	sim.discovery.publish(false, server("s-2", "draining"))
 	sim.net.Run(1001.6)
-	if sim.program.counts.reports != 2 || sim.program.counts.malformed != 0 {
-		t.Errorf("%d reports, %d spoilt", sim.program.counts.reports, sim.program.counts.malformed)
+	if counts := sim.program.counts; counts.reports != 2 || counts.malformed != 0 {
+		t.Errorf("%d reports, %d malformed", counts.reports, counts.malformed)
 	}
-	if _, there := sim.relay.weights["s-2"]; there {
-		t.Error("a tenth of a second after it drains s-2 is in the table")
+	if sim.relay.inTable("s-2") {
+		t.Error("0.1 s after it started to drain s-2 is in the table")
 	}
 }
 
 func TestMalformedReportsAreSkipped(t *testing.T) {
-	sim := simulate(t, 1, 256)
+	sim := simulate(t, 1)
 	sim.relay.join(4, "a")
-	c := sim.client.dial(resp.Append(nil, "telemetry", "az", "a"))
+	conn := sim.client.dial(hello("a"))
 	sim.net.Run(1001)
 	good := []string{"upstream_stats", "az", "a", "host", "s-1", "n", "12", "bad", "3", "avg", "41.7", "window", "1000.0"}
-	bad := 0
+	malformed := 0
 	for i := 1; i < len(good); i += 2 {
-		for _, v := range []string{"", "-1", "nan", "inf", "1e300", "x", "\x00"} {
-			m := append([]string(nil), good...)
-			m[i+1] = v
-			sim.client.io.Send(c, resp.Append(nil, m...))
-			sim.client.io.Send(c, resp.Append(nil, append(append([]string(nil), good[:i]...), good[i+2:]...)...))
-			bad += 2
+		for _, value := range []string{"", "-1", "nan", "inf", "1e300", "x", "\x00"} {
+			changed := slices.Clone(good)
+			changed[i+1] = value
+			sim.client.io.Send(conn, resp.Append(nil, changed...))
+			sim.client.io.Send(conn, resp.Append(nil, slices.Concat(good[:i], good[i+2:])...))
+			malformed += 2
 		}
 	}
-	for _, m := range [][]string{{"client_stats", "sidecar", "5", "kind", "lookup", "n", "1", "bad", "0", "window", "1"}, {"client_stats", "sidecar", "4",
-		"kind", "other", "n", "1", "bad", "0", "window", "1"}, {"client_stats", "sidecar", "4", "kind", "lookup", "n", "1", "bad", "2", "window", "1"},
-		{"attach", "sidecar", "4"}, {"share"}, {"upstream_stats", "az"}, append(good, "report", "queue:x"), {"telemetry", "az", "q"}} {
-		sim.client.io.Send(c, resp.Append(nil, m...))
-		bad++
+	for _, message := range [][]string{
+		{"client_stats", "sidecar", "5", "kind", "lookup", "n", "1", "bad", "0", "window", "1"},
+		{"client_stats", "sidecar", "4", "kind", "other", "n", "1", "bad", "0", "window", "1"},
+		{"client_stats", "sidecar", "4", "kind", "lookup", "n", "1", "bad", "2", "window", "1"},
+		{"attach", "sidecar", "4"},
+		{"share"},
+		{"upstream_stats", "az"},
+		append(slices.Clone(good), "report", "queue:x"),
+		{"telemetry", "az", "q"},
+	} {
+		sim.client.io.Send(conn, resp.Append(nil, message...))
+		malformed++
 	}
-	sim.client.io.Send(c, resp.Append(nil, append(good, "more", "1")...))
+	sim.client.io.Send(conn, resp.Append(nil, append(slices.Clone(good), "more", "1")...))
 	sim.net.Run(1001.5)
-	if got := sim.program.counts; got.malformed != uint64(bad) || got.reports != 1 || sim.client.closedAt[c] != 0 {
-		t.Errorf("%d spoilt of %d, %d count, closed at %g", got.malformed, bad, got.reports, sim.client.closedAt[c])
+	if got := sim.program.counts; got.malformed != uint64(malformed) || got.reports != 1 || sim.client.closedAt[conn] != 0 {
+		t.Errorf("%d malformed, want %d; %d reports, closed at %g", got.malformed, malformed, got.reports, sim.client.closedAt[conn])
 	}
-	sim.client.io.Send(c, []byte("GET / HTTP/1.1\r\n\r\n"))
-	if sim.net.Run(1001.6); sim.client.closedAt[c] == 0 {
-		t.Error("a connection that goes on with what cannot be read stays")
+	sim.client.io.Send(conn, []byte("GET / HTTP/1.1\r\n\r\n"))
+	sim.net.Run(1001.6)
+	if sim.client.closedAt[conn] == 0 {
+		t.Error("a connection that goes on with what cannot be read stays open")
 	}
 }
 
 func TestUnidentifiedClientsAreRejectedInTime(t *testing.T) {
-	sim := simulate(t, 1, 256)
-	long := resp.Append(nil, "telemetry", "az", strings.Repeat("x", 100_000))
-	for _, b := range []string{"", "*", "*2\r\n$2\r\nhb", "*1\r\n$999999999\r\n", "*999999999\r\n", "*-1\r\n", "*1\r\n$-1\r\n", "GET / HTTP/1.1\r\n\r\n", "{}\n",
-		"\x16\x03\x01\x02", string(resp.Append(nil, "hb")), string(resp.Append(nil, "attach", "sidecar", "1", "az", "a")), string(long[:50_000]),
-		string(resp.Append(nil, "upstream_stats", "az", "a")), string(resp.Append(nil, "telemetry", "az", "nowhere")),
-		string(resp.Append(nil, "share", "group", "1")), strings.Repeat(string(resp.Append(nil, "hb")), 500)} {
-		sim.client.dial([]byte(b))
+	sim := simulate(t, 1)
+	long := string(hello(strings.Repeat("x", 100_000)))
+	for _, greeting := range []string{
+		"",
+		"*",
+		"*2\r\n$2\r\nhb",
+		"*1\r\n$999999999\r\n",
+		"*999999999\r\n",
+		"*-1\r\n",
+		"*1\r\n$-1\r\n",
+		"GET / HTTP/1.1\r\n\r\n",
+		"{}\n",
+		"\x16\x03\x01\x02",
+		string(readinessCheck),
+		string(resp.Append(nil, "attach", "sidecar", "1", "az", "a")),
+		long[:50_000],
+		string(resp.Append(nil, "upstream_stats", "az", "a")),
+		string(hello("nowhere")),
+		string(resp.Append(nil, "share", "group", "1")),
+		strings.Repeat(string(readinessCheck), 500),
+	} {
+		sim.client.dial([]byte(greeting))
 	}
 	sim.net.Run(1002)
-	for _, c := range sim.client.conns {
-		if at := sim.client.closedAt[c]; at == 0 || at-sim.client.openedAt[c] > 1.05 {
-			t.Errorf("%.30q was not closed within a second: %g", sim.client.greetings[c], at)
+	for _, conn := range sim.client.conns {
+		closedAt := sim.client.closedAt[conn]
+		if closedAt == 0 || closedAt-sim.client.openedAt[conn] > 1.05 {
+			t.Errorf("%.30q was not closed within a second: %g", sim.client.greetings[conn], closedAt)
 		}
 	}
 	if len(sim.program.clients) != 0 || len(sim.program.unidentified) != 0 || sim.relay.calls > 3 {
-		t.Errorf("%d callers are left, %d calls went out", len(sim.program.clients), sim.relay.calls)
+		t.Errorf("%d clients are left, %d calls were made", len(sim.program.clients), sim.relay.calls)
 	}
 }
 
 func TestSilentClientsLeaveRoomForCollectors(t *testing.T) {
-	sim := simulate(t, 1, 200)
-	first := sim.client.dial(resp.Append(nil, "telemetry", "az", "b"))
+	const descriptors = 200
+	sim := simulateWith(t, 1, descriptors, settings, server("s-1", "ready"), server("s-2", "ready"), server("s-3", "ready"))
+	first := sim.client.dial(hello("b"))
 	sim.net.Run(1000.6)
 	for range 400 {
 		sim.client.dial(nil)
 	}
 	sim.net.Run(1000.8)
-	if n := len(sim.program.clients); n > 200-reservedDescriptors {
-		t.Errorf("%d callers hold descriptors", n)
+	if clients := len(sim.program.clients); clients > descriptors-reservedDescriptors {
+		t.Errorf("%d clients hold descriptors", clients)
 	}
-	late := sim.client.dial(resp.Append(nil, "telemetry", "az", "a"))
+	late := sim.client.dial(hello("a"))
 	sim.net.Run(1003)
 	if sim.client.closedAt[first] != 0 || sim.client.closedAt[late] != 0 || len(sim.program.clients) != 2 {
-		t.Errorf("%d callers are left", len(sim.program.clients))
+		t.Errorf("%d clients are left", len(sim.program.clients))
 	}
 }
--- a/internal/frontend/platform/discovery_watch_test.go
+++ b/internal/frontend/platform/discovery_watch_test.go
@@ -7,101 +7,102 @@
 	"snowquay/internal/wire/discovery"
 )
 
-// A line of the watch that can't be read, or an entry in one: what it told is asked for again, and not lost when versions go on.
+// The changes in a line or an entry that cannot be read are requested again, and not lost when the versions go on.
 func TestUnreadablePartsOfListsAreRefetched(t *testing.T) {
-	for what, bad := range map[string]string{"a line": `{"version":1,"servers":[{"id":"s-3","state":"dra`,
+	for what, unreadable := range map[string]string{
+		"a line":   `{"version":1,"servers":[{"id":"s-3","state":"dra`,
 		"an entry": `{"version":1,"full":false,"servers":[{"id":"s-3","state":"drained?","zone":"a"}]}`,
-		"a type":   `{"version":1,"full":false,"servers":[{"id":"s-2","state":"ready","zone":"a","weight":1},{"id":3,"state":"draining"}]}`} {
-		sim := simulate(t, 1, 256)
+		"a type":   `{"version":1,"full":false,"servers":[{"id":"s-2","state":"ready","zone":"a","weight":1},{"id":3,"state":"draining"}]}`,
+	} {
+		sim := simulate(t, 1)
 		sim.relay.join(1, "a")
 		sim.net.Run(1002)
-		sim.discovery.firstLine = encodeList(2, false, server("s-3", "draining"), server("s-2", "ready")) // all after version 0, as it then is
-		for c := range sim.discovery.watchers {
-			sim.discovery.sendChunk(c, bad+"\n")
-		}
+		sim.discovery.firstLine = encodeList(2, false, server("s-3", "draining"), server("s-2", "ready")) // everything after version 0
+		sim.discovery.sendToWatchers(unreadable + "\n")
 		sim.discovery.list.Version = 1
 		sim.discovery.publish(false, server("s-2", "ready"))
 		sim.net.Run(1003)
-		if _, there := sim.relay.weights["s-3"]; there || !strings.Contains(sim.discovery.watchRequests[len(sim.discovery.watchRequests)-1], "index=0 ") {
-			t.Errorf("%s: a second later s-3 is in the table: %v; asked for %q", what, there, sim.discovery.watchRequests)
+		if sim.relay.inTable("s-3") || !strings.Contains(sim.discovery.lastWatchRequest(), "index=0 ") {
+			t.Errorf("%s: a second later s-3 is in the table: %v; requests %q", what, sim.relay.inTable("s-3"), sim.discovery.watchRequests)
 		}
 	}
 }
 
-// Lists that never can be read whole are not asked for in a loop, and the rest of them counts.
+// Lists that stay malformed are not requested in a loop, and their readable entries count.
 func TestListsThatStayMalformedAreRefetchedWithBackoff(t *testing.T) {
-	sim := simulate(t, 1, 256)
+	sim := simulate(t, 1)
 	sim.relay.join(1, "a")
 	sim.net.Run(1002)
-	strange := server("s-9", "ready")
-	strange.Zone = "nowhere"
-	sim.discovery.firstLine = encodeList(1, false, strange, server("s-3", "draining"))
+	unknownZone := server("s-9", "ready")
+	unknownZone.Zone = "nowhere"
+	sim.discovery.firstLine = encodeList(1, false, unknownZone, server("s-3", "draining"))
 	before := len(sim.discovery.watchRequests)
-	for c := range sim.discovery.watchers {
-		sim.discovery.sendChunk(c, sim.discovery.firstLine+"\n")
-	}
+	sim.discovery.sendToWatchers(sim.discovery.firstLine + "\n")
 	sim.net.Run(1062)
-	if n := len(sim.discovery.watchRequests) - before; n < 5 || n > 16 {
-		t.Errorf("in a minute it was asked %d times", n)
-	}
-	if _, there := sim.relay.weights["s-3"]; there {
-		t.Error("s-3 drains, as was told beside what can't be read, and is in the table")
+	if requests := len(sim.discovery.watchRequests) - before; requests < 5 || requests > 16 {
+		t.Errorf("%d requests in a minute", requests)
 	}
-	for c := range sim.discovery.watchers { // and what comes between is heard at once
-		sim.discovery.sendChunk(c, encodeList(2, false, server("s-2", "draining"))+"\n")
+	if sim.relay.inTable("s-3") {
+		t.Error("s-3, which is draining by an entry beside an unusable one, is in the table")
 	}
+	// What comes on the connection meanwhile counts at once.
+	sim.discovery.sendToWatchers(encodeList(2, false, server("s-2", "draining")) + "\n")
 	sim.net.Run(1062.1)
-	if _, there := sim.relay.weights["s-2"]; there || len(sim.discovery.watchers) == 0 {
-		t.Errorf("a drain told on the watch is not obeyed; %d watches", len(sim.discovery.watchers))
+	if sim.relay.inTable("s-2") || len(sim.discovery.watchers) == 0 {
+		t.Errorf("s-2, which is draining, is in the table: %v; %d watches", sim.relay.inTable("s-2"), len(sim.discovery.watchers))
 	}
 }
 
-// A new discovery counts its versions anew, or goes on after a list that we never had: the whole list is asked for, and what
-// changes then is not ignored as old.
+// A new discovery may start at a lower version, or go on after a list that the program has not had: the full list is requested, and the
+// changes after it are not ignored as old.
 func TestNewDiscoveryHasItsOwnVersions(t *testing.T) {
 	for _, version := range []int64{2, 41} {
-		sim := simulate(t, 1, 256)
+		sim := simulate(t, 1)
 		sim.relay.join(1, "a")
 		for range 40 {
 			sim.discovery.publish(false, server("s-1", "ready"))
 		}
 		sim.net.Run(1002)
-		newDiscovery := &fakeDiscovery{list: discovery.List{Version: version, Full: true, Servers: []discovery.Server{server("s-1", "ready"), server("s-2", "ready")}}}
+		servers := []discovery.Server{server("s-1", "ready"), server("s-2", "ready")}
+		newDiscovery := &fakeDiscovery{list: discovery.List{Version: version, Full: true, Servers: servers}}
 		newDiscovery.firstLine = encodeList(version, false)
-		sim.net.Add(otherDiscovery.Addr(), 0, false).Start(newDiscovery)
+		sim.start(otherDiscovery, newDiscovery)
 		sim.program.SetAddresses(sim.net.Now(), otherDiscovery, relayAddress)
 		sim.net.Run(1003)
-		if _, there := sim.relay.weights["s-3"]; there || newDiscovery.fullLists != 1 {
-			t.Errorf("version %d: s-3, which the new list does not have, is in the table: %v; %d whole lists", version, there, newDiscovery.fullLists)
+		if sim.relay.inTable("s-3") || newDiscovery.fullLists != 1 {
+			t.Errorf("version %d: s-3, which the new list lacks, is in the table: %v; %d requests for the full list", version,
+				sim.relay.inTable("s-3"), newDiscovery.fullLists)
 		}
 		newDiscovery.publish(false, server("s-2", "draining"))
 		sim.net.Run(1003.2)
-		if _, there := sim.relay.weights["s-2"]; there {
-			t.Errorf("version %d: a drain that the new discovery told is ignored", version)
+		if sim.relay.inTable("s-2") {
+			t.Errorf("version %d: s-2, which is draining by the new discovery, is in the table", version)
 		}
 	}
 }
 
-// A whole list that can't be read at first is asked for until it can, and not in a loop; no watch is built on what was not read.
+// A full list that cannot be read is requested again, and not in a loop; there is no watch before it has been read.
 func TestUnreadableFullListIsRefetched(t *testing.T) {
-	sim := simulate(t, 1, 256)
+	sim := simulate(t, 1)
 	sim.relay.join(1, "a")
 	sim.net.Run(1002)
 	next := &fakeDiscovery{list: discovery.List{Version: 9, Servers: []discovery.Server{server("s-1", "ready")}}, truncated: true}
-	sim.net.Add(otherDiscovery.Addr(), 0, false).Start(next)
+	sim.start(otherDiscovery, next)
 	sim.program.SetAddresses(sim.net.Now(), otherDiscovery, relayAddress)
-	if sim.net.Run(1007); next.fullLists < 5 || next.fullLists > 30 || len(next.watchRequests) > 0 || len(sim.relay.weights) != 3 {
-		t.Errorf("in 5 s it was asked for %d times, %d watches; the table is %v", next.fullLists, len(next.watchRequests), sim.relay.weights)
+	sim.net.Run(1007)
+	if next.fullLists < 5 || next.fullLists > 30 || len(next.watchRequests) > 0 || len(sim.relay.weights) != 3 {
+		t.Errorf("%d requests in 5 s, %d watches; the weights are %v", next.fullLists, len(next.watchRequests), sim.relay.weights)
 	}
 	next.truncated = false
-	if sim.net.Run(1008.5); len(next.watchers) != 1 || len(sim.relay.weights) != 1 {
-		t.Errorf("then %d watches, the table is %v", len(next.watchers), sim.relay.weights)
+	sim.net.Run(1008.5)
+	if len(next.watchers) != 1 || len(sim.relay.weights) != 1 {
+		t.Errorf("after it can be read %d watches; the weights are %v", len(next.watchers), sim.relay.weights)
 	}
 }
 
-// The same where an agent has begun anew at the same address: its first line has a version below the known one.
+// A discovery that has started anew at the same address is recognized by the version of its first line, which is below the known one.
 func TestRestartedDiscoveryIsAskedForTheFullList(t *testing.T) {
-	sim := simulate(t, 1, 256)
+	sim := simulate(t, 1)
 	sim.relay.join(1, "a")
 	for range 40 {
 		sim.discovery.publish(false, server("s-1", "ready"))
@@ -109,12 +110,12 @@
 	sim.net.Run(1002)
 	sim.discovery.list = discovery.List{Version: 3, Full: true, Servers: []discovery.Server{server("s-1", "ready")}}
 	sim.discovery.firstLine = encodeList(3, false)
-	for c := range sim.discovery.watchers {
-		sim.discovery.io.Close(c)
-		sim.discovery.Closed(1002, c)
+	for conn := range sim.discovery.watchers {
+		sim.discovery.io.Close(conn)
+		sim.discovery.Closed(1002, conn)
 	}
 	sim.net.Run(1004)
 	if len(sim.relay.weights) != 1 || sim.discovery.fullLists != 1 {
-		t.Errorf("the table is %v, %d whole lists were asked for", sim.relay.weights, sim.discovery.fullLists)
+		t.Errorf("the weights are %v, %d requests for the full list", sim.relay.weights, sim.discovery.fullLists)
 	}
 }
--- a/internal/frontend/platform/fake_client_test.go
+++ b/internal/frontend/platform/fake_client_test.go
@@ -1,36 +1,41 @@
 package platform
 
-import (
-	"snowquay/internal/env"
-)
+import "snowquay/internal/env"
 
-// caller is whoever connects to the coordinator.
+// fakeClient connects to the program from the simulated network, any number of times.
 type fakeClient struct {
 	idleProgram
 	conns     []env.Conn
+	greetings map[env.Conn][]byte // sent as soon as the connection is established
 	received  map[env.Conn]string
-	closedAt  map[env.Conn]float64
 	openedAt  map[env.Conn]float64
-	greetings map[env.Conn][]byte
+	closedAt  map[env.Conn]float64
 }
 
 func newFakeClient() *fakeClient {
-	return &fakeClient{received: map[env.Conn]string{}, closedAt: map[env.Conn]float64{}, openedAt: map[env.Conn]float64{}, greetings: map[env.Conn][]byte{}}
+	return &fakeClient{
+		greetings: map[env.Conn][]byte{},
+		received:  map[env.Conn]string{},
+		openedAt:  map[env.Conn]float64{},
+		closedAt:  map[env.Conn]float64{},
+	}
 }
 
-func (d *fakeClient) dial(b []byte) env.Conn {
-	c := d.io.Dial(selfAddress)
-	d.conns, d.greetings[c] = append(d.conns, c), b
-	return c
+func (c *fakeClient) dial(greeting []byte) env.Conn {
+	conn := c.io.Dial(selfAddress)
+	c.conns = append(c.conns, conn)
+	c.greetings[conn] = greeting
+	return conn
 }
 
-func (d *fakeClient) Connected(now float64, c env.Conn, ok bool) {
-	if d.openedAt[c] = now; !ok {
-		d.closedAt[c] = now
+func (c *fakeClient) Connected(now float64, conn env.Conn, ok bool) {
+	c.openedAt[conn] = now
+	if !ok {
+		c.closedAt[conn] = now
 		return
 	}
-	d.io.Send(c, d.greetings[c])
+	c.io.Send(conn, c.greetings[conn])
 }
 
-func (d *fakeClient) Receive(_ float64, c env.Conn, b []byte) { d.received[c] += string(b) }
-func (d *fakeClient) Closed(now float64, c env.Conn)          { d.closedAt[c] = now }
+func (c *fakeClient) Receive(_ float64, conn env.Conn, b []byte) { c.received[conn] += string(b) }
+func (c *fakeClient) Closed(now float64, conn env.Conn)          { c.closedAt[conn] = now }
--- a/internal/frontend/platform/fake_discovery_test.go
+++ b/internal/frontend/platform/fake_discovery_test.go
@@ -9,87 +9,120 @@
 	"snowquay/internal/wire/discovery"
 )
 
-// fakeDiscovery is discovery.
+// discoveryHeartbeat is the time between two heartbeats of a discovery, in seconds.
+const discoveryHeartbeat = 2
+
+// streamHead is the head of the response to a watch.
+const streamHead = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
+
+// fakeDiscovery is a discovery in the simulated network.
 type fakeDiscovery struct {
 	idleProgram
-	watchers map[env.Conn]bool
 	list     discovery.List
-	requests map[env.Conn]string
-	silent   bool
+	watchers map[env.Conn]bool
+	requests map[env.Conn]string // as far as they have come
+
+	firstLine string // of a watch; empty: the full list
+	truncated bool   // responses with the full list lack their second half
+	silent    bool   // nothing is sent
 
-	firstLine     string   // of a watch's lines, where it is not the whole list
-	truncated     bool     // the whole list is cut short
-	fullLists     int      // times that the whole list was asked for
+	fullLists     int      // requests for the full list
 	watchRequests []string // requests for a watch
 }
 
-func (a *fakeDiscovery) Start(now float64, io env.IO) {
-	a.io, a.watchers, a.requests = io, map[env.Conn]bool{}, map[env.Conn]string{}
-	io.SetTimer(now+2, 0)
+func (d *fakeDiscovery) Start(now float64, io env.IO) {
+	d.io = io
+	d.watchers = map[env.Conn]bool{}
+	d.requests = map[env.Conn]string{}
+	io.SetTimer(now+discoveryHeartbeat, 0)
 }
 
-func (a *fakeDiscovery) sendChunk(c env.Conn, text string) {
-	if !a.silent {
-		a.io.Send(c, fmt.Appendf(nil, "%x\r\n%s\r\n", len(text), text))
-	}
+func (d *fakeDiscovery) TimerFired(now float64, _ int) {
+	d.sendToWatchers("\n")
+	d.io.SetTimer(now+discoveryHeartbeat, 0)
 }
 
-func (a *fakeDiscovery) TimerFired(now float64, _ int) {
-	for c := range a.watchers {
-		a.sendChunk(c, "\n")
+func (d *fakeDiscovery) Closed(_ float64, conn env.Conn) { delete(d.watchers, conn) }
+
+func (d *fakeDiscovery) Receive(_ float64, conn env.Conn, b []byte) {
+	d.requests[conn] += string(b)
+	request := d.requests[conn]
+	if !strings.HasSuffix(request, "\r\n\r\n") {
+		return
+	}
+	d.requests[conn] = ""
+	switch {
+	case strings.HasPrefix(request, "GET /registry/instances HTTP/1.1\r\n"):
+		d.fullLists++
+		d.sendFullList(conn)
+	case strings.HasPrefix(request, "GET /registry/instances?stream=1&index="):
+		d.watchRequests = append(d.watchRequests, request)
+		d.watchers[conn] = true
+		d.startStream(conn)
+	default:
+		panic(request)
 	}
-	a.io.SetTimer(now+2, 0)
 }
 
-func (a *fakeDiscovery) Closed(_ float64, c env.Conn) { delete(a.watchers, c) }
-
-func (a *fakeDiscovery) publish(full bool, servers ...discovery.Server) {
-	a.list.Version++
-	b, _ := json.Marshal(discovery.List{Version: a.list.Version, Full: full, Servers: servers})
-	for c := range a.watchers { // in two chunks: a line need not end where a chunk does
-		a.sendChunk(c, string(b[:len(b)/2]))
-		a.sendChunk(c, string(b[len(b)/2:])+"\n")
+func (d *fakeDiscovery) sendFullList(conn env.Conn) {
+	if d.silent {
+		return
 	}
-	if full {
-		a.list.Servers = servers
+	body := encodeList(d.list.Version, true, d.list.Servers...)
+	if d.truncated {
+		body = body[:len(body)/2]
 	}
+	d.io.Send(conn, fmt.Appendf(nil, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body))
 }
 
-func (a *fakeDiscovery) Receive(_ float64, c env.Conn, b []byte) {
-	if a.requests[c] += string(b); !strings.HasSuffix(a.requests[c], "\r\n\r\n") {
+func (d *fakeDiscovery) startStream(conn env.Conn) {
+	if d.silent {
 		return
 	}
-	asked := a.requests[c]
-	if a.requests[c] = ""; strings.HasPrefix(asked, "GET /registry/instances HTTP/1.1\r\n") {
-		a.fullLists++
-		if full, _ := json.Marshal(discovery.List{Version: a.list.Version, Full: true, Servers: a.list.Servers}); !a.silent {
-			if a.truncated {
-				full = full[:len(full)/2]
-			}
-			a.io.Send(c, fmt.Appendf(nil, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(full), full))
-		}
-		return
+	d.io.Send(conn, []byte(streamHead))
+	first := d.firstLine
+	if first == "" {
+		first = encodeList(d.list.Version, true, d.list.Servers...)
+	}
+	d.sendChunk(conn, first+"\n")
+}
+
+func (d *fakeDiscovery) sendChunk(conn env.Conn, text string) {
+	if !d.silent {
+		d.io.Send(conn, []byte(encodeChunk(text)))
+	}
+}
+
+func (d *fakeDiscovery) sendToWatchers(text string) {
+	for conn := range d.watchers {
+		d.sendChunk(conn, text)
 	}
-	if !strings.HasPrefix(asked, "GET /registry/instances?stream=1&index=") {
-		panic(asked)
+}
+
+// publish sends the next version of the list, in two chunks, since a line need not end where a chunk does.
+func (d *fakeDiscovery) publish(full bool, servers ...discovery.Server) {
+	d.list.Version++
+	text := encodeList(d.list.Version, full, servers...)
+	for conn := range d.watchers {
+		d.sendChunk(conn, text[:len(text)/2])
+		d.sendChunk(conn, text[len(text)/2:]+"\n")
 	}
-	a.watchRequests = append(a.watchRequests, asked)
-	a.watchers[c] = true
-	if !a.silent {
-		a.io.Send(c, []byte("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"))
-		first, _ := json.Marshal(discovery.List{Version: a.list.Version, Full: true, Servers: a.list.Servers})
-		if a.firstLine != "" {
-			first = []byte(a.firstLine)
-		}
-		a.sendChunk(c, string(first)+"\n")
+	if full {
+		d.list.Servers = servers
 	}
 }
 
+// lastWatchRequest is the newest request for a watch.
+func (d *fakeDiscovery) lastWatchRequest() string { return d.watchRequests[len(d.watchRequests)-1] }
+
 func server(id string, state discovery.State) discovery.Server {
 	return discovery.Server{ID: id, Address: "10.1.0.18:8000", Zone: "a", Kind: "m", State: state, Weight: 1}
 }
 
 func encodeList(version int64, full bool, servers ...discovery.Server) string {
-	b, _ := json.Marshal(discovery.List{Version: version, Full: full, Servers: append([]discovery.Server{}, servers...)})
-	return string(b)
+	list := discovery.List{Version: version, Full: full, Servers: append([]discovery.Server{}, servers...)}
+	text, _ := json.Marshal(list) // a list always has a JSON form
+	return string(text)
 }
+
+func encodeChunk(text string) string { return fmt.Sprintf("%x\r\n%s\r\n", len(text), text) }
--- a/internal/frontend/platform/fake_relay_test.go
+++ b/internal/frontend/platform/fake_relay_test.go
@@ -1,7 +1,6 @@
 package platform
 
 import (
-	"encoding/json"
 	"fmt"
 	"maps"
 	"net/netip"
@@ -11,149 +10,208 @@
 	"snowquay/internal/wire/lines"
 )
 
-// fakeRelay is a relay: what its proxies were told, by call.
+// relayHeartbeat is the time between two heartbeats of a relay, in seconds.
+const relayHeartbeat = 1
+
+// fakeRelay is a relay in the simulated network. It keeps what its proxies were told.
 type fakeRelay struct {
 	idleProgram
-	readers      map[env.Conn]*lines.Reader
-	subscribers  map[env.Conn]bool
-	zones        map[int]string // by proxy, its zone
-	assignedAt   map[int]float64
-	weights      map[string]float64
-	tables       map[int]map[string]float64
-	tableOf      map[int]int                                          // the table of each proxy
-	respond      func(id uint64, orders int) (text string, done bool) // nil: all is well
-	calls        int
-	opened       int
-	unreachable  bool         // out of reach: it takes what comes, and says nothing
-	delay        func(func()) // where an answer is to come later
-	acknowledges bool         // proxies answer marks at once
-	largestCall  int          // bytes of the largest call
+	readers     map[env.Conn]*lines.Reader
+	subscribers map[env.Conn]bool
+	zones       map[int]string             // of the joined proxies
+	assignedAt  map[int]float64            // by proxy
+	tableOf     map[int]int                // by proxy
+	tables      map[int]map[string]float64 // weights by table and server
+	weights     map[string]float64         // by server, of the newest command in any table
+
+	respond      func(id uint64, commands int) (members string, applied bool) // nil: every command is applied
+	delay        func(send func())                                            // nil: responses are sent at once
+	acknowledges bool                                                         // proxies acknowledge at once
+	unreachable  bool                                                         // nothing is sent
+
+	calls       int
+	opened      int // connections
+	largestCall int // bytes
 }
 
+// closeConnection as the members of a response stands for the end of the connection instead of one.
+const closeConnection = "reset"
+
 func newFakeRelay() *fakeRelay {
-	return &fakeRelay{readers: map[env.Conn]*lines.Reader{}, subscribers: map[env.Conn]bool{}, zones: map[int]string{}, assignedAt: map[int]float64{},
-		weights: map[string]float64{}, tables: map[int]map[string]float64{}, tableOf: map[int]int{}}
+	return &fakeRelay{
+		readers:     map[env.Conn]*lines.Reader{},
+		subscribers: map[env.Conn]bool{},
+		zones:       map[int]string{},
+		assignedAt:  map[int]float64{},
+		tableOf:     map[int]int{},
+		tables:      map[int]map[string]float64{},
+		weights:     map[string]float64{},
+	}
+}
+
+// newRelayOf returns a relay for the proxies of another one.
+func newRelayOf(other *fakeRelay) *fakeRelay {
+	relay := newFakeRelay()
+	relay.zones = other.zones
+	relay.weights = other.weights
+	return relay
 }
 
-func (d *fakeRelay) Start(now float64, io env.IO) { d.io = io; io.SetTimer(now+1, 0) }
+func (r *fakeRelay) Start(now float64, io env.IO) {
+	r.io = io
+	io.SetTimer(now+relayHeartbeat, 0)
+}
 
-func (d *fakeRelay) TimerFired(now float64, _ int) {
-	for c := range d.subscribers {
-		if !d.unreachable {
-			d.io.Send(c, []byte(`{"jsonrpc":"2.0","method":"ping","params":{}}`+"\n"))
+func (r *fakeRelay) TimerFired(now float64, _ int) {
+	for conn := range r.subscribers {
+		if !r.unreachable {
+			r.io.Send(conn, []byte(heartbeatLine))
 		}
 	}
-	d.io.SetTimer(now+1, 0)
+	r.io.SetTimer(now+relayHeartbeat, 0)
 }
 
-func (d *fakeRelay) Opened(_ float64, c env.Conn, _ netip.Addr, _ uint16) {
-	d.readers[c] = &lines.Reader{}
-	d.opened++
+func (r *fakeRelay) Opened(_ float64, conn env.Conn, _ netip.Addr, _ uint16) {
+	r.readers[conn] = &lines.Reader{}
+	r.opened++
 }
 
-func (d *fakeRelay) Closed(_ float64, c env.Conn) { delete(d.readers, c); delete(d.subscribers, c) }
-
-func (d *fakeRelay) sendJoin(c env.Conn, p int) {
-	d.io.Send(c, fmt.Appendf(nil, `{"jsonrpc":"2.0","method":"attach","params":{"sidecar":%d,"az":%q,"share":5,"standing":true}}`+"\n", p, d.zones[p]))
+func (r *fakeRelay) Closed(_ float64, conn env.Conn) {
+	delete(r.readers, conn)
+	delete(r.subscribers, conn)
 }
 
-func (d *fakeRelay) join(p int, zone string) {
-	d.zones[p] = zone
-	for c := range d.subscribers {
-		d.sendJoin(c, p)
+// join makes a proxy join, and tells all subscribers.
+func (r *fakeRelay) join(proxy int, zone string) {
+	r.zones[proxy] = zone
+	for conn := range r.subscribers {
+		r.sendJoin(conn, proxy)
 	}
 }
 
-func (d *fakeRelay) Receive(now float64, c env.Conn, b []byte) {
-	_ = d.readers[c].Read(b, 1<<20, func(line []byte) {
-		var m struct {
-			ID     uint64 `json:"id"`
-			Method string `json:"method"`
-			Params struct {
-				Changes []map[string]any `json:"changes"`
-			} `json:"params"`
-		}
-		if json.Unmarshal(line, &m) != nil {
+func (r *fakeRelay) sendJoin(conn env.Conn, proxy int) {
+	r.io.Send(conn, []byte(joinLine(proxy, r.zones[proxy])))
+}
+
+func (r *fakeRelay) Receive(now float64, conn env.Conn, b []byte) {
+	_ = r.readers[conn].Read(b, 1<<20, func(line []byte) {
+		request, err := decodeRequest(line)
+		if err != nil {
 			panic(string(line))
 		}
-		if m.Method == "relay.watch" && d.unreachable {
+		if request.Method == watchMethod {
+			r.subscribe(conn, request.ID)
 			return
 		}
-		if m.Method == "relay.watch" {
-			d.subscribers[c] = true
-			d.io.Send(c, fmt.Appendf(nil, `{"jsonrpc":"2.0","id":%d,"result":true}`+"\n", m.ID))
-			for _, p := range slices.Sorted(maps.Keys(d.zones)) {
-				if d.zones[p] != "" {
-					d.sendJoin(c, p)
-				}
-			}
-			return
-		}
-		d.calls++
-		d.largestCall = max(d.largestCall, len(line))
-		text, done := fmt.Sprintf(`"result":{"accepted":%d}`, len(m.Params.Changes)), true
-		if d.respond != nil {
-			text, done = d.respond(m.ID, len(m.Params.Changes))
-		}
-		for _, o := range m.Params.Changes {
-			switch {
-			case !done:
-			case o["do"] == "share":
-				if d.weights[o["host"].(string)] = o["share"].(float64); o["share"] == 0.0 {
-					delete(d.weights, o["host"].(string))
-				}
-				g := int(o["group"].(float64))
-				if d.tables[g] == nil {
-					d.tables[g] = map[string]float64{}
-				}
-				if d.tables[g][o["host"].(string)] = o["share"].(float64); o["share"] == 0.0 {
-					delete(d.tables[g], o["host"].(string))
-				}
-			case o["do"] == "bind":
-				d.tableOf[int(o["sidecar"].(float64))] = int(o["group"].(float64))
-				d.assignedAt[int(o["sidecar"].(float64))] = now
-			}
-		}
-		if d.unreachable {
-			return
-		}
-		if done && d.acknowledges {
-			d.acknowledge(m.Params.Changes)
+		r.calls++
+		r.largestCall = max(r.largestCall, len(line))
+		r.handleCall(now, conn, request)
+	})
+}
+
+func (r *fakeRelay) subscribe(conn env.Conn, id uint64) {
+	if r.unreachable {
+		return
+	}
+	r.subscribers[conn] = true
+	r.io.Send(conn, []byte(subscribedLine(id)))
+	for _, proxy := range slices.Sorted(maps.Keys(r.zones)) {
+		if r.zones[proxy] != "" {
+			r.sendJoin(conn, proxy)
 		}
-		switch text {
-		case "":
-		case "reset":
-			d.io.Close(c)
-			d.Closed(now, c)
-		default:
-			send := func() { d.io.Send(c, fmt.Appendf(nil, `{"jsonrpc":"2.0","id":%d,%s}`+"\n", m.ID, text)) }
-			if d.delay == nil {
-				send()
-			} else {
-				d.delay(send)
-			}
+	}
+}
+
+func (r *fakeRelay) handleCall(now float64, conn env.Conn, request relayRequest) {
+	commands := request.Params.Commands
+	members := fmt.Sprintf(`"result":{"accepted":%d}`, len(commands))
+	applied := true
+	if r.respond != nil {
+		members, applied = r.respond(request.ID, len(commands))
+	}
+	if applied {
+		r.apply(now, commands)
+	}
+	if r.unreachable {
+		return
+	}
+	if applied && r.acknowledges {
+		r.acknowledge(commands)
+	}
+	switch members {
+	case "":
+	case closeConnection:
+		r.io.Close(conn)
+		r.Closed(now, conn)
+	default:
+		r.sendResponse(conn, request.ID, members)
+	}
+}
+
+func (r *fakeRelay) sendResponse(conn env.Conn, id uint64, members string) {
+	send := func() { r.io.Send(conn, fmt.Appendf(nil, `{"jsonrpc":"2.0","id":%d,%s}`+"\n", id, members)) }
+	if r.delay != nil {
+		r.delay(send)
+		return
+	}
+	send()
+}
+
+func (r *fakeRelay) apply(now float64, commands []relayCommand) {
+	for _, command := range commands {
+		switch command.Kind {
+		case weightKind:
+			r.setWeight(*command.Table, *command.Server, *command.Weight)
+		case assignmentKind:
+			r.tableOf[*command.Proxy] = *command.Table
+			r.assignedAt[*command.Proxy] = now
 		}
-	})
+	}
 }
 
-// acknowledge has all whom a call concerns answer its mark.
-func (d *fakeRelay) acknowledge(changes []map[string]any) {
-	proxies, groups, stamp := map[int]bool{}, map[int]bool{}, 0.0
-	for _, o := range changes {
-		switch o["do"] {
-		case "mark":
-			stamp = o["stamp"].(float64)
-		case "bind":
-			proxies[int(o["sidecar"].(float64))] = true
+func (r *fakeRelay) setWeight(table int, server string, weight float64) {
+	if r.tables[table] == nil {
+		r.tables[table] = map[string]float64{}
+	}
+	if weight == 0 {
+		delete(r.weights, server)
+		delete(r.tables[table], server)
+		return
+	}
+	r.weights[server] = weight
+	r.tables[table][server] = weight
+}
+
+// acknowledge makes all joined proxies that a call concerns acknowledge it.
+func (r *fakeRelay) acknowledge(commands []relayCommand) {
+	proxies := map[int]bool{}
+	tables := map[int]bool{}
+	var id int64
+	for _, command := range commands {
+		switch command.Kind {
+		case ackRequestKind:
+			id = *command.AckID
+		case assignmentKind:
+			proxies[*command.Proxy] = true
 		default:
-			groups[int(o["group"].(float64))] = true
+			tables[*command.Table] = true
 		}
 	}
-	for _, p := range slices.Sorted(maps.Keys(d.tableOf)) {
-		if stamp > 0 && d.zones[p] != "" && (proxies[p] || groups[d.tableOf[p]]) {
-			for c := range d.subscribers {
-				d.io.Send(c, fmt.Appendf(nil, `{"jsonrpc":"2.0","method":"done","params":{"sidecar":%d,"version":%.0f,"lag_ms":100}}`+"\n", p, stamp))
-			}
+	if id <= 0 {
+		return
+	}
+	for _, proxy := range slices.Sorted(maps.Keys(r.tableOf)) {
+		if r.zones[proxy] == "" || !proxies[proxy] && !tables[r.tableOf[proxy]] {
+			continue
+		}
+		for conn := range r.subscribers {
+			r.io.Send(conn, []byte(ackLine(proxy, id)))
 		}
 	}
 }
+
+// inTable reports whether the newest command for a server puts it into a table.
+func (r *fakeRelay) inTable(server string) bool {
+	_, ok := r.weights[server]
+	return ok
+}
--- a/internal/frontend/platform/relay_test.go
+++ b/internal/frontend/platform/relay_test.go
@@ -1,40 +1,37 @@
 package platform
 
 import (
-	"io"
-	"log/slog"
 	"net/netip"
 	"testing"
 
 	"snowquay/internal/deployment"
 	"snowquay/internal/env"
-	"snowquay/internal/env/simnet"
 	"snowquay/internal/wire/discovery"
 )
 
-// A relay that is out of reach is dialled three times a second: what waits is ordered as soon as it is back.
+// A relay that is out of reach is dialled three times a second, so that pending commands go out as soon as it is back.
 func TestPendingCommandsGoOutWhenTheRelayReturns(t *testing.T) {
-	sim := simulate(t, 1, 256)
+	sim := simulate(t, 1)
 	sim.relay.join(1, "a")
 	sim.net.Run(1002)
-	sim.hosts["relay"].Shun(func(a netip.Addr) bool { return a == selfAddress.Addr() })
+	sim.relayHost.Shun(func(a netip.Addr) bool { return a == selfAddress.Addr() })
 	sim.net.Run(1004)
 	sim.discovery.publish(false, server("s-3", "draining"))
 	for at := 1004.0; at < 1011; at += 0.5 {
 		sim.net.Run(at)
-		sim.discovery.publish(false, server("s-1", "ready")) // nothing new: rounds go on
+		sim.discovery.publish(false, server("s-1", "ready")) // no change, but a round
 	}
 	sim.net.Run(1011)
-	sim.hosts["relay"].Shun(nil)
+	sim.relayHost.Shun(nil)
 	sim.net.Run(1011.6)
-	if _, there := sim.relay.weights["s-3"]; there {
-		t.Error("0.6 s after the relay is back s-3, which drains, is in the table")
+	if sim.relay.inTable("s-3") {
+		t.Error("0.6 s after the relay is back s-3, which is draining, is in the table")
 	}
 }
 
-// What is written to a relay that is out of reach may arrive all the same: it is not written again and again.
+// What is written to a relay that is out of reach may still arrive, so that it is not written again and again.
 func TestUnreachableRelayGetsFewCalls(t *testing.T) {
-	sim := simulate(t, 1, 256)
+	sim := simulate(t, 1)
 	sim.relay.join(1, "a")
 	sim.net.Run(1002)
 	sim.relay.unreachable = true
@@ -45,172 +42,181 @@
 		sim.discovery.publish(false, server("s-2", []discovery.State{"ready", "draining"}[int(at*2)%2]))
 		sim.net.Run(at)
 	}
-	if n := sim.relay.calls - before; n < 1 || n > 2 {
-		t.Errorf("in six seconds %d calls were written", n)
+	if calls := sim.relay.calls - before; calls < 1 || calls > 2 {
+		t.Errorf("%d calls were written in six seconds", calls)
 	}
 	sim.discovery.publish(false, server("s-2", "draining"))
 	sim.relay.unreachable = false
 	sim.net.Run(1010)
 	if len(sim.relay.weights) != 1 || sim.relay.weights["s-1"] == 0 {
-		t.Errorf("two seconds after it is back its table is %v", sim.relay.weights)
+		t.Errorf("two seconds after it is back the weights are %v", sim.relay.weights)
 	}
 }
 
-// While orders do not reach the channel the module decides none, and what it decided is not held to have left.
+// While commands do not reach the channel the balancer makes no decisions, and does not assume that earlier ones have left it.
 func TestBalancerKnowsThatTheChannelIsStalled(t *testing.T) {
-	sim := simulate(t, 1, 256)
+	sim := simulate(t, 1)
 	sim.relay.join(1, "a")
-	if sim.net.Run(1002); sim.program.stalled(1002) {
-		t.Fatal("a relay that answers is held to be out of reach")
+	sim.net.Run(1002)
+	if sim.program.stalled(1002) {
+		t.Fatal("stalled though the relay responds")
 	}
 	sim.relay.unreachable = true
 	sim.discovery.publish(false, server("s-3", "draining"))
 	sim.net.Run(1002.02)
 	if !sim.program.commands.InFlight() || sim.program.stalled(1002.02) {
-		t.Error("a call that may still be answered is given up")
+		t.Error("a call that may still get a response is given up")
 	}
 	sim.net.Run(1004)
-	waiting := sim.program.commands.Pending()
+	pending := sim.program.commands.Pending()
 	sim.discovery.publish(false, server("s-2", "draining"))
-	if sim.net.Run(1005); !sim.program.stalled(1005) || sim.program.commands.Pending() > waiting || !sim.program.relay.stalled {
-		t.Errorf("%d orders wait, %d before; held %v", sim.program.commands.Pending(), waiting, sim.program.relay.stalled)
+	sim.net.Run(1005)
+	if !sim.program.stalled(1005) || sim.program.commands.Pending() > pending || !sim.program.relay.stalled {
+		t.Errorf("%d commands are pending, %d before; stalled %v", sim.program.commands.Pending(), pending, sim.program.relay.stalled)
 	}
 }
 
-// Links change while a call is out: its answer is taken from the old link, which then goes, and nothing is sent twice.
+// The connections are replaced while a call is in flight: its response is taken on the old one, which is closed then, and nothing is sent twice.
 func TestResponseOnReplacedConnectionCounts(t *testing.T) {
-	sim := simulate(t, 1, 256)
+	sim := simulate(t, 1)
 	sim.relay.join(1, "a")
 	sim.net.Run(1002)
-	relay := newFakeRelay()
-	relay.zones, relay.weights, relay.assignedAt = sim.relay.zones, sim.relay.weights, sim.relay.assignedAt
-	sim.net.Add(otherRelay.Addr(), 0, false).Start(relay)
+	relay := newRelayOf(sim.relay)
+	relay.assignedAt = sim.relay.assignedAt
+	sim.start(otherRelay, relay)
 	var send func()
-	sim.relay.delay = func(f func()) { send = f }
+	sim.relay.delay = func(now func()) { send = now }
 	sim.discovery.publish(false, server("s-3", "draining"))
 	for at := 1002.0; send == nil && at < 1003; at += 0.001 {
 		sim.net.Run(at)
 	}
 	if send == nil {
-		t.Fatal("no call came")
+		t.Fatal("no call was made")
 	}
 	sim.program.SetAddresses(sim.net.Now(), discoveryAddress, otherRelay)
 	for at := sim.net.Now(); len(relay.subscribers) < 2 && at < 1003.2; at += 0.001 {
 		sim.net.Run(at)
 	}
 	if len(relay.subscribers) != 2 || !sim.program.commands.InFlight() || len(sim.relay.readers) != 1 {
-		t.Fatalf("%d new links, %d old ones, a call is out: %v", len(relay.subscribers), len(sim.relay.readers), sim.program.commands.InFlight())
+		t.Fatalf("%d new connections, %d old ones, a call is in flight: %v", len(relay.subscribers), len(sim.relay.readers), sim.program.commands.InFlight())
 	}
 	send()
 	sim.net.Run(sim.net.Now() + 0.05)
 	if sim.program.commands.InFlight() || sim.program.commands.Resends != 0 || len(sim.relay.readers) != 0 {
-		t.Errorf("after the answer a call is out: %v; %d went again, %d old links", sim.program.commands.InFlight(), sim.program.commands.Resends, len(sim.relay.readers))
+		t.Errorf("after the response a call is in flight: %v; %d were sent again, %d old connections", sim.program.commands.InFlight(),
+			sim.program.commands.Resends, len(sim.relay.readers))
 	}
 }
 
-// SIGHUP moves the relay while the old links stand: nobody is bound anew, at whatever time after the last sign of life it comes.
+// SIGHUP moves the relay while the old connections stand: no proxy is assigned a table anew, at whatever time after the last heartbeat.
 func TestMovedConnectionsCauseNoAssignments(t *testing.T) {
 	for _, after := range []float64{0.05, 0.3, 0.6, 0.95} {
-		sim := simulate(t, 1, 256)
+		sim := simulate(t, 1)
 		sim.relay.join(1, "a")
 		sim.relay.join(2, "b")
 		sim.net.Run(1003 + after)
-		relay := newFakeRelay()
-		relay.zones, relay.weights = sim.relay.zones, sim.relay.weights
-		sim.net.Add(otherRelay.Addr(), 0, false).Start(relay)
+		relay := newRelayOf(sim.relay)
+		sim.start(otherRelay, relay)
 		sim.program.SetAddresses(sim.net.Now(), discoveryAddress, otherRelay)
-		if sim.net.Run(1006); len(relay.subscribers) != 2 || len(relay.assignedAt) > 0 {
-			t.Errorf("%.2f s after a second: %d new links, %d proxies bound anew", after, len(relay.subscribers), len(relay.assignedAt))
+		sim.net.Run(1006)
+		if len(relay.subscribers) != 2 || len(relay.assignedAt) > 0 {
+			t.Errorf("%.2f s after a heartbeat: %d new connections, %d proxies assigned anew", after, len(relay.subscribers), len(relay.assignedAt))
 		}
 		relay.join(3, "a")
-		if sim.net.Run(1006.1); len(relay.assignedAt) != 1 {
-			t.Errorf("then one joins: %v are bound", relay.assignedAt)
+		sim.net.Run(1006.1)
+		if len(relay.assignedAt) != 1 {
+			t.Errorf("after another join the assignments are %v", relay.assignedAt)
 		}
 	}
 }
 
-// SIGHUP while dials to the old addresses are made, or links there do not answer: they are not waited for.
+// SIGHUP while the old addresses are being dialled, or connections to them get no response: the program does not wait for them.
 func TestCandidatesAreGivenUpForNewAddresses(t *testing.T) {
-	sim := simulate(t, 1, 256)
+	sim := simulate(t, 1)
 	sim.relay.join(1, "a")
 	sim.net.Run(1002)
-	sim.relay.unreachable, sim.discovery.silent = true, true
-	for _, all := range []map[env.Conn]bool{sim.relay.subscribers, sim.discovery.watchers} {
-		for c := range all {
-			sim.net.At(1002, func() { sim.relay.io.Close(c) })
-			delete(all, c)
+	sim.relay.unreachable = true
+	sim.discovery.silent = true
+	for _, conns := range []map[env.Conn]bool{sim.relay.subscribers, sim.discovery.watchers} {
+		for conn := range conns {
+			sim.net.At(1002, func() { sim.relay.io.Close(conn) })
+			delete(conns, conn)
 		}
 	}
-	for c := range sim.program.connections {
-		sim.program.disconnect(sim.net.Now(), sim.program.connections[c])
+	for _, connection := range sim.program.connections {
+		sim.program.disconnect(sim.net.Now(), connection)
 	}
 	sim.net.Run(1002.3)
-	if n := sim.program.relay.primary.candidate; n == nil || !n.established {
-		t.Fatalf("no link is in the making: %+v", n)
+	if candidate := sim.program.relay.primary.candidate; candidate == nil || !candidate.established {
+		t.Fatalf("there is no established candidate: %+v", candidate)
 	}
-	relay, newDiscovery := newFakeRelay(), &fakeDiscovery{list: sim.discovery.list}
+	relay := newFakeRelay()
 	relay.zones = sim.relay.zones
-	sim.net.Add(otherRelay.Addr(), 0, false).Start(relay)
-	sim.net.Add(otherDiscovery.Addr(), 0, false).Start(newDiscovery)
+	newDiscovery := &fakeDiscovery{list: sim.discovery.list}
+	sim.start(otherRelay, relay)
+	sim.start(otherDiscovery, newDiscovery)
 	sim.program.SetAddresses(sim.net.Now(), otherDiscovery, otherRelay)
-	if sim.net.Run(1002.5); len(relay.subscribers) != 2 || len(newDiscovery.watchers) != 1 {
-		t.Errorf("0.2 s after SIGHUP %d links to the new relay, %d to discovery", len(relay.subscribers), len(newDiscovery.watchers))
+	sim.net.Run(1002.5)
+	if len(relay.subscribers) != 2 || len(newDiscovery.watchers) != 1 {
+		t.Errorf("0.2 s after SIGHUP %d connections to the new relay, %d to discovery", len(relay.subscribers), len(newDiscovery.watchers))
 	}
 }
 
-// Proxies that join before any server is known wait for the first list: groups are made by the zones of servers.
+// Proxies are grouped by the zones of servers, so that those that join before any server is known wait for the first list.
 func TestJoinsWaitForTheFirstList(t *testing.T) {
-	d, err := deployment.Read([]byte(settings))
+	parsed, err := deployment.Read([]byte(settings))
 	if err != nil {
 		t.Fatal(err)
 	}
-	d.DataPlane.ZoneLocalClasses = []bool{true}
-	sim := &simulation{net: simnet.New(1, 1000), relay: newFakeRelay(), discovery: &fakeDiscovery{silent: true}, client: newFakeClient(), hosts: map[string]*simnet.Host{}}
-	sim.program = New(Config{Discovery: discoveryAddress, Relay: relayAddress, MaxDescriptors: 256, Seed: 7, Deployment: d}, slog.New(slog.NewTextHandler(io.Discard, nil)))
-	sim.net.Add(relayAddress.Addr(), 0, false).Start(sim.relay)
-	sim.net.Add(discoveryAddress.Addr(), 0, false).Start(sim.discovery)
-	sim.net.Add(selfAddress.Addr(), 0, false).Start(sim.program)
-	for p := range 6 {
-		sim.relay.join(p, []string{"a", "b"}[p%2])
+	parsed.DataPlane.ZoneLocalClasses = []bool{true}
+	sim := newSimulation(1, Config{Discovery: discoveryAddress, Relay: relayAddress, MaxDescriptors: 256, Seed: 7, Deployment: parsed})
+	sim.discovery.silent = true
+	sim.startAll()
+	for proxy := range 6 {
+		sim.relay.join(proxy, []string{"a", "b"}[proxy%2])
 	}
 	sim.net.Run(1002)
 	sim.relay.zones[6] = "b"
-	for c := range sim.relay.subscribers {
-		sim.relay.sendJoin(c, 6)
-		sim.relay.io.Send(c, []byte(`{"jsonrpc":"2.0","method":"detach","params":{"sidecar":0}}`+"\n"))
+	for conn := range sim.relay.subscribers {
+		sim.relay.sendJoin(conn, 6)
+		sim.relay.io.Send(conn, []byte(leaveLine(0)))
 	}
 	sim.net.Run(1003)
-	north, south := server("s-1", "ready"), server("s-2", "ready")
-	south.Zone = "b"
-	sim.discovery.silent, sim.discovery.list = false, discovery.List{Version: 5, Full: true, Servers: []discovery.Server{north, south}}
+	inA := server("s-1", "ready")
+	inB := server("s-2", "ready")
+	inB.Zone = "b"
+	sim.discovery.silent = false
+	sim.discovery.list = discovery.List{Version: 5, Full: true, Servers: []discovery.Server{inA, inB}}
 	sim.net.Run(1009)
-	for p := 1; p < 7; p++ {
-		want := map[string]string{"a": "s-1", "b": "s-2"}[sim.relay.zones[p]]
-		if table := sim.relay.tables[sim.relay.tableOf[p]]; len(table) != 1 || table[want] == 0 {
-			t.Errorf("proxy %d of zone %s has the table %v", p, sim.relay.zones[p], table)
+	for proxy := 1; proxy < 7; proxy++ {
+		want := map[string]string{"a": "s-1", "b": "s-2"}[sim.relay.zones[proxy]]
+		if table := sim.relay.tables[sim.relay.tableOf[proxy]]; len(table) != 1 || table[want] == 0 {
+			t.Errorf("proxy %d of zone %s has the table %v", proxy, sim.relay.zones[proxy], table)
 		}
 	}
 	if sim.relay.assignedAt[0] > 0 {
-		t.Error("a proxy that has left is bound")
+		t.Error("a proxy that has left is assigned a table")
 	}
 }
 
 func TestNewAddressesReplaceOldOnes(t *testing.T) {
-	sim := simulate(t, 1, 256)
+	sim := simulate(t, 1)
 	sim.relay.join(1, "a")
 	sim.net.Run(1002)
-	relay, newDiscovery := newFakeRelay(), &fakeDiscovery{list: sim.discovery.list}
-	relay.zones, relay.weights, relay.assignedAt = sim.relay.zones, sim.relay.weights, sim.relay.assignedAt
-	sim.net.Add(otherRelay.Addr(), 0, false).Start(relay)
-	sim.net.Add(otherDiscovery.Addr(), 0, false).Start(newDiscovery)
+	relay := newRelayOf(sim.relay)
+	relay.assignedAt = sim.relay.assignedAt
+	newDiscovery := &fakeDiscovery{list: sim.discovery.list}
+	sim.start(otherRelay, relay)
+	sim.start(otherDiscovery, newDiscovery)
 	sim.program.SetAddresses(sim.net.Now(), otherDiscovery, otherRelay)
 	sim.net.Run(1003)
 	if len(sim.relay.readers) != 0 || len(sim.discovery.watchers) != 0 || len(relay.subscribers) != 2 || len(newDiscovery.watchers) != 1 {
-		t.Fatalf("old links %d and %d, new ones %d and %d", len(sim.relay.readers), len(sim.discovery.watchers), len(relay.subscribers), len(newDiscovery.watchers))
+		t.Fatalf("%d and %d old connections, %d and %d new ones", len(sim.relay.readers), len(sim.discovery.watchers), len(relay.subscribers),
+			len(newDiscovery.watchers))
 	}
 	newDiscovery.publish(false, server("s-3", "draining"))
 	sim.net.Run(1003.1)
-	if _, there := relay.weights["s-3"]; there || relay.calls == 0 {
-		t.Errorf("%d calls at the new relay; s-3 in the table %v", relay.calls, there)
+	if relay.inTable("s-3") || relay.calls == 0 {
+		t.Errorf("%d calls to the new relay; s-3 is in the table: %v", relay.calls, relay.inTable("s-3"))
 	}
 }
--- a/internal/frontend/platform/scale_test.go
+++ b/internal/frontend/platform/scale_test.go
@@ -2,15 +2,15 @@
 
 import (
 	"fmt"
+	"slices"
 	"strings"
 	"testing"
 
 	"snowquay/internal/wire/discovery"
 	"snowquay/internal/wire/jsonrpc"
-	"snowquay/internal/wire/resp"
 )
 
-// largeSettings are those of a deployment of many coordinators: a limit on messages, a channel whose limit is ten seconds of its pace.
+// largeSettings are those of a deployment of many coordinators, with a limit on messages and a channel that holds ten seconds of its rate.
 func largeSettings(coordinators, proxies int) string {
 	large := strings.NewReplacer(`"balancers":1`, fmt.Sprintf(`"balancers":%d`, coordinators),
 		`"data-plane-size":9`, fmt.Sprintf(`"data-plane-size":%d`, proxies), `"pending-max":1600`, `"pending-max":16000`,
@@ -28,69 +28,85 @@
 	return list
 }
 
-// 350 coordinators and 1,024 servers: proxies join here and come from coordinators that restart, half of the servers are replaced, and
-// no list has a cap on the way.
+// TestLargeDeployment has 350 coordinators and 1,024 servers: proxies join the coordinator, half of the servers are replaced, and no table has a
+// limit on the way.
 func TestLargeDeployment(t *testing.T) {
-	const servers, own, joiners, steps, window = 1024, 24, 60, 4, 10
+	const (
+		servers  = 1024
+		proxies  = 24 // joined at the start
+		joiners  = 60
+		steps    = 4
+		drainEnd = 11.3 // seconds: the deadline of drains in the settings
+	)
 	all := manyServers(servers)
 	sim := simulateWith(t, 1, 1024, largeSettings(350, 2400), all...)
 	sim.relay.acknowledges = true
-	for p := range own {
-		sim.relay.join(p*39, []string{"a", "b"}[p%2])
+	for i := range proxies {
+		sim.relay.join(i*39, []string{"a", "b"}[i%2])
 	}
-	c := sim.client.dial(append(resp.Append(nil, "hb"), resp.Append(nil, "telemetry", "az", "a")...))
+	conn := sim.client.dial(slices.Concat(readinessCheck, hello("a")))
 	sim.net.Run(1010)
-	if got := sim.client.received[c]; got != string(resp.Append(nil, "hb_ok")) {
+	if got := sim.client.received[conn]; got != readyAnswer {
 		t.Fatalf("the collector was answered %q", got)
 	}
 	drained := map[string]bool{}
 	at := 1010.0
 	for step := range steps {
-		var list []discovery.Server
+		var changes []discovery.Server
 		for i := step; i < servers/2; i += steps {
-			x := all[i]
-			x.State = "draining"
-			drained[x.ID] = true
-			n := server(fmt.Sprintf("n-%04d", i), "ready")
-			n.Zone, n.StartedMS = x.Zone, (at)*1000
-			list = append(list, x, n)
+			leaving := all[i]
+			leaving.State = discovery.Draining
+			drained[leaving.ID] = true
+			replacement := server(fmt.Sprintf("n-%04d", i), discovery.Ready)
+			replacement.Zone = leaving.Zone
+			replacement.StartedMS = at * 1000
+			changes = append(changes, leaving, replacement)
 		}
-		sim.discovery.publish(false, list...)
-		for p := range joiners / steps {
-			sim.relay.join(3+39*(step*joiners/steps+p), []string{"a", "b"}[p%2])
+		sim.discovery.publish(false, changes...)
+		for i := range joiners / steps {
+			sim.relay.join(3+39*(step*joiners/steps+i), []string{"a", "b"}[i%2])
 		}
 		at += 3
 		sim.net.Run(at)
 	}
-	sim.net.Run(at + 11.3)
-	if n := len(sim.program.proxies.JoinEvents()); n != own+joiners {
-		t.Errorf("%d proxies are held to have joined, want %d", n, own+joiners)
+	sim.net.Run(at + drainEnd)
+	if joined := len(sim.program.proxies.JoinEvents()); joined != proxies+joiners {
+		t.Errorf("%d proxies count as joined, want %d", joined, proxies+joiners)
 	}
-	for p := range sim.relay.zones {
-		table := sim.relay.tables[sim.relay.tableOf[p]]
-		if sim.relay.tableOf[p] == 0 || len(table) == 0 {
-			t.Errorf("proxy %d has a table of %d lines", p, len(table))
+	checkTables(t, sim.relay, drained)
+	if sim.relay.largestCall > jsonrpc.MaxCallBytes || sim.program.commands.Dropped > 0 {
+		t.Errorf("a call of %d bytes, %d commands dropped", sim.relay.largestCall, sim.program.commands.Dropped)
+	}
+	if malformed := sim.program.counts.malformed + sim.program.endpoints.Malformed; malformed > 0 {
+		t.Errorf("%d malformed messages", malformed)
+	}
+}
+
+// checkTables checks that every proxy has a table without drained servers.
+func checkTables(t *testing.T, relay *fakeRelay, drained map[string]bool) {
+	t.Helper()
+	for proxy := range relay.zones {
+		table := relay.tables[relay.tableOf[proxy]]
+		if relay.tableOf[proxy] == 0 || len(table) == 0 {
+			t.Errorf("proxy %d has a table of %d entries", proxy, len(table))
 		}
 		for id := range table {
 			if drained[id] {
-				t.Errorf("proxy %d holds %s, which drains", p, id)
+				t.Errorf("proxy %d holds %s, which is draining", proxy, id)
 				break
 			}
 		}
 	}
-	if sim.relay.largestCall > jsonrpc.MaxCallBytes || sim.program.commands.Dropped > 0 || sim.program.counts.malformed+sim.program.endpoints.Malformed > 0 {
-		t.Errorf("a call of %d bytes, %d orders dropped, %d messages spoilt", sim.relay.largestCall, sim.program.commands.Dropped, sim.program.counts.malformed)
-	}
 }
 
-// A round at three sizes of a deployment: what a row of reports costs once everything stands.
+// BenchmarkRound measures a round with a row of reports, at three sizes of a deployment at rest.
 func BenchmarkRound(b *testing.B) {
 	for _, servers := range []int{24, 200, 1024} {
 		b.Run(fmt.Sprintf("servers=%d", servers), func(b *testing.B) {
 			sim := simulateWith(b, 1, 1024, largeSettings(5, 2400), manyServers(servers)...)
 			sim.relay.acknowledges = true
-			for p := range 480 {
-				sim.relay.join(p, []string{"a", "b"}[p%2])
+			for proxy := range 480 {
+				sim.relay.join(proxy, []string{"a", "b"}[proxy%2])
 			}
 			sim.net.Run(1030)
 			now := 1030.0
--- a/internal/frontend/platform/simulation_test.go
+++ b/internal/frontend/platform/simulation_test.go
@@ -1,7 +1,6 @@
 package platform
 
 import (
-	"io"
 	"log/slog"
 	"net/netip"
 	"testing"
@@ -30,7 +29,7 @@
 "points":3}],"guarantees":{"cold":18,"cold-from":0.2,"fall":1.5,"fall-multiple":3,"stop-sending-within":2.3},
 "policy-limits":{"may-probe":true},"report":{"how":"piggyback","names":["q","busy"]}}`
 
-// idleProgram is a env.Program that does nothing of its own.
+// idleProgram is an env.Program that does nothing. The fakes embed it.
 type idleProgram struct{ io env.IO }
 
 func (p *idleProgram) Start(_ float64, io env.IO)                   { p.io = io }
@@ -42,38 +41,71 @@
 func (p *idleProgram) Datagram(float64, []byte)                     {}
 func (p *idleProgram) TimerFired(float64, int)                      {}
 
+// simulation is a program with its peers in a simulated network that starts at simulationStart.
 type simulation struct {
 	net       *simnet.Net
 	program   *Program
 	relay     *fakeRelay
 	discovery *fakeDiscovery
 	client    *fakeClient
-	hosts     map[string]*simnet.Host
+	relayHost *simnet.Host
 }
 
-func simulate(t interface{ Fatal(...any) }, seed uint64, sockets int) *simulation {
-	return simulateWith(t, seed, sockets, settings, server("s-1", "ready"), server("s-2", "ready"), server("s-3", "ready"))
+const (
+	simulationStart = 1000   // seconds
+	simulationReady = 1000.5 // seconds: the program has its connections
+)
+
+// fataler is the part of testing.TB that rapid.T has too.
+type fataler interface{ Fatal(args ...any) }
+
+// simulate starts a program that may hold 256 descriptors, with three servers.
+func simulate(t fataler, seed uint64) *simulation {
+	return simulateWith(t, seed, 256, settings, server("s-1", "ready"), server("s-2", "ready"), server("s-3", "ready"))
 }
 
-func simulateWith(t interface{ Fatal(...any) }, seed uint64, sockets int, settings string, servers ...discovery.Server) *simulation {
-	d, err := deployment.Read([]byte(settings))
+func simulateWith(t fataler, seed uint64, descriptors int, settings string, servers ...discovery.Server) *simulation {
+	parsed, err := deployment.Read([]byte(settings))
 	if err != nil {
 		t.Fatal(err)
 	}
-	sim := &simulation{net: simnet.New(seed, 1000), relay: newFakeRelay(), discovery: &fakeDiscovery{}, client: newFakeClient(), hosts: map[string]*simnet.Host{}}
-	known := &discovery.List{Full: true, Servers: servers}
-	sim.discovery.list = *known
-	sim.program = New(Config{Discovery: discoveryAddress, Relay: relayAddress, MaxDescriptors: sockets, CachedList: known, Seed: 7, Deployment: d},
-		slog.New(slog.NewTextHandler(io.Discard, nil)))
-	for name, x := range map[string]struct {
-		at netip.AddrPort
-		p  env.Program
-	}{"relay": {relayAddress, sim.relay}, "discovery": {discoveryAddress, sim.discovery}, "caller": {clientAddress, sim.client}} {
-		sim.hosts[name] = sim.net.Add(x.at.Addr(), 0, false)
-		sim.hosts[name].Start(x.p)
-	}
-	sim.hosts["self"] = sim.net.Add(selfAddress.Addr(), 0, false)
-	sim.hosts["self"].Start(sim.program)
-	sim.net.Run(1000.5)
+	cached := discovery.List{Full: true, Servers: servers}
+	sim := newSimulation(seed, Config{
+		Discovery:      discoveryAddress,
+		Relay:          relayAddress,
+		MaxDescriptors: descriptors,
+		CachedList:     &cached,
+		Seed:           7,
+		Deployment:     parsed,
+	})
+	sim.discovery.list = cached
+	sim.startAll()
+	sim.net.Run(simulationReady)
 	return sim
 }
+
+// newSimulation returns a simulation in which nothing has been started.
+func newSimulation(seed uint64, config Config) *simulation {
+	return &simulation{
+		net:       simnet.New(seed, simulationStart),
+		program:   New(config, slog.New(slog.DiscardHandler)),
+		relay:     newFakeRelay(),
+		discovery: &fakeDiscovery{},
+		client:    newFakeClient(),
+	}
+}
+
+// startAll starts the peers, then the program.
+func (s *simulation) startAll() {
+	s.relayHost = s.start(relayAddress, s.relay)
+	s.start(discoveryAddress, s.discovery)
+	s.start(clientAddress, s.client)
+	s.start(selfAddress, s.program)
+}
+
+// start runs a program on a new host.
+func (s *simulation) start(address netip.AddrPort, program env.Program) *simnet.Host {
+	host := s.net.Add(address.Addr(), 0, false)
+	host.Start(program)
+	return host
+}
--- a/internal/frontend/platform/socket_discovery_test.go
+++ b/internal/frontend/platform/socket_discovery_test.go
@@ -14,93 +14,98 @@
 	"snowquay/internal/wire/discovery"
 )
 
-// socketDiscovery is a discovery.
+// socketDiscovery is a discovery on a loopback socket.
 type socketDiscovery struct {
-	net.Listener
+	listener net.Listener
+
 	mu        sync.Mutex
-	fullList  string   // the whole list
-	firstLine string   // of the lines of a watch; empty: the whole list
+	fullList  string
+	firstLine string   // of a watch; empty: the full list
 	requested []string // paths
 	watchers  []net.Conn
+	conns     []net.Conn
 }
 
-func openSocketDiscovery(t *testing.T, whole, first string) *socketDiscovery {
+// openSocketDiscovery starts a discovery that ends with the test.
+func openSocketDiscovery(t *testing.T, fullList, firstLine string) *socketDiscovery {
 	t.Helper()
-	l, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	o := &socketDiscovery{Listener: l, fullList: whole, firstLine: first}
+	d := &socketDiscovery{listener: listen(t), fullList: fullList, firstLine: firstLine}
 	stop := make(chan struct{})
 	t.Cleanup(func() {
 		close(stop)
-		_ = l.Close()
+		_ = d.listener.Close()
+		d.closeAll()
 	})
-	go func() { // signs of life, as an agent gives them
-		for {
-			select {
-			case <-stop:
-				return
-			case <-time.After(time.Second):
-				o.publish("\n")
-			}
-		}
-	}()
-	go func() {
-		for {
-			c, err := l.Accept()
-			if err != nil {
-				return
-			}
-			t.Cleanup(func() { _ = c.Close() })
-			go o.serve(c)
-		}
-	}()
-	return o
+	go every(time.Second, stop, func() { d.publish("\n") })
+	go acceptAll(d.listener, d.serve)
+	return d
 }
 
-func (o *socketDiscovery) serve(c net.Conn) {
-	defer func() { _ = c.Close() }()
+func (d *socketDiscovery) serve(conn net.Conn) {
+	defer func() { _ = conn.Close() }()
+	d.mu.Lock()
+	d.conns = append(d.conns, conn)
+	d.mu.Unlock()
 	path := ""
-	for r := bufio.NewReader(c); ; {
-		text, err := r.ReadString('\n')
+	reader := bufio.NewReader(conn)
+	for {
+		line, err := reader.ReadString('\n')
 		if err != nil {
 			return
 		}
-		if f := strings.Fields(text); len(f) == 3 && f[0] == "GET" {
-			path = f[1]
+		if words := strings.Fields(line); len(words) == 3 && words[0] == "GET" {
+			path = words[1]
 		}
-		if text != "\r\n" {
-			continue
+		if line == "\r\n" {
+			d.respond(conn, path)
 		}
-		o.mu.Lock()
-		if o.requested = append(o.requested, path); path == discovery.ListPath {
-			_, _ = fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(o.fullList), o.fullList)
-		} else {
-			_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
-			if o.firstLine != "" {
-				writeChunk(c, o.firstLine+"\n")
-			} else {
-				writeChunk(c, o.fullList+"\n")
-			}
-			o.watchers = append(o.watchers, c)
-		}
-		o.mu.Unlock()
 	}
 }
 
-func writeChunk(c net.Conn, text string) { _, _ = fmt.Fprintf(c, "%x\r\n%s\r\n", len(text), text) }
+func (d *socketDiscovery) respond(conn net.Conn, path string) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.requested = append(d.requested, path)
+	if path == discovery.ListPath {
+		_, _ = fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(d.fullList), d.fullList)
+		return
+	}
+	first := d.firstLine
+	if first == "" {
+		first = d.fullList
+	}
+	_, _ = io.WriteString(conn, streamHead)
+	_, _ = io.WriteString(conn, encodeChunk(first+"\n"))
+	d.watchers = append(d.watchers, conn)
+}
+
+// publish writes text to all watchers.
+func (d *socketDiscovery) publish(text string) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	for _, conn := range d.watchers {
+		_, _ = io.WriteString(conn, encodeChunk(text))
+	}
+}
 
-func (o *socketDiscovery) publish(text string) {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	for _, c := range o.watchers {
-		writeChunk(c, text)
+func (d *socketDiscovery) closeAll() {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	for _, conn := range d.conns {
+		_ = conn.Close()
 	}
 }
 
-func (o *socketDiscovery) paths() []string {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	return slices.Clone(o.requested)
+// setFirstLine changes what the next watches get first.
+func (d *socketDiscovery) setFirstLine(line string) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.firstLine = line
+}
+
+// paths returns the paths that were requested.
+func (d *socketDiscovery) paths() []string {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	return slices.Clone(d.requested)
 }
--- a/internal/frontend/platform/socket_relay_test.go
+++ b/internal/frontend/platform/socket_relay_test.go
@@ -2,8 +2,8 @@
 
 import (
 	"bufio"
-	"encoding/json"
 	"fmt"
+	"io"
 	"net"
 	"slices"
 	"sync"
@@ -11,13 +11,14 @@
 	"time"
 )
 
-// receivedCall is one that the program makes, until the test answers it.
+// receivedCall is a call of the program that waits for the test's response.
 type receivedCall struct {
 	conn     net.Conn
 	id       uint64
-	commands []map[string]any
+	commands []relayCommand
 }
 
+// accept responds that all commands were applied.
 func (c receivedCall) accept(t *testing.T) {
 	t.Helper()
 	c.respond(t, `{"jsonrpc":"2.0","id":%d,"result":{"accepted":%d}}`, c.id, len(c.commands))
@@ -26,173 +27,173 @@
 func (c receivedCall) respond(t *testing.T, format string, args ...any) {
 	t.Helper()
 	if _, err := fmt.Fprintf(c.conn, format+"\n", args...); err != nil {
-		t.Errorf("the link of call %d: %v", c.id, err)
+		t.Errorf("the connection of call %d: %v", c.id, err)
 	}
 }
 
+// weights returns the weights that the call sets, by server.
 func (c receivedCall) weights() map[string]float64 {
-	w := map[string]float64{}
-	for _, o := range c.commands {
-		if o["do"] == "share" {
-			w[o["host"].(string)] = o["share"].(float64)
+	weights := map[string]float64{}
+	for _, command := range c.commands {
+		if command.Kind == weightKind {
+			weights[*command.Server] = *command.Weight
 		}
 	}
-	return w
+	return weights
 }
 
-func (c receivedCall) assignedProxies() (list []int) {
-	for _, o := range c.commands {
-		if o["do"] == "bind" {
-			list = append(list, int(o["sidecar"].(float64)))
+// assignedProxies returns the proxies that the call assigns a table to.
+func (c receivedCall) assignedProxies() []int {
+	var proxies []int
+	for _, command := range c.commands {
+		if command.Kind == assignmentKind {
+			proxies = append(proxies, *command.Proxy)
 		}
 	}
-	return list
+	return proxies
 }
 
-// socketRelay is a relay whose calls the test answers. It answers watches by itself, and gives a sign of life four times a second.
+// assigns returns a condition: the call assigns a table to a proxy.
+func assigns(proxy int) func(receivedCall) bool {
+	return func(c receivedCall) bool { return slices.Contains(c.assignedProxies(), proxy) }
+}
+
+// assignsAny is the condition that the call assigns a table to any proxy.
+func assignsAny(c receivedCall) bool { return len(c.assignedProxies()) > 0 }
+
+// removes returns a condition: the call removes a server from a table.
+func removes(server string) func(receivedCall) bool {
+	return func(c receivedCall) bool {
+		weight, ok := c.weights()[server]
+		return ok && weight == 0
+	}
+}
+
+// socketRelay is a relay on a loopback socket. It confirms subscriptions and sends heartbeats by itself; calls are left to the test.
 type socketRelay struct {
-	net.Listener
-	calls       chan receivedCall
+	listener net.Listener
+	calls    chan receivedCall
+	silent   bool // it accepts connections and sends nothing
+
 	mu          sync.Mutex
-	joined      []int
-	subscribers []net.Conn // with news
-	silent      bool       // it takes connections and says nothing
-	opened      int
+	joined      []int      // proxies
+	subscribers []net.Conn // that get events
 }
 
+// openSocketRelay starts a relay that ends with the test. Without joined proxies it is silent.
 func openSocketRelay(t *testing.T, joined ...int) *socketRelay {
 	t.Helper()
-	l, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
+	relay := &socketRelay{
+		listener: listen(t),
+		calls:    make(chan receivedCall, 100),
+		joined:   joined,
+		silent:   len(joined) == 0,
 	}
-	h := &socketRelay{Listener: l, calls: make(chan receivedCall, 100), joined: joined, silent: len(joined) == 0}
 	stop := make(chan struct{})
 	t.Cleanup(func() {
 		close(stop)
-		_ = l.Close()
-		h.closeSubscribers()
+		_ = relay.listener.Close()
+		relay.closeSubscribers()
 	})
-	go func() {
-		for {
-			c, err := l.Accept()
-			if err != nil {
-				return
-			}
-			go h.serve(c)
-		}
-	}()
-	go func() {
-		for {
-			select {
-			case <-stop:
-				return
-			case <-time.After(250 * time.Millisecond):
-				h.broadcast(`{"jsonrpc":"2.0","method":"ping"}`)
-			}
-		}
-	}()
-	return h
-}
-
-func (h *socketRelay) serve(c net.Conn) {
-	h.mu.Lock()
-	h.opened++
-	h.mu.Unlock()
-	defer func() {
-		_ = c.Close()
-		h.mu.Lock()
-		h.subscribers = slices.DeleteFunc(h.subscribers, func(o net.Conn) bool { return o == c })
-		h.mu.Unlock()
-	}()
-	for r := bufio.NewReader(c); ; {
-		text, err := r.ReadString('\n')
+	go acceptAll(relay.listener, relay.serve)
+	go every(250*time.Millisecond, stop, func() { relay.broadcast(heartbeatLine) })
+	return relay
+}
+
+func (r *socketRelay) serve(conn net.Conn) {
+	defer r.unsubscribe(conn)
+	reader := bufio.NewReader(conn)
+	for {
+		line, err := reader.ReadBytes('\n')
 		if err != nil {
 			return
 		}
-		var m struct {
-			ID     uint64 `json:"id"`
-			Method string `json:"method"`
-			Params struct {
-				Changes []map[string]any `json:"changes"`
-			} `json:"params"`
-		}
-		if json.Unmarshal([]byte(text), &m) != nil {
+		request, err := decodeRequest(line)
+		if err != nil {
 			return
 		}
-		if m.Method == "relay.apply" {
-			h.calls <- receivedCall{c, m.ID, m.Params.Changes}
+		if request.Method == applyMethod {
+			r.calls <- receivedCall{conn: conn, id: request.ID, commands: request.Params.Commands}
 			continue
 		}
-		h.mu.Lock()
-		if !h.silent {
-			_, _ = fmt.Fprintf(c, `{"jsonrpc":"2.0","id":%d,"result":true}`+"\n", m.ID)
-			for _, p := range h.joined {
-				_, _ = fmt.Fprintln(c, joinLine(p))
-			}
-			h.subscribers = append(h.subscribers, c)
-		}
-		h.mu.Unlock()
+		r.subscribe(conn, request.ID)
 	}
 }
 
-func joinLine(p int) string {
-	return fmt.Sprintf(`{"jsonrpc":"2.0","method":"attach","params":{"sidecar":%d,"az":"a","share":5,"standing":true}}`, p)
+func (r *socketRelay) subscribe(conn net.Conn, id uint64) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if r.silent {
+		return
+	}
+	_, _ = io.WriteString(conn, subscribedLine(id))
+	for _, proxy := range r.joined {
+		_, _ = io.WriteString(conn, joinLine(proxy, "a"))
+	}
+	r.subscribers = append(r.subscribers, conn)
+}
+
+func (r *socketRelay) unsubscribe(conn net.Conn) {
+	_ = conn.Close()
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.subscribers = slices.DeleteFunc(r.subscribers, func(other net.Conn) bool { return other == conn })
 }
 
-// broadcast writes news to all links.
-func (h *socketRelay) broadcast(text string) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	for _, c := range h.subscribers {
-		_, _ = fmt.Fprintln(c, text)
+// broadcast writes an event to all subscribers.
+func (r *socketRelay) broadcast(line string) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	for _, conn := range r.subscribers {
+		_, _ = io.WriteString(conn, line)
 	}
 }
 
-func (h *socketRelay) join(p int) {
-	h.mu.Lock()
-	h.joined = append(h.joined, p)
-	h.mu.Unlock()
-	h.broadcast(joinLine(p))
+// join makes a proxy join.
+func (r *socketRelay) join(proxy int) {
+	r.mu.Lock()
+	r.joined = append(r.joined, proxy)
+	r.mu.Unlock()
+	r.broadcast(joinLine(proxy, "a"))
 }
 
-// closeSubscribers ends all links in one moment, but those named.
-func (h *socketRelay) closeSubscribers(but ...net.Conn) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	for _, c := range h.subscribers {
-		if !slices.Contains(but, c) {
-			_ = c.Close()
-		}
+// closeSubscribers closes the connections of all subscribers at once.
+func (r *socketRelay) closeSubscribers() {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	for _, conn := range r.subscribers {
+		_ = conn.Close()
 	}
 }
 
-func (h *socketRelay) subscriberCount() int {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	return len(h.subscribers)
+func (r *socketRelay) subscriberCount() int {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return len(r.subscribers)
 }
 
-// nextCall is the next call.
-func (h *socketRelay) nextCall(t *testing.T) receivedCall {
+// nextCall waits for the next call.
+func (r *socketRelay) nextCall(t *testing.T) receivedCall {
 	t.Helper()
 	select {
-	case c := <-h.calls:
-		return c
+	case call := <-r.calls:
+		return call
 	case <-time.After(waitLimit):
 		t.Fatal("no call came")
 		return receivedCall{}
 	}
 }
 
-// expectNoCall of the calls that come for a while orders what is told.
-func (h *socketRelay) expectNoCall(t *testing.T, what string, is func(receivedCall) bool) {
+// expectNone accepts the calls of a while, and fails the test if one meets the condition.
+func (r *socketRelay) expectNone(t *testing.T, what string, is func(receivedCall) bool) {
 	t.Helper()
-	for end := time.After(300 * time.Millisecond); ; {
+	end := time.After(300 * time.Millisecond)
+	for {
 		select {
-		case c := <-h.calls:
-			if c.accept(t); is(c) {
-				t.Errorf("%s: %v", what, c.commands)
+		case call := <-r.calls:
+			call.accept(t)
+			if is(call) {
+				t.Errorf("%s: %+v", what, call.commands)
 			}
 		case <-end:
 			return
@@ -200,19 +201,20 @@
 	}
 }
 
-// awaitCall answers calls until one is as told; that one the test answers.
-func (h *socketRelay) awaitCall(t *testing.T, what string, is func(receivedCall) bool) receivedCall {
+// awaitCall accepts calls until one meets the condition; that one is left to the test.
+func (r *socketRelay) awaitCall(t *testing.T, what string, is func(receivedCall) bool) receivedCall {
 	t.Helper()
-	for end := time.Now().Add(waitLimit); time.Now().Before(end); {
+	end := time.After(waitLimit)
+	for {
 		select {
-		case c := <-h.calls:
-			if is(c) {
-				return c
+		case call := <-r.calls:
+			if is(call) {
+				return call
 			}
-			c.accept(t)
-		case <-time.After(10 * time.Millisecond):
+			call.accept(t)
+		case <-end:
+			t.Fatalf("no call came that %s", what)
+			return receivedCall{}
 		}
 	}
-	t.Fatalf("no call came that %s", what)
-	return receivedCall{}
 }
