--- /dev/null
+++ b/internal/platform/process_test.go
@@ -0,0 +1,169 @@
+package platform
+
+import (
+	"bytes"
+	"fmt"
+	"io"
+	"net"
+	"net/netip"
+	"os"
+	"os/exec"
+	"path/filepath"
+	"sync"
+	"syscall"
+	"testing"
+	"time"
+
+	"golang.org/x/sys/unix"
+
+	"snowquay/internal/wire/resp"
+)
+
+var (
+	readinessCheck = resp.Append(nil, "hb")
+	readyAnswer    = string(resp.Append(nil, "hb_ok"))
+)
+
+// process is the built program as it runs.
+type process struct {
+	*exec.Cmd
+	address string
+	binary  string
+	config  string // path of its configuration file
+	ended   chan error
+
+	mu     sync.Mutex
+	output bytes.Buffer
+}
+
+// build compiles the program.
+func build(t *testing.T) string {
+	t.Helper()
+	binary := filepath.Join(t.TempDir(), "snowquay")
+	if output, err := exec.Command("go", "build", "-o", binary, "snowquay/cmd/snowquay").CombinedOutput(); err != nil {
+		t.Fatalf("%v: %s", err, output)
+	}
+	return binary
+}
+
+// startProcess builds and starts the program with a limit of descriptors, and waits until it is ready.
+func startProcess(t *testing.T, descriptors int, discovery, relay *fakePeer) *process {
+	t.Helper()
+	free, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	address := free.Addr().String()
+	_ = free.Close()
+	return startBinary(t, build(t), address, descriptors, discovery, relay)
+}
+
+func startBinary(t *testing.T, binary, address string, descriptors int, discovery, relay *fakePeer) *process {
+	t.Helper()
+	p := &process{
+		address: address,
+		binary:  binary,
+		config:  filepath.Join(t.TempDir(), "config.json"),
+		ended:   make(chan error, 1),
+	}
+	p.configure(t, discovery, relay)
+	p.Cmd = exec.Command("sh", "-c", fmt.Sprintf("ulimit -n %d && exec %s platform", descriptors, binary))
+	p.Env = append(os.Environ(), configVariable+"="+p.config)
+	p.Stderr = p
+	p.Stdout = p
+	if err := p.Start(); err != nil {
+		t.Fatal(err)
+	}
+	go func() { p.ended <- p.Wait() }()
+	t.Cleanup(func() { _ = p.Process.Kill() })
+	eventually(t, "the program is not ready", p.isReady)
+	return p
+}
+
+// configure writes the file that the program reads at its start and at SIGHUP.
+func (p *process) configure(t *testing.T, discovery, relay *fakePeer) {
+	t.Helper()
+	writeConfig(t, p.config, fmt.Sprintf(`{"name":"n0","listen":%q,"discovery":%q,"hub":{"address":%q},"seed":"8c1f30d27a5be964",
+"limits":{"cores":0.5,"memory_mb":64,"sockets":256},"known":%s,"settings":%s}`, p.address, discovery.listener.Addr(), relay.listener.Addr(),
+		serverList, settings))
+}
+
+// Write keeps what the program logs.
+func (p *process) Write(b []byte) (int, error) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return p.output.Write(b)
+}
+
+// logged returns what the program has logged.
+func (p *process) logged() string {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return p.output.String()
+}
+
+// isReady reports whether the program answers a readiness check within a second.
+func (p *process) isReady() bool {
+	conn, err := net.Dial("tcp", p.address)
+	if err != nil {
+		return false
+	}
+	defer func() { _ = conn.Close() }()
+	_ = conn.SetDeadline(time.Now().Add(time.Second))
+	_, _ = conn.Write(readinessCheck)
+	answer := make([]byte, 64)
+	count, _ := conn.Read(answer)
+	return string(answer[:count]) == readyAnswer
+}
+
+// flood makes clients connect that send nothing, while the program is stopped, so that it finds all of them at once.
+func (p *process) flood(t *testing.T, clients int) {
+	t.Helper()
+	to := netip.MustParseAddrPort(p.address)
+	address := &unix.SockaddrInet4{Port: int(to.Port()), Addr: to.Addr().As4()}
+	_ = p.Process.Signal(syscall.SIGSTOP)
+	for range clients {
+		socket, err := unix.Socket(unix.AF_INET, unix.SOCK_STREAM|unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC, 0)
+		if err != nil {
+			t.Fatal(err)
+		}
+		t.Cleanup(func() { _ = unix.Close(socket) })
+		if err := unix.Connect(socket, address); err != nil && err != unix.EINPROGRESS {
+			t.Fatal(err)
+		}
+	}
+	_ = p.Process.Signal(syscall.SIGCONT)
+}
+
+// awaitEnd waits for the end of the program, and fails the test if that takes longer than allowed since a time or is an error.
+func (p *process) awaitEnd(t *testing.T, since time.Time, allowed time.Duration) {
+	t.Helper()
+	select {
+	case err := <-p.ended:
+		if took := time.Since(since); err != nil || took > allowed {
+			t.Errorf("it ended after %v: %v, %s", took, err, p.logged())
+		}
+	case <-time.After(5 * time.Second):
+		t.Fatal("it does not end")
+	}
+}
+
+// eventually waits until a condition holds, and fails the test with a text otherwise.
+func eventually(t *testing.T, failure string, holds func() bool) {
+	t.Helper()
+	end := time.Now().Add(10 * time.Second)
+	for time.Now().Before(end) {
+		if holds() {
+			return
+		}
+		time.Sleep(5 * time.Millisecond)
+	}
+	t.Fatal(failure)
+}
+
+// drain reads a connection to its end.
+func drain(conn net.Conn) error {
+	_ = conn.SetDeadline(time.Now().Add(time.Second))
+	_, err := io.Copy(io.Discard, conn)
+	return err
+}
