--- a/internal/deployment/deployment_test.go
+++ b/internal/deployment/deployment_test.go
@@ -1,6 +1,7 @@
 package deployment
 
 import (
+	"errors"
 	"fmt"
 	"os"
 	"path/filepath"
@@ -11,46 +12,59 @@
 	"snowquay/balancer"
 )
 
-// ledger is a balancer.CommandSink that keeps what proxies hold.
-type ledger struct {
-	lines  map[balancer.Table]map[balancer.Server]float64
-	bound  map[balancer.Proxy]map[balancer.Class]balancer.Table
-	levels []balancer.RetryPolicy // by class, the most that were ordered
+// dataPlaneState is a balancer.CommandSink that keeps what the proxies hold.
+type dataPlaneState struct {
+	tables  map[balancer.Table]map[balancer.Server]float64
+	tableOf map[balancer.Proxy]map[balancer.Class]balancer.Table
+	retries []balancer.RetryPolicy // by class, the most that was ever set
 }
 
-func (l *ledger) SetWeight(t balancer.Table, s balancer.Server, v float64) {
-	if l.lines[t] == nil {
-		l.lines[t] = map[balancer.Server]float64{}
+func newDataPlaneState(classes int) *dataPlaneState {
+	return &dataPlaneState{
+		tables:  map[balancer.Table]map[balancer.Server]float64{},
+		tableOf: map[balancer.Proxy]map[balancer.Class]balancer.Table{},
+		retries: make([]balancer.RetryPolicy, classes),
 	}
-	l.lines[t][s] = v
 }
 
-func (l *ledger) AssignTable(p balancer.Proxy, t balancer.Table, set balancer.ClassSet) {
-	if l.bound[p] == nil {
-		l.bound[p] = map[balancer.Class]balancer.Table{}
+func (s *dataPlaneState) SetWeight(table balancer.Table, server balancer.Server, weight float64) {
+	if s.tables[table] == nil {
+		s.tables[table] = map[balancer.Server]float64{}
 	}
-	for c := range l.levels {
-		if set == 0 || set>>c&1 == 1 {
-			l.bound[p][balancer.Class(c)] = t
+	s.tables[table][server] = weight
+}
+
+func (s *dataPlaneState) AssignTable(proxy balancer.Proxy, table balancer.Table, classes balancer.ClassSet) {
+	if s.tableOf[proxy] == nil {
+		s.tableOf[proxy] = map[balancer.Class]balancer.Table{}
+	}
+	for class := range s.retries {
+		if contains(classes, class) {
+			s.tableOf[proxy][balancer.Class(class)] = table
 		}
 	}
 }
 
-func (l *ledger) SetAdmission(_ balancer.Table, set balancer.ClassSet, _ float64, again balancer.RetryPolicy) {
-	for c := range l.levels {
-		if set == 0 || set>>c&1 == 1 {
-			l.levels[c] = max(l.levels[c], again)
+func (s *dataPlaneState) SetAdmission(_ balancer.Table, classes balancer.ClassSet, _ float64, policy balancer.RetryPolicy) {
+	for class := range s.retries {
+		if contains(classes, class) {
+			s.retries[class] = max(s.retries[class], policy)
 		}
 	}
 }
 
-func (l *ledger) RequestAck(balancer.AckID)        {}
-func (l *ledger) HealthCheck(balancer.Server)      {}
-func (l *ledger) PollDiscovery()                   {}
-func (l *ledger) SetTimer(float64, balancer.Timer) {}
-func (l *ledger) Log(string)                       {}
+func contains(classes balancer.ClassSet, class int) bool {
+	return classes == 0 || classes>>class&1 == 1
+}
 
-func site(t *testing.T, name string) (*Deployment, string) {
+func (s *dataPlaneState) RequestAck(balancer.AckID)        {}
+func (s *dataPlaneState) HealthCheck(balancer.Server)      {}
+func (s *dataPlaneState) PollDiscovery()                   {}
+func (s *dataPlaneState) SetTimer(float64, balancer.Timer) {}
+func (s *dataPlaneState) Log(string)                       {}
+
+// readSite returns the settings of a site, and the text of its description.
+func readSite(t *testing.T, name string) (*Deployment, string) {
 	t.Helper()
 	text, err := os.ReadFile(filepath.Join("testdata", name+".json"))
 	if err != nil {
@@ -67,139 +81,214 @@
 	return d, string(page)
 }
 
-// Deployments with other names, classes, limits and rules are read from their settings alone, and obeyed.
-func TestOtherDeploymentsAreReadAndObeyed(t *testing.T) {
-	for _, want := range []struct {
-		name    string
-		effects []balancer.Idempotency
-		own     []bool
-		drains  float64 // seconds, 0.2 and more over the site's figure
-	}{
+// wantedSite is what the settings of a site have to say.
+type wantedSite struct {
+	name          string
+	idempotencies []balancer.Idempotency // by class
+	zoneLocal     []bool                 // by class
+	drainDeadline float64                // seconds, at least 0.2 above the site's figure
+}
+
+// Deployments with other names, classes, limits and rules are read from their settings alone, and their rules are kept.
+func TestOtherDeployments(t *testing.T) {
+	for _, want := range []wantedSite{
 		{"harbour-tides", []balancer.Idempotency{balancer.Idempotent, balancer.NonIdempotent}, []bool{false, false}, 2.5},
 		{"alpine-rescue", []balancer.Idempotency{balancer.Idempotent, balancer.Keyed}, []bool{false, true}, 3},
 	} {
-		d, page := site(t, want.name)
-		var names []string
-		for k, c := range d.Classes {
-			names = append(names, c.Name)
-			if idempotencies[c.Idempotency] != want.effects[k] || d.DataPlane.ZoneLocalClasses[k] != want.own[k] || c.LatencyObjective <= 0 || c.LatencyObjective >= c.ClientTimeout || c.PriorityWeight <= 0 {
-				t.Errorf("%s: class %+v, own zone %v", want.name, c, d.DataPlane.ZoneLocalClasses[k])
-			}
+		t.Run(want.name, func(t *testing.T) {
+			d, page := readSite(t, want.name)
+			checkNames(t, d, page)
+			checkSettings(t, d, want)
+			checkDecisions(t, d, want.zoneLocal)
+		})
+	}
+}
+
+// checkNames checks that the site's description has all names of the settings.
+func checkNames(t *testing.T, d *Deployment, page string) {
+	t.Helper()
+	var classes []string
+	for _, class := range d.Classes {
+		classes = append(classes, class.Name)
+	}
+	for _, name := range slices.Concat(classes, d.Zones, d.MachineKinds) {
+		if !strings.Contains(page, fmt.Sprintf("%q", name)) {
+			t.Errorf("the site does not name %q", name)
 		}
-		for _, name := range slices.Concat(names, d.Zones, d.MachineKinds) {
-			if !strings.Contains(page, fmt.Sprintf("%q", name)) {
-				t.Errorf("%s: the site does not name %q", want.name, name)
-			}
+	}
+}
+
+func checkSettings(t *testing.T, d *Deployment, want wantedSite) {
+	t.Helper()
+	plane := d.DataPlane
+	for number, class := range d.Classes {
+		if idempotencies[class.Idempotency] != want.idempotencies[number] || plane.ZoneLocalClasses[number] != want.zoneLocal[number] {
+			t.Errorf("class %+v, zone local: %v", class, plane.ZoneLocalClasses[number])
 		}
-		if f, g := d.DataPlane, d.Guarantees; g.DrainDeadline < want.drains || g.DrainDeadline > want.drains+2 || f.EntriesPerSecond < 1000 ||
-			f.MaxQueuedEntries < f.EntriesPerSecond || f.MaxMessages < 20 || f.MessageWindow != 10 || f.ReportPeriod != 0.5 || f.Proxies < 100 || d.Coordinators != 5 {
-			t.Errorf("%s: %+v, %+v", want.name, f, g)
+		if class.LatencyObjective <= 0 || class.LatencyObjective >= class.ClientTimeout || class.PriorityWeight <= 0 {
+			t.Errorf("class %+v", class)
 		}
-		obeyed(t, want.name, d, want.own)
+	}
+	if deadline := d.Guarantees.DrainDeadline; deadline < want.drainDeadline || deadline > want.drainDeadline+2 {
+		t.Errorf("drain deadline %g, want %g or up to 2 more", deadline, want.drainDeadline)
+	}
+	if plane.EntriesPerSecond < 1000 || plane.MaxQueuedEntries < plane.EntriesPerSecond || plane.MaxMessages < 20 || plane.MessageWindow != 10 {
+		t.Errorf("channel: %+v", plane)
+	}
+	if plane.ReportPeriod != 0.5 || plane.Proxies < 100 || d.Coordinators != 5 {
+		t.Errorf("%d coordinators, %+v", d.Coordinators, plane)
 	}
 }
 
-func obeyed(t *testing.T, name string, d *Deployment, own []bool) {
+// checkDecisions runs a balancer through failures of most attempts and a recovery, and checks that every class of every proxy has a table by the rules.
+func checkDecisions(t *testing.T, d *Deployment, zoneLocal []bool) {
 	t.Helper()
-	d.DataPlane.DefaultRetry = int(balancer.RetryTwice) // orders of less are needed then
-	m, l := d.NewBalancer(7), &ledger{map[balancer.Table]map[balancer.Server]float64{}, map[balancer.Proxy]map[balancer.Class]balancer.Table{},
-		make([]balancer.RetryPolicy, len(d.Classes))}
-	list, zone := balancer.EndpointList{Scope: balancer.FullList}, map[balancer.Server]balancer.Zone{}
-	var streams []balancer.ProxyEvent
-	for z := range d.Zones {
-		for i := range []int{40, 10, 10}[z] { // an even part of all servers is not what is in a zone
-			s := balancer.Server(fmt.Sprintf("s-%d-%d", z, i))
-			zone[s] = balancer.Zone(z)
-			list.Endpoints = append(list.Endpoints, balancer.Endpoint{Server: s, Zone: balancer.Zone(z), Weight: 1})
+	d.DataPlane.DefaultRetry = int(balancer.RetryTwice) // so that fewer retries have to be set
+	b := d.NewBalancer(7)
+	state := newDataPlaneState(len(d.Classes))
+	zoneOf := map[balancer.Server]balancer.Zone{}
+	list := balancer.EndpointList{Scope: balancer.FullList}
+	var joins []balancer.ProxyEvent
+	for number := range d.Zones {
+		zone := balancer.Zone(number)
+		for i := range []int{40, 10, 10}[number] { // an even part of all servers is not what a zone has
+			server := balancer.Server(fmt.Sprintf("s-%d-%d", number, i))
+			zoneOf[server] = zone
+			list.Endpoints = append(list.Endpoints, balancer.Endpoint{Server: server, Zone: zone, Weight: 1})
 		}
-		streams = append(streams, balancer.ProxyEvent{Proxy: balancer.Proxy(z), Joined: true, Zone: balancer.Zone(z), ExpectedRate: 5})
-	}
-	m.Reconcile(100, balancer.Events{Lists: []balancer.EndpointList{list}, ProxyEvents: streams}, l)
-	for i := range 400 { // most tries fail at first, then none: repeats are ordered off, and on again
-		now := 100.1 + float64(i)/4
-		var traffic []balancer.UpstreamReport
-		for s, z := range zone {
-			if i%4 == 0 {
-				traffic = append(traffic, balancer.UpstreamReport{Server: s, Zone: z, Attempts: 8, Failed: []float64{6, 0}[i/200], Latency: 0.2, Interval: 1})
-			}
+		joins = append(joins, balancer.ProxyEvent{Proxy: balancer.Proxy(number), Joined: true, Zone: zone, ExpectedRate: 5})
+	}
+	b.Reconcile(100, balancer.Events{Lists: []balancer.EndpointList{list}, ProxyEvents: joins}, state)
+	for i := range 400 { // most attempts fail at first, then none: retries are turned off, and on again
+		var reports []balancer.UpstreamReport
+		if i%4 == 0 {
+			reports = reportsOf(zoneOf, []float64{6, 0}[i/200])
 		}
-		slices.SortFunc(traffic, func(a, b balancer.UpstreamReport) int { return strings.Compare(string(a.Server), string(b.Server)) })
-		m.Reconcile(now, balancer.Events{Upstreams: traffic}, l)
-	}
-	for _, s := range streams {
-		for c := range d.Classes {
-			table, bound := l.bound[s.Proxy][balancer.Class(c)]
-			open := 0
-			for server, v := range l.lines[table] {
-				if v > 0 {
-					open++
-				}
-				if v > 0 && own[c] && zone[server] != s.Zone {
-					t.Errorf("%s: class %d at a proxy of zone %d goes to %s", name, c, s.Zone, server)
-				}
-			}
-			if !bound || open == 0 {
-				t.Errorf("%s: proxy %d has no line for class %d", name, s.Proxy, c)
-			}
+		b.Reconcile(100.1+float64(i)/4, balancer.Events{Upstreams: reports}, state)
+	}
+	for _, join := range joins {
+		for class := range d.Classes {
+			checkTable(t, state, join, balancer.Class(class), zoneLocal[class], zoneOf)
 		}
 	}
-	if l.levels[0] != balancer.RetryTwice {
-		t.Errorf("%s: at most %d was ordered for the class that may run any time", name, l.levels[0])
+	checkRetries(t, d, state)
+}
+
+// reportsOf returns a report of eight attempts at each server, of which some failed, in the order of the servers' names.
+func reportsOf(zoneOf map[balancer.Server]balancer.Zone, failed float64) []balancer.UpstreamReport {
+	var reports []balancer.UpstreamReport
+	for server, zone := range zoneOf {
+		reports = append(reports, balancer.UpstreamReport{Server: server, Zone: zone, Attempts: 8, Failed: failed, Latency: 0.2, Interval: 1})
 	}
-	for c, again := range l.levels {
-		if idempotencies[d.Classes[c].Idempotency] != balancer.Idempotent && again > balancer.RetryIfNotExecuted {
-			t.Errorf("%s: class %d may run twice: %d", name, c, again)
+	slices.SortFunc(reports, func(a, b balancer.UpstreamReport) int { return strings.Compare(string(a.Server), string(b.Server)) })
+	return reports
+}
+
+// checkTable checks that a class of a proxy has a table with servers, of its own zone if it is zone local.
+func checkTable(t *testing.T, state *dataPlaneState, proxy balancer.ProxyEvent, class balancer.Class, zoneLocal bool,
+	zoneOf map[balancer.Server]balancer.Zone) {
+	t.Helper()
+	table, assigned := state.tableOf[proxy.Proxy][class]
+	usable := 0
+	for server, weight := range state.tables[table] {
+		if weight <= 0 {
+			continue
+		}
+		usable++
+		if zoneLocal && zoneOf[server] != proxy.Zone {
+			t.Errorf("class %d at a proxy of zone %d goes to %s", class, proxy.Zone, server)
+		}
+	}
+	if !assigned || usable == 0 {
+		t.Errorf("proxy %d has no server for class %d", proxy.Proxy, class)
+	}
+}
+
+func checkRetries(t *testing.T, d *Deployment, state *dataPlaneState) {
+	t.Helper()
+	if state.retries[0] != balancer.RetryTwice {
+		t.Errorf("at most policy %d was set for the idempotent class", state.retries[0])
+	}
+	for class, policy := range state.retries {
+		if idempotencies[d.Classes[class].Idempotency] != balancer.Idempotent && policy > balancer.RetryIfNotExecuted {
+			t.Errorf("class %d may run twice: policy %d", class, policy)
 		}
 	}
 }
 
-func TestSettingsThatCannotBeRead(t *testing.T) {
-	for text, want := range map[string]string{"": "unexpected end", "[]": "cannot unmarshal", "{}": "grades", `{"grades":[{"effect":"often"}]}`: "often"} {
+func TestUnreadableSettings(t *testing.T) {
+	for text, want := range map[string]string{
+		"":                                "unexpected end",
+		"[]":                              "cannot unmarshal",
+		"{}":                              "grades",
+		`{"grades":[{"effect":"often"}]}`: "often",
+	} {
 		if _, err := Read([]byte(text)); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%q: %v, want %q", text, err, want)
 		}
 	}
+	if _, err := Read([]byte("{}")); !errors.Is(err, ErrNoClasses) {
+		t.Errorf("without classes: %v", err)
+	}
 }
 
-// Settings out of range are named; odd ones are run with, without a fault in any decision.
-func TestSettingsOutOfRangeAreNamed(t *testing.T) {
-	with := func(info, more string) string {
-		return `{"zones":["a"],"grades":[{"effect":"free","aim":1}],"family-info":{"data-plane-size":9,` + info + `}` + more + `}`
-	}
+// settingsWith returns settings with the given members of the data plane, and more members.
+func settingsWith(dataPlane, more string) string {
+	return `{"zones":["a"],"grades":[{"effect":"free","aim":1}],"family-info":{"data-plane-size":9,` + dataPlane + `}` + more + `}`
+}
+
+func TestSettingsOutOfRange(t *testing.T) {
 	for text, want := range map[string]string{
-		with(`"reloads-max":-1`, ""):                                   "family-info.reloads-max: -1",
-		with(`"egress-per-s":-5`, ""):                                  "family-info.egress-per-s: -5",
-		with(`"pending-max":1e300`, ""):                                "family-info.pending-max: 1e+300",
-		with(`"period":1`, `,"balancers":2000000`):                     "balancers: 2e+06",
-		with(`"period":1`, `,"guarantees":{"stop-sending-within":-1}`): "guarantees.stop-sending-within: -1",
-		with(`"reloads-max":"x"`, ""):                                  "reloads-max",
+		settingsWith(`"reloads-max":-1`, ""):                                   "family-info.reloads-max: -1",
+		settingsWith(`"egress-per-s":-5`, ""):                                  "family-info.egress-per-s: -5",
+		settingsWith(`"pending-max":1e300`, ""):                                "family-info.pending-max: 1e+300",
+		settingsWith(`"period":1`, `,"balancers":2000000`):                     "balancers: 2e+06",
+		settingsWith(`"period":1`, `,"guarantees":{"stop-sending-within":-1}`): "guarantees.stop-sending-within: -1",
 	} {
-		if _, err := Read([]byte(text)); err == nil || !strings.Contains(err.Error(), want) {
+		_, err := Read([]byte(text))
+		var outOfRange *RangeError
+		if !errors.As(err, &outOfRange) || !strings.Contains(err.Error(), want) {
 			t.Errorf("%s: %v, want %q", text, err, want)
 		}
 	}
+	if _, err := Read([]byte(settingsWith(`"reloads-max":"x"`, ""))); err == nil || !strings.Contains(err.Error(), "reloads-max") {
+		t.Errorf("a value of a wrong type: %v", err)
+	}
+}
+
+// Settings under which rules cannot be kept are named, and do not break any decision.
+func TestWarnings(t *testing.T) {
 	for text, want := range map[string]string{
-		with(`"egress-per-s":0,"pending-max":100,"per-message":3`, ""):                    "egress-per-s",
-		with(`"egress-per-s":100,"pending-max":4,"per-message":10`, ""):                   "pending-max",
-		with(`"egress-per-s":100,"pending-max":100,"per-message":3,"reloads-max":1`, ""):  "reloads-max",
-		with(`"egress-per-s":100,"pending-max":100,"per-message":3,"reloads-max":30`, ""): "",
+		settingsWith(`"egress-per-s":0,"pending-max":100,"per-message":3`, ""):                    "egress-per-s",
+		settingsWith(`"egress-per-s":100,"pending-max":4,"per-message":10`, ""):                   "pending-max",
+		settingsWith(`"egress-per-s":100,"pending-max":100,"per-message":3,"reloads-max":1`, ""):  "reloads-max",
+		settingsWith(`"egress-per-s":100,"pending-max":100,"per-message":3,"reloads-max":30`, ""): "",
 	} {
 		d, err := Read([]byte(text))
 		if err != nil {
 			t.Fatal(err)
 		}
-		doubts := strings.Join(d.Warnings(), "; ")
-		if !strings.Contains(doubts, want) || (doubts == "") != (want == "") {
-			t.Errorf("%s: doubts %q, want %q", text, doubts, want)
-		}
-		m := d.NewBalancer(1)
-		news := balancer.Events{Lists: []balancer.EndpointList{{Endpoints: []balancer.Endpoint{{Server: "s", Weight: 1}}}},
-			ProxyEvents: []balancer.ProxyEvent{{Proxy: 1, Joined: true, ExpectedRate: 5}, {Proxy: 2, Joined: true, ExpectedRate: 5}}}
-		l := ledger{lines: map[balancer.Table]map[balancer.Server]float64{}, bound: map[balancer.Proxy]map[balancer.Class]balancer.Table{},
-			levels: make([]balancer.RetryPolicy, 1)}
-		for i := range 30 {
-			m.Reconcile(100+float64(i)/4, news, &l)
-			news = balancer.Events{Acks: []balancer.Ack{{Proxy: 1, ID: 1, Latency: 0.1}}}
+		warnings := strings.Join(d.Warnings(), "; ")
+		if !strings.Contains(warnings, want) || (warnings == "") != (want == "") {
+			t.Errorf("%s: warnings %q, want %q", text, warnings, want)
 		}
+		runRounds(d)
+	}
+}
+
+// runRounds runs a balancer with one server and two proxies for some rounds.
+func runRounds(d *Deployment) {
+	b := d.NewBalancer(1)
+	state := newDataPlaneState(1)
+	events := balancer.Events{
+		Lists: []balancer.EndpointList{{Endpoints: []balancer.Endpoint{{Server: "s", Weight: 1}}}},
+		ProxyEvents: []balancer.ProxyEvent{
+			{Proxy: 1, Joined: true, ExpectedRate: 5},
+			{Proxy: 2, Joined: true, ExpectedRate: 5},
+		},
+	}
+	for i := range 30 {
+		b.Reconcile(100+float64(i)/4, events, state)
+		events = balancer.Events{Acks: []balancer.Ack{{Proxy: 1, ID: 1, Latency: 0.1}}}
 	}
 }
