--- a/internal/core/platformstate/call.go
+++ b/internal/core/platformstate/call.go
@@ -73,9 +73,9 @@
 	return len(c.pending)
 }
 
-// splitPoint moves the end of a call that cannot hold all commands back to where those for another table or proxy begin: each call
-// is a message of its own to the proxies that it concerns, and messages are limited. It does not leave the request for
-// acknowledgement alone in the next call, which would concern no proxy.
+// splitPoint moves the end of a call that cannot hold all commands back to where those for another table or
+// proxy begin: each call is a message of its own to the proxies that it concerns, and messages are limited. It
+// does not leave the request for acknowledgement alone in the next call, which would concern no proxy.
 func (c *CommandBuffer) splitPoint(fitting int) int {
 	count := fitting
 	if count == len(c.pending)-1 && c.pending[count].key.kind == requestAck {
@@ -90,7 +90,8 @@
 	return count
 }
 
-// HandleResponse takes a response of the relay. One to a later call than the one in flight makes that indeterminate.
+// HandleResponse takes a response of the relay. One to a later call than the one in flight makes that
+// indeterminate.
 func (c *CommandBuffer) HandleResponse(response *jsonrpc.Response) Outcome {
 	if !c.callInFlight || response.ID < c.callID {
 		return Unsolicited
@@ -116,8 +117,8 @@
 	return Applied
 }
 
-// handleRejection sends the call again. After some rejections as malformed its commands are dropped, since retrying them for ever
-// would block all later commands.
+// handleRejection sends the call again. After some rejections as malformed its commands are dropped, since
+// retrying them for ever would block all later commands.
 func (c *CommandBuffer) handleRejection(err *jsonrpc.RemoteError) {
 	if !err.Malformed() {
 		c.malformedReplies = 0
@@ -133,7 +134,8 @@
 	c.requeue(c.call)
 }
 
-// HandleUnreadable takes a line of the relay that cannot be read: it may have been the response to the call in flight.
+// HandleUnreadable takes a line of the relay that cannot be read: it may have been the response to the call in
+// flight.
 func (c *CommandBuffer) HandleUnreadable() Outcome {
 	if !c.callInFlight {
 		return Unsolicited
@@ -142,7 +144,8 @@
 	return Indeterminate
 }
 
-// ConnectionLost says that the call in flight, if any, will get no response: it may or may not have been carried out.
+// ConnectionLost says that the call in flight, if any, will get no response: it may or may not have been
+// carried out.
 func (c *CommandBuffer) ConnectionLost() {
 	if !c.callInFlight {
 		return
--- a/internal/core/platformstate/command.go
+++ b/internal/core/platformstate/command.go
@@ -12,8 +12,8 @@
 	requestAck
 )
 
-// commandKey identifies the state that a command sets. A newer command with the same key supersedes one that has not been sent.
-// Fields that the kind does not use are zero.
+// commandKey identifies the state that a command sets. A newer command with the same key supersedes one that
+// has not been sent. Fields that the kind does not use are zero.
 type commandKey struct {
 	kind    commandKind
 	table   balancer.Table
@@ -28,7 +28,8 @@
 	text []byte // nil if superseded
 }
 
-// sameTarget reports whether two commands concern the same table or the same proxy, and so belong into one call.
+// sameTarget reports whether two commands concern the same table or the same proxy, and so belong into one
+// call.
 func (k commandKey) sameTarget(other commandKey) bool {
 	switch {
 	case k.kind == requestAck || other.kind == requestAck:
--- a/internal/core/platformstate/command_buffer.go
+++ b/internal/core/platformstate/command_buffer.go
@@ -1,7 +1,8 @@
-// Package platformstate keeps what a coordinator on the platform knows of its proxies, its servers and the commands to its relay.
+// Package platformstate keeps what a coordinator on the platform knows of its proxies, its servers and the
+// commands to its relay.
 //
-// It is pure: it has no sockets and no clock; times are seconds of the caller's clock. It resolves disagreement between two
-// sources, and leaves every balancing decision to package balancer.
+// It is pure: it has no sockets and no clock; times are seconds of the caller's clock. It resolves disagreement
+// between two sources, and leaves every balancing decision to package balancer.
 package platformstate
 
 import (
@@ -14,8 +15,9 @@
 
 // CommandBuffer coalesces commands to the relay and keeps one call in flight.
 //
-// Commands that are decided while a call is in flight wait as the newest state of each key, not as a queue, so that they cannot
-// outgrow the tables, servers and proxies. The buffer implements the part of balancer.CommandSink that goes to the relay.
+// Commands that are decided while a call is in flight wait as the newest state of each key, not as a queue, so
+// that they cannot outgrow the tables, servers and proxies. The buffer implements the part of
+// balancer.CommandSink that goes to the relay.
 type CommandBuffer struct {
 	classes jsonrpc.ClassNames
 
@@ -58,8 +60,9 @@
 
 // RequestAck implements balancer.CommandSink. Only the proxies that the call concerns acknowledge it.
 //
-// A call carries one request. Where commands of several rounds wait for the same call the oldest request stays: an acknowledgement
-// proves that everything before the request has left the channel, which for a newer request would not be true of every proxy.
+// A call carries one request. Where commands of several rounds wait for the same call the oldest request stays:
+// an acknowledgement proves that everything before the request has left the channel, which for a newer request
+// would not be true of every proxy.
 func (c *CommandBuffer) RequestAck(id balancer.AckID) {
 	key := commandKey{kind: requestAck}
 	if _, pending := c.index[key]; !pending {
@@ -67,8 +70,8 @@
 	}
 }
 
-// ProxyLeft drops the commands for a proxy that has left, which the relay could not apply. Those of the call in flight are dropped
-// from its retry, so that they do not apply to the proxy's next connection.
+// ProxyLeft drops the commands for a proxy that has left, which the relay could not apply. Those of the call in
+// flight are dropped from its retry, so that they do not apply to the proxy's next connection.
 func (c *CommandBuffer) ProxyLeft(p balancer.Proxy) {
 	for i, waiting := range c.pending {
 		if waiting.text != nil && waiting.key.assigns(p) {
@@ -89,7 +92,8 @@
 // Pending returns the number of commands that wait for a call.
 func (c *CommandBuffer) Pending() int { return len(c.index) }
 
-// TakeRedelivered returns, and forgets, what has been scheduled to go again although it may have been carried out.
+// TakeRedelivered returns, and forgets, what has been scheduled to go again although it may have been carried
+// out.
 func (c *CommandBuffer) TakeRedelivered() balancer.Redelivered {
 	taken := c.redelivered
 	c.redelivered = balancer.Redelivered{}
@@ -121,8 +125,8 @@
 	c.pending = kept
 }
 
-// requeue ends the call in flight and puts commands of it before the pending ones. Newer commands of the same key win, except that
-// the older request for acknowledgement stays.
+// requeue ends the call in flight and puts commands of it before the pending ones. Newer commands of the same
+// key win, except that the older request for acknowledgement stays.
 func (c *CommandBuffer) requeue(commands []command) {
 	all := make([]command, 0, len(commands)+len(c.pending))
 	for _, sent := range commands {
--- a/internal/core/platformstate/command_buffer_test.go
+++ b/internal/core/platformstate/command_buffer_test.go
@@ -145,8 +145,8 @@
 	}
 }
 
-// If the newer request stood, an acknowledgement of it could arrive before all commands of the older round had left the channel, where
-// both rounds went with one call.
+// If the newer request stood, an acknowledgement of it could arrive before all commands of the older round had
+// left the channel, where both rounds went with one call.
 func TestOldestAckRequestOfSeveralRoundsStands(t *testing.T) {
 	c := NewCommandBuffer(jsonrpc.ClassNames{"a"})
 	ackIDs := func(b []byte) (list []float64) {
@@ -181,8 +181,9 @@
 	}
 }
 
-// Each call is a message of its own to the proxies that it concerns, and messages are limited. A round that is too large for one call is
-// therefore split between tables; a table that is larger than a call is reported as redelivered.
+// Each call is a message of its own to the proxies that it concerns, and messages are limited. A round that is
+// too large for one call is therefore split between tables; a table that is larger than a call is reported as
+// redelivered.
 func TestLargeRoundIsSplitBetweenTables(t *testing.T) {
 	for _, servers := range []int{5, 300, 1024} {
 		c := NewCommandBuffer(jsonrpc.ClassNames{"a"})
@@ -249,8 +250,8 @@
 	}
 }
 
-// A proxy leaves while the call that assigns its table is in flight, and the call goes again: the assignment must not apply to the proxy's
-// next connection.
+// A proxy leaves while the call that assigns its table is in flight, and the call goes again: the assignment
+// must not apply to the proxy's next connection.
 func TestAssignmentToDepartedProxyDoesNotGoAgain(t *testing.T) {
 	c := NewCommandBuffer(jsonrpc.ClassNames{"a"})
 	c.AssignTable(7, 1, 0)
--- a/internal/core/platformstate/endpoint_set.go
+++ b/internal/core/platformstate/endpoint_set.go
@@ -8,8 +8,8 @@
 	"snowquay/internal/wire/discovery"
 )
 
-// EndpointSet holds the servers that discovery lists, with the addresses of their health checks, and the version up to which they are
-// known completely.
+// EndpointSet holds the servers that discovery lists, with the addresses of their health checks, and the
+// version up to which they are known completely.
 type EndpointSet struct {
 	zones           []string
 	machineKinds    []string
@@ -28,8 +28,8 @@
 	endpoint balancer.Endpoint
 }
 
-// NewEndpointSet returns an empty set. Discovery names zones and kinds of machines, which package balancer numbers in the order of these
-// slices.
+// NewEndpointSet returns an empty set. Discovery names zones and kinds of machines, which package balancer
+// numbers in the order of these slices.
 func NewEndpointSet(zones, machineKinds []string) *EndpointSet {
 	return &EndpointSet{
 		zones:           zones,
@@ -46,8 +46,8 @@
 // NewestVersion returns the version of the newest list that was applied; -1 before the first.
 func (s *EndpointSet) NewestVersion() int64 { return s.version }
 
-// MarkIncomplete says that a list could not be read: what it changed is missing until a new connection has delivered everything after
-// CompleteVersion.
+// MarkIncomplete says that a list could not be read: what it changed is missing until a new connection has
+// delivered everything after CompleteVersion.
 func (s *EndpointSet) MarkIncomplete() { s.incomplete = true }
 
 // Incomplete reports whether a change is missing.
@@ -59,7 +59,8 @@
 	return ok
 }
 
-// Address returns where a server listens. It is invalid if the server is not listed or its address could not be read.
+// Address returns where a server listens. It is invalid if the server is not listed or its address could not be
+// read.
 func (s *EndpointSet) Address(id balancer.Server) netip.AddrPort { return s.endpoints[id].address }
 
 // EverListed reports whether any server has been listed, now or earlier.
@@ -75,10 +76,11 @@
 	s.incomplete = false
 }
 
-// Apply takes a list of discovery and reports whether the set is complete. first says that it is the first list on its connection.
+// Apply takes a list of discovery and reports whether the set is complete. first says that it is the first list
+// on its connection.
 //
-// A list older than the set changes nothing, unless it is full and first: discovery may have started anew. Where an entry cannot be used the
-// others count, and the set is incomplete until the first list of a new connection.
+// A list older than the set changes nothing, unless it is full and first: discovery may have restarted. Where
+// an entry cannot be used the others count, and the set is incomplete until the first list of a new connection.
 func (s *EndpointSet) Apply(list *discovery.List, first bool, events *balancer.Events) bool {
 	if !s.accepts(list, first) {
 		return !s.incomplete
@@ -131,7 +133,8 @@
 	return s.Malformed == malformedBefore
 }
 
-// mergeServer updates one server. One whose entry cannot be used stays as it was in previous, except that draining always counts.
+// mergeServer updates one server. One whose entry cannot be used stays as it was in previous, except that
+// draining always counts.
 func (s *EndpointSet) mergeServer(server discovery.Server, previous map[balancer.Server]listedEndpoint) (balancer.Endpoint, bool) {
 	endpoint, usable := s.endpoint(server)
 	if usable && endpoint.Phase == balancer.Removed {
@@ -155,7 +158,8 @@
 	return known.endpoint, true
 }
 
-// endpoint converts an entry and reports whether it can be used. The fields of a removed server, other than its id, do not matter.
+// endpoint converts an entry and reports whether it can be used. The fields of a removed server, other than its
+// id, do not matter.
 func (s *EndpointSet) endpoint(server discovery.Server) (balancer.Endpoint, bool) {
 	endpoint := balancer.Endpoint{
 		Server:        balancer.Server(server.ID),
--- a/internal/core/platformstate/endpoint_set_test.go
+++ b/internal/core/platformstate/endpoint_set_test.go
@@ -1,81 +1,118 @@
 package platformstate
 
 import (
-	"slices"
 	"testing"
 
 	"snowquay/balancer"
 	"snowquay/internal/wire/discovery"
 )
 
-// The complete version does not advance past an entry that cannot be used, so that it is requested again. Draining counts whatever else
-// the entry says.
-func TestUnusableEntryLeavesTheSetIncomplete(t *testing.T) {
-	s := NewEndpointSet([]string{"a"}, nil)
-	events := &balancer.Events{}
-	entry := func(id string, state discovery.State) discovery.Server {
-		return discovery.Server{ID: id, Address: "127.0.0.1:1", Zone: "a", State: state, Weight: 1}
-	}
-	if !s.Apply(&discovery.List{Version: 4, Full: true, Servers: []discovery.Server{entry("x", "ready"), entry("y", "ready")}}, true, events) {
-		t.Fatal("the set is incomplete after a list without faults")
+func entry(id string, state discovery.State) discovery.Server {
+	return discovery.Server{ID: id, Address: "127.0.0.1:1", Zone: "a", State: state, Weight: 1}
+}
+
+func fullList(version int64, servers ...discovery.Server) *discovery.List {
+	return &discovery.List{Version: version, Full: true, Servers: servers}
+}
+
+func changes(version int64, servers ...discovery.Server) *discovery.List {
+	return &discovery.List{Version: version, Servers: servers}
+}
+
+// applyTest is an endpoint set and the events of the last list.
+type applyTest struct {
+	*EndpointSet
+	events *balancer.Events
+}
+
+func newApplyTest() *applyTest {
+	return &applyTest{EndpointSet: NewEndpointSet([]string{"a"}, nil), events: &balancer.Events{}}
+}
+
+// apply applies a list and checks whether the set is complete after it, and its complete version.
+func (a *applyTest) apply(t *testing.T, list *discovery.List, first, complete bool, version int64) {
+	t.Helper()
+	*a.events = balancer.Events{}
+	got := a.Apply(list, first, a.events)
+	if got != complete || a.CompleteVersion() != version {
+		t.Errorf("after version %d complete: %v, version %d; want %v, %d", list.Version, got, a.CompleteVersion(), complete, version)
 	}
+}
+
+// The complete version does not advance past an entry that cannot be used, so that it is requested again. Draining
+// counts whatever else the entry says.
+func TestUnusableEntryLeavesTheSetIncomplete(t *testing.T) {
+	set := newApplyTest()
+	set.apply(t, fullList(4, entry("x", "ready"), entry("y", "ready")), true, true, 4)
+
 	draining := entry("x", "draining")
 	draining.Weight = -1
 	unknownZone := entry("z", "ready")
 	unknownZone.Zone = "nowhere"
-	*events = balancer.Events{}
-	if s.Apply(&discovery.List{Version: 5, Servers: []discovery.Server{draining, unknownZone}}, false, events) || s.CompleteVersion() != 4 || s.NewestVersion() != 5 || s.Malformed != 2 {
-		t.Errorf("version %d, %d malformed", s.CompleteVersion(), s.Malformed)
-	}
-	if l := events.Lists[0]; len(l.Endpoints) != 1 || l.Endpoints[0].Server != "x" || l.Endpoints[0].Phase != balancer.Draining || l.Endpoints[0].Weight != 1 {
-		t.Errorf("%+v", l)
+	set.apply(t, changes(5, draining, unknownZone), false, false, 4)
+	if set.NewestVersion() != 5 || set.Malformed != 2 {
+		t.Errorf("newest version %d, %d malformed", set.NewestVersion(), set.Malformed)
 	}
-	if s.Apply(&discovery.List{Version: 6, Servers: []discovery.Server{entry("y", "ready")}}, false, events) || s.CompleteVersion() != 4 {
-		t.Errorf("a list without faults makes up for the one before: version %d", s.CompleteVersion())
+	if endpoints := set.events.Lists[0].Endpoints; len(endpoints) != 1 {
+		t.Errorf("%+v", endpoints)
+	} else if x := endpoints[0]; x.Server != "x" || x.Phase != balancer.Draining || x.Weight != 1 {
+		t.Errorf("%+v", x)
 	}
-	*events = balancer.Events{}
-	full := &discovery.List{Version: 6, Full: true, Servers: []discovery.Server{entry("x", "draining")}, Malformed: 1} // perhaps that of y
-	if s.Apply(full, false, events) || !s.Contains("y") || events.Lists[0].Scope != balancer.DeltaList {
-		t.Errorf("y is listed: %v; %+v", s.Contains("y"), events.Lists)
-	}
-	full.Malformed = 0
-	if !s.Apply(full, false, events) || s.Contains("y") || s.CompleteVersion() != 6 {
-		t.Errorf("y is listed: %v at version %d", s.Contains("y"), s.CompleteVersion())
+
+	// A list without faults does not make up for the one before.
+	set.apply(t, changes(6, entry("y", "ready")), false, false, 4)
+}
+
+// An entry that cannot be read may be the one of a server that is absent from a full list.
+func TestFullListWithUnreadableEntryRemovesNoServer(t *testing.T) {
+	set := newApplyTest()
+	set.apply(t, fullList(4, entry("x", "ready"), entry("y", "ready")), true, true, 4)
+	list := fullList(6, entry("x", "draining"))
+	list.Malformed = 1
+	set.apply(t, list, false, false, 4)
+	if !set.Contains("y") || set.events.Lists[0].Scope != balancer.DeltaList {
+		t.Errorf("y is listed: %v; %+v", set.Contains("y"), set.events.Lists)
 	}
-	s.MarkIncomplete()
-	if s.Apply(&discovery.List{Version: 7}, false, events) || s.CompleteVersion() != 6 || !s.Apply(&discovery.List{Version: 7}, true, events) || s.CompleteVersion() != 7 {
-		t.Errorf("version %d after a line that could not be read and the first list of a new connection", s.CompleteVersion())
+	list.Malformed = 0
+	set.apply(t, list, false, true, 6)
+	if set.Contains("y") {
+		t.Error("y is listed after a full list without it")
 	}
 }
 
+func TestFirstListOfAConnectionCompletesTheSet(t *testing.T) {
+	set := newApplyTest()
+	set.apply(t, fullList(6, entry("x", "ready")), true, true, 6)
+	set.MarkIncomplete()
+	set.apply(t, changes(7), false, false, 6)
+	set.apply(t, changes(7), true, true, 7)
+}
+
 func TestOlderListsChangeNothing(t *testing.T) {
-	s := NewEndpointSet([]string{"z"}, nil)
-	events := &balancer.Events{}
-	list := func(version int64, full bool, state discovery.State, ids ...string) *discovery.List {
-		l := &discovery.List{Version: version, Full: full}
-		for _, id := range ids {
-			l.Servers = append(l.Servers, discovery.Server{ID: id, Zone: "z", State: state, Address: "10.0.0.1:80"})
-		}
-		return l
+	set := newApplyTest()
+	set.LoadCached(fullList(4, entry("a", "ready"), entry("b", "ready"), entry("c", "ready")), set.events)
+	set.apply(t, changes(6, entry("a", "gone")), true, true, 6)
+	set.apply(t, changes(5, entry("a", "ready")), false, true, 6)
+	if set.Contains("a") || !set.Contains("b") || len(set.events.Lists) != 0 {
+		t.Errorf("%d lists from an old one", len(set.events.Lists))
 	}
-	s.LoadCached(list(4, true, "ready", "a", "b", "c"), events)
-	s.Apply(list(6, false, "gone", "a"), true, events)
-	s.Apply(list(5, false, "ready", "a"), false, events)
-	if s.Contains("a") || !s.Contains("b") || s.CompleteVersion() != 6 || len(events.Lists) != 2 {
-		t.Errorf("version %d, %d lists", s.CompleteVersion(), len(events.Lists))
-	}
-	s.Apply(list(1, true, "ready", "a"), false, events) // not the first list of its connection
-	if s.Contains("a") {
+	set.apply(t, fullList(1, entry("a", "ready")), false, true, 6) // not the first list of its connection
+	if set.Contains("a") {
 		t.Error("an old list was applied")
 	}
-	s.Apply(list(1, true, "ready", "a"), true, events) // discovery has started anew
-	if !s.Contains("a") || s.Contains("b") || events.Lists[2].Scope != balancer.FullList {
+	set.apply(t, fullList(1, entry("a", "ready")), true, true, 1) // discovery has restarted
+	if !set.Contains("a") || set.Contains("b") || set.events.Lists[0].Scope != balancer.FullList {
 		t.Error("the full list of a new connection was not applied")
 	}
-	malformed := list(2, false, "strange", "x")
-	malformed.Servers = append(malformed.Servers, discovery.Server{ID: "y", Zone: "elsewhere", State: "ready"}, discovery.Server{State: "gone"})
-	s.Apply(malformed, false, events)
-	if s.Malformed != 3 || s.Len() != 1 || len(slices.Collect(slices.Values(events.Lists[3].Endpoints))) != 0 {
-		t.Errorf("%d malformed, %d listed", s.Malformed, s.Len())
+}
+
+func TestUnusableEntriesOfUnknownServersAreLeftOut(t *testing.T) {
+	set := newApplyTest()
+	set.apply(t, fullList(1, entry("a", "ready")), true, true, 1)
+	unknownZone := entry("y", "ready")
+	unknownZone.Zone = "elsewhere"
+	set.apply(t, changes(2, entry("x", "strange"), unknownZone, entry("", "gone")), false, false, 1)
+	if set.Malformed != 3 || set.Len() != 1 || len(set.events.Lists[0].Endpoints) != 0 {
+		t.Errorf("%d malformed, %d listed, %+v", set.Malformed, set.Len(), set.events.Lists)
 	}
 }
--- a/internal/core/platformstate/proxy_registry.go
+++ b/internal/core/platformstate/proxy_registry.go
@@ -23,8 +23,8 @@
 	snapshot bool // it had joined before the source was opened
 }
 
-// Source is what one connection to the relay reports of the joined proxies: first a snapshot of those that had joined, then the
-// changes.
+// Source is what one connection to the relay reports of the joined proxies: first a snapshot of those that had
+// joined, then the changes.
 type Source struct {
 	joined     map[balancer.Proxy]proxyJoin
 	inSnapshot bool
@@ -44,8 +44,8 @@
 
 // ProxyRegistry holds the joined proxies as one source at a time reports them.
 //
-// A source that has been subscribed all along can replace it at any time, and no proxy has to be configured again. If there was none,
-// proxies may have left and joined again unnoticed, and count as joined anew.
+// A source that has been subscribed all along can replace it at any time, and no proxy has to be configured
+// again. If there was none, proxies may have left and joined again unnoticed, and count as rejoined.
 type ProxyRegistry struct {
 	joined      map[balancer.Proxy]proxyJoin
 	source      *Source
@@ -83,16 +83,17 @@
 	}
 }
 
-// MarkReplaced says that the connection of a source is replaced while it stands; s may be nil. If its heartbeat is not overdue it would
-// have reported every join and departure, so there was no gap. Otherwise each new connection would make all proxies join anew, and
-// their assignments would fill the channel.
+// MarkReplaced says that the connection of a source is replaced while it stands; s may be nil. If its heartbeat
+// is not overdue it would have reported every join and departure, so there was no gap. Otherwise each new
+// connection would make all proxies join again, and their assignments would fill the channel.
 func (r *ProxyRegistry) MarkReplaced(now float64, s *Source) {
 	if s != nil && r.source == s && !s.inSnapshot && now-s.heardAt <= heartbeatTimeout {
 		r.currentUpTo = now
 	}
 }
 
-// SwitchSource follows another source from now on. What differs is appended to events once the snapshot of the source is complete.
+// SwitchSource follows another source from now on. What differs is appended to events once the snapshot of the
+// source is complete.
 func (r *ProxyRegistry) SwitchSource(now float64, s *Source, events *balancer.Events) {
 	r.source = s
 	if !s.inSnapshot {
@@ -100,8 +101,8 @@
 	}
 }
 
-// ProxyJoined records that a source reports a proxy as joined. A proxy that was joined already joins anew, since its tables are not
-// known.
+// ProxyJoined records that a source reports a proxy as joined. A proxy that was joined already joins again,
+// since its tables are not known.
 func (r *ProxyRegistry) ProxyJoined(now float64, s *Source, event balancer.ProxyEvent, events *balancer.Events) {
 	event.Joined = true
 	join := proxyJoin{event: event, at: now, snapshot: s.inSnapshot}
@@ -168,8 +169,8 @@
 	}
 }
 
-// rejoined reports whether j, as a new source reports it, may be another join than the known one of the same proxy. gap says that events
-// were missed before the source was opened.
+// rejoined reports whether j, as a new source reports it, may be another join than the known one of the same
+// proxy. gap says that events were missed before the source was opened.
 func (j proxyJoin) rejoined(known proxyJoin, gap bool, openedAt float64) bool {
 	switch {
 	case gap && known.at < openedAt:
--- a/internal/core/platformstate/proxy_registry_test.go
+++ b/internal/core/platformstate/proxy_registry_test.go
@@ -7,8 +7,8 @@
 	"snowquay/balancer"
 )
 
-// A connection that is replaced while it stands leaves no gap, whenever its last heartbeat came: no proxy joins anew. After a longer
-// silence all do.
+// A connection that is replaced while it stands leaves no gap, whenever its last heartbeat came: no proxy joins
+// again. After a longer silence all do.
 func TestReplacedConnectionLeavesNoGap(t *testing.T) {
 	for silence, rejoined := range map[float64]int{0.1: 0, 0.9: 0, 1.2: 0, 1.4: 1, 3: 1} {
 		r := NewProxyRegistry()
@@ -26,12 +26,13 @@
 		r.ProxyJoined(at, next, balancer.ProxyEvent{Proxy: 1, Zone: 0}, events)
 		r.EndSnapshot(at+0.1, next, events)
 		if len(events.ProxyEvents) != rejoined {
-			t.Errorf("after %.1f s of silence %d joined anew, want %d", silence, len(events.ProxyEvents), rejoined)
+			t.Errorf("after %.1f s of silence %d rejoined, want %d", silence, len(events.ProxyEvents), rejoined)
 		}
 	}
 }
 
-// takeEvents returns the proxy events in short, "+1" for a join of proxy 1 and "-1" for its departure, and clears them.
+// takeEvents returns the proxy events in short, "+1" for a join of proxy 1 and "-1" for its departure, and
+// clears them.
 func takeEvents(events *balancer.Events) string {
 	text := ""
 	for _, event := range events.ProxyEvents {
--- a/internal/deployment/deployment.go
+++ b/internal/deployment/deployment.go
@@ -1,7 +1,8 @@
-// Package deployment reads the settings object that describes the deployment of a coordinator, the same on the simulator and on the
-// platform, and makes the balancer that it asks for.
+// Package deployment reads the settings object that describes the deployment of a coordinator, the same on the
+// simulator and on the platform, and makes the balancer that it asks for.
 //
-// The settings name things in the platform's words; the fields here have the terms of the rest of the program. Times are in seconds.
+// The settings name things in the platform's words; the fields here have the terms of the rest of the program.
+// Times are in seconds.
 package deployment
 
 import (
@@ -103,7 +104,8 @@
 	piggybackedReports = "piggyback"
 )
 
-// The names of enumerations in the settings. Unknown names count as the zero value, except those of Class.Idempotency.
+// The names of enumerations in the settings. Unknown names count as the zero value, except those of
+// Class.Idempotency.
 var (
 	idempotencies = map[string]balancer.Idempotency{
 		"free":        balancer.Idempotent,
@@ -136,8 +138,8 @@
 	}
 )
 
-// Read reads a settings object. It returns ErrNoClasses, a *RangeError or an error of encoding/json for settings by which no decisions
-// can be made.
+// Read reads a settings object. It returns ErrNoClasses, a *RangeError or an error of encoding/json for
+// settings by which no decisions can be made.
 func Read(text []byte) (*Deployment, error) {
 	d := &Deployment{}
 	if err := json.Unmarshal(text, d); err != nil {
--- a/internal/deployment/deployment_test.go
+++ b/internal/deployment/deployment_test.go
@@ -89,7 +89,8 @@
 	drainDeadline float64                // seconds, at least 0.2 above the site's figure
 }
 
-// Deployments with other names, classes, limits and rules are read from their settings alone, and their rules are kept.
+// Deployments with other names, classes, limits and rules are read from their settings alone, and their rules
+// are kept.
 func TestOtherDeployments(t *testing.T) {
 	for _, want := range []wantedSite{
 		{"harbour-tides", []balancer.Idempotency{balancer.Idempotent, balancer.NonIdempotent}, []bool{false, false}, 2.5},
@@ -140,7 +141,8 @@
 	}
 }
 
-// checkDecisions runs a balancer through failures of most attempts and a recovery, and checks that every class of every proxy has a table by the rules.
+// checkDecisions runs a balancer through failures of most attempts and a recovery, and checks that every class
+// of every proxy has a table by the rules.
 func checkDecisions(t *testing.T, d *Deployment, zoneLocal []bool) {
 	t.Helper()
 	d.DataPlane.DefaultRetry = int(balancer.RetryTwice) // so that fewer retries have to be set
@@ -174,7 +176,8 @@
 	checkRetries(t, d, state)
 }
 
-// reportsOf returns a report of eight attempts at each server, of which some failed, in the order of the servers' names.
+// reportsOf returns a report of eight attempts at each server, of which some failed, in the order of the
+// servers' names.
 func reportsOf(zoneOf map[balancer.Server]balancer.Zone, failed float64) []balancer.UpstreamReport {
 	var reports []balancer.UpstreamReport
 	for server, zone := range zoneOf {
--- a/internal/deployment/limits.go
+++ b/internal/deployment/limits.go
@@ -6,7 +6,8 @@
 	maxFigure    = 1e12 // of any figure in the settings
 	maxInstances = 1e6  // proxies or coordinators
 
-	// minMessages within a window: one assigns a table to a proxy, one may be sent twice, and one is left for drains.
+	// minMessages within a window: one assigns a table to a proxy, one may be sent twice, and one is left for
+	// drains.
 	minMessages = 3
 )
 
--- a/internal/frontend/platform/clients.go
+++ b/internal/frontend/platform/clients.go
@@ -14,7 +14,8 @@
 	maxReadinessChecks  = 64      // of an unidentified client
 )
 
-// messageLimits bound a collector's message: its bytes by the platform, its elements well above the 20 or so of a report.
+// messageLimits bound a collector's message: its bytes by the platform, its elements well above the 20 or so of
+// a report.
 var messageLimits = resp.Limits{Bytes: 1 << 20, Elements: 512}
 
 // client is the other end of an accepted connection.
--- a/internal/frontend/platform/connection.go
+++ b/internal/frontend/platform/connection.go
@@ -41,8 +41,9 @@
 	lists discoveryStream // of a connection to discovery
 }
 
-// peer is a service that the program keeps a connection to. Where the active connection is silent, or goes to an address that is no
-// longer the one to use, a candidate is dialled beside it, and takes its place when it has shown that it works.
+// peer is a service that the program keeps a connection to. Where the active connection is silent, or goes to
+// an address that is no longer the one to use, a candidate is dialled beside it, and takes its place when it
+// has shown that it works.
 type peer struct {
 	address   netip.AddrPort
 	active    *connection
@@ -55,8 +56,8 @@
 	receive   func(now float64, c *connection, b []byte)
 }
 
-// maintainPeer dials where a connection is missing, has been silent for longer than a time in seconds, or goes to an old address. With
-// silence 0 a silent connection stays.
+// maintainPeer dials where a connection is missing, has been silent for longer than a time in seconds, or goes
+// to an old address. With silence 0 a silent connection stays.
 func (p *Program) maintainPeer(now float64, to *peer, silence float64) {
 	if candidate := to.candidate; candidate != nil {
 		age := now - candidate.dialledAt
--- a/internal/frontend/platform/discovery_watch.go
+++ b/internal/frontend/platform/discovery_watch.go
@@ -58,8 +58,8 @@
 	p.receiveStream(now, c, b)
 }
 
-// receiveStreamHead reads the head of the stream of changes and returns the bytes after it. ok is false while it is incomplete and if it
-// cannot be used.
+// receiveStreamHead reads the head of the stream of changes and returns the bytes after it. ok is false while
+// it is incomplete and if it cannot be used.
 func (p *Program) receiveStreamHead(now float64, c *connection, b []byte) (rest []byte, ok bool) {
 	c.lists.buffer = append(c.lists.buffer, b...)
 	var head http1.Message
@@ -130,8 +130,8 @@
 
 // handleList takes a line of discovery: a list, or an empty line as a heartbeat.
 //
-// Where something in a list cannot be read, its changes would be lost for good when the versions go on. The connection stays for the others,
-// and one beside it requests everything since the last complete version.
+// Where something in a list cannot be read, its changes would be lost for good when the versions go on. The
+// connection stays for the others, and one beside it requests everything since the last complete version.
 func (p *Program) handleList(now float64, c *connection, line []byte) {
 	if len(line) > 0 {
 		if !p.applyList(now, c, line) {
@@ -145,7 +145,8 @@
 	}
 }
 
-// applyList returns false if the connection has been closed, since its versions are not those that the coordinator knows.
+// applyList returns false if the connection has been closed, since its versions are not those that the
+// coordinator knows.
 func (p *Program) applyList(now float64, c *connection, line []byte) bool {
 	list, err := discovery.Parse(line)
 	if err != nil {
--- a/internal/frontend/platform/discovery_watch_test.go
+++ b/internal/frontend/platform/discovery_watch_test.go
@@ -7,7 +7,8 @@
 	"snowquay/internal/wire/discovery"
 )
 
-// The changes in a line or an entry that cannot be read are requested again, and not lost when the versions go on.
+// The changes in a line or an entry that cannot be read are requested again, and not lost when the versions go
+// on.
 func TestUnreadablePartsOfListsAreRefetched(t *testing.T) {
 	for what, unreadable := range map[string]string{
 		"a line":   `{"version":1,"servers":[{"id":"s-3","state":"dra`,
@@ -53,8 +54,8 @@
 	}
 }
 
-// A new discovery may start at a lower version, or go on after a list that the program has not had: the full list is requested, and the
-// changes after it are not ignored as old.
+// A new discovery may start at a lower version, or go on after a list that the program has not had: the full
+// list is requested, and the changes after it are not ignored as old.
 func TestNewDiscoveryHasItsOwnVersions(t *testing.T) {
 	for _, version := range []int64{2, 41} {
 		sim := simulate(t, 1)
@@ -81,7 +82,8 @@
 	}
 }
 
-// A full list that cannot be read is requested again, and not in a loop; there is no watch before it has been read.
+// A full list that cannot be read is requested again, and not in a loop; there is no watch before it has been
+// read.
 func TestUnreadableFullListIsRefetched(t *testing.T) {
 	sim := simulate(t, 1)
 	sim.relay.join(1, "a")
@@ -100,7 +102,8 @@
 	}
 }
 
-// A discovery that has started anew at the same address is recognized by the version of its first line, which is below the known one.
+// A discovery that has started anew at the same address is recognized by the version of its first line, which
+// is below the known one.
 func TestRestartedDiscoveryIsAskedForTheFullList(t *testing.T) {
 	sim := simulate(t, 1)
 	sim.relay.join(1, "a")
--- a/internal/frontend/platform/faults_test.go
+++ b/internal/frontend/platform/faults_test.go
@@ -17,7 +17,8 @@
 	states map[string]discovery.State
 }
 
-// Whatever happens to calls, lists and connections, the relay ends with the servers that discovery published last, and every proxy has a table.
+// Whatever happens to calls, lists and connections, the relay ends with the servers that discovery published
+// last, and every proxy has a table.
 func TestFaultsEndWithTheRightTables(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		day := &faultDay{
--- a/internal/frontend/platform/health_checks.go
+++ b/internal/frontend/platform/health_checks.go
@@ -79,7 +79,8 @@
 	p.finishHealthCheck(now, check, status, load)
 }
 
-// parseServerLoad returns the metrics in the order of the settings; nil if the body cannot be read, which leaves the server healthy.
+// parseServerLoad returns the metrics in the order of the settings; nil if the body cannot be read, which
+// leaves the server healthy.
 func (p *Program) parseServerLoad(body []byte) []float64 {
 	report, err := collector.ParseLoadReport(body, loadSeparator)
 	if err != nil {
--- a/internal/frontend/platform/program.go
+++ b/internal/frontend/platform/program.go
@@ -1,9 +1,9 @@
-// Package platform runs a coordinator on the platform: it serves collectors, keeps connections to the relay and to discovery, and checks
-// the health of servers.
+// Package platform runs a coordinator on the platform: it serves collectors, keeps connections to the relay and
+// to discovery, and checks the health of servers.
 //
-// Program is an env.Program: the same code runs on sockets and in virtual time, with times in seconds of the environment's clock. It makes
-// no balancing decision: what it reads becomes the events of a round of package balancer, and the commands of the round leave as calls to
-// the relay.
+// Program is an env.Program: the same code runs on sockets and in virtual time, with times in seconds of the
+// environment's clock. It makes no balancing decision: what it reads becomes the events of a round of package
+// balancer, and the commands of the round leave as calls to the relay.
 package platform
 
 import (
@@ -37,7 +37,8 @@
 	Deployment     *deployment.Deployment
 }
 
-// Program is one coordinator. It is made by New and is not safe for concurrent use: the environment calls its methods one at a time.
+// Program is one coordinator. It is made by New and is not safe for concurrent use: the environment calls its
+// methods one at a time.
 type Program struct {
 	deployment *deployment.Deployment
 	classes    jsonrpc.ClassNames
@@ -113,10 +114,12 @@
 	return program
 }
 
-// IgnoreDelivery implements eventloop.DeliveryIgnorer: the program does not use reports of what the peers' hosts have received.
+// IgnoreDelivery implements eventloop.DeliveryIgnorer: the program does not use reports of what the peers'
+// hosts have received.
 func (p *Program) IgnoreDelivery() {}
 
-// MaxUnread implements eventloop.UnreadLimiter, in bytes. The relay reads a call before it responds, and no call is larger.
+// MaxUnread implements eventloop.UnreadLimiter, in bytes. The relay reads a call before it responds, and no
+// call is larger.
 func (p *Program) MaxUnread() int { return maxUnreadBytes }
 
 // Start implements env.Program.
@@ -128,7 +131,8 @@
 	p.finishTurn(now)
 }
 
-// SetAddresses moves to other addresses of discovery and relay. The connections to the old ones stay until those to the new ones work.
+// SetAddresses moves to other addresses of discovery and relay. The connections to the old ones stay until
+// those to the new ones work.
 func (p *Program) SetAddresses(now float64, discovery, relay netip.AddrPort) {
 	if p.discovery.address != discovery {
 		p.discovery.fullListFirst = true // the versions of one discovery mean nothing to another
@@ -247,7 +251,8 @@
 		"closed", p.counts.closed)
 }
 
-// finishTurn ends the handling of an event: it sends the next call, and has the program woken for what is due next.
+// finishTurn ends the handling of an event: it sends the next call, and has the program woken for what is due
+// next.
 func (p *Program) finishTurn(now float64) {
 	p.dropDeparted(now)
 	p.sendCall(now)
--- a/internal/frontend/platform/relay.go
+++ b/internal/frontend/platform/relay.go
@@ -12,10 +12,11 @@
 	standbyRedialTime = 0.15 // without a standby until calls go on the primary: a dial takes a hundredth of a second
 )
 
-// relay holds two connections to the relay, both of which deliver proxy events, so that one can take the other's place without a gap.
+// relay holds two connections to the relay, both of which deliver proxy events, so that one can take the
+// other's place without a gap.
 //
-// The proxy registry follows the primary. Calls go on the standby, since the relay may close the connection that a call comes on, and on
-// the primary where there is no standby.
+// The proxy registry follows the primary. Calls go on the standby, since the relay may close the connection
+// that a call comes on, and on the primary where there is no standby.
 type relay struct {
 	primary       peer
 	standby       peer
--- a/internal/frontend/platform/relay_calls.go
+++ b/internal/frontend/platform/relay_calls.go
@@ -37,8 +37,9 @@
 	p.trace("relay call", call[:len(call)-1])
 }
 
-// callConnection returns the connection for the next call; nil if there is none. What was written to a relay that is out of reach may still
-// arrive, so that nothing goes again on a connection that has not responded until a heartbeat has come on it.
+// callConnection returns the connection for the next call; nil if there is none. What was written to a relay
+// that is out of reach may still arrive, so that nothing goes again on a connection that has not responded
+// until a heartbeat has come on it.
 func (p *Program) callConnection(now float64) *connection {
 	r := &p.relay
 	if standby := r.standby.active; standby != nil {
@@ -51,7 +52,8 @@
 	return nil
 }
 
-// stalled reports whether commands do not reach the channel: the relay is out of reach, rejects them, or does not respond.
+// stalled reports whether commands do not reach the channel: the relay is out of reach, rejects them, or does
+// not respond.
 func (p *Program) stalled(now float64) bool {
 	r := &p.relay
 	if p.commands.InFlight() {
@@ -60,7 +62,8 @@
 	return p.callConnection(now) == nil || now < r.nextCallAt && p.commands.Pending() > 0
 }
 
-// finishCall takes a response on the connection of the call in flight; nil stands for a line that cannot be read.
+// finishCall takes a response on the connection of the call in flight; nil stands for a line that cannot be
+// read.
 func (p *Program) finishCall(now float64, response *jsonrpc.Response) {
 	var outcome platformstate.Outcome
 	if response == nil {
@@ -99,8 +102,8 @@
 	p.scheduleRound(now)
 }
 
-// abandonCallOnFaulty ends a call that was not answered properly, and the connection that it was made on if that is the standby. The
-// primary stays for as long as it delivers events, since the loss of it costs more.
+// abandonCallOnFaulty ends a call that was not answered properly, and the connection that it was made on if
+// that is the standby. The primary stays for as long as it delivers events, since the loss of it costs more.
 func (p *Program) abandonCallOnFaulty(now float64) {
 	c := p.relay.callOn
 	p.abandonCall(now)
@@ -113,8 +116,9 @@
 	}
 }
 
-// retire closes a connection that another one replaces. If a call is in flight on it, that happens when the call has ended: otherwise its
-// response would be lost, and the commands would go twice, whenever connections change under load.
+// retire closes a connection that another one replaces. If a call is in flight on it, that happens when the
+// call has ended: otherwise its response would be lost, and the commands would go twice, whenever connections
+// change under load.
 func (p *Program) retire(c *connection) {
 	if c != nil && c == p.relay.callOn {
 		p.relay.retired = c
--- a/internal/frontend/platform/relay_test.go
+++ b/internal/frontend/platform/relay_test.go
@@ -9,7 +9,8 @@
 	"snowquay/internal/wire/discovery"
 )
 
-// A relay that is out of reach is dialled three times a second, so that pending commands go out as soon as it is back.
+// A relay that is out of reach is dialled three times a second, so that pending commands go out as soon as it
+// is back.
 func TestPendingCommandsGoOutWhenTheRelayReturns(t *testing.T) {
 	sim := simulate(t, 1)
 	sim.relay.join(1, "a")
@@ -53,7 +54,8 @@
 	}
 }
 
-// While commands do not reach the channel the balancer makes no decisions, and does not assume that earlier ones have left it.
+// While commands do not reach the channel the balancer makes no decisions, and does not assume that earlier
+// ones have left it.
 func TestBalancerKnowsThatTheChannelIsStalled(t *testing.T) {
 	sim := simulate(t, 1)
 	sim.relay.join(1, "a")
@@ -76,7 +78,8 @@
 	}
 }
 
-// The connections are replaced while a call is in flight: its response is taken on the old one, which is closed then, and nothing is sent twice.
+// The connections are replaced while a call is in flight: its response is taken on the old one, which is closed
+// then, and nothing is sent twice.
 func TestResponseOnReplacedConnectionCounts(t *testing.T) {
 	sim := simulate(t, 1)
 	sim.relay.join(1, "a")
@@ -108,7 +111,8 @@
 	}
 }
 
-// SIGHUP moves the relay while the old connections stand: no proxy is assigned a table anew, at whatever time after the last heartbeat.
+// SIGHUP moves the relay while the old connections stand: no proxy is assigned a table anew, at whatever time
+// after the last heartbeat.
 func TestMovedConnectionsCauseNoAssignments(t *testing.T) {
 	for _, after := range []float64{0.05, 0.3, 0.6, 0.95} {
 		sim := simulate(t, 1)
@@ -130,7 +134,8 @@
 	}
 }
 
-// SIGHUP while the old addresses are being dialled, or connections to them get no response: the program does not wait for them.
+// SIGHUP while the old addresses are being dialled, or connections to them get no response: the program does
+// not wait for them.
 func TestCandidatesAreGivenUpForNewAddresses(t *testing.T) {
 	sim := simulate(t, 1)
 	sim.relay.join(1, "a")
@@ -162,7 +167,8 @@
 	}
 }
 
-// Proxies are grouped by the zones of servers, so that those that join before any server is known wait for the first list.
+// Proxies are grouped by the zones of servers, so that those that join before any server is known wait for the
+// first list.
 func TestJoinsWaitForTheFirstList(t *testing.T) {
 	parsed, err := deployment.Read([]byte(settings))
 	if err != nil {
--- a/internal/frontend/platform/relay_wire_test.go
+++ b/internal/frontend/platform/relay_wire_test.go
@@ -20,7 +20,8 @@
 	applyMethod = "relay.apply"
 )
 
-// relayCommand is a command as a relay reads it. Tests dereference the fields of a kind, so that one that is missing fails them.
+// relayCommand is a command as a relay reads it. Tests dereference the fields of a kind, so that one that is
+// missing fails them.
 type relayCommand struct {
 	Kind   string   `json:"do"`
 	Table  *int     `json:"group"`
--- a/internal/frontend/platform/reports.go
+++ b/internal/frontend/platform/reports.go
@@ -5,7 +5,8 @@
 	"snowquay/internal/wire/collector"
 )
 
-// handleUpstreamReport takes what the proxies of a zone observed at a server. It returns false if the report cannot be used.
+// handleUpstreamReport takes what the proxies of a zone observed at a server. It returns false if the report
+// cannot be used.
 func (p *Program) handleUpstreamReport(now float64, message collector.Message) bool {
 	report, err := message.UpstreamReport()
 	zone := p.zone(report.Zone)
--- a/internal/frontend/platform/round.go
+++ b/internal/frontend/platform/round.go
@@ -5,7 +5,8 @@
 	"snowquay/internal/core/platformstate"
 )
 
-// gatherTime is how long the first event waits for its round, in seconds, so that events that come together are decided together.
+// gatherTime is how long the first event waits for its round, in seconds, so that events that come together are
+// decided together.
 const gatherTime = 0.004
 
 // timer is one that the balancer has requested.
@@ -72,7 +73,8 @@
 	p.timers = waiting
 }
 
-// roundSink is the balancer.CommandSink of one round. Commands to the relay go into the buffer; the others are carried out at once.
+// roundSink is the balancer.CommandSink of one round. Commands to the relay go into the buffer; the others are
+// carried out at once.
 type roundSink struct {
 	*platformstate.CommandBuffer
 	program *Program
--- a/internal/frontend/platform/scale_test.go
+++ b/internal/frontend/platform/scale_test.go
@@ -10,7 +10,8 @@
 	"snowquay/internal/wire/jsonrpc"
 )
 
-// largeSettings are those of a deployment of many coordinators, with a limit on messages and a channel that holds ten seconds of its rate.
+// largeSettings are those of a deployment of many coordinators, with a limit on messages and a channel that
+// holds ten seconds of its rate.
 func largeSettings(coordinators, proxies int) string {
 	large := strings.NewReplacer(`"balancers":1`, fmt.Sprintf(`"balancers":%d`, coordinators),
 		`"data-plane-size":9`, fmt.Sprintf(`"data-plane-size":%d`, proxies), `"pending-max":1600`, `"pending-max":16000`,
@@ -28,8 +29,8 @@
 	return list
 }
 
-// TestLargeDeployment has 350 coordinators and 1,024 servers: proxies join the coordinator, half of the servers are replaced, and no table has a
-// limit on the way.
+// TestLargeDeployment has 350 coordinators and 1,024 servers: proxies join the coordinator, half of the servers
+// are replaced, and no table has a limit on the way.
 func TestLargeDeployment(t *testing.T) {
 	const (
 		servers  = 1024
--- a/internal/frontend/platform/socket_relay_test.go
+++ b/internal/frontend/platform/socket_relay_test.go
@@ -69,7 +69,8 @@
 	}
 }
 
-// socketRelay is a relay on a loopback socket. It confirms subscriptions and sends heartbeats by itself; calls are left to the test.
+// socketRelay is a relay on a loopback socket. It confirms subscriptions and sends heartbeats by itself; calls
+// are left to the test.
 type socketRelay struct {
 	listener net.Listener
 	calls    chan receivedCall
--- a/internal/frontend/platform/socket_setup_test.go
+++ b/internal/frontend/platform/socket_setup_test.go
@@ -74,8 +74,8 @@
 	}
 }
 
-// startOnSockets starts the program with three servers and one joined proxy, and accepts its calls until the proxy has a table and all connections
-// stand.
+// startOnSockets starts the program with three servers and one joined proxy, and accepts its calls until the
+// proxy has a table and all connections stand.
 func startOnSockets(t *testing.T) *socketSetup {
 	t.Helper()
 	parsed, err := deployment.Read([]byte(settings))
@@ -141,7 +141,8 @@
 	s.inspect(func(now float64, p *Program) { p.SetAddresses(now, discovery, relay) })
 }
 
-// extendResponseTimeout makes the program wait a minute longer for the response to the call in flight, so that the test decides what happens.
+// extendResponseTimeout makes the program wait a minute longer for the response to the call in flight, so that
+// the test decides what happens.
 func (s *socketSetup) extendResponseTimeout() {
 	s.inspect(func(now float64, p *Program) { p.relay.callSentAt = now + 60 })
 }
--- a/internal/frontend/platform/sockets_test.go
+++ b/internal/frontend/platform/sockets_test.go
@@ -11,8 +11,9 @@
 	"snowquay/internal/wire/resp"
 )
 
-// The tests in this file run the program on loopback sockets. The test plays its relay and discovery, and thereby orders events that cross each
-// other: nothing sleeps to have them in order, and every wait has a limit.
+// The tests in this file run the program on loopback sockets. The test plays its relay and discovery, and
+// thereby orders events that cross each other: nothing sleeps to have them in order, and every wait has a
+// limit.
 
 func TestResponseOnReplacedConnectionOverSockets(t *testing.T) {
 	setup := startOnSockets(t)
@@ -217,8 +218,8 @@
 	}
 }
 
-// The timeout of an unidentified client and the rest of its first message come in one turn of the loop: it may be rejected or accepted, but if it
-// is accepted it stays.
+// The timeout of an unidentified client and the rest of its first message come in one turn of the loop: it may
+// be rejected or accepted, but if it is accepted it stays.
 func TestIdentificationAtTheTimeout(t *testing.T) {
 	setup := startOnSockets(t)
 	conn := setup.dial(t)
--- a/internal/platform/process_test.go
+++ b/internal/platform/process_test.go
@@ -116,7 +116,8 @@
 	return string(answer[:count]) == readyAnswer
 }
 
-// flood makes clients connect that send nothing, while the program is stopped, so that it finds all of them at once.
+// flood makes clients connect that send nothing, while the program is stopped, so that it finds all of them at
+// once.
 func (p *process) flood(t *testing.T, clients int) {
 	t.Helper()
 	to := netip.MustParseAddrPort(p.address)
@@ -135,7 +136,8 @@
 	_ = p.Process.Signal(syscall.SIGCONT)
 }
 
-// awaitEnd waits for the end of the program, and fails the test if that takes longer than allowed since a time or is an error.
+// awaitEnd waits for the end of the program, and fails the test if that takes longer than allowed since a time
+// or is an error.
 func (p *process) awaitEnd(t *testing.T, since time.Time, allowed time.Duration) {
 	t.Helper()
 	select {
--- a/internal/platform/run.go
+++ b/internal/platform/run.go
@@ -1,4 +1,5 @@
-// Package platform runs a coordinator as a process on the platform: its configuration file, its signals and its limits.
+// Package platform runs a coordinator as a process on the platform: its configuration file, its signals and its
+// limits.
 package platform
 
 import (
@@ -32,8 +33,9 @@
 	errDescriptors = errors.New("no descriptor was left for a client")
 )
 
-// Run runs a coordinator until SIGTERM or SIGINT. On SIGHUP it reads its configuration again and moves to the new addresses of discovery
-// and relay. The error is that of the start, or of an event loop that has ended by itself.
+// Run runs a coordinator until SIGTERM or SIGINT. On SIGHUP it reads its configuration again and moves to the
+// new addresses of discovery and relay. The error is that of the start, or of an event loop that has ended by
+// itself.
 func Run(log *slog.Logger) error {
 	signals := make(chan os.Signal, 8)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT, syscall.SIGHUP)
@@ -63,7 +65,7 @@
 		"descriptors", cfg.program.MaxDescriptors)
 	for {
 		select {
-		case err := <-server.Ended(): // a coordinator that accepts no connection is of no use: it is to be started anew
+		case err := <-server.Ended(): // a coordinator that accepts no connection is of no use: it is to be restarted
 			return fmt.Errorf("the event loop has ended by itself: %w", cmp.Or(err, errDescriptors))
 		case received := <-signals:
 			if received != syscall.SIGHUP {
@@ -87,7 +89,8 @@
 	server.Do(func(now float64) { program.SetAddresses(now, c.program.Discovery, c.program.Relay) })
 }
 
-// shutDown calls closeAll, and waits for its end for a limited time: what it does not close ends with the process.
+// shutDown calls closeAll, and waits for its end for a limited time: what it does not close ends with the
+// process.
 func shutDown(closeAll func()) {
 	done := make(chan struct{})
 	go func() {
@@ -107,7 +110,8 @@
 	debug.SetMemoryLimit(int64(memoryMB * memoryLimitFraction * (1 << 20)))
 }
 
-// availableDescriptors returns how many descriptors the process may hold: the configured number, or its own limit if that is lower.
+// availableDescriptors returns how many descriptors the process may hold: the configured number, or its own
+// limit if that is lower.
 func availableDescriptors(configured int) int {
 	var limit unix.Rlimit
 	if unix.Getrlimit(unix.RLIMIT_NOFILE, &limit) == nil && limit.Cur < uint64(configured) {
--- a/internal/platform/run_test.go
+++ b/internal/platform/run_test.go
@@ -14,7 +14,8 @@
 	"snowquay/internal/wire/resp"
 )
 
-// The built program runs with a configuration, an unreadable one by SIGHUP, a new one by SIGHUP, and ends by SIGTERM.
+// The built program runs with a configuration, an unreadable one by SIGHUP, a new one by SIGHUP, and ends by
+// SIGTERM.
 func TestRunFromStartToEnd(t *testing.T) {
 	discovery := serveDiscovery(t)
 	relay := serveRelay(t)
@@ -51,7 +52,8 @@
 	}
 }
 
-// With too few descriptors the program ends and says why, so that it is started anew, rather than go on without a listener.
+// With too few descriptors the program ends and says why, so that it is started anew, rather than go on without
+// a listener.
 func TestProgramThatCannotAcceptEnds(t *testing.T) {
 	p := startProcess(t, 24, serveDiscovery(t), serveRelay(t))
 	p.flood(t, 100)
@@ -67,8 +69,8 @@
 	}
 }
 
-// Two SIGTERM come with a call in flight, half a message read, silent clients, and others that connect in the last moments: the program ends without
-// an error and in time, and no client is left on an open connection.
+// Two SIGTERM come with a call in flight, half a message read, silent clients, and others that connect in the
+// last moments: the program ends without an error and in time, and no client is left on an open connection.
 func TestShutdownDuringActivity(t *testing.T) {
 	relay := serveDeafRelay(t)
 	p := startProcess(t, 256, serveDiscovery(t), relay)
@@ -95,8 +97,8 @@
 	}
 }
 
-// connectUntil makes readiness checks, each on a new connection, until stop is closed. It returns an error if one of them gets neither an answer nor
-// the end of its connection.
+// connectUntil makes readiness checks, each on a new connection, until stop is closed. It returns an error if
+// one of them gets neither an answer nor the end of its connection.
 func connectUntil(address string, stop <-chan struct{}) error {
 	for {
 		select {
@@ -119,8 +121,8 @@
 	}
 }
 
-// After SIGKILL with clients connected and a call in flight, the program starts at the same address: it is ready at once, and sends everything that
-// the relay may not have.
+// After SIGKILL with clients connected and a call in flight, the program starts at the same address: it is
+// ready at once, and sends everything that the relay may not have.
 func TestRestartAfterKill(t *testing.T) {
 	discovery := serveDiscovery(t)
 	relay := serveRelay(t)
@@ -153,8 +155,8 @@
 	}
 }
 
-// A collector that requests readiness checks for ever and reads no answers is cut off, so that unread answers do not fill the memory, and others are
-// served.
+// A collector that requests readiness checks for ever and reads no answers is cut off, so that unread answers
+// do not fill the memory, and others are served.
 func TestCollectorThatReadsNothingIsCutOff(t *testing.T) {
 	p := startProcess(t, 256, serveDiscovery(t), serveRelay(t))
 	written, err := writeWithoutReading(t, p.address)
@@ -176,8 +178,8 @@
 	}
 }
 
-// writeWithoutReading writes 60 MB of readiness checks, which have 75 MB of answers, as a collector. It returns how many bytes were written, and the
-// error that ended that.
+// writeWithoutReading writes 60 MB of readiness checks, which have 75 MB of answers, as a collector. It returns
+// how many bytes were written, and the error that ended that.
 func writeWithoutReading(t *testing.T, address string) (written int, err error) {
 	t.Helper()
 	conn, err := net.Dial("tcp", address)
--- a/internal/wire/collector/collector.go
+++ b/internal/wire/collector/collector.go
@@ -1,7 +1,8 @@
 // Package collector reads and writes the messages between the platform's collectors and a coordinator.
 //
-// A collector relays what the proxies of a zone report. Each message is an array of strings as package resp frames it: a kind, then pairs
-// of a field's name and its value. The package is pure and maps the platform's names to the terms of the rest of the program.
+// A collector relays what the proxies of a zone report. Each message is an array of strings as package resp
+// frames it: a kind, then pairs of a field's name and its value. The package is pure and maps the platform's
+// names to the terms of the rest of the program.
 package collector
 
 import (
@@ -42,7 +43,8 @@
 	"client_stats":   DemandReportKind,
 }
 
-// Message is a message whose fields have not been read yet. It is valid as long as the elements that it was made of.
+// Message is a message whose fields have not been read yet. It is valid as long as the elements that it was
+// made of.
 type Message struct {
 	Kind   Kind
 	fields [][]byte
--- a/internal/wire/discovery/list.go
+++ b/internal/wire/discovery/list.go
@@ -1,4 +1,5 @@
-// Package discovery reads the lists of servers that discovery delivers: JSON objects, one on each line of a watch.
+// Package discovery reads the lists of servers that discovery delivers: JSON objects, one on each line of a
+// watch.
 //
 // The package is pure: it keeps no connection and no clock.
 package discovery
@@ -44,8 +45,8 @@
 	Removed  State = "gone"
 )
 
-// Parse reads a list. Entries that cannot be read are left out and counted; those with an id stay, as Malformed. It returns ErrNotList for
-// another object, and an error of encoding/json for other text.
+// Parse reads a list. Entries that cannot be read are left out and counted; those with an id stay, as
+// Malformed. It returns ErrNotList for another object, and an error of encoding/json for other text.
 func Parse(line []byte) (*List, error) {
 	var fields struct {
 		Version *int64             `json:"version"`
--- a/internal/wire/discovery/list_test.go
+++ b/internal/wire/discovery/list_test.go
@@ -34,7 +34,8 @@
 	}
 }
 
-// An entry that cannot be read does not spoil the others. One whose server is named counts for what can be read of it.
+// An entry that cannot be read does not spoil the others. One whose server is named counts for what can be read
+// of it.
 func TestParseKeepsReadableEntries(t *testing.T) {
 	list, err := Parse([]byte(`{"version":1,"servers":[{"id":7},7,null,{"id":"s-1","state":"draining","weight":"1"},{"id":"s-2","state":"ready"}]}`))
 	if err != nil || list.Malformed != 2 || len(list.Servers) != 3 {
--- a/internal/wire/http1/append.go
+++ b/internal/wire/http1/append.go
@@ -5,7 +5,8 @@
 	"strings"
 )
 
-// hopByHop are the fields that concern one connection only (RFC 9110, section 7.6.1), and those that frame a body.
+// hopByHop are the fields that concern one connection only (RFC 9110, section 7.6.1), and those that frame a
+// body.
 var hopByHop = map[string]bool{
 	"connection":        true,
 	"keep-alive":        true,
@@ -47,8 +48,8 @@
 	return m.appendFieldsAndBody(b, writeLength, extra)
 }
 
-// AppendResponse appends a response to a request of the given method as a proxy forwards it, with extra fields. closes says that the connection
-// ends after it. A response to HEAD keeps its length.
+// AppendResponse appends a response to a request of the given method as a proxy forwards it, with extra fields.
+// closes says that the connection ends after it. A response to HEAD keeps its length.
 func AppendResponse(b []byte, m *Message, requestMethod string, closes bool, extra ...Field) []byte {
 	b = append(b, "HTTP/1.1 "...)
 	b = strconv.AppendInt(b, int64(m.Status), 10)
--- a/internal/wire/http1/body_reader.go
+++ b/internal/wire/http1/body_reader.go
@@ -18,8 +18,8 @@
 	}
 }
 
-// Read calls take with the parts of the body that are in b, which are valid until take returns, and reports whether the body has ended. What
-// follows its end in b is dropped. Errors are of type *Error and final.
+// Read calls take with the parts of the body that are in b, which are valid until take returns, and reports
+// whether the body has ended. What follows its end in b is dropped. Errors are of type *Error and final.
 func (r *BodyReader) Read(b []byte, take func([]byte)) (ended bool, err error) {
 	switch r.framing.kind {
 	case chunked:
--- a/internal/wire/http1/chunked.go
+++ b/internal/wire/http1/chunked.go
@@ -34,7 +34,8 @@
 	trailers int    // bytes so far
 }
 
-// decode calls take with the parts of the chunks' data, and returns how many bytes belong to the body: all until it has ended.
+// decode calls take with the parts of the chunks' data, and returns how many bytes belong to the body: all
+// until it has ended.
 func (d *chunkDecoder) decode(data []byte, take func([]byte)) (int, error) {
 	rest := data
 	for len(rest) > 0 && d.state != chunksEnded {
--- a/internal/wire/http1/chunked_test.go
+++ b/internal/wire/http1/chunked_test.go
@@ -9,7 +9,8 @@
 func TestChunkDecoderLimits(t *testing.T) {
 	const maxBody = 10
 	const maxTrailers = 20
-	// A line is also bounded while its end is incomplete, so that one of exactly the limit is accepted only if its end comes at once.
+	// A line is also bounded while its end is incomplete, so that one of exactly the limit is accepted only if
+	// its end comes at once.
 	longLine := "3;" + strings.Repeat("x", maxChunkLine-1-len("3;"))
 	for name, test := range map[string]struct {
 		text   string
--- a/internal/wire/http1/message.go
+++ b/internal/wire/http1/message.go
@@ -1,8 +1,9 @@
-// Package http1 frames HTTP/1.1 messages (RFC 9112) for a proxy: it finds whole messages in bytes that come in any pieces, and writes them.
+// Package http1 frames HTTP/1.1 messages (RFC 9112) for a proxy: it finds whole messages in bytes that come in
+// any pieces, and writes them.
 //
-// It is strict, since what two programs frame differently can be smuggled past one of them: a message with both a length and an encoding, with
-// two lengths, a field name with spaces, a bare CR or a folded line is rejected, where section 11.2 leaves room for guessing. The package is
-// pure: it keeps no connection and no clock.
+// It is strict, since what two programs frame differently can be smuggled past one of them: a message with both
+// a length and an encoding, with two lengths, a field name with spaces, a bare CR or a folded line is rejected,
+// where section 11.2 leaves room for guessing. The package is pure: it keeps no connection and no clock.
 package http1
 
 import (
@@ -21,7 +22,8 @@
 // DefaultLimits are those of a proxy whose settings name none.
 var DefaultLimits = Limits{Head: 16 << 10, Body: 1 << 20, Fields: 100}
 
-// The status codes that have a meaning for framing or errors here. The package does not import net/http, to stay pure.
+// The status codes that have a meaning for framing or errors here. The package does not import net/http, to
+// stay pure.
 const (
 	statusOK                  = 200
 	statusNoContent           = 204
--- a/internal/wire/http1/parse.go
+++ b/internal/wire/http1/parse.go
@@ -6,8 +6,9 @@
 	"strings"
 )
 
-// Request reads a request from the beginning of data and returns its length. The length is 0 while the request is incomplete; request.Continue
-// then says whether its sender waits for 100 (Continue). Errors are of type *Error.
+// Request reads a request from the beginning of data and returns its length. The length is 0 while the request
+// is incomplete; request.Continue then says whether its sender waits for 100 (Continue). Errors are of type
+// *Error.
 func Request(data []byte, limits Limits, request *Message) (int, error) {
 	lines, headLength, err := splitHead(data, limits)
 	if headLength == 0 || err != nil {
@@ -36,9 +37,10 @@
 	return request.parseBody(data, headLength, body, limits)
 }
 
-// Response reads a response to a request with the given method from the beginning of data and returns its length. The length is 0 while the
-// response is incomplete; if response.UntilClose is set it ends with the connection, and ResponseAtEOF then completes it. Errors are of type
-// *Error with status 502, except those of the head's form.
+// Response reads a response to a request with the given method from the beginning of data and returns its
+// length. The length is 0 while the response is incomplete; if response.UntilClose is set it ends with the
+// connection, and ResponseAtEOF then completes it. Errors are of type *Error with status 502, except those of
+// the head's form.
 func Response(data []byte, requestMethod string, limits Limits, response *Message) (int, error) {
 	lines, headLength, err := splitHead(data, limits)
 	if headLength == 0 || err != nil {
@@ -66,8 +68,8 @@
 	return length, nil
 }
 
-// ResponseAtEOF completes a response that Response has read from data, and whose body went on until the connection ended. It returns
-// ErrUnexpectedEnd for any other response.
+// ResponseAtEOF completes a response that Response has read from data, and whose body went on until the
+// connection ended. It returns ErrUnexpectedEnd for any other response.
 func ResponseAtEOF(data []byte, response *Message) error {
 	if !response.UntilClose {
 		return ErrUnexpectedEnd
@@ -76,8 +78,8 @@
 	return nil
 }
 
-// ResponseHead reads the head of a response whose body may never end. It returns the length of the head, 0 while that is incomplete, and a reader
-// for the body that follows. Errors are of type *Error.
+// ResponseHead reads the head of a response whose body may never end. It returns the length of the head, 0
+// while that is incomplete, and a reader for the body that follows. Errors are of type *Error.
 func ResponseHead(data []byte, limits Limits, response *Message) (int, BodyReader, error) {
 	lines, headLength, err := splitHead(data, limits)
 	if headLength == 0 || err != nil {
@@ -109,7 +111,8 @@
 	return body, nil
 }
 
-// parseBody reads the body after a head of the given length, and returns the length of both; 0 while the body is incomplete.
+// parseBody reads the body after a head of the given length, and returns the length of both; 0 while the body
+// is incomplete.
 func (m *Message) parseBody(data []byte, headLength int, body framing, limits Limits) (int, error) {
 	switch body.kind {
 	case chunked:
--- a/internal/wire/jsonrpc/command.go
+++ b/internal/wire/jsonrpc/command.go
@@ -27,7 +27,8 @@
 	return append(b, "]}}\n"...)
 }
 
-// AppendWeight appends a command that sets the weight of a server in a table; weight 0 removes the server from it.
+// AppendWeight appends a command that sets the weight of a server in a table; weight 0 removes the server from
+// it.
 func AppendWeight(b []byte, table int, server string, weight float64) []byte {
 	b = appendInt(b, `{"do":"share","group":`, int64(table))
 	b = append(b, `,"host":`...)
@@ -36,8 +37,8 @@
 	return append(b, '}')
 }
 
-// AppendAssignment appends a command that assigns a table to a proxy for a set of classes, bit k for class k; 0 stands for all
-// classes.
+// AppendAssignment appends a command that assigns a table to a proxy for a set of classes, bit k for class k; 0
+// stands for all classes.
 func (n ClassNames) AppendAssignment(b []byte, proxy, table int, classes uint64) []byte {
 	b = appendInt(b, `{"do":"bind","sidecar":`, int64(proxy))
 	b = appendInt(b, `,"group":`, int64(table))
@@ -45,8 +46,8 @@
 	return append(b, '}')
 }
 
-// AppendAdmission appends a command that sets the admission fraction or rate and the retry policy of a set of classes, bit k
-// for class k; 0 stands for all classes.
+// AppendAdmission appends a command that sets the admission fraction or rate and the retry policy of a set of
+// classes, bit k for class k; 0 stands for all classes.
 func (n ClassNames) AppendAdmission(b []byte, table int, classes uint64, admission float64, retryPolicy int) []byte {
 	b = appendInt(b, `{"do":"admit","group":`, int64(table))
 	b = n.appendClasses(b, classes)
@@ -55,8 +56,8 @@
 	return append(b, '}')
 }
 
-// AppendAckRequest appends a command that requests acknowledgements with an id from all proxies, or only from those that the
-// batch concerns.
+// AppendAckRequest appends a command that requests acknowledgements with an id from all proxies, or only from
+// those that the batch concerns.
 func AppendAckRequest(b []byte, id int64, all bool) []byte {
 	b = appendInt(b, `{"do":"mark","stamp":`, id)
 	if all {
@@ -65,7 +66,8 @@
 	return append(b, `,"yes":0}`...)
 }
 
-// appendClasses appends the member that limits a command to classes; it is absent where the command holds for all.
+// appendClasses appends the member that limits a command to classes; it is absent where the command holds for
+// all.
 func (n ClassNames) appendClasses(b []byte, classes uint64) []byte {
 	if classes == 0 {
 		return b
--- a/internal/wire/jsonrpc/command_golden_test.go
+++ b/internal/wire/jsonrpc/command_golden_test.go
@@ -7,7 +7,8 @@
 	"snowquay/internal/golden"
 )
 
-// The golden file holds the calls of one round: weights, assignments, admission and the request for acknowledgements.
+// The golden file holds the calls of one round: weights, assignments, admission and the request for
+// acknowledgements.
 func TestCallsOfARoundOnTheWire(t *testing.T) {
 	names := ClassNames{"lookup", "order"}
 	first := [][]byte{
--- a/internal/wire/jsonrpc/message.go
+++ b/internal/wire/jsonrpc/message.go
@@ -1,7 +1,7 @@
 // Package jsonrpc reads and writes the relay's protocol: JSON-RPC 2.0, one object on each line.
 //
-// The package is pure: it keeps no connection and no clock. It maps the relay's field names to the terms of the rest of the
-// program, so that no other package knows them.
+// The package is pure: it keeps no connection and no clock. It maps the relay's field names to the terms of the
+// rest of the program, so that no other package knows them.
 package jsonrpc
 
 import (
@@ -90,7 +90,8 @@
 	LatencyMS    *float64 `json:"lag_ms"`
 }
 
-// Parse reads one line. It returns ErrUnknownLine for an object of another kind, and an error of encoding/json for other text.
+// Parse reads one line. It returns ErrUnknownLine for an object of another kind, and an error of encoding/json
+// for other text.
 func Parse(line []byte) (Message, error) {
 	var fields envelope
 	if err := json.Unmarshal(line, &fields); err != nil {
@@ -147,7 +148,8 @@
 	return &RemoteError{Message: message}
 }
 
-// errorMessage returns the text of an error member, which is a string or an object with a message and optional data.
+// errorMessage returns the text of an error member, which is a string or an object with a message and optional
+// data.
 func errorMessage(text json.RawMessage) string {
 	var plain string
 	if json.Unmarshal(text, &plain) == nil && plain != "" {
@@ -163,8 +165,8 @@
 	return string(text)
 }
 
-// AcceptedCount returns how many commands of a batch were applied. ok is false if the call failed or the result holds no
-// such count.
+// AcceptedCount returns how many commands of a batch were applied. ok is false if the call failed or the result
+// holds no such count.
 func (r *Response) AcceptedCount() (count int, ok bool) {
 	var result struct {
 		Accepted *int `json:"accepted"`
--- a/internal/wire/lines/reader.go
+++ b/internal/wire/lines/reader.go
@@ -14,8 +14,8 @@
 // Reader finds lines in bytes that come in any pieces. The zero value is ready.
 type Reader struct{ partial []byte }
 
-// Read calls take with each complete line, without its end, which may be LF or CRLF. A line is valid until take returns. Read returns ErrTooLong for
-// a line of more than limit bytes.
+// Read calls take with each complete line, without its end, which may be LF or CRLF. A line is valid until take
+// returns. Read returns ErrTooLong for a line of more than limit bytes.
 func (r *Reader) Read(b []byte, limit int, take func(line []byte)) error {
 	for {
 		end := bytes.IndexByte(b, '\n')
--- a/internal/wire/resp/reader.go
+++ b/internal/wire/resp/reader.go
@@ -1,6 +1,7 @@
 // Package resp reads and writes messages in RESP2 that are arrays of bulk strings.
 //
-// The package is pure: it keeps no connection and no clock. A length that a peer claims allocates nothing before its bytes have come.
+// The package is pure: it keeps no connection and no clock. A length that a peer claims allocates nothing
+// before its bytes have come.
 package resp
 
 import (
@@ -70,8 +71,8 @@
 // Buffered returns the number of bytes of the current message that have come.
 func (r *Reader) Buffered() int { return len(r.buffer) - r.start }
 
-// Next appends the elements of the next message to elements; their bytes are valid until the next Feed. ok is false if more bytes are needed. The
-// error is ErrFraming or ErrTooLong, and final.
+// Next appends the elements of the next message to elements; their bytes are valid until the next Feed. ok is
+// false if more bytes are needed. The error is ErrFraming or ErrTooLong, and final.
 func (r *Reader) Next(elements [][]byte, limits Limits) (_ [][]byte, ok bool, err error) {
 	if r.err != nil {
 		return elements, false, r.err
--- a/internal/wire/resp/reader_test.go
+++ b/internal/wire/resp/reader_test.go
@@ -46,11 +46,23 @@
 }
 
 func TestOtherInputIsRejectedAtOnce(t *testing.T) {
-	for b, want := range map[string]error{"GET /": ErrFraming, "{": ErrFraming, "*x": ErrFraming, "*-1\r\n": ErrFraming, "*1\n": ErrFraming, "*1\r\n:": ErrFraming,
-		"*1\r\n$2\r\nabcd": ErrFraming, "*0\r\n": ErrTooLong, "*513\r\n": ErrTooLong, "*1\r\n$1048577\r\n": ErrTooLong, "*12345678901234": ErrFraming,
-		"*1\r\n$-1\r\n": ErrFraming, "*9999999999\r\n": ErrTooLong} {
-		if _, err := read([]byte(b), 1); !errors.Is(err, want) {
-			t.Errorf("%q: %v, want %v", b, err, want)
+	for input, want := range map[string]error{
+		"GET /":              ErrFraming,
+		"{":                  ErrFraming,
+		"*x":                 ErrFraming,
+		"*-1\r\n":            ErrFraming,
+		"*1\n":               ErrFraming,
+		"*1\r\n:":            ErrFraming,
+		"*1\r\n$2\r\nabcd":   ErrFraming,
+		"*1\r\n$-1\r\n":      ErrFraming,
+		"*12345678901234":    ErrFraming,
+		"*0\r\n":             ErrTooLong,
+		"*513\r\n":           ErrTooLong,
+		"*9999999999\r\n":    ErrTooLong,
+		"*1\r\n$1048577\r\n": ErrTooLong,
+	} {
+		if _, err := read([]byte(input), 1); !errors.Is(err, want) {
+			t.Errorf("%q: %v, want %v", input, err, want)
 		}
 	}
 }
