--- a/internal/emulator/crowd.go
+++ b/internal/emulator/crowd.go
@@ -125,7 +125,7 @@
 	}
 	x.buf = append(x.buf, b...)
 	var m http1.Message
-	n, err := http1.Response(x.buf, "POST", http1.DefaultLimits, &m)
+	n, err := http1.ParseResponse(x.buf, "POST", http1.DefaultLimits, &m)
 	switch {
 	case err != nil:
 		c.ref.complain(now, "a client can't follow: %v", err)
@@ -173,7 +173,7 @@
 	b = append(s.parts[c], b...)
 	s.parts[c] = b
 	var m http1.Message
-	n, err := http1.Request(b, http1.DefaultLimits, &m)
+	n, err := http1.ParseRequest(b, http1.DefaultLimits, &m)
 	if err != nil {
 		s.ref.complain(now, "server %s can't follow: %v", s.Addr, err)
 		s.io.Close(c)
--- a/internal/frontend/platform/discovery_watch.go
+++ b/internal/frontend/platform/discovery_watch.go
@@ -63,7 +63,7 @@
 func (p *Program) receiveStreamHead(now float64, c *connection, b []byte) (rest []byte, ok bool) {
 	c.lists.buffer = append(c.lists.buffer, b...)
 	var head http1.Message
-	length, body, err := http1.ResponseHead(c.lists.buffer, httpLimits, &head)
+	length, body, err := http1.ParseResponseHead(c.lists.buffer, httpLimits, &head)
 	if err != nil || length > 0 && head.Status != http.StatusOK {
 		p.rejectDiscoveryResponse(now, c, head.Status, err)
 		return nil, false
@@ -97,7 +97,7 @@
 func (p *Program) receiveFullList(now float64, on *connection, b []byte) {
 	on.lists.buffer = append(on.lists.buffer, b...)
 	var response http1.Message
-	length, err := http1.Response(on.lists.buffer, http.MethodGet, httpLimits, &response)
+	length, err := http1.ParseResponse(on.lists.buffer, http.MethodGet, httpLimits, &response)
 	if err == nil && length == 0 {
 		return
 	}
--- a/internal/frontend/platform/health_checks.go
+++ b/internal/frontend/platform/health_checks.go
@@ -64,7 +64,7 @@
 func (p *Program) receiveHealth(now float64, check *healthCheck, b []byte) {
 	check.response = append(check.response, b...)
 	var response http1.Message
-	length, err := http1.Response(check.response, http.MethodGet, httpLimits, &response)
+	length, err := http1.ParseResponse(check.response, http.MethodGet, httpLimits, &response)
 	if err == nil && length == 0 {
 		return
 	}
--- a/internal/proxy/follower.go
+++ b/internal/proxy/follower.go
@@ -180,7 +180,7 @@
 	}
 	for s.conn == id {
 		var m http1.Message
-		n, err := http1.Response(s.buf, "GET", http1.Limits{Head: 16 << 10, Body: mostAnswer, Fields: 100}, &m)
+		n, err := http1.ParseResponse(s.buf, "GET", http1.Limits{Head: 16 << 10, Body: mostAnswer, Fields: 100}, &m)
 		if err != nil {
 			s.lose(now, err.Error())
 			return
--- a/internal/proxy/hour_test.go
+++ b/internal/proxy/hour_test.go
@@ -35,7 +35,7 @@
 func (s *sums) Receive(now float64, c env.Conn, b []byte) {
 	s.buf[c] = append(s.buf[c], b...)
 	var m http1.Message
-	n, err := http1.Request(s.buf[c], http1.DefaultLimits, &m)
+	n, err := http1.ParseRequest(s.buf[c], http1.DefaultLimits, &m)
 	if err != nil {
 		panic(err)
 	}
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -244,7 +244,7 @@
 // requests takes what is whole of a client's bytes, one query at a time.
 func (p *Proxy) requests(now float64, c *client) {
 	for p.clients[c.id] == c && c.query == 0 && !c.ended && len(c.buf) > 0 {
-		n, err := http1.Request(c.buf, p.setup.Limits.HTTP, &c.msg)
+		n, err := http1.ParseRequest(c.buf, p.setup.Limits.HTTP, &c.msg)
 		if err != nil {
 			var e *http1.Error
 			status := 400
@@ -365,7 +365,7 @@
 	}
 	if q.last != nil && errors.Is(o.Err, forwarding.ErrAttemptsFailed) { // what the server itself says is better than that it failed
 		var m http1.Message
-		if _, err := http1.Response(q.last, q.method, p.setup.Limits.HTTP, &m); err == nil {
+		if _, err := http1.ParseResponse(q.last, q.method, p.setup.Limits.HTTP, &m); err == nil {
 			p.finish(now, q.client, q.method, &m)
 			return
 		}
@@ -432,7 +432,7 @@
 		method = q.method
 	}
 	for {
-		n, err := http1.Response(u.buf, method, p.setup.Limits.HTTP, &u.msg)
+		n, err := http1.ParseResponse(u.buf, method, p.setup.Limits.HTTP, &u.msg)
 		if err != nil {
 			p.broken(now, u)
 			p.io.Close(u.id)
@@ -522,7 +522,7 @@
 		return
 	}
 	if u := p.ups[id]; u != nil {
-		if u.try != 0 && u.msg.UntilClose && http1.ResponseAtEOF(u.buf, &u.msg) == nil {
+		if u.try != 0 && u.msg.UntilClose && http1.CompleteResponseAtEOF(u.buf, &u.msg) == nil {
 			u.msg.Close = true
 			p.answered(now, u, len(u.buf))
 			return
--- a/internal/proxy/proxy_test.go
+++ b/internal/proxy/proxy_test.go
@@ -52,7 +52,7 @@
 	}
 	h.buf[c] = append(h.buf[c], b...)
 	var m http1.Message
-	n, err := http1.Request(h.buf[c], http1.DefaultLimits, &m)
+	n, err := http1.ParseRequest(h.buf[c], http1.DefaultLimits, &m)
 	if err != nil {
 		panic(err)
 	}
@@ -336,7 +336,7 @@
 	d.conn = c
 	d.buf = append(d.buf, b...)
 	var m http1.Message
-	if n, err := http1.Request(d.buf, http1.DefaultLimits, &m); err == nil && n > 0 {
+	if n, err := http1.ParseRequest(d.buf, http1.DefaultLimits, &m); err == nil && n > 0 {
 		d.asked = append(d.asked, m.Target)
 		d.buf = d.buf[n:]
 	}
--- a/internal/wire/http1/append.go
+++ b/internal/wire/http1/append.go
@@ -41,7 +41,7 @@
 	b = append(b, ' ')
 	b = append(b, m.Target...)
 	b = append(b, " HTTP/1.1\r\n"...)
-	if m.Minor == 0 && m.Get("Host") == "" {
+	if m.MinorVersion == 0 && m.Get("Host") == "" {
 		b = append(b, "Host: \r\n"...)
 	}
 	writeLength := len(m.Body) > 0 || m.Method != methodGet && m.Method != methodHead
--- a/internal/wire/http1/body_reader_test.go
+++ b/internal/wire/http1/body_reader_test.go
@@ -12,7 +12,7 @@
 			b := []byte(whole[from:min(from+size, len(whole))])
 			if body == nil {
 				head = append(head, b...)
-				n, reader, err := ResponseHead(head, DefaultLimits, &m)
+				n, reader, err := ParseResponseHead(head, DefaultLimits, &m)
 				if err != nil {
 					t.Fatal(err)
 				}
--- a/internal/wire/http1/head.go
+++ b/internal/wire/http1/head.go
@@ -95,7 +95,7 @@
 		case "content-length":
 			err = body.setLength(value, limits)
 		case "transfer-encoding":
-			err = body.setEncoding(value, m.Minor)
+			err = body.setEncoding(value, m.MinorVersion)
 		case "connection":
 			m.parseConnection(value)
 		case "expect":
@@ -107,7 +107,7 @@
 			return framing{}, err
 		}
 	}
-	if m.Method != "" && (hosts > 1 || hosts == 0 && m.Minor > 0) {
+	if m.Method != "" && (hosts > 1 || hosts == 0 && m.MinorVersion > 0) {
 		return framing{}, errorf(statusBadRequest, "%d fields Host", hosts)
 	}
 	return body, nil
@@ -149,7 +149,7 @@
 		switch {
 		case strings.EqualFold(option, "close"):
 			m.Close = true
-		case strings.EqualFold(option, "keep-alive") && m.Minor == 0:
+		case strings.EqualFold(option, "keep-alive") && m.MinorVersion == 0:
 			m.Close = false
 		}
 	}
--- a/internal/wire/http1/message.go
+++ b/internal/wire/http1/message.go
@@ -50,14 +50,14 @@
 // Error reports a message that cannot be used. It is final for the connection.
 type Error struct {
 	Status int // with which a server answers the message
-	Why    string
+	Reason string
 }
 
 // Error returns why the message cannot be used.
-func (e *Error) Error() string { return e.Why }
+func (e *Error) Error() string { return e.Reason }
 
 func errorf(status int, format string, args ...any) error {
-	return &Error{Status: status, Why: fmt.Sprintf(format, args...)}
+	return &Error{Status: status, Reason: fmt.Sprintf(format, args...)}
 }
 
 // Field is a header field.
@@ -68,15 +68,15 @@
 
 // Message is a request or a response.
 type Message struct {
-	Method     string // of a request
-	Target     string // of a request
-	Status     int    // of a response
-	Minor      int    // version: 0 for HTTP/1.0, 1 for HTTP/1.1
-	Fields     []Field
-	Body       []byte // points into the bytes that it was read from, unless it was chunked
-	Close      bool   // the connection ends after the message
-	Continue   bool   // its sender waits for 100 (Continue) before it sends the body
-	UntilClose bool   // the body goes on until the connection ends
+	Method       string // of a request
+	Target       string // of a request
+	Status       int    // of a response
+	MinorVersion int    // version: 0 for HTTP/1.0, 1 for HTTP/1.1
+	Fields       []Field
+	Body         []byte // points into the bytes that it was read from, unless it was chunked
+	Close        bool   // the connection ends after the message
+	Continue     bool   // its sender waits for 100 (Continue) before it sends the body
+	UntilClose   bool   // the body goes on until the connection ends
 }
 
 // Get returns the value of the first field of a name; empty if there is none.
--- a/internal/wire/http1/parse.go
+++ b/internal/wire/http1/parse.go
@@ -6,10 +6,10 @@
 	"strings"
 )
 
-// Request reads a request from the beginning of data and returns its length. The length is 0 while the request
+// ParseRequest reads a request from the beginning of data and returns its length. The length is 0 while the request
 // is incomplete; request.Continue then says whether its sender waits for 100 (Continue). Errors are of type
 // *Error.
-func Request(data []byte, limits Limits, request *Message) (int, error) {
+func ParseRequest(data []byte, limits Limits, request *Message) (int, error) {
 	lines, headLength, err := splitHead(data, limits)
 	if headLength == 0 || err != nil {
 		return 0, err
@@ -25,7 +25,7 @@
 	}
 	request.Method = parts[0]
 	request.Target = parts[1]
-	request.Minor = minor
+	request.MinorVersion = minor
 	request.Close = minor == 0
 	if request.Method == methodConnect || request.Target[0] != '/' && request.Target != "*" {
 		return 0, errorf(statusBadRequest, "target %.40q is not a path", request.Target)
@@ -37,11 +37,11 @@
 	return request.parseBody(data, headLength, body, limits)
 }
 
-// Response reads a response to a request with the given method from the beginning of data and returns its
+// ParseResponse reads a response to a request with the given method from the beginning of data and returns its
 // length. The length is 0 while the response is incomplete; if response.UntilClose is set it ends with the
 // connection, and ResponseAtEOF then completes it. Errors are of type *Error with status 502, except those of
 // the head's form.
-func Response(data []byte, requestMethod string, limits Limits, response *Message) (int, error) {
+func ParseResponse(data []byte, requestMethod string, limits Limits, response *Message) (int, error) {
 	lines, headLength, err := splitHead(data, limits)
 	if headLength == 0 || err != nil {
 		return 0, err
@@ -68,9 +68,9 @@
 	return length, nil
 }
 
-// ResponseAtEOF completes a response that Response has read from data, and whose body went on until the
+// CompleteResponseAtEOF completes a response that Response has read from data, and whose body went on until the
 // connection ended. It returns ErrUnexpectedEnd for any other response.
-func ResponseAtEOF(data []byte, response *Message) error {
+func CompleteResponseAtEOF(data []byte, response *Message) error {
 	if !response.UntilClose {
 		return ErrUnexpectedEnd
 	}
@@ -78,9 +78,9 @@
 	return nil
 }
 
-// ResponseHead reads the head of a response whose body may never end. It returns the length of the head, 0
+// ParseResponseHead reads the head of a response whose body may never end. It returns the length of the head, 0
 // while that is incomplete, and a reader for the body that follows. Errors are of type *Error.
-func ResponseHead(data []byte, limits Limits, response *Message) (int, BodyReader, error) {
+func ParseResponseHead(data []byte, limits Limits, response *Message) (int, BodyReader, error) {
 	lines, headLength, err := splitHead(data, limits)
 	if headLength == 0 || err != nil {
 		return 0, BodyReader{}, err
@@ -97,7 +97,7 @@
 	if !ok {
 		return framing{}, errorf(statusBadGateway, "version %.20q", version)
 	}
-	m.Minor = minor
+	m.MinorVersion = minor
 	status, err := strconv.Atoi(code)
 	m.Status = status
 	if err != nil || len(code) != 3 || status < 100 {
--- a/internal/wire/http1/parse_test.go
+++ b/internal/wire/http1/parse_test.go
@@ -18,11 +18,11 @@
 	} {
 		var m Message
 		for i := range c.text {
-			if n, err := Request([]byte(c.text[:i]), DefaultLimits, &m); n != 0 || err != nil {
+			if n, err := ParseRequest([]byte(c.text[:i]), DefaultLimits, &m); n != 0 || err != nil {
 				t.Fatalf("%s: %d of %d bytes give %d, %v", name, i, len(c.text), n, err)
 			}
 		}
-		n, err := Request([]byte(c.text+"GET"), DefaultLimits, &m)
+		n, err := ParseRequest([]byte(c.text+"GET"), DefaultLimits, &m)
 		if n != len(c.text) || err != nil || string(m.Body) != c.body || m.Close {
 			t.Fatalf("%s: %d, %v, %+v", name, n, err, m)
 		}
@@ -67,7 +67,7 @@
 		"GET / HTTP/1.1\r\nHost: x\r\n" + strings.Repeat("A: b\r\n", 101) + "\r\n": 431,
 	} {
 		var m Message
-		n, err := Request([]byte(text), DefaultLimits, &m)
+		n, err := ParseRequest([]byte(text), DefaultLimits, &m)
 		var e *Error
 		if !errors.As(err, &e) || e.Status != status || n != 0 {
 			t.Errorf("%.90q: %d, %v, want %d", text, n, err, status)
@@ -78,7 +78,7 @@
 func TestResponse(t *testing.T) {
 	var m Message
 	text := "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nConnection: X-A\r\nX-A: hop\r\nX-B: end\r\n\r\nok"
-	n, err := Response([]byte(text+"HTTP"), "GET", DefaultLimits, &m)
+	n, err := ParseResponse([]byte(text+"HTTP"), "GET", DefaultLimits, &m)
 	if n != len(text) || err != nil || string(m.Body) != "ok" {
 		t.Fatal(n, err, m)
 	}
@@ -86,28 +86,28 @@
 		t.Errorf("%q", b)
 	}
 	text = "HTTP/1.0 200 OK\r\n\r\nuntil the end"
-	if n, err := Response([]byte(text), "GET", DefaultLimits, &m); n != 0 || err != nil || !m.UntilClose {
+	if n, err := ParseResponse([]byte(text), "GET", DefaultLimits, &m); n != 0 || err != nil || !m.UntilClose {
 		t.Fatal(n, err)
 	}
-	if err := ResponseAtEOF([]byte(text), &m); err != nil || string(m.Body) != "until the end" || !m.Close {
+	if err := CompleteResponseAtEOF([]byte(text), &m); err != nil || string(m.Body) != "until the end" || !m.Close {
 		t.Errorf("%v, %+v", err, m)
 	}
 	for _, c := range []string{"HTTP/1.1 204 No Content\r\n\r\n", "HTTP/1.1 304 Not Modified\r\nContent-Length: 7\r\n\r\n"} {
-		if n, err := Response([]byte(c+"rest"), "GET", DefaultLimits, &m); n != len(c) || err != nil {
+		if n, err := ParseResponse([]byte(c+"rest"), "GET", DefaultLimits, &m); n != len(c) || err != nil {
 			t.Errorf("%q: %d, %v", c, n, err)
 		}
 	}
 	head := "HTTP/1.1 200 OK\r\nContent-Length: 70\r\n\r\n"
-	if n, err := Response([]byte(head), "HEAD", DefaultLimits, &m); n != len(head) || err != nil ||
+	if n, err := ParseResponse([]byte(head), "HEAD", DefaultLimits, &m); n != len(head) || err != nil ||
 		!strings.Contains(string(AppendResponse(nil, &m, "HEAD", false)), "Content-Length: 70") {
 		t.Errorf("%d, %v", n, err)
 	}
 	for _, bad := range []string{"HTTP/1.1 2000 OK\r\n\r\n", "hello\r\n\r\n", "HTTP/1.1 200 OK\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\n"} {
-		if _, err := Response([]byte(bad), "GET", DefaultLimits, &m); err == nil {
+		if _, err := ParseResponse([]byte(bad), "GET", DefaultLimits, &m); err == nil {
 			t.Errorf("%q was accepted", bad)
 		}
 	}
-	if ResponseAtEOF([]byte("x"), &Message{}) == nil {
+	if CompleteResponseAtEOF([]byte("x"), &Message{}) == nil {
 		t.Error("a response that ended too early was accepted")
 	}
 }
@@ -118,7 +118,7 @@
 	f.Add([]byte("POST /a HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nhel\r\n0\r\n\r\nrest"))
 	f.Fuzz(func(t *testing.T, b []byte) {
 		var m Message
-		n, err := Request(b, DefaultLimits, &m)
+		n, err := ParseRequest(b, DefaultLimits, &m)
 		if err != nil || n == 0 {
 			return
 		}
