--- a/internal/core/admission/controller.go
+++ b/internal/core/admission/controller.go
@@ -1,5 +1,5 @@
-// Package admission decides which queries are let in: by levels that the coordinator orders for each class, and by limits of
-// what may be under way. What is not let in is refused at once, and told when to come back. It is pure.
+// Package admission decides which requests a proxy admits: by the fraction or rate that the coordinator sets for each class, and by
+// limits of the requests in flight. The others are rejected at once, with a time after which the client may retry. It is pure.
 package admission
 
 import (
@@ -9,111 +9,139 @@
 )
 
 var (
-	// ErrRateLimited says that the coordinator lets fewer queries of this class in.
+	// ErrRateLimited says that the coordinator has limited the requests of this class.
 	ErrRateLimited = errors.New("fewer queries of this class are let in")
-	// ErrTooManyInFlight says that as many queries are under way as may be.
+	// ErrTooManyInFlight says that the proxy has as many requests in flight as Limits allow.
 	ErrTooManyInFlight = errors.New("as many queries are under way as may be")
 )
 
-const rateBurst = 0.25 // seconds of a rate that may come at once: traffic is not even
+const (
+	rateBurst            = 0.25 // seconds of a rate that may come at once, since traffic is uneven
+	overloadedRetryAfter = 1.0  // seconds after which a client may retry when too many requests are in flight
+	unlimitedRate        = -1.0 // no rate has been set
+)
 
-// Limits of what may be under way; a query beyond one is refused.
+// Limits of the requests in flight; a request beyond one is rejected.
 type Limits struct {
 	MaxInFlight  int // in all
 	MaxPerServer int // at one server
 }
 
-// DefaultLimits are those that settings start from.
+// DefaultLimits are the limits when the settings have none.
 var DefaultLimits = Limits{MaxInFlight: 10000, MaxPerServer: 1000}
 
-type gate struct {
-	level    float64
-	back     float64
-	credit   float64 // of a fraction: what was let in too little
-	tokens   float64 // of a rate
-	tokensAt float64
+type classState struct {
+	admission  float64 // fraction, or requests per second
+	retryAfter float64 // seconds
+	credit     float64 // AdmissionFraction: the part of a request that has not been admitted yet
+	tokens     float64 // AdmissionRate: requests that may be admitted at once
+	refilledAt float64 // clock time in seconds of tokens
 }
 
-// Controller lets queries in. Use New.
+// Controller admits requests. Use New.
 type Controller struct {
-	kind   balancer.AdmissionMode
-	limits Limits
-	gates  []gate
-	inside int
-	at     map[balancer.Server]int
-	Stats  Stats
+	mode     balancer.AdmissionMode
+	limits   Limits
+	classes  []classState
+	inFlight int
+	byServer map[balancer.Server]int // in flight
+	Stats    Stats
 }
 
-// Stats is what happened, for metrics.
-type Stats struct{ Admitted, RateLimited, Overloaded int }
+// Stats counts decisions, for metrics.
+type Stats struct {
+	Admitted    int
+	RateLimited int
+	Overloaded  int
+}
 
-// New makes a door for so many classes, all open.
-func New(kind balancer.AdmissionMode, classes int, limits Limits) *Controller {
-	d := &Controller{kind: kind, limits: limits, gates: make([]gate, classes), at: map[balancer.Server]int{}}
-	for i := range d.gates {
-		d.gates[i].level = 1
-		if kind == balancer.AdmissionRate {
-			d.gates[i].level = -1 // until one is ordered
+// New returns a Controller for this number of classes, which admits all requests within the limits until SetAdmission.
+func New(mode balancer.AdmissionMode, classes int, limits Limits) *Controller {
+	c := &Controller{
+		mode:     mode,
+		limits:   limits,
+		classes:  make([]classState, classes),
+		byServer: map[balancer.Server]int{},
+	}
+	for i := range c.classes {
+		c.classes[i].admission = 1
+		if mode == balancer.AdmissionRate {
+			c.classes[i].admission = unlimitedRate
 		}
 	}
-	return d
+	return c
 }
 
-// SetAdmission takes an order for a class: what part or rate is let in, and after how many seconds the others may come back.
-func (d *Controller) SetAdmission(now float64, c balancer.Class, level, back float64) {
-	g := &d.gates[c]
-	if g.level < 0 {
-		g.tokens, g.tokensAt = level*rateBurst, now
+// SetAdmission sets the fraction, or the rate in requests per second, of a class that is admitted, and the seconds after which the
+// clients of rejected requests may retry.
+func (c *Controller) SetAdmission(now float64, class balancer.Class, admission, retryAfter float64) {
+	state := &c.classes[class]
+	if state.admission < 0 {
+		state.tokens = admission * rateBurst
+		state.refilledAt = now
 	}
-	g.level, g.back = level, back
+	state.admission = admission
+	state.retryAfter = retryAfter
 }
 
-// Admit asks for a query. With an error it is refused, and back is when its client may come again, in seconds; else Leave must
-// follow. A fraction is let in evenly: of ten queries at a level of 0.3 the same three, not three by chance.
-func (d *Controller) Admit(now float64, c balancer.Class) (back float64, err error) {
-	if d.inside >= d.limits.MaxInFlight {
-		d.Stats.Overloaded++
-		return 1, ErrTooManyInFlight
+// Admit decides on a request. An error, ErrTooManyInFlight or ErrRateLimited, says that it is rejected, and retryAfter is the time in
+// seconds after which its client may retry; otherwise Done must follow. A fraction is admitted evenly: at 0.3 every third or fourth
+// request, not a random one.
+func (c *Controller) Admit(now float64, class balancer.Class) (retryAfter float64, err error) {
+	if c.inFlight >= c.limits.MaxInFlight {
+		c.Stats.Overloaded++
+		return overloadedRetryAfter, ErrTooManyInFlight
 	}
-	g := &d.gates[c]
+	state := &c.classes[class]
+	if !state.admit(c.mode, now) {
+		c.Stats.RateLimited++
+		return state.retryAfter, ErrRateLimited
+	}
+	c.inFlight++
+	c.Stats.Admitted++
+	return 0, nil
+}
+
+func (s *classState) admit(mode balancer.AdmissionMode, now float64) bool {
 	switch {
-	case d.kind == balancer.AdmissionFraction && g.level < 1:
-		if g.credit += g.level; g.credit < 1 {
-			d.Stats.RateLimited++
-			return g.back, ErrRateLimited
+	case mode == balancer.AdmissionFraction && s.admission < 1:
+		s.credit += s.admission
+		if s.credit < 1 {
+			return false
 		}
-		g.credit--
-	case d.kind == balancer.AdmissionRate && g.level >= 0:
-		g.tokens = min(max(1, g.level*rateBurst), g.tokens+(now-g.tokensAt)*g.level)
-		if g.tokensAt = now; g.tokens < 1 {
-			d.Stats.RateLimited++
-			return g.back, ErrRateLimited
+		s.credit--
+	case mode == balancer.AdmissionRate && s.admission >= 0:
+		s.tokens = min(max(1, s.admission*rateBurst), s.tokens+(now-s.refilledAt)*s.admission)
+		s.refilledAt = now
+		if s.tokens < 1 {
+			return false
 		}
-		g.tokens--
+		s.tokens--
 	}
-	d.inside++
-	d.Stats.Admitted++
-	return 0, nil
+	return true
 }
 
-// Done ends a query that was let in.
-func (d *Controller) Done() { d.inside-- }
+// Done ends a request that was admitted.
+func (c *Controller) Done() { c.inFlight-- }
 
-// InFlight is the number of queries under way.
-func (d *Controller) InFlight() int { return d.inside }
+// InFlight returns the number of admitted requests in flight.
+func (c *Controller) InFlight() int { return c.inFlight }
 
-// HasCapacity tells whether a server may have one more.
-func (d *Controller) HasCapacity(s balancer.Server) bool { return d.at[s] < d.limits.MaxPerServer }
+// HasCapacity reports whether a server may have one more attempt in flight.
+func (c *Controller) HasCapacity(server balancer.Server) bool {
+	return c.byServer[server] < c.limits.MaxPerServer
+}
 
-// Begin and End count what is under way at a server.
-func (d *Controller) Begin(s balancer.Server) { d.at[s]++ }
+// Begin counts an attempt at a server as in flight, until End.
+func (c *Controller) Begin(server balancer.Server) { c.byServer[server]++ }
 
-// End of Begin.
-func (d *Controller) End(s balancer.Server) {
-	if d.at[s]--; d.at[s] <= 0 {
-		delete(d.at, s)
+// End ends an attempt that Begin counted.
+func (c *Controller) End(server balancer.Server) {
+	c.byServer[server]--
+	if c.byServer[server] <= 0 {
+		delete(c.byServer, server)
 	}
 }
 
-// InFlightAt is the number of queries under way at a server.
-func (d *Controller) InFlightAt(s balancer.Server) int { return d.at[s] }
+// InFlightAt returns the number of attempts in flight at a server.
+func (c *Controller) InFlightAt(server balancer.Server) int { return c.byServer[server] }
