--- a/internal/core/outlier/detector.go
+++ b/internal/core/outlier/detector.go
@@ -1,65 +1,71 @@
-// Package outlier keeps away from servers that fail, for a while. It is pure.
+// Package outlier ejects servers that fail repeatedly, for a time that grows with each ejection. It is pure.
 package outlier
 
 import "snowquay/balancer"
 
-// Config of avoiding.
+// Config of outlier ejection.
 type Config struct {
-	ConsecutiveFailures int     // failures in a row; 0: none is avoided
-	BaseEjection        float64 // seconds, the first time
-	MaxEjection         float64 // seconds; each time in a row doubles it
+	ConsecutiveFailures int     // failures in a row that eject a server; 0: none is ejected
+	BaseEjection        float64 // seconds of the first ejection; each further one in a row doubles it
+	MaxEjection         float64 // seconds of an ejection at most
 }
 
-// DefaultConfig are those that settings start from.
+// DefaultConfig is the configuration when the settings have none.
 var DefaultConfig = Config{ConsecutiveFailures: 8, BaseEjection: 4, MaxEjection: 30}
 
-const mostServers = 8192 // that are remembered; one more is not avoided
+const (
+	maxServers   = 8192 // failing servers that are remembered; further ones are not ejected
+	maxDoublings = 16   // of BaseEjection
+)
 
-type state struct {
-	failures int
-	times    int
-	until    float64
+type serverState struct {
+	failures     int // in a row
+	ejections    int // in a row
+	ejectedUntil float64
 }
 
-// Detector is what a proxy knows of its servers. Use New.
+// Detector knows the servers that have failed at one proxy. Use New.
 type Detector struct {
-	terms     Config
-	by        map[balancer.Server]*state
-	Ejections int // how often one was avoided
+	config    Config
+	servers   map[balancer.Server]*serverState // those whose latest attempt failed
+	Ejections int                              // in all
 }
 
-// New makes an empty list.
-func New(t Config) *Detector { return &Detector{terms: t, by: map[balancer.Server]*state{}} }
+// New returns a Detector that has seen no failure.
+func New(config Config) *Detector {
+	return &Detector{config: config, servers: map[balancer.Server]*serverState{}}
+}
 
-// RecordSuccess notes an answer: the server is well.
-func (l *Detector) RecordSuccess(s balancer.Server) { delete(l.by, s) }
+// RecordSuccess records an answer of a server, which ends its ejection.
+func (d *Detector) RecordSuccess(server balancer.Server) { delete(d.servers, server) }
 
-// RecordFailure notes a failure. It reports whether the server is avoided from now on.
-func (l *Detector) RecordFailure(now float64, s balancer.Server) bool {
-	x := l.by[s]
-	if x == nil {
-		if l.terms.ConsecutiveFailures == 0 || len(l.by) >= mostServers {
+// RecordFailure records a failed attempt at a server. It reports whether the server is ejected from now on.
+func (d *Detector) RecordFailure(now float64, server balancer.Server) bool {
+	state := d.servers[server]
+	if state == nil {
+		if d.config.ConsecutiveFailures == 0 || len(d.servers) >= maxServers {
 			return false
 		}
-		x = &state{}
-		l.by[s] = x
+		state = &serverState{}
+		d.servers[server] = state
 	}
-	if x.failures++; x.failures < l.terms.ConsecutiveFailures || now < x.until {
+	state.failures++
+	if state.failures < d.config.ConsecutiveFailures || now < state.ejectedUntil {
 		return false
 	}
-	x.until = now + min(l.terms.BaseEjection*float64(uint64(1)<<min(x.times, 16)), l.terms.MaxEjection)
-	x.failures = l.terms.ConsecutiveFailures - 1 // one more failure afterwards, and it is avoided for longer
-	x.times++
-	l.Ejections++
+	factor := float64(uint64(1) << min(state.ejections, maxDoublings))
+	state.ejectedUntil = now + min(d.config.BaseEjection*factor, d.config.MaxEjection)
+	state.failures = d.config.ConsecutiveFailures - 1 // one more failure afterwards ejects it again, for longer
+	state.ejections++
+	d.Ejections++
 	return true
 }
 
-// Ejected tells whether a server is to be left alone now. It is advice: where all that are left are avoided, one of them is
-// taken all the same.
-func (l *Detector) Ejected(now float64, s balancer.Server) bool {
-	x := l.by[s]
-	return x != nil && now < x.until
+// Ejected reports whether a server should not be used now. It is advice: a caller that has no other server uses an ejected one.
+func (d *Detector) Ejected(now float64, server balancer.Server) bool {
+	state := d.servers[server]
+	return state != nil && now < state.ejectedUntil
 }
 
-// Forget a server that has no line any more.
-func (l *Detector) Forget(s balancer.Server) { delete(l.by, s) }
+// Forget removes a server that is in no table any more.
+func (d *Detector) Forget(server balancer.Server) { delete(d.servers, server) }
