--- a/internal/core/forwarding/forward_test.go
+++ b/internal/core/forwarding/proxy_test.go
@@ -117,7 +117,7 @@
 		_, o := p.HandleRequest(now, Request{Class: guarded, IdempotencyKey: fmt.Sprint("k", i), Fingerprint: 1})
 		first := only(t, o, Send)
 		second := only(t, p.AttemptFailed(now+0.1, first.Attempt, retry.MaybeExecuted), Send)
-		if a, b := p.place(first.Server), p.place(second.Server); a.FailureDomain != b.FailureDomain || a.Server == b.Server {
+		if a, b := p.location(first.Server), p.location(second.Server); a.FailureDomain != b.FailureDomain || a.Server == b.Server {
 			t.Fatalf("from %+v to %+v", a, b)
 		}
 		if _, _, ok := p.AttemptSucceeded(now+0.2, second.Attempt); !ok {
@@ -125,7 +125,7 @@
 		}
 		_, o = p.HandleRequest(now+1, Request{Class: guarded, IdempotencyKey: fmt.Sprint("k", i), Fingerprint: 1}) // its client has not heard the answer
 		third := only(t, o, Send)
-		if p.place(third.Server).FailureDomain != p.place(first.Server).FailureDomain {
+		if p.location(third.Server).FailureDomain != p.location(first.Server).FailureDomain {
 			t.Fatal("its client's own repeat goes to another group")
 		}
 		p.AttemptSucceeded(now+1.1, third.Attempt)
@@ -143,7 +143,7 @@
 	first := only(t, o, Send)
 	var left []int
 	for i := range 8 {
-		if p.place(server(i)).FailureDomain != p.place(first.Server).FailureDomain || server(i) == first.Server {
+		if p.location(server(i)).FailureDomain != p.location(first.Server).FailureDomain || server(i) == first.Server {
 			left = append(left, i)
 		}
 	}
@@ -346,7 +346,7 @@
 					}
 					f := flying{o.Request, class[o.Request], o.Server, now}
 					for _, e := range ran[o.Request] {
-						if f.class == single || f.class == guarded && (p.place(e.at).FailureDomain != p.place(f.at).FailureDomain || now > e.sent+4) {
+						if f.class == single || f.class == guarded && (p.location(e.at).FailureDomain != p.location(f.at).FailureDomain || now > e.sent+4) {
 							r.Fatalf("query %d of class %d may have run at %s and is sent to %s", o.Request, f.class, e.at, f.at)
 						}
 					}
@@ -371,10 +371,10 @@
 			switch rapid.IntRange(0, 7).Draw(r, "event") {
 			case 0, 1, 2:
 				c := balancer.Class(rapid.IntRange(0, 2).Draw(r, "class"))
-				class[p.nextQ+1] = c
+				class[p.lastRequest+1] = c
 				key := ""
 				if c == guarded {
-					key = fmt.Sprint("k", p.nextQ)
+					key = fmt.Sprint("k", p.lastRequest)
 				}
 				_, o := p.HandleRequest(now, Request{Class: c, IdempotencyKey: key})
 				obey(o)
@@ -421,12 +421,12 @@
 		now += 10
 		obey(p.Tick(now))
 		for q := range class {
-			if q <= p.nextQ && ends[q] != 1 {
+			if q <= p.lastRequest && ends[q] != 1 {
 				r.Fatalf("query %d ended %d times", q, ends[q])
 			}
 		}
-		if p.InFlight() != 0 || len(p.tries) != 0 || p.Admission.InFlight() != 0 || len(tries) != 0 {
-			r.Fatalf("%d queries, %d tries, %d inside, %d flying are left", p.InFlight(), len(p.tries), p.Admission.InFlight(), len(tries))
+		if p.InFlight() != 0 || len(p.attempts) != 0 || p.Admission.InFlight() != 0 || len(tries) != 0 {
+			r.Fatalf("%d queries, %d tries, %d inside, %d flying are left", p.InFlight(), len(p.attempts), p.Admission.InFlight(), len(tries))
 		}
 	})
 }
