--- a/internal/core/picker/table_test.go
+++ b/internal/core/picker/table_test.go
@@ -13,15 +13,15 @@
 
 func TestMain(m *testing.M) { testseed.Main(m) }
 
-func name(i int) balancer.Server { return balancer.Server(fmt.Sprint("s", i)) }
+func serverName(i int) balancer.Server { return balancer.Server(fmt.Sprint("s", i)) }
 
-// plain is the rotation that scans all lines: what Even is measured against.
-type plain struct {
+// linearRoundRobin is the rotation that scans all lines: what Even is measured against.
+type linearRoundRobin struct {
 	lines  []Entry
 	credit []float64
 }
 
-func (p *plain) pick() balancer.Server {
+func (p *linearRoundRobin) pick() balancer.Server {
 	sum, best := 0.0, 0
 	for i, l := range p.lines {
 		sum += l.Weight
@@ -35,13 +35,13 @@
 
 // Through any changes, weights, lines and what may be taken are as a plain list has them, and each stretch without a change
 // is picked by weight: evenly within one pick for each line, at random within what chance allows.
-func TestPicksFollowTheWeights(t *testing.T) {
-	for kind, make := range map[string]func() Table{"even": func() Table { return NewSmoothWeighted(3) }, "random": func() Table { return NewWeightedRandom(3) }} {
+func TestPicksAreProportionalToWeights(t *testing.T) {
+	for kind, newTable := range map[string]func() Table{"even": func() Table { return NewSmoothWeighted(3) }, "random": func() Table { return NewWeightedRandom(3) }} {
 		t.Run(kind, func(t *testing.T) {
 			rapid.Check(t, func(r *rapid.T) {
-				table, want := make(), map[balancer.Server]float64{}
+				table, want := newTable(), map[balancer.Server]float64{}
 				for range rapid.IntRange(1, 30).Draw(r, "changes") {
-					s := name(rapid.IntRange(0, 12).Draw(r, "server"))
+					s := serverName(rapid.IntRange(0, 12).Draw(r, "server"))
 					w := float64(rapid.IntRange(0, 9).Draw(r, "weight"))
 					if table.Set(s, w); w == 0 {
 						delete(want, s)
@@ -94,16 +94,16 @@
 // A line that could not be taken for long does not get all at once what it missed, and one that is new is not everybody's
 // next: of many proxies only its part is.
 func TestChangesDoNotBunch(t *testing.T) {
-	e := NewSmoothWeighted(1)
+	table := NewSmoothWeighted(1)
 	for i := range 10 {
-		e.Set(name(i), 1)
+		table.Set(serverName(i), 1)
 	}
 	for range 500 {
-		e.Pick(func(s balancer.Server) bool { return s != name(3) })
+		table.Pick(func(s balancer.Server) bool { return s != serverName(3) })
 	}
 	in := 0
 	for range 10 {
-		if s, _ := e.Pick(nil); s == name(3) {
+		if s, _ := table.Pick(nil); s == serverName(3) {
 			in++
 		}
 	}
@@ -112,15 +112,15 @@
 	}
 	first := 0
 	for seed := range uint64(1000) {
-		e := NewSmoothWeighted(seed)
+		table := NewSmoothWeighted(seed)
 		for i := range 10 {
-			e.Set(name(i), 1)
+			table.Set(serverName(i), 1)
 		}
 		for range 25 {
-			e.Pick(nil)
+			table.Pick(nil)
 		}
-		e.Set("new", 1)
-		if s, _ := e.Pick(nil); s == "new" {
+		table.Set("new", 1)
+		if s, _ := table.Pick(nil); s == "new" {
 			first++
 		}
 	}
@@ -130,11 +130,11 @@
 	// All weights are multiplied, as another coordinator may say them: nothing else changes.
 	a, b := NewSmoothWeighted(5), NewSmoothWeighted(5)
 	for i := range 10 {
-		a.Set(name(i), float64(i+1))
-		b.Set(name(i), float64(i+1))
+		a.Set(serverName(i), float64(i+1))
+		b.Set(serverName(i), float64(i+1))
 	}
 	for i := range 10 {
-		b.Set(name(i), 100*float64(i+1))
+		b.Set(serverName(i), 100*float64(i+1))
 	}
 	for range 500 {
 		x, _ := a.Pick(nil)
@@ -145,30 +145,30 @@
 }
 
 // Where one line in a hundred may be taken, it is found, by weight among those that may.
-func TestFewMayBeTaken(t *testing.T) {
+func TestPicksAmongFewAllowedServers(t *testing.T) {
 	for kind, table := range map[string]Table{"even": NewSmoothWeighted(1), "random": NewWeightedRandom(1)} {
 		for i := range 200 {
-			table.Set(name(i), 1+float64(i%2)*2)
+			table.Set(serverName(i), 1+float64(i%2)*2)
 		}
 		got := map[balancer.Server]int{}
 		for range 4000 {
-			s, ok := table.Pick(func(s balancer.Server) bool { return s == name(50) || s == name(51) })
+			s, ok := table.Pick(func(s balancer.Server) bool { return s == serverName(50) || s == serverName(51) })
 			if !ok {
 				t.Fatal(kind, ": none is found")
 			}
 			got[s]++
 		}
-		if part := float64(got[name(51)]) / 4000; kind == "random" && math.Abs(part-0.75) > 0.03 || len(got) != 2 {
+		if part := float64(got[serverName(51)]) / 4000; kind == "random" && math.Abs(part-0.75) > 0.03 || len(got) != 2 {
 			t.Errorf("%s: %v", kind, got)
 		}
 	}
 }
 
 func TestReplace(t *testing.T) {
-	e := NewSmoothWeighted(1)
-	Replace(e, []Entry{{"a", 1}, {"b", 2}})
-	Replace(e, []Entry{{"b", 3}, {"c", 1}})
-	if l := e.Entries(); len(l) != 2 || l[0] != (Entry{"b", 3}) || l[1] != (Entry{"c", 1}) {
+	table := NewSmoothWeighted(1)
+	Replace(table, []Entry{{"a", 1}, {"b", 2}})
+	Replace(table, []Entry{{"b", 3}, {"c", 1}})
+	if l := table.Entries(); len(l) != 2 || l[0] != (Entry{"b", 3}) || l[1] != (Entry{"c", 1}) {
 		t.Errorf("%v", l)
 	}
 }
@@ -177,7 +177,7 @@
 	for _, n := range []int{10, 300, 5000} {
 		fill := func(t Table) Table {
 			for i := range n {
-				t.Set(name(i), 1+float64(i%7))
+				t.Set(serverName(i), 1+float64(i%7))
 			}
 			return t
 		}
@@ -188,16 +188,16 @@
 				}
 			})
 			b.Run(fmt.Sprint(kind, "-change/", n), func(b *testing.B) {
-				s, i := name(n/2), 0
+				s, i := serverName(n/2), 0
 				for b.Loop() {
 					i++
 					t.Set(s, 1+float64(i%5))
 				}
 			})
 		}
-		p := &plain{credit: make([]float64, n)}
+		p := &linearRoundRobin{credit: make([]float64, n)}
 		for i := range n {
-			p.lines = append(p.lines, Entry{name(i), 1 + float64(i%7)})
+			p.lines = append(p.lines, Entry{serverName(i), 1 + float64(i%7)})
 		}
 		b.Run(fmt.Sprint("plain/", n), func(b *testing.B) {
 			for b.Loop() {
@@ -208,10 +208,10 @@
 }
 
 func BenchmarkReplace300(b *testing.B) {
-	e := NewSmoothWeighted(1)
+	table := NewSmoothWeighted(1)
 	var lines []Entry
 	for i := range 300 {
-		lines = append(lines, Entry{name(i), 1})
+		lines = append(lines, Entry{serverName(i), 1})
 	}
 	i := 0
 	for b.Loop() {
@@ -219,6 +219,6 @@
 		for k := range lines {
 			lines[k].Weight = 1 + float64((k+i)%9)
 		}
-		Replace(e, lines)
+		Replace(table, lines)
 	}
 }
