--- a/internal/core/tablecache/golden_test.go
+++ b/internal/core/tablecache/golden_test.go
@@ -12,9 +12,9 @@
 		return New([]string{"search", "book"}, func(int) picker.Table { return picker.NewSmoothWeighted(1) })
 	}
 	held := empty()
-	held.at, held.lead = 1000.5, 7
-	picker.Replace(held.by[0], []picker.Entry{{Server: "127.0.1.2:8080", Weight: 1.5}, {Server: "127.0.1.3:8080", Weight: 2}})
-	picker.Replace(held.by[1], []picker.Entry{{Server: "127.0.1.2:8080", Weight: 0.25}})
+	held.currentAt, held.ownershipEpoch = 1000.5, 7
+	picker.Replace(held.tables[0], []picker.Entry{{Server: "127.0.1.2:8080", Weight: 1.5}, {Server: "127.0.1.3:8080", Weight: 2}})
+	picker.Replace(held.tables[1], []picker.Entry{{Server: "127.0.1.2:8080", Weight: 0.25}})
 	b, err := held.Save()
 	if err != nil {
 		t.Fatal(err)
@@ -24,8 +24,8 @@
 	if err := restored.Restore(1001, golden.Read(t, "tables.json")); err != nil {
 		t.Fatal(err)
 	}
-	if restored.at != held.at || restored.lead != held.lead {
-		t.Errorf("restored as of %v with lead %d", restored.at, restored.lead)
+	if restored.currentAt != held.currentAt || restored.ownershipEpoch != held.ownershipEpoch {
+		t.Errorf("restored as of %v with ownership epoch %d", restored.currentAt, restored.ownershipEpoch)
 	}
 	again, err := restored.Save()
 	if err != nil {
