--- /dev/null
+++ b/internal/proxy/clients.go
@@ -0,0 +1,142 @@
+package proxy
+
+import (
+	"cmp"
+	"errors"
+	"fmt"
+	"math"
+	"net/http"
+	"slices"
+	"strconv"
+
+	"snowquay/internal/core/forwarding"
+	"snowquay/internal/env"
+	"snowquay/internal/wire/http1"
+)
+
+// client is a client's connection. Its requests are handled one at a time.
+type client struct {
+	id           env.Conn
+	received     []byte // not read yet
+	message      http1.Message
+	request      forwarding.RequestID // in flight; 0: none
+	reading      bool                 // readRequests handles a request and reads on after it
+	closing      bool                 // the connection is closed after the next response
+	continueSent bool                 // the response 100 (Continue) to the request that is incomplete
+	idleSince    float64
+}
+
+func (p *Proxy) receiveFromClient(now float64, c *client, data []byte) {
+	limits := p.config.Limits.HTTP
+	c.received = append(c.received, data...)
+	if len(c.received) > limits.Head+limits.Body+limits.Body/4 {
+		p.rejectMalformed(now, c, http.StatusRequestEntityTooLarge, "too much is sent ahead")
+		return
+	}
+	p.readRequests(now, c)
+}
+
+// readRequests handles the complete requests that a client has sent, until one is in flight.
+func (p *Proxy) readRequests(now float64, c *client) {
+	for p.clients[c.id] == c && c.request == 0 && !c.closing && len(c.received) > 0 {
+		length, err := http1.ParseRequest(c.received, p.config.Limits.HTTP, &c.message)
+		if err != nil {
+			p.rejectMalformed(now, c, statusOf(err), err.Error())
+			return
+		}
+		if length == 0 {
+			p.sendContinue(c)
+			return
+		}
+		c.continueSent = false
+		c.idleSince = now
+		c.closing = c.message.Close
+		c.reading = true
+		p.handleRequest(now, c)
+		c.reading = false
+		c.message = http1.Message{}
+		c.received = append(c.received[:0], c.received[length:]...)
+		if len(c.received) == 0 {
+			c.received = nil // an idle connection needs no buffer
+		}
+	}
+}
+
+// sendContinue asks a client that waits for it to send the body of its request.
+func (p *Proxy) sendContinue(c *client) {
+	if c.message.Continue && !c.continueSent {
+		c.continueSent = true
+		p.io.Send(c.id, []byte("HTTP/1.1 100 Continue\r\n\r\n"))
+	}
+}
+
+func statusOf(err error) int {
+	var parseError *http1.Error
+	if errors.As(err, &parseError) {
+		return parseError.Status
+	}
+	return http.StatusBadRequest
+}
+
+// rejectMalformed answers a request that cannot be read, and closes the connection.
+func (p *Proxy) rejectMalformed(now float64, c *client, status int, title string) {
+	p.Stats.Malformed++
+	c.closing = true
+	p.respond(now, c, "", problem(status, title, 0))
+}
+
+// problem returns a response as in RFC 9457. retryAfter is in seconds; 0: none.
+func problem(status int, title string, retryAfter float64) *http1.Message {
+	message := &http1.Message{
+		Status: status,
+		Fields: []http1.Field{{Name: "Content-Type", Value: "application/problem+json"}},
+		Body:   fmt.Appendf(nil, `{"type":"about:blank","title":%q,"status":%d}`, title, status),
+	}
+	if retryAfter > 0 {
+		seconds := strconv.Itoa(int(math.Ceil(retryAfter)))
+		message.Fields = append(message.Fields, http1.Field{Name: "Retry-After", Value: seconds})
+	}
+	return message
+}
+
+// respond sends the response to a client's current request, and reads the next one.
+func (p *Proxy) respond(now float64, c *client, method string, message *http1.Message) {
+	p.response = http1.AppendResponse(p.response[:0], message, method, c.closing)
+	p.io.Send(c.id, p.response)
+	c.request = 0
+	c.idleSince = now
+	if c.closing {
+		p.closeClient(c)
+		return
+	}
+	if !c.reading {
+		p.readRequests(now, c)
+	}
+}
+
+func (p *Proxy) closeClient(c *client) {
+	delete(p.clients, c.id)
+	p.io.Close(c.id)
+}
+
+func (p *Proxy) clientClosed(now float64, c *client) {
+	delete(p.clients, c.id)
+	if c.request == 0 || p.requests[c.request] == nil {
+		return
+	}
+	delete(p.requests, c.request)
+	p.perform(now, p.Core.ClientGone(c.request))
+}
+
+func (p *Proxy) closeIdleClients(now float64) {
+	var idle []*client
+	for _, c := range p.clients {
+		if c.request == 0 && now-c.idleSince > p.config.Limits.IdleTimeout {
+			idle = append(idle, c)
+		}
+	}
+	slices.SortFunc(idle, func(a, b *client) int { return cmp.Compare(a.id, b.id) })
+	for _, c := range idle {
+		p.closeClient(c)
+	}
+}
--- a/internal/proxy/hour_test.go
+++ b/internal/proxy/hour_test.go
@@ -47,14 +47,14 @@
 		s.town.late = fmt.Sprintf("%s was sent a query %.2f s after its line was taken away", s.at, now-at)
 	}
 	switch v := s.chance.Float64(); {
-	case v < 0.01 && s.ran[m.Get(keyField)] == 0: // it runs, and its answer is lost
-		s.ran[m.Get(keyField)]++
+	case v < 0.01 && s.ran[m.Get(idempotencyKeyField)] == 0: // it runs, and its answer is lost
+		s.ran[m.Get(idempotencyKeyField)]++
 		s.io.Close(c)
 	case v < 0.02:
 		s.io.Send(c, []byte("HTTP/1.1 503 Busy\r\nSnowquay-Ran: no\r\nContent-Length: 0\r\n\r\n"))
 	default:
-		if s.ran[m.Get(keyField)] == 0 || m.Target == "/once" { // its pod drops repeats of guarded queries
-			s.ran[m.Get(keyField)]++
+		if s.ran[m.Get(idempotencyKeyField)] == 0 || m.Target == "/once" { // its pod drops repeats of guarded queries
+			s.ran[m.Get(idempotencyKeyField)]++
 		}
 		s.io.Send(c, []byte("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"))
 	}
--- a/internal/proxy/proxy_test.go
+++ b/internal/proxy/proxy_test.go
@@ -249,7 +249,7 @@
 		if once != 6 {
 			t.Errorf("%s: %d of 6 single-shot queries reached a server", how, once)
 		}
-		if w.proxy.Core.InFlight() != 0 || len(w.proxy.queries) != 0 || len(w.proxy.tries) != 0 {
+		if w.proxy.Core.InFlight() != 0 || len(w.proxy.requests) != 0 || len(w.proxy.attempts) != 0 {
 			t.Errorf("%s: %d queries are left", how, w.proxy.Core.InFlight())
 		}
 	}
@@ -276,7 +276,7 @@
 	w.servers[0].how = "silent"
 	w.user(get("/search"), 0.3)
 	w.run(0.6)
-	if w.servers[0].closed != 1 || w.proxy.Core.InFlight() != 0 || len(w.proxy.queries) != 0 || w.proxy.Clients() != 0 {
+	if w.servers[0].closed != 1 || w.proxy.Core.InFlight() != 0 || len(w.proxy.requests) != 0 || w.proxy.Clients() != 0 {
 		t.Errorf("%d connections closed, %d under way", w.servers[0].closed, w.proxy.Core.InFlight())
 	}
 }
--- /dev/null
+++ b/internal/proxy/servers.go
@@ -0,0 +1,208 @@
+package proxy
+
+import (
+	"net/http"
+	"net/netip"
+	"slices"
+	"strings"
+
+	"snowquay/balancer"
+	"snowquay/internal/core/forwarding"
+	"snowquay/internal/core/retry"
+	"snowquay/internal/env"
+	"snowquay/internal/wire/http1"
+)
+
+const (
+	notExecutedField = "Snowquay-Ran" // "no" in a 503: the server has not begun with the request
+	maxIdleBuffer    = 8 << 10        // bytes that an idle connection keeps for its next response
+)
+
+// target is a server to which requests are forwarded.
+type target struct {
+	address netip.AddrPort
+	idle    []*serverConn
+	removed bool // from the tables
+}
+
+// serverConn is a connection to a server. It carries one attempt at a time.
+type serverConn struct {
+	id        env.Conn
+	target    *target
+	attempt   forwarding.AttemptID // 0: it is idle
+	request   forwarding.RequestID
+	connected bool
+	received  []byte
+	message   http1.Message
+}
+
+// sendAttempt sends a request to a server, on an idle connection if there is one.
+func (p *Proxy) sendAttempt(now float64, action forwarding.Action) {
+	t := p.targetOf(action.Server)
+	if t == nil {
+		p.perform(now, p.Core.AttemptFailed(now, action.Attempt, retry.NotExecuted))
+		return
+	}
+	if p.config.Observer != nil {
+		p.config.Observer.AttemptSent(now, action.Server)
+	}
+	conn := p.connection(t)
+	conn.attempt = action.Attempt
+	conn.request = action.Request
+	conn.received = conn.received[:0]
+	p.attempts[action.Attempt] = conn
+	if conn.connected {
+		p.sendRequest(conn)
+	}
+}
+
+// targetOf returns the target of a server; nil: its name is no address.
+func (p *Proxy) targetOf(server balancer.Server) *target {
+	if t := p.targets[server]; t != nil {
+		return t
+	}
+	address, err := netip.ParseAddrPort(string(server))
+	if err != nil {
+		return nil
+	}
+	t := &target{address: address}
+	p.targets[server] = t
+	return t
+}
+
+// connection returns the idle connection to a target that was used last, or a new one.
+func (p *Proxy) connection(t *target) *serverConn {
+	if len(t.idle) > 0 {
+		last := len(t.idle) - 1
+		conn := t.idle[last]
+		t.idle = t.idle[:last]
+		p.Stats.Reused++
+		return conn
+	}
+	conn := &serverConn{id: p.io.Dial(t.address), target: t}
+	p.connections[conn.id] = conn
+	p.Stats.Dials++
+	return conn
+}
+
+func (p *Proxy) sendRequest(conn *serverConn) {
+	if request := p.requests[conn.request]; request != nil {
+		p.io.Send(conn.id, request.data)
+	}
+}
+
+// forget removes a connection that is closed.
+func (p *Proxy) forget(conn *serverConn) {
+	delete(p.connections, conn.id)
+	delete(p.attempts, conn.attempt)
+	if i := slices.Index(conn.target.idle, conn); i >= 0 {
+		conn.target.idle = slices.Delete(conn.target.idle, i, i+1)
+	}
+}
+
+func (p *Proxy) closeServerConn(conn *serverConn) {
+	p.forget(conn)
+	p.io.Close(conn.id)
+}
+
+func (p *Proxy) receiveFromServer(now float64, conn *serverConn, data []byte) {
+	if conn.attempt == 0 {
+		p.Stats.UnexpectedData++
+		p.closeServerConn(conn)
+		return
+	}
+	conn.received = append(conn.received, data...)
+	method := http.MethodGet
+	if request := p.requests[conn.request]; request != nil {
+		method = request.method
+	}
+	for {
+		length, err := http1.ParseResponse(conn.received, method, p.config.Limits.HTTP, &conn.message)
+		if err != nil {
+			p.connectionBroken(now, conn)
+			p.io.Close(conn.id)
+			return
+		}
+		if length == 0 {
+			return
+		}
+		if conn.message.Status >= http.StatusOK {
+			p.handleResponse(now, conn, length)
+			return
+		}
+		conn.received = append(conn.received[:0], conn.received[length:]...) // an interim response, such as 100 (Continue)
+	}
+}
+
+// handleResponse handles a complete response, which has this length in conn.received. Status 500 and above is a failure of the server:
+// the request may be retried elsewhere.
+func (p *Proxy) handleResponse(now float64, conn *serverConn, length int) {
+	attempt := conn.attempt
+	message := conn.message
+	delete(p.attempts, attempt)
+	conn.attempt = 0
+	conn.request = 0
+	conn.message = http1.Message{}
+	unexpectedData := len(conn.received) > length
+	if unexpectedData {
+		p.Stats.UnexpectedData++
+	}
+	reusable := !message.Close && !unexpectedData && !conn.target.removed && len(conn.target.idle) < p.config.Limits.MaxIdlePerServer
+	if message.Status >= http.StatusInternalServerError {
+		failure := slices.Clone(conn.received[:length])
+		p.release(conn, reusable)
+		p.handleFailure(now, attempt, &message, failure)
+		return
+	}
+	id, actions, ok := p.Core.AttemptSucceeded(now, attempt)
+	if request := p.requests[id]; ok && request != nil {
+		delete(p.requests, id)
+		p.respond(now, request.client, request.method, &message)
+	}
+	p.release(conn, reusable)
+	p.perform(now, actions)
+}
+
+// handleFailure handles a response that is a failure of the server. It is kept for the client, in case all attempts fail.
+func (p *Proxy) handleFailure(now float64, attempt forwarding.AttemptID, message *http1.Message, failure []byte) {
+	outcome := retry.MaybeExecuted
+	if message.Status == http.StatusServiceUnavailable && strings.EqualFold(message.Get(notExecutedField), "no") {
+		outcome = retry.NotExecuted
+	}
+	id, ok := p.Core.RequestOf(attempt)
+	if request := p.requests[id]; ok && request != nil {
+		request.lastFailure = failure
+	}
+	p.perform(now, p.Core.AttemptFailed(now, attempt, outcome))
+}
+
+// release keeps a connection for the next request if it is reusable, and closes it otherwise.
+func (p *Proxy) release(conn *serverConn, reusable bool) {
+	if !reusable {
+		delete(p.connections, conn.id)
+		p.io.Close(conn.id)
+		return
+	}
+	conn.received = conn.received[:0]
+	if cap(conn.received) > maxIdleBuffer {
+		conn.received = nil
+	}
+	conn.target.idle = append(conn.target.idle, conn)
+}
+
+func (p *Proxy) serverClosed(now float64, conn *serverConn) {
+	if conn.attempt != 0 && conn.message.UntilClose && http1.CompleteResponseAtEOF(conn.received, &conn.message) == nil {
+		conn.message.Close = true
+		p.handleResponse(now, conn, len(conn.received))
+		return
+	}
+	p.connectionBroken(now, conn)
+}
+
+// connectionBroken fails the attempt of a connection that has ended or cannot be used any more.
+func (p *Proxy) connectionBroken(now float64, conn *serverConn) {
+	p.forget(conn)
+	if conn.attempt != 0 {
+		p.perform(now, p.Core.AttemptFailed(now, conn.attempt, retry.MaybeExecuted))
+	}
+}
