--- a/internal/core/forwarding/idempotency.go
+++ b/internal/core/forwarding/idempotency.go
@@ -56,11 +56,11 @@
 }
 
 // rememberExecution records under a request's idempotency key where it may have been executed, for retries by its client.
-func (p *Proxy) rememberExecution(r *request, a *attempt) {
-	if r.received.IdempotencyKey == "" || r.state.Class.Idempotency == balancer.Idempotent {
+func (p *Proxy) rememberExecution(req *request, a *attempt) {
+	if req.received.IdempotencyKey == "" || req.state.Class.Idempotency == balancer.Idempotent {
 		return
 	}
-	record := p.keys[r.received.IdempotencyKey]
+	record := p.keys[req.received.IdempotencyKey]
 	if record == nil || record.maybeExecuted {
 		return
 	}
--- a/internal/core/forwarding/proxy.go
+++ b/internal/core/forwarding/proxy.go
@@ -138,7 +138,7 @@
 
 // New returns a Proxy whose tables are empty.
 func New(now float64, config Config) *Proxy {
-	p := &Proxy{
+	proxy := &Proxy{
 		config:        config,
 		Tables:        tablecache.New(config.ClassNames, config.NewTable),
 		Admission:     admission.New(config.AdmissionMode, len(config.ClassNames), config.Limits),
@@ -153,9 +153,9 @@
 		classTotals:   make([]loadreport.Totals, len(config.ClassNames)),
 	}
 	for range config.ClassNames {
-		p.budgets = append(p.budgets, config.Budget)
+		proxy.budgets = append(proxy.budgets, config.Budget)
 	}
-	return p
+	return proxy
 }
 
 // ApplyOrders applies what came with tables for the classes: admission and retry policies.
@@ -194,11 +194,11 @@
 
 // RequestOf returns the request of an attempt that is in flight; ok is false if the attempt is not.
 func (p *Proxy) RequestOf(id AttemptID) (request RequestID, ok bool) {
-	r := p.attempts[id]
-	if r == nil {
+	req := p.attempts[id]
+	if req == nil {
 		return 0, false
 	}
-	return r.id, true
+	return req.id, true
 }
 
 // InFlight returns the number of requests in flight.
--- a/internal/core/forwarding/requests.go
+++ b/internal/core/forwarding/requests.go
@@ -22,10 +22,10 @@
 		p.Stats.Rejected++
 		return id, []Action{{Kind: Reject, Request: id, Err: err, RetryAfter: retryAfter}}
 	}
-	r := p.begin(now, id, received, key)
-	if !p.send(now, r) {
+	req := p.begin(now, id, received, key)
+	if !p.send(now, req) {
 		p.Stats.NoServer++
-		p.end(r)
+		p.end(req)
 		p.classTotals[received.Class].Failed++
 		return id, append(p.takeActions(), Action{Kind: Reject, Request: id, Err: ErrNoServer, RetryAfter: noServerRetryAfter})
 	}
@@ -35,7 +35,7 @@
 // begin records an admitted request.
 func (p *Proxy) begin(now float64, id RequestID, received Request, key *keyRecord) *request {
 	class := p.config.Classes[received.Class]
-	r := &request{
+	req := &request{
 		id:       id,
 		received: received,
 		state: retry.Request{
@@ -46,93 +46,93 @@
 		},
 	}
 	if key != nil && key.maybeExecuted { // its client retries: it goes where the first attempt may have been executed
-		r.state.MaybeExecuted = true
-		r.state.FirstExecution = key.location
-		r.state.FirstSentAt = key.sentAt
+		req.state.MaybeExecuted = true
+		req.state.FirstExecution = key.location
+		req.state.FirstSentAt = key.sentAt
 	}
-	p.requests[id] = r
-	r.deadline.Value = r
-	r.slow.Value = r
-	p.deadlines.Set(&r.deadline, r.state.Deadline)
+	p.requests[id] = req
+	req.deadline.Value = req
+	req.slow.Value = req
+	p.deadlines.Set(&req.deadline, req.state.Deadline)
 	p.budgets[received.Class].RecordRequest()
-	return r
+	return req
 }
 
 // end forgets a request and cancels its attempts.
-func (p *Proxy) end(r *request) {
-	for len(r.attempts) > 0 {
-		a := r.attempts[0]
-		p.endAttempt(r, a)
-		p.cancel(r, a)
+func (p *Proxy) end(req *request) {
+	for len(req.attempts) > 0 {
+		a := req.attempts[0]
+		p.endAttempt(req, a)
+		p.cancel(req, a)
 	}
-	p.deadlines.Cancel(&r.deadline)
-	p.slowTimers.Cancel(&r.slow)
-	delete(p.requests, r.id)
+	p.deadlines.Cancel(&req.deadline)
+	p.slowTimers.Cancel(&req.slow)
+	delete(p.requests, req.id)
 	p.Admission.Done()
 }
 
-func (p *Proxy) cancel(r *request, a *attempt) {
-	p.actions = append(p.actions, Action{Kind: Cancel, Request: r.id, Attempt: a.id, Server: a.server})
+func (p *Proxy) cancel(req *request, a *attempt) {
+	p.actions = append(p.actions, Action{Kind: Cancel, Request: req.id, Attempt: a.id, Server: a.server})
 }
 
-func (p *Proxy) fail(r *request, err error) {
+func (p *Proxy) fail(req *request, err error) {
 	p.Stats.Failed++
-	p.classTotals[r.received.Class].Failed++
-	p.end(r)
-	p.actions = append(p.actions, Action{Kind: Fail, Request: r.id, Err: err})
+	p.classTotals[req.received.Class].Failed++
+	p.end(req)
+	p.actions = append(p.actions, Action{Kind: Fail, Request: req.id, Err: err})
 }
 
 // ClientGone ends a request whose client has closed its connection.
 func (p *Proxy) ClientGone(id RequestID) []Action {
-	r := p.requests[id]
-	if r == nil {
+	req := p.requests[id]
+	if req == nil {
 		return nil
 	}
 	p.Stats.ClientsGone++
-	p.end(r)
+	p.end(req)
 	return p.takeActions()
 }
 
 // Tick fails requests whose deadline has passed, and retries or hedges those whose latest attempt is slow.
 func (p *Proxy) Tick(now float64) []Action {
-	p.deadlines.Advance(now, func(r *request) { p.deadlinePassed(now, r) })
-	p.slowTimers.Advance(now, func(r *request) { p.attemptSlow(now, r) })
+	p.deadlines.Advance(now, func(req *request) { p.deadlinePassed(now, req) })
+	p.slowTimers.Advance(now, func(req *request) { p.attemptSlow(now, req) })
 	return p.takeActions()
 }
 
-func (p *Proxy) deadlinePassed(now float64, r *request) {
+func (p *Proxy) deadlinePassed(now float64, req *request) {
 	p.Stats.Late++
-	for _, a := range r.attempts { // a server that does not answer counts as one that fails
+	for _, a := range req.attempts { // a server that does not answer counts as one that fails
 		p.recordServerFailure(now, a.server)
-		p.rememberExecution(r, a)
+		p.rememberExecution(req, a)
 	}
-	p.fail(r, ErrDeadlineExceeded)
+	p.fail(req, ErrDeadlineExceeded)
 }
 
 // hedges reports whether a request is to be hedged once its first attempt is slow.
-func (p *Proxy) hedges(r *request) bool {
-	return p.config.HedgeAfter > minHedgeDelay && !r.hedged && r.state.Class.Idempotency == balancer.Idempotent
+func (p *Proxy) hedges(req *request) bool {
+	return p.config.HedgeAfter > minHedgeDelay && !req.hedged && req.state.Class.Idempotency == balancer.Idempotent
 }
 
 // attemptSlow handles a request whose latest attempt has taken longer than the hedging delay, or than the latency objective. In the
 // second case the attempt is cancelled if the request may be retried; otherwise its answer is waited for.
-func (p *Proxy) attemptSlow(now float64, r *request) {
-	if p.hedges(r) {
-		r.hedged = true
-		if len(r.attempts) == 1 && p.budgets[r.received.Class].TryRetry() && p.send(now, r) {
+func (p *Proxy) attemptSlow(now float64, req *request) {
+	if p.hedges(req) {
+		req.hedged = true
+		if len(req.attempts) == 1 && p.budgets[req.received.Class].TryRetry() && p.send(now, req) {
 			p.Stats.Hedges++
 			return
 		}
 	}
-	if len(r.attempts) != 1 {
+	if len(req.attempts) != 1 {
 		return
 	}
-	a := r.attempts[0]
-	afterFailure := r.state
+	a := req.attempts[0]
+	afterFailure := req.state
 	afterFailure.RecordFailure(p.location(a.server), a.sentAt, retry.MaybeExecuted)
 	if !afterFailure.MayRetry(now, retry.MaybeExecuted) {
 		return
 	}
-	p.cancel(r, a)
-	p.attemptFailed(now, r, a, retry.MaybeExecuted)
+	p.cancel(req, a)
+	p.attemptFailed(now, req, a, retry.MaybeExecuted)
 }
--- a/internal/proxy/proxy_test.go
+++ b/internal/proxy/proxy_test.go
@@ -18,51 +18,51 @@
 	"snowquay/internal/wire/http1"
 )
 
-// base is a env.Program that does nothing.
-type base struct {
+// noProgram is a env.Program that does nothing.
+type noProgram struct {
 	io  env.IO
 	net *simnet.Net
 }
 
-func (b *base) Start(_ float64, io env.IO)                   { b.io = io }
-func (b *base) Opened(float64, env.Conn, netip.Addr, uint16) {}
-func (b *base) Connected(float64, env.Conn, bool)            {}
-func (b *base) Closed(float64, env.Conn)                     {}
-func (b *base) Delivered(float64, env.Conn, uint64)          {}
-func (b *base) Datagram(float64, []byte)                     {}
-func (b *base) TimerFired(float64, int)                      {}
-func (b *base) Receive(float64, env.Conn, []byte)            {}
-
-// httpd is a server that behaves as it is told.
-type httpd struct {
-	base
+func (b *noProgram) Start(_ float64, io env.IO)                   { b.io = io }
+func (b *noProgram) Opened(float64, env.Conn, netip.Addr, uint16) {}
+func (b *noProgram) Connected(float64, env.Conn, bool)            {}
+func (b *noProgram) Closed(float64, env.Conn)                     {}
+func (b *noProgram) Delivered(float64, env.Conn, uint64)          {}
+func (b *noProgram) Datagram(float64, []byte)                     {}
+func (b *noProgram) TimerFired(float64, int)                      {}
+func (b *noProgram) Receive(float64, env.Conn, []byte)            {}
+
+// testServer is a server that behaves as it is told.
+type testServer struct {
+	noProgram
 	name     string
-	how      string // ok, silent, reset, drip, twice, fails, full, unframed
-	buf      map[env.Conn][]byte
-	seen     []string
+	behavior string // ok, silent, reset, drip, twice, fails, full, unframed
+	received map[env.Conn][]byte
+	requests []string
 	accepted int
 	closed   int
 }
 
-func (h *httpd) Opened(float64, env.Conn, netip.Addr, uint16) { h.accepted++ }
-func (h *httpd) Closed(_ float64, c env.Conn)                 { h.closed++; delete(h.buf, c) }
-func (h *httpd) Receive(now float64, c env.Conn, b []byte) {
-	if h.buf == nil {
-		h.buf = map[env.Conn][]byte{}
+func (h *testServer) Opened(float64, env.Conn, netip.Addr, uint16) { h.accepted++ }
+func (h *testServer) Closed(_ float64, c env.Conn)                 { h.closed++; delete(h.received, c) }
+func (h *testServer) Receive(now float64, c env.Conn, b []byte) {
+	if h.received == nil {
+		h.received = map[env.Conn][]byte{}
 	}
-	h.buf[c] = append(h.buf[c], b...)
+	h.received[c] = append(h.received[c], b...)
 	var m http1.Message
-	n, err := http1.ParseRequest(h.buf[c], http1.DefaultLimits, &m)
+	n, err := http1.ParseRequest(h.received[c], http1.DefaultLimits, &m)
 	if err != nil {
 		panic(err)
 	}
 	if n == 0 {
 		return
 	}
-	h.buf[c] = h.buf[c][n:]
-	h.seen = append(h.seen, m.Method+" "+m.Target+" "+string(m.Body))
+	h.received[c] = h.received[c][n:]
+	h.requests = append(h.requests, m.Method+" "+m.Target+" "+string(m.Body))
 	answer := fmt.Appendf(nil, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(h.name), h.name)
-	switch h.how {
+	switch h.behavior {
 	case "silent":
 	case "reset":
 		h.io.Send(c, answer[:20])
@@ -85,42 +85,42 @@
 	}
 }
 
-// user is a client that sends bytes and keeps what comes back.
-type user struct {
-	base
-	to     netip.AddrPort
-	send   string
-	conn   env.Conn
-	got    string
-	ended  bool
-	leaves float64
+// testClient is a client that sends bytes and keeps what comes back.
+type testClient struct {
+	noProgram
+	proxy      netip.AddrPort
+	send       string
+	conn       env.Conn
+	received   string
+	closed     bool
+	closeAfter float64
 }
 
-func (u *user) Start(_ float64, io env.IO) { u.io = io; u.conn = io.Dial(u.to) }
-func (u *user) Connected(now float64, c env.Conn, _ bool) {
-	if u.io.Send(c, []byte(u.send)); u.leaves > 0 {
-		u.net.At(now+u.leaves, func() { u.io.Close(c) })
+func (u *testClient) Start(_ float64, io env.IO) { u.io = io; u.conn = io.Dial(u.proxy) }
+func (u *testClient) Connected(now float64, c env.Conn, _ bool) {
+	if u.io.Send(c, []byte(u.send)); u.closeAfter > 0 {
+		u.net.At(now+u.closeAfter, func() { u.io.Close(c) })
 	}
 }
-func (u *user) Receive(_ float64, _ env.Conn, b []byte) { u.got += string(b) }
-func (u *user) Closed(float64, env.Conn)                { u.ended = true }
+func (u *testClient) Receive(_ float64, _ env.Conn, b []byte) { u.received += string(b) }
+func (u *testClient) Closed(float64, env.Conn)                { u.closed = true }
 
-// street is a proxy with servers and clients in virtual time.
-type street struct {
+// testEnvironment is a proxy with servers and clients in virtual time.
+type testEnvironment struct {
 	t       *testing.T
 	net     *simnet.Net
 	proxy   *Proxy
 	host    *simnet.Host
-	servers []*httpd
+	servers []*testServer
 	hosts   []*simnet.Host
-	users   byte
-	store   *shelf
+	clients byte
+	store   *memoryStore
 }
 
-type shelf struct{ b []byte }
+type memoryStore struct{ snapshot []byte }
 
-func (s *shelf) Save(b []byte) error   { s.b = append([]byte(nil), b...); return nil }
-func (s *shelf) Load() ([]byte, error) { return s.b, nil }
+func (s *memoryStore) Save(b []byte) error   { s.snapshot = append([]byte(nil), b...); return nil }
+func (s *memoryStore) Load() ([]byte, error) { return s.snapshot, nil }
 
 var proxyAt = netip.MustParseAddrPort("10.0.0.1:8080")
 
@@ -128,7 +128,7 @@
 	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 1, byte(i + 1)}), 80)
 }
 
-func setup(servers int) Config {
+func testConfig(servers int) Config {
 	s := Config{UID: "proxy-1", Routes: []Route{{"/search", 0}, {"/introduce", 1}, {"/once", 2}}, Limits: DefaultLimits, Seed: 1,
 		Forwarding: forwarding.Config{ClassNames: []string{"search", "introduce", "once"}, RetryPolicies: []balancer.RetryPolicy{balancer.RetryOnce, balancer.RetryOnce, balancer.RetryIfNotExecuted},
 			Classes: []balancer.RequestClass{{LatencyObjective: 1, ClientTimeout: 5}, {LatencyObjective: 1, ClientTimeout: 5, Idempotency: balancer.Keyed, DedupWindow: 4},
@@ -141,15 +141,15 @@
 	return s
 }
 
-func build(t *testing.T, servers int, change func(*Config)) *street {
-	w := &street{t: t, net: simnet.New(1, 1000), store: &shelf{}}
+func newTestEnvironment(t *testing.T, servers int, change func(*Config)) *testEnvironment {
+	w := &testEnvironment{t: t, net: simnet.New(1, 1000), store: &memoryStore{}}
 	w.net.Faults.SplitProbability = 0.3
-	s := setup(servers)
+	s := testConfig(servers)
 	if change != nil {
 		change(&s)
 	}
 	for i := range servers {
-		h := &httpd{base: base{net: w.net}, name: fmt.Sprint("s", i)}
+		h := &testServer{noProgram: noProgram{net: w.net}, name: fmt.Sprint("s", i)}
 		w.servers = append(w.servers, h)
 		w.hosts = append(w.hosts, w.net.Add(serverAt(i).Addr(), 0, false))
 		w.hosts[i].Start(h)
@@ -160,14 +160,14 @@
 	return w
 }
 
-func (w *street) user(send string, leaves float64) *user {
-	w.users++
-	u := &user{base: base{net: w.net}, to: proxyAt, send: send, leaves: leaves}
-	w.net.Add(netip.AddrFrom4([4]byte{10, 0, 2, w.users}), 0, false).Start(u)
+func (w *testEnvironment) newClient(send string, leaves float64) *testClient {
+	w.clients++
+	u := &testClient{noProgram: noProgram{net: w.net}, proxy: proxyAt, send: send, closeAfter: leaves}
+	w.net.Add(netip.AddrFrom4([4]byte{10, 0, 2, w.clients}), 0, false).Start(u)
 	return u
 }
 
-func (w *street) run(seconds float64) { w.net.Run(w.net.Now() + seconds) }
+func (w *testEnvironment) runFor(seconds float64) { w.net.Run(w.net.Now() + seconds) }
 
 func get(path string) string { return "GET " + path + " HTTP/1.1\r\nHost: x\r\n\r\n" }
 
@@ -179,64 +179,64 @@
 	return fmt.Sprintf("POST %s HTTP/1.1\r\nHost: x\r\n%sContent-Length: %d\r\n\r\n%s", path, k, len(body), body)
 }
 
-func (w *street) want(u *user, parts ...string) {
+func (w *testEnvironment) expectReceived(u *testClient, parts ...string) {
 	w.t.Helper()
 	for _, p := range parts {
-		if !strings.Contains(u.got, p) {
-			w.t.Errorf("the client got %q, no %q", u.got, p)
+		if !strings.Contains(u.received, p) {
+			w.t.Errorf("the client got %q, no %q", u.received, p)
 		}
 	}
 }
 
-func TestQueriesAreForwarded(t *testing.T) {
-	w := build(t, 2, nil)
-	u := w.user(get("/search?q=1")+get("/search?q=2")+post("/introduce", "", "body")+get("/nowhere"), 0)
-	w.run(1)
-	w.want(u, "s0", "s1", "404")
-	if n := strings.Count(u.got, "HTTP/1.1 200"); n != 3 || u.ended || w.proxy.Clients() != 1 {
-		t.Errorf("%d answers, ended %t: %s", n, u.ended, u.got)
+func TestRequestsAreForwarded(t *testing.T) {
+	w := newTestEnvironment(t, 2, nil)
+	u := w.newClient(get("/search?q=1")+get("/search?q=2")+post("/introduce", "", "body")+get("/nowhere"), 0)
+	w.runFor(1)
+	w.expectReceived(u, "s0", "s1", "404")
+	if n := strings.Count(u.received, "HTTP/1.1 200"); n != 3 || u.closed || w.proxy.Clients() != 1 {
+		t.Errorf("%d answers, ended %t: %s", n, u.closed, u.received)
 	}
 	if w.proxy.Stats.Reused != 1 {
 		t.Errorf("%d connections were used again", w.proxy.Stats.Reused)
 	}
-	if u = w.user("GET /search HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n", 0); true {
-		w.run(1)
-		w.want(u, "Connection: close")
+	if u = w.newClient("GET /search HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n", 0); true {
+		w.runFor(1)
+		w.expectReceived(u, "Connection: close")
 	}
-	if !u.ended {
+	if !u.closed {
 		t.Error("the connection stands")
 	}
-	w.servers[0].how, w.servers[1].how = "unframed", "unframed"
-	u = w.user(get("/search"), 0)
-	w.run(1)
-	w.want(u, "Content-Length: 2")
+	w.servers[0].behavior, w.servers[1].behavior = "unframed", "unframed"
+	u = w.newClient(get("/search"), 0)
+	w.runFor(1)
+	w.expectReceived(u, "Content-Length: 2")
 }
 
 // Servers that behave badly in any way: free queries are answered by another one in time, others as far as it is safe.
-func TestBadServers(t *testing.T) {
+func TestFaultyServers(t *testing.T) {
 	for _, how := range []string{"silent", "reset", "drip", "fails", "full", "twice"} {
-		w := build(t, 2, nil)
-		w.servers[0].how = how
-		var users []*user
+		w := newTestEnvironment(t, 2, nil)
+		w.servers[0].behavior = how
+		var users []*testClient
 		for range 6 {
-			users = append(users, w.user(get("/search"), 0))
+			users = append(users, w.newClient(get("/search"), 0))
 		}
-		w.run(3)
+		w.runFor(3)
 		for _, u := range users {
-			w.want(u, "HTTP/1.1 200")
-			if strings.Count(u.got, "HTTP/1.1") != 1 {
-				t.Errorf("%s: %q", how, u.got)
+			w.expectReceived(u, "HTTP/1.1 200")
+			if strings.Count(u.received, "HTTP/1.1") != 1 {
+				t.Errorf("%s: %q", how, u.received)
 			}
 		}
 		once := 0
 		for i := range 6 {
-			w.user(post("/once", "", fmt.Sprint("once-", i)), 0)
+			w.newClient(post("/once", "", fmt.Sprint("once-", i)), 0)
 		}
-		w.run(8)
+		w.runFor(8)
 		ran := map[string]int{}
 		for _, s := range w.servers {
-			for _, x := range s.seen {
-				if strings.HasPrefix(x, "POST") && s.how != "full" {
+			for _, x := range s.requests {
+				if strings.HasPrefix(x, "POST") && s.behavior != "full" {
 					ran[x]++
 				}
 			}
@@ -253,36 +253,36 @@
 			t.Errorf("%s: %d queries are left", how, w.proxy.Core.InFlight())
 		}
 	}
-	w := build(t, 2, nil)
+	w := newTestEnvironment(t, 2, nil)
 	w.hosts[0].Kill() // it refuses connections: proof enough for anything
 	for i := range 6 {
-		u := w.user(post("/once", "", fmt.Sprint(i)), 0)
-		w.run(0.5)
-		w.want(u, "HTTP/1.1 200")
-	}
-	w.servers[1].how = "fails"
-	u := w.user(get("/search"), 0)
-	w.run(2)
-	w.want(u, "500", "owch") // the server's own words
+		u := w.newClient(post("/once", "", fmt.Sprint(i)), 0)
+		w.runFor(0.5)
+		w.expectReceived(u, "HTTP/1.1 200")
+	}
+	w.servers[1].behavior = "fails"
+	u := w.newClient(get("/search"), 0)
+	w.runFor(2)
+	w.expectReceived(u, "500", "owch") // the server's own words
 	w.hosts[1].Kill()
-	u = w.user(get("/search"), 0)
-	w.run(2)
-	w.want(u, "HTTP/1.1 502")
+	u = w.newClient(get("/search"), 0)
+	w.runFor(2)
+	w.expectReceived(u, "HTTP/1.1 502")
 }
 
 // A client that leaves in the middle: what is under way for it is cut off, so that the server notices.
-func TestAClientThatLeaves(t *testing.T) {
-	w := build(t, 1, nil)
-	w.servers[0].how = "silent"
-	w.user(get("/search"), 0.3)
-	w.run(0.6)
+func TestClientClosesConnection(t *testing.T) {
+	w := newTestEnvironment(t, 1, nil)
+	w.servers[0].behavior = "silent"
+	w.newClient(get("/search"), 0.3)
+	w.runFor(0.6)
 	if w.servers[0].closed != 1 || w.proxy.Core.InFlight() != 0 || len(w.proxy.requests) != 0 || w.proxy.Clients() != 0 {
 		t.Errorf("%d connections closed, %d under way", w.servers[0].closed, w.proxy.Core.InFlight())
 	}
 }
 
-func TestBadClients(t *testing.T) {
-	w := build(t, 1, func(s *Config) {
+func TestFaultyClients(t *testing.T) {
+	w := newTestEnvironment(t, 1, func(s *Config) {
 		s.Limits.HTTP = http1.Limits{Head: 500, Body: 1000, Fields: 20}
 		s.Limits.MaxClients, s.Limits.IdleTimeout = 3, 5
 	})
@@ -291,58 +291,58 @@
 		"GET /search HTTP/1.1\r\nHost: x\r\nA: " + strings.Repeat("x", 600) + "\r\n\r\n":                       "431",
 		post("/search", "", strings.Repeat("x", 2000)):                                                         "413",
 		"hello\r\n\r\n": "400"} {
-		u := w.user(send+get("/search"), 0)
-		w.run(0.5)
-		w.want(u, "HTTP/1.1 "+status, "Connection: close")
-		if !u.ended || strings.Count(u.got, "HTTP/1.1") != 1 {
-			t.Errorf("%.40q: it goes on: %q", send, u.got)
+		u := w.newClient(send+get("/search"), 0)
+		w.runFor(0.5)
+		w.expectReceived(u, "HTTP/1.1 "+status, "Connection: close")
+		if !u.closed || strings.Count(u.received, "HTTP/1.1") != 1 {
+			t.Errorf("%.40q: it goes on: %q", send, u.received)
 		}
 	}
-	if len(w.servers[0].seen) != 0 {
-		t.Errorf("the server has seen %q", w.servers[0].seen)
+	if len(w.servers[0].requests) != 0 {
+		t.Errorf("the server has seen %q", w.servers[0].requests)
 	}
 	key := post("/introduce", "k1", "one")
-	u := w.user(key+key+post("/introduce", "k1", "another"), 0)
-	w.run(1)
-	w.want(u, "HTTP/1.1 422")
-	if strings.Count(u.got, "HTTP/1.1 200") != 2 {
-		t.Errorf("%q", u.got)
-	}
-	cont := w.user("POST /search HTTP/1.1\r\nHost: x\r\nExpect: 100-continue\r\nContent-Length: 2\r\n\r\n", 0)
-	w.run(0.5)
-	w.want(cont, "100 Continue")
+	u := w.newClient(key+key+post("/introduce", "k1", "another"), 0)
+	w.runFor(1)
+	w.expectReceived(u, "HTTP/1.1 422")
+	if strings.Count(u.received, "HTTP/1.1 200") != 2 {
+		t.Errorf("%q", u.received)
+	}
+	cont := w.newClient("POST /search HTTP/1.1\r\nHost: x\r\nExpect: 100-continue\r\nContent-Length: 2\r\n\r\n", 0)
+	w.runFor(0.5)
+	w.expectReceived(cont, "100 Continue")
 	cont.io.Send(cont.conn, []byte("ok"))
-	w.run(0.5)
-	w.want(cont, "HTTP/1.1 200")
-	a, b := w.user("", 0), w.user("", 0)
-	w.run(0.5)
-	if a.ended || !b.ended {
+	w.runFor(0.5)
+	w.expectReceived(cont, "HTTP/1.1 200")
+	a, b := w.newClient("", 0), w.newClient("", 0)
+	w.runFor(0.5)
+	if a.closed || !b.closed {
 		t.Error("a fourth client is let in, or a third is not")
 	}
-	if w.run(7); !a.ended {
+	if w.runFor(7); !a.closed {
 		t.Error("a silent client stays")
 	}
 }
 
-// desk is a coordinator whose answers are given by hand.
-type desk struct {
-	base
+// testCoordinator is a coordinator whose answers are given by hand.
+type testCoordinator struct {
+	noProgram
 	conn  env.Conn
-	asked []string
+	polls []string
 	buf   []byte
 }
 
-func (d *desk) Receive(_ float64, c env.Conn, b []byte) {
+func (d *testCoordinator) Receive(_ float64, c env.Conn, b []byte) {
 	d.conn = c
 	d.buf = append(d.buf, b...)
 	var m http1.Message
 	if n, err := http1.ParseRequest(d.buf, http1.DefaultLimits, &m); err == nil && n > 0 {
-		d.asked = append(d.asked, m.Target)
+		d.polls = append(d.polls, m.Target)
 		d.buf = d.buf[n:]
 	}
 }
 
-func (d *desk) tell(t *delta.Tables) {
+func (d *testCoordinator) sendTables(t *delta.Tables) {
 	b, err := delta.Append(nil, delta.CBOR, t)
 	if err != nil {
 		panic(err)
@@ -350,7 +350,7 @@
 	d.io.Send(d.conn, append(fmt.Appendf(nil, "HTTP/1.1 200 OK\r\nContent-Type: %s\r\nContent-Length: %d\r\n\r\n", delta.CBOR, len(b)), b...))
 }
 
-func tables(version, lead uint64, servers ...int) *delta.Tables {
+func testTables(version, lead uint64, servers ...int) *delta.Tables {
 	t := &delta.Tables{Epoch: "e", Version: version, OwnershipEpoch: lead}
 	for _, name := range []string{"search", "introduce", "once"} {
 		c := delta.Class{Class: name, Full: true}
@@ -365,56 +365,56 @@
 // Tables are followed; a drained server gets no new query and its kept connections are closed, while what is in progress
 // there ends; an older epoch of another coordinator is refused; without coordinators, and after its own restart, the proxy
 // goes on by what it held.
-func TestTablesAreFollowed(t *testing.T) {
+func TestTablesOfCoordinatorsAreApplied(t *testing.T) {
 	at := []netip.AddrPort{netip.MustParseAddrPort("10.0.3.1:3000"), netip.MustParseAddrPort("10.0.3.2:3000")}
-	var shelf shelf
+	var shelf memoryStore
 	change := func(s *Config) {
 		s.Coordinators, s.DefaultServers, s.Store, s.Seed = at, nil, &shelf, 7
 	}
-	w := build(t, 3, change)
-	desks, hosts := []*desk{{}, {}}, []*simnet.Host{}
+	w := newTestEnvironment(t, 3, change)
+	desks, hosts := []*testCoordinator{{}, {}}, []*simnet.Host{}
 	for i := range at {
 		hosts = append(hosts, w.net.Add(at[i].Addr(), 0, false))
 		hosts[i].Start(desks[i])
 	}
-	w.run(2.5)
+	w.runFor(2.5)
 	first := desks[0]
-	if len(first.asked) == 0 {
+	if len(first.polls) == 0 {
 		first = desks[1]
 	}
-	if len(first.asked) == 0 {
+	if len(first.polls) == 0 {
 		t.Fatal("it asks nobody")
 	}
-	first.tell(tables(1, 5, 0, 1))
-	w.run(0.2)
-	if joined, _ := w.proxy.Coordinator(); !joined || !strings.Contains(first.asked[len(first.asked)-1], "lead=5") {
-		t.Fatalf("joined %t, asked %q", joined, first.asked)
+	first.sendTables(testTables(1, 5, 0, 1))
+	w.runFor(0.2)
+	if joined, _ := w.proxy.Coordinator(); !joined || !strings.Contains(first.polls[len(first.polls)-1], "lead=5") {
+		t.Fatalf("joined %t, asked %q", joined, first.polls)
 	}
 	for range 4 {
-		w.user(get("/search"), 0)
+		w.newClient(get("/search"), 0)
 	}
-	w.run(0.2)
-	w.servers[1].how = "silent" // a query in progress
-	busy := w.user(get("/search"), 0)
-	busy2 := w.user(get("/search"), 0)
-	w.run(0.2)
+	w.runFor(0.2)
+	w.servers[1].behavior = "silent" // a query in progress
+	busy := w.newClient(get("/search"), 0)
+	busy2 := w.newClient(get("/search"), 0)
+	w.runFor(0.2)
 	closed := w.servers[1].closed
-	first.tell(tables(2, 5, 0, 2))
-	w.run(0.1)
+	first.sendTables(testTables(2, 5, 0, 2))
+	w.runFor(0.1)
 	if w.servers[1].closed <= closed {
 		t.Error("kept connections to a server that drains stay open")
 	}
-	seen := len(w.servers[1].seen)
+	seen := len(w.servers[1].requests)
 	for range 10 {
-		w.user(get("/search"), 0)
+		w.newClient(get("/search"), 0)
 	}
-	w.run(0.3)
-	if len(w.servers[1].seen) != seen {
+	w.runFor(0.3)
+	if len(w.servers[1].requests) != seen {
 		t.Error("a server that drains gets new queries")
 	}
-	w.run(2)
-	w.want(busy, "HTTP/1.1 200")
-	w.want(busy2, "HTTP/1.1 200")
+	w.runFor(2)
+	w.expectReceived(busy, "HTTP/1.1 200")
+	w.expectReceived(busy2, "HTTP/1.1 200")
 	other := desks[0]
 	if other == first {
 		other = desks[1]
@@ -424,33 +424,33 @@
 			hosts[i].Kill()
 		}
 	}
-	w.run(3)
-	if len(other.asked) == 0 || !strings.Contains(other.asked[0], "version=2") {
-		t.Fatalf("the other coordinator was asked %q", other.asked)
+	w.runFor(3)
+	if len(other.polls) == 0 || !strings.Contains(other.polls[0], "version=2") {
+		t.Fatalf("the other coordinator was asked %q", other.polls)
 	}
-	other.tell(tables(9, 4, 1)) // it has not heard that the proxy changed hands
-	w.run(0.2)
+	other.sendTables(testTables(9, 4, 1)) // it has not heard that the proxy changed hands
+	w.runFor(0.2)
 	if s := w.proxy.Core.Tables.Table(0); s.Weight(balancer.Server(serverAt(1).String())) != 0 || s.Len() != 2 {
 		t.Error("a table of an older epoch is followed")
 	}
 	for i := range desks {
 		hosts[i].Kill()
 	}
-	w.run(5)
+	w.runFor(5)
 	w.host.Kill() // its own restart, with all coordinators gone
-	s := setup(3)
+	s := testConfig(3)
 	change(&s)
 	w.proxy = New(w.net.Now(), s)
 	w.host.Start(w.proxy)
-	u := w.user(get("/search"), 0)
-	w.run(0.5)
-	w.want(u, "HTTP/1.1 200")
+	u := w.newClient(get("/search"), 0)
+	w.runFor(0.5)
+	w.expectReceived(u, "HTTP/1.1 200")
 	if w.proxy.Core.Tables.Table(0).Len() != 2 {
 		t.Error("it has forgotten its table")
 	}
 }
 
-func places(servers int) map[balancer.Server]retry.Location {
+func testLocations(servers int) map[balancer.Server]retry.Location {
 	at := map[balancer.Server]retry.Location{}
 	for i := range servers {
 		s := balancer.Server(serverAt(i).String())
@@ -461,56 +461,56 @@
 
 // Orders that come while the proxy stalls over a former one are taken in their order, and the newest counts; a delta that
 // builds on one that was lost is not applied.
-func TestOrdersDuringAStall(t *testing.T) {
+func TestTablesDuringStall(t *testing.T) {
 	at := netip.MustParseAddrPort("10.0.3.1:3000")
-	w := build(t, 3, func(s *Config) { s.Coordinators = []netip.AddrPort{at} })
-	d := &desk{}
+	w := newTestEnvironment(t, 3, func(s *Config) { s.Coordinators = []netip.AddrPort{at} })
+	d := &testCoordinator{}
 	w.net.Add(at.Addr(), 0, false).Start(d)
-	w.run(3)
+	w.runFor(3)
 	w.host.Freeze(2)
 	for v := uint64(1); v <= 5; v++ {
-		d.tell(tables(v, 0, int(v)%3))
+		d.sendTables(testTables(v, 0, int(v)%3))
 	}
-	w.run(1)
+	w.runFor(1)
 	if w.proxy.Core.Tables.Table(0).Len() != 3 {
 		t.Error("it applies what it has not read")
 	}
-	w.run(2)
+	w.runFor(2)
 	if l := w.proxy.Core.Tables.Table(0).Entries(); len(l) != 1 || l[0].Server != balancer.Server(serverAt(2).String()) {
 		t.Errorf("after the stall it holds %v", l)
 	}
-	late := tables(9, 0, 0)
+	late := testTables(9, 0, 0)
 	late.Base = 8
-	asked := len(d.asked)
-	d.tell(late)
-	w.run(1)
-	if _, v, _ := w.proxy.Core.Tables.HeldVersion(); v != 0 || len(d.asked) <= asked || strings.Contains(d.asked[len(d.asked)-1], "version=") {
-		t.Errorf("it holds version %d and asked %q", v, d.asked[asked:])
+	asked := len(d.polls)
+	d.sendTables(late)
+	w.runFor(1)
+	if _, v, _ := w.proxy.Core.Tables.HeldVersion(); v != 0 || len(d.polls) <= asked || strings.Contains(d.polls[len(d.polls)-1], "version=") {
+		t.Errorf("it holds version %d and asked %q", v, d.polls[asked:])
 	}
 }
 
 // All servers fail at once: each query ends within its client timeout, repeats stay within their budget, and when the servers
 // are well again queries are answered at once.
 func TestAllServersFail(t *testing.T) {
-	w := build(t, 3, func(s *Config) { s.Forwarding.Budget = retry.Budget{Ratio: 0.1, Burst: 5} })
+	w := newTestEnvironment(t, 3, func(s *Config) { s.Forwarding.Budget = retry.Budget{Ratio: 0.1, Burst: 5} })
 	for _, s := range w.servers {
-		s.how = "fails"
+		s.behavior = "fails"
 	}
-	var users []*user
+	var users []*testClient
 	for range 100 {
-		users = append(users, w.user(get("/search"), 0))
-		w.run(0.05)
+		users = append(users, w.newClient(get("/search"), 0))
+		w.runFor(0.05)
 	}
 	for _, u := range users {
-		w.want(u, "HTTP/1.1 500")
+		w.expectReceived(u, "HTTP/1.1 500")
 	}
 	if c := w.proxy.Core.Stats; c.Retries > 16 || c.OverBudget == 0 || w.proxy.Core.InFlight() != 0 {
 		t.Errorf("%+v", c)
 	}
 	for _, s := range w.servers {
-		s.how = ""
+		s.behavior = ""
 	}
-	u := w.user(get("/search"), 0)
-	w.run(0.1)
-	w.want(u, "HTTP/1.1 200")
+	u := w.newClient(get("/search"), 0)
+	w.runFor(0.1)
+	w.expectReceived(u, "HTTP/1.1 200")
 }
