--- a/internal/core/forwarding/proxy_test.go
+++ b/internal/core/forwarding/proxy_test.go
@@ -3,7 +3,6 @@
 import (
 	"errors"
 	"fmt"
-	"math"
 	"testing"
 
 	"pgregory.net/rapid"
@@ -431,21 +430,6 @@
 	})
 }
 
-func TestAdmissionRate(t *testing.T) {
-	d := admission.New(balancer.AdmissionRate, 1, admission.DefaultLimits)
-	d.SetAdmission(1000, 0, 50, 1)
-	in := 0
-	for i := range 1000 { // 100 a second
-		if _, err := d.Admit(1000+float64(i)*0.01, 0); err == nil {
-			in++
-			d.Done()
-		}
-	}
-	if math.Abs(float64(in)-500) > 20 {
-		t.Errorf("%d of 1000 are let in within 10 s at a rate of 50", in)
-	}
-}
-
 // A whole new table of 300 lines for one class, and of one line, from bytes to picks: what a query may have to wait for.
 func BenchmarkTable(b *testing.B) {
 	for _, n := range []int{1, 300, 5000} {
--- a/internal/proxy/clients.go
+++ b/internal/proxy/clients.go
@@ -48,17 +48,21 @@
 			p.sendContinue(c)
 			return
 		}
-		c.continueSent = false
-		c.idleSince = now
 		c.closing = c.message.Close
 		c.reading = true
 		p.handleRequest(now, c)
 		c.reading = false
-		c.message = http1.Message{}
-		c.received = append(c.received[:0], c.received[length:]...)
-		if len(c.received) == 0 {
-			c.received = nil // an idle connection needs no buffer
-		}
+		c.consume(length)
+	}
+}
+
+// consume removes a request of this length from the received data.
+func (c *client) consume(length int) {
+	c.message = http1.Message{}
+	c.continueSent = false
+	c.received = append(c.received[:0], c.received[length:]...)
+	if len(c.received) == 0 {
+		c.received = nil // an idle connection needs no buffer
 	}
 }
 
--- /dev/null
+++ b/internal/proxy/environment_test.go
@@ -0,0 +1,268 @@
+package proxy
+
+import (
+	"bytes"
+	"fmt"
+	"net/netip"
+	"strings"
+	"testing"
+
+	"snowquay/balancer"
+	"snowquay/internal/core/admission"
+	"snowquay/internal/core/forwarding"
+	"snowquay/internal/core/outlier"
+	"snowquay/internal/core/picker"
+	"snowquay/internal/core/retry"
+	"snowquay/internal/env"
+	"snowquay/internal/env/simnet"
+	"snowquay/internal/wire/delta"
+	"snowquay/internal/wire/http1"
+)
+
+// noProgram is a env.Program that does nothing.
+type noProgram struct {
+	io  env.IO
+	net *simnet.Net
+}
+
+func (b *noProgram) Start(_ float64, io env.IO)                   { b.io = io }
+func (b *noProgram) Opened(float64, env.Conn, netip.Addr, uint16) {}
+func (b *noProgram) Connected(float64, env.Conn, bool)            {}
+func (b *noProgram) Closed(float64, env.Conn)                     {}
+func (b *noProgram) Delivered(float64, env.Conn, uint64)          {}
+func (b *noProgram) Datagram(float64, []byte)                     {}
+func (b *noProgram) TimerFired(float64, int)                      {}
+func (b *noProgram) Receive(float64, env.Conn, []byte)            {}
+
+// testServer is a server that behaves as it is told.
+type testServer struct {
+	noProgram
+	name     string
+	behavior string // ok, silent, reset, drip, twice, fails, full, unframed
+	received map[env.Conn][]byte
+	requests []string
+	accepted int
+	closed   int
+}
+
+func (s *testServer) Opened(float64, env.Conn, netip.Addr, uint16) { s.accepted++ }
+
+func (s *testServer) Closed(_ float64, conn env.Conn) {
+	s.closed++
+	delete(s.received, conn)
+}
+
+func (s *testServer) Receive(now float64, conn env.Conn, data []byte) {
+	if s.received == nil {
+		s.received = map[env.Conn][]byte{}
+	}
+	s.received[conn] = append(s.received[conn], data...)
+	var request http1.Message
+	length, err := http1.ParseRequest(s.received[conn], http1.DefaultLimits, &request)
+	if err != nil {
+		panic(err)
+	}
+	if length == 0 {
+		return
+	}
+	s.received[conn] = s.received[conn][length:]
+	s.requests = append(s.requests, request.Method+" "+request.Target+" "+string(request.Body))
+	answer := fmt.Appendf(nil, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(s.name), s.name)
+	switch s.behavior {
+	case "silent":
+	case "reset":
+		s.io.Send(conn, answer[:20])
+		s.io.Close(conn)
+	case "drip":
+		for i := range answer {
+			s.net.At(now+float64(i), func() { s.io.Send(conn, answer[i:i+1]) })
+		}
+	case "twice":
+		s.io.Send(conn, append(answer, answer...))
+	case "fails":
+		s.io.Send(conn, []byte("HTTP/1.1 500 Internal Server Error\r\nContent-Length: 4\r\n\r\nowch"))
+	case "full":
+		s.io.Send(conn, []byte("HTTP/1.1 503 Service Unavailable\r\nSnowquay-Ran: no\r\nContent-Length: 0\r\n\r\n"))
+	case "unframed":
+		s.io.Send(conn, []byte("HTTP/1.0 200 OK\r\n\r\n"+s.name))
+		s.net.At(now+0.1, func() { s.io.Close(conn) })
+	default:
+		s.io.Send(conn, answer)
+	}
+}
+
+// testClient is a client that sends bytes and keeps what comes back.
+type testClient struct {
+	noProgram
+	proxy      netip.AddrPort
+	send       string
+	conn       env.Conn
+	received   string
+	closed     bool
+	closeAfter float64
+}
+
+func (c *testClient) Start(_ float64, io env.IO) {
+	c.io = io
+	c.conn = io.Dial(c.proxy)
+}
+
+func (c *testClient) Connected(now float64, conn env.Conn, _ bool) {
+	c.io.Send(conn, []byte(c.send))
+	if c.closeAfter > 0 {
+		c.net.At(now+c.closeAfter, func() { c.io.Close(conn) })
+	}
+}
+
+func (c *testClient) Receive(_ float64, _ env.Conn, data []byte) { c.received += string(data) }
+
+func (c *testClient) Closed(float64, env.Conn) { c.closed = true }
+
+// testEnvironment is a proxy with servers and clients in virtual time.
+type testEnvironment struct {
+	t       *testing.T
+	net     *simnet.Net
+	proxy   *Proxy
+	host    *simnet.Host
+	servers []*testServer
+	hosts   []*simnet.Host
+	clients byte
+	store   *memoryStore
+}
+
+type memoryStore struct{ snapshot []byte }
+
+func (s *memoryStore) Save(snapshot []byte) error {
+	s.snapshot = bytes.Clone(snapshot)
+	return nil
+}
+
+func (s *memoryStore) Load() ([]byte, error) { return s.snapshot, nil }
+
+var proxyAt = netip.MustParseAddrPort("10.0.0.1:8080")
+
+func serverAt(i int) netip.AddrPort {
+	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 1, byte(i + 1)}), 80)
+}
+
+func testConfig(servers int) Config {
+	config := Config{
+		UID:    "proxy-1",
+		Routes: []Route{{"/search", 0}, {"/introduce", 1}, {"/once", 2}},
+		Limits: DefaultLimits,
+		Seed:   1,
+		Forwarding: forwarding.Config{
+			ClassNames:    []string{"search", "introduce", "once"},
+			RetryPolicies: []balancer.RetryPolicy{balancer.RetryOnce, balancer.RetryOnce, balancer.RetryIfNotExecuted},
+			Classes: []balancer.RequestClass{
+				{LatencyObjective: 1, ClientTimeout: 5},
+				{LatencyObjective: 1, ClientTimeout: 5, Idempotency: balancer.Keyed, DedupWindow: 4},
+				{LatencyObjective: 1, ClientTimeout: 5, Idempotency: balancer.NonIdempotent},
+			},
+			Limits:   admission.DefaultLimits,
+			Outliers: outlier.DefaultConfig,
+			Budget:   retry.Budget{Ratio: 1, Burst: 100},
+			NewTable: func(class int) picker.Table { return picker.NewSmoothWeighted(uint64(class)) },
+		},
+	}
+	for i := range servers {
+		config.DefaultServers = append(config.DefaultServers, balancer.Server(serverAt(i).String()))
+	}
+	return config
+}
+
+// newTestEnvironment starts a proxy and its servers; change, if not nil, changes the proxy's configuration.
+func newTestEnvironment(t *testing.T, servers int, change func(*Config)) *testEnvironment {
+	e := &testEnvironment{t: t, net: simnet.New(1, 1000), store: &memoryStore{}}
+	e.net.Faults.SplitProbability = 0.3
+	config := testConfig(servers)
+	if change != nil {
+		change(&config)
+	}
+	for i := range servers {
+		server := &testServer{noProgram: noProgram{net: e.net}, name: fmt.Sprint("s", i)}
+		e.servers = append(e.servers, server)
+		e.hosts = append(e.hosts, e.net.Add(serverAt(i).Addr(), 0, false))
+		e.hosts[i].Start(server)
+	}
+	e.proxy = New(e.net.Now(), config)
+	e.host = e.net.Add(proxyAt.Addr(), 0, false)
+	e.host.Start(e.proxy)
+	return e
+}
+
+// newClient starts a client that sends data and closes its connection after some seconds; 0: it does not.
+func (e *testEnvironment) newClient(send string, closeAfter float64) *testClient {
+	e.clients++
+	client := &testClient{noProgram: noProgram{net: e.net}, proxy: proxyAt, send: send, closeAfter: closeAfter}
+	e.net.Add(netip.AddrFrom4([4]byte{10, 0, 2, e.clients}), 0, false).Start(client)
+	return client
+}
+
+func (e *testEnvironment) runFor(seconds float64) { e.net.Run(e.net.Now() + seconds) }
+
+func get(path string) string { return "GET " + path + " HTTP/1.1\r\nHost: x\r\n\r\n" }
+
+func post(path, key, body string) string {
+	k := ""
+	if key != "" {
+		k = "Idempotency-Key: " + key + "\r\n"
+	}
+	return fmt.Sprintf("POST %s HTTP/1.1\r\nHost: x\r\n%sContent-Length: %d\r\n\r\n%s", path, k, len(body), body)
+}
+
+func (e *testEnvironment) expectReceived(client *testClient, parts ...string) {
+	e.t.Helper()
+	for _, p := range parts {
+		if !strings.Contains(client.received, p) {
+			e.t.Errorf("the client got %q, no %q", client.received, p)
+		}
+	}
+}
+
+// testCoordinator is a coordinator whose answers are given by hand.
+type testCoordinator struct {
+	noProgram
+	conn  env.Conn
+	polls []string
+	buf   []byte
+}
+
+func (d *testCoordinator) Receive(_ float64, c env.Conn, b []byte) {
+	d.conn = c
+	d.buf = append(d.buf, b...)
+	var m http1.Message
+	if n, err := http1.ParseRequest(d.buf, http1.DefaultLimits, &m); err == nil && n > 0 {
+		d.polls = append(d.polls, m.Target)
+		d.buf = d.buf[n:]
+	}
+}
+
+func (d *testCoordinator) sendTables(t *delta.Tables) {
+	b, err := delta.Append(nil, delta.CBOR, t)
+	if err != nil {
+		panic(err)
+	}
+	d.io.Send(d.conn, append(fmt.Appendf(nil, "HTTP/1.1 200 OK\r\nContent-Type: %s\r\nContent-Length: %d\r\n\r\n", delta.CBOR, len(b)), b...))
+}
+
+func testTables(version, lead uint64, servers ...int) *delta.Tables {
+	t := &delta.Tables{Epoch: "e", Version: version, OwnershipEpoch: lead}
+	for _, name := range []string{"search", "introduce", "once"} {
+		c := delta.Class{Class: name, Full: true}
+		for _, i := range servers {
+			c.Entries = append(c.Entries, delta.Entry{Server: serverAt(i).String(), Weight: 1})
+		}
+		t.Classes = append(t.Classes, c)
+	}
+	return t
+}
+
+func testLocations(servers int) map[balancer.Server]retry.Location {
+	at := map[balancer.Server]retry.Location{}
+	for i := range servers {
+		s := balancer.Server(serverAt(i).String())
+		at[s] = retry.Location{Server: s, FailureDomain: balancer.FailureDomain(i / 2)}
+	}
+	return at
+}
--- a/internal/proxy/proxy_test.go
+++ b/internal/proxy/proxy_test.go
@@ -7,187 +7,11 @@
 	"testing"
 
 	"snowquay/balancer"
-	"snowquay/internal/core/admission"
-	"snowquay/internal/core/forwarding"
-	"snowquay/internal/core/outlier"
-	"snowquay/internal/core/picker"
 	"snowquay/internal/core/retry"
-	"snowquay/internal/env"
 	"snowquay/internal/env/simnet"
-	"snowquay/internal/wire/delta"
 	"snowquay/internal/wire/http1"
 )
 
-// noProgram is a env.Program that does nothing.
-type noProgram struct {
-	io  env.IO
-	net *simnet.Net
-}
-
-func (b *noProgram) Start(_ float64, io env.IO)                   { b.io = io }
-func (b *noProgram) Opened(float64, env.Conn, netip.Addr, uint16) {}
-func (b *noProgram) Connected(float64, env.Conn, bool)            {}
-func (b *noProgram) Closed(float64, env.Conn)                     {}
-func (b *noProgram) Delivered(float64, env.Conn, uint64)          {}
-func (b *noProgram) Datagram(float64, []byte)                     {}
-func (b *noProgram) TimerFired(float64, int)                      {}
-func (b *noProgram) Receive(float64, env.Conn, []byte)            {}
-
-// testServer is a server that behaves as it is told.
-type testServer struct {
-	noProgram
-	name     string
-	behavior string // ok, silent, reset, drip, twice, fails, full, unframed
-	received map[env.Conn][]byte
-	requests []string
-	accepted int
-	closed   int
-}
-
-func (h *testServer) Opened(float64, env.Conn, netip.Addr, uint16) { h.accepted++ }
-func (h *testServer) Closed(_ float64, c env.Conn)                 { h.closed++; delete(h.received, c) }
-func (h *testServer) Receive(now float64, c env.Conn, b []byte) {
-	if h.received == nil {
-		h.received = map[env.Conn][]byte{}
-	}
-	h.received[c] = append(h.received[c], b...)
-	var m http1.Message
-	n, err := http1.ParseRequest(h.received[c], http1.DefaultLimits, &m)
-	if err != nil {
-		panic(err)
-	}
-	if n == 0 {
-		return
-	}
-	h.received[c] = h.received[c][n:]
-	h.requests = append(h.requests, m.Method+" "+m.Target+" "+string(m.Body))
-	answer := fmt.Appendf(nil, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(h.name), h.name)
-	switch h.behavior {
-	case "silent":
-	case "reset":
-		h.io.Send(c, answer[:20])
-		h.io.Close(c)
-	case "drip":
-		for i := range answer {
-			h.net.At(now+float64(i), func() { h.io.Send(c, answer[i:i+1]) })
-		}
-	case "twice":
-		h.io.Send(c, append(answer, answer...))
-	case "fails":
-		h.io.Send(c, []byte("HTTP/1.1 500 Internal Server Error\r\nContent-Length: 4\r\n\r\nowch"))
-	case "full":
-		h.io.Send(c, []byte("HTTP/1.1 503 Service Unavailable\r\nSnowquay-Ran: no\r\nContent-Length: 0\r\n\r\n"))
-	case "unframed":
-		h.io.Send(c, []byte("HTTP/1.0 200 OK\r\n\r\n"+h.name))
-		h.net.At(now+0.1, func() { h.io.Close(c) })
-	default:
-		h.io.Send(c, answer)
-	}
-}
-
-// testClient is a client that sends bytes and keeps what comes back.
-type testClient struct {
-	noProgram
-	proxy      netip.AddrPort
-	send       string
-	conn       env.Conn
-	received   string
-	closed     bool
-	closeAfter float64
-}
-
-func (u *testClient) Start(_ float64, io env.IO) { u.io = io; u.conn = io.Dial(u.proxy) }
-func (u *testClient) Connected(now float64, c env.Conn, _ bool) {
-	if u.io.Send(c, []byte(u.send)); u.closeAfter > 0 {
-		u.net.At(now+u.closeAfter, func() { u.io.Close(c) })
-	}
-}
-func (u *testClient) Receive(_ float64, _ env.Conn, b []byte) { u.received += string(b) }
-func (u *testClient) Closed(float64, env.Conn)                { u.closed = true }
-
-// testEnvironment is a proxy with servers and clients in virtual time.
-type testEnvironment struct {
-	t       *testing.T
-	net     *simnet.Net
-	proxy   *Proxy
-	host    *simnet.Host
-	servers []*testServer
-	hosts   []*simnet.Host
-	clients byte
-	store   *memoryStore
-}
-
-type memoryStore struct{ snapshot []byte }
-
-func (s *memoryStore) Save(b []byte) error   { s.snapshot = append([]byte(nil), b...); return nil }
-func (s *memoryStore) Load() ([]byte, error) { return s.snapshot, nil }
-
-var proxyAt = netip.MustParseAddrPort("10.0.0.1:8080")
-
-func serverAt(i int) netip.AddrPort {
-	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 1, byte(i + 1)}), 80)
-}
-
-func testConfig(servers int) Config {
-	s := Config{UID: "proxy-1", Routes: []Route{{"/search", 0}, {"/introduce", 1}, {"/once", 2}}, Limits: DefaultLimits, Seed: 1,
-		Forwarding: forwarding.Config{ClassNames: []string{"search", "introduce", "once"}, RetryPolicies: []balancer.RetryPolicy{balancer.RetryOnce, balancer.RetryOnce, balancer.RetryIfNotExecuted},
-			Classes: []balancer.RequestClass{{LatencyObjective: 1, ClientTimeout: 5}, {LatencyObjective: 1, ClientTimeout: 5, Idempotency: balancer.Keyed, DedupWindow: 4},
-				{LatencyObjective: 1, ClientTimeout: 5, Idempotency: balancer.NonIdempotent}},
-			Limits: admission.DefaultLimits, Outliers: outlier.DefaultConfig, Budget: retry.Budget{Ratio: 1, Burst: 100},
-			NewTable: func(c int) picker.Table { return picker.NewSmoothWeighted(uint64(c)) }}}
-	for i := range servers {
-		s.DefaultServers = append(s.DefaultServers, balancer.Server(serverAt(i).String()))
-	}
-	return s
-}
-
-func newTestEnvironment(t *testing.T, servers int, change func(*Config)) *testEnvironment {
-	w := &testEnvironment{t: t, net: simnet.New(1, 1000), store: &memoryStore{}}
-	w.net.Faults.SplitProbability = 0.3
-	s := testConfig(servers)
-	if change != nil {
-		change(&s)
-	}
-	for i := range servers {
-		h := &testServer{noProgram: noProgram{net: w.net}, name: fmt.Sprint("s", i)}
-		w.servers = append(w.servers, h)
-		w.hosts = append(w.hosts, w.net.Add(serverAt(i).Addr(), 0, false))
-		w.hosts[i].Start(h)
-	}
-	w.proxy = New(w.net.Now(), s)
-	w.host = w.net.Add(proxyAt.Addr(), 0, false)
-	w.host.Start(w.proxy)
-	return w
-}
-
-func (w *testEnvironment) newClient(send string, leaves float64) *testClient {
-	w.clients++
-	u := &testClient{noProgram: noProgram{net: w.net}, proxy: proxyAt, send: send, closeAfter: leaves}
-	w.net.Add(netip.AddrFrom4([4]byte{10, 0, 2, w.clients}), 0, false).Start(u)
-	return u
-}
-
-func (w *testEnvironment) runFor(seconds float64) { w.net.Run(w.net.Now() + seconds) }
-
-func get(path string) string { return "GET " + path + " HTTP/1.1\r\nHost: x\r\n\r\n" }
-
-func post(path, key, body string) string {
-	k := ""
-	if key != "" {
-		k = "Idempotency-Key: " + key + "\r\n"
-	}
-	return fmt.Sprintf("POST %s HTTP/1.1\r\nHost: x\r\n%sContent-Length: %d\r\n\r\n%s", path, k, len(body), body)
-}
-
-func (w *testEnvironment) expectReceived(u *testClient, parts ...string) {
-	w.t.Helper()
-	for _, p := range parts {
-		if !strings.Contains(u.received, p) {
-			w.t.Errorf("the client got %q, no %q", u.received, p)
-		}
-	}
-}
-
 func TestRequestsAreForwarded(t *testing.T) {
 	w := newTestEnvironment(t, 2, nil)
 	u := w.newClient(get("/search?q=1")+get("/search?q=2")+post("/introduce", "", "body")+get("/nowhere"), 0)
@@ -324,44 +148,6 @@
 	}
 }
 
-// testCoordinator is a coordinator whose answers are given by hand.
-type testCoordinator struct {
-	noProgram
-	conn  env.Conn
-	polls []string
-	buf   []byte
-}
-
-func (d *testCoordinator) Receive(_ float64, c env.Conn, b []byte) {
-	d.conn = c
-	d.buf = append(d.buf, b...)
-	var m http1.Message
-	if n, err := http1.ParseRequest(d.buf, http1.DefaultLimits, &m); err == nil && n > 0 {
-		d.polls = append(d.polls, m.Target)
-		d.buf = d.buf[n:]
-	}
-}
-
-func (d *testCoordinator) sendTables(t *delta.Tables) {
-	b, err := delta.Append(nil, delta.CBOR, t)
-	if err != nil {
-		panic(err)
-	}
-	d.io.Send(d.conn, append(fmt.Appendf(nil, "HTTP/1.1 200 OK\r\nContent-Type: %s\r\nContent-Length: %d\r\n\r\n", delta.CBOR, len(b)), b...))
-}
-
-func testTables(version, lead uint64, servers ...int) *delta.Tables {
-	t := &delta.Tables{Epoch: "e", Version: version, OwnershipEpoch: lead}
-	for _, name := range []string{"search", "introduce", "once"} {
-		c := delta.Class{Class: name, Full: true}
-		for _, i := range servers {
-			c.Entries = append(c.Entries, delta.Entry{Server: serverAt(i).String(), Weight: 1})
-		}
-		t.Classes = append(t.Classes, c)
-	}
-	return t
-}
-
 // Tables are followed; a drained server gets no new query and its kept connections are closed, while what is in progress
 // there ends; an older epoch of another coordinator is refused; without coordinators, and after its own restart, the proxy
 // goes on by what it held.
@@ -450,15 +236,6 @@
 	}
 }
 
-func testLocations(servers int) map[balancer.Server]retry.Location {
-	at := map[balancer.Server]retry.Location{}
-	for i := range servers {
-		s := balancer.Server(serverAt(i).String())
-		at[s] = retry.Location{Server: s, FailureDomain: balancer.FailureDomain(i / 2)}
-	}
-	return at
-}
-
 // Orders that come while the proxy stalls over a former one are taken in their order, and the newest counts; a delta that
 // builds on one that was lost is not applied.
 func TestTablesDuringStall(t *testing.T) {
