--- a/internal/proxy/environment_test.go
+++ b/internal/proxy/environment_test.go
@@ -15,11 +15,10 @@
 	"snowquay/internal/core/retry"
 	"snowquay/internal/env"
 	"snowquay/internal/env/simnet"
-	"snowquay/internal/wire/delta"
 	"snowquay/internal/wire/http1"
 )
 
-// noProgram is a env.Program that does nothing.
+// noProgram is an env.Program that does nothing, for others to embed.
 type noProgram struct {
 	io  env.IO
 	net *simnet.Net
@@ -34,19 +33,16 @@
 func (b *noProgram) TimerFired(float64, int)                      {}
 func (b *noProgram) Receive(float64, env.Conn, []byte)            {}
 
-// testServer is a server that behaves as it is told.
+// testServer responds with its name, or misbehaves.
 type testServer struct {
 	noProgram
 	name     string
 	behavior string // ok, silent, reset, drip, twice, fails, full, unframed
 	received map[env.Conn][]byte
 	requests []string
-	accepted int
 	closed   int
 }
 
-func (s *testServer) Opened(float64, env.Conn, netip.Addr, uint16) { s.accepted++ }
-
 func (s *testServer) Closed(_ float64, conn env.Conn) {
 	s.closed++
 	delete(s.received, conn)
@@ -91,7 +87,7 @@
 	}
 }
 
-// testClient is a client that sends bytes and keeps what comes back.
+// testClient sends data and keeps what it receives.
 type testClient struct {
 	noProgram
 	proxy      netip.AddrPort
@@ -127,7 +123,6 @@
 	servers []*testServer
 	hosts   []*simnet.Host
 	clients byte
-	store   *memoryStore
 }
 
 type memoryStore struct{ snapshot []byte }
@@ -173,7 +168,7 @@
 
 // newTestEnvironment starts a proxy and its servers; change, if not nil, changes the proxy's configuration.
 func newTestEnvironment(t *testing.T, servers int, change func(*Config)) *testEnvironment {
-	e := &testEnvironment{t: t, net: simnet.New(1, 1000), store: &memoryStore{}}
+	e := &testEnvironment{t: t, net: simnet.New(1, 1000)}
 	e.net.Faults.SplitProbability = 0.3
 	config := testConfig(servers)
 	if change != nil {
@@ -204,65 +199,28 @@
 func get(path string) string { return "GET " + path + " HTTP/1.1\r\nHost: x\r\n\r\n" }
 
 func post(path, key, body string) string {
-	k := ""
+	field := ""
 	if key != "" {
-		k = "Idempotency-Key: " + key + "\r\n"
+		field = "Idempotency-Key: " + key + "\r\n"
 	}
-	return fmt.Sprintf("POST %s HTTP/1.1\r\nHost: x\r\n%sContent-Length: %d\r\n\r\n%s", path, k, len(body), body)
+	return fmt.Sprintf("POST %s HTTP/1.1\r\nHost: x\r\n%sContent-Length: %d\r\n\r\n%s", path, field, len(body), body)
 }
 
 func (e *testEnvironment) expectReceived(client *testClient, parts ...string) {
 	e.t.Helper()
-	for _, p := range parts {
-		if !strings.Contains(client.received, p) {
-			e.t.Errorf("the client got %q, no %q", client.received, p)
-		}
-	}
-}
-
-// testCoordinator is a coordinator whose answers are given by hand.
-type testCoordinator struct {
-	noProgram
-	conn  env.Conn
-	polls []string
-	buf   []byte
-}
-
-func (d *testCoordinator) Receive(_ float64, c env.Conn, b []byte) {
-	d.conn = c
-	d.buf = append(d.buf, b...)
-	var m http1.Message
-	if n, err := http1.ParseRequest(d.buf, http1.DefaultLimits, &m); err == nil && n > 0 {
-		d.polls = append(d.polls, m.Target)
-		d.buf = d.buf[n:]
-	}
-}
-
-func (d *testCoordinator) sendTables(t *delta.Tables) {
-	b, err := delta.Append(nil, delta.CBOR, t)
-	if err != nil {
-		panic(err)
-	}
-	d.io.Send(d.conn, append(fmt.Appendf(nil, "HTTP/1.1 200 OK\r\nContent-Type: %s\r\nContent-Length: %d\r\n\r\n", delta.CBOR, len(b)), b...))
-}
-
-func testTables(version, lead uint64, servers ...int) *delta.Tables {
-	t := &delta.Tables{Epoch: "e", Version: version, OwnershipEpoch: lead}
-	for _, name := range []string{"search", "introduce", "once"} {
-		c := delta.Class{Class: name, Full: true}
-		for _, i := range servers {
-			c.Entries = append(c.Entries, delta.Entry{Server: serverAt(i).String(), Weight: 1})
+	for _, part := range parts {
+		if !strings.Contains(client.received, part) {
+			e.t.Errorf("the client got %q, want %q in it", client.received, part)
 		}
-		t.Classes = append(t.Classes, c)
 	}
-	return t
 }
 
+// testLocations returns locations with two servers in each failure domain.
 func testLocations(servers int) map[balancer.Server]retry.Location {
-	at := map[balancer.Server]retry.Location{}
+	locations := map[balancer.Server]retry.Location{}
 	for i := range servers {
-		s := balancer.Server(serverAt(i).String())
-		at[s] = retry.Location{Server: s, FailureDomain: balancer.FailureDomain(i / 2)}
+		server := balancer.Server(serverAt(i).String())
+		locations[server] = retry.Location{Server: server, FailureDomain: balancer.FailureDomain(i / 2)}
 	}
-	return at
+	return locations
 }
