--- /dev/null
+++ b/internal/core/forwarding/retry_test.go
@@ -0,0 +1,148 @@
+package forwarding
+
+import (
+	"errors"
+	"fmt"
+	"testing"
+
+	"snowquay/balancer"
+	"snowquay/internal/core/loadreport"
+	"snowquay/internal/core/retry"
+)
+
+func TestIdempotentRequestIsRetriedElsewhere(t *testing.T) {
+	p := newTestProxy(t, 4, nil)
+	first := sendRequest(t, p, 1000, Request{Class: idempotent})
+	second := expectRetry(t, p, 1000.1, first.Attempt, retry.MaybeExecuted)
+	if second.Server == first.Server {
+		t.Error("it is sent to the same server again")
+	}
+	failed := expectFailure(t, p, 1000.2, second.Attempt, retry.MaybeExecuted)
+	if !errors.Is(failed.Err, ErrAttemptsFailed) || p.InFlight() != 0 {
+		t.Errorf("%d in flight, %+v", p.InFlight(), failed)
+	}
+	if _, _, ok := p.AttemptSucceeded(1001, second.Attempt); ok {
+		t.Error("an attempt that has ended succeeds")
+	}
+}
+
+func TestNonIdempotentRequestIsRetriedOnlyIfNotExecuted(t *testing.T) {
+	p := newTestProxy(t, 4, nil)
+	first := sendRequest(t, p, 1000, Request{Class: nonIdempotent})
+	expectFailure(t, p, 1000.1, first.Attempt, retry.MaybeExecuted)
+
+	first = sendRequest(t, p, 1001, Request{Class: nonIdempotent})
+	second := expectRetry(t, p, 1001.1, first.Attempt, retry.NotExecuted)
+	expectFailure(t, p, 1001.2, second.Attempt, retry.NotExecuted) // one retry is allowed
+
+	sendRequest(t, p, 1002, Request{Class: nonIdempotent})
+	if actions := p.Tick(1003.5); len(actions) != 0 {
+		t.Errorf("actions after its latency objective: %+v", actions)
+	}
+}
+
+// A retry goes to servers that recognise it by its key, also when the client itself retries.
+func TestKeyedRequestStaysInItsDedupScope(t *testing.T) {
+	p := newTestProxy(t, 8, func(config *Config) { config.Budget.Burst = 100 })
+	for i := range 20 {
+		now := 1000 + float64(i)*20
+		request := Request{Class: keyed, IdempotencyKey: fmt.Sprint("k", i), Fingerprint: 1}
+		first := sendRequest(t, p, now, request)
+		second := expectRetry(t, p, now+0.1, first.Attempt, retry.MaybeExecuted)
+		domain := p.location(first.Server).FailureDomain
+		if p.location(second.Server).FailureDomain != domain || second.Server == first.Server {
+			t.Fatalf("retried at %s after %s", second.Server, first.Server)
+		}
+		if _, _, ok := p.AttemptSucceeded(now+0.2, second.Attempt); !ok {
+			t.Fatal("not answered")
+		}
+
+		third := sendRequest(t, p, now+1, request) // its client has not received the response
+		if p.location(third.Server).FailureDomain != domain {
+			t.Fatal("the client's own retry goes to another failure domain")
+		}
+		p.AttemptSucceeded(now+1.1, third.Attempt)
+
+		request.Fingerprint = 2
+		_, actions := p.HandleRequest(now+2, request)
+		rejected := onlyAction(t, actions, Reject)
+		if !errors.Is(rejected.Err, ErrKeyReused) {
+			t.Errorf("the key of another request: %+v", rejected)
+		}
+	}
+}
+
+func TestKeyedRequestThatIsNotRecognised(t *testing.T) {
+	p := newTestProxy(t, 8, nil)
+	withoutKey := sendRequest(t, p, 5000, Request{Class: keyed})
+	expectFailure(t, p, 5000.1, withoutKey.Attempt, retry.MaybeExecuted)
+
+	late := sendRequest(t, p, 6000, Request{Class: keyed, IdempotencyKey: "late", Fingerprint: 1})
+	expectFailure(t, p, 6000+dedupWindow+0.5, late.Attempt, retry.MaybeExecuted)
+}
+
+// The other servers of the failure domain are drained between an attempt and its retry.
+func TestKeyedRequestStaysDuringDrain(t *testing.T) {
+	p := newTestProxy(t, 8, nil)
+	first := sendRequest(t, p, 7000, Request{Class: keyed, IdempotencyKey: "drained", Fingerprint: 1})
+	var remaining []int
+	for i := range 8 {
+		sameDomain := p.location(serverName(i)).FailureDomain == p.location(first.Server).FailureDomain
+		if !sameDomain || serverName(i) == first.Server {
+			remaining = append(remaining, i)
+		}
+	}
+	applyTables(t, p, 7000.05, testTables(true, 2, remaining...))
+	second := expectRetry(t, p, 7000.1, first.Attempt, retry.MaybeExecuted)
+	if second.Server != first.Server {
+		t.Errorf("it is sent to %s, which does not recognise it", second.Server)
+	}
+}
+
+func TestRetryBudget(t *testing.T) {
+	p := newTestProxy(t, 6, func(config *Config) { config.Budget = retry.Budget{Ratio: 0.1, Burst: 2} })
+	for i := range 100 {
+		now := 1000 + float64(i)
+		_, actions := p.HandleRequest(now, Request{Class: idempotent})
+		for len(actions) == 1 && actions[0].Kind == Send {
+			actions = p.AttemptFailed(now+0.01, actions[0].Attempt, retry.MaybeExecuted)
+		}
+	}
+	if p.Stats.Retries > 13 || p.Stats.Retries < 8 || p.Stats.OverBudget == 0 {
+		t.Errorf("%d retries of 100 requests with a budget of a tenth", p.Stats.Retries)
+	}
+}
+
+// A server that fails is ejected for a time; requests are sent all the same if all servers are.
+func TestFailingServersAreEjected(t *testing.T) {
+	p := newTestProxy(t, 3, nil)
+	failing := serverName(1)
+	sent := map[balancer.Server]int{}
+	for i := range 300 {
+		now := 1000 + float64(i)*0.01
+		attempt := sendRequest(t, p, now, Request{Class: nonIdempotent})
+		sent[attempt.Server]++
+		if attempt.Server == failing {
+			p.AttemptFailed(now, attempt.Attempt, retry.MaybeExecuted)
+		} else {
+			p.AttemptSucceeded(now, attempt.Attempt)
+		}
+	}
+	if sent[failing] > 5 || p.Outliers.Ejections != 1 {
+		t.Errorf("a failing server was sent %d of 300 requests and ejected %d times", sent[failing], p.Outliers.Ejections)
+	}
+
+	for i := range 100 {
+		now := 1100 + float64(i)*0.01
+		attempt := sendRequest(t, p, now, Request{Class: nonIdempotent})
+		p.AttemptFailed(now, attempt.Attempt, retry.MaybeExecuted)
+	}
+	failures := 0.0
+	p.Reports(
+		func(_ balancer.Server, totals loadreport.Totals) { failures += totals.Failed },
+		func(balancer.Class, loadreport.Totals) {},
+	)
+	if failures < 100 {
+		t.Errorf("%v failures are reported", failures)
+	}
+}
