--- a/internal/core/picker/table_test.go
+++ b/internal/core/picker/table_test.go
@@ -3,6 +3,7 @@
 import (
 	"fmt"
 	"math"
+	"slices"
 	"testing"
 
 	"pgregory.net/rapid"
@@ -13,212 +14,202 @@
 
 func TestMain(m *testing.M) { testseed.Main(m) }
 
-func serverName(i int) balancer.Server { return balancer.Server(fmt.Sprint("s", i)) }
-
-// linearRoundRobin is the rotation that scans all lines: what Even is measured against.
-type linearRoundRobin struct {
-	lines  []Entry
-	credit []float64
+// newTables makes tables by the name of their algorithm.
+var newTables = map[string]func(seed uint64) Table{
+	earliestDeadlineFirst: func(seed uint64) Table { return NewSmoothWeighted(seed) },
+	weightedRandom:        func(seed uint64) Table { return NewWeightedRandom(seed) },
 }
 
-func (p *linearRoundRobin) pick() balancer.Server {
-	sum, best := 0.0, 0
-	for i, l := range p.lines {
-		sum += l.Weight
-		if p.credit[i] += l.Weight; p.credit[i] > p.credit[best] {
-			best = i
-		}
+const (
+	earliestDeadlineFirst = "earliest-deadline-first"
+	weightedRandom        = "weighted-random"
+)
+
+func serverName(i int) balancer.Server { return balancer.Server(fmt.Sprint("s", i)) }
+
+func sumOf(weights map[balancer.Server]float64) float64 {
+	sum := 0.0
+	for _, weight := range weights {
+		sum += weight
 	}
-	p.credit[best] -= sum
-	return p.lines[best].Server
+	return sum
 }
 
-// Through any changes, weights, lines and what may be taken are as a plain list has them, and each stretch without a change
-// is picked by weight: evenly within one pick for each line, at random within what chance allows.
+// After any changes a table has the same entries as a map, and picks are in proportion to the weights: within two by earliest deadline
+// first, within six standard deviations at random.
 func TestPicksAreProportionalToWeights(t *testing.T) {
-	for kind, newTable := range map[string]func() Table{"even": func() Table { return NewSmoothWeighted(3) }, "random": func() Table { return NewWeightedRandom(3) }} {
-		t.Run(kind, func(t *testing.T) {
+	for algorithm, newTable := range newTables {
+		t.Run(algorithm, func(t *testing.T) {
 			rapid.Check(t, func(r *rapid.T) {
-				table, want := newTable(), map[balancer.Server]float64{}
-				for range rapid.IntRange(1, 30).Draw(r, "changes") {
-					s := serverName(rapid.IntRange(0, 12).Draw(r, "server"))
-					w := float64(rapid.IntRange(0, 9).Draw(r, "weight"))
-					if table.Set(s, w); w == 0 {
-						delete(want, s)
-					} else {
-						want[s] = w
-					}
-					if rapid.Bool().Draw(r, "picks") {
-						table.Pick(nil)
-					}
-				}
-				if table.Len() != len(want) || len(table.Entries()) != len(want) {
-					r.Fatalf("%d lines, want %d", table.Len(), len(want))
-				}
-				sum := 0.0
-				for s, w := range want {
-					if sum += w; table.Weight(s) != w {
-						r.Fatalf("%s has %v, want %v", s, table.Weight(s), w)
-					}
-				}
+				table := newTable(3)
+				want := changeRandomly(r, table)
+				checkEntries(r, table, want)
 				if _, ok := table.Pick(func(balancer.Server) bool { return false }); ok {
-					r.Fatal("it picks what may not be taken")
+					r.Fatal("a server is picked that is not allowed")
 				}
 				if len(want) == 0 {
 					if _, ok := table.Pick(nil); ok {
-						r.Fatal("it picks from an empty table")
+						r.Fatal("a server is picked from an empty table")
 					}
 					return
 				}
-				const n = 2000
-				got := map[balancer.Server]float64{}
-				for range n {
-					s, _ := table.Pick(nil)
-					got[s]++
-				}
-				for s, w := range want {
-					mean := n * w / sum
-					allowed := 2.0
-					if kind == "random" {
-						allowed = 6*math.Sqrt(mean*(1-w/sum)) + 1
-					}
-					if math.Abs(got[s]-mean) > allowed {
-						r.Fatalf("%s was picked %v times of %d, its part is %.1f", s, got[s], n, mean)
-					}
-				}
+				checkProportions(r, algorithm, table, want)
 			})
 		})
 	}
 }
 
-// A line that could not be taken for long does not get all at once what it missed, and one that is new is not everybody's
-// next: of many proxies only its part is.
-func TestChangesDoNotBunch(t *testing.T) {
-	table := NewSmoothWeighted(1)
+// changeRandomly changes a table and returns its weights.
+func changeRandomly(r *rapid.T, table Table) map[balancer.Server]float64 {
+	weights := map[balancer.Server]float64{}
+	for range rapid.IntRange(1, 30).Draw(r, "changes") {
+		server := serverName(rapid.IntRange(0, 12).Draw(r, "server"))
+		weight := float64(rapid.IntRange(0, 9).Draw(r, "weight"))
+		table.Set(server, weight)
+		weights[server] = weight
+		if weight == 0 {
+			delete(weights, server)
+		}
+		if rapid.Bool().Draw(r, "pick") {
+			table.Pick(nil)
+		}
+	}
+	return weights
+}
+
+func checkEntries(r *rapid.T, table Table, want map[balancer.Server]float64) {
+	if table.Len() != len(want) || len(table.Entries()) != len(want) {
+		r.Fatalf("%d entries, want %d", table.Len(), len(want))
+	}
+	for server, weight := range want {
+		if table.Weight(server) != weight {
+			r.Fatalf("weight of %s is %v, want %v", server, table.Weight(server), weight)
+		}
+	}
+}
+
+func checkProportions(r *rapid.T, algorithm string, table Table, weights map[balancer.Server]float64) {
+	const picks = 2000
+	picked := map[balancer.Server]float64{}
+	for range picks {
+		server, _ := table.Pick(nil)
+		picked[server]++
+	}
+	sum := sumOf(weights)
+	for server, weight := range weights {
+		mean := picks * weight / sum
+		tolerance := 2.0
+		if algorithm == weightedRandom {
+			tolerance = 6*math.Sqrt(mean*(1-weight/sum)) + 1
+		}
+		if math.Abs(picked[server]-mean) > tolerance {
+			r.Fatalf("%s was picked %v times of %d, want %.1f", server, picked[server], picks, mean)
+		}
+	}
+}
+
+func newRotation(seed uint64) *SmoothWeighted {
+	table := NewSmoothWeighted(seed)
 	for i := range 10 {
 		table.Set(serverName(i), 1)
 	}
+	return table
+}
+
+// A server that was not allowed for long does not get all that it missed at once.
+func TestServerThatReturnsIsNotPickedInARow(t *testing.T) {
+	table := newRotation(1)
+	returning := serverName(3)
 	for range 500 {
-		table.Pick(func(s balancer.Server) bool { return s != serverName(3) })
+		table.Pick(func(server balancer.Server) bool { return server != returning })
 	}
-	in := 0
+	picked := 0
 	for range 10 {
-		if s, _ := table.Pick(nil); s == serverName(3) {
-			in++
+		server, _ := table.Pick(nil)
+		if server == returning {
+			picked++
 		}
 	}
-	if in > 2 {
-		t.Errorf("a server that comes back gets %d of the next 10 queries", in)
+	if picked > 2 {
+		t.Errorf("a server that returns gets %d of the next 10 picks", picked)
 	}
+}
+
+// Of many proxies that learn of a server at the same time only its proportion picks it next.
+func TestNewServerIsNotPickedByAllProxiesAtOnce(t *testing.T) {
 	first := 0
 	for seed := range uint64(1000) {
-		table := NewSmoothWeighted(seed)
-		for i := range 10 {
-			table.Set(serverName(i), 1)
-		}
+		table := newRotation(seed)
 		for range 25 {
 			table.Pick(nil)
 		}
 		table.Set("new", 1)
-		if s, _ := table.Pick(nil); s == "new" {
+		server, _ := table.Pick(nil)
+		if server == "new" {
 			first++
 		}
 	}
 	if first > 180 || first < 30 {
-		t.Errorf("a new line is the next of %d of 1000 proxies; its part is 91", first)
+		t.Errorf("a new server is the next pick of %d of 1000 proxies, its proportion is 91", first)
 	}
-	// All weights are multiplied, as another coordinator may say them: nothing else changes.
-	a, b := NewSmoothWeighted(5), NewSmoothWeighted(5)
+}
+
+// Another coordinator may publish the same proportions at another scale.
+func TestScaleOfWeightsDoesNotChangePicks(t *testing.T) {
+	table := NewSmoothWeighted(5)
+	scaled := NewSmoothWeighted(5)
 	for i := range 10 {
-		a.Set(serverName(i), float64(i+1))
-		b.Set(serverName(i), float64(i+1))
+		table.Set(serverName(i), float64(i+1))
+		scaled.Set(serverName(i), float64(i+1))
 	}
 	for i := range 10 {
-		b.Set(serverName(i), 100*float64(i+1))
+		scaled.Set(serverName(i), 100*float64(i+1))
 	}
-	for range 500 {
-		x, _ := a.Pick(nil)
-		if y, _ := b.Pick(nil); x != y {
-			t.Fatal("the picks differ")
+	for i := range 500 {
+		want, _ := table.Pick(nil)
+		got, _ := scaled.Pick(nil)
+		if got != want {
+			t.Fatalf("pick %d is %s, want %s", i, got, want)
 		}
 	}
 }
 
-// Where one line in a hundred may be taken, it is found, by weight among those that may.
+// If one server in a hundred is allowed it is found, in proportion to the weights of those that are.
 func TestPicksAmongFewAllowedServers(t *testing.T) {
-	for kind, table := range map[string]Table{"even": NewSmoothWeighted(1), "random": NewWeightedRandom(1)} {
-		for i := range 200 {
-			table.Set(serverName(i), 1+float64(i%2)*2)
-		}
-		got := map[balancer.Server]int{}
-		for range 4000 {
-			s, ok := table.Pick(func(s balancer.Server) bool { return s == serverName(50) || s == serverName(51) })
-			if !ok {
-				t.Fatal(kind, ": none is found")
-			}
-			got[s]++
-		}
-		if part := float64(got[serverName(51)]) / 4000; kind == "random" && math.Abs(part-0.75) > 0.03 || len(got) != 2 {
-			t.Errorf("%s: %v", kind, got)
-		}
-	}
-}
-
-func TestReplace(t *testing.T) {
-	table := NewSmoothWeighted(1)
-	Replace(table, []Entry{{"a", 1}, {"b", 2}})
-	Replace(table, []Entry{{"b", 3}, {"c", 1}})
-	if l := table.Entries(); len(l) != 2 || l[0] != (Entry{"b", 3}) || l[1] != (Entry{"c", 1}) {
-		t.Errorf("%v", l)
-	}
-}
-
-func BenchmarkPick(b *testing.B) {
-	for _, n := range []int{10, 300, 5000} {
-		fill := func(t Table) Table {
-			for i := range n {
-				t.Set(serverName(i), 1+float64(i%7))
+	for algorithm, newTable := range newTables {
+		t.Run(algorithm, func(t *testing.T) {
+			table := newTable(1)
+			for i := range 200 {
+				table.Set(serverName(i), 1+float64(i%2)*2)
 			}
-			return t
-		}
-		for kind, t := range map[string]Table{"even": fill(NewSmoothWeighted(1)), "random": fill(NewWeightedRandom(1))} {
-			b.Run(fmt.Sprint(kind, "/", n), func(b *testing.B) {
-				for b.Loop() {
-					t.Pick(nil)
-				}
-			})
-			b.Run(fmt.Sprint(kind, "-change/", n), func(b *testing.B) {
-				s, i := serverName(n/2), 0
-				for b.Loop() {
-					i++
-					t.Set(s, 1+float64(i%5))
+			light := serverName(50)
+			heavy := serverName(51)
+			const picks = 4000
+			picked := map[balancer.Server]int{}
+			for range picks {
+				server, ok := table.Pick(func(server balancer.Server) bool { return server == light || server == heavy })
+				if !ok {
+					t.Fatal("no server is picked")
 				}
-			})
-		}
-		p := &linearRoundRobin{credit: make([]float64, n)}
-		for i := range n {
-			p.lines = append(p.lines, Entry{serverName(i), 1 + float64(i%7)})
-		}
-		b.Run(fmt.Sprint("plain/", n), func(b *testing.B) {
-			for b.Loop() {
-				p.pick()
+				picked[server]++
+			}
+			if len(picked) != 2 {
+				t.Errorf("picked %v", picked)
+			}
+			proportion := float64(picked[heavy]) / picks
+			if algorithm == weightedRandom && math.Abs(proportion-0.75) > 0.03 {
+				t.Errorf("the server with three quarters of the weight gets %.2f of the picks", proportion)
 			}
 		})
 	}
 }
 
-func BenchmarkReplace300(b *testing.B) {
+func TestReplace(t *testing.T) {
 	table := NewSmoothWeighted(1)
-	var lines []Entry
-	for i := range 300 {
-		lines = append(lines, Entry{serverName(i), 1})
-	}
-	i := 0
-	for b.Loop() {
-		i++
-		for k := range lines {
-			lines[k].Weight = 1 + float64((k+i)%9)
-		}
-		Replace(table, lines)
+	Replace(table, []Entry{{"a", 1}, {"b", 2}})
+	Replace(table, []Entry{{"b", 3}, {"c", 1}})
+	want := []Entry{{"b", 3}, {"c", 1}}
+	if got := table.Entries(); !slices.Equal(got, want) {
+		t.Errorf("entries %v, want %v", got, want)
 	}
 }
