--- a/internal/core/tablecache/tables.go
+++ b/internal/core/tablecache/tables.go
@@ -85,8 +85,8 @@
 	return t.epoch, t.version, t.ownershipEpoch
 }
 
-// ConnectionLost makes the next poll name no version, so that complete tables are sent. The tables stay.
-func (t *Tables) ConnectionLost() {
+// ForgetVersion makes the next poll name no version, so that complete tables are sent. The tables stay.
+func (t *Tables) ForgetVersion() {
 	t.epoch = ""
 	t.version = 0
 }
--- a/internal/proxy/longpoll.go
+++ b/internal/proxy/longpoll.go
@@ -115,7 +115,7 @@
 	}
 	orders, left, err := core.Tables.Apply(now, &tables)
 	if errors.Is(err, tablecache.ErrUnknownBase) {
-		core.Tables.ConnectionLost()
+		core.Tables.ForgetVersion()
 		return nil
 	}
 	if err != nil {
