--- /dev/null
+++ b/internal/core/saspsession/balancers.go
@@ -0,0 +1,160 @@
+package saspsession
+
+import (
+	"bytes"
+	"errors"
+	"slices"
+
+	"snowquay/balancer"
+	"snowquay/internal/core/controlplane"
+	"snowquay/internal/wire/sasp"
+)
+
+// loadBalancer is a balancer, which is a relay of the fleet, with its registered groups.
+type loadBalancer struct {
+	uid        string
+	uidBytes   []byte
+	conn       *connection         // nil while it is being forgotten
+	flags      uint8               // sasp.Push, sasp.Trust, sasp.NoChange
+	proxy      *controlplane.Proxy // nil until it registers its first group
+	groups     map[string]*group
+	groupOrder []*group // in the order of their registration, so that messages are the same in every run
+	claimedAt  float64
+}
+
+func (lb *loadBalancer) wantsPush() bool { return lb.flags&sasp.Push != 0 }
+
+func (lb *loadBalancer) trustsMembers() bool { return lb.flags&sasp.Trust != 0 }
+
+func (lb *loadBalancer) omitsUnchanged() bool { return lb.flags&sasp.NoChange != 0 }
+
+// balancerOf returns the balancer that owns a connection, nil if there is none.
+func (s *Server) balancerOf(conn *connection) *loadBalancer {
+	lb := s.balancers[conn.uid]
+	if conn.role != roleBalancer || lb == nil || lb.conn != conn {
+		return nil
+	}
+	return lb
+}
+
+func (s *Server) zoneOf(lb *loadBalancer) balancer.Zone {
+	if lb.proxy != nil {
+		return lb.proxy.Zone
+	}
+	return s.fleet.Site().UnlistedZone
+}
+
+// joinedBalancers returns the balancers that have joined the fleet, ordered by the number of their proxy.
+func (s *Server) joinedBalancers() []*loadBalancer {
+	joined := make([]*loadBalancer, 0, len(s.byProxy))
+	for _, lb := range s.byProxy {
+		joined = append(joined, lb)
+	}
+	slices.SortFunc(joined, func(a, b *loadBalancer) int { return int(a.proxy.ID) - int(b.proxy.ID) })
+	return joined
+}
+
+// claim makes a connection that of the balancer with a UID. A newer connection takes over, since a relay that reconnects
+// may be heard before its old connection is known to be broken. TakeoverInterval bounds how often, so that two relays with
+// one UID cannot disconnect each other all the time.
+func (s *Server) claim(now float64, conn *connection, uid []byte) (*loadBalancer, sasp.Code) {
+	switch {
+	case len(uid) == 0:
+		return nil, sasp.InvalidBalancer
+	case conn.role == roleMember, conn.role == roleBalancer && conn.uid != string(uid):
+		return nil, sasp.NotAccepted
+	case string(uid) == s.policy.FleetUID, s.policy.MembersOnly:
+		return nil, sasp.NotAccepted
+	}
+	previous := s.balancers[string(uid)]
+	if previous != nil && previous.conn == conn {
+		return previous, sasp.OK
+	}
+	if previous != nil {
+		if now-previous.claimedAt < s.limits.TakeoverInterval {
+			return nil, sasp.NotAccepted
+		}
+		s.Stats.Takeovers++
+		s.close(now, previous.conn, "another connection has its UID")
+	}
+	lb := &loadBalancer{
+		uid:       string(uid),
+		uidBytes:  bytes.Clone(uid),
+		conn:      conn,
+		groups:    map[string]*group{},
+		claimedAt: now,
+	}
+	conn.role = roleBalancer
+	conn.uid = lb.uid
+	s.balancers[lb.uid] = lb
+	return lb, sasp.OK
+}
+
+// join makes a balancer that registers its first group a proxy of the fleet.
+func (s *Server) join(now float64, lb *loadBalancer) sasp.Code {
+	if lb.proxy != nil {
+		return sasp.OK
+	}
+	proxy, err := s.fleet.Join(now, lb.uid, s, true)
+	if err != nil {
+		s.handler.Log("relay refused", "uid", lb.uid, "error", err)
+		switch { // a closed connection makes the relay dial again
+		case errors.Is(err, controlplane.ErrWrongCoordinator):
+			s.close(now, lb.conn, "another coordinator leads this relay")
+		case errors.Is(err, controlplane.ErrJoinRateExceeded):
+			s.close(now, lb.conn, "it joins too often")
+		}
+		return sasp.NotAccepted
+	}
+	lb.proxy = proxy
+	proxy.Polls = !lb.wantsPush()
+	s.byProxy[proxy.ID] = lb
+	return sasp.OK
+}
+
+// setBalancer takes a balancer's flags.
+func (s *Server) setBalancer(now float64, conn *connection, message *sasp.Message) sasp.Code {
+	lb, code := s.claim(now, conn, message.UID)
+	if code != sasp.OK {
+		return code
+	}
+	changed := lb.flags ^ message.Flags
+	lb.flags = message.Flags
+	if lb.proxy == nil {
+		return sasp.OK
+	}
+	if changed&sasp.Push != 0 {
+		s.fleet.SetPolling(now, lb.proxy, !lb.wantsPush())
+	}
+	if changed&sasp.Trust != 0 { // it gets other rows from now on
+		s.scheduleGroups(now, lb)
+	}
+	return sasp.OK
+}
+
+// scheduleUntrusting schedules full updates for the relays that do not trust members. Where the table names none of a
+// relay's own members, it is sent those that are ready, and these change with the registry, not with the table.
+func (s *Server) scheduleUntrusting(now float64) {
+	for _, lb := range s.joinedBalancers() {
+		if !lb.trustsMembers() {
+			s.scheduleGroups(now, lb)
+		}
+	}
+}
+
+func (s *Server) scheduleGroups(now float64, lb *loadBalancer) {
+	for _, group := range lb.groupOrder {
+		s.fleet.ScheduleFull(now, lb.proxy, group.class, float64(len(group.memberOrder)))
+	}
+}
+
+// Displaced closes the connection of a proxy that has joined by another frontend. It implements controlplane.Frontend.
+func (s *Server) Displaced(now float64, proxy *controlplane.Proxy) {
+	lb := s.byProxy[proxy.ID]
+	if lb == nil {
+		return
+	}
+	delete(s.byProxy, proxy.ID)
+	lb.proxy = nil
+	s.close(now, lb.conn, "its relay has joined by another way")
+}
--- /dev/null
+++ b/internal/core/saspsession/messages.go
@@ -0,0 +1,84 @@
+package saspsession
+
+import (
+	"snowquay/internal/wire/sasp"
+)
+
+// handleMessage answers one framed message. A message is applied whole or not at all: everything in it is checked before
+// anything is changed.
+func (s *Server) handleMessage(now float64, conn *connection, frame []byte) {
+	kind, id := sasp.Head(frame)
+	if err := sasp.Decode(frame, &s.incoming); err != nil {
+		s.rejectMalformed(now, conn, kind, id, err)
+		return
+	}
+	message := &s.incoming
+	var code sasp.Code
+	switch kind {
+	case sasp.Registration:
+		code = s.register(now, conn, message)
+	case sasp.Deregistration:
+		code = s.deregister(now, conn, message)
+	case sasp.GetWeights:
+		s.getWeights(now, conn, message)
+		return
+	case sasp.SetBalancer:
+		code = s.setBalancer(now, conn, message)
+	case sasp.SetMember:
+		var pending bool
+		code, pending = s.setMember(now, conn, message)
+		if pending {
+			return // OrderCompleted answers
+		}
+	default: // replies and weights are sent by the manager, which is this side
+		s.close(now, conn, "it speaks as a manager does")
+		return
+	}
+	if code != sasp.OK {
+		s.logRejected(conn, kind, code)
+	}
+	s.reply(now, conn, sasp.ReplyTo(kind), id, code)
+}
+
+func (s *Server) rejectMalformed(now float64, conn *connection, kind sasp.Kind, id uint32, err error) {
+	s.Stats.Malformed++
+	s.handler.Log("message not understood", "from", conn.from, "uid", conn.uid, "error", err)
+	replyKind := sasp.ReplyTo(kind)
+	if replyKind == 0 {
+		s.close(now, conn, err.Error())
+		return
+	}
+	s.reply(now, conn, replyKind, id, sasp.NotUnderstood)
+}
+
+func (s *Server) logRejected(conn *connection, kind sasp.Kind, code sasp.Code) {
+	s.Stats.Rejected++
+	s.handler.Log("message rejected", "kind", kind, "code", code.String(), "from", conn.from, "uid", conn.uid)
+}
+
+// reply sends a response code, unless the connection was closed since its message came.
+func (s *Server) reply(now float64, conn *connection, kind sasp.Kind, id uint32, code sasp.Code) {
+	if s.conns[conn.id] != conn {
+		return
+	}
+	s.Stats.Replied++
+	message := s.newMessage(kind, id)
+	message.Code = code
+	s.send(now, conn, message)
+}
+
+// newMessage returns the message for sending, emptied; the next call reuses it.
+func (s *Server) newMessage(kind sasp.Kind, id uint32) *sasp.Message {
+	message := &s.outgoing
+	*message = sasp.Message{Kind: kind, ID: id, Groups: message.Groups[:0], Rows: message.Rows[:0]}
+	return message
+}
+
+func (s *Server) send(now float64, conn *connection, message *sasp.Message) {
+	s.sendBuffer = sasp.Append(s.sendBuffer[:0], message)
+	conn.sentBytes += uint64(len(s.sendBuffer))
+	s.handler.Send(conn.id, s.sendBuffer)
+	if conn.sentBytes-conn.deliveredBytes > uint64(s.limits.MaxUnread) {
+		s.close(now, conn, "it does not read")
+	}
+}
--- a/internal/core/saspsession/session_test.go
+++ b/internal/core/saspsession/session_test.go
@@ -24,7 +24,7 @@
 	t      testing.TB
 	now    float64
 	fleet  *controlplane.Fleet
-	desk   *Server
+	server *Server
 	next   Conn
 	id     uint32
 	got    map[Conn][]sasp.Message // without their rows
@@ -41,7 +41,7 @@
 	p.sent[c] += uint64(len(b))
 	var m sasp.Message
 	if n, err := sasp.Frame(b, sasp.MaxMessageBytes); err != nil || n != len(b) || sasp.Decode(b, &m) != nil {
-		p.t.Fatalf("the desk sent what can't be read: %v", err)
+		p.t.Fatalf("the server sent what can't be read: %v", err)
 	}
 	p.got[c] = append(p.got[c], sasp.Message{Kind: m.Kind, ID: m.ID, Code: m.Code, Interval: m.Interval})
 	if m.Kind != sasp.SendWeights && m.Kind != sasp.GetWeightsReply {
@@ -108,7 +108,7 @@
 		t.Fatal(err)
 	}
 	p.fleet = f
-	p.desk = New(f, p, limits, policy)
+	p.server = New(f, p, limits, policy)
 	p.pass(0.2)
 	return p
 }
@@ -120,14 +120,14 @@
 func (p *peers) dial(from string) Conn {
 	p.next++
 	p.held[p.next] = map[string]uint16{}
-	p.desk.Opened(p.now, p.next, netip.MustParseAddr(from))
+	p.server.Opened(p.now, p.next, netip.MustParseAddr(from))
 	return p.next
 }
 
 func (p *peers) say(c Conn, m *sasp.Message) sasp.Code {
 	p.id++
 	m.ID = p.id
-	p.desk.Receive(p.now, c, sasp.Append(nil, m))
+	p.server.Receive(p.now, c, sasp.Append(nil, m))
 	for _, g := range slices.Backward(p.got[c]) {
 		if g.ID == m.ID && g.Kind == sasp.ReplyTo(m.Kind) {
 			return g.Code
@@ -173,11 +173,11 @@
 	for end := p.now + seconds; p.now < end; p.now += 0.04 {
 		for c := Conn(1); c <= p.next; c++ {
 			if !p.stuck[c] && p.sent[c] > 0 {
-				p.desk.Delivered(p.now, c, p.sent[c])
+				p.server.Delivered(p.now, c, p.sent[c])
 			}
 		}
 		p.fleet.RunRound(p.now)
-		p.desk.Tick(p.now)
+		p.server.Tick(p.now)
 		p.fleet.SendDue(p.now)
 	}
 }
@@ -322,7 +322,7 @@
 	}
 	p.pass(1.5)
 	p.stuck[first] = true // it breaks in the middle of an update, unnoticed
-	p.desk.fleet.Registry.SetDrain(p.now, balancer.Server(address(1).String()), true)
+	p.server.fleet.Registry.SetDrain(p.now, balancer.Server(address(1).String()), true)
 	p.pass(0.2)
 	third := p.relay("r1", wants, 0, 1, 2)
 	p.pass(1)
@@ -341,18 +341,18 @@
 	p := usual(t)
 	c := p.dial("10.9.0.1")
 	b := sasp.Append(nil, message(sasp.Registration, 1, "r1/search", 0, 1, 2))
-	p.desk.Receive(p.now, c, sasp.Append(nil, &sasp.Message{Kind: sasp.SetBalancer, UID: []byte("r1"), Flags: wants}))
+	p.server.Receive(p.now, c, sasp.Append(nil, &sasp.Message{Kind: sasp.SetBalancer, UID: []byte("r1"), Flags: wants}))
 	for i := range b[:len(b)/2] { // a byte at a time, and only half
-		p.desk.Receive(p.now, c, b[i:i+1])
+		p.server.Receive(p.now, c, b[i:i+1])
 	}
-	if _, buffered := p.desk.Connections(); buffered != len(b)/2 {
+	if _, buffered := p.server.Connections(); buffered != len(b)/2 {
 		t.Errorf("%d bytes are kept of %d", buffered, len(b)/2)
 	}
-	p.desk.Closed(p.now, c)
+	p.server.Closed(p.now, c)
 	p.pass(0.2)
-	n, buffered := p.desk.Connections()
-	if n+buffered+p.fleet.Joined()+len(p.desk.balancers) != 0 {
-		t.Errorf("%d connections, %d bytes, %d joined, %d balancers are left", n, buffered, p.fleet.Joined(), len(p.desk.balancers))
+	n, buffered := p.server.Connections()
+	if n+buffered+p.fleet.Joined()+len(p.server.balancers) != 0 {
+		t.Errorf("%d connections, %d bytes, %d joined, %d balancers are left", n, buffered, p.fleet.Joined(), len(p.server.balancers))
 	}
 }
 
@@ -455,7 +455,7 @@
 		t.Helper()
 		c := p.dial("10.6.6.6")
 		for _, b := range bytes {
-			p.desk.Receive(p.now, c, b)
+			p.server.Receive(p.now, c, b)
 		}
 		if !p.ended[c] || !strings.Contains(p.log[len(p.log)-1], why) {
 			t.Errorf("closed: %t; the log says %q, wanted %q", p.ended[c], p.log[len(p.log)-1], why)
@@ -479,25 +479,25 @@
 	copy(half, frame(message(sasp.Registration, 1, "r2/search", 0)))
 	half[7], half[8] = 0xff, 0xff
 	for range 17 { // many that send most of a message
-		p.desk.Receive(p.now, p.dial("10.6.6.6"), half)
+		p.server.Receive(p.now, p.dial("10.6.6.6"), half)
 	}
-	if n, buffered := p.desk.Connections(); buffered > limits.MaxBuffered {
+	if n, buffered := p.server.Connections(); buffered > limits.MaxBuffered {
 		t.Errorf("%d bytes are kept for %d connections", buffered, n)
 	}
 	for range 10000 { // that say nothing
 		p.dial("10.6.6.6")
 	}
-	if n, _ := p.desk.Connections(); n != limits.MaxConnections {
+	if n, _ := p.server.Connections(); n != limits.MaxConnections {
 		t.Errorf("%d connections stand", n)
 	}
 	p.pass(DefaultLimits.IdentifyTimeout + 1)
-	if n, _ := p.desk.Connections(); n != 1 || p.ended[good] || p.fleet.UpToDate() != 1 {
+	if n, _ := p.server.Connections(); n != 1 || p.ended[good] || p.fleet.UpToDate() != 1 {
 		t.Errorf("%d connections are left; the good one is closed: %t", n, p.ended[good])
 	}
 	odd := frame(message(sasp.Registration, 1, "r1/search", 2))
 	odd[16] = 99 // a component's length
-	before := p.desk.Stats.Replied
-	if p.desk.Receive(p.now, good, odd); p.desk.Stats.Replied != before+1 ||
+	before := p.server.Stats.Replied
+	if p.server.Receive(p.now, good, odd); p.server.Stats.Replied != before+1 ||
 		p.got[good][len(p.got[good])-1].Code != sasp.NotUnderstood || p.ended[good] {
 		t.Errorf("a malformed body: %v", p.got[good][len(p.got[good])-1])
 	}
@@ -570,7 +570,7 @@
 		conns, flags := map[int]Conn{}, map[int]uint8{}
 		leave := func(i int) {
 			if c, ok := conns[i]; ok {
-				p.desk.Closed(p.now, c)
+				p.server.Closed(p.now, c)
 				p.ended[c] = true
 				delete(conns, i)
 			}
@@ -618,12 +618,12 @@
 			if !ok {
 				continue
 			}
-			b := p.desk.balancers[fmt.Sprintf("r%d", i)]
-			for _, g := range b.order {
+			b := p.server.balancers[fmt.Sprintf("r%d", i)]
+			for _, g := range b.groupOrder {
 				has := false
 				for s := range usualServers {
 					server := balancer.Server(address(s).String())
-					want := p.desk.row(server, sasp.AddressOf(address(s)), g.members[server], p.fleet.Weight(b.proxy, g.class, server))
+					want := p.server.row(server, sasp.AddressOf(address(s)), g.members[server], p.fleet.Weight(b.proxy, g.class, server))
 					_, knows := g.members[server]
 					trusts := flags[i]&sasp.Trust != 0
 					got := p.held[c][g.name+" "+string(server)]
@@ -636,8 +636,8 @@
 				}
 			}
 		}
-		if p.fleet.Joined() != len(p.desk.byProxy) || len(p.desk.balancers) < p.fleet.Joined() {
-			rt.Errorf("%d joined, %d by proxy", p.fleet.Joined(), len(p.desk.byProxy))
+		if p.fleet.Joined() != len(p.server.byProxy) || len(p.server.balancers) < p.fleet.Joined() {
+			rt.Errorf("%d joined, %d by proxy", p.fleet.Joined(), len(p.server.byProxy))
 		}
 	})
 }
