--- /dev/null
+++ b/internal/core/longpoll/joins.go
@@ -0,0 +1,119 @@
+package longpoll
+
+import (
+	"errors"
+
+	"snowquay/internal/core/controlplane"
+)
+
+// Constants of a linear congruential generator modulo 2^64 (Knuth's MMIX). Its upper 24 bits serve as a fraction.
+const (
+	randomMultiplier = 6364136223846793005
+	randomIncrement  = 1442695040888963407
+	randomBits       = 24
+)
+
+// join makes the sender of a poll a joined proxy; it returns nil after it has rejected the poll. Polls of joined proxies
+// are served without it, so that a crowd of joining ones takes no capacity from them.
+func (s *Server) join(now float64, id PollID, poll Poll) *client {
+	if !s.fleet.Listed(poll.UID) { // checked first, so that proxies which may never join take no token
+		s.handler.Log("proxy refused", "uid", poll.UID, "error", controlplane.ErrUnlistedProxy)
+		s.reject(id, NotListed, 0)
+		return nil
+	}
+	s.joinTokens = min(s.limits.JoinBurst, s.joinTokens+(now-s.joinsUpdatedAt)*s.limits.JoinRate)
+	s.joinsUpdatedAt = now
+	if s.joinTokens < 1 || len(s.clients) >= s.limits.MaxParked {
+		s.reject(id, TooManyPolls, s.retryAfter())
+		return nil
+	}
+	s.joinTokens--
+	proxy, err := s.fleet.Join(now, poll.UID, s, poll.Epoch == 0)
+	if err != nil {
+		s.handler.Log("proxy refused", "uid", poll.UID, "error", err)
+		s.rejectJoin(id, err)
+		return nil
+	}
+	s.Stats.Joins++
+	proxy.SupportsAdmission = true
+	c := &client{uid: poll.UID, proxy: proxy, tokens: s.limits.PollBurst, tokensUpdatedAt: now, answeredAt: now}
+	c.waitTimer.Value = c
+	s.clients[poll.UID] = c
+	s.byProxy[proxy.ID] = c
+	s.fleet.Suspend(proxy)
+	return c
+}
+
+func (s *Server) rejectJoin(id PollID, err error) {
+	switch {
+	case errors.Is(err, controlplane.ErrWrongCoordinator):
+		s.reject(id, WrongCoordinator, 0)
+	case errors.Is(err, controlplane.ErrJoinRateExceeded):
+		s.reject(id, PollRateExceeded, s.retryAfter())
+	default:
+		s.reject(id, TooManyPolls, s.retryAfter())
+	}
+}
+
+// retryAfter returns a random time in seconds, so that proxies that are rejected together do not come back together.
+func (s *Server) retryAfter() float64 {
+	s.random = s.random*randomMultiplier + randomIncrement
+	return s.limits.RetryAfter * (1 + float64(s.random>>(64-randomBits))/(1<<randomBits))
+}
+
+// ProxyLeft takes a proxy's own message that it leaves, and reports whether it was joined.
+func (s *Server) ProxyLeft(now float64, uid string) bool {
+	c := s.clients[uid]
+	if c == nil {
+		return false
+	}
+	s.drop(now, c, "deregistered by itself")
+	return true
+}
+
+// leaveReason returns why a proxy counts as gone, empty if it does not. A proxy without a parked poll cannot be notified of
+// a drain. It must not stay joined then, and gets full tables when it comes back.
+func (s *Server) leaveReason(now float64, c *client) string {
+	if c.poll != 0 {
+		return s.fleet.Noncompliance(c.proxy)
+	}
+	if now-c.answeredAt > s.limits.PollGap {
+		return "no poll within the poll gap"
+	}
+	return s.fleet.DrainOverdue(now, c.proxy)
+}
+
+func (s *Server) drop(now float64, c *client, reason string) {
+	s.Stats.Left++
+	s.handler.Log("proxy left", "uid", c.uid, "reason", reason)
+	if c.poll != 0 {
+		superseded := c.poll
+		s.unpark(c)
+		s.reject(superseded, Superseded, 0)
+	}
+	s.forget(c)
+	s.fleet.Disconnect(now, c.proxy)
+	s.handler.Dropped(c.uid)
+}
+
+func (s *Server) forget(c *client) {
+	if c.unacknowledged {
+		s.unacknowledged--
+	}
+	delete(s.clients, c.uid)
+	delete(s.byProxy, c.proxy.ID)
+}
+
+// Displaced drops a proxy that has joined by another frontend. It implements controlplane.Frontend.
+func (s *Server) Displaced(_ float64, proxy *controlplane.Proxy) {
+	c := s.byProxy[proxy.ID]
+	if c == nil {
+		return
+	}
+	if c.poll != 0 {
+		displaced := c.poll
+		s.clearPoll(c)
+		s.reject(displaced, JoinedElsewhere, 0)
+	}
+	s.forget(c)
+}
--- a/internal/core/longpoll/longpoll_test.go
+++ b/internal/core/longpoll/longpoll_test.go
@@ -183,7 +183,7 @@
 			if got := h.lines[fmt.Sprint(c, " ", server(i))]; got != want {
 				return fmt.Sprintf("%s holds %v for %s of class %d, wanted %v", uid, got, server(i), c, want)
 			}
-			n += btoi(want > 0)
+			n += boolToInt(want > 0)
 		}
 	}
 	if len(h.lines) != n {
@@ -295,7 +295,7 @@
 			h.waits, h.lines = false, map[string]float64{}
 			false1(h)
 			s.pass(0.5, "a")
-			wrong += btoi(s.check("a") != "")
+			wrong += boolToInt(s.check("a") != "")
 		}
 		if (wrong > 0) != (without != nil) {
 			t.Errorf("without %v, %d of 5 proxies hold what they should not", without, wrong)
