--- a/internal/core/longpoll/answers.go
+++ b/internal/core/longpoll/answers.go
@@ -45,8 +45,8 @@
 
 // Deliver answers the parked poll of a proxy whose turn has come. It implements controlplane.Frontend.
 func (s *Server) Deliver(now float64, proxy *controlplane.Proxy) {
-	c := s.byProxy[proxy.ID]
-	if c == nil || c.poll == 0 {
+	client := s.byProxy[proxy.ID]
+	if client == nil || client.poll == 0 {
 		s.fleet.Suspend(proxy)
 		return
 	}
@@ -55,7 +55,7 @@
 		limit += s.limits.DrainReserve
 	}
 	if s.unacknowledged >= limit {
-		c.heldBack = true
+		client.heldBack = true
 		s.fleet.Suspend(proxy)
 		return
 	}
@@ -63,44 +63,44 @@
 		s.fleet.SkipUpdate(now, proxy)
 		return
 	}
-	s.sendUpdate(now, c)
+	s.sendUpdate(now, client)
 }
 
 // sendUpdate answers a parked poll with the newest state. If nothing differs from what the proxy holds, the poll stays
 // parked.
-func (s *Server) sendUpdate(now float64, c *client) {
+func (s *Server) sendUpdate(now float64, client *clientState) {
 	s.answer.From = 0
 	s.answer.Classes = s.answer.Classes[:0]
 	entries := 0
-	for i := range c.proxy.Tables {
-		entries += s.appendClass(c, balancer.Class(i))
+	for i := range client.proxy.Tables {
+		entries += s.appendClass(client, balancer.Class(i))
 	}
 	if len(s.answer.Classes) == 0 {
-		s.fleet.SkipUpdate(now, c.proxy)
+		s.fleet.SkipUpdate(now, client.proxy)
 		return
 	}
-	s.fleet.MarkSent(now, c.proxy, entries)
-	s.recordSent(c)
-	s.reply(now, c)
+	s.fleet.MarkSent(now, client.proxy, entries)
+	s.recordSent(client)
+	s.reply(now, client)
 }
 
 // appendClass appends a class to the answer, unless nothing of it changed, and returns the number of its entries, in which
 // admission settings count as one.
-func (s *Server) appendClass(c *client, class balancer.Class) int {
-	changed, full, ok := s.fleet.Delta(c.proxy, class)
+func (s *Server) appendClass(client *clientState, class balancer.Class) int {
+	changed, full, ok := s.fleet.Delta(client.proxy, class)
 	if !ok {
 		return 0
 	}
 	// Removed servers count in a delta, so that it may be longer than the whole table.
-	if full || s.fleet.MayHoldStale(c.proxy, class) || hasMoreThan(changed, s.fleet.TableSize(c.proxy, class)) {
+	if full || s.fleet.MayHoldStale(client.proxy, class) || hasMoreThan(changed, s.fleet.TableSize(client.proxy, class)) {
 		full = true
-		changed, _ = s.fleet.FullTable(c.proxy, class)
+		changed, _ = s.fleet.FullTable(client.proxy, class)
 	}
 	added := s.addClass(class, full)
 	s.appendEntries(added, changed)
-	s.setAdmission(added, c)
+	s.setAdmission(added, client)
 	if !full {
-		s.answer.From = c.baseVersion
+		s.answer.From = client.baseVersion
 	}
 	switch {
 	case full:
@@ -141,8 +141,8 @@
 	slices.SortStableFunc(added.Entries, func(a, b Entry) int { return boolToInt(b.Weight > 0) - boolToInt(a.Weight > 0) })
 }
 
-func (s *Server) setAdmission(added *Class, c *client) {
-	for _, admission := range s.fleet.AdmissionsSince(c.proxy, added.Class, added.Full) {
+func (s *Server) setAdmission(added *Class, client *clientState) {
+	for _, admission := range s.fleet.AdmissionsSince(client.proxy, added.Class, added.Full) {
 		added.HasAdmission = true
 		added.Admission = admission.Rate
 		added.Retry = admission.Retry
@@ -154,13 +154,13 @@
 }
 
 // reply ends a parked poll with the answer.
-func (s *Server) reply(now float64, c *client) {
-	id := c.poll
-	s.clearPoll(c)
-	c.answeredAt = now
+func (s *Server) reply(now float64, client *clientState) {
+	id := client.poll
+	s.clearPoll(client)
+	client.answeredAt = now
 	s.Stats.Answers++
 	s.answer.Epoch = s.epoch
-	s.answer.Version = c.version
+	s.answer.Version = client.version
 	s.answer.PollWithin = s.limits.PollGap * pollWithinFraction
 	s.answer.OwnershipEpoch = s.fleet.OwnershipEpoch()
 	s.handler.Answer(id, &s.answer)
--- a/internal/core/longpoll/joins.go
+++ b/internal/core/longpoll/joins.go
@@ -15,7 +15,7 @@
 
 // join makes the sender of a poll a joined proxy; it returns nil after it has rejected the poll. Polls of joined proxies
 // are served without it, so that a crowd of joining ones takes no capacity from them.
-func (s *Server) join(now float64, id PollID, poll Poll) *client {
+func (s *Server) join(now float64, id PollID, poll Poll) *clientState {
 	if !s.fleet.Listed(poll.UID) { // checked first, so that proxies which may never join take no token
 		s.handler.Log("proxy refused", "uid", poll.UID, "error", controlplane.ErrUnlistedProxy)
 		s.reject(id, NotListed, 0)
@@ -36,12 +36,12 @@
 	}
 	s.Stats.Joins++
 	proxy.SupportsAdmission = true
-	c := &client{uid: poll.UID, proxy: proxy, tokens: s.limits.PollBurst, tokensUpdatedAt: now, answeredAt: now}
-	c.waitTimer.Value = c
-	s.clients[poll.UID] = c
-	s.byProxy[proxy.ID] = c
+	client := &clientState{uid: poll.UID, proxy: proxy, tokens: s.limits.PollBurst, tokensUpdatedAt: now, answeredAt: now}
+	client.waitTimer.Value = client
+	s.clients[poll.UID] = client
+	s.byProxy[proxy.ID] = client
 	s.fleet.Suspend(proxy)
-	return c
+	return client
 }
 
 func (s *Server) rejectJoin(id PollID, err error) {
@@ -63,57 +63,57 @@
 
 // ProxyLeft takes a proxy's own message that it leaves, and reports whether it was joined.
 func (s *Server) ProxyLeft(now float64, uid string) bool {
-	c := s.clients[uid]
-	if c == nil {
+	client := s.clients[uid]
+	if client == nil {
 		return false
 	}
-	s.drop(now, c, "deregistered by itself")
+	s.drop(now, client, "deregistered by itself")
 	return true
 }
 
 // leaveReason returns why a proxy counts as gone, empty if it does not. A proxy without a parked poll cannot be notified of
 // a drain. It must not stay joined then, and gets full tables when it comes back.
-func (s *Server) leaveReason(now float64, c *client) string {
-	if c.poll != 0 {
-		return s.fleet.Noncompliance(c.proxy)
+func (s *Server) leaveReason(now float64, client *clientState) string {
+	if client.poll != 0 {
+		return s.fleet.Noncompliance(client.proxy)
 	}
-	if now-c.answeredAt > s.limits.PollGap {
+	if now-client.answeredAt > s.limits.PollGap {
 		return "no poll within the poll gap"
 	}
-	return s.fleet.DrainOverdue(now, c.proxy)
+	return s.fleet.DrainOverdue(now, client.proxy)
 }
 
-func (s *Server) drop(now float64, c *client, reason string) {
+func (s *Server) drop(now float64, client *clientState, reason string) {
 	s.Stats.Left++
-	s.handler.Log("proxy left", "uid", c.uid, "reason", reason)
-	if c.poll != 0 {
-		superseded := c.poll
-		s.unpark(c)
+	s.handler.Log("proxy left", "uid", client.uid, "reason", reason)
+	if client.poll != 0 {
+		superseded := client.poll
+		s.unpark(client)
 		s.reject(superseded, Superseded, 0)
 	}
-	s.forget(c)
-	s.fleet.Disconnect(now, c.proxy)
-	s.handler.Dropped(c.uid)
+	s.forget(client)
+	s.fleet.Disconnect(now, client.proxy)
+	s.handler.Dropped(client.uid)
 }
 
-func (s *Server) forget(c *client) {
-	if c.unacknowledged {
+func (s *Server) forget(client *clientState) {
+	if client.unacknowledged {
 		s.unacknowledged--
 	}
-	delete(s.clients, c.uid)
-	delete(s.byProxy, c.proxy.ID)
+	delete(s.clients, client.uid)
+	delete(s.byProxy, client.proxy.ID)
 }
 
 // Displaced drops a proxy that has joined by another frontend. It implements controlplane.Frontend.
 func (s *Server) Displaced(_ float64, proxy *controlplane.Proxy) {
-	c := s.byProxy[proxy.ID]
-	if c == nil {
+	client := s.byProxy[proxy.ID]
+	if client == nil {
 		return
 	}
-	if c.poll != 0 {
-		displaced := c.poll
-		s.clearPoll(c)
+	if client.poll != 0 {
+		displaced := client.poll
+		s.clearPoll(client)
 		s.reject(displaced, JoinedElsewhere, 0)
 	}
-	s.forget(c)
+	s.forget(client)
 }
--- a/internal/core/longpoll/polls.go
+++ b/internal/core/longpoll/polls.go
@@ -31,12 +31,12 @@
 	EpochOutdated                        // the proxy has followed a newer epoch than this coordinator knows
 )
 
-// client is a joined proxy.
-type client struct {
+// clientState is a joined proxy.
+type clientState struct {
 	uid             string
 	proxy           *controlplane.Proxy
 	poll            PollID // the parked poll; 0: none
-	waitTimer       timingwheel.Timer[*client]
+	waitTimer       timingwheel.Timer[*clientState]
 	version         uint64 // of the latest answer; 0: none
 	baseVersion     uint64 // version that the proxy is known to hold; 0: none
 	sent            [sentStatesKept]sentState
@@ -57,39 +57,39 @@
 		s.reject(id, EpochOutdated, 0)
 		return
 	}
-	c := s.clients[poll.UID]
-	if c == nil {
-		c = s.join(now, id, poll)
+	client := s.clients[poll.UID]
+	if client == nil {
+		client = s.join(now, id, poll)
 	}
-	if c == nil {
+	if client == nil {
 		return
 	}
-	if !s.takePollToken(now, c, poll) {
+	if !s.takePollToken(now, client, poll) {
 		s.reject(id, PollRateExceeded, s.retryAfter())
 		return
 	}
-	if c.poll != 0 { // its connection may be broken without notice, so that the newest poll counts
-		superseded := c.poll
-		s.unpark(c)
+	if client.poll != 0 { // its connection may be broken without notice, so that the newest poll counts
+		superseded := client.poll
+		s.unpark(client)
 		s.reject(superseded, Superseded, 0)
 	}
-	s.acknowledge(now, c, poll)
-	c.poll = id
-	s.byPoll[id] = c
-	s.wheel.Set(&c.waitTimer, now+min(max(poll.Wait, 0), s.limits.MaxWait))
-	s.fleet.Resume(now, c.proxy)
+	s.acknowledge(now, client, poll)
+	client.poll = id
+	s.byPoll[id] = client
+	s.wheel.Set(&client.waitTimer, now+min(max(poll.Wait, 0), s.limits.MaxWait))
+	s.fleet.Resume(now, client.proxy)
 }
 
 // takePollToken limits the poll rate of a proxy by a token bucket. A poll that acknowledges an answer is free, since its
 // rate is that of the answers.
-func (s *Server) takePollToken(now float64, c *client, poll Poll) bool {
-	c.tokens = min(s.limits.PollBurst, c.tokens+(now-c.tokensUpdatedAt)*s.limits.PollRate)
-	c.tokensUpdatedAt = now
-	acknowledges := c.unacknowledged && poll.Epoch == s.epoch && poll.Version == c.version
+func (s *Server) takePollToken(now float64, client *clientState, poll Poll) bool {
+	client.tokens = min(s.limits.PollBurst, client.tokens+(now-client.tokensUpdatedAt)*s.limits.PollRate)
+	client.tokensUpdatedAt = now
+	acknowledges := client.unacknowledged && poll.Epoch == s.epoch && poll.Version == client.version
 	if !acknowledges {
-		c.tokens--
+		client.tokens--
 	}
-	return c.tokens >= 0
+	return client.tokens >= 0
 }
 
 func (s *Server) reject(id PollID, reason RejectReason, after float64) {
@@ -98,42 +98,42 @@
 }
 
 // unpark forgets a client's parked poll, and suspends its updates until the next one.
-func (s *Server) unpark(c *client) {
-	if c.poll == 0 {
+func (s *Server) unpark(client *clientState) {
+	if client.poll == 0 {
 		return
 	}
-	s.clearPoll(c)
-	s.fleet.Suspend(c.proxy)
+	s.clearPoll(client)
+	s.fleet.Suspend(client.proxy)
 }
 
-func (s *Server) clearPoll(c *client) {
-	delete(s.byPoll, c.poll)
-	s.wheel.Cancel(&c.waitTimer)
-	c.poll = 0
+func (s *Server) clearPoll(client *clientState) {
+	delete(s.byPoll, client.poll)
+	s.wheel.Cancel(&client.waitTimer)
+	client.poll = 0
 }
 
 // PollClosed reports that the connection of a poll has ended.
 func (s *Server) PollClosed(now float64, id PollID) {
-	c := s.byPoll[id]
-	if c == nil {
+	client := s.byPoll[id]
+	if client == nil {
 		return
 	}
-	s.unpark(c)
-	c.answeredAt = now
+	s.unpark(client)
+	client.answeredAt = now
 }
 
 // waitOver answers a poll whose wait is over. A change at that very moment is sent, ahead of the proxy's turn: an answer
 // that says that nothing changed would be wrong.
-func (s *Server) waitOver(now float64, c *client) {
-	if s.fleet.NeedsUpdate(c.proxy) && !c.proxy.InFlight() && s.unacknowledged < s.limits.MaxUnacknowledged {
-		s.sendUpdate(now, c)
-		if c.poll == 0 {
+func (s *Server) waitOver(now float64, client *clientState) {
+	if s.fleet.NeedsUpdate(client.proxy) && !client.proxy.InFlight() && s.unacknowledged < s.limits.MaxUnacknowledged {
+		s.sendUpdate(now, client)
+		if client.poll == 0 {
 			return
 		}
 	}
 	s.Stats.Empty++
 	s.answer.Classes = s.answer.Classes[:0]
 	s.answer.From = 0
-	s.reply(now, c)
-	s.fleet.Suspend(c.proxy)
+	s.reply(now, client)
+	s.fleet.Suspend(client.proxy)
 }
--- a/internal/core/longpoll/protocol_model_test.go
+++ b/internal/core/longpoll/protocol_model_test.go
@@ -3,15 +3,15 @@
 import "testing"
 
 // The protocol of versions, deltas and acknowledgements as a model, explored exhaustively at a small size: a coordinator
-// of up to two lives with states 0 to 3, a proxy that may start anew, up to two answers on their way that may be lost,
-// doubled and overtake each other, and polls that may be lost. What is sent as a delta is right for one base only.
+// of up to two epochs with states 0 to 3, a proxy that may restart, up to two answers in flight that may be lost,
+// duplicated and reordered, and polls that may be lost. A delta is right for one base only.
 
 const (
 	maxState   = 3
 	maxAnswers = 4 // answers numbered
 )
 
-type flight struct { // an answer on its way
+type flight struct { // an answer in flight
 	epoch, number int8
 	from          int8 // number of the answer that it is a delta to; 0: full
 	base, state   int8 // base -1: full
@@ -22,15 +22,15 @@
 	epoch, state  int8    // of the coordinator
 	lastNumber    int8    // number of its newest answer
 	sent          [2]int8 // states of its two latest answers, by number%2; -1: none
-	known         int8    // state that it takes the proxy to hold; -1: nothing known
+	known         int8    // state that the coordinator takes the proxy to hold; -1: nothing known
 	heldEpoch     int8    // what the proxy names
 	heldNumber    int8    // 0: nothing
-	held          int8    // what it really holds: a state; -1: nothing; -2: corrupt
-	heldFromEpoch int8    // of which life that is
+	held          int8    // state that the proxy holds; -1: nothing; -2: corrupt
+	heldFromEpoch int8    // epoch of that state
 	inFlight      [2]flight
 }
 
-// step yields all that may happen next. believe leaves the guard out: any version named is taken for the newest.
+// steps returns all states that may follow. believe disables the guard: any named version counts as the newest.
 func (w modelState) steps(believe bool) (all []modelState) {
 	add := func(x modelState) { all = append(all, x) }
 	if w.state < maxState { // a decision
@@ -38,12 +38,12 @@
 		x.state++
 		add(x)
 	}
-	if w.epoch == 0 { // another life: it has the same tables, and numbers from the start
+	if w.epoch == 0 { // a restart: the same tables, numbered from the start
 		x := w
 		x.epoch, x.lastNumber, x.sent, x.known = 1, 0, [2]int8{-1, -1}, -1
 		add(x)
 	}
-	if w.heldNumber != 0 { // the proxy starts anew
+	if w.heldNumber != 0 { // the proxy restarts
 		x := w
 		x.heldNumber, x.heldEpoch, x.held = 0, 0, -1
 		add(x)
@@ -85,14 +85,14 @@
 		switch {
 		case n.base == -1:
 			x.held = n.state
-		case x.held < n.base || x.heldFromEpoch != n.epoch: // lines come with their newest weights: a later state does as well
+		case x.held < n.base || x.heldFromEpoch != n.epoch: // entries carry their newest weights, so that a later state will do
 			x.held = -2
 		default:
 			x.held = n.state
 		}
 		x.heldEpoch, x.heldNumber, x.heldFromEpoch = n.epoch, n.number, n.epoch
 		if !believe && n.base != -1 && (w.heldEpoch != n.epoch || w.heldNumber < n.from || w.heldNumber >= n.number) {
-			x = w // the proxy drops what is no delta to what it holds
+			x = w // the proxy drops a delta that does not apply
 		}
 		add(x)
 		x.inFlight[i] = flight{}
@@ -129,12 +129,12 @@
 func TestProtocolModel(t *testing.T) {
 	states, corrupt, claimed := explore(false)
 	if corrupt || claimed {
-		t.Errorf("of %d states some are wrong: a delta to another state %t, a false claim %t", states, corrupt, claimed)
+		t.Errorf("of %d states some are wrong: corrupt %t, a false claim %t", states, corrupt, claimed)
 	}
 	if states < 10_000 {
 		t.Errorf("only %d states were explored", states)
 	}
 	if _, corrupt, claimed = explore(true); !corrupt && !claimed {
-		t.Error("a coordinator that believes any version was not caught")
+		t.Error("no fault was found in a coordinator that believes any version")
 	}
 }
--- a/internal/core/longpoll/server.go
+++ b/internal/core/longpoll/server.go
@@ -73,10 +73,10 @@
 	limits         Limits
 	epoch          uint64
 	lastVersion    uint64 // the newest that any proxy was given
-	clients        map[string]*client
-	byProxy        map[balancer.Proxy]*client
-	byPoll         map[PollID]*client
-	wheel          *timingwheel.Wheel[*client]
+	clients        map[string]*clientState
+	byProxy        map[balancer.Proxy]*clientState
+	byPoll         map[PollID]*clientState
+	wheel          *timingwheel.Wheel[*clientState]
 	unacknowledged int // answers that are not yet acknowledged
 	joinTokens     float64
 	joinsUpdatedAt float64
@@ -97,10 +97,10 @@
 		handler:        handler,
 		limits:         limits,
 		epoch:          epoch,
-		clients:        map[string]*client{},
-		byProxy:        map[balancer.Proxy]*client{},
-		byPoll:         map[PollID]*client{},
-		wheel:          timingwheel.New[*client](now, wheelTick),
+		clients:        map[string]*clientState{},
+		byProxy:        map[balancer.Proxy]*clientState{},
+		byPoll:         map[PollID]*clientState{},
+		wheel:          timingwheel.New[*clientState](now, wheelTick),
 		joinTokens:     limits.JoinBurst,
 		joinsUpdatedAt: now,
 		random:         fleet.Site().Seed*2 + 1,
@@ -114,29 +114,29 @@
 // Tick does what is due by time: it answers polls whose wait is over, drops proxies that have left, and resumes proxies
 // that the limit of unacknowledged answers held back.
 func (s *Server) Tick(now float64) {
-	s.wheel.Advance(now, func(c *client) { s.waitOver(now, c) })
+	s.wheel.Advance(now, func(client *clientState) { s.waitOver(now, client) })
 	if now-s.lastScan < expiryScanInterval {
 		return
 	}
 	s.lastScan = now
 	type dueClient struct {
-		*client
+		*clientState
 		leaveReason string // empty: it is to be resumed
 	}
 	var due []dueClient
-	for _, c := range s.clients {
-		reason := s.leaveReason(now, c)
-		if reason != "" || c.heldBack && s.unacknowledged < s.limits.MaxUnacknowledged {
-			due = append(due, dueClient{client: c, leaveReason: reason})
+	for _, client := range s.clients {
+		reason := s.leaveReason(now, client)
+		if reason != "" || client.heldBack && s.unacknowledged < s.limits.MaxUnacknowledged {
+			due = append(due, dueClient{clientState: client, leaveReason: reason})
 		}
 	}
 	slices.SortFunc(due, func(a, b dueClient) int { return int(a.proxy.ID) - int(b.proxy.ID) })
-	for _, c := range due {
-		c.heldBack = false
-		if c.leaveReason != "" {
-			s.drop(now, c.client, c.leaveReason)
-		} else if c.poll != 0 {
-			s.fleet.Resume(now, c.proxy)
+	for _, client := range due {
+		client.heldBack = false
+		if client.leaveReason != "" {
+			s.drop(now, client.clientState, client.leaveReason)
+		} else if client.poll != 0 {
+			s.fleet.Resume(now, client.proxy)
 		}
 	}
 }
--- a/internal/core/longpoll/versions.go
+++ b/internal/core/longpoll/versions.go
@@ -23,52 +23,52 @@
 
 // recordSent gives an answer a new version and remembers the state that it stands for. The numbers are shared by all
 // proxies, so that a proxy which leaves and comes back never finds its old versions given to other states.
-func (s *Server) recordSent(c *client) {
+func (s *Server) recordSent(client *clientState) {
 	s.lastVersion++
-	c.version = s.lastVersion
-	state := &c.sent[c.nextSent]
-	c.nextSent = (c.nextSent + 1) % sentStatesKept
-	state.version = c.version
+	client.version = s.lastVersion
+	state := &client.sent[client.nextSent]
+	client.nextSent = (client.nextSent + 1) % sentStatesKept
+	state.version = client.version
 	state.classes = state.classes[:0]
-	for _, assigned := range c.proxy.Tables {
+	for _, assigned := range client.proxy.Tables {
 		state.classes = append(state.classes, sentTable{table: assigned.Table, version: assigned.SentVersion})
 	}
-	c.unacknowledged = true
+	client.unacknowledged = true
 	s.unacknowledged++
 }
 
 // acknowledge takes the version that a poll names. It is believed only if it was sent to this proxy in this epoch;
 // otherwise nothing is known of what the proxy holds. It guards against deltas to a state that is not there: after a
 // restart, after lost answers, or from a proxy that was never sent what it names. The cost is a full table.
-func (s *Server) acknowledge(now float64, c *client, poll Poll) {
-	if c.unacknowledged {
-		c.unacknowledged = false
+func (s *Server) acknowledge(now float64, client *clientState, poll Poll) {
+	if client.unacknowledged {
+		client.unacknowledged = false
 		s.unacknowledged--
 	}
-	c.baseVersion = 0
+	client.baseVersion = 0
 	if s.trustsVersions {
-		s.fleet.MarkDelivered(now, c.proxy)
+		s.fleet.MarkDelivered(now, client.proxy)
 		return
 	}
-	state := c.sentState(poll.Version)
+	state := client.sentState(poll.Version)
 	if poll.Epoch != s.epoch || state == nil {
-		if c.version > 0 || poll.Epoch != 0 {
+		if client.version > 0 || poll.Epoch != 0 {
 			s.Stats.Unknown++
 		}
-		s.observe(now, c, nil)
+		s.observe(now, client, nil)
 		return
 	}
-	c.baseVersion = poll.Version
-	if poll.Version == c.version {
-		s.fleet.MarkDelivered(now, c.proxy)
+	client.baseVersion = poll.Version
+	if poll.Version == client.version {
+		s.fleet.MarkDelivered(now, client.proxy)
 		return
 	}
 	s.Stats.Lost++
-	s.observe(now, c, state.classes)
+	s.observe(now, client, state.classes)
 }
 
 // sentState returns the remembered state of a version, nil if there is none.
-func (c *client) sentState(version uint64) *sentState {
+func (c *clientState) sentState(version uint64) *sentState {
 	if version == 0 {
 		return nil
 	}
@@ -81,13 +81,13 @@
 }
 
 // observe reports to the fleet what a proxy holds of its assigned tables; without classes it holds nothing.
-func (s *Server) observe(now float64, c *client, classes []sentTable) {
-	versions := make([]tables.Version, len(c.proxy.Tables))
+func (s *Server) observe(now float64, client *clientState, classes []sentTable) {
+	versions := make([]tables.Version, len(client.proxy.Tables))
 	for i, sent := range classes {
-		assigned := &c.proxy.Tables[i]
+		assigned := &client.proxy.Tables[i]
 		if assigned.Assigned && sent.table == assigned.Table {
 			versions[i] = sent.version
 		}
 	}
-	s.fleet.ObserveVersions(now, c.proxy, versions)
+	s.fleet.ObserveVersions(now, client.proxy, versions)
 }
