--- a/internal/frontend/longpollhttp/frontend_test.go
+++ b/internal/frontend/longpollhttp/frontend_test.go
@@ -33,7 +33,7 @@
 	"snowquay/internal/wire/sasp"
 )
 
-func setup(servers, proxies int, port uint16) coordinator.Config {
+func testConfig(servers, proxies int, port uint16) coordinator.Config {
 	s := controlplane.Site{Seed: 1, ClassNames: []string{"search"}, Zones: []string{"a"}, AllowUnlisted: true,
 		Classes:    []balancer.RequestClass{{PriorityWeight: 1, LatencyObjective: 1, ClientTimeout: 3}},
 		DataPlane:  balancer.DataPlane{Proxies: proxies, Coordinators: 1, DefaultRetry: balancer.RetryIfNotExecuted, Admission: balancer.AdmissionFraction},
@@ -41,7 +41,7 @@
 		Guarantees: balancer.Guarantees{DrainDeadline: 30, EmptyTableDeadline: 2, WarmupStartFraction: 0.2, WarmupDuration: 10, OverloadFactor: 3, OverloadWindow: 2},
 		Reporting:  balancer.Reporting{Period: 0.5}, Limits: controlplane.DefaultLimits, DisabledGuards: map[controlplane.Guard]bool{}}
 	for i := range servers {
-		s.Servers = append(s.Servers, registry.ServerConfig{Server: server(i), Weight: 1, Static: true})
+		s.Servers = append(s.Servers, registry.ServerConfig{Server: serverName(i), Weight: 1, Static: true})
 	}
 	limits := longpoll.DefaultLimits
 	limits.JoinRate, limits.JoinBurst = 1e6, 1e6
@@ -49,7 +49,9 @@
 		Parking: limits, HTTP: netip.AddrPortFrom(netip.MustParseAddr("127.0.0.1"), port)}
 }
 
-func server(i int) balancer.Server { return balancer.Server(fmt.Sprintf("10.0.%d.%d:80", i>>8, i&255)) }
+func serverName(i int) balancer.Server {
+	return balancer.Server(fmt.Sprintf("10.0.%d.%d:80", i>>8, i&255))
+}
 
 func listen(t testing.TB, set coordinator.Config) (*coordinator.Coordinator, *eventloop.Server, string) {
 	clock := eventloop.Clock()
@@ -69,14 +71,14 @@
 	return program, s, "http://" + set.HTTP.String()
 }
 
-// client holds every exchange against the description.
-type client struct {
+// apiClient holds every exchange against the description.
+type apiClient struct {
 	t      *testing.T
 	router routers.Router
 	base   string
 }
 
-func (c client) do(method, path, accept string) (*http.Response, []byte) {
+func (c apiClient) do(method, path, accept string) (*http.Response, []byte) {
 	c.t.Helper()
 	r, err := http.NewRequest(method, c.base+path, nil)
 	if err != nil {
@@ -121,7 +123,7 @@
 	return resp, body
 }
 
-func TestTheAPIIsAsDescribed(t *testing.T) {
+func TestAPIMatchesOpenAPI(t *testing.T) {
 	doc, err := openapi3.NewLoader().LoadFromData(longpollhttp.OpenAPI)
 	if err != nil {
 		t.Fatal(err)
@@ -129,7 +131,7 @@
 	if err := doc.Validate(context.Background()); err != nil {
 		t.Fatal(err)
 	}
-	set := setup(5, 2, 14880)
+	set := testConfig(5, 2, 14880)
 	set.Site.AllowUnlisted = false
 	set.Site.Proxies = []controlplane.ProxyConfig{{UID: "r1", ExpectedRate: 5}, {UID: "r 2/x"}, {UID: "r3"}}
 	set.Parking.PollBurst = 15
@@ -139,7 +141,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	c := client{t, router, base}
+	c := apiClient{t, router, base}
 	resp, body := c.do("GET", "/v1/proxies/r1/tables?wait=5", "")
 	var first delta.Tables
 	if err := delta.Decode(body, delta.JSON, &first); err != nil || resp.StatusCode != 200 || len(first.Classes) != 1 ||
@@ -154,7 +156,7 @@
 		if program.Fleet.UpToDate() != 1 {
 			t.Errorf("%d hold the newest tables", program.Fleet.UpToDate())
 		}
-		program.Fleet.Registry.SetDrain(now, server(2), true)
+		program.Fleet.Registry.SetDrain(now, serverName(2), true)
 	})
 	resp, body = c.do("GET", "/v1/proxies/r1/tables?wait=5&"+at, delta.CBOR)
 	if resp.StatusCode != 200 {
@@ -194,8 +196,8 @@
 	}
 }
 
-// raw sends bytes and returns what comes until the connection is closed, or a while has passed.
-func raw(t *testing.T, base string, parts ...string) string {
+// exchangeRaw sends bytes and returns what comes until the connection is closed, or a while has passed.
+func exchangeRaw(t *testing.T, base string, parts ...string) string {
 	t.Helper()
 	c, err := net.Dial("tcp", strings.TrimPrefix(base, "http://"))
 	if err != nil {
@@ -216,7 +218,7 @@
 }
 
 func TestHostileRequests(t *testing.T) {
-	set := setup(3, 2, 14881)
+	set := testConfig(3, 2, 14881)
 	set.LongPoll.IdleTimeout, set.LongPoll.MaxConnections = 0.6, 50
 	program, s, base := listen(t, set)
 	const get = "GET /openapi.json HTTP/1.1\r\nHost: x\r\n"
@@ -235,16 +237,16 @@
 		"a head without end":         {get + "X: " + strings.Repeat("y", 9000), "431"},
 		"a large head":               {get + "X: " + strings.Repeat("y", 9000) + "\r\n\r\n", "431"},
 	} {
-		got := raw(t, base, c.send)
+		got := exchangeRaw(t, base, c.send)
 		if !strings.HasPrefix(got, "HTTP/1.1 "+c.status) || strings.Count(got, "HTTP/1.1") != 1 || !strings.Contains(got, "Connection: close") {
 			t.Errorf("%s: %.200q, want %s once and a close", name, got, c.status)
 		}
 	}
 	pieces := strings.Split(get+"\r\n"+get+"\r\n", "")
-	if got := raw(t, base, pieces...); strings.Count(got, "HTTP/1.1 200") != 2 {
+	if got := exchangeRaw(t, base, pieces...); strings.Count(got, "HTTP/1.1 200") != 2 {
 		t.Errorf("two requests a byte at a time: %.300q", got)
 	}
-	if got := raw(t, base, "GET /v1/proxies/r1/tables?wait=30 HTTP/1.1\r\nHost: x\r\n\r\n", strings.Repeat(get+"\r\n", 400)); strings.Count(got, "HTTP/1.1 200") > 320 {
+	if got := exchangeRaw(t, base, "GET /v1/proxies/r1/tables?wait=30 HTTP/1.1\r\nHost: x\r\n\r\n", strings.Repeat(get+"\r\n", 400)); strings.Count(got, "HTTP/1.1 200") > 320 {
 		t.Errorf("%d requests behind a poll were kept", strings.Count(got, "HTTP/1.1 200"))
 	}
 	for range 100 { // that say nothing
@@ -265,8 +267,8 @@
 }
 
 // A client that takes a byte a second of a large answer is closed, and its proxy is held for gone.
-func TestASlowReader(t *testing.T) {
-	set := setup(3000, 1, 14882)
+func TestSlowReaderIsDisconnected(t *testing.T) {
+	set := testConfig(3000, 1, 14882)
 	set.LongPoll.DeliveryTimeout, set.Parking.PollGap = 0.4, 0.8
 	program, s, base := listen(t, set)
 	c, err := net.Dial("tcp", strings.TrimPrefix(base, "http://"))
@@ -294,7 +296,7 @@
 // Memory of a parked poll: what the coordinator keeps for it, the client's end in the same process among it.
 func BenchmarkParkedPoll(b *testing.B) {
 	const n = 2000
-	program, s, base := listen(b, setup(12, n, 14883))
+	program, s, base := listen(b, testConfig(12, n, 14883))
 	var before, after runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&before)
@@ -336,19 +338,19 @@
 
 // From a decision until all proxies are known to hold it: proxies that ask, each over its own connection, against relays
 // on SASP that the kernel's word is taken for, on the same machine in one run.
-func BenchmarkDecisionToHeld(b *testing.B) {
+func BenchmarkDecisionToAcknowledged(b *testing.B) {
 	for _, n := range []int{460, 5000} {
 		for i, front := range []string{"sasp", "http"} {
 			b.Run(fmt.Sprintf("%s/%d", front, n), func(b *testing.B) {
-				set := setup(200, n, 14884)
+				set := testConfig(200, n, 14884)
 				set.Site.Limits.MinRoundInterval = 0
 				set.SASP = netip.AddrPortFrom(netip.MustParseAddr("127.0.0.1"), 14885)
 				program, s, base := listen(b, set)
 				for k := range n {
 					if i == 0 {
-						go stands(set.SASP.String(), fmt.Sprint("p", k))
+						go runRelay(set.SASP.String(), fmt.Sprint("p", k))
 					} else {
-						go asks(strings.TrimPrefix(base, "http://"), fmt.Sprint("p", k))
+						go runPollingProxy(strings.TrimPrefix(base, "http://"), fmt.Sprint("p", k))
 					}
 				}
 				holding := func() (h int) { s.Do(func(float64) { h = program.Fleet.UpToDate() }); return h }
@@ -364,7 +366,7 @@
 				for b.Loop() {
 					next++
 					s.Do(func(now float64) {
-						program.Fleet.Registry.SetDrain(now, server(next%199), true)
+						program.Fleet.Registry.SetDrain(now, serverName(next%199), true)
 						program.TimerFired(now, 0)
 					})
 					all()
@@ -374,7 +376,7 @@
 	}
 }
 
-func stands(at, uid string) {
+func runRelay(at, uid string) {
 	c, err := net.Dial("tcp", at)
 	if err != nil {
 		return
@@ -385,7 +387,7 @@
 	_, _ = io.Copy(io.Discard, c)
 }
 
-func asks(at, uid string) {
+func runPollingProxy(at, uid string) {
 	c, err := net.Dial("tcp", at)
 	if err != nil {
 		return
