--- /dev/null
+++ b/internal/frontend/longpollhttp/fixture_test.go
@@ -0,0 +1,140 @@
+package longpollhttp_test
+
+import (
+	"bytes"
+	"context"
+	"encoding/json"
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"net/netip"
+	"strings"
+	"testing"
+	"time"
+
+	"github.com/fxamacker/cbor/v2"
+	"github.com/getkin/kin-openapi/openapi3filter"
+	"github.com/getkin/kin-openapi/routers"
+
+	"snowquay/balancer"
+	"snowquay/internal/coordinator"
+	"snowquay/internal/core/controlplane"
+	"snowquay/internal/core/longpoll"
+	"snowquay/internal/core/registry"
+	"snowquay/internal/core/saspsession"
+	"snowquay/internal/frontend/eventloop"
+	"snowquay/internal/frontend/longpollhttp"
+	"snowquay/internal/wire/delta"
+)
+
+func testConfig(servers, proxies int, port uint16) coordinator.Config {
+	s := controlplane.Site{Seed: 1, ClassNames: []string{"search"}, Zones: []string{"a"}, AllowUnlisted: true,
+		Classes:    []balancer.RequestClass{{PriorityWeight: 1, LatencyObjective: 1, ClientTimeout: 3}},
+		DataPlane:  balancer.DataPlane{Proxies: proxies, Coordinators: 1, DefaultRetry: balancer.RetryIfNotExecuted, Admission: balancer.AdmissionFraction},
+		Channel:    balancer.Channel{EntriesPerSecond: 1e7, MessageOverhead: 3, MaxQueued: 2e7, MeanDelay: 0.01, MaxDelay: 0.2},
+		Guarantees: balancer.Guarantees{DrainDeadline: 30, EmptyTableDeadline: 2, WarmupStartFraction: 0.2, WarmupDuration: 10, OverloadFactor: 3, OverloadWindow: 2},
+		Reporting:  balancer.Reporting{Period: 0.5}, Limits: controlplane.DefaultLimits, DisabledGuards: map[controlplane.Guard]bool{}}
+	for i := range servers {
+		s.Servers = append(s.Servers, registry.ServerConfig{Server: serverName(i), Weight: 1, Static: true})
+	}
+	limits := longpoll.DefaultLimits
+	limits.JoinRate, limits.JoinBurst = 1e6, 1e6
+	return coordinator.Config{Site: s, Limits: saspsession.DefaultLimits, Policy: saspsession.Policy{FleetUID: "fleet"}, LongPoll: longpollhttp.DefaultLimits,
+		Parking: limits, HTTP: netip.AddrPortFrom(netip.MustParseAddr("127.0.0.1"), port)}
+}
+
+func serverName(i int) balancer.Server {
+	return balancer.Server(fmt.Sprintf("10.0.%d.%d:80", i>>8, i&255))
+}
+
+func listen(t testing.TB, set coordinator.Config) (*coordinator.Coordinator, *eventloop.Server, string) {
+	clock := eventloop.Clock()
+	program, err := coordinator.New(clock(), set, nil)
+	if err != nil {
+		t.Fatal(err)
+	}
+	s, err := eventloop.Listen(program, set.Ports(), set.HTTP, clock)
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() {
+		if err := s.Stop(); err != nil {
+			t.Error(err)
+		}
+	})
+	return program, s, "http://" + set.HTTP.String()
+}
+
+// apiClient checks every exchange against the OpenAPI document.
+type apiClient struct {
+	t      *testing.T
+	router routers.Router
+	base   string
+}
+
+func (c apiClient) do(method, path, accept string) (*http.Response, []byte) {
+	c.t.Helper()
+	r, err := http.NewRequest(method, c.base+path, nil)
+	if err != nil {
+		c.t.Fatal(err)
+	}
+	if accept != "" {
+		r.Header.Set("Accept", accept)
+	}
+	resp, err := http.DefaultClient.Do(r)
+	if err != nil {
+		c.t.Fatal(err)
+	}
+	defer func() { _ = resp.Body.Close() }()
+	body, err := io.ReadAll(resp.Body)
+	if err != nil {
+		c.t.Fatal(err)
+	}
+	route, params, err := c.router.FindRoute(r)
+	if err != nil {
+		return resp, body // not in the document: 404 and 405
+	}
+	shown := body
+	if resp.Header.Get("Content-Type") == delta.CBOR { // the same structure in another encoding
+		var v any
+		if err := cbor.Unmarshal(body, &v); err != nil {
+			c.t.Fatal(err)
+		}
+		var tables delta.Tables
+		if err := delta.Decode(body, delta.CBOR, &tables); err != nil {
+			c.t.Fatal(err)
+		}
+		shown, _ = json.Marshal(tables)
+		resp.Header.Set("Content-Type", delta.JSON)
+	}
+	err = openapi3filter.ValidateResponse(context.Background(), &openapi3filter.ResponseValidationInput{
+		RequestValidationInput: &openapi3filter.RequestValidationInput{Request: r, PathParams: params, Route: route},
+		Status:                 resp.StatusCode, Header: resp.Header, Body: io.NopCloser(bytes.NewReader(shown)),
+		Options: &openapi3filter.Options{IncludeResponseStatus: true}})
+	if err != nil {
+		c.t.Errorf("%s %s: not as in the OpenAPI document: %v\n%s", method, path, err, shown)
+	}
+	return resp, body
+}
+
+// exchangeRaw sends bytes and returns what comes until the connection is closed or the read times out.
+func exchangeRaw(t *testing.T, base string, parts ...string) string {
+	t.Helper()
+	c, err := net.Dial("tcp", strings.TrimPrefix(base, "http://"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer func() { _ = c.Close() }()
+	for _, p := range parts {
+		if _, err := c.Write([]byte(p)); err != nil {
+			break
+		}
+		time.Sleep(time.Millisecond)
+	}
+	if err := c.SetReadDeadline(time.Now().Add(700 * time.Millisecond)); err != nil {
+		t.Fatal(err)
+	}
+	b, _ := io.ReadAll(c) // the deadline ends it if the connection stays open
+	return string(b)
+}
