--- a/internal/wire/sasp/sasp_test.go
+++ b/internal/wire/sasp/sasp_test.go
@@ -11,22 +11,22 @@
 	"testing"
 )
 
-func row(i int) Row {
+func testRow(i int) Row {
 	return Row{Address: AddressOf(netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, byte(i >> 8), byte(i)}), 80)),
 		Label: []byte("m"), Flags: Confident | Contact, Weight: uint16(i + 1)}
 }
 
-func full(n int) *Message {
+func pushMessage(n int) *Message {
 	m := &Message{Kind: SendWeights, ID: 7}
 	for i := range n {
-		m.Rows = append(m.Rows, row(i))
+		m.Rows = append(m.Rows, testRow(i))
 	}
 	m.Groups = []Group{{UID: []byte("relay-1"), Name: []byte("search"), To: n}}
 	return m
 }
 
 // The bytes were put together by hand from the figures in docs/sasp.md.
-func TestKnownBytes(t *testing.T) {
+func TestEncodingMatchesKnownBytes(t *testing.T) {
 	for text, m := range map[string]*Message{
 		"2010000d010000001700000009" + "1050000a" + "03" + "6c6231" + "7f" + "e0": {Kind: SetBalancer, ID: 9,
 			UID: []byte("lb1"), Health: 0x7f, Flags: Push | Trust | NoChange},
@@ -46,7 +46,7 @@
 	}
 }
 
-func TestEveryKindComesBack(t *testing.T) {
+func TestEveryKindRoundTrips(t *testing.T) {
 	g := []Group{{UID: []byte("u"), Name: []byte("a"), To: 2}, {UID: []byte("u"), Name: []byte("b"), From: 2, To: 3}}
 	for _, m := range []*Message{
 		{Kind: Registration, LB: 1, Groups: g}, {Kind: Deregistration, Reason: 1, Groups: g},
@@ -56,7 +56,7 @@
 	} {
 		if len(m.Groups) == 2 {
 			for i := range 3 {
-				r := row(i)
+				r := testRow(i)
 				switch m.Kind {
 				case Registration, Deregistration:
 					r.Flags, r.Weight = 0, 0
@@ -90,8 +90,8 @@
 	}
 }
 
-func TestHostileBytes(t *testing.T) {
-	good := Append(nil, full(2))
+func TestMalformedMessagesAreRejected(t *testing.T) {
+	good := Append(nil, pushMessage(2))
 	change := func(at int, v ...byte) []byte { b := bytes.Clone(good); copy(b[at:], v); return b }
 	for name, c := range map[string]struct {
 		b    []byte
@@ -120,8 +120,8 @@
 	}
 }
 
-func TestSteadyPathAllocatesNothing(t *testing.T) {
-	m, into, b := full(300), &Message{}, []byte(nil)
+func TestReuseAllocatesNothing(t *testing.T) {
+	m, into, b := pushMessage(300), &Message{}, []byte(nil)
 	run := func() {
 		b = Append(b[:0], m)
 		if err := Decode(b, into); err != nil {
@@ -136,7 +136,7 @@
 
 // FuzzDecode: what decodes is written back as the same bytes; nothing panics.
 func FuzzDecode(f *testing.F) {
-	f.Add(Append(nil, full(2)))
+	f.Add(Append(nil, pushMessage(2)))
 	f.Add(Append(nil, &Message{Kind: SetBalancer, UID: []byte("x"), Flags: Push}))
 	f.Add(Append(nil, &Message{Kind: GetWeightsReply, Code: UnknownGroup}))
 	f.Fuzz(func(t *testing.T, b []byte) {
@@ -155,7 +155,7 @@
 }
 
 func BenchmarkAppend300(b *testing.B) {
-	m, out := full(300), []byte(nil)
+	m, out := pushMessage(300), []byte(nil)
 	b.ReportAllocs()
 	for b.Loop() {
 		out = Append(out[:0], m)
@@ -164,7 +164,7 @@
 }
 
 func BenchmarkDecode300(b *testing.B) {
-	in, m := Append(nil, full(300)), &Message{}
+	in, m := Append(nil, pushMessage(300)), &Message{}
 	b.ReportAllocs()
 	b.SetBytes(int64(len(in)))
 	for b.Loop() {
@@ -176,7 +176,7 @@
 
 // The baseline of the two above: the same bytes copied.
 func BenchmarkCopy300(b *testing.B) {
-	in := Append(nil, full(300))
+	in := Append(nil, pushMessage(300))
 	out := make([]byte, len(in))
 	b.SetBytes(int64(len(in)))
 	for b.Loop() {
