--- a/internal/core/saspsession/balancers.go
+++ b/internal/core/saspsession/balancers.go
@@ -75,7 +75,7 @@
 			return nil, sasp.NotAccepted
 		}
 		s.Stats.Takeovers++
-		s.close(now, previous.conn, "another connection has its UID")
+		s.close(now, previous.conn, "replaced by another connection with its UID")
 	}
 	lb := &loadBalancer{
 		uid:       string(uid),
@@ -100,9 +100,9 @@
 		s.handler.Log("relay refused", "uid", lb.uid, "error", err)
 		switch { // a closed connection makes the relay dial again
 		case errors.Is(err, controlplane.ErrWrongCoordinator):
-			s.close(now, lb.conn, "another coordinator leads this relay")
+			s.close(now, lb.conn, "relay is owned by another coordinator")
 		case errors.Is(err, controlplane.ErrJoinRateExceeded):
-			s.close(now, lb.conn, "it joins too often")
+			s.close(now, lb.conn, "join rate exceeded")
 		}
 		return sasp.NotAccepted
 	}
@@ -156,5 +156,5 @@
 	}
 	delete(s.byProxy, proxy.ID)
 	lb.proxy = nil
-	s.close(now, lb.conn, "its relay has joined by another way")
+	s.close(now, lb.conn, "relay joined by another frontend")
 }
--- a/internal/core/saspsession/connections.go
+++ b/internal/core/saspsession/connections.go
@@ -128,7 +128,7 @@
 		conn.buffer = nil // an idle connection must not hold memory
 	}
 	if s.bufferedBytes > s.limits.MaxBuffered {
-		s.close(now, conn, "too many unfinished messages in all")
+		s.close(now, conn, "too many buffered bytes over all connections")
 	}
 }
 
@@ -174,7 +174,7 @@
 	}
 	slices.SortFunc(silent, func(a, b *connection) int { return int(a.id) - int(b.id) })
 	for _, conn := range silent {
-		s.close(now, conn, "it has not said who it is")
+		s.close(now, conn, "not identified in time")
 	}
 	for _, lb := range s.joinedBalancers() {
 		reason := s.fleet.DisconnectReason(now, lb.proxy)
--- a/internal/core/saspsession/messages.go
+++ b/internal/core/saspsession/messages.go
@@ -79,6 +79,6 @@
 	conn.sentBytes += uint64(len(s.sendBuffer))
 	s.handler.Send(conn.id, s.sendBuffer)
 	if conn.sentBytes-conn.deliveredBytes > uint64(s.limits.MaxUnread) {
-		s.close(now, conn, "it does not read")
+		s.close(now, conn, "too many unread bytes")
 	}
 }
