--- a/internal/core/longpoll/fixture_test.go
+++ b/internal/core/longpoll/fixture_test.go
@@ -56,7 +56,8 @@
 		return // nothing is newer than what the poll named, or the delta does not apply
 	}
 	proxy.answers++
-	proxy.epoch, proxy.version = a.Epoch, a.Version
+	proxy.epoch = a.Epoch
+	proxy.version = a.Version
 	kept := &Answer{Epoch: a.Epoch, Version: a.Version, OwnershipEpoch: a.OwnershipEpoch}
 	for _, c := range a.Classes {
 		if c.Full {
@@ -69,7 +70,8 @@
 		}
 		for _, l := range c.Entries {
 			k := fmt.Sprint(c.Class, " ", l.Server)
-			if proxy.weights[k] = l.Weight; l.Weight == 0 {
+			proxy.weights[k] = l.Weight
+			if l.Weight == 0 {
 				delete(proxy.weights, k)
 			}
 		}
@@ -86,7 +88,8 @@
 	uid := f.uids[w]
 	f.rejected[uid] = append(f.rejected[uid], why)
 	f.retryAt[uid] = f.now + after
-	if f.retryDelays = append(f.retryDelays, after); f.latestPoll[uid] == w {
+	f.retryDelays = append(f.retryDelays, after)
+	if f.latestPoll[uid] == w {
 		f.pollers[w].polling = false
 	}
 }
@@ -129,7 +132,8 @@
 	if err != nil {
 		f.t.Fatal(err)
 	}
-	f.fleet, f.server = fleet, New(f.now, uint64(f.now*1e6), fleet, f, limits)
+	f.fleet = fleet
+	f.server = New(f.now, uint64(f.now*1e6), fleet, f, limits)
 	for _, proxy := range f.proxies {
 		proxy.polling = false
 	}
@@ -145,7 +149,10 @@
 func (f *fixture) poll(uid string, wait float64) {
 	proxy := f.proxy(uid)
 	f.lastPoll++
-	f.uids[f.lastPoll], f.pollers[f.lastPoll], f.latestPoll[uid], proxy.polling = uid, proxy, f.lastPoll, true
+	f.uids[f.lastPoll] = uid
+	f.pollers[f.lastPoll] = proxy
+	f.latestPoll[uid] = f.lastPoll
+	proxy.polling = true
 	f.server.HandlePoll(f.now, f.lastPoll, Poll{UID: uid, Epoch: proxy.epoch, Version: proxy.version, Wait: wait})
 }
 
@@ -171,7 +178,8 @@
 
 // check compares what a proxy holds with its tables; it returns what is wrong.
 func (f *fixture) check(uid string) string {
-	proxy, p := f.proxies[uid], f.fleet.FindProxy(uid)
+	proxy := f.proxies[uid]
+	p := f.fleet.FindProxy(uid)
 	n := 0
 	for c := range balancer.Class(2) {
 		for i := range 6 {
--- a/internal/core/longpoll/history_test.go
+++ b/internal/core/longpoll/history_test.go
@@ -72,7 +72,8 @@
 		s := newFixture(t, testSite(1), DefaultLimits)
 		s.advance(1, "a")
 		var history []porcupine.Operation
-		chance, drained := seed*2862933555777941757+3037000493, uint64(0)
+		chance := seed*2862933555777941757 + 3037000493
+		drained := uint64(0)
 		held := func() (set uint64) {
 			for i := range 6 {
 				if _, ok := s.proxies["a"].weights["0 "+string(serverName(i))]; !ok {
--- a/internal/core/longpoll/limits_test.go
+++ b/internal/core/longpoll/limits_test.go
@@ -14,7 +14,8 @@
 	const n = 5000
 	limits := DefaultLimits
 	x := testSite(n)
-	x.Channel.EntriesPerSecond, x.Channel.MaxQueued = 20000, 30000
+	x.Channel.EntriesPerSecond = 20000
+	x.Channel.MaxQueued = 30000
 	s := newFixture(t, x, limits)
 	var all []string
 	for i := range n {
@@ -40,7 +41,8 @@
 			t.Errorf("%d of %d come back in one tenth of the time", k, away)
 		}
 	}
-	begun, lines := s.now, 0
+	begun := s.now
+	lines := 0
 	for s.fleet.UpToDate() < n && s.now < begun+60 {
 		for _, uid := range all {
 			if h := s.proxies[uid]; !h.polling && s.now >= s.retryAt[uid] {
@@ -52,7 +54,8 @@
 	for _, uid := range all {
 		lines += len(s.proxies[uid].weights) + 3
 	}
-	took, least := s.now-begun, max(float64(lines)/x.Channel.EntriesPerSecond, float64(away)/limits.JoinRate)
+	took := s.now - begun
+	least := max(float64(lines)/x.Channel.EntriesPerSecond, float64(away)/limits.JoinRate)
 	if s.fleet.UpToDate() != n || took > 1.5*least+2*limits.RetryAfter {
 		t.Errorf("%d hold the tables after %.1f s; joins and channel need %.1f s", s.fleet.UpToDate(), took, least)
 	}
@@ -120,7 +123,8 @@
 		t.Errorf("its poll ended with %v", got)
 	}
 	sent := other.sent
-	if s.advance(0.5); other.sent == sent || s.fleet.Joined() != 1 {
+	s.advance(0.5)
+	if other.sent == sent || s.fleet.Joined() != 1 {
 		t.Errorf("%d messages by the other frontend, %d joined", other.sent-sent, s.fleet.Joined())
 	}
 }
@@ -128,7 +132,8 @@
 // Drains are sent beyond the limit of unacknowledged answers.
 func TestDrainsHaveAReserve(t *testing.T) {
 	limits := DefaultLimits
-	limits.MaxUnacknowledged, limits.DrainReserve = 3, 100
+	limits.MaxUnacknowledged = 3
+	limits.DrainReserve = 100
 	s := newFixture(t, testSite(20), limits)
 	var all []string
 	for i := range 20 {
--- a/internal/core/longpoll/protocol_model_test.go
+++ b/internal/core/longpoll/protocol_model_test.go
@@ -40,12 +40,17 @@
 	}
 	if w.epoch == 0 { // a restart: the same tables, numbered from the start
 		x := w
-		x.epoch, x.lastNumber, x.sent, x.known = 1, 0, [2]int8{-1, -1}, -1
+		x.epoch = 1
+		x.lastNumber = 0
+		x.sent = [2]int8{-1, -1}
+		x.known = -1
 		add(x)
 	}
 	if w.heldNumber != 0 { // the proxy restarts
 		x := w
-		x.heldNumber, x.heldEpoch, x.held = 0, 0, -1
+		x.heldNumber = 0
+		x.heldEpoch = 0
+		x.held = -1
 		add(x)
 	}
 	if w.lastNumber < maxAnswers { // a poll that arrives and is answered, if anything is newer
@@ -57,7 +62,8 @@
 				x.known = x.sent[x.lastNumber%2]
 			}
 		case w.heldNumber > 0 && w.heldEpoch == w.epoch && w.heldNumber > w.lastNumber-2 && w.heldNumber <= w.lastNumber:
-			x.known, from = x.sent[w.heldNumber%2], w.heldNumber
+			x.known = x.sent[w.heldNumber%2]
+			from = w.heldNumber
 		default:
 			x.known = -1
 		}
@@ -90,7 +96,9 @@
 		default:
 			x.held = n.state
 		}
-		x.heldEpoch, x.heldNumber, x.heldFromEpoch = n.epoch, n.number, n.epoch
+		x.heldEpoch = n.epoch
+		x.heldNumber = n.number
+		x.heldFromEpoch = n.epoch
 		if !believe && n.base != -1 && (w.heldEpoch != n.epoch || w.heldNumber < n.from || w.heldNumber >= n.number) {
 			x = w // the proxy drops a delta that does not apply
 		}
--- a/internal/core/longpoll/server_test.go
+++ b/internal/core/longpoll/server_test.go
@@ -101,7 +101,8 @@
 			s.advance(1, "a")
 			s.server.PollClosed(s.now, s.lastPoll)
 			h := s.proxies["a"]
-			h.polling, h.weights = false, map[string]float64{}
+			h.polling = false
+			h.weights = map[string]float64{}
 			false1(h)
 			s.advance(0.5, "a")
 			wrong += boolToInt(s.check("a") != "")
@@ -158,16 +159,19 @@
 		t.Fatalf("%+v", h.latest)
 	}
 	s.lastPoll++
-	s.uids[s.lastPoll], s.pollers[s.lastPoll] = "relay-1", s.proxy("relay-1")
+	s.uids[s.lastPoll] = "relay-1"
+	s.pollers[s.lastPoll] = s.proxy("relay-1")
 	s.server.HandlePoll(s.now, s.lastPoll, Poll{UID: "relay-1", Wait: 5, OwnershipEpoch: 8})
 	if r := s.rejected["relay-1"]; len(r) != 1 || r[0] != EpochOutdated {
 		t.Errorf("a proxy that has followed epoch 8: %v", r)
 	}
 	lead = 8
 	s.lastPoll++
-	s.uids[s.lastPoll], s.pollers[s.lastPoll] = "relay-1", s.proxy("relay-1")
+	s.uids[s.lastPoll] = "relay-1"
+	s.pollers[s.lastPoll] = s.proxy("relay-1")
 	s.server.HandlePoll(s.now, s.lastPoll, Poll{UID: "relay-1", Wait: 5, OwnershipEpoch: 8})
-	if s.advance(1); len(s.rejected["relay-1"]) != 1 || s.proxies["relay-1"].latest == nil || s.proxies["relay-1"].latest.OwnershipEpoch != 8 {
+	s.advance(1)
+	if len(s.rejected["relay-1"]) != 1 || s.proxies["relay-1"].latest == nil || s.proxies["relay-1"].latest.OwnershipEpoch != 8 {
 		t.Errorf("after the coordinator knows epoch 8: %v", s.rejected["relay-1"])
 	}
 }
--- a/internal/core/saspsession/connections_test.go
+++ b/internal/core/saspsession/connections_test.go
@@ -61,7 +61,8 @@
 	p = start(t, site, DefaultLimits, Policy{FleetUID: "fleet"})
 	c = p.relay("r1", allFlags, 0, 1, 2, 3)
 	p.advance(1)
-	before, sent := p.pushes, p.sentBytes[c]
+	before := p.pushes
+	sent := p.sentBytes[c]
 	p.stalled[c] = true
 	for i := range 100 {
 		s := balancer.Server(address(1 + i%3).String())
@@ -82,7 +83,8 @@
 	p.stalled[c] = false
 	pushes := p.pushes
 	p.fleet.Registry.SetDrain(p.now, balancer.Server(address(2).String()), true)
-	if p.advance(0.5); p.pushes-pushes > 3 {
+	p.advance(0.5)
+	if p.pushes-pushes > 3 {
 		t.Errorf("%d messages to catch up", p.pushes-pushes)
 	}
 	if p.weights[c]["search 10.0.0.2:80"] != 0 || p.countWeights(c, "search") == 0 {
@@ -101,10 +103,12 @@
 	p := startDefault(t)
 	c := p.relay("r1", allFlags, 0)
 	p.stalled[c] = true
-	if p.advance(DefaultLimits.IdentifyTimeout); p.closed[c] {
+	p.advance(DefaultLimits.IdentifyTimeout)
+	if p.closed[c] {
 		t.Fatalf("too early: %q", p.log)
 	}
-	if p.advance(1.5); !p.closed[c] || p.fleet.Stats.Stalled != 1 {
+	p.advance(1.5)
+	if !p.closed[c] || p.fleet.Stats.Stalled != 1 {
 		t.Errorf("disconnected: %t, %q", p.closed[c], p.log)
 	}
 }
@@ -113,19 +117,25 @@
 func TestJoiningRelaysArePaced(t *testing.T) {
 	for _, without := range [][]controlplane.Guard{nil, {controlplane.GuardPacing}} {
 		site := testSite(without...)
-		site.DataPlane.Proxies, site.Channel.EntriesPerSecond, site.Channel.MaxQueued = 460, 4000, 9000
+		site.DataPlane.Proxies = 460
+		site.Channel.EntriesPerSecond = 4000
+		site.Channel.MaxQueued = 9000
 		p := start(t, site, DefaultLimits, Policy{FleetUID: "fleet"})
 		var conns []Conn
 		for i := range 460 {
 			conns = append(conns, p.relay(fmt.Sprintf("r%d", i), allFlags, 0, 1))
 		}
-		p.rows, p.pushes = 0, 0
-		most, last := 0.0, p.rows
+		p.rows = 0
+		p.pushes = 0
+		most := 0.0
+		last := p.rows
 		for i := range 125 {
-			if p.advance(0.04); i == 10 {
+			p.advance(0.04)
+			if i == 10 {
 				p.fleet.Registry.SetDrain(p.now, balancer.Server(address(1).String()), true)
 			}
-			most, last = max(most, p.rows-last), p.rows
+			most = max(most, p.rows-last)
+			last = p.rows
 		}
 		if without != nil {
 			if most < 1000 {
@@ -146,7 +156,10 @@
 
 func TestHostileConnections(t *testing.T) {
 	limits := DefaultLimits
-	limits.MaxConnections, limits.MaxBuffered, limits.MaxMessageBytes, limits.MaxGroups = 2000, 1<<20, 64<<10, 2
+	limits.MaxConnections = 2000
+	limits.MaxBuffered = 1 << 20
+	limits.MaxMessageBytes = 64 << 10
+	limits.MaxGroups = 2
 	p := start(t, testSite(), limits, Policy{FleetUID: "fleet"})
 	good := p.relay("r1", allFlags, 0)
 	bad := func(why string, bytes ...[]byte) {
@@ -161,7 +174,8 @@
 	}
 	frame := func(m *sasp.Message) []byte { return sasp.Append(nil, m) }
 	lying := frame(message(sasp.Registration, 1, "r2/search", 0))
-	lying[5], lying[6] = 0x7f, 0xff
+	lying[5] = 0x7f
+	lying[6] = 0xff
 	bad("over the limit", lying)
 	bad("not a SASP message", []byte("GET / HTTP/1.1\r\n"))
 	bad("as a manager", frame(&sasp.Message{Kind: sasp.SendWeights}))
@@ -175,7 +189,8 @@
 	bad("floods", flood)
 	half := make([]byte, 60<<10)
 	copy(half, frame(message(sasp.Registration, 1, "r2/search", 0)))
-	half[7], half[8] = 0xff, 0xff
+	half[7] = 0xff
+	half[8] = 0xff
 	for range 17 { // many connections with an incomplete message
 		p.server.Receive(p.now, p.dial("10.6.6.6"), half)
 	}
@@ -195,7 +210,8 @@
 	odd := frame(message(sasp.Registration, 1, "r1/search", 2))
 	odd[16] = 99 // a component's length
 	before := p.server.Stats.Replied
-	if p.server.Receive(p.now, good, odd); p.server.Stats.Replied != before+1 ||
+	p.server.Receive(p.now, good, odd)
+	if p.server.Stats.Replied != before+1 ||
 		p.received[good][len(p.received[good])-1].Code != sasp.NotUnderstood || p.closed[good] {
 		t.Errorf("a malformed body: %v", p.received[good][len(p.received[good])-1])
 	}
@@ -210,7 +226,8 @@
 		p := startDefault(t)
 		c := p.relay("r1", allFlags, 0, 1)
 		p.advance(1)
-		s, tries := balancer.Server(address(1).String()), 0.0
+		s := balancer.Server(address(1).String())
+		tries := 0.0
 		report := func(clock float64) {
 			tries += 5
 			p.fleet.ReportUpstream(p.now, clock, "r1", s, loadreport.Totals{Attempts: tries})
--- a/internal/core/saspsession/model_test.go
+++ b/internal/core/saspsession/model_test.go
@@ -15,7 +15,8 @@
 func TestRelaysConvergeToTables(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		p := startDefault(t)
-		conns, flags := map[int]Conn{}, map[int]uint8{}
+		conns := map[int]Conn{}
+		flags := map[int]uint8{}
 		leave := func(i int) {
 			if c, ok := conns[i]; ok {
 				p.server.Closed(p.now, c)
@@ -25,7 +26,8 @@
 		}
 		alive := func(i int) (Conn, bool) { c, ok := conns[i]; return c, ok && !p.closed[c] }
 		for range rapid.IntRange(5, 60).Draw(rt, "steps") {
-			i, s := rapid.IntRange(0, 3).Draw(rt, "relay"), rapid.IntRange(0, 5).Draw(rt, "server")
+			i := rapid.IntRange(0, 3).Draw(rt, "relay")
+			s := rapid.IntRange(0, 5).Draw(rt, "server")
 			uid := fmt.Sprintf("r%d", i)
 			switch rapid.IntRange(0, 8).Draw(rt, "what") {
 			case 0:
@@ -75,7 +77,8 @@
 					_, knows := g.members[server]
 					trusts := flags[i]&sasp.Trust != 0
 					got := p.weights[c][g.name+" "+string(server)]
-					if has = has || got > 0; !trusts && !knows {
+					has = has || got > 0
+					if !trusts && !knows {
 						want.Weight = 0
 					}
 					if got != want.Weight && (trusts || want.Weight > 0) {
--- a/internal/core/saspsession/session_test.go
+++ b/internal/core/saspsession/session_test.go
@@ -18,14 +18,16 @@
 		t.Errorf("the weight of a server without changes is %d", w)
 	}
 	pushes := p.pushes
-	if p.advance(3); p.pushes != pushes {
+	p.advance(3)
+	if p.pushes != pushes {
 		t.Errorf("%d messages without a change", p.pushes-pushes)
 	}
 }
 
 func TestResponseCodes(t *testing.T) {
 	p := startDefault(t)
-	c, m := p.relay("r1", allFlags, 0, 1), p.dial("10.0.0.4")
+	c := p.relay("r1", allFlags, 0, 1)
+	m := p.dial("10.0.0.4")
 	distrusts := p.relay("r2", sasp.Push, 0, 1)
 	other := p.dial("10.9.0.9")
 	for i, x := range []struct {
@@ -76,7 +78,8 @@
 
 func TestMemberRegistersItself(t *testing.T) {
 	p := startDefault(t)
-	trusts, not := p.relay("r1", allFlags, 0, 1), p.relay("r2", sasp.Push, 0, 1)
+	trusts := p.relay("r1", allFlags, 0, 1)
+	not := p.relay("r2", sasp.Push, 0, 1)
 	p.advance(1)
 	m := p.dial("10.0.0.5")
 	p.request(m, message(sasp.Registration, 0, "fleet/search", 5))
@@ -90,7 +93,8 @@
 	}
 	p.request(m, &sasp.Message{Kind: sasp.SetMember, Groups: []sasp.Group{{UID: []byte("fleet"), Name: []byte("search"), To: 1}},
 		Rows: []sasp.Row{{Address: sasp.AddressOf(address(5)), Flags: sasp.Quiesce}}})
-	if p.advance(0.3); p.weights[trusts][s] != 0 {
+	p.advance(0.3)
+	if p.weights[trusts][s] != 0 {
 		t.Errorf("its drain was not delivered")
 	}
 }
@@ -106,7 +110,8 @@
 	for _, i := range []int{4, 5} {
 		p.request(p.dial(address(i).Addr().String()), message(sasp.Registration, 0, "fleet/search", i))
 	}
-	if p.advance(0.3); p.countWeights(c, "search") == 0 {
+	p.advance(0.3)
+	if p.countWeights(c, "search") == 0 {
 		t.Errorf("it has no weights though its members are ready: %v", p.weights[c])
 	}
 }
@@ -116,7 +121,8 @@
 	site.Servers = site.Servers[:1]
 	p := start(t, site, DefaultLimits, Policy{FleetUID: "fleet", AnyAgent: true})
 	c := p.relay("r1", allFlags) // a group without members
-	if p.advance(1); p.countWeights(c, "search") != 1 {
+	p.advance(1)
+	if p.countWeights(c, "search") != 1 {
 		t.Fatalf("its weights are %v", p.weights[c])
 	}
 	drain := message(sasp.SetMember, 0, "fleet/search", 0)
@@ -124,7 +130,8 @@
 	if code := p.request(p.dial("10.9.9.9"), drain); code != sasp.OK {
 		t.Fatal(code)
 	}
-	if p.advance(0.3); p.countWeights(c, "search") != 0 {
+	p.advance(0.3)
+	if p.countWeights(c, "search") != 0 {
 		t.Errorf("the drained server still has a weight: %v", p.weights[c])
 	}
 }
@@ -132,7 +139,8 @@
 func TestPollingRelay(t *testing.T) {
 	p := startDefault(t)
 	c := p.relay("r1", sasp.Trust, 0, 1)
-	if p.advance(1); p.pushes != 0 {
+	p.advance(1)
+	if p.pushes != 0 {
 		t.Errorf("%d messages without a poll", p.pushes)
 	}
 	if code := p.request(c, message(sasp.GetWeights, 0)); code != sasp.OK || p.countWeights(c, "search") != 4 {
@@ -143,10 +151,12 @@
 	}
 	p.advance(0.2)
 	p.fleet.Registry.SetDrain(p.now, balancer.Server(address(1).String()), true)
-	if p.advance(1.5); p.closed[c] {
+	p.advance(1.5)
+	if p.closed[c] {
 		t.Errorf("disconnected before its poll is due: %q", p.log)
 	}
-	if p.advance(1); !p.closed[c] {
+	p.advance(1)
+	if !p.closed[c] {
 		t.Errorf("it has not polled within a drain's deadline, and is not disconnected")
 	}
 }
--- a/internal/frontend/longpollhttp/bench_test.go
+++ b/internal/frontend/longpollhttp/bench_test.go
@@ -46,7 +46,8 @@
 	}
 	parked := 0
 	for end := time.Now().Add(20 * time.Second); parked < n; time.Sleep(time.Millisecond) {
-		if s.Do(func(float64) { parked, _ = program.LongPoll.LongPoll.Parked() }); time.Now().After(end) {
+		s.Do(func(float64) { parked, _ = program.LongPoll.LongPoll.Parked() })
+		if time.Now().After(end) {
 			b.Fatalf("%d of %d polls are parked", parked, n)
 		}
 	}
@@ -116,7 +117,8 @@
 	if err != nil {
 		return
 	}
-	r, version := bufio.NewReaderSize(c, 1024), ""
+	r := bufio.NewReaderSize(c, 1024)
+	version := ""
 	for {
 		if _, err := fmt.Fprintf(c, "GET /v1/proxies/%s/tables?wait=50%s HTTP/1.1\r\nHost: x\r\nAccept: application/cbor\r\n\r\n", uid, version); err != nil {
 			return
--- a/internal/frontend/longpollhttp/fixture_test.go
+++ b/internal/frontend/longpollhttp/fixture_test.go
@@ -39,7 +39,8 @@
 		s.Servers = append(s.Servers, registry.ServerConfig{Server: serverName(i), Weight: 1, Static: true})
 	}
 	limits := longpoll.DefaultLimits
-	limits.JoinRate, limits.JoinBurst = 1e6, 1e6
+	limits.JoinRate = 1e6
+	limits.JoinBurst = 1e6
 	return coordinator.Config{Site: s, Limits: saspsession.DefaultLimits, Policy: saspsession.Policy{FleetUID: "fleet"}, LongPoll: longpollhttp.DefaultLimits,
 		Parking: limits, HTTP: netip.AddrPortFrom(netip.MustParseAddr("127.0.0.1"), port)}
 }
--- a/internal/frontend/longpollhttp/frontend_test.go
+++ b/internal/frontend/longpollhttp/frontend_test.go
@@ -91,7 +91,8 @@
 
 func TestHostileRequests(t *testing.T) {
 	set := testConfig(3, 2, 14881)
-	set.LongPoll.IdleTimeout, set.LongPoll.MaxConnections = 0.6, 50
+	set.LongPoll.IdleTimeout = 0.6
+	set.LongPoll.MaxConnections = 50
 	program, s, base := listen(t, set)
 	const get = "GET /openapi.json HTTP/1.1\r\nHost: x\r\n"
 	for name, c := range map[string]struct {
@@ -109,10 +110,12 @@
 		"a head without end":         {get + "X: " + strings.Repeat("y", 9000), "431"},
 		"a large head":               {get + "X: " + strings.Repeat("y", 9000) + "\r\n\r\n", "431"},
 	} {
-		got := exchangeRaw(t, base, c.send)
-		if !strings.HasPrefix(got, "HTTP/1.1 "+c.status) || strings.Count(got, "HTTP/1.1") != 1 || !strings.Contains(got, "Connection: close") {
-			t.Errorf("%s: %.200q, want %s once and a close", name, got, c.status)
-		}
+		t.Run(name, func(t *testing.T) {
+			got := exchangeRaw(t, base, c.send)
+			if !strings.HasPrefix(got, "HTTP/1.1 "+c.status) || strings.Count(got, "HTTP/1.1") != 1 || !strings.Contains(got, "Connection: close") {
+				t.Errorf("%.200q, want %s once and a close", got, c.status)
+			}
+		})
 	}
 	pieces := strings.Split(get+"\r\n"+get+"\r\n", "")
 	if got := exchangeRaw(t, base, pieces...); strings.Count(got, "HTTP/1.1 200") != 2 {
@@ -128,11 +131,13 @@
 	}
 	time.Sleep(100 * time.Millisecond)
 	n := 0
-	if s.Do(func(float64) { n = program.LongPoll.Connections() }); n > 50 {
+	s.Do(func(float64) { n = program.LongPoll.Connections() })
+	if n > 50 {
 		t.Errorf("%d connections are open", n)
 	}
 	for end := time.Now().Add(10 * time.Second); n > 0; time.Sleep(20 * time.Millisecond) {
-		if s.Do(func(float64) { n = program.LongPoll.Connections() }); time.Now().After(end) {
+		s.Do(func(float64) { n = program.LongPoll.Connections() })
+		if time.Now().After(end) {
 			t.Fatalf("%d silent connections are still open", n)
 		}
 	}
@@ -141,7 +146,8 @@
 // A client that does not read a large answer is disconnected, and its proxy leaves.
 func TestSlowReaderIsDisconnected(t *testing.T) {
 	set := testConfig(3000, 1, 14882)
-	set.LongPoll.DeliveryTimeout, set.Parking.PollGap = 0.4, 0.8
+	set.LongPoll.DeliveryTimeout = 0.4
+	set.Parking.PollGap = 0.8
 	program, s, base := listen(t, set)
 	c, err := net.Dial("tcp", strings.TrimPrefix(base, "http://"))
 	if err != nil {
@@ -154,10 +160,12 @@
 	if _, err := c.Write([]byte("GET /v1/proxies/r1/tables?wait=30 HTTP/1.1\r\nHost: x\r\n\r\n")); err != nil {
 		t.Fatal(err)
 	}
-	joined, conns := 1, 1
+	joined := 1
+	conns := 1
 	for end := time.Now().Add(10 * time.Second); joined+conns > 0; time.Sleep(50 * time.Millisecond) {
 		s.Do(func(float64) {
-			joined, conns = program.Fleet.Joined(), program.LongPoll.Connections()
+			joined = program.Fleet.Joined()
+			conns = program.LongPoll.Connections()
 		})
 		if time.Now().After(end) {
 			t.Fatalf("%d joined, %d connections", joined, conns)
--- a/internal/wire/delta/golden_test.go
+++ b/internal/wire/delta/golden_test.go
@@ -8,7 +8,8 @@
 )
 
 func TestTablesOnTheWire(t *testing.T) {
-	level, comeBack := 0.75, 1.5
+	level := 0.75
+	comeBack := 1.5
 	tables := Tables{Epoch: "00000000000000a1", Version: 12, Base: 11, PollWithin: 30, OwnershipEpoch: 4, Classes: []Class{{Class: "search", Full: true,
 		Entries: []Entry{{Server: "127.0.1.2:8080", Weight: 1.5, Draining: true}}, Admission: &level, Retry: "proof", RetryAfter: &comeBack}}}
 	golden.JSON(t, "tables.json", tables)
--- a/internal/wire/sasp/sasp_test.go
+++ b/internal/wire/sasp/sasp_test.go
@@ -59,9 +59,12 @@
 				r := testRow(i)
 				switch m.Kind {
 				case Registration, Deregistration:
-					r.Flags, r.Weight = 0, 0
+					r.Flags = 0
+					r.Weight = 0
 				case SetMember:
-					r.Flags, r.Weight, r.Opaque = Quiesce, 0, 9
+					r.Flags = Quiesce
+					r.Weight = 0
+					r.Opaque = 9
 				}
 				m.Rows = append(m.Rows, r)
 			}
@@ -110,18 +113,22 @@
 		"wrong component": {change(19, 0x30), ErrBody, "0x3011 where 0x4011"},
 		"long name":       {change(29, 255), ErrBody, "missing"},
 	} {
-		n, err := Frame(c.b, MaxMessageBytes)
-		if err == nil && n > 0 {
-			err = Decode(c.b[:n], &Message{})
-		}
-		if !errors.Is(err, c.want) || !strings.Contains(fmt.Sprint(err), c.says) {
-			t.Errorf("%s: %v, want %v with %q", name, err, c.want, c.says)
-		}
+		t.Run(name, func(t *testing.T) {
+			n, err := Frame(c.b, MaxMessageBytes)
+			if err == nil && n > 0 {
+				err = Decode(c.b[:n], &Message{})
+			}
+			if !errors.Is(err, c.want) || !strings.Contains(fmt.Sprint(err), c.says) {
+				t.Errorf("%v, want %v with %q", err, c.want, c.says)
+			}
+		})
 	}
 }
 
 func TestReuseAllocatesNothing(t *testing.T) {
-	m, into, b := pushMessage(300), &Message{}, []byte(nil)
+	m := pushMessage(300)
+	into := &Message{}
+	b := []byte(nil)
 	run := func() {
 		b = Append(b[:0], m)
 		if err := Decode(b, into); err != nil {
@@ -155,7 +162,8 @@
 }
 
 func BenchmarkAppend300(b *testing.B) {
-	m, out := pushMessage(300), []byte(nil)
+	m := pushMessage(300)
+	out := []byte(nil)
 	b.ReportAllocs()
 	for b.Loop() {
 		out = Append(out[:0], m)
@@ -164,7 +172,8 @@
 }
 
 func BenchmarkDecode300(b *testing.B) {
-	in, m := Append(nil, pushMessage(300)), &Message{}
+	in := Append(nil, pushMessage(300))
+	m := &Message{}
 	b.ReportAllocs()
 	b.SetBytes(int64(len(in)))
 	for b.Loop() {
