--- a/internal/core/longpoll/answers.go
+++ b/internal/core/longpoll/answers.go
@@ -37,7 +37,7 @@
 type Answer struct {
 	Epoch          uint64
 	Version        uint64
-	From           uint64 // version that the proxy must hold, or a later one, to apply the answer; 0: any
+	Base           uint64 // version that the proxy must hold, or a later one, to apply the answer; 0: any
 	Classes        []Class
 	PollWithin     float64 // seconds within which the proxy must poll again
 	OwnershipEpoch uint64  // epoch of proxy ownership; the proxy drops the answer if it has followed a newer one
@@ -69,7 +69,7 @@
 // sendUpdate answers a parked poll with the newest state. If nothing differs from what the proxy holds, the poll stays
 // parked.
 func (s *Server) sendUpdate(now float64, client *clientState) {
-	s.answer.From = 0
+	s.answer.Base = 0
 	s.answer.Classes = s.answer.Classes[:0]
 	entries := 0
 	for i := range client.proxy.Tables {
@@ -100,7 +100,7 @@
 	s.appendEntries(added, changed)
 	s.setAdmission(added, client)
 	if !full {
-		s.answer.From = client.baseVersion
+		s.answer.Base = client.baseVersion
 	}
 	switch {
 	case full:
--- a/internal/core/longpoll/fixture_test.go
+++ b/internal/core/longpoll/fixture_test.go
@@ -52,7 +52,7 @@
 }
 
 func (f *fixture) apply(proxy *testProxy, a *Answer) {
-	if len(a.Classes) == 0 || a.From > 0 && (a.Epoch != proxy.epoch || a.From > proxy.version) {
+	if len(a.Classes) == 0 || a.Base > 0 && (a.Epoch != proxy.epoch || a.Base > proxy.version) {
 		return // nothing is newer than what the poll named, or the delta does not apply
 	}
 	proxy.answers++
--- a/internal/core/longpoll/polls.go
+++ b/internal/core/longpoll/polls.go
@@ -133,7 +133,7 @@
 	}
 	s.Stats.Empty++
 	s.answer.Classes = s.answer.Classes[:0]
-	s.answer.From = 0
+	s.answer.Base = 0
 	s.reply(now, client)
 	s.fleet.Suspend(client.proxy)
 }
--- a/internal/frontend/longpollhttp/answers.go
+++ b/internal/frontend/longpollhttp/answers.go
@@ -50,7 +50,7 @@
 func (f *Frontend) setTables(answer *longpoll.Answer) {
 	f.tables.Epoch = strconv.FormatUint(answer.Epoch, 16)
 	f.tables.Version = answer.Version
-	f.tables.Base = answer.From
+	f.tables.Base = answer.Base
 	f.tables.PollWithin = answer.PollWithin
 	f.tables.OwnershipEpoch = answer.OwnershipEpoch
 	f.tables.Classes = f.tables.Classes[:0]
