--- a/internal/frontend/admin/admin.go
+++ b/internal/frontend/admin/admin.go
@@ -42,7 +42,7 @@
 	// Drain orders a drain or its end; done is called once, when it is agreed on and durable, or refused.
 	Drain(now float64, of tenancy.Name, s balancer.Server, on bool, done func(ok bool))
 	// MessageTraces are the latest ones of a tenant, newest first; those to one relay if it is named.
-	MessageTraces(of tenancy.Name, relay string) []map[string]any
+	MessageTraces(of tenancy.Name, relay string) []MessageTrace
 	authz.Authenticator
 }
 
--- /dev/null
+++ b/internal/service/http.go
@@ -0,0 +1,59 @@
+package service
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"log/slog"
+	"net"
+	"net/http"
+	"net/netip"
+	"time"
+)
+
+const (
+	readHeaderTimeout = 5 * time.Second // for a client to send the header of its request
+	shutdownTimeout   = 5 * time.Second // for requests in progress when a server shuts down
+)
+
+// httpServer is an HTTP server beside the event loop. Use listenHTTP.
+type httpServer struct {
+	server   *http.Server
+	finished chan struct{} // closed when the serving goroutine has ended
+}
+
+// listenHTTP serves HTTP on an address. name is used in errors and the log. The caller shuts the server down or aborts it.
+func listenHTTP(name string, address netip.AddrPort, handler http.Handler, logger *slog.Logger) (*httpServer, error) {
+	listener, err := net.Listen("tcp", address.String())
+	if err != nil {
+		return nil, fmt.Errorf("%s: %w", name, err)
+	}
+	s := &httpServer{
+		server:   &http.Server{Handler: handler, ReadHeaderTimeout: readHeaderTimeout},
+		finished: make(chan struct{}),
+	}
+	go func() {
+		defer close(s.finished)
+		err := s.server.Serve(listener)
+		if !errors.Is(err, http.ErrServerClosed) {
+			logger.Error("HTTP server failed", "server", name, "error", err)
+		}
+	}()
+	return s, nil
+}
+
+// shutdown ends the server once the requests in progress are answered, after shutdownTimeout at the latest.
+func (s *httpServer) shutdown() error {
+	ctx, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
+	defer cancel()
+	err := s.server.Shutdown(ctx)
+	<-s.finished
+	return err
+}
+
+// abort ends the server at once and closes its connections.
+func (s *httpServer) abort() error {
+	err := s.server.Close()
+	<-s.finished
+	return err
+}
--- /dev/null
+++ b/internal/service/process.go
@@ -0,0 +1,128 @@
+// Package service runs a coordinator, a host of many tenants or a proxy as a process: sockets, stores, metrics, traces and
+// the administration API.
+package service
+
+import (
+	"errors"
+	"log/slog"
+	"net/http"
+	"net/netip"
+	"os"
+	"time"
+
+	"snowquay/internal/consensus"
+	"snowquay/internal/coordinator"
+	"snowquay/internal/env"
+	"snowquay/internal/frontend/eventloop"
+)
+
+const (
+	leaveTimeout      = 2 * time.Second       // for the other members of a group to learn that this one leaves
+	leavePollInterval = 20 * time.Millisecond // between two checks whether they have learnt it
+)
+
+// process owns what a running program has opened, and closes it in the reverse order.
+type process struct {
+	role    string // "coordinator", "host" or "proxy", for the log
+	logger  *slog.Logger
+	server  *eventloop.Server
+	failed  chan error // receives the error that stops the program; nil if nothing but a signal stops it
+	closers []func() error
+}
+
+// onClose adds a function that close calls.
+func (p *process) onClose(closer func() error) { p.closers = append(p.closers, closer) }
+
+// close closes everything that was opened, the last one first, and joins the errors.
+func (p *process) close() error {
+	var err error
+	for i := len(p.closers) - 1; i >= 0; i-- {
+		err = errors.Join(err, p.closers[i]())
+	}
+	return err
+}
+
+// groupMember is what the process of a member needs to take part in its group.
+type groupMember struct {
+	storage     consensus.Storage
+	incarnation uint64
+	ports       []netip.AddrPort // on which the other members dial this one
+}
+
+// openGroup opens the consensus log of a member at a path; the zero groupMember if there is no group. From then on the process
+// stops when fail is called.
+func (p *process) openGroup(config *coordinator.GroupConfig, path string) (groupMember, error) {
+	p.failed = make(chan error, 1)
+	if config == nil {
+		return groupMember{}, nil
+	}
+	storage, err := consensus.OpenFileStorage(path, consensus.ID(config.Self))
+	if err != nil {
+		return groupMember{}, err
+	}
+	p.onClose(storage.Close)
+	return groupMember{
+		storage:     storage,
+		incarnation: consensus.RandomID(),
+		ports:       []netip.AddrPort{config.Members[config.Self]},
+	}, nil
+}
+
+// fail stops the process with an error. It is called once at most, so the send never blocks.
+func (p *process) fail(err error) { p.failed <- err }
+
+// listen starts the event loop of the program.
+func (p *process) listen(program env.Program, ports []netip.AddrPort, measurements netip.AddrPort, clock func() float64) error {
+	server, err := eventloop.Listen(program, ports, measurements, clock)
+	if err != nil {
+		return err
+	}
+	p.server = server
+	p.onClose(server.Stop)
+	return nil
+}
+
+// serveMetrics serves the metrics endpoint. Requests in progress are answered before it closes.
+func (p *process) serveMetrics(address netip.AddrPort, handler http.Handler) error {
+	server, err := listenHTTP("metrics", address, handler, p.logger)
+	if err != nil {
+		return err
+	}
+	p.onClose(server.shutdown)
+	return nil
+}
+
+// serveAdministration serves the administration API. Requests in progress are aborted when it closes.
+func (p *process) serveAdministration(address netip.AddrPort, handler http.Handler) error {
+	server, err := listenHTTP("administration", address, handler, p.logger)
+	if err != nil {
+		return err
+	}
+	p.onClose(server.abort)
+	return nil
+}
+
+// wait blocks until a signal arrives or the program has failed, and returns the error it failed with. A program that has failed
+// is not started again here: proxies dial another coordinator, and the process supervisor restarts this one or reports why not.
+func (p *process) wait(stop <-chan os.Signal) error {
+	select {
+	case received := <-stop:
+		p.logger.Info(p.role+" stopping", "signal", received.String())
+		return nil
+	case err := <-p.failed:
+		return err
+	}
+}
+
+// leave gives up what this process owns in its group, and waits until the other members know, for leaveTimeout at most.
+func (p *process) leave(leave func(now float64) (known bool)) {
+	deadline := time.Now().Add(leaveTimeout)
+	for time.Now().Before(deadline) {
+		known := false
+		p.server.Do(func(now float64) { known = leave(now) })
+		if known {
+			return
+		}
+		time.Sleep(leavePollInterval)
+	}
+}
