--- a/internal/service/coordinator.go
+++ b/internal/service/coordinator.go
@@ -97,7 +97,7 @@
 	if err != nil {
 		return err
 	}
-	return p.serveAdministration(config.Admin, admin.New(now, administered, p.logger.Info))
+	return p.serveAdministration(config.Admin, admin.New(now, administered, p.logger))
 }
 
 // administeredCoordinator is a coordinator as its administration API sees it. It implements admin.Program.
--- a/internal/service/host.go
+++ b/internal/service/host.go
@@ -61,7 +61,7 @@
 		}
 	}
 	administered := &administeredHost{server: proc.server, program: program, traces: traces, loggers: loggers}
-	err = proc.serveAdministration(config.Admin, admin.NewHosted(clock(), administered, logger.Info))
+	err = proc.serveAdministration(config.Admin, admin.NewHosted(clock(), administered, logger))
 	if err != nil {
 		return err
 	}
