--- /dev/null
+++ b/internal/frontend/eventloop/io.go
@@ -0,0 +1,106 @@
+package eventloop
+
+import (
+	"context"
+	"net"
+	"net/netip"
+	"time"
+
+	"github.com/panjf2000/gnet/v2"
+
+	"snowquay/internal/env"
+)
+
+const dialTimeout = time.Second
+
+// outgoingConn is the context of an outgoing connection until it is open.
+type outgoingConn struct{ id env.Conn }
+
+// Dial implements env.IO. It dials beside the loop, which then owns the connection.
+func (s *Server) Dial(to netip.AddrPort) env.Conn {
+	id := s.nextConn()
+	engine := s.engine
+	s.dials.Go(func() {
+		err := s.connect(engine, &outgoingConn{id: id}, to)
+		if err == nil {
+			return // OnOpen has reported it
+		}
+		s.mu.Lock()
+		defer s.mu.Unlock()
+		if !s.stopped {
+			s.program.Connected(s.clock(), id, false)
+		}
+	})
+	return id
+}
+
+// connect opens an outgoing connection and hands it to the engine. It returns when OnOpen has run, or early with an error when
+// the server stops.
+func (s *Server) connect(engine gnet.Engine, outgoing *outgoingConn, to netip.AddrPort) error {
+	ctx, cancel := context.WithTimeout(s.dialCtx, dialTimeout)
+	defer cancel()
+	var dialer net.Dialer
+	c, err := dialer.DialContext(ctx, "tcp", to.String())
+	if err != nil {
+		return err
+	}
+	select {
+	case <-s.ticking: // an earlier connection would be lost, because the engine does not know its loops yet
+	case <-s.dialCtx.Done():
+		_ = c.Close() // it was not used
+		return s.dialCtx.Err()
+	}
+	s.registerMu.Lock()
+	result, err := engine.Register(gnet.NewContext(gnet.NewNetConnContext(context.Background(), c), outgoing))
+	s.registerMu.Unlock()
+	if err != nil {
+		_ = c.Close() // it was not used
+		return err
+	}
+	select {
+	case registered := <-result:
+		return registered.Err
+	case <-s.dialCtx.Done(): // the engine, which owns the connection, may have ended without a result
+		return s.dialCtx.Err()
+	}
+}
+
+// Datagram implements env.IO.
+func (s *Server) Datagram(to netip.AddrPort, data []byte) {
+	if s.udp == nil {
+		socket, err := net.ListenUDP("udp", nil)
+		if err != nil {
+			return // datagrams may be lost
+		}
+		s.udp = socket
+	}
+	_, _ = s.udp.WriteToUDPAddrPort(data, to) // datagrams may be lost
+}
+
+// Send implements env.IO.
+func (s *Server) Send(id env.Conn, data []byte) {
+	c := s.conns[id]
+	if c == nil {
+		return
+	}
+	c.sent += uint64(len(data))
+	if !s.ignoresDelivery {
+		s.undelivered[id] = c
+	}
+	s.writing.Store(true)
+	defer s.writing.Store(false)
+	_, _ = c.gnet.Write(data) // an error closes the connection: OnClose reports it from within this call
+	if s.maxUnread > 0 && s.conns[id] == c && c.gnet.OutboundBuffered() > s.maxUnread {
+		_ = c.gnet.Close() // OnClose reports it like an error
+	}
+}
+
+// Close implements env.IO.
+func (s *Server) Close(id env.Conn) {
+	c := s.conns[id]
+	if c == nil {
+		return
+	}
+	s.remove(c)
+	_ = c.gnet.Close()
+}
