--- a/internal/service/group_test.go
+++ b/internal/service/group_test.go
@@ -3,7 +3,6 @@
 import (
 	"fmt"
 	"io"
-	"log/slog"
 	"net"
 	"os"
 	"path/filepath"
@@ -19,60 +18,35 @@
 
 const groupKey = "a key of sixteen bytes, and more"
 
-// groupXML is the example's settings for one of three.
-func groupXML(t *testing.T, dir string, number, count int, joins bool) *settings.Coordinator {
+// memberConfig returns the example settings for one member of a group.
+func memberConfig(t *testing.T, dir string, number, count int, joins bool) *settings.Coordinator {
 	t.Helper()
-	text, err := os.ReadFile("../../docs/example.xml")
-	if err != nil {
-		t.Fatal(err)
-	}
 	var peers strings.Builder
 	for i := 1; i <= count; i++ {
 		fmt.Fprintf(&peers, `<peer number="%d" address="127.0.0.1:%d"/>`, i, 15200+i)
 	}
-	c, err := settings.ParseCoordinator("example.xml", []byte(strings.NewReplacer(":3860", fmt.Sprint(":", 15210+number), ":25826",
-		fmt.Sprint(":", 15220+number), ":9464", fmt.Sprint(":", 15230+number), "snowquay.db", filepath.Join(dir, fmt.Sprint(number, ".db")),
-		`<zone name="north"/>`, fmt.Sprintf(`<group number="%d" key="%s" store="%s" joins="%t">%s</group><zone name="north"/>`, number,
-			groupKey, filepath.Join(dir, fmt.Sprint(number, ".group")), joins, peers.String())).Replace(string(text))))
-	if err != nil {
-		t.Fatal(err)
-	}
-	return c
-}
-
-type served struct {
-	c    *settings.Coordinator
-	stop chan os.Signal
-	done chan error
+	group := fmt.Sprintf(`<group number="%d" key="%s" store="%s" joins="%t">%s</group>`, number, groupKey,
+		filepath.Join(dir, fmt.Sprint(number, ".group")), joins, peers.String())
+	return parseExample(t,
+		":3860", fmt.Sprint(":", 15210+number),
+		":25826", fmt.Sprint(":", 15220+number),
+		":9464", fmt.Sprint(":", 15230+number),
+		"snowquay.db", filepath.Join(dir, fmt.Sprint(number, ".db")),
+		`<zone name="north"/>`, group+`<zone name="north"/>`)
 }
 
-func serveOne(c *settings.Coordinator) *served {
-	s := &served{c, make(chan os.Signal, 1), make(chan error, 1)}
-	go func() {
-		s.done <- Serve(c, slog.New(slog.DiscardHandler), s.stop)
-	}()
-	return s
+// runningMember is a coordinator of a group that runs in this process.
+type runningMember struct {
+	*running
+	config *settings.Coordinator
 }
 
-func (s *served) end(t *testing.T) {
-	t.Helper()
-	s.stop <- os.Interrupt
-	if err := <-s.done; err != nil {
-		t.Error(err)
-	}
-}
-
-func eventually(t *testing.T, what string, ok func() bool) {
-	t.Helper()
-	for end := time.Now().Add(20 * time.Second); !ok(); time.Sleep(20 * time.Millisecond) {
-		if time.Now().After(end) {
-			t.Fatal(what)
-		}
-	}
+func runMember(config *settings.Coordinator) *runningMember {
+	return &runningMember{running: runCoordinator(config), config: config}
 }
 
-// tell sends a member's words and returns the code of the last answer.
-func tell(t *testing.T, at string, messages ...*sasp.Message) sasp.Code {
+// sendAndReceive sends the messages of a server and returns the code of the last reply.
+func sendAndReceive(t *testing.T, at string, messages ...*sasp.Message) sasp.Code {
 	t.Helper()
 	c, err := net.Dial("tcp", at)
 	if err != nil {
@@ -101,16 +75,16 @@
 	return code
 }
 
-// Three coordinators run from settings files: one is told of a drain and leaves, the others know it; one is taken out
-// and replaced under a new number.
-func TestServeInAGroup(t *testing.T) {
+// One of three coordinators takes a drain and leaves, and the others know the drain. A member is removed and replaced under a
+// new number.
+func TestServeInGroup(t *testing.T) {
 	dir := t.TempDir()
-	all := map[int]*served{}
+	all := map[int]*runningMember{}
 	for n := 1; n <= 3; n++ {
-		all[n] = serveOne(groupXML(t, dir, n, 3, false))
+		all[n] = runMember(memberConfig(t, dir, n, 3, false))
 	}
 	status := func(n int) (living, drains int, leads bool) {
-		s, err := GroupStatus(all[n].c.Group.Members[membership.MemberID(n)], []byte(groupKey))
+		s, err := GroupStatus(all[n].config.Group.Members[membership.MemberID(n)], []byte(groupKey))
 		if err != nil {
 			return 0, 0, false
 		}
@@ -126,9 +100,9 @@
 	}
 	// The server at [::1] stands; the settings allow members to speak from their own host only, so it is told from there.
 	member := &sasp.Message{Kind: sasp.SetMember, Groups: []sasp.Group{{UID: []byte("fleet"), Name: []byte("search"), To: 1}},
-		Rows: []sasp.Row{{Address: sasp.AddressOf(all[1].c.SASP), Flags: sasp.Quiesce}}}
-	register := &sasp.Message{Kind: sasp.Registration, Groups: member.Groups, Rows: []sasp.Row{{Address: sasp.AddressOf(all[1].c.SASP)}}}
-	if code := tell(t, all[2].c.SASP.String(), register, member); code != sasp.OK {
+		Rows: []sasp.Row{{Address: sasp.AddressOf(all[1].config.SASP), Flags: sasp.Quiesce}}}
+	register := &sasp.Message{Kind: sasp.Registration, Groups: member.Groups, Rows: []sasp.Row{{Address: sasp.AddressOf(all[1].config.SASP)}}}
+	if code := sendAndReceive(t, all[2].config.SASP.String(), register, member); code != sasp.OK {
 		t.Fatalf("the drain was answered with %s", code)
 	}
 	all[2].end(t)
@@ -142,16 +116,16 @@
 		t.Error("the metrics do not tell")
 	}
 	golden.Bytes(t, "metrics-group.txt", metricNames(get(t, "http://127.0.0.1:15231/metrics")))
-	if err := RemoveMember(all[1].c.Group, 2, 20*time.Second); err != nil {
+	if err := RemoveMember(all[1].config.Group, 2, 20*time.Second); err != nil {
 		t.Fatal(err)
 	}
-	all[4] = serveOne(groupXML(t, dir, 4, 4, true))
+	all[4] = runMember(memberConfig(t, dir, 4, 4, true))
 	eventually(t, "the new one does not lead", func() bool { living, drains, leads := status(4); return living == 3 && drains == 1 && leads })
-	back := serveOne(groupXML(t, dir, 2, 3, false))
+	back := runMember(memberConfig(t, dir, 2, 3, false))
 	if err := <-back.done; err == nil || !strings.Contains(err.Error(), "taken this coordinator out") {
 		t.Errorf("one that was taken out came back: %v", err)
 	}
-	if _, err := GroupStatus(all[1].c.Group.Members[1], []byte("another key of sixteen bytes")); err == nil {
+	if _, err := GroupStatus(all[1].config.Group.Members[1], []byte("another key of sixteen bytes")); err == nil {
 		t.Error("a tool with another key was answered")
 	}
 	for _, n := range []int{1, 3, 4} {
@@ -159,35 +133,35 @@
 	}
 }
 
-// A folder that is damaged or another's is told plainly, and nothing runs.
-func TestServeRefusesABadFolder(t *testing.T) {
+// A coordinator does not run on a damaged log of its group.
+func TestServeRejectsDamagedGroupStore(t *testing.T) {
 	dir := t.TempDir()
-	c := groupXML(t, dir, 1, 3, false)
+	c := memberConfig(t, dir, 1, 3, false)
 	if err := os.WriteFile(c.GroupStore, []byte("this is no store at all, but long enough to be looked at"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if err := <-serveOne(c).done; err == nil {
+	if err := <-runMember(c).done; err == nil {
 		t.Error("it runs on a file that is no store")
 	}
 }
 
-// What it costs that a drain is agreed on: from its order to its confirmation, by one coordinator alone and by one of three
-// that share the fleet, all on this machine and on its disk.
+// BenchmarkDrain measures the time from the order of a drain to its confirmation, by a coordinator alone and by one of three in a
+// group, all on this machine and its disk.
 func BenchmarkDrain(b *testing.B) {
 	for _, count := range []int{0, 3} {
 		b.Run(fmt.Sprint(count, "-in-the-group"), func(b *testing.B) {
 			t := &testing.T{}
 			dir := b.TempDir()
-			var all []*served
+			var all []*runningMember
 			for n := 1; n <= max(count, 1); n++ {
-				c := groupXML(t, dir, n, max(count, 1), false)
+				c := memberConfig(t, dir, n, max(count, 1), false)
 				if count == 0 {
 					c.Group = nil
 				}
-				all = append(all, serveOne(c))
+				all = append(all, runMember(c))
 			}
 			time.Sleep(2 * time.Second)
-			at := all[0].c.SASP
+			at := all[0].config.SASP
 			c, err := net.Dial("tcp", at.String())
 			if err != nil {
 				b.Fatal(err)
@@ -215,10 +189,7 @@
 				say(&sasp.Message{Kind: sasp.SetMember, Groups: groups, Rows: []sasp.Row{{Address: sasp.AddressOf(at), Flags: flags}}})
 			}
 			for _, s := range all {
-				s.stop <- os.Interrupt
-				if err := <-s.done; err != nil {
-					b.Error(err)
-				}
+				s.end(b)
 			}
 		})
 	}
--- a/internal/service/proxy_test.go
+++ b/internal/service/proxy_test.go
@@ -4,7 +4,6 @@
 	"bufio"
 	"fmt"
 	"io"
-	"log/slog"
 	"math/rand/v2"
 	"net"
 	"net/http"
@@ -24,7 +23,8 @@
 	"snowquay/internal/settings"
 )
 
-// backends are servers that say who they are.
+// backends starts servers that answer with their number, and returns their addresses and a function that returns the number of
+// queries of each.
 func backends(t testing.TB, n int) (at []string, hits func() []int64) {
 	var mu sync.Mutex
 	counts := make([]int64, n)
@@ -45,38 +45,25 @@
 	}
 }
 
-// A proxy and a coordinator run from their settings files: the proxy follows the published weights.
-func TestServeAProxy(t *testing.T) {
+// A proxy follows the weights that a coordinator publishes, and goes on by them when the coordinator has ended.
+func TestServeProxy(t *testing.T) {
 	at, hits := backends(t, 3)
-	coordinator, err := os.ReadFile("../../docs/example.xml")
-	if err != nil {
-		t.Fatal(err)
-	}
 	dir := t.TempDir()
-	text := string(coordinator)
+	text := readFile(t, "../../docs/example.xml")
 	for i, old := range []string{"127.0.1.1:8080", "127.0.1.2:8080", "127.0.1.3:8080"} {
 		text = strings.Replace(text, `address="`+old+`"`, `standing="true" address="`+at[i]+`"`, 1)
 	}
 	text = strings.Replace(text, `<server address="[::1]:8080" zone="south" pod="1" standing="true"/>`, "", 1)
-	c, err := settings.ParseCoordinator("example.xml", []byte(strings.NewReplacer(":3860", `:15810" http="127.0.0.1:15811`, ":25826", ":15812",
+	coordinator := runCoordinator(parseCoordinator(t, strings.NewReplacer(":3860", `:15810" http="127.0.0.1:15811`, ":25826", ":15812",
 		":9464", ":15813", "snowquay.db", filepath.Join(dir, "roll.db")).Replace(text)))
+	text = strings.NewReplacer(":8000", ":15814", ":9465", ":15815", ":8600", ":15811", "25826", "15812", "relay-1.table",
+		filepath.Join(dir, "table"), "127.0.1.1:8080", at[0], "127.0.1.2:8080", at[1], "127.0.1.3:8080", at[2]).
+		Replace(readFile(t, "../../docs/example-proxy.xml"))
+	config, err := settings.ParseProxy("example-proxy.xml", []byte(text))
 	if err != nil {
 		t.Fatal(err)
 	}
-	stop, done := make(chan os.Signal, 1), make(chan error, 1)
-	go func() { done <- Serve(c, slog.New(slog.DiscardHandler), stop) }()
-	example, err := os.ReadFile("../../docs/example-proxy.xml")
-	if err != nil {
-		t.Fatal(err)
-	}
-	p, err := settings.ParseProxy("example-proxy.xml", []byte(strings.NewReplacer(":8000", ":15814", ":9465", ":15815", ":8600", ":15811",
-		"25826", "15812", "relay-1.table", filepath.Join(dir, "table"), "127.0.1.1:8080", at[0], "127.0.1.2:8080", at[1], "127.0.1.3:8080", at[2]).
-		Replace(string(example))))
-	if err != nil {
-		t.Fatal(err)
-	}
-	stopProxy, doneProxy := make(chan os.Signal, 1), make(chan error, 1)
-	go func() { doneProxy <- Proxy(p, slog.New(slog.DiscardHandler), stopProxy) }()
+	proxy := runProxy(config)
 	eventually(t, "the proxy is not led", func() bool {
 		r, err := http.Get("http://127.0.0.1:15815/metrics")
 		if err != nil {
@@ -102,21 +89,15 @@
 			strings.Contains(figures, "snowquay_measurements_garbled_total 0")
 	})
 	golden.Bytes(t, "metrics-proxy.txt", metricNames(get(t, "http://127.0.0.1:15815/metrics")))
-	stop <- os.Interrupt
-	if err := <-done; err != nil {
-		t.Error(err)
-	}
+	coordinator.end(t)
 	if got := get(t, "http://127.0.0.1:15814/search/b"); !strings.Contains(got, "got /search/b") {
 		t.Error("without its coordinator it does not go on")
 	}
 	eventually(t, "no snapshot", func() bool { _, err := os.Stat(filepath.Join(dir, "table")); return err == nil })
-	stopProxy <- os.Interrupt
-	if err := <-doneProxy; err != nil {
-		t.Error(err)
-	}
+	proxy.end(t)
 }
 
-// load asks by so many connections and gives the times of all queries, sorted.
+// load sends queries on several connections and returns the sorted durations of all queries, and the duration of the whole.
 func load(b testing.TB, at string, conns, each int) (times []time.Duration, took time.Duration) {
 	var mu sync.Mutex
 	var group sync.WaitGroup
@@ -159,21 +140,20 @@
 	return times, took
 }
 
-// Our proxy against the standard library's reverse proxy with a plain random pick, on the same servers, in one run; and the
-// servers without any proxy.
+// BenchmarkProxy compares this proxy with the standard library's reverse proxy with a random choice, on the same servers, and with
+// no proxy at all.
 func BenchmarkProxy(b *testing.B) {
 	at, _ := backends(b, 8)
 	var list strings.Builder
 	for i, a := range at {
 		fmt.Fprintf(&list, `<server address="%s" zone="a" pod="%d" standing="true"/>`, a, i)
 	}
-	p, err := settings.ParseProxy("x.xml", []byte(`<proxy uid="p"><listen clients="127.0.0.1:15820"/><zone name="a"/><route path="/" class="search"/>`+
+	config, err := settings.ParseProxy("x.xml", []byte(`<proxy uid="p"><listen clients="127.0.0.1:15820"/><zone name="a"/><route path="/" class="search"/>`+
 		`<class name="search" benefit="1" goal-time="5" client-timeout="9" effect="free"/>`+list.String()+`</proxy>`))
 	if err != nil {
 		b.Fatal(err)
 	}
-	stop, done := make(chan os.Signal, 1), make(chan error, 1)
-	go func() { done <- Proxy(p, slog.New(slog.DiscardHandler), stop) }()
+	proxy := runProxy(config)
 	transport := &http.Transport{MaxIdleConnsPerHost: 64, MaxIdleConns: 1000}
 	plain := httptest.NewServer(&httputil.ReverseProxy{Transport: transport, Rewrite: func(r *httputil.ProxyRequest) {
 		r.SetURL(&url.URL{Scheme: "http", Host: at[rand.IntN(len(at))]})
@@ -203,22 +183,18 @@
 			})
 		}
 	}
-	stop <- os.Interrupt
-	if err := <-done; err != nil {
-		b.Error(err)
-	}
+	proxy.end(b)
 }
 
-// What a kept connection takes that has asked once and waits.
+// BenchmarkKeptConnections measures the memory of an idle connection on which one query was answered.
 func BenchmarkKeptConnections(b *testing.B) {
 	at, _ := backends(b, 1)
-	p, err := settings.ParseProxy("x.xml", []byte(`<proxy uid="p"><listen clients="127.0.0.1:15830"/><zone name="a"/><route path="/" class="search"/>`+
+	config, err := settings.ParseProxy("x.xml", []byte(`<proxy uid="p"><listen clients="127.0.0.1:15830"/><zone name="a"/><route path="/" class="search"/>`+
 		`<class name="search" benefit="1" goal-time="5" client-timeout="9" effect="free"/><server address="`+at[0]+`" zone="a" standing="true"/></proxy>`))
 	if err != nil {
 		b.Fatal(err)
 	}
-	stop, done := make(chan os.Signal, 1), make(chan error, 1)
-	go func() { done <- Proxy(p, slog.New(slog.DiscardHandler), stop) }()
+	proxy := runProxy(config)
 	time.Sleep(200 * time.Millisecond)
 	for b.Loop() {
 		const n = 5000
@@ -245,8 +221,5 @@
 			_ = c.Close()
 		}
 	}
-	stop <- os.Interrupt
-	if err := <-done; err != nil {
-		b.Error(err)
-	}
+	proxy.end(b)
 }
