--- a/internal/frontend/admin/access.go
+++ b/internal/frontend/admin/access.go
@@ -50,9 +50,11 @@
 		}
 		tenant := tenancy.Name(r.PathValue("tenant"))
 		var result admission
-		if bearer {
-			a.program.Do(func(now float64) { result = a.admit(now, credential, tenant, required) })
-		}
+		a.program.Do(func(now float64) {
+			if bearer {
+				result = a.admit(now, credential, tenant, required)
+			}
+		})
 		a.observeLookup(credential, result.known)
 		if !result.known || result.err != nil || !result.withinRate {
 			writeRejection(w, result)
