--- a/internal/frontend/admin/tenant_changes.go
+++ b/internal/frontend/admin/tenant_changes.go
@@ -173,10 +173,14 @@
 		return nil
 	}
 	err := command.Requirements.CheckWithin(row.Requirements)
-	if err == nil && command.Weight <= row.Weight {
+	switch {
+	case err != nil:
+		return fmt.Errorf("only the host may raise what a tenant takes: weight %g to %g; %w", row.Weight, command.Weight, err)
+	case command.Weight > row.Weight:
+		return fmt.Errorf("only the host may raise what a tenant takes: weight %g to %g", row.Weight, command.Weight)
+	default:
 		return nil
 	}
-	return fmt.Errorf("only the host may raise what a tenant takes: weight %g to %g; %w", row.Weight, command.Weight, err)
 }
 
 // removeTenant removes a tenant. Its proxies keep the tables that they hold, so it is rejected while some are joined.
