--- a/internal/coordinator/config.go
+++ b/internal/coordinator/config.go
@@ -15,11 +15,11 @@
 
 // Config configures a Coordinator.
 type Config struct {
-	Site     controlplane.Site
-	Limits   saspsession.Limits
-	Policy   saspsession.Policy
-	LongPoll longpollhttp.Limits
-	Parking  longpoll.Limits
+	Site               controlplane.Site
+	Limits             saspsession.Limits
+	Policy             saspsession.Policy
+	LongPollHTTPLimits longpollhttp.Limits
+	LongPollLimits     longpoll.Limits
 	// SASP is the address on which SASP is served. If it is not valid, SASP is not served.
 	SASP netip.AddrPort
 	// HTTP is the address on which long polls are served. If it is not valid, they are not served.
--- a/internal/core/forwarding/environment_test.go
+++ b/internal/core/forwarding/environment_test.go
@@ -47,7 +47,7 @@
 		Outliers:      outlier.Config{ConsecutiveFailures: 3, BaseEjection: 4, MaxEjection: 30},
 		Budget:        retry.Budget{Ratio: 0.2, Burst: 10},
 		Locations:     map[balancer.Server]retry.Location{},
-		NewTable:      func(class int) picker.Table { return picker.NewSmoothWeighted(uint64(class)) },
+		NewTable:      func(class int) picker.Table { return picker.NewEarliestDeadlineFirst(uint64(class)) },
 	}
 	for i := range servers {
 		config.Locations[serverName(i)] = retry.Location{
--- a/internal/core/picker/benchmark_test.go
+++ b/internal/core/picker/benchmark_test.go
@@ -75,7 +75,7 @@
 }
 
 func BenchmarkReplace300(b *testing.B) {
-	table := NewSmoothWeighted(1)
+	table := NewEarliestDeadlineFirst(1)
 	entries := benchmarkEntries(300)
 	i := 0
 	for b.Loop() {
--- a/internal/core/picker/earliest_deadline_first.go
+++ b/internal/core/picker/earliest_deadline_first.go
@@ -5,10 +5,10 @@
 	"snowquay/internal/core/indexedheap"
 )
 
-// SmoothWeighted picks by earliest deadline first, a weighted round robin: each server is due again after the inverse of its weight,
+// EarliestDeadlineFirst picks by earliest deadline first, a weighted round robin: each server is due again after the inverse of its weight,
 // and the one that is due first is picked. In any run of picks a server gets its proportion, give or take one. It is the stride
 // scheduling of Waldspurger and Weihl (1995), as in Envoy's and gRPC's EDF schedulers. Use NewSmoothWeighted.
-type SmoothWeighted struct {
+type EarliestDeadlineFirst struct {
 	entries map[balancer.Server]*scheduledEntry
 	queue   indexedheap.Heap[*scheduledEntry] // the entry that is due first is first
 	time    float64                           // virtual: a server is due every 1/weight
@@ -28,14 +28,14 @@
 	return e.due < other.due || e.due == other.due && e.server < other.server
 }
 
-// NewSmoothWeighted returns an empty table. The seed decides when new servers are first due.
-func NewSmoothWeighted(seed uint64) *SmoothWeighted {
-	return &SmoothWeighted{entries: map[balancer.Server]*scheduledEntry{}, random: newLCG(seed)}
+// NewEarliestDeadlineFirst returns an empty table. The seed decides when new servers are first due.
+func NewEarliestDeadlineFirst(seed uint64) *EarliestDeadlineFirst {
+	return &EarliestDeadlineFirst{entries: map[balancer.Server]*scheduledEntry{}, random: newLCG(seed)}
 }
 
 // Set implements Table. A new server is first due at a random time within its interval, so that the proxies that learn of it at the
 // same time do not all send their next request there. One whose weight changes keeps the fraction of its interval that is left.
-func (t *SmoothWeighted) Set(server balancer.Server, weight float64) {
+func (t *EarliestDeadlineFirst) Set(server balancer.Server, weight float64) {
 	entry := t.entries[server]
 	switch {
 	case !validWeight(weight):
@@ -55,7 +55,7 @@
 }
 
 // Weight implements Table.
-func (t *SmoothWeighted) Weight(server balancer.Server) float64 {
+func (t *EarliestDeadlineFirst) Weight(server balancer.Server) float64 {
 	if entry := t.entries[server]; entry != nil {
 		return entry.weight
 	}
@@ -63,10 +63,10 @@
 }
 
 // Len implements Table.
-func (t *SmoothWeighted) Len() int { return len(t.entries) }
+func (t *EarliestDeadlineFirst) Len() int { return len(t.entries) }
 
 // Entries implements Table.
-func (t *SmoothWeighted) Entries() []Entry {
+func (t *EarliestDeadlineFirst) Entries() []Entry {
 	all := make([]Entry, 0, len(t.entries))
 	for _, entry := range t.entries {
 		all = append(all, Entry{Server: entry.server, Weight: entry.weight})
@@ -77,7 +77,7 @@
 
 // Pick implements Table. Servers that are not allowed stay due, but for one pick only: once they are allowed again, they do not get all
 // that they missed at once.
-func (t *SmoothWeighted) Pick(allowed func(balancer.Server) bool) (server balancer.Server, ok bool) {
+func (t *EarliestDeadlineFirst) Pick(allowed func(balancer.Server) bool) (server balancer.Server, ok bool) {
 	picked := t.firstAllowed(allowed)
 	if picked != nil {
 		t.time = max(t.time, picked.due)
@@ -97,7 +97,7 @@
 
 // firstAllowed returns the entry that is due first of those that are allowed, nil if there is none. It moves those before it from the
 // queue to skipped.
-func (t *SmoothWeighted) firstAllowed(allowed func(balancer.Server) bool) *scheduledEntry {
+func (t *EarliestDeadlineFirst) firstAllowed(allowed func(balancer.Server) bool) *scheduledEntry {
 	for t.queue.Len() > 0 {
 		entry := t.queue.First()
 		if allowed == nil || allowed(entry.server) {
--- a/internal/core/picker/table_test.go
+++ b/internal/core/picker/table_test.go
@@ -16,7 +16,7 @@
 
 // newTables makes tables by the name of their algorithm.
 var newTables = map[string]func(seed uint64) Table{
-	earliestDeadlineFirst: func(seed uint64) Table { return NewSmoothWeighted(seed) },
+	earliestDeadlineFirst: func(seed uint64) Table { return NewEarliestDeadlineFirst(seed) },
 	weightedRandom:        func(seed uint64) Table { return NewWeightedRandom(seed) },
 }
 
@@ -108,8 +108,8 @@
 	}
 }
 
-func newRotation(seed uint64) *SmoothWeighted {
-	table := NewSmoothWeighted(seed)
+func newRotation(seed uint64) *EarliestDeadlineFirst {
+	table := NewEarliestDeadlineFirst(seed)
 	for i := range 10 {
 		table.Set(serverName(i), 1)
 	}
@@ -156,8 +156,8 @@
 
 // Another coordinator may publish the same proportions at another scale.
 func TestScaleOfWeightsDoesNotChangePicks(t *testing.T) {
-	table := NewSmoothWeighted(5)
-	scaled := NewSmoothWeighted(5)
+	table := NewEarliestDeadlineFirst(5)
+	scaled := NewEarliestDeadlineFirst(5)
 	for i := range 10 {
 		table.Set(serverName(i), float64(i+1))
 		scaled.Set(serverName(i), float64(i+1))
@@ -205,7 +205,7 @@
 }
 
 func TestReplace(t *testing.T) {
-	table := NewSmoothWeighted(1)
+	table := NewEarliestDeadlineFirst(1)
 	Replace(table, []Entry{{"a", 1}, {"b", 2}})
 	Replace(table, []Entry{{"b", 3}, {"c", 1}})
 	want := []Entry{{"b", 3}, {"c", 1}}
--- a/internal/core/tablecache/golden_test.go
+++ b/internal/core/tablecache/golden_test.go
@@ -9,7 +9,7 @@
 
 func TestStoredTables(t *testing.T) {
 	empty := func() *Tables {
-		return New([]string{"search", "book"}, func(int) picker.Table { return picker.NewSmoothWeighted(1) })
+		return New([]string{"search", "book"}, func(int) picker.Table { return picker.NewEarliestDeadlineFirst(1) })
 	}
 	held := empty()
 	held.currentAt, held.ownershipEpoch = 1000.5, 7
--- a/internal/core/tablecache/tables_test.go
+++ b/internal/core/tablecache/tables_test.go
@@ -10,7 +10,7 @@
 )
 
 func newTestTables() *Tables {
-	return New([]string{"search", "book"}, func(int) picker.Table { return picker.NewSmoothWeighted(1) })
+	return New([]string{"search", "book"}, func(int) picker.Table { return picker.NewEarliestDeadlineFirst(1) })
 }
 
 // testResponse returns complete tables in which each class has these servers.
--- a/internal/frontend/longpollhttp/fixture_test.go
+++ b/internal/frontend/longpollhttp/fixture_test.go
@@ -41,8 +41,8 @@
 	limits := longpoll.DefaultLimits
 	limits.JoinRate = 1e6
 	limits.JoinBurst = 1e6
-	return coordinator.Config{Site: s, Limits: saspsession.DefaultLimits, Policy: saspsession.Policy{FleetUID: "fleet"}, LongPoll: longpollhttp.DefaultLimits,
-		Parking: limits, HTTP: netip.AddrPortFrom(netip.MustParseAddr("127.0.0.1"), port)}
+	return coordinator.Config{Site: s, Limits: saspsession.DefaultLimits, Policy: saspsession.Policy{FleetUID: "fleet"}, LongPollHTTPLimits: longpollhttp.DefaultLimits,
+		LongPollLimits: limits, HTTP: netip.AddrPortFrom(netip.MustParseAddr("127.0.0.1"), port)}
 }
 
 func serverName(i int) balancer.Server {
--- a/internal/frontend/longpollhttp/frontend_test.go
+++ b/internal/frontend/longpollhttp/frontend_test.go
@@ -27,7 +27,7 @@
 	set := testConfig(5, 2, 14880)
 	set.Site.AllowUnlisted = false
 	set.Site.Proxies = []controlplane.ProxyConfig{{UID: "r1", ExpectedRate: 5}, {UID: "r 2/x"}, {UID: "r3"}}
-	set.Parking.PollBurst = 15
+	set.LongPollLimits.PollBurst = 15
 	program, s, base := listen(t, set)
 	doc.Servers = openapi3.Servers{{URL: base}}
 	router, err := legacy.NewRouter(doc)
@@ -91,8 +91,8 @@
 
 func TestHostileRequests(t *testing.T) {
 	set := testConfig(3, 2, 14881)
-	set.LongPoll.IdleTimeout = 0.6
-	set.LongPoll.MaxConnections = 50
+	set.LongPollHTTPLimits.IdleTimeout = 0.6
+	set.LongPollHTTPLimits.MaxConnections = 50
 	program, s, base := listen(t, set)
 	const get = "GET /openapi.json HTTP/1.1\r\nHost: x\r\n"
 	for name, c := range map[string]struct {
@@ -146,8 +146,8 @@
 // A client that does not read a large answer is disconnected, and its proxy leaves.
 func TestSlowReaderIsDisconnected(t *testing.T) {
 	set := testConfig(3000, 1, 14882)
-	set.LongPoll.DeliveryTimeout = 0.4
-	set.Parking.PollGap = 0.8
+	set.LongPollHTTPLimits.DeliveryTimeout = 0.4
+	set.LongPollLimits.PollGap = 0.8
 	program, s, base := listen(t, set)
 	c, err := net.Dial("tcp", strings.TrimPrefix(base, "http://"))
 	if err != nil {
--- a/internal/proxy/environment_test.go
+++ b/internal/proxy/environment_test.go
@@ -157,7 +157,7 @@
 			Limits:   admission.DefaultLimits,
 			Outliers: outlier.DefaultConfig,
 			Budget:   retry.Budget{Ratio: 1, Burst: 100},
-			NewTable: func(class int) picker.Table { return picker.NewSmoothWeighted(uint64(class)) },
+			NewTable: func(class int) picker.Table { return picker.NewEarliestDeadlineFirst(uint64(class)) },
 		},
 	}
 	for i := range servers {
--- a/internal/scenario/proxies.go
+++ b/internal/scenario/proxies.go
@@ -49,7 +49,7 @@
 		Forwarding: forwarding.Config{ClassNames: site.ClassNames, Classes: site.Classes, RetryPolicies: site.RetryPolicies, AdmissionMode: site.DataPlane.Admission,
 			Limits: admission.DefaultLimits, Outliers: outlier.Config{ConsecutiveFailures: site.DataPlane.EjectAfterFailures, BaseEjection: outlier.DefaultConfig.BaseEjection, MaxEjection: outlier.DefaultConfig.MaxEjection},
 			Budget: retry.DefaultBudget, Locations: map[balancer.Server]retry.Location{},
-			NewTable: func(class int) picker.Table { return picker.NewSmoothWeighted(seed + uint64(class)) }}}
+			NewTable: func(class int) picker.Table { return picker.NewEarliestDeadlineFirst(seed + uint64(class)) }}}
 	for k, name := range site.ClassNames {
 		at := slices.IndexFunc(p.classes, func(q emulator.Class) bool { return q.Name == name })
 		seen.Classes = append(seen.Classes, at)
--- a/internal/settings/host.go
+++ b/internal/settings/host.go
@@ -151,7 +151,7 @@
 	take("connections", &c.Limits.MaxConnections, size.Connections)
 	take("buffered-bytes", &c.Limits.MaxBuffered, size.BufferedBytes)
 	s.Limits.MaxTraces = max(s.Limits.MaxProxies*2, 64)
-	c.LongPoll.MaxConnections, c.Parking.MaxParked = c.Limits.MaxConnections, c.Limits.MaxConnections
+	c.LongPollHTTPLimits.MaxConnections, c.LongPollLimits.MaxParked = c.Limits.MaxConnections, c.Limits.MaxConnections
 	size.Proxies, size.Servers, size.Series = s.Limits.MaxProxies, s.Limits.MaxServers, s.Limits.MaxSeries
 	size.Connections, size.BufferedBytes = c.Limits.MaxConnections, c.Limits.MaxBuffered
 	c.Measurements = h.Measurements
--- a/internal/settings/proxy.go
+++ b/internal/settings/proxy.go
@@ -65,7 +65,7 @@
 		if root.attrs["pick"] == "random" {
 			return picker.NewWeightedRandom(seed + uint64(class))
 		}
-		return picker.NewSmoothWeighted(seed + uint64(class))
+		return picker.NewEarliestDeadlineFirst(seed + uint64(class))
 	}
 	for _, n := range root.all("route") {
 		c := slices.Index(f.ClassNames, n.attrs["class"])
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -253,7 +253,7 @@
 		r.class(n, s)
 	}
 	r.fleet(root, s)
-	c.LongPoll, c.Parking = longpollhttp.DefaultLimits, longpoll.DefaultLimits
+	c.LongPollHTTPLimits, c.LongPollLimits = longpollhttp.DefaultLimits, longpoll.DefaultLimits
 	if levels := root.one("fleet").attrs["levels"]; levels != "ignored" {
 		s.DataPlane.Admission = levelKinds[levels]
 	}
