--- a/internal/settings/proxy.go
+++ b/internal/settings/proxy.go
@@ -1,7 +1,7 @@
 package settings
 
 import (
-	"errors"
+	"math"
 	"net/netip"
 	"os"
 	"slices"
@@ -16,15 +16,15 @@
 	"snowquay/internal/proxy"
 )
 
-// Proxy is what a proxy's settings file says, ready to act.
+// Proxy is the content of a proxy's settings file.
 type Proxy struct {
 	proxy.Config
 	Listen  netip.AddrPort
-	Metrics netip.AddrPort // not valid: none
-	Path    string         // of the snapshot; empty: none
+	Metrics netip.AddrPort // not valid: no metrics are served
+	Path    string         // file of the table snapshot; empty: there is none
 }
 
-// LoadProxy reads a file.
+// LoadProxy reads a proxy's settings file.
 func LoadProxy(path string) (*Proxy, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -33,97 +33,139 @@
 	return ParseProxy(path, text)
 }
 
-// ParseProxy reads a file's text; name is for its errors.
+// ParseProxy reads the text of a proxy's settings file. The name is for error messages.
 func ParseProxy(name string, text []byte) (*Proxy, error) {
-	root, err := load(text, "proxy")
-	if err != nil {
-		return nil, named(name, err)
-	}
-	p, err := readProxy(root)
-	return p, named(name, err)
+	return readDocument(name, text, "proxy", readProxy)
 }
 
 func readProxy(root *node) (*Proxy, error) {
-	r, p, site := &reader{zones: map[string]balancer.Zone{}}, &Proxy{}, &controlplane.Site{}
-	for i, z := range root.all("zone") {
-		if _, twice := r.zones[z.attrs["name"]]; twice {
-			r.wrong(z, "there are two zones named %q", z.attrs["name"])
-		}
-		r.zones[z.attrs["name"]] = balancer.Zone(i)
-	}
+	dec := newDecoder()
+	dec.readZones(root)
+	site := &controlplane.Site{}
 	for _, n := range root.all("class") {
-		r.class(n, site)
+		dec.readClass(n, site)
 	}
-	l := root.one("listen")
-	p.UID, p.Listen, p.Metrics, p.Path = root.attrs["uid"], r.endpoint(l, "clients"), r.endpoint(l, "metrics"), l.attrs["store"]
-	p.Seed = uint64(root.int("seed"))
-	f := &p.Forwarding
-	f.ClassNames, f.Classes, f.RetryPolicies = site.ClassNames, site.Classes, site.RetryPolicies
-	f.AdmissionMode, f.Limits, f.Outliers, f.Budget = levelKinds[root.attrs["levels"]], admission.DefaultLimits, outlier.DefaultConfig, retry.DefaultBudget
-	seed := p.Seed
-	f.NewTable = func(class int) picker.Table {
-		if root.attrs["pick"] == "random" {
+	config := &Proxy{}
+	listen := root.one("listen")
+	config.UID = root.attrs["uid"]
+	config.Listen = dec.endpoint(listen, "clients")
+	config.Metrics = dec.endpoint(listen, "metrics")
+	config.Path = listen.attrs["store"]
+	config.Seed = uint64(root.int("seed"))
+	forwarding := &config.Forwarding
+	forwarding.ClassNames = site.ClassNames
+	forwarding.Classes = site.Classes
+	forwarding.RetryPolicies = site.RetryPolicies
+	forwarding.AdmissionMode = admissionModes[root.attrs["levels"]]
+	forwarding.Limits = admission.DefaultLimits
+	forwarding.Outliers = outlier.DefaultConfig
+	forwarding.Budget = retry.DefaultBudget
+	forwarding.NewTable = tableConstructor(root.attrs["pick"], config.Seed)
+	dec.readRoutes(root, config)
+	dec.readProxyServers(root, config)
+	dec.readProxyCoordinators(root.one("coordinators"), config)
+	if len(config.DefaultServers) == 0 && len(config.Coordinators) == 0 {
+		dec.fail(root, "neither coordinators nor a server with standing: there is nowhere to send to")
+	}
+	readRetries(root.one("repeats"), config)
+	readOutliers(root.one("avoid"), config)
+	readProxyLimits(root.one("limits"), config)
+	return config, dec.err()
+}
+
+// tableConstructor returns the constructor of the pickers of the classes.
+func tableConstructor(algorithm string, seed uint64) func(class int) picker.Table {
+	return func(class int) picker.Table {
+		if algorithm == "random" {
 			return picker.NewWeightedRandom(seed + uint64(class))
 		}
 		return picker.NewSmoothWeighted(seed + uint64(class))
 	}
+}
+
+func (d *decoder) readRoutes(root *node, config *Proxy) {
 	for _, n := range root.all("route") {
-		c := slices.Index(f.ClassNames, n.attrs["class"])
-		if c < 0 {
-			r.wrong(n, "no class is named %q", n.attrs["class"])
+		class := slices.Index(config.Forwarding.ClassNames, n.attrs["class"])
+		if class < 0 {
+			d.fail(n, "no class is named %q", n.attrs["class"])
 		}
-		if !strings.HasPrefix(n.attrs["path"], "/") {
-			r.wrong(n, "path %q does not start with /", n.attrs["path"])
+		prefix := n.attrs["path"]
+		if !strings.HasPrefix(prefix, "/") {
+			d.fail(n, "path %q does not start with /", prefix)
 		}
-		if slices.ContainsFunc(p.Routes, func(x proxy.Route) bool { return x.Prefix == n.attrs["path"] }) {
-			r.wrong(n, "there are two routes for %q", n.attrs["path"])
+		if slices.ContainsFunc(config.Routes, func(other proxy.Route) bool { return other.Prefix == prefix }) {
+			d.fail(n, "there are two routes for %q", prefix)
 		}
-		p.Routes = append(p.Routes, proxy.Route{Prefix: n.attrs["path"], Class: balancer.Class(c)})
+		config.Routes = append(config.Routes, proxy.Route{Prefix: prefix, Class: balancer.Class(class)})
 	}
-	f.Locations = map[balancer.Server]retry.Location{}
+}
+
+func (d *decoder) readProxyServers(root *node, config *Proxy) {
+	locations := map[balancer.Server]retry.Location{}
 	for _, n := range root.all("server") {
-		s := balancer.Server(r.endpoint(n, "address").String())
-		if _, twice := f.Locations[s]; twice {
-			r.wrong(n, "%s is listed already", s)
+		server := balancer.Server(d.endpoint(n, "address").String())
+		if _, duplicate := locations[server]; duplicate {
+			d.fail(n, "%s is listed already", server)
+		}
+		locations[server] = retry.Location{
+			Server:        server,
+			Zone:          d.zone(n, "zone"),
+			FailureDomain: balancer.FailureDomain(n.int("pod")),
 		}
-		f.Locations[s] = retry.Location{Server: s, Zone: r.zone(n, "zone"), FailureDomain: balancer.FailureDomain(n.int("pod"))}
 		if n.bool("standing") {
-			p.DefaultServers = append(p.DefaultServers, s)
+			config.DefaultServers = append(config.DefaultServers, server)
 		}
 	}
-	if n := root.one("coordinators"); n != nil {
-		for _, c := range n.all("coordinator") {
-			p.Coordinators = append(p.Coordinators, r.endpoint(c, "address"))
-		}
-		p.SASP, p.CollectorPort, p.ReportInterval = n.attrs["speak"] == "sasp", uint16(n.int("reports")), n.number("period")
-		p.User, p.Key = n.attrs["user"], n.attrs["key"]
-		if (p.User == "") != (p.Key == "") {
-			r.wrong(n, "user and key belong together")
-		}
-		if n.int("reports") > 65535 {
-			r.wrong(n, "reports: no port")
-		}
+	config.Forwarding.Locations = locations
+}
+
+func (d *decoder) readProxyCoordinators(n *node, config *Proxy) {
+	if n == nil {
+		return
 	}
-	if len(p.DefaultServers) == 0 && len(p.Coordinators) == 0 {
-		r.wrong(root, "neither coordinators nor a server with standing: there is nowhere to send to")
+	for _, element := range n.all("coordinator") {
+		config.Coordinators = append(config.Coordinators, d.endpoint(element, "address"))
 	}
-	if n := root.one("repeats"); n != nil {
-		f.Budget, f.HedgeAfter = retry.Budget{Ratio: n.number("part"), Burst: n.number("burst")}, n.number("hedge-after")
+	config.SASP = n.attrs["speak"] == "sasp"
+	config.CollectorPort = uint16(n.int("reports"))
+	config.ReportInterval = n.number("period")
+	config.User = n.attrs["user"]
+	config.Key = n.attrs["key"]
+	d.checkCredentials(n, config.User, config.Key)
+	if n.int("reports") > math.MaxUint16 {
+		d.fail(n, "reports: no port")
 	}
-	if n := root.one("avoid"); n != nil {
-		f.Outliers = outlier.Config{ConsecutiveFailures: n.int("after"), BaseEjection: n.number("for"), MaxEjection: n.number("most")}
+}
+
+func readRetries(n *node, config *Proxy) {
+	if n == nil {
+		return
 	}
-	p.Limits = proxy.DefaultLimits
-	if n := root.one("limits"); n != nil {
-		for name, to := range map[string]*int{"clients": &p.Limits.MaxClients, "queries": &f.Limits.MaxInFlight, "by-server": &f.Limits.MaxPerServer,
-			"kept": &p.Limits.MaxIdlePerServer, "head-bytes": &p.Limits.HTTP.Head, "body-bytes": &p.Limits.HTTP.Body} {
-			if v := n.int(name); v > 0 {
-				*to = v
-			}
-		}
-		if v := n.number("silent-for"); v > 0 {
-			p.Limits.IdleTimeout = v
-		}
+	config.Forwarding.Budget = retry.Budget{Ratio: n.number("part"), Burst: n.number("burst")}
+	config.Forwarding.HedgeAfter = n.number("hedge-after")
+}
+
+func readOutliers(n *node, config *Proxy) {
+	if n == nil {
+		return
+	}
+	config.Forwarding.Outliers = outlier.Config{
+		ConsecutiveFailures: n.int("after"),
+		BaseEjection:        n.number("for"),
+		MaxEjection:         n.number("most"),
+	}
+}
+
+func readProxyLimits(n *node, config *Proxy) {
+	config.Limits = proxy.DefaultLimits
+	if n == nil {
+		return
 	}
-	return p, errors.Join(r.errs...)
+	n.overrideInt("clients", &config.Limits.MaxClients)
+	n.overrideInt("queries", &config.Forwarding.Limits.MaxInFlight)
+	n.overrideInt("by-server", &config.Forwarding.Limits.MaxPerServer)
+	n.overrideInt("kept", &config.Limits.MaxIdlePerServer)
+	n.overrideInt("head-bytes", &config.Limits.HTTP.Head)
+	n.overrideInt("body-bytes", &config.Limits.HTTP.Body)
+	n.overrideNumber("silent-for", &config.Limits.IdleTimeout)
 }
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -103,7 +103,7 @@
 	}
 	deep := strings.Repeat("<a>", 100) + strings.Repeat("</a>", 100)
 	for text, want := range map[string]string{deep: "in more than", "": "no element", "<day/>": "must be <coordinator>",
-		"<!DOCTYPE x [<!ENTITY a \"b\">]><coordinator/>": "document types", strings.Repeat(" ", mostBytes+1): "bytes"} {
+		"<!DOCTYPE x [<!ENTITY a \"b\">]><coordinator/>": "document types", strings.Repeat(" ", maxFileBytes+1): "bytes"} {
 		if _, err := ParseCoordinator("f", []byte(text)); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%.30q: %v, want %q", text, err, want)
 		}
--- /dev/null
+++ b/internal/settings/tenant.go
@@ -0,0 +1,150 @@
+package settings
+
+import (
+	"net/netip"
+	"slices"
+
+	"snowquay/balancer"
+	"snowquay/internal/coordinator"
+	"snowquay/internal/core/authz"
+	"snowquay/internal/core/controlplane"
+	"snowquay/internal/core/tenancy"
+)
+
+const (
+	// maxUIDBytes is the maximum length of a proxy's UID on the wire.
+	maxUIDBytes = 255
+	// minTraces is the minimum number of table versions that are traced.
+	minTraces = 64
+	// tracesPerProxy is the number of table versions that are traced for each proxy.
+	tracesPerProxy = 2
+)
+
+// ParseTenant reads a tenant's settings for a host. Proxies are named there without the tenant's name; in
+// its coordinator and on the wire, the tenant's name is the prefix of their UIDs, so that a UID identifies
+// its tenant.
+func ParseTenant(name tenancy.Name, text []byte, h *Host) (coordinator.TenantConfig, error) {
+	return readDocument(string(name), text, "tenant", func(root *node) (coordinator.TenantConfig, error) {
+		return readTenant(name, root, h)
+	})
+}
+
+func readTenant(name tenancy.Name, root *node, host *Host) (coordinator.TenantConfig, error) {
+	dec := newDecoder()
+	config := dec.readSite(root, nil)
+	config.Callers = dec.readCallers(root)
+	for i, caller := range config.Callers {
+		if caller.Role == authz.RoleHost {
+			dec.fail(root.all("caller")[i], "role: the host's callers are in the host's settings")
+		}
+	}
+	dec.prefixUIDs(root, name, config)
+	dec.checkCredentials(root.one("reports"), config.User, config.Key)
+	dec.restrictProtocols(root, config, host)
+	dec.checkClassesServed(root, config)
+	size := tenantSize(root.one("limits"), config)
+	config.Measurements = host.Measurements
+	networks := dec.readNetworks(root)
+	tenant := coordinator.TenantConfig{
+		Networks:       networks,
+		Config:         config.Config,
+		Callers:        config.Callers,
+		Weight:         root.number("weight"),
+		Requirements:   tenancy.RequirementsFor(size),
+		MaxConnections: config.Limits.MaxConnections,
+	}
+	return tenant, dec.err()
+}
+
+// prefixUIDs puts the tenant's name before the UIDs of its proxies and its fleet.
+func (d *decoder) prefixUIDs(root *node, name tenancy.Name, config *Coordinator) {
+	config.Site.UIDPrefix = name.UID("")
+	for i := range config.Site.Proxies {
+		proxy := &config.Site.Proxies[i]
+		uid := proxy.UID
+		proxy.UID = name.UID(uid)
+		if len(proxy.UID) > maxUIDBytes {
+			d.fail(root.one("relays"), "relay %q: with the tenant's name it has over %d bytes", uid, maxUIDBytes)
+		}
+	}
+	config.Policy.FleetUID = name.UID(config.Policy.FleetUID)
+}
+
+// restrictProtocols leaves SASP to the servers if proxies need admission, which SASP cannot express.
+func (d *decoder) restrictProtocols(root *node, config *Coordinator, host *Host) {
+	if config.Site.DataPlane.Admission == balancer.AdmissionIgnored || !host.SASP.IsValid() {
+		return
+	}
+	config.Policy.MembersOnly = true
+	if !host.HTTP.IsValid() {
+		d.fail(root.one("fleet"), "levels: SASP has no word for them, and this host speaks nothing else")
+	}
+}
+
+// checkClassesServed checks that each class has a server, unless servers may register that are not
+// listed.
+func (d *decoder) checkClassesServed(root *node, config *Coordinator) {
+	if config.Policy.AllowUnlisted || config.Policy.BalancersRegister {
+		return
+	}
+	for i, class := range config.Site.Classes {
+		if !isServed(class, &config.Site) {
+			d.fail(root.all("class")[i], "no server is listed in a zone that may take it")
+		}
+	}
+}
+
+// isServed reports whether a server is listed in a zone where the class is allowed.
+func isServed(class balancer.RequestClass, site *controlplane.Site) bool {
+	for _, server := range site.Servers {
+		if len(class.AllowedZones) == 0 || slices.Contains(class.AllowedZones, server.Zone) {
+			return true
+		}
+	}
+	return false
+}
+
+// tenantSize sets the limits that the settings leave out to those of the tenant's default size, and
+// returns the size by which its requirements are calculated.
+func tenantSize(limits *node, config *Coordinator) tenancy.Size {
+	site := &config.Site
+	size := tenancy.DefaultSize(tenancy.Size{
+		Classes:          len(site.Classes),
+		Servers:          len(site.Servers),
+		Proxies:          max(len(site.Proxies), site.DataPlane.Proxies),
+		EntriesPerSecond: site.Channel.EntriesPerSecond,
+		ReportingPeriod:  site.Reporting.Period,
+	})
+	setDefault := func(name string, limit *int, value int) {
+		if limits == nil || limits.attrs[name] == "" {
+			*limit = value
+		}
+	}
+	setDefault("relays", &site.Limits.MaxProxies, size.Proxies)
+	setDefault("servers", &site.Limits.MaxServers, size.Servers)
+	setDefault("series", &site.Limits.MaxSeries, size.Series)
+	setDefault("connections", &config.Limits.MaxConnections, size.Connections)
+	setDefault("buffered-bytes", &config.Limits.MaxBuffered, size.BufferedBytes)
+	site.Limits.MaxTraces = max(site.Limits.MaxProxies*tracesPerProxy, minTraces)
+	config.LongPoll.MaxConnections = config.Limits.MaxConnections
+	config.Parking.MaxParked = config.Limits.MaxConnections
+	size.Proxies = site.Limits.MaxProxies
+	size.Servers = site.Limits.MaxServers
+	size.Series = site.Limits.MaxSeries
+	size.Connections = config.Limits.MaxConnections
+	size.BufferedBytes = config.Limits.MaxBuffered
+	return size
+}
+
+// readNetworks reads the networks from which the tenant's connections may come.
+func (d *decoder) readNetworks(root *node) []netip.Prefix {
+	var networks []netip.Prefix
+	for _, n := range root.all("from") {
+		network, err := netip.ParsePrefix(n.attrs["network"])
+		if err != nil || network.Masked() != network {
+			d.fail(n, "network %q is none, or has bits behind its length", n.attrs["network"])
+		}
+		networks = append(networks, network)
+	}
+	return networks
+}
