--- a/cmd/snowquay/main.go
+++ b/cmd/snowquay/main.go
@@ -1,4 +1,4 @@
-// Snowquay is a control service that assigns servers to proxies.
+// Command snowquay is a control service that assigns servers to proxies.
 package main
 
 import (
--- a/internal/cli/cli_test.go
+++ b/internal/cli/cli_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// A test's own executable stands for the program where a rehearsal starts processes.
+// TestMain runs the program itself when a scenario starts the test's executable as a coordinator.
 func TestMain(m *testing.M) {
 	if os.Getenv("SNOWQUAY_PROGRAM") != "" {
 		os.Exit(Main(os.Args[1:], os.Stdout, os.Stderr))
@@ -19,7 +19,7 @@
 	os.Exit(m.Run())
 }
 
-// Three coordinators as processes of their own, with real kills and stops, all rules kept.
+// All rules are kept when coordinators that are processes are killed and stopped.
 func TestTakeoverOfProcesses(t *testing.T) {
 	code, out, errOut := command("rehearse", "takeover", "--kills", "3", "--every", "3", "--log-level", "error", "--folder", t.TempDir())
 	if code != 0 || !strings.Contains(out, "3 deaths of coordinators") {
--- /dev/null
+++ b/internal/cli/experiment.go
@@ -0,0 +1,211 @@
+package cli
+
+import (
+	"encoding/json"
+	"fmt"
+	"os"
+	"strings"
+
+	"snowquay/internal/console"
+	"snowquay/internal/experiment"
+	"snowquay/internal/settings"
+)
+
+type experimentCommands struct {
+	Run     experimentRunCommand     `cmd:"" help:"Play what a folder lacks of an experiment."`
+	Sweep   experimentSweepCommand   `cmd:"" help:"Play it, and list the worst days and the worst pairs of troubles."`
+	Compare experimentCompareCommand `cmd:"" help:"Two arms, by paired seeds, with intervals."`
+	Report  experimentReportCommand  `cmd:"" help:"Tables and charts of a folder."`
+	Shrink  experimentShrinkCommand  `cmd:"" help:"Make a bad day of a folder small, as a scenario."`
+	One     experimentOneCommand     `cmd:"" help:"Play one cell and print its record; for arms that are other builds." hidden:""`
+}
+
+type experimentRunCommand struct {
+	Experiment string `arg:"" type:"existingfile" help:"Experiment file (XML)."`
+	Folder     string `arg:"" type:"path" help:"Where its runs are kept; what is there is not played again."`
+	Jobs       int    `help:"How many are played at once; 0: as many as there are cores."`
+}
+
+// runMissing runs what the folder lacks, and returns the experiment and all records of the folder.
+func (c *experimentRunCommand) runMissing(env *environment) (*settings.Experiment, map[string]*experiment.Record, error) {
+	config, err := settings.LoadExperiment(c.Experiment)
+	if err != nil {
+		return nil, nil, err
+	}
+	folder, err := experiment.Open(c.Folder, config)
+	if err != nil {
+		return nil, nil, err
+	}
+	if err := experiment.Run(folder, config, c.Jobs, env.out); err != nil {
+		return nil, nil, err
+	}
+	records, err := folder.Records(config)
+	return config, records, err
+}
+
+// Run runs an experiment and prints its table.
+func (c *experimentRunCommand) Run(env *environment) error {
+	config, records, err := c.runMissing(env)
+	if err != nil {
+		return err
+	}
+	return experiment.Table(env.out, experiment.Groups(config, records), "text")
+}
+
+type experimentSweepCommand struct {
+	experimentRunCommand
+	Most int `help:"How many days and pairs are listed." default:"15"`
+}
+
+// Run runs an experiment and prints its worst runs. The result is negative if a rule was broken.
+func (c *experimentSweepCommand) Run(env *environment) error {
+	_, records, err := c.runMissing(env)
+	if err != nil {
+		return err
+	}
+	broken := 0
+	for i, record := range experiment.Worst(records) {
+		if len(record.Broken()) > 0 {
+			broken++
+		}
+		if i < c.Most {
+			printRecord(env, record)
+		}
+	}
+	console.Println(env.out, "pairs of troubles, the worst first:")
+	pairs := experiment.Pairs(records)
+	for _, pair := range pairs[:max(0, min(len(pairs), c.Most))] {
+		console.Printf(env.out, "%-20s %-20s service %.3f on %d days, %d with a broken rule\n",
+			pair.A, pair.B, pair.Service.Mean, pair.Service.N, pair.Broken)
+	}
+	console.Printf(env.out, "%d of %d days broke a rule\n", broken, len(records))
+	if broken > 0 {
+		return errNegativeResult
+	}
+	return nil
+}
+
+func printRecord(env *environment, record *experiment.Record) {
+	console.Printf(env.out, "%s.%s.%s.%d  service %.3f, worst 10 s %.3f",
+		record.Fleet, record.Case, record.Arm, record.Seed, record.Service, record.WorstTenSeconds)
+	for _, verdict := range record.Rules {
+		if !verdict.Kept {
+			console.Printf(env.out, "; rule %d BROKEN: %s", verdict.Rule, verdict.Reasons[0])
+		}
+	}
+	console.Printf(env.out, "  [%s]\n", strings.Join(record.Faults, " "))
+}
+
+type experimentCompareCommand struct {
+	Folder string `arg:"" type:"existingdir" help:"Of the runs."`
+	Base   string `arg:"" help:"Arm."`
+	Other  string `arg:"" help:"Arm that it is compared with."`
+}
+
+// Run compares two arms of an experiment.
+func (c *experimentCompareCommand) Run(env *environment) error {
+	folder, config, err := experiment.Read(c.Folder)
+	if err != nil {
+		return err
+	}
+	records, err := folder.Records(config)
+	if err != nil {
+		return err
+	}
+	differences := experiment.Compare(experiment.Groups(config, records), c.Base, c.Other)
+	if len(differences) == 0 {
+		return fmt.Errorf("no seed was played with both %q and %q", c.Base, c.Other)
+	}
+	experiment.PrintDifferences(env.out, differences, c.Base, c.Other)
+	return nil
+}
+
+type experimentReportCommand struct {
+	Folder string `arg:"" type:"existingdir" help:"Of the runs."`
+}
+
+// Run writes the report of an experiment and prints the names of its files.
+func (c *experimentReportCommand) Run(env *environment) error {
+	folder, config, err := experiment.Read(c.Folder)
+	if err != nil {
+		return err
+	}
+	files, err := experiment.Report(folder, config)
+	if err != nil {
+		return err
+	}
+	console.Println(env.out, strings.Join(files, "\n"))
+	return nil
+}
+
+type experimentShrinkCommand struct {
+	Folder string  `arg:"" type:"existingdir" help:"Of the runs."`
+	Cell   string  `arg:"" help:"Which day: fleet.case.arm.seed."`
+	Rule   int     `help:"The rule that is to stay broken; 0: any."`
+	Under  float64 `help:"Instead: the service is to stay under this."`
+	Most   int     `help:"Days to be played at most." default:"200"`
+	Out    string  `help:"File for the day." type:"path" default:"shrunk-day.xml"`
+}
+
+// shrunkFileMode is the permission of the file of a shrunk scenario.
+const shrunkFileMode = 0o644
+
+// Run shrinks a scenario as long as it stays bad, and writes it to a file.
+func (c *experimentShrinkCommand) Run(env *environment) error {
+	_, config, err := experiment.Read(c.Folder)
+	if err != nil {
+		return err
+	}
+	cell, err := experiment.Find(config, c.Cell)
+	if err != nil {
+		return err
+	}
+	day, err := cell.Day()
+	if err != nil {
+		return err
+	}
+	isBad := experiment.Breaks(c.Rule, cell.Options())
+	if c.Under > 0 {
+		isBad = experiment.ServiceBelow(c.Under, cell.Options())
+	}
+	if !isBad(day) {
+		return fmt.Errorf("the day %s is not bad in that way", c.Cell)
+	}
+	day = experiment.Shrink(day, isBad, c.Most, env.out)
+	text, err := day.Write()
+	if err != nil {
+		return err
+	}
+	if err := os.WriteFile(c.Out, text, shrunkFileMode); err != nil {
+		return err
+	}
+	console.Printf(env.out, "%s: play it with scenario --virtual --front %s", c.Out, cell.Arm.Front)
+	if cell.Arm.Coordinators > 1 {
+		console.Printf(env.out, " --coordinators %d", cell.Arm.Coordinators)
+	}
+	console.Println(env.out)
+	return nil
+}
+
+type experimentOneCommand struct {
+	Experiment string `arg:"" type:"existingfile"`
+	Cell       string `arg:""`
+}
+
+// Run runs one cell of an experiment and prints its record as JSON.
+func (c *experimentOneCommand) Run(env *environment) error {
+	config, err := settings.LoadExperiment(c.Experiment)
+	if err != nil {
+		return err
+	}
+	cell, err := experiment.Find(config, c.Cell)
+	if err != nil {
+		return err
+	}
+	cell.Arm.Program = ""
+	record, err := experiment.Play(config, cell)
+	if err != nil {
+		return err
+	}
+	return json.NewEncoder(env.out).Encode(record)
+}
--- /dev/null
+++ b/internal/cli/takeover.go
@@ -0,0 +1,92 @@
+package cli
+
+import (
+	"cmp"
+	"errors"
+	"os"
+	"path/filepath"
+	"slices"
+	"strings"
+
+	"snowquay/internal/console"
+	"snowquay/internal/scenario"
+	"snowquay/internal/settings"
+)
+
+type takeoverCommand struct {
+	Proxies bool    `help:"Proxies of our own with HTTP clients, in place of stand-in relays."`
+	Kills   int     `help:"How many times one is killed." default:"100"`
+	Every   float64 `help:"Seconds between two kills, on average." default:"4"`
+	Seed    uint64  `help:"Of what goes wrong." default:"1"`
+	Front   string  `help:"How relays join: sasp, http, or both." enum:"sasp,http,both" default:"both"`
+	Virtual bool    `help:"In virtual time: coordinators are programs of this process, whose hosts are killed."`
+	Calm    bool    `help:"No trouble but the deaths and pauses of coordinators."`
+	Servers int     `help:"How many servers; the bad day's if none. Other than those in virtual time only."`
+	Relays  int     `help:"How many relays, likewise."`
+	Spare   bool    `help:"The same day without the deaths and pauses, to compare with."`
+	Folder  string  `help:"For their settings, stores and logs; one that is removed afterwards if none." type:"path"`
+}
+
+const (
+	// takeoverCoordinators is the number of coordinators of the group.
+	takeoverCoordinators = 3
+	// coordinatorFaultPrefix is the prefix of the kinds of faults that stop a coordinator.
+	coordinatorFaultPrefix = "coordinator_"
+)
+
+// Run runs a scenario in which coordinators are killed and stopped.
+func (c *takeoverCommand) Run(env *environment) error {
+	day, err := loadScenario("", nil)
+	if err != nil {
+		return err
+	}
+	if c.Servers > 0 || c.Relays > 0 {
+		if !c.Virtual {
+			return errors.New("another number of servers or relays is played in virtual time only, with --virtual")
+		}
+		site := &day.Coordinator.Site
+		scenario.Enlarge(day, cmp.Or(c.Servers, len(site.Servers)), cmp.Or(c.Relays, len(site.Proxies)))
+	}
+	scenario.AddTakeovers(day, c.Kills, c.Every, c.Seed, c.Calm)
+	if c.Spare {
+		day.Faults = slices.DeleteFunc(day.Faults, func(fault settings.Fault) bool {
+			return strings.HasPrefix(fault.Kind, coordinatorFaultPrefix)
+		})
+	}
+	options := scenario.Options{
+		Log:          env.log,
+		Front:        c.Front,
+		Coordinators: takeoverCoordinators,
+		Proxies:      c.Proxies,
+	}
+	if c.Virtual {
+		return runScenario(env, day, options)
+	}
+	return c.runProcesses(env, day, options)
+}
+
+// runProcesses runs the scenario over sockets, with a process for each coordinator.
+func (c *takeoverCommand) runProcesses(env *environment, day *settings.Scenario, options scenario.Options) (err error) {
+	exe, err := os.Executable()
+	if err != nil {
+		return err
+	}
+	folder := c.Folder
+	if folder == "" {
+		folder, err = os.MkdirTemp("", "snowquay")
+		if err != nil {
+			return err
+		}
+		defer func() { err = errors.Join(err, os.RemoveAll(folder)) }()
+	}
+	log, err := os.Create(filepath.Join(folder, "coordinators.log"))
+	if err != nil {
+		return err
+	}
+	defer func() { err = errors.Join(err, log.Close()) }()
+	console.Printf(env.out, "playing %.0f s over loopback sockets, three coordinators as processes, %d kills ...\n",
+		day.Seconds, c.Kills)
+	options.Sockets = true
+	options.Processes = &scenario.Processes{Exe: exe, Folder: folder, Log: log}
+	return runScenario(env, day, options)
+}
