--- a/internal/core/spool/spool.go
+++ b/internal/core/spool/spool.go
@@ -1,183 +1,143 @@
-// Package spool keeps figures that are on their way to a receiver which may be away for long: samples in the order of time, at full
-// resolution while there is room, and coarser the older they are where there is not, so that an hour's absence leaves a picture of the
-// whole hour and not of its last minutes. It also decides what is sent when, and what counts as arrived. It is pure.
+// Package spool buffers samples of metrics for a receiver that may be unreachable for a long time. Samples
+// are kept at full resolution while there is capacity; otherwise the older ones are merged, so that the
+// buffer covers the whole outage and not only its last minutes. The package also decides when samples are
+// sent and when they count as delivered. It does no I/O.
 //
-// Samples are merged as buckets of an exponential histogram are: of each size there are at most so many, then the two oldest of a size
-// become one of twice that. Totals that only grow lose nothing by it but when they grew; of gauges the mean, the least and the most are
-// kept.
+// Samples are merged like the buckets of an exponential histogram: the number of samples of each size is
+// limited, and if there are more, the two oldest of a size become one of twice the size. A merged counter
+// keeps its last value; a merged gauge keeps its mean, minimum and maximum.
 package spool
 
 import (
 	"math"
 )
 
-// ID of a series; names are the caller's.
+// ID identifies a series. The caller assigns it.
 type ID uint32
 
-// Kind of a figure.
+// Kind is the kind of a series.
 type Kind uint8
 
-// Kinds of figures.
+// Kinds of series.
 const (
-	Gauge   Kind = iota // moves up and down
+	Gauge   Kind = iota // goes up and down
 	Counter             // only grows
 )
 
-// Value of a series in a sample. Of one that was never merged the mean is the value, and so are the least and the most.
+// Value is the value of a series in a sample. Before any merge, the mean, minimum and maximum are equal.
 type Value struct {
 	ID             ID
 	Kind           Kind
 	Mean, Min, Max float64
 }
 
-// Sample is all figures of a time, or of several that were merged.
+// Sample holds the values of all series at one time, or of several times that were merged.
 type Sample struct {
-	At     float64 // clock time; of merged ones the latest
-	From   float64 // of merged ones the earliest
-	Size   int     // samples that it was made of
+	At     float64 // latest time, in seconds since 1970
+	From   float64 // earliest time, in seconds since 1970
+	Size   int     // number of samples that it was merged from
 	Values []Value // by ID
 }
 
-// Config of a spool.
+// Config is the configuration of a spool and its sender.
 type Config struct {
-	MaxValues        int     // that are kept at most, over all samples
-	MaxPerSize       int     // samples of one size, before the two oldest of it are merged; 2 at least
-	Overlap          float64 // seconds: samples that were taken by the receiver's host so recently are sent anew after a break, since it may not have read them
-	MaxInFlightBytes int     // bytes that may be on their way
-	MaxRate          float64 // values a second that are sent at most: a receiver that comes back is not flooded
-	MinBackoff       float64 // seconds until the second try to reach the receiver; doubled with each further one
-	MaxBackoff       float64 // seconds between two tries at most
-	StallTimeout     float64 // seconds in which nothing on its way was taken, after which the connection is given up
+	MaxValues        int     // maximum number of values in all samples
+	MaxPerSize       int     // number of samples of one size above which the two oldest are merged; at least 2
+	Overlap          float64 // seconds since delivery for which samples are sent again after a lost connection, since the receiver may not have read them
+	MaxInFlightBytes int     // maximum number of bytes that are not delivered
+	MaxRate          float64 // values sent per second, which protects a receiver that has recovered
+	MinBackoff       float64 // seconds before the second attempt to connect; doubled for each further one
+	MaxBackoff       float64 // maximum seconds between two attempts to connect
+	StallTimeout     float64 // seconds without progress after which a connection is closed
 }
 
-// DefaultConfig keep an hour of 300 series each ten seconds whole, in 4 MB.
-var DefaultConfig = Config{MaxValues: 1 << 17, MaxPerSize: 64, Overlap: 30, MaxInFlightBytes: 64 << 10, MaxRate: 20000, MinBackoff: 0.5, MaxBackoff: 30, StallTimeout: 20}
+// DefaultConfig keeps an hour of 300 series at intervals of ten seconds without merging, in 4 MB.
+var DefaultConfig = Config{
+	MaxValues:        1 << 17,
+	MaxPerSize:       64,
+	Overlap:          30,
+	MaxInFlightBytes: 64 << 10,
+	MaxRate:          20000,
+	MinBackoff:       0.5,
+	MaxBackoff:       30,
+	StallTimeout:     20,
+}
+
+// minPerSize is the lower bound of Config.MaxPerSize: two samples are needed for a merge.
+const minPerSize = 2
 
-// Spool of samples. Use New.
+// Spool is a buffer of samples. Use New.
 type Spool struct {
-	terms   Config
-	samples []*Sample // oldest first; larger ones are older
-	values  int
-	Stats   Stats
+	Stats Stats
+
+	config  Config
+	samples []*Sample // oldest first; sizes never grow from one to the next
+	values  int       // in all samples
 }
 
-// Stats is what happened, for metrics.
+// Stats counts events, for metrics.
 type Stats struct {
-	Samples, Merged int
-	Dropped         int // values of samples that found no room even alone
+	Samples int // added
+	Merged  int // merges of two samples
+	Dropped int // values of samples that exceeded the capacity alone
 }
 
-// New makes an empty spool.
-func New(t Config) *Spool {
-	t.MaxPerSize = max(t.MaxPerSize, 2)
-	return &Spool{terms: t}
+// New returns an empty spool.
+func New(config Config) *Spool {
+	config.MaxPerSize = max(config.MaxPerSize, minPerSize)
+	return &Spool{config: config}
 }
 
-// Add a sample. Its values are kept, sorted by ID; a value that is no number is left out.
+// Add adds a sample. The values must be sorted by ID; those that are not finite are left out.
 func (s *Spool) Add(at float64, values []Value) {
-	kept := make([]Value, 0, len(values))
-	for _, v := range values {
-		if math.IsNaN(v.Mean) || math.IsInf(v.Mean, 0) {
+	finite := make([]Value, 0, len(values))
+	for _, value := range values {
+		if math.IsNaN(value.Mean) || math.IsInf(value.Mean, 0) {
 			continue
 		}
-		kept = append(kept, v)
+		finite = append(finite, value)
 	}
-	if len(kept) > s.terms.MaxValues {
-		s.Stats.Dropped += len(kept) - s.terms.MaxValues
-		kept = kept[:s.terms.MaxValues]
+	if len(finite) > s.config.MaxValues {
+		s.Stats.Dropped += len(finite) - s.config.MaxValues
+		finite = finite[:s.config.MaxValues]
 	}
 	s.Stats.Samples++
-	s.samples = append(s.samples, &Sample{At: at, From: at, Size: 1, Values: kept})
-	s.values += len(kept)
-	for s.values > s.terms.MaxValues && s.merge() {
-	}
-}
-
-// merge makes the two oldest samples of the smallest crowded size one. While none is crowded, the two oldest of the size that has most.
-func (s *Spool) merge() bool {
-	if len(s.samples) < 2 {
-		return false
-	}
-	// From the newest: sizes grow towards the oldest, so each size is a run.
-	best, crowd := -1, 0
-	for end := len(s.samples); end > 0; {
-		begin := end - 1
-		for begin > 0 && s.samples[begin-1].Size == s.samples[end-1].Size {
-			begin--
-		}
-		if n := end - begin; n >= 2 && (n > s.terms.MaxPerSize || n > crowd) {
-			if best, crowd = begin, n; n > s.terms.MaxPerSize {
-				break
-			}
-		}
-		end = begin
-	}
-	if best < 0 { // every size is there once: the two newest of unlike size, which leaves the past as it is
-		best = len(s.samples) - 2
-	}
-	a, b := s.samples[best], s.samples[best+1]
-	m := join(a, b)
-	s.values += len(m.Values) - len(a.Values) - len(b.Values)
-	s.samples[best] = m
-	s.samples = append(s.samples[:best+1], s.samples[best+2:]...)
-	s.Stats.Merged++
-	return true
-}
-
-// join makes two samples one, the later one second.
-func join(a, b *Sample) *Sample {
-	m := &Sample{At: b.At, From: a.From, Size: a.Size + b.Size, Values: make([]Value, 0, max(len(a.Values), len(b.Values)))}
-	i, j := 0, 0
-	for i < len(a.Values) || j < len(b.Values) {
-		switch {
-		case j == len(b.Values) || i < len(a.Values) && a.Values[i].ID < b.Values[j].ID:
-			m.Values = append(m.Values, a.Values[i])
-			i++
-		case i == len(a.Values) || b.Values[j].ID < a.Values[i].ID:
-			m.Values = append(m.Values, b.Values[j])
-			j++
-		default:
-			v, w := a.Values[i], b.Values[j]
-			part := float64(a.Size) / float64(m.Size)
-			w.Min, w.Max = min(v.Min, w.Min), max(v.Max, w.Max)
-			if w.Kind == Gauge { // a total is what it has grown to
-				w.Mean = v.Mean*part + w.Mean*(1-part)
-			}
-			m.Values = append(m.Values, w)
-			i, j = i+1, j+1
-		}
-	}
-	return m
+	s.samples = append(s.samples, &Sample{At: at, From: at, Size: 1, Values: finite})
+	s.values += len(finite)
+	s.shrink()
 }
 
-// Len is the number of samples and of values that wait.
+// Len returns the number of samples and of values that wait to be sent.
 func (s *Spool) Len() (samples, values int) { return len(s.samples), s.values }
 
-// Samples that wait, oldest first. They must not be changed.
+// Samples returns the samples that wait to be sent, oldest first. They must not be changed.
 func (s *Spool) Samples() []*Sample { return s.samples }
 
-// Coarsest is how many seconds the coarsest sample stands for.
-func (s *Spool) Coarsest() (seconds float64) {
-	for _, x := range s.samples {
-		seconds = max(seconds, x.At-x.From)
+// Coarsest returns the longest time in seconds that one sample covers, which is the coarsest resolution.
+func (s *Spool) Coarsest() float64 {
+	longest := 0.0
+	for _, sample := range s.samples {
+		longest = max(longest, sample.At-sample.From)
 	}
-	return seconds
+	return longest
 }
 
-// take the oldest sample out.
-func (s *Spool) take() *Sample {
-	x := s.samples[0]
+// dequeue removes and returns the oldest sample.
+func (s *Spool) dequeue() *Sample {
+	oldest := s.samples[0]
 	s.samples = s.samples[1:]
-	s.values -= len(x.Values)
-	return x
+	s.values -= len(oldest.Values)
+	return oldest
 }
 
-// back puts samples that did not arrive before all others.
-func (s *Spool) back(list []*Sample) {
-	s.samples = append(append(make([]*Sample, 0, len(list)+len(s.samples)), list...), s.samples...)
-	for _, x := range list {
-		s.values += len(x.Values)
-	}
-	for s.values > s.terms.MaxValues && s.merge() {
+// requeue inserts samples that were not delivered before all others.
+func (s *Spool) requeue(undelivered []*Sample) {
+	all := make([]*Sample, 0, len(undelivered)+len(s.samples))
+	all = append(all, undelivered...)
+	all = append(all, s.samples...)
+	s.samples = all
+	for _, sample := range undelivered {
+		s.values += len(sample.Values)
 	}
+	s.shrink()
 }
--- a/internal/core/spool/spool_test.go
+++ b/internal/core/spool/spool_test.go
@@ -17,7 +17,7 @@
 
 // Whatever is added: the bound holds, samples are in the order of time and cover all of it, totals end where they ended, gauges keep
 // their extremes and their mean over all.
-func TestSpoolKeepsTheWholeTime(t *testing.T) {
+func TestSpoolCoversTheWholeTime(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		terms := DefaultConfig
 		terms.MaxValues, terms.MaxPerSize = rapid.IntRange(20, 400).Draw(r, "values"), rapid.IntRange(2, 10).Draw(r, "size")
@@ -73,9 +73,9 @@
 	}
 }
 
-// A courier against receivers that come, go, stall and lose what they have not read: all samples arrive, in order but for those that go
+// A sender against receivers that come, go, stall and lose what they have not read: all samples arrive, in order but for those that go
 // again, and nothing is sent beside window and pace.
-func TestCourier(t *testing.T) {
+func TestSenderDeliversEverySample(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		terms := DefaultConfig
 		terms.MaxInFlightBytes, terms.Overlap, terms.MaxRate, terms.StallTimeout = 400, 5, 200, 3
