--- a/internal/feed/collectd/text_test.go
+++ b/internal/feed/collectd/text_test.go
@@ -92,7 +92,7 @@
 		f.Add(l)
 	}
 	f.Fuzz(func(t *testing.T, line string) {
-		if l, err := parseLine(line); err == nil && (l.Host == "" || len(l.Values) == 0 || len(l.Values) > mostValues) {
+		if l, err := parseLine(line); err == nil && (l.Host == "" || len(l.Values) == 0 || len(l.Values) > maxLineValues) {
 			t.Errorf("%q is taken for %+v", line, l)
 		}
 		PacketUser([]byte(line))
