--- a/internal/core/spool/spool_test.go
+++ b/internal/core/spool/spool_test.go
@@ -8,64 +8,80 @@
 	"pgregory.net/rapid"
 )
 
-func values(n int, v float64) (all []Value) {
+// values returns one value of each of n series, gauges and counters in turn.
+func values(n int, v float64) []Value {
+	var all []Value
 	for i := range n {
 		all = append(all, Value{ID: ID(i), Kind: Kind(i % 2), Mean: v, Min: v, Max: v})
 	}
 	return all
 }
 
-// Whatever is added: the bound holds, samples are in the order of time and cover all of it, totals end where they ended, gauges keep
-// their extremes and their mean over all.
+// The capacity is never exceeded, samples are in the order of time and cover all of it, counters keep their last value, and gauges keep
+// their extremes and their mean over all samples.
 func TestSpoolCoversTheWholeTime(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
-		terms := DefaultConfig
-		terms.MaxValues, terms.MaxPerSize = rapid.IntRange(20, 400).Draw(r, "values"), rapid.IntRange(2, 10).Draw(r, "size")
-		s := New(terms)
+		config := DefaultConfig
+		config.MaxValues = rapid.IntRange(20, 400).Draw(r, "values")
+		config.MaxPerSize = rapid.IntRange(2, 10).Draw(r, "size")
+		s := New(config)
 		n := rapid.IntRange(1, 5).Draw(r, "series")
-		count, sum, least, most := 0, 0.0, math.Inf(1), math.Inf(-1)
+		count := 0
+		sum := 0.0
+		lowest := math.Inf(1)
+		highest := math.Inf(-1)
 		for i := range rapid.IntRange(1, 600).Draw(r, "samples") {
 			v := rapid.Float64Range(-100, 100).Draw(r, "value")
 			s.Add(float64(1000+10*i), values(n, v))
-			count, sum, least, most = count+1, sum+v, min(least, v), max(most, v)
+			count++
+			sum += v
+			lowest = min(lowest, v)
+			highest = max(highest, v)
 			samples, kept := s.Len()
-			if kept > terms.MaxValues || samples == 0 {
-				r.Fatalf("%d values are kept, %d may be", kept, terms.MaxValues)
+			if kept > config.MaxValues || samples == 0 {
+				r.Fatalf("%d samples with %d values are kept, at most %d values may be", samples, kept, config.MaxValues)
 			}
-			all, at := 0, 0.0
-			gauge, lo, hi := 0.0, math.Inf(1), math.Inf(-1)
-			for k, x := range s.Samples() {
-				if x.At <= at || x.From > x.At || k > 0 && x.From <= at || k > 0 && x.Size > s.Samples()[k-1].Size {
-					r.Fatalf("sample %d of size %d from %v to %v, the one before ends at %v", k, x.Size, x.From, x.At, at)
+			covered := 0
+			at := 0.0
+			gaugeSum := 0.0
+			gaugeMin := math.Inf(1)
+			gaugeMax := math.Inf(-1)
+			for k, sample := range s.Samples() {
+				overlaps := sample.At <= at || k > 0 && sample.From <= at
+				if overlaps || sample.From > sample.At || k > 0 && sample.Size > s.Samples()[k-1].Size {
+					r.Fatalf("sample %d of size %d from %v to %v, the previous one ends at %v", k, sample.Size, sample.From, sample.At, at)
 				}
-				at = x.At
-				all += x.Size
-				g := x.Values[0]
-				gauge, lo, hi = gauge+g.Mean*float64(x.Size), min(lo, g.Min), max(hi, g.Max)
+				at = sample.At
+				covered += sample.Size
+				gauge := sample.Values[0]
+				gaugeSum += gauge.Mean * float64(sample.Size)
+				gaugeMin = min(gaugeMin, gauge.Min)
+				gaugeMax = max(gaugeMax, gauge.Max)
 			}
-			if all != count || s.Samples()[0].From != 1000 || at != float64(1000+10*i) {
-				r.Fatalf("%d of %d samples, from %v to %v", all, count, s.Samples()[0].From, at)
+			if covered != count || s.Samples()[0].From != 1000 || at != float64(1000+10*i) {
+				r.Fatalf("%d of %d samples, from %v to %v", covered, count, s.Samples()[0].From, at)
 			}
-			if math.Abs(gauge-sum) > 1e-6*math.Max(1, math.Abs(sum))+1e-6 || lo != least || hi != most {
-				r.Fatalf("the gauge's sum is %v, least %v, most %v; they were %v, %v, %v", gauge, lo, hi, sum, least, most)
+			tolerance := 1e-6*math.Max(1, math.Abs(sum)) + 1e-6
+			if math.Abs(gaugeSum-sum) > tolerance || gaugeMin != lowest || gaugeMax != highest {
+				r.Fatalf("the gauge has sum %v, minimum %v, maximum %v; want %v, %v, %v", gaugeSum, gaugeMin, gaugeMax, sum, lowest, highest)
 			}
 			if n > 1 {
-				if last := s.Samples()[len(s.Samples())-1].Values[1]; last.Mean != v {
-					r.Fatalf("a total ends at %v, it was %v", last.Mean, v)
+				if counter := s.Samples()[len(s.Samples())-1].Values[1]; counter.Mean != v {
+					r.Fatalf("the counter ends at %v, want %v", counter.Mean, v)
 				}
 			}
 		}
 	})
 }
 
-func TestSeriesComeAndGo(t *testing.T) {
+func TestMergeOfDifferentSeries(t *testing.T) {
 	s := New(Config{MaxValues: 4, MaxPerSize: 2})
 	s.Add(1, []Value{{ID: 1, Mean: 1, Min: 1, Max: 1}, {ID: 3, Mean: 5, Min: 5, Max: 5}})
 	s.Add(2, []Value{{ID: 2, Mean: 2, Min: 2, Max: 2}, {ID: 3, Mean: 7, Min: 7, Max: 7}, {ID: 4, Mean: math.NaN()}})
 	s.Add(3, []Value{{ID: 3, Mean: 9, Min: 9, Max: 9}})
-	x := s.Samples()[0]
-	if len(x.Values) != 3 || x.Values[0].ID != 1 || x.Values[1].ID != 2 || x.Values[2].Mean != 6 && x.Values[2].Mean != 7 {
-		t.Errorf("%+v", x)
+	merged := s.Samples()[0].Values
+	if len(merged) != 3 || merged[0].ID != 1 || merged[1].ID != 2 || merged[2].Mean != 6 && merged[2].Mean != 7 {
+		t.Errorf("%+v", merged)
 	}
 	s.Add(4, values(9, 1))
 	if _, n := s.Len(); n > 4 || s.Stats.Dropped != 5 {
@@ -73,69 +89,81 @@
 	}
 }
 
-// A sender against receivers that come, go, stall and lose what they have not read: all samples arrive, in order but for those that go
-// again, and nothing is sent beside window and pace.
+// All samples arrive at a receiver that fails, stalls and loses what it has not read, and the window is respected.
 func TestSenderDeliversEverySample(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
-		terms := DefaultConfig
-		terms.MaxInFlightBytes, terms.Overlap, terms.MaxRate, terms.StallTimeout = 400, 5, 200, 3
-		c := NewSender(1000, terms, func() float64 { return 0.5 })
-		arrived := map[float64]bool{}
-		now, next := 1000.0, 1000.0
-		up, bytes, taken := false, uint64(0), uint64(0)
-		type way struct {
-			at  float64
-			end uint64
-			in  float64 // when the host took it
+		const sampleBytes = 100
+		config := DefaultConfig
+		config.MaxInFlightBytes = 400
+		config.Overlap = 5
+		config.MaxRate = 200
+		config.StallTimeout = 3
+		s := NewSender(1000, config, func() float64 { return 0.5 })
+		arrived := map[float64]bool{} // by the time of the sample
+		now := 1000.0
+		nextSampleAt := 1000.0
+		connected := false
+		sent := uint64(0)      // bytes on this connection
+		delivered := uint64(0) // of them
+		type inFlight struct {
+			at          float64
+			deliveredAt float64
 		}
-		var on []way // sent on this connection, and not read by the program
+		var unread []inFlight // sent on this connection and not read by the receiver
 		added := 0
 		for step := range 3000 {
 			now += 0.05
-			if now >= next && step < 2000 {
-				c.Add(now, values(3, float64(step)))
-				next, added = now+1, added+1
+			if now >= nextSampleAt && step < 2000 {
+				s.Add(now, values(3, float64(step)))
+				nextSampleAt = now + 1
+				added++
 			}
-			quiet := step > 2200 // in the end all is well
-			switch c.Tick(now) {
+			recovered := step > 2200 // there are no more faults
+			switch s.Tick(now) {
 			case Dial:
-				if quiet || rapid.IntRange(0, 3).Draw(r, "reached") > 0 {
-					c.ConnectionEstablished(now)
-					up, bytes, taken, on = true, 0, 0, nil
+				if recovered || rapid.IntRange(0, 3).Draw(r, "reached") > 0 {
+					s.ConnectionEstablished(now)
+					connected = true
+					sent = 0
+					delivered = 0
+					unread = nil
 				} else {
-					c.ConnectionLost(now)
+					s.ConnectionLost(now)
 				}
 			case CloseConnection:
-				up, on = false, nil
+				connected = false
+				unread = nil
 			}
 			for {
-				x, ok := c.Next(now)
+				sample, ok := s.Next(now)
 				if !ok {
 					break
 				}
-				if !up || bytes-taken >= uint64(terms.MaxInFlightBytes) {
-					r.Fatal("it is sent though there is no room")
+				if !connected || sent-delivered >= uint64(config.MaxInFlightBytes) {
+					r.Fatal("a sample is sent without a connection or beyond the window")
 				}
-				bytes += 100
-				on = append(on, way{x.At, bytes, 0})
-				c.RecordWrite(now, 100)
+				sent += sampleBytes
+				unread = append(unread, inFlight{at: sample.At})
+				s.RecordWrite(now, sampleBytes)
 			}
-			if up && !quiet && rapid.IntRange(0, 99).Draw(r, "breaks") == 0 {
-				up, on = false, nil // what was not read is lost
-				c.ConnectionLost(now)
+			if connected && !recovered && rapid.IntRange(0, 99).Draw(r, "breaks") == 0 {
+				connected = false
+				unread = nil // the receiver loses what it has not read
+				s.ConnectionLost(now)
 			}
-			if up && (quiet || rapid.IntRange(0, 9).Draw(r, "takes") < 7) {
-				taken = bytes
-				c.Delivered(now, taken)
-				for i := range on {
-					if on[i].in == 0 {
-						on[i].in = now
+			if connected && (recovered || rapid.IntRange(0, 9).Draw(r, "takes") < 7) {
+				delivered = sent
+				s.Delivered(now, delivered)
+				for i := range unread {
+					if unread[i].deliveredAt == 0 {
+						unread[i].deliveredAt = now
 					}
 				}
 			}
-			for len(on) > 0 && on[0].in > 0 && (quiet || now-on[0].in > 0.5) { // read half a second later, well within the overlap
-				arrived[on[0].at] = true
-				on = on[1:]
+			// The receiver reads half a second after delivery, which is well within the overlap.
+			for len(unread) > 0 && unread[0].deliveredAt > 0 && (recovered || now-unread[0].deliveredAt > 0.5) {
+				arrived[unread[0].at] = true
+				unread = unread[1:]
 			}
 		}
 		if len(arrived) != added {
@@ -144,27 +172,29 @@
 	})
 }
 
-// ring is the plain way: the oldest is dropped.
+// ring is a buffer that drops the oldest samples, to compare with.
 type ring struct {
-	samples []*Sample
-	values  int
-	most    int
+	samples   []*Sample
+	values    int
+	maxValues int
 }
 
 func (r *ring) add(at float64, v []Value) {
 	r.samples = append(r.samples, &Sample{At: at, From: at, Size: 1, Values: append([]Value(nil), v...)})
 	r.values += len(v)
-	for r.values > r.most {
+	for r.values > r.maxValues {
 		r.values -= len(r.samples[0].Values)
 		r.samples = r.samples[1:]
 	}
 }
 
-// An hour's absence in memory for ten minutes: the plain ring has the last ten minutes, the spool the whole hour.
-func TestAnHourInTenMinutesMemory(t *testing.T) {
-	terms := DefaultConfig
-	terms.MaxValues, terms.MaxPerSize = 60*100, 12 // 60 samples of 100 series: ten minutes at one each ten seconds
-	s, plain := New(terms), &ring{most: terms.MaxValues}
+// With the capacity of ten minutes, a ring covers the last ten minutes of an hour, and the spool covers the whole hour.
+func TestSpoolCoversAnHourInTenMinutesCapacity(t *testing.T) {
+	config := DefaultConfig
+	config.MaxValues = 60 * 100 // 60 samples of 100 series: ten minutes at intervals of ten seconds
+	config.MaxPerSize = 12
+	s := New(config)
+	plain := &ring{maxValues: config.MaxValues}
 	for i := range 360 {
 		s.Add(float64(10*i), values(100, float64(i)))
 		plain.add(float64(10*i), values(100, float64(i)))
@@ -188,15 +218,15 @@
 	for _, n := range []int{100, 10000} {
 		v := values(n, 1)
 		b.Run(fmt.Sprint("spool-", n), func(b *testing.B) {
-			terms := DefaultConfig
-			terms.MaxValues = 60 * n
-			s := New(terms)
+			config := DefaultConfig
+			config.MaxValues = 60 * n
+			s := New(config)
 			for i := 0; b.Loop(); i++ {
 				s.Add(float64(i), v)
 			}
 		})
 		b.Run(fmt.Sprint("ring-", n), func(b *testing.B) {
-			r := &ring{most: 60 * n}
+			r := &ring{maxValues: 60 * n}
 			for i := 0; b.Loop(); i++ {
 				r.add(float64(i), v)
 			}
--- a/internal/feed/collectd/collector_test.go
+++ b/internal/feed/collectd/collector_test.go
@@ -11,6 +11,7 @@
 )
 
 func newFleet(t testing.TB) *controlplane.Fleet {
+	t.Helper()
 	f, err := controlplane.New(1000, controlplane.Site{ClassNames: []string{"search"}, Classes: []balancer.RequestClass{{LatencyObjective: 1}},
 		AllowUnlisted: true, Limits: controlplane.DefaultLimits, Reporting: balancer.Reporting{Period: 0.5},
 		Servers: []registry.ServerConfig{{Server: "10.0.0.1:80", Weight: 1, Static: true}}}, nil, nil)
@@ -32,7 +33,7 @@
 	return out
 }
 
-func TestWhatIsPackedComesIn(t *testing.T) {
+func TestPacketWriterRoundTrip(t *testing.T) {
 	for _, key := range []string{"", "secret"} {
 		f := newFleet(t)
 		c := New(f, "relays", key)
@@ -52,7 +53,7 @@
 	}
 }
 
-func TestWhatIsNotSignedIsNotTaken(t *testing.T) {
+func TestUnsignedPacketsAreRejected(t *testing.T) {
 	f := newFleet(t)
 	c := New(f, "relays", "secret")
 	signed := packet(2000, 10, "secret")
@@ -62,14 +63,14 @@
 		_ = c.Packet(1001, b)
 	}
 	if f.LoadReports.Len() != 0 {
-		t.Errorf("%d series are kept of packets that nobody signed", f.LoadReports.Len())
+		t.Errorf("%d series are kept of packets without a valid signature", f.LoadReports.Len())
 	}
 	if err := c.Packet(1001, signed); err != nil || f.LoadReports.Len() != 2 {
 		t.Errorf("the signed one: %v, %d series", err, f.LoadReports.Len())
 	}
 }
 
-func TestGarbledPacketsChangeNothing(t *testing.T) {
+func TestMalformedPacketsChangeNothing(t *testing.T) {
 	f := newFleet(t)
 	c := New(f, "", "")
 	good := packet(2000, 10, "")
@@ -77,7 +78,7 @@
 		for _, bit := range []byte{1, 0x80} {
 			b := bytes.Clone(good)
 			b[i] ^= bit
-			_ = c.Packet(1001, b[:max(i, 1)]) // torn, and with a wrong bit: whatever is left must not harm
+			_ = c.Packet(1001, b[:max(i, 1)]) // truncated just before the flipped bit
 		}
 	}
 	before := f.LoadReports.Len()
@@ -85,7 +86,7 @@
 		_ = c.Packet(1001, b)
 	}
 	if f.LoadReports.Len() != before || c.Malformed == 0 {
-		t.Errorf("%d series more, %d garbled", f.LoadReports.Len()-before, c.Malformed)
+		t.Errorf("%d series more, %d malformed", f.LoadReports.Len()-before, c.Malformed)
 	}
 }
 
--- a/internal/feed/collectd/text_test.go
+++ b/internal/feed/collectd/text_test.go
@@ -18,7 +18,7 @@
 	}
 }
 
-func TestTextComesIn(t *testing.T) {
+func TestTextPackets(t *testing.T) {
 	f := newFleet(t)
 	c := New(f, "", "")
 	for i, tries := range []float64{10, 30} {
@@ -32,19 +32,19 @@
 	}
 	signed := New(f, "relays", "secret")
 	if err := signed.Packet(1003, []byte(lines(2001, 50)[0])); !errors.Is(err, ErrInvalidPacket) {
-		t.Error("text is taken where measurements are signed")
+		t.Error("text is accepted though packets must be signed")
 	}
 	for _, wrong := range []string{"PUTVAL ", "PUTVAL a/b 1:2", "PUTVAL a/b/c", "PUTVAL a/b/c N:1", "PUTVAL a/b/c 1:x", "PUTVAL a/b/c 1:-4", "PUTVAL a/b/c 1:1e3",
 		`PUTVAL "a/b/c 1:2`, "PUTVAL a/b/c opt 1:2", "PUTVAL a//c 1:2", "PUTVAL a/b/c 1" + strings.Repeat(":1", 20), "PUTVAL " + strings.Repeat("a", 2000),
 		"PUTVAL h/uptime/uptime 1:NaN", "PUTVAL a/b/c -1:2", "PUTVAL a/b/c inf:2"} {
 		if _, err := parseLine(wrong); !errors.Is(err, ErrInvalidLine) {
-			t.Errorf("%q is taken", wrong)
+			t.Errorf("%q is accepted", wrong)
 		}
 	}
 }
 
-// A stream with garbled, doubled and cut lines leads to what the clean one leads to: the same sums, hence the same decisions.
-func TestGarbledLinesDecideNothing(t *testing.T) {
+// Malformed, duplicated and truncated lines do not change the reports of the valid ones.
+func TestMalformedLinesChangeNothing(t *testing.T) {
 	c := rand.New(rand.NewPCG(1, 2))
 	run := func(dirty bool) (all [][]balancer.UpstreamReport) {
 		f := newFleet(t)
@@ -83,7 +83,7 @@
 		return all
 	}
 	if clean, dirty := run(false), run(true); !reflect.DeepEqual(clean, dirty) {
-		t.Error("a garbled line has decided something")
+		t.Error("malformed lines change the reports")
 	}
 }
 
--- a/internal/settings/host_test.go
+++ b/internal/settings/host_test.go
@@ -19,7 +19,7 @@
 	return string(b)
 }
 
-func TestHostAndTenant(t *testing.T) {
+func TestParseHostAndTenant(t *testing.T) {
 	h, err := ParseHost("host.xml", []byte(readDoc(t, "example-host.xml")))
 	if err != nil {
 		t.Fatal(err)
@@ -37,7 +37,7 @@
 		s.Pools["127.0.1.1:8080"].Capacity != 50 || m.Requirements.CheckWithin(h.Capacity.Requirements) != nil || !m.Requirements.Valid() || s.Limits.MaxSeries > 1000 {
 		t.Errorf("%+v", m)
 	}
-	for _, c := range [][3]string{
+	for _, c := range []struct{ from, to, problem string }{
 		{`role="staff"`, `role="host"`, "the host's callers"},
 		{`127.0.0.0/16`, `127.0.0.1/16`, "bits behind"},
 		{`key="change-this-key-of-the-staff"`, `key="short"`, "16 at least"},
@@ -46,25 +46,31 @@
 		{`relay uid="relay-1"`, `relay uid="` + strings.Repeat("r", 252) + `"`, "over 255 bytes"},
 		{`<tenant `, `<tenant limits="none" `, "unknown attribute"},
 	} {
-		_, err := ParseTenant("first", []byte(strings.Replace(text, c[0], c[1], 1)), h)
-		if c[2] == "" && err != nil || c[2] != "" && (err == nil || !strings.Contains(err.Error(), c[2]) || !strings.Contains(err.Error(), "first:")) {
-			t.Errorf("%s: %v, wanted %q", c[1], err, c[2])
+		_, err := ParseTenant("first", []byte(strings.Replace(text, c.from, c.to, 1)), h)
+		if c.problem == "" {
+			if err != nil {
+				t.Errorf("%s: %v", c.to, err)
+			}
+			continue
+		}
+		if err == nil || !strings.Contains(err.Error(), c.problem) || !strings.Contains(err.Error(), "first:") {
+			t.Errorf("%s: %v, want %q", c.to, err, c.problem)
 		}
 	}
-	// A class that no listed server may take, where no others can come.
-	lonely := strings.NewReplacer(`register="members"`, `register="listed"`, `<zone name="south"/>`, `<zone name="south"/><zone name="east"/>`,
+	// No listed server may serve a class, and no others can register.
+	unserved := strings.NewReplacer(`register="members"`, `register="listed"`, `<zone name="south"/>`, `<zone name="south"/><zone name="east"/>`,
 		`<class name="search"`, `<class zones="east" name="search"`).Replace(text)
-	if _, err := ParseTenant("first", []byte(lonely), h); err == nil || !strings.Contains(err.Error(), "no server is listed") {
+	if _, err := ParseTenant("first", []byte(unserved), h); err == nil || !strings.Contains(err.Error(), "no server is listed") {
 		t.Error(err)
 	}
-	// Levels: relays then come by the long-poll API alone, and only servers speak SASP.
+	// With admission, proxies use the long-poll API only, and SASP is left to the servers.
 	m, err = ParseTenant("first", []byte(strings.Replace(text, `<fleet relays`, `<fleet levels="fraction" relays`, 1)), h)
 	if err != nil || !m.Config.Policy.MembersOnly || m.Config.Site.DataPlane.Admission != balancer.AdmissionFraction {
 		t.Error(err, m.Config.Policy)
 	}
 }
 
-func TestKeysAreKept(t *testing.T) {
+func TestMergeKeysRestoresMaskedKeys(t *testing.T) {
 	text := readDoc(t, "example-tenant.xml")
 	shown, err := MaskKeys([]byte(text))
 	if err != nil || strings.Contains(string(shown), "change-this") {
@@ -74,16 +80,16 @@
 	if err != nil || !strings.Contains(string(back), `key="change-this-key-of-the-staff"`) || !strings.Contains(string(back), `key="change-this-key-of-measurements"`) {
 		t.Fatalf("%v %s", err, back)
 	}
-	// A key that was never there can't be left unchanged: the name that stands for it would become everybody's key.
+	// A masked key without a previous one is rejected: otherwise the mask itself would become the key.
 	if _, err := MergeKeys([]byte(strings.Replace(string(shown), `name="ann"`, `name="eve"`, 1)), []byte(text)); err == nil {
-		t.Error("a caller without a key is taken")
+		t.Error("a new caller with a masked key is accepted")
 	}
 	if _, err := MergeKeys(shown, nil); err == nil {
-		t.Error("a new tenant without keys is taken")
+		t.Error("a new tenant with masked keys is accepted")
 	}
 }
 
-func TestEdit(t *testing.T) {
+func TestServerEdit(t *testing.T) {
 	h, err := ParseHost("host.xml", []byte(readDoc(t, "example-host.xml")))
 	if err != nil {
 		t.Fatal(err)
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -12,6 +12,7 @@
 )
 
 func example(t testing.TB) string {
+	t.Helper()
 	text, err := os.ReadFile("../../docs/example.xml")
 	if err != nil {
 		t.Fatal(err)
@@ -19,7 +20,7 @@
 	return string(text)
 }
 
-func TestTheExampleActsAsItSays(t *testing.T) {
+func TestParseExampleCoordinator(t *testing.T) {
 	c, err := ParseCoordinator("example.xml", []byte(example(t)))
 	if err != nil {
 		t.Fatal(err)
@@ -29,7 +30,7 @@
 		t.Errorf("%+v", c)
 	}
 	if c.Site.RetryPolicies[0] != balancer.RetryOnce || c.Site.RetryPolicies[1] != balancer.RetryIfNotExecuted {
-		t.Errorf("repeats %v: a guarded class must not be repeated after a failure", c.Site.RetryPolicies)
+		t.Errorf("retry policies %v: a keyed class must not be retried after a failure", c.Site.RetryPolicies)
 	}
 	c, err = ParseCoordinator("example.xml", []byte(example(t)), controlplane.GuardRetries)
 	if err != nil || c.Site.RetryPolicies[1] != balancer.RetryOnce {
@@ -40,8 +41,8 @@
 	}
 }
 
-// Each change makes one thing wrong; the error names its line and element.
-func TestWhatIsWrongIsNamed(t *testing.T) {
+// Each case makes one change that is an error.
+func TestErrorsNameLineAndElement(t *testing.T) {
 	good := example(t)
 	line := func(part string) int {
 		return 1 + strings.Count(good[:strings.LastIndex(good[:strings.Index(good, part)+1], "<")], "\n")
@@ -69,24 +70,27 @@
 		{`user="relays" `, ``, "reports", "belong together"},
 		{`<relays strangers="false">`, `<relays strangers="false">x`, "relays", "text"},
 		{`<limits servers="100"/>`, `<limits servers="3"/>`, "limits", "4 are listed"},
-		{`</relays>`, `</relay>`, "?", "syntax"},
+		{`</relays>`, `</relay>`, unknownElement, "syntax"},
 	} {
 		if !strings.Contains(good, c.from) {
 			t.Fatalf("the example has no %s", c.from)
 		}
 		_, err := ParseCoordinator("example.xml", []byte(strings.Replace(good, c.from, c.to, 1)))
-		var e *Error
-		if !errors.As(err, &e) || !strings.Contains(err.Error(), c.problem) || c.element != "?" && e.Element != c.element {
-			t.Errorf("%s: %v, want <%s> and %q", c.to, err, c.element, c.problem)
+		var settingsError *Error
+		if !errors.As(err, &settingsError) || !strings.Contains(err.Error(), c.problem) {
+			t.Errorf("%s: %v, want %q", c.to, err, c.problem)
 			continue
 		}
-		if want := line(c.from); e.Line != want || e.File != "example.xml" {
-			t.Errorf("%s: %s:%d, want line %d", c.to, e.File, e.Line, want)
+		if c.element != unknownElement && settingsError.Element != c.element {
+			t.Errorf("%s: element %s, want %s", c.to, settingsError.Element, c.element)
+		}
+		if want := line(c.from); settingsError.Line != want || settingsError.File != "example.xml" {
+			t.Errorf("%s: %s:%d, want line %d", c.to, settingsError.File, settingsError.Line, want)
 		}
 	}
 }
 
-func TestAllThatIsWrongIsToldAtOnce(t *testing.T) {
+func TestAllErrorsAreReported(t *testing.T) {
 	text := strings.Replace(strings.Replace(example(t), `goal-time="1.5"`, `goal-time="x"`, 1), `weight="2"`, `weight="-1"`, 1)
 	_, err := ParseCoordinator("f", []byte(text))
 	if err == nil || strings.Count(err.Error(), "f:") != 2 {
@@ -94,11 +98,11 @@
 	}
 }
 
-func TestTornAndHostileFiles(t *testing.T) {
+func TestTruncatedAndHostileFilesAreRejected(t *testing.T) {
 	good := example(t)
-	for i := 0; i < len(good)-2; i += 7 { // whatever is left of the file, nothing of it is taken
+	for i := 0; i < len(good)-2; i += 7 {
 		if _, err := ParseCoordinator("f", []byte(good[:i])); err == nil {
-			t.Fatalf("the first %d bytes were taken", i)
+			t.Fatalf("the first %d bytes were accepted", i)
 		}
 	}
 	deep := strings.Repeat("<a>", 100) + strings.Repeat("</a>", 100)
@@ -110,7 +114,7 @@
 	}
 }
 
-func TestDays(t *testing.T) {
+func TestParseScenario(t *testing.T) {
 	_, after, found := strings.Cut(example(t), "<coordinator")
 	if !found {
 		t.Fatal("the example has no coordinator")
@@ -121,17 +125,22 @@
 	if d, err := ParseScenario("d", []byte(good)); err != nil || len(d.Faults) != 1 || d.Faults[0].Server != 1 {
 		t.Fatalf("%+v, %v", d, err)
 	}
-	for from, c := range map[string][2]string{`server="1"`: {`server="9"`, "there are 4"}, `at="2"`: {`at="20"`, "after the day's end"},
-		`kind="drain" at="2" server="1"`: {`kind="drain" at="2"`, "drain needs a server"}, `share="1"`: {`share="0.5"`, "add up"},
-		`class="search"`: {`class="x"`, "no class"}, `slowest="1"`: {`slowest="2"`, "faster"}} {
-		if _, err := ParseScenario("d", []byte(strings.Replace(good, from, c[0], 1))); err == nil || !strings.Contains(err.Error(), c[1]) {
-			t.Errorf("%s: %v, want %q", c[0], err, c[1])
+	for _, c := range []struct{ from, to, problem string }{
+		{`server="1"`, `server="9"`, "there are 4"},
+		{`at="2"`, `at="20"`, "after the day's end"},
+		{`kind="drain" at="2" server="1"`, `kind="drain" at="2"`, "drain needs a server"},
+		{`share="1"`, `share="0.5"`, "add up"},
+		{`class="search"`, `class="x"`, "no class"},
+		{`slowest="1"`, `slowest="2"`, "faster"},
+	} {
+		_, err := ParseScenario("d", []byte(strings.Replace(good, c.from, c.to, 1)))
+		if err == nil || !strings.Contains(err.Error(), c.problem) {
+			t.Errorf("%s: %v, want %q", c.to, err, c.problem)
 		}
 	}
 }
 
-// With whom a coordinator shares its fleet: what is right acts as it says, what is wrong is named.
-func TestGroups(t *testing.T) {
+func TestParseGroup(t *testing.T) {
 	const good = `<group number="2" key="sixteen bytes are enough" store="g.db"><peer number="1" address="127.0.0.1:7001"/>` +
 		`<peer number="2" address="127.0.0.1:7002"/><peer number="5" address="127.0.0.1:7005"/></group>`
 	with := func(group string) (*Coordinator, error) {
