--- a/internal/cli/administration.go
+++ b/internal/cli/administration.go
@@ -54,9 +54,9 @@
 type drainOptions struct {
 	Server   string  `arg:"" help:"Address and port."`
 	End      bool    `help:"End the drain."`
-	Force    bool    `help:"Also where it would do harm."`
-	LoseZone bool    `help:"Refuse it also where it would do harm if any one zone were lost."`
-	Follow   float64 `help:"Seconds to wait until no proxy sends to it any more." default:"10"`
+	Force    bool    `help:"Also if it would do harm."`
+	LoseZone bool    `help:"Refuse it also if it would do harm after the loss of any one zone."`
+	Follow   float64 `help:"Seconds to wait until no proxy sends to it." default:"10"`
 }
 
 // drainRequest is the body of a request to drain a server or to end its drain.
@@ -102,7 +102,7 @@
 type previewCommand struct {
 	coordinatorTarget
 	Server   []string `arg:"" help:"Addresses and ports of servers to be drained together."`
-	LoseZone bool     `help:"With any one zone lost besides."`
+	LoseZone bool     `help:"Also with any one zone lost."`
 }
 
 // previewRequest is the body of a request to preview the drain of several servers.
@@ -142,7 +142,7 @@
 type explainCommand struct {
 	coordinatorTarget
 	Proxy string `arg:"" help:"UID of the proxy."`
-	Most  int    `help:"How many orders." default:"5"`
+	Most  int    `help:"Maximum number of orders." default:"5"`
 }
 
 // Run prints the latest orders to a proxy and their reasons.
--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -23,18 +23,18 @@
 	Serve    serveCommand     `cmd:"" help:"Run a coordinator."`
 	Platform platformCommand  `cmd:"" help:"Run a coordinator on the platform, by the configuration that PROXY_CONFIG names."`
 	Host     hostCommand      `cmd:"" help:"Run a host of many tenants, each with a coordinator of its own."`
-	Tenant   tenantCommands   `cmd:"" help:"Make, change, look at and remove the tenants of a host."`
-	Proxy    proxyCommand     `cmd:"" help:"Run a small proxy that obeys the published tables."`
-	Check    checkCommand     `cmd:"" help:"Say what is wrong with a settings file, by line and element, or how it will act."`
-	Scenario scenarioCommands `cmd:"" aliases:"rehearse" help:"Play a scenario with faults against emulated servers and relays, and judge the rules."`
+	Tenant   tenantCommands   `cmd:"" help:"Create, change, show and remove the tenants of a host."`
+	Proxy    proxyCommand     `cmd:"" help:"Run a small proxy that forwards by the published tables."`
+	Check    checkCommand     `cmd:"" help:"Check a settings file: print its errors by line and element, or how it will act."`
+	Scenario scenarioCommands `cmd:"" aliases:"rehearse" help:"Run a scenario with faults against emulated servers and proxies, and check the rules."`
 
-	Experiment experimentCommands `cmd:"" aliases:"lab" help:"Experiments in virtual time: runs, sweeps, comparisons, reports, small bad days."`
-	Drain      drainCommand       `cmd:"" help:"Order a drain, or its end, by the administration API, and follow it."`
-	Preview    previewCommand     `cmd:"" help:"Say why servers must not be drained together."`
-	Explain    explainCommand     `cmd:"" help:"Say why a proxy's latest orders were given, and when it held them."`
+	Experiment experimentCommands `cmd:"" aliases:"lab" help:"Experiments in virtual time: runs, sweeps, comparisons, reports, shrunk scenarios."`
+	Drain      drainCommand       `cmd:"" help:"Drain a server, or end its drain, by the administration API, and follow it."`
+	Preview    previewCommand     `cmd:"" help:"Print why servers must not be drained together."`
+	Explain    explainCommand     `cmd:"" help:"Print why a proxy's latest orders were given, and when it held them."`
 	Servers    serversCommand     `cmd:"" help:"List the servers that a coordinator knows."`
-	Group      groupCommands      `cmd:"" help:"Look at coordinators that share a fleet, or take one out."`
-	Schema     schemaCommand      `cmd:"" help:"Print the schema of settings and days."`
+	Group      groupCommands      `cmd:"" help:"Show the coordinators that share a fleet, or remove one."`
+	Schema     schemaCommand      `cmd:"" help:"Print the schema of all settings files."`
 }
 
 // environment is what commands write to.
--- a/internal/cli/experiment.go
+++ b/internal/cli/experiment.go
@@ -12,18 +12,18 @@
 )
 
 type experimentCommands struct {
-	Run     experimentRunCommand     `cmd:"" help:"Play what a folder lacks of an experiment."`
-	Sweep   experimentSweepCommand   `cmd:"" help:"Play it, and list the worst days and the worst pairs of troubles."`
-	Compare experimentCompareCommand `cmd:"" help:"Two arms, by paired seeds, with intervals."`
-	Report  experimentReportCommand  `cmd:"" help:"Tables and charts of a folder."`
-	Shrink  experimentShrinkCommand  `cmd:"" help:"Make a bad day of a folder small, as a scenario."`
-	One     experimentOneCommand     `cmd:"" help:"Play one cell and print its record; for arms that are other builds." hidden:""`
+	Run     experimentRunCommand     `cmd:"" help:"Run the cells of an experiment that a folder lacks."`
+	Sweep   experimentSweepCommand   `cmd:"" help:"Run an experiment, and list the worst runs and the worst pairs of faults."`
+	Compare experimentCompareCommand `cmd:"" help:"Compare two arms by paired seeds, with confidence intervals."`
+	Report  experimentReportCommand  `cmd:"" help:"Write tables and charts of a folder."`
+	Shrink  experimentShrinkCommand  `cmd:"" help:"Shrink the scenario of a bad run."`
+	One     experimentOneCommand     `cmd:"" help:"Run one cell and print its record; for arms that are other builds." hidden:""`
 }
 
 type experimentRunCommand struct {
 	Experiment string `arg:"" type:"existingfile" help:"Experiment file (XML)."`
-	Folder     string `arg:"" type:"path" help:"Where its runs are kept; what is there is not played again."`
-	Jobs       int    `help:"How many are played at once; 0: as many as there are cores."`
+	Folder     string `arg:"" type:"path" help:"Folder of the records; cells with a record are not run again."`
+	Jobs       int    `help:"Number of cells that run at once; 0: one per core."`
 }
 
 // runMissing runs what the folder lacks, and returns the experiment and all records of the folder.
@@ -54,7 +54,7 @@
 
 type experimentSweepCommand struct {
 	experimentRunCommand
-	Most int `help:"How many days and pairs are listed." default:"15"`
+	Most int `help:"Maximum number of runs and pairs that are listed." default:"15"`
 }
 
 // Run runs an experiment and prints its worst runs. The result is negative if a rule was broken.
@@ -97,9 +97,9 @@
 }
 
 type experimentCompareCommand struct {
-	Folder string `arg:"" type:"existingdir" help:"Of the runs."`
-	Base   string `arg:"" help:"Arm."`
-	Other  string `arg:"" help:"Arm that it is compared with."`
+	Folder string `arg:"" type:"existingdir" help:"Folder of the records."`
+	Base   string `arg:"" help:"Arm that is the baseline."`
+	Other  string `arg:"" help:"Arm that is compared with it."`
 }
 
 // Run compares two arms of an experiment.
@@ -121,7 +121,7 @@
 }
 
 type experimentReportCommand struct {
-	Folder string `arg:"" type:"existingdir" help:"Of the runs."`
+	Folder string `arg:"" type:"existingdir" help:"Folder of the records."`
 }
 
 // Run writes the report of an experiment and prints the names of its files.
@@ -139,12 +139,12 @@
 }
 
 type experimentShrinkCommand struct {
-	Folder string  `arg:"" type:"existingdir" help:"Of the runs."`
-	Cell   string  `arg:"" help:"Which day: fleet.case.arm.seed."`
-	Rule   int     `help:"The rule that is to stay broken; 0: any."`
-	Under  float64 `help:"Instead: the service is to stay under this."`
-	Most   int     `help:"Days to be played at most." default:"200"`
-	Out    string  `help:"File for the day." type:"path" default:"shrunk-day.xml"`
+	Folder string  `arg:"" type:"existingdir" help:"Folder of the records."`
+	Cell   string  `arg:"" help:"Name of the cell: fleet.case.arm.seed."`
+	Rule   int     `help:"Number of the rule that must stay broken; 0: any."`
+	Under  float64 `help:"Instead of a rule: the service must stay below this."`
+	Most   int     `help:"Maximum number of runs." default:"200"`
+	Out    string  `help:"File for the scenario." type:"path" default:"shrunk-day.xml"`
 }
 
 // shrunkFileMode is the permission of the file of a shrunk scenario.
--- a/internal/cli/group.go
+++ b/internal/cli/group.go
@@ -14,13 +14,13 @@
 )
 
 type groupCommands struct {
-	Status groupStatusCommand `cmd:"" help:"What each coordinator says of the group."`
-	Remove groupRemoveCommand `cmd:"" help:"Take a coordinator out for good; its number never comes back."`
+	Status groupStatusCommand `cmd:"" help:"Show the state of the group as each coordinator reports it."`
+	Remove groupRemoveCommand `cmd:"" help:"Remove a coordinator for good; its number is never used again."`
 }
 
 // groupTarget is the group that a command calls.
 type groupTarget struct {
-	Settings string `arg:"" type:"existingfile" help:"Settings file (XML) of any of them."`
+	Settings string `arg:"" type:"existingfile" help:"Settings file (XML) of any coordinator of the group."`
 }
 
 func (t *groupTarget) load() (*coordinator.GroupConfig, error) {
@@ -83,8 +83,8 @@
 
 type groupRemoveCommand struct {
 	groupTarget
-	Number uint64        `arg:"" help:"Number of the coordinator to be taken out."`
-	Wait   time.Duration `help:"How long to wait until it is agreed on." default:"10s"`
+	Number uint64        `arg:"" help:"Number of the coordinator to remove."`
+	Wait   time.Duration `help:"How long to wait for agreement." default:"10s"`
 }
 
 // Run removes a coordinator from a group.
--- a/internal/cli/scenario.go
+++ b/internal/cli/scenario.go
@@ -13,19 +13,19 @@
 )
 
 type scenarioCommands struct {
-	Day      scenarioCommand `cmd:"" default:"withargs" help:"One day, with one coordinator or several in virtual time."`
-	Hosted   hostedCommand   `cmd:"" help:"A day of many tenants on one host."`
-	Takeover takeoverCommand `cmd:"" help:"Coordinators as processes of their own, killed and stopped again and again."`
+	Day      scenarioCommand `cmd:"" default:"withargs" help:"Run one scenario, with one coordinator, or with several in virtual time."`
+	Hosted   hostedCommand   `cmd:"" help:"Run a scenario with many tenants on one host."`
+	Takeover takeoverCommand `cmd:"" help:"Run a scenario in which coordinators, which are processes of their own, are killed and paused repeatedly."`
 }
 
 type scenarioCommand struct {
-	Proxies      bool     `help:"Proxies of our own with HTTP clients, in place of stand-in relays."`
-	Day          string   `arg:"" optional:"" type:"existingfile" help:"Day file (XML); the built-in bad day if none."`
+	Proxies      bool     `help:"Snowquay's proxies with HTTP clients instead of emulated proxies."`
+	Day          string   `arg:"" optional:"" type:"existingfile" help:"Scenario file (XML); by default, the built-in scenario."`
 	Virtual      bool     `help:"In virtual time, seeded, instead of over loopback sockets."`
-	Front        string   `help:"How relays join: sasp, http, or both." enum:"sasp,http,both" default:"sasp"`
+	Front        string   `help:"Protocol by which proxies join: sasp, http, or both." enum:"sasp,http,both" default:"sasp"`
 	Coordinators int      `help:"How many coordinators share the fleet; more than one in virtual time only." default:"1"`
-	Seed         uint64   `help:"Seed instead of the day's."`
-	Without      []string `help:"Leave a guard out: ${guards}." placeholder:"GUARD"`
+	Seed         uint64   `help:"Seed instead of the scenario's."`
+	Without      []string `help:"Disable a guard: ${guards}." placeholder:"GUARD"`
 }
 
 // Run runs one scenario.
@@ -39,7 +39,7 @@
 		return err
 	}
 	if c.Coordinators > 1 && !c.Virtual {
-		return errors.New("several coordinators are rehearsed in virtual time only, with --virtual")
+		return errors.New("several coordinators run in virtual time only, with --virtual")
 	}
 	if !c.Virtual {
 		console.Printf(env.out, "playing %g s over loopback sockets ...\n", day.Seconds)
@@ -102,18 +102,18 @@
 }
 
 type hostedCommand struct {
-	Tenants int     `help:"How many." default:"20"`
-	Servers int     `help:"Of each." default:"4"`
-	Relays  int     `help:"Of each." default:"4"`
-	Seconds float64 `help:"How long it lasts." default:"30"`
-	Rate    float64 `help:"Queries a second of each." default:"24"`
-	Seed    uint64  `default:"1" help:"Of chance."`
+	Tenants int     `help:"Number of tenants." default:"20"`
+	Servers int     `help:"Servers of each tenant." default:"4"`
+	Relays  int     `help:"Proxies of each tenant." default:"4"`
+	Seconds float64 `help:"Duration in seconds." default:"30"`
+	Rate    float64 `help:"Requests per second of each tenant." default:"24"`
+	Seed    uint64  `default:"1" help:"Seed of the scenario."`
 	Flood   int     `help:"Number of the tenant that floods the host; -1: none." default:"-1"`
-	Drains  bool    `help:"Each has a server drained."`
-	Hosts   int     `help:"That share the tenants; more than one in virtual time only." default:"1"`
-	Kills   int     `help:"How many times one of the hosts is killed."`
+	Drains  bool    `help:"Drain a server of each tenant."`
+	Hosts   int     `help:"Number of hosts that share the tenants; more than one in virtual time only." default:"1"`
+	Kills   int     `help:"Number of times that a host is killed."`
 	Restart float64 `help:"Second at which the host is killed; 0: it is not." default:"0"`
-	Remove  int     `help:"Number of the tenant that is removed, and made again; -1: none." default:"-1"`
+	Remove  int     `help:"Number of the tenant that is removed and created again; -1: none." default:"-1"`
 	Virtual bool    `help:"In virtual time instead of over loopback sockets."`
 }
 
@@ -129,7 +129,7 @@
 // Run runs a scenario with many tenants.
 func (c *hostedCommand) Run(env *environment) error {
 	if c.Hosts > 1 && !c.Virtual {
-		return errors.New("several hosts are rehearsed in virtual time only, with --virtual")
+		return errors.New("several hosts run in virtual time only, with --virtual")
 	}
 	if !c.Virtual {
 		console.Printf(env.out, "playing %g s over loopback sockets ...\n", c.Seconds)
--- a/internal/cli/serve.go
+++ b/internal/cli/serve.go
@@ -28,7 +28,7 @@
 
 type hostCommand struct {
 	Settings string `arg:"" type:"existingfile" help:"Settings file of the host (XML)."`
-	Check    bool   `help:"Only say what is wrong with it, or how it will act."`
+	Check    bool   `help:"Only print its errors, or how it will act."`
 }
 
 // Run runs a host of tenants until the program is told to end.
@@ -46,7 +46,7 @@
 
 type proxyCommand struct {
 	Settings string `arg:"" type:"existingfile" help:"Settings file (XML)."`
-	Check    bool   `help:"Only say what is wrong with it."`
+	Check    bool   `help:"Only print its errors."`
 }
 
 // Run runs a proxy until the program is told to end.
--- a/internal/cli/takeover.go
+++ b/internal/cli/takeover.go
@@ -14,17 +14,17 @@
 )
 
 type takeoverCommand struct {
-	Proxies bool    `help:"Proxies of our own with HTTP clients, in place of stand-in relays."`
-	Kills   int     `help:"How many times one is killed." default:"100"`
+	Proxies bool    `help:"Snowquay's proxies with HTTP clients instead of emulated proxies."`
+	Kills   int     `help:"Number of kills." default:"100"`
 	Every   float64 `help:"Seconds between two kills, on average." default:"4"`
-	Seed    uint64  `help:"Of what goes wrong." default:"1"`
-	Front   string  `help:"How relays join: sasp, http, or both." enum:"sasp,http,both" default:"both"`
-	Virtual bool    `help:"In virtual time: coordinators are programs of this process, whose hosts are killed."`
-	Calm    bool    `help:"No trouble but the deaths and pauses of coordinators."`
-	Servers int     `help:"How many servers; the bad day's if none. Other than those in virtual time only."`
-	Relays  int     `help:"How many relays, likewise."`
-	Spare   bool    `help:"The same day without the deaths and pauses, to compare with."`
-	Folder  string  `help:"For their settings, stores and logs; one that is removed afterwards if none." type:"path"`
+	Seed    uint64  `help:"Seed of the faults." default:"1"`
+	Front   string  `help:"Protocol by which proxies join: sasp, http, or both." enum:"sasp,http,both" default:"both"`
+	Virtual bool    `help:"In virtual time: coordinators run in this process, and their hosts are killed."`
+	Calm    bool    `help:"No faults but the kills and pauses of coordinators."`
+	Servers int     `help:"Number of servers; by default, the scenario's. Other numbers in virtual time only."`
+	Relays  int     `help:"Number of proxies, likewise."`
+	Spare   bool    `help:"The same scenario without the kills and pauses, to compare with."`
+	Folder  string  `help:"Folder for settings, stores and logs; by default, a temporary one." type:"path"`
 }
 
 const (
@@ -42,7 +42,7 @@
 	}
 	if c.Servers > 0 || c.Relays > 0 {
 		if !c.Virtual {
-			return errors.New("another number of servers or relays is played in virtual time only, with --virtual")
+			return errors.New("another number of servers or proxies runs in virtual time only, with --virtual")
 		}
 		site := &day.Coordinator.Site
 		scenario.Enlarge(day, cmp.Or(c.Servers, len(site.Servers)), cmp.Or(c.Relays, len(site.Proxies)))
--- a/internal/cli/tenant.go
+++ b/internal/cli/tenant.go
@@ -16,14 +16,14 @@
 )
 
 type tenantCommands struct {
-	List    tenantListCommand    `cmd:"" help:"All tenants, whether they run, and what they take."`
-	Show    tenantShowCommand    `cmd:"" help:"One tenant: its settings without keys, servers, relays, or changes."`
-	Put     tenantPutCommand     `cmd:"" help:"Make a tenant, or change its settings."`
+	List    tenantListCommand    `cmd:"" help:"List all tenants, whether they run, and what they use."`
+	Show    tenantShowCommand    `cmd:"" help:"Show one tenant: its settings without keys, servers, proxies or changes."`
+	Put     tenantPutCommand     `cmd:"" help:"Create a tenant, or change its settings."`
 	Remove  tenantRemoveCommand  `cmd:"" help:"Remove a tenant for good."`
-	Check   tenantCheckCommand   `cmd:"" help:"Say what is wrong with a tenant's settings, by line and element, or what it would take of a host."`
+	Check   tenantCheckCommand   `cmd:"" help:"Check a tenant's settings: print their errors by line and element, or what the tenant would need of a host."`
 	Server  tenantServerCommand  `cmd:"" help:"Add, change or remove one server of a tenant's settings."`
-	Drain   tenantDrainCommand   `cmd:"" help:"Order a drain, or its end, and follow it."`
-	Explain tenantExplainCommand `cmd:"" help:"Say why a relay's latest orders were given, and when it held them."`
+	Drain   tenantDrainCommand   `cmd:"" help:"Drain a server, or end its drain, and follow it."`
+	Explain tenantExplainCommand `cmd:"" help:"Print why a proxy's latest orders were given, and when it held them."`
 }
 
 // tenantTarget is the tenant of a host that a command concerns.
@@ -128,8 +128,8 @@
 type tenantPutCommand struct {
 	tenantTarget
 	Settings string `arg:"" type:"existingfile" help:"Settings file of the tenant (XML)."`
-	DryRun   bool   `help:"Only say what would follow."`
-	Force    bool   `help:"Also where it would do harm."`
+	DryRun   bool   `help:"Only print what would follow."`
+	Force    bool   `help:"Also if it would do harm."`
 }
 
 // Run makes a tenant or changes its settings.
@@ -150,7 +150,7 @@
 
 type tenantRemoveCommand struct {
 	tenantTarget
-	Force bool `help:"Also while relays are joined: they go on by the tables that they hold."`
+	Force bool `help:"Also while proxies are joined: they continue with the tables that they hold."`
 }
 
 // Run removes a tenant.
@@ -195,13 +195,13 @@
 type tenantServerCommand struct {
 	tenantTarget
 	Server   string  `arg:"" help:"Address and port."`
-	Remove   bool    `help:"Take it out of the settings."`
+	Remove   bool    `help:"Remove it from the settings."`
 	Zone     string  `help:"Its zone; a new server needs one."`
-	Pod      *int    `help:"Its pod."`
+	Pod      *int    `help:"Its failure domain."`
 	Weight   float64 `help:"Its listed weight."`
-	Capacity float64 `help:"Queries a second that it can take when it is warm."`
+	Capacity float64 `help:"Requests per second that it can take when it is warmed up."`
 	Standing *bool   `help:"It is in service without registering."`
-	Force    bool    `help:"Also where it would do harm."`
+	Force    bool    `help:"Also if it would do harm."`
 }
 
 // Run changes one server of a tenant's settings.
@@ -234,8 +234,8 @@
 
 type tenantExplainCommand struct {
 	tenantTarget
-	Relay string `arg:"" help:"What the tenant calls the relay."`
-	Most  int    `help:"How many orders." default:"5"`
+	Relay string `arg:"" help:"The proxy's UID without the tenant's name."`
+	Most  int    `help:"Maximum number of orders." default:"5"`
 }
 
 // Run prints the latest orders to a tenant's proxy and their reasons.
