--- a/internal/consensus/golden_test.go
+++ b/internal/consensus/golden_test.go
@@ -1,9 +1,7 @@
 package consensus
 
 import (
-	"bytes"
 	"encoding/binary"
-	"fmt"
 	"maps"
 	"os"
 	"path/filepath"
@@ -68,7 +66,7 @@
 		}
 		golden.Bytes(t, "raft.db", b)
 	}
-	golden.Bytes(t, "raft.txt", dump(t, fresh))
+	golden.Bytes(t, "raft.txt", golden.DumpStore(t, fresh, "%x"))
 
 	path := filepath.Join(t.TempDir(), "raft.db")
 	if err := os.WriteFile(path, golden.Read(t, "raft.db"), 0o600); err != nil {
@@ -100,29 +98,3 @@
 		t.Errorf("mark %x, pins %v", f.DataDirID(), f.PeerDataDirs())
 	}
 }
-
-// dump is the content of a store as text, by bucket and key.
-func dump(t *testing.T, path string) []byte {
-	t.Helper()
-	db, err := bolt.Open(path, 0o600, &bolt.Options{ReadOnly: true})
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer func() {
-		if err := db.Close(); err != nil {
-			t.Error(err)
-		}
-	}()
-	var text bytes.Buffer
-	if err := db.View(func(tx *bolt.Tx) error {
-		return tx.ForEach(func(name []byte, b *bolt.Bucket) error {
-			return b.ForEach(func(k, v []byte) error {
-				_, err := fmt.Fprintf(&text, "%s/%q %x\n", name, k, v)
-				return err
-			})
-		})
-	}); err != nil {
-		t.Fatal(err)
-	}
-	return text.Bytes()
-}
--- a/internal/consensus/node.go
+++ b/internal/consensus/node.go
@@ -16,6 +16,7 @@
 	"google.golang.org/protobuf/proto"
 
 	"snowquay/internal/core/membership"
+	"snowquay/internal/core/random"
 )
 
 // ID is a node's number. Numbers are never used twice in a group: a node with an emptied data directory needs a new one.
@@ -87,7 +88,7 @@
 	handler     Handler
 	config      Config
 	stateImage  func() ([]byte, error)
-	randomState uint64
+	random      random.LCG
 	electionAt  float64
 	heartbeatAt float64
 	confState   *raftpb.ConfState
@@ -103,14 +104,14 @@
 // empty storage the node is one of the group's first members, if it has any. An error wraps ErrStorage or the raft library's.
 func NewNode(now float64, config NodeConfig) (*Node, error) {
 	node := &Node{
-		id:          config.ID,
-		log:         raft.NewMemoryStorage(),
-		storage:     config.Storage,
-		handler:     config.Handler,
-		config:      config.Config,
-		stateImage:  config.Snapshot,
-		randomState: config.Seed*2 + uint64(config.ID)*2 + 1,
-		confState:   &raftpb.ConfState{},
+		id:         config.ID,
+		log:        raft.NewMemoryStorage(),
+		storage:    config.Storage,
+		handler:    config.Handler,
+		config:     config.Config,
+		stateImage: config.Snapshot,
+		random:     random.NewLCG(config.Seed + uint64(config.ID)),
+		confState:  &raftpb.ConfState{},
 	}
 	saved, err := node.loadOrBootstrap(config.Members)
 	if err != nil {
@@ -182,8 +183,7 @@
 
 // postponeElection draws the time of the next election that this node calls if it does not hear from a leader before.
 func (n *Node) postponeElection(now float64) {
-	n.randomState = n.randomState*6364136223846793005 + 1442695040888963407 // Knuth's linear congruential generator
-	n.electionAt = now + n.config.ElectionTimeout*(1+float64(n.randomState>>40)/(1<<24))
+	n.electionAt = now + n.config.ElectionTimeout*(1+n.random.Float24())
 }
 
 // IsLeader tells whether the node regards itself as the leader. A leader that is cut off does so until it hears otherwise: nothing but
--- a/internal/core/longpoll/joins.go
+++ b/internal/core/longpoll/joins.go
@@ -6,13 +6,6 @@
 	"snowquay/internal/core/controlplane"
 )
 
-// Constants of a linear congruential generator modulo 2^64 (Knuth's MMIX). Its upper 24 bits serve as a fraction.
-const (
-	randomMultiplier = 6364136223846793005
-	randomIncrement  = 1442695040888963407
-	randomBits       = 24
-)
-
 // join makes the sender of a poll a joined proxy; it returns nil after it has rejected the poll. Polls of joined proxies
 // are served without it, so that a crowd of joining ones takes no capacity from them.
 func (s *Server) join(now float64, id PollID, poll Poll) *clientState {
@@ -57,8 +50,7 @@
 
 // retryAfter returns a random time in seconds, so that proxies that are rejected together do not come back together.
 func (s *Server) retryAfter() float64 {
-	s.random = s.random*randomMultiplier + randomIncrement
-	return s.limits.RetryAfter * (1 + float64(s.random>>(64-randomBits))/(1<<randomBits))
+	return s.limits.RetryAfter * (1 + s.random.Float24())
 }
 
 // ProxyLeft takes a proxy's own message that it leaves, and reports whether it was joined.
--- a/internal/core/longpoll/server.go
+++ b/internal/core/longpoll/server.go
@@ -13,6 +13,7 @@
 
 	"snowquay/balancer"
 	"snowquay/internal/core/controlplane"
+	"snowquay/internal/core/random"
 	"snowquay/internal/core/timingwheel"
 )
 
@@ -81,7 +82,7 @@
 	joinTokens     float64
 	joinsUpdatedAt float64
 	lastScan       float64
-	random         uint64
+	random         random.LCG
 	answer         Answer // reused for every answer
 	trustsVersions bool   // any named version counts as the newest (the guard is disabled)
 
@@ -103,7 +104,7 @@
 		wheel:          timingwheel.New[*clientState](now, wheelTick),
 		joinTokens:     limits.JoinBurst,
 		joinsUpdatedAt: now,
-		random:         fleet.Site().Seed*2 + 1,
+		random:         random.NewLCG(fleet.Site().Seed),
 		trustsVersions: fleet.Site().DisabledGuards[controlplane.GuardVersions],
 	}
 }
--- a/internal/core/picker/earliest_deadline_first.go
+++ b/internal/core/picker/earliest_deadline_first.go
@@ -3,16 +3,17 @@
 import (
 	"snowquay/balancer"
 	"snowquay/internal/core/indexedheap"
+	"snowquay/internal/core/random"
 )
 
 // EarliestDeadlineFirst picks by earliest deadline first, a weighted round robin: each server is due again after the inverse of its weight,
 // and the one that is due first is picked. In any run of picks a server gets its proportion, give or take one. It is the stride
-// scheduling of Waldspurger and Weihl (1995), as in Envoy's and gRPC's EDF schedulers. Use NewSmoothWeighted.
+// scheduling of Waldspurger and Weihl (1995), as in Envoy's and gRPC's EDF schedulers. Use NewEarliestDeadlineFirst.
 type EarliestDeadlineFirst struct {
 	entries map[balancer.Server]*scheduledEntry
 	queue   indexedheap.Heap[*scheduledEntry] // the entry that is due first is first
 	time    float64                           // virtual: a server is due every 1/weight
-	random  lcg
+	random  random.LCG
 	skipped []*scheduledEntry // by the current pick
 }
 
@@ -30,7 +31,7 @@
 
 // NewEarliestDeadlineFirst returns an empty table. The seed decides when new servers are first due.
 func NewEarliestDeadlineFirst(seed uint64) *EarliestDeadlineFirst {
-	return &EarliestDeadlineFirst{entries: map[balancer.Server]*scheduledEntry{}, random: newLCG(seed)}
+	return &EarliestDeadlineFirst{entries: map[balancer.Server]*scheduledEntry{}, random: random.NewLCG(seed)}
 }
 
 // Set implements Table. A new server is first due at a random time within its interval, so that the proxies that learn of it at the
@@ -44,7 +45,7 @@
 			t.queue.Remove(entry)
 		}
 	case entry == nil:
-		entry = &scheduledEntry{server: server, weight: weight, due: t.time + t.random.next()/weight}
+		entry = &scheduledEntry{server: server, weight: weight, due: t.time + t.random.Float()/weight}
 		t.entries[server] = entry
 		t.queue.Push(entry)
 	case entry.weight != weight:
--- a/internal/core/picker/weighted_random.go
+++ b/internal/core/picker/weighted_random.go
@@ -4,6 +4,7 @@
 	"slices"
 
 	"snowquay/balancer"
+	"snowquay/internal/core/random"
 )
 
 const (
@@ -17,7 +18,7 @@
 	indexes map[balancer.Server]int
 	entries []Entry
 	weights fenwickTree // of entries
-	random  lcg
+	random  random.LCG
 	changes int // since the tree was built
 }
 
@@ -26,7 +27,7 @@
 	return &WeightedRandom{
 		indexes: map[balancer.Server]int{},
 		weights: newFenwickTree(nil),
-		random:  newLCG(seed),
+		random:  random.NewLCG(seed),
 	}
 }
 
@@ -103,7 +104,7 @@
 		return "", false
 	}
 	for range maxRandomDraws {
-		entry := t.entries[t.weights.search(t.random.next()*t.weights.total)]
+		entry := t.entries[t.weights.search(t.random.Float()*t.weights.total)]
 		if allowed == nil || allowed(entry.Server) {
 			return entry.Server, true
 		}
@@ -122,7 +123,7 @@
 	if sum == 0 {
 		return "", false
 	}
-	remaining := t.random.next() * sum
+	remaining := t.random.Float() * sum
 	for _, entry := range t.entries {
 		if !allowed(entry.Server) {
 			continue
--- a/internal/golden/golden.go
+++ b/internal/golden/golden.go
@@ -7,10 +7,14 @@
 	"encoding/json"
 	"errors"
 	"flag"
+	"fmt"
+	"io"
 	"os"
 	"path/filepath"
 	"reflect"
 	"testing"
+
+	bolt "go.etcd.io/bbolt"
 )
 
 var create = flag.Bool("golden.create", false, "write golden files that are missing; those that exist are never changed")
@@ -92,6 +96,40 @@
 	}
 }
 
+// DumpStore returns the content of a bbolt file as text, a line for each key with its bucket; format is that of the values.
+func DumpStore(t *testing.T, path, format string) []byte {
+	t.Helper()
+	db, err := bolt.Open(path, 0o600, &bolt.Options{ReadOnly: true})
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer func() {
+		if err := db.Close(); err != nil {
+			t.Error(err)
+		}
+	}()
+	var text bytes.Buffer
+	err = db.View(func(tx *bolt.Tx) error {
+		return tx.ForEach(func(name []byte, bucket *bolt.Bucket) error {
+			return dumpBucket(&text, string(name), bucket, format)
+		})
+	})
+	if err != nil {
+		t.Fatal(err)
+	}
+	return text.Bytes()
+}
+
+func dumpBucket(w io.Writer, name string, bucket *bolt.Bucket, format string) error {
+	return bucket.ForEach(func(key, value []byte) error {
+		if value == nil {
+			return dumpBucket(w, fmt.Sprintf("%s/%q", name, key), bucket.Bucket(key), format)
+		}
+		_, err := fmt.Fprintf(w, "%s/%q "+format+"\n", name, key, value)
+		return err
+	})
+}
+
 func createMissing(name string, b []byte) error {
 	if _, err := os.Stat(path(name)); !errors.Is(err, os.ErrNotExist) || !*create {
 		return err
--- a/internal/proxy/coordinator.go
+++ b/internal/proxy/coordinator.go
@@ -34,7 +34,7 @@
 	c.proxy = p
 	coordinators := len(p.config.Coordinators)
 	if coordinators > 0 {
-		c.index = int(p.random() * float64(coordinators))
+		c.index = int(p.random.Float() * float64(coordinators))
 		c.dial(now)
 	}
 }
@@ -72,7 +72,7 @@
 	c.awaiting = false
 	c.leave(now)
 	coordinators := len(c.proxy.config.Coordinators)
-	c.dialAt = now + redialInterval*(minRedialFactor+c.proxy.random())/float64(coordinators)
+	c.dialAt = now + redialInterval*(minRedialFactor+c.proxy.random.Float())/float64(coordinators)
 	c.index = (c.index + 1) % coordinators
 }
 
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -10,6 +10,7 @@
 
 	"snowquay/balancer"
 	"snowquay/internal/core/forwarding"
+	"snowquay/internal/core/random"
 	"snowquay/internal/core/retry"
 	"snowquay/internal/env"
 )
@@ -41,7 +42,7 @@
 	requests     map[forwarding.RequestID]*pendingRequest
 	attempts     map[forwarding.AttemptID]*serverConn
 	coordinator  coordinatorClient
-	randomState  uint64
+	random       random.LCG
 	response     []byte // buffer
 	unsaved      bool   // the tables have changed since the latest snapshot
 	savedAt      float64
@@ -60,7 +61,7 @@
 		targets:     map[balancer.Server]*target{},
 		requests:    map[forwarding.RequestID]*pendingRequest{},
 		attempts:    map[forwarding.AttemptID]*serverConn{},
-		randomState: config.Seed*2 + 1,
+		random:      random.NewLCG(config.Seed),
 	}
 	slices.SortStableFunc(p.config.Routes, func(a, b Route) int { return cmp.Compare(len(b.Prefix), len(a.Prefix)) })
 	if config.Log == nil {
@@ -69,12 +70,6 @@
 	return p
 }
 
-// random returns a uniformly distributed number in [0, 1), by Knuth's linear congruential generator.
-func (p *Proxy) random() float64 {
-	p.randomState = p.randomState*6364136223846793005 + 1442695040888963407
-	return float64(p.randomState>>11) / (1 << 53)
-}
-
 // Start implements env.Program.
 func (p *Proxy) Start(now float64, io env.IO) {
 	p.io = io
@@ -86,7 +81,7 @@
 	}
 	p.restoreTables(now)
 	p.coordinator.start(now, p)
-	p.nextReportAt = now + p.config.ReportInterval*p.random()
+	p.nextReportAt = now + p.config.ReportInterval*p.random.Float()
 	io.SetTimer(now+tickInterval, 0)
 }
 
--- a/internal/store/golden_test.go
+++ b/internal/store/golden_test.go
@@ -1,16 +1,12 @@
 package store
 
 import (
-	"bytes"
 	"encoding/json"
-	"fmt"
 	"os"
 	"path/filepath"
 	"reflect"
 	"testing"
 
-	bolt "go.etcd.io/bbolt"
-
 	"snowquay/balancer"
 	"snowquay/internal/core/registry"
 	"snowquay/internal/core/tenancy"
@@ -43,37 +39,6 @@
 	return path
 }
 
-// dump is the content of a store as text, by bucket and key.
-func dump(t *testing.T, path string) []byte {
-	t.Helper()
-	db, err := bolt.Open(path, 0o600, &bolt.Options{ReadOnly: true})
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer func() {
-		if err := db.Close(); err != nil {
-			t.Error(err)
-		}
-	}()
-	var text bytes.Buffer
-	var walk func(where string, b *bolt.Bucket) error
-	walk = func(where string, b *bolt.Bucket) error {
-		return b.ForEach(func(k, v []byte) error {
-			if v == nil {
-				return walk(fmt.Sprintf("%s/%q", where, k), b.Bucket(k))
-			}
-			_, err := fmt.Fprintf(&text, "%s/%q %s\n", where, k, v)
-			return err
-		})
-	}
-	if err := db.View(func(tx *bolt.Tx) error {
-		return tx.ForEach(func(name []byte, b *bolt.Bucket) error { return walk(string(name), b) })
-	}); err != nil {
-		t.Fatal(err)
-	}
-	return text.Bytes()
-}
-
 func TestStoredServers(t *testing.T) {
 	fill := func(path string) {
 		s, err := Open(path)
@@ -101,7 +66,7 @@
 	}
 	fresh := filepath.Join(t.TempDir(), "fresh.db")
 	fill(fresh)
-	golden.Bytes(t, "servers.txt", dump(t, fresh))
+	golden.Bytes(t, "servers.txt", golden.DumpStore(t, fresh, "%s"))
 }
 
 func goldenTenant(version tenancy.Version) tenancy.Command {
@@ -152,7 +117,7 @@
 func TestStoredTenants(t *testing.T) {
 	fresh := filepath.Join(t.TempDir(), "fresh.db")
 	golden.Bytes(t, "tenants-directory.json", goldenTenants(t, fresh))
-	golden.Bytes(t, "tenants.txt", dump(t, fresh))
+	golden.Bytes(t, "tenants.txt", golden.DumpStore(t, fresh, "%s"))
 	path := copied(t, "tenants.db", func(path string) { goldenTenants(t, path) })
 	s, err := OpenTenantStore(path)
 	if err != nil {
