--- a/internal/emulator/asks.go
+++ b/internal/emulator/asks.go
@@ -16,126 +16,126 @@
 )
 
 const (
-	askWait    = 20.0 // seconds that a poll waits
-	askShort   = 1.0  // likewise, where there are other coordinators: one that is paused is noticed by it
-	askBetween = 2.5  // seconds without a poll, after which a coordinator holds the relay for gone
-	headEnd    = "\r\n\r\n"
+	longPollWaitSeconds    = 20.0 // seconds that a poll waits
+	shortPollWaitSeconds   = 1.0  // likewise, where there are other coordinators: one that is paused is noticed by it
+	pollGapSeconds = 2.5  // seconds without a poll, after which a coordinator holds the relay for gone
+	headerEnd    = "\r\n\r\n"
 )
 
-// asker is the state of a relay that speaks the long-poll API.
-type asker struct {
+// longPollState is the state of a relay that speaks the long-poll API.
+type longPollState struct {
 	buf     []byte
 	epoch   string
 	version uint64
-	out     bool // a poll is out
-	polls   int
-	since   float64 // when the poll went out
-	lead    uint64  // newest epoch of who leads what that it has followed
+	pending     bool // a poll is out
+	count   int
+	sentAt   float64 // when the poll went out
+	ownershipEpoch    uint64  // newest epoch of who leads what that it has followed
 }
 
-// ask sends a poll.
-func (r *Relay) ask(now float64) {
-	wait := askWait
-	if len(r.Others) > 0 {
-		wait = askShort
+// sendPoll sends a poll.
+func (r *Relay) sendPoll(now float64) {
+	wait := longPollWaitSeconds
+	if len(r.OtherCoordinators) > 0 {
+		wait = shortPollWaitSeconds
 	}
-	r.asks.since = now
+	r.longPoll.sentAt = now
 	q := url.Values{"wait": {fmt.Sprint(wait)}}
-	if r.asks.epoch != "" {
-		q.Set("epoch", r.asks.epoch)
-		q.Set("version", strconv.FormatUint(r.asks.version, 10))
+	if r.longPoll.epoch != "" {
+		q.Set("epoch", r.longPoll.epoch)
+		q.Set("version", strconv.FormatUint(r.longPoll.version, 10))
 	}
-	if r.asks.lead > 0 {
-		q.Set("lead", strconv.FormatUint(r.asks.lead, 10))
+	if r.longPoll.ownershipEpoch > 0 {
+		q.Set("lead", strconv.FormatUint(r.longPoll.ownershipEpoch, 10))
 	}
-	r.asks.out = true
-	r.asks.polls++
-	r.io.Send(r.sasp, fmt.Appendf(nil, "GET /v1/proxies/%s/tables?%s HTTP/1.1\r\nHost: coordinator\r\nAccept: %s\r\n\r\n",
+	r.longPoll.pending = true
+	r.longPoll.count++
+	r.io.Send(r.coordinatorConn, fmt.Appendf(nil, "GET /v1/proxies/%s/tables?%s HTTP/1.1\r\nHost: coordinator\r\nAccept: %s\r\n\r\n",
 		url.PathEscape(r.UID), q.Encode(), delta.CBOR))
 }
 
-// answers takes bytes of the coordinator's responses.
-func (r *Relay) answers(now float64, b []byte) {
-	r.asks.buf = append(r.asks.buf, b...)
+// receivePollResponses takes bytes of the coordinator's responses.
+func (r *Relay) receivePollResponses(now float64, b []byte) {
+	r.longPoll.buf = append(r.longPoll.buf, b...)
 	for {
-		end := bytes.Index(r.asks.buf, []byte(headEnd))
+		end := bytes.Index(r.longPoll.buf, []byte(headerEnd))
 		if end < 0 {
 			return
 		}
-		head, err := http.ReadResponse(bufio.NewReader(bytes.NewReader(r.asks.buf[:end+len(headEnd)])), nil)
+		head, err := http.ReadResponse(bufio.NewReader(bytes.NewReader(r.longPoll.buf[:end+len(headerEnd)])), nil)
 		if err != nil {
-			r.ref.complain(now, "relay %s can't follow: %v", r.UID, err)
+			r.checker.recordProtocolError(now, "relay %s can't follow: %v", r.UID, err)
 			return
 		}
-		whole := end + len(headEnd) + max(int(head.ContentLength), 0)
-		if len(r.asks.buf) < whole {
+		whole := end + len(headerEnd) + max(int(head.ContentLength), 0)
+		if len(r.longPoll.buf) < whole {
 			return
 		}
-		body := r.asks.buf[end+len(headEnd) : whole]
-		r.answer(now, head, body)
-		r.asks.buf = append(r.asks.buf[:0], r.asks.buf[whole:]...)
+		body := r.longPoll.buf[end+len(headerEnd) : whole]
+		r.handlePollResponse(now, head, body)
+		r.longPoll.buf = append(r.longPoll.buf[:0], r.longPoll.buf[whole:]...)
 		_, _ = io.Copy(io.Discard, head.Body)
 	}
 }
 
-func (r *Relay) answer(now float64, head *http.Response, body []byte) {
-	r.asks.out = false
-	asked := r.asks.polls
-	r.io.SetTimer(now+askBetween, relayBetween+asked)
+func (r *Relay) handlePollResponse(now float64, head *http.Response, body []byte) {
+	r.longPoll.pending = false
+	asked := r.longPoll.count
+	r.io.SetTimer(now+pollGapSeconds, firstPollGapTimer+asked)
 	switch head.StatusCode {
 	case http.StatusOK:
 		var t delta.Tables
 		if err := delta.Decode(body, head.Header.Get("Content-Type"), &t); err != nil {
-			r.ref.complain(now, "relay %s: %v", r.UID, err)
+			r.checker.recordProtocolError(now, "relay %s: %v", r.UID, err)
 			return
 		}
 		lines := 0
-		if t.Stale(r.asks.lead) { // its coordinator was paused, and another one has led since
-			c := r.sasp
+		if t.Stale(r.longPoll.ownershipEpoch) { // its coordinator was paused, and another one has led since
+			c := r.coordinatorConn
 			r.io.Close(c)
 			r.Closed(now, c)
 			return
 		}
-		r.asks.lead = t.OwnershipEpoch
-		if !t.AppliesTo(r.asks.epoch, r.asks.version) {
-			r.ref.complain(now, "relay %s was sent a delta to version %d, it holds %d", r.UID, t.Base, r.asks.version)
-			r.asks.epoch = ""
+		r.longPoll.ownershipEpoch = t.OwnershipEpoch
+		if !t.AppliesTo(r.longPoll.epoch, r.longPoll.version) {
+			r.checker.recordProtocolError(now, "relay %s was sent a delta to version %d, it holds %d", r.UID, t.Base, r.longPoll.version)
+			r.longPoll.epoch = ""
 			break
 		}
 		for _, c := range t.Classes {
 			lines += len(c.Entries)
-			r.change(now, c)
+			r.applyClassUpdate(now, c)
 		}
-		r.ref.message(now, r.UID, lines)
-		r.ref.weigh(len(body), r.whole(t))
-		r.asks.epoch, r.asks.version = t.Epoch, t.Version
+		r.checker.messageReceived(now, r.UID, lines)
+		r.checker.responseReceived(len(body), r.fullTableSize(t))
+		r.longPoll.epoch, r.longPoll.version = t.Epoch, t.Version
 	case http.StatusNoContent:
 	default:
 		r.joined = false
-		r.ref.left(now, r.UID)
-		if head.StatusCode == http.StatusMisdirectedRequest || head.StatusCode == http.StatusConflict && len(r.Others) > 0 {
-			c := r.sasp
+		r.checker.relayLeft(now, r.UID)
+		if head.StatusCode == http.StatusMisdirectedRequest || head.StatusCode == http.StatusConflict && len(r.OtherCoordinators) > 0 {
+			c := r.coordinatorConn
 			r.io.Close(c)
 			r.Closed(now, c)
 			return
 		}
 		after, err := strconv.ParseFloat(head.Header.Get("Retry-After"), 64)
 		if err != nil {
-			after = relayRedial
+			after = redialSeconds
 		}
-		r.io.SetTimer(now+after, relayAsk)
+		r.io.SetTimer(now+after, relayLongPollTimer)
 		return
 	}
-	r.ask(now)
-	r.join(now)
+	r.sendPoll(now)
+	r.markJoined(now)
 }
 
-// whole is how many bytes the same answer would have with whole tables.
-func (r *Relay) whole(t delta.Tables) int {
+// fullTableSize is how many bytes the same answer would have with whole tables.
+func (r *Relay) fullTableSize(t delta.Tables) int {
 	t.Classes = nil
 	for k, c := range r.Classes {
 		d := delta.Class{Class: c.Name, Full: true}
-		for _, l := range r.tables[k].lines {
+		for _, l := range r.tables[k].entries {
 			if l.weight > 0 {
 				d.Entries = append(d.Entries, delta.Entry{Server: l.server.String(), Weight: l.weight})
 			}
@@ -149,41 +149,41 @@
 	return len(b)
 }
 
-func (r *Relay) join(now float64) {
+func (r *Relay) markJoined(now float64) {
 	if !r.joined {
 		r.joined = true
-		r.ref.joined(now, r.UID)
-		r.tell(now)
+		r.checker.relayJoined(now, r.UID)
+		r.reportTables(now)
 	}
 }
 
-// change applies what an answer says of a class, whole.
-func (r *Relay) change(now float64, c delta.Class) {
+// applyClassUpdate applies what an answer says of a class, whole.
+func (r *Relay) applyClassUpdate(now float64, c delta.Class) {
 	k := slices.IndexFunc(r.Classes, func(x Class) bool { return x.Name == c.Class })
 	if k < 0 {
-		r.ref.complain(now, "relay %s was told of class %q", r.UID, c.Class)
+		r.checker.recordProtocolError(now, "relay %s was told of class %q", r.UID, c.Class)
 		return
 	}
 	named := map[netip.AddrPort]bool{}
 	for _, l := range c.Entries {
 		a, err := netip.ParseAddrPort(l.Server)
 		if err != nil {
-			r.ref.complain(now, "relay %s was told of server %q", r.UID, l.Server)
+			r.checker.recordProtocolError(now, "relay %s was told of server %q", r.UID, l.Server)
 			continue
 		}
 		named[a] = true
-		r.set(r.tables[k], a, l.Weight)
+		r.setWeight(r.tables[k], a, l.Weight)
 	}
-	for _, l := range r.tables[k].lines {
+	for _, l := range r.tables[k].entries {
 		if c.Full && !named[l.server] {
 			l.weight = 0
 		}
 	}
 	if c.Admission != nil {
-		r.levels[k] = *c.Admission
+		r.admission[k] = *c.Admission
 	}
 	if way := slices.Index([]string{"none", "proof", "failure", "twice"}, c.Retry); way >= 0 {
-		r.again[k] = balancer.RetryPolicy(way)
+		r.retryPolicies[k] = balancer.RetryPolicy(way)
 	}
-	r.tell(now)
+	r.reportTables(now)
 }
--- a/internal/emulator/flood.go
+++ b/internal/emulator/flood.go
@@ -15,7 +15,7 @@
 // as fast as it can, sends measurements that are garbled, doubled, or of others, and names other tenants' relays, groups and users.
 type FloodGenerator struct {
 	To, HTTP, Collect netip.AddrPort
-	UID, Others       string // its own relay, and another tenant's
+	UID, OtherUID       string // its own relay, and another tenant's
 	User, Key         string
 	OtherUser         string
 	Class             string
@@ -23,49 +23,49 @@
 	Server            netip.AddrPort
 	Seed              uint64
 	io                env.IO
-	chance            chance
+	random            randomSource
 	conns             []env.Conn
-	web               map[env.Conn]bool
-	speak             map[env.Conn]*speaker
+	httpConns               map[env.Conn]bool
+	sessions             map[env.Conn]*saspSession
 }
 
-const floodConns = 40 // connections at once
+const maxFloodConnections = 40 // connections at once
 
 // Start of env.Program.
 func (f *FloodGenerator) Start(now float64, io env.IO) {
-	f.io, f.chance, f.web, f.speak = io, newChance(f.Seed), map[env.Conn]bool{}, map[env.Conn]*speaker{}
+	f.io, f.random, f.httpConns, f.sessions = io, newRandomSource(f.Seed), map[env.Conn]bool{}, map[env.Conn]*saspSession{}
 	io.SetTimer(now, 0)
 }
 
-const floodEvery = 0.01 // seconds between two bursts
+const floodIntervalSeconds = 0.01 // seconds between two bursts
 
 // TimerFired of env.Program.
 func (f *FloodGenerator) TimerFired(now float64, _ int) {
-	for range int(f.Rate * floodEvery) {
+	for range int(f.Rate * floodIntervalSeconds) {
 		f.act(now)
 	}
-	f.io.SetTimer(now+floodEvery, 0)
+	f.io.SetTimer(now+floodIntervalSeconds, 0)
 }
 
 func (f *FloodGenerator) act(now float64) {
-	switch v := f.chance.float(); {
-	case v < 0.15 && len(f.conns) < floodConns:
+	switch v := f.random.uniform(); {
+	case v < 0.15 && len(f.conns) < maxFloodConnections:
 		c := f.io.Dial(f.To)
 		f.conns = append(f.conns, c)
-	case v < 0.2 && len(f.conns) < floodConns:
+	case v < 0.2 && len(f.conns) < maxFloodConnections:
 		c := f.io.Dial(f.HTTP)
-		f.web[c] = true
+		f.httpConns[c] = true
 		f.conns = append(f.conns, c)
 	case v < 0.25:
 		b := make([]byte, 200)
 		for i := range b {
-			b[i] = byte(f.chance.IntN(256))
+			b[i] = byte(f.random.IntN(256))
 		}
 		f.io.Datagram(f.Collect, b)
 	case v < 0.5:
 		user, key, host := f.User, f.Key, f.UID
-		if f.chance.float() < 0.5 {
-			user, host = f.OtherUser, f.Others
+		if f.random.uniform() < 0.5 {
+			user, host = f.OtherUser, f.OtherUID
 		}
 		p := collectd.NewPacketWriter(now, host, user, key, func(b []byte) { f.io.Datagram(f.Collect, b) })
 		for i := range 20 {
@@ -73,25 +73,25 @@
 		}
 		p.Flush()
 	case len(f.conns) > 0:
-		f.say(f.conns[f.chance.IntN(len(f.conns))])
+		f.sendMessage(f.conns[f.random.IntN(len(f.conns))])
 	}
 }
 
-func (f *FloodGenerator) say(c env.Conn) {
+func (f *FloodGenerator) sendMessage(c env.Conn) {
 	uid := f.UID
-	if f.chance.float() < 0.3 {
-		uid = f.Others
+	if f.random.uniform() < 0.3 {
+		uid = f.OtherUID
 	}
-	if f.web[c] {
+	if f.httpConns[c] {
 		f.io.Send(c, fmt.Appendf(nil, "GET /v1/proxies/%s/tables?wait=0 HTTP/1.1\r\nHost: x\r\n\r\n", url.PathEscape(uid)))
 		return
 	}
-	s := f.speak[c]
+	s := f.sessions[c]
 	if s == nil {
-		s = &speaker{}
-		f.speak[c] = s
+		s = &saspSession{}
+		f.sessions[c] = s
 	}
-	if f.chance.float() < 0.5 {
+	if f.random.uniform() < 0.5 {
 		f.io.Send(c, s.write(&sasp.Message{Kind: sasp.SetBalancer, UID: []byte(uid), Flags: sasp.Push | sasp.Trust}))
 		return
 	}
@@ -108,7 +108,7 @@
 		f.Closed(now, c)
 		return
 	}
-	f.say(c)
+	f.sendMessage(c)
 }
 
 // Receive of env.Program.
@@ -122,8 +122,8 @@
 			break
 		}
 	}
-	delete(f.web, c)
-	delete(f.speak, c)
+	delete(f.httpConns, c)
+	delete(f.sessions, c)
 }
 
 // Delivered of env.Program.
--- a/internal/emulator/receiver.go
+++ b/internal/emulator/receiver.go
@@ -15,18 +15,18 @@
 	Lines      int // that came, again ones among them
 	Duplicates int // with a path and a time that were there already
 	Malformed  int
-	parts      map[env.Conn][]byte
+	unparsed      map[env.Conn][]byte
 }
 
 // NewGraphiteSink makes a receiver.
 func NewGraphiteSink() *GraphiteSink { return &GraphiteSink{Values: map[string]map[int64]float64{}} }
 
 // Start of env.Program.
-func (r *GraphiteSink) Start(float64, env.IO) { r.parts = map[env.Conn][]byte{} }
+func (r *GraphiteSink) Start(float64, env.IO) { r.unparsed = map[env.Conn][]byte{} }
 
 // Receive of env.Program.
 func (r *GraphiteSink) Receive(_ float64, c env.Conn, b []byte) {
-	b = append(r.parts[c], b...)
+	b = append(r.unparsed[c], b...)
 	for {
 		line, rest, whole := bytes.Cut(b, []byte("\n"))
 		if !whole {
@@ -47,7 +47,7 @@
 		}
 		r.Values[l.Path][l.At] = l.Value
 	}
-	r.parts[c] = bytes.Clone(b)
+	r.unparsed[c] = bytes.Clone(b)
 }
 
 // Opened of env.Program.
@@ -57,7 +57,7 @@
 func (r *GraphiteSink) Connected(float64, env.Conn, bool) {}
 
 // Closed of env.Program: a line that was cut off is none.
-func (r *GraphiteSink) Closed(_ float64, c env.Conn) { delete(r.parts, c) }
+func (r *GraphiteSink) Closed(_ float64, c env.Conn) { delete(r.unparsed, c) }
 
 // Delivered of env.Program.
 func (r *GraphiteSink) Delivered(float64, env.Conn, uint64) {}
--- a/internal/emulator/server.go
+++ b/internal/emulator/server.go
@@ -19,36 +19,36 @@
 	FailureDomain  *FailureDomain
 	Cores          int
 	Speed          float64
-	Queue          int     // queries that may wait
+	QueueCapacity          int     // queries that may wait
 	WarmupFraction float64 // of its capacity, when it starts
 	WarmupDuration float64 // seconds
 	OverloadFactor float64 // of its present capacity; more of it for Within pushes it over
 	OverloadWindow float64
-	Warm           bool             // it started long ago
+	StartsWarm           bool             // it started long ago
 	Coordinators   []netip.AddrPort // it registers with all of them
-	Collect        uint16           // port of their collectors
+	CollectorPort        uint16           // port of their collectors
 	User, Key      string
 	FleetUID       string
 	Classes        []Class
 	Seed           uint64
 
-	Connections int     // that it takes at once; 0: any number
-	ConnWork    float64 // seconds on a core of speed 1 that a new connection costs
-	KeyFor      float64 // seconds for which it remembers a key
-	KeyLess     float64 // part of the work that a query of a remembered key does not cost
-	KeyMost     int     // keys that it remembers
-	Stops       bool    // work ends when its query is given up; else it goes on for nobody
+	MaxConnections int     // that it takes at once; 0: any number
+	ConnectionWork    float64 // seconds on a core of speed 1 that a new connection costs
+	KeyCacheDuration      float64 // seconds for which it remembers a key
+	KeyCacheSaving     float64 // part of the work that a query of a remembered key does not cost
+	KeyCacheSize     int     // keys that it remembers
+	CancelsWork       bool    // work ends when its query is given up; else it goes on for nobody
 }
 
 const (
-	serverDial    = 1.0  // seconds between two dials of the coordinator
-	serverReport  = 1.0  // seconds between two reports of uptime
-	fallSlack     = 0.25 // seconds of one core's work, against chance
-	wakeJobs      = 1000 // numbers of wake-ups from here on are of jobs
-	wakeReport    = 1
-	wakeDial      = 2      // and from there on, one for each coordinator
-	longWarm      = 1000.0 // seconds, uptime of a server that is warm at the start of a day
-	failFastTakes = 0.005  // seconds
+	serverRedialSeconds    = 1.0  // seconds between two dials of the coordinator
+	serverReportSeconds  = 1.0  // seconds between two reports of uptime
+	overloadSlackSeconds     = 0.25 // seconds of one core's work, against chance
+	firstJobTimer      = 1000 // numbers of wake-ups from here on are of jobs
+	serverReportTimer    = 1
+	firstServerDialTimer      = 2      // and from there on, one for each coordinator
+	warmUptimeSeconds      = 1000.0 // seconds, uptime of a server that is warm at the start of a day
+	failFastSeconds = 0.005  // seconds
 )
 
 type job struct {
@@ -59,96 +59,96 @@
 	from  netip.Addr
 	key   uint32
 	http  bool // it came over HTTP, from a real proxy
-	conns bool // it is what a new connection costs
+	connectionSetup bool // it is what a new connection costs
 
-	knowing bool // it came from a relay that could know that the server is cold
+	senderKnowsServer bool // it came from a relay that could know that the server is cold
 }
 
-// registrar is a connection to a coordinator.
-type registrar struct {
-	at    int // which one
-	speak speaker
-	done  bool
+// registration is a connection to a coordinator.
+type registration struct {
+	coordinator    int // which one
+	session saspSession
+	accepted  bool
 }
 
 // Server is a match server.
 type Server struct {
 	ServerConfig
-	Slow   float64 // times that its work takes; 1: as usual
-	Errors float64 // chance that a query fails at once
-	Hangs  bool    // it takes queries and answers none
-	Lost   float64 // chance that an answer does not arrive
-	Tail   float64 // chance that a query takes ten times its work
-	Ages   float64 // part by which each query makes it slower
-	Room   float64 // part of its connections that it takes; 0: all
-
-	ref        *InvariantChecker
+	SlowdownFactor   float64 // times that its work takes; 1: as usual
+	ErrorProbability float64 // chance that a query fails at once
+	Hanging  bool    // it takes queries and answers none
+	ResponseLossProbability   float64 // chance that an answer does not arrive
+	HeavyTailProbability   float64 // chance that a query takes ten times its work
+	AgingPerRequest   float64 // part by which each query makes it slower
+	ConnectionCapacityFraction   float64 // part of its connections that it takes; 0: all
+
+	checker        *InvariantChecker
 	io         env.IO
 	started    float64
 	running    map[int]job
 	waiting    []job
-	nextJob    int
-	parts      map[env.Conn][]byte
-	real       map[env.Conn]bool // those of real proxies
-	from       map[env.Conn]netip.Addr
-	sasp       map[env.Conn]*registrar
+	lastJob    int
+	unparsed      map[env.Conn][]byte
+	httpConns       map[env.Conn]bool // those of real proxies
+	peers       map[env.Conn]netip.Addr
+	registrations       map[env.Conn]*registration
 	registered int // with so many coordinators
-	open       int // connections that others have made
-	keys       map[uint32]float64
-	keyLine    []uint32 // in the order in which they were remembered
-	aged       float64
+	openConnections       int // connections that others have made
+	keyUsedAt       map[uint32]float64
+	keyOrder    []uint32 // in the order in which they were remembered
+	aging       float64
 	recent     []job // while cold: what came in, for the budget
 	times      []float64
-	fallen     bool
-	chance     chance
-	Fall       func() // the host's death
+	overloaded     bool
+	random     randomSource
+	OnOverload       func() // the host's death
 }
 
 // NewServer makes a match server that tells a referee what it does.
 func NewServer(s ServerConfig, ref *InvariantChecker) *Server {
-	return &Server{ServerConfig: s, Slow: 1, ref: ref, running: map[int]job{}, real: map[env.Conn]bool{}, parts: map[env.Conn][]byte{},
-		sasp: map[env.Conn]*registrar{}, from: map[env.Conn]netip.Addr{}, chance: newChance(s.Seed), nextJob: wakeJobs}
+	return &Server{ServerConfig: s, SlowdownFactor: 1, checker: ref, running: map[int]job{}, httpConns: map[env.Conn]bool{}, unparsed: map[env.Conn][]byte{},
+		registrations: map[env.Conn]*registration{}, peers: map[env.Conn]netip.Addr{}, random: newRandomSource(s.Seed), lastJob: firstJobTimer}
 }
 
 // Start of env.Program.
 func (s *Server) Start(now float64, io env.IO) {
-	if s.io, s.started = io, now; s.Warm {
-		s.started = now - longWarm
+	if s.io, s.started = io, now; s.StartsWarm {
+		s.started = now - warmUptimeSeconds
 	}
-	s.ref.serverUp(now, s.Addr, s.started)
+	s.checker.serverStarted(now, s.Addr, s.started)
 	for i := range s.Coordinators {
 		s.dial(i)
 	}
-	io.SetTimer(now+serverReport*s.chance.float(), wakeReport)
+	io.SetTimer(now+serverReportSeconds*s.random.uniform(), serverReportTimer)
 }
 
-func (s *Server) dial(i int) { s.sasp[s.io.Dial(s.Coordinators[i])] = &registrar{at: i} }
+func (s *Server) dial(i int) { s.registrations[s.io.Dial(s.Coordinators[i])] = &registration{coordinator: i} }
 
 // Opened of env.Program.
 func (s *Server) Opened(now float64, c env.Conn, from netip.Addr, _ uint16) {
 	room := 1.0
-	if s.Room > 0 {
-		room = s.Room
+	if s.ConnectionCapacityFraction > 0 {
+		room = s.ConnectionCapacityFraction
 	}
-	if s.Connections > 0 && float64(s.open) >= float64(s.Connections)*room {
+	if s.MaxConnections > 0 && float64(s.openConnections) >= float64(s.MaxConnections)*room {
 		s.io.Close(c)
 		return
 	}
-	s.from[c] = from
-	if s.open++; s.ConnWork > 0 && !s.fallen && !s.Hangs {
-		s.take(now, job{class: 0, work: s.ConnWork, conns: true})
+	s.peers[c] = from
+	if s.openConnections++; s.ConnectionWork > 0 && !s.overloaded && !s.Hanging {
+		s.admit(now, job{class: 0, work: s.ConnectionWork, connectionSetup: true})
 	}
 }
 
 // Connected of env.Program: the coordinator answers.
 func (s *Server) Connected(now float64, c env.Conn, ok bool) {
-	r := s.sasp[c]
+	r := s.registrations[c]
 	if r == nil {
 		return
 	}
 	if !ok {
-		delete(s.sasp, c)
-		s.io.SetTimer(now+serverDial*(0.5+s.chance.float()), wakeDial+r.at)
+		delete(s.registrations, c)
+		s.io.SetTimer(now+serverRedialSeconds*(0.5+s.random.uniform()), firstServerDialTimer+r.coordinator)
 		return
 	}
 	m := &sasp.Message{Kind: sasp.Registration}
@@ -157,61 +157,61 @@
 			To: len(m.Rows) + 1})
 		m.Rows = append(m.Rows, sasp.Row{Address: sasp.AddressOf(s.Addr)})
 	}
-	s.io.Send(c, r.speak.write(m))
+	s.io.Send(c, r.session.write(m))
 }
 
 // Receive of env.Program.
 func (s *Server) Receive(now float64, c env.Conn, b []byte) {
-	if r := s.sasp[c]; r != nil {
-		r.speak.read(b, func(m *sasp.Message) {
+	if r := s.registrations[c]; r != nil {
+		r.session.read(b, func(m *sasp.Message) {
 			if m.Kind == sasp.RegistrationReply && m.Code == sasp.OK {
-				if !r.done {
-					r.done = true
+				if !r.accepted {
+					r.accepted = true
 					s.registered++
 				}
-				s.ref.serverListed(now, s.Addr)
+				s.checker.serverRegistered(now, s.Addr)
 			} else if m.Code != sasp.OK {
-				s.ref.complain(now, "server %s: %s", s.Addr, m.Code)
+				s.checker.recordProtocolError(now, "server %s: %s", s.Addr, m.Code)
 			}
 		})
 		return
 	}
-	if p := s.parts[c]; s.real[c] || len(p) == 0 && b[0] == 'P' { // numbers of stand-ins' queries start lower
-		s.real[c] = true
-		s.http(now, c, b)
+	if p := s.unparsed[c]; s.httpConns[c] || len(p) == 0 && b[0] == 'P' { // numbers of stand-ins' queries start lower
+		s.httpConns[c] = true
+		s.receiveHTTP(now, c, b)
 		return
 	}
-	b = append(s.parts[c], b...)
-	for len(b) >= querySize {
-		if binary.BigEndian.Uint32(b[8:]) == givenUp {
-			s.giveUp(now, c, binary.BigEndian.Uint64(b))
-			b = b[querySize:]
+	b = append(s.unparsed[c], b...)
+	for len(b) >= requestBytes {
+		if binary.BigEndian.Uint32(b[8:]) == cancelledClass {
+			s.cancel(now, c, binary.BigEndian.Uint64(b))
+			b = b[requestBytes:]
 			continue
 		}
-		j := job{conn: c, from: s.from[c], id: binary.BigEndian.Uint64(b), class: int(binary.BigEndian.Uint32(b[8:])),
+		j := job{conn: c, from: s.peers[c], id: binary.BigEndian.Uint64(b), class: int(binary.BigEndian.Uint32(b[8:])),
 			key: binary.BigEndian.Uint32(b[12:]), work: math.Float64frombits(binary.BigEndian.Uint64(b[16:]))}
-		b = b[querySize:]
-		s.query(now, j)
+		b = b[requestBytes:]
+		s.handleRequest(now, j)
 	}
-	s.parts[c] = append([]byte(nil), b...)
+	s.unparsed[c] = append([]byte(nil), b...)
 }
 
 // Closed of env.Program.
 func (s *Server) Closed(now float64, c env.Conn) {
-	if _, theirs := s.from[c]; theirs {
-		s.open--
-	}
-	delete(s.from, c)
-	delete(s.parts, c)
-	delete(s.real, c)
-	if r := s.sasp[c]; r != nil {
-		if delete(s.sasp, c); r.done {
+	if _, theirs := s.peers[c]; theirs {
+		s.openConnections--
+	}
+	delete(s.peers, c)
+	delete(s.unparsed, c)
+	delete(s.httpConns, c)
+	if r := s.registrations[c]; r != nil {
+		if delete(s.registrations, c); r.accepted {
 			s.registered--
 		}
 		if s.registered == 0 {
-			s.ref.serverUnheard(now, s.Addr)
+			s.checker.serverDisconnected(now, s.Addr)
 		}
-		s.io.SetTimer(now+serverDial*(0.3+0.7*s.chance.float()), wakeDial+r.at)
+		s.io.SetTimer(now+serverRedialSeconds*(0.3+0.7*s.random.uniform()), firstServerDialTimer+r.coordinator)
 	}
 }
 
@@ -221,45 +221,45 @@
 // Datagram of env.Program.
 func (s *Server) Datagram(float64, []byte) {}
 
-func (s *Server) part(now float64) float64 { // of its capacity
+func (s *Server) capacityFraction(now float64) float64 { // of its capacity
 	if age := now - s.started; age < s.WarmupDuration {
 		return s.WarmupFraction + (1-s.WarmupFraction)*age/s.WarmupDuration
 	}
 	return 1
 }
 
-func (s *Server) query(now float64, j job) {
-	if s.fallen {
+func (s *Server) handleRequest(now float64, j job) {
+	if s.overloaded {
 		return
 	}
-	s.push(now, j)
+	s.checkOverload(now, j)
 	switch {
-	case s.Hangs:
+	case s.Hanging:
 		return
-	case s.chance.float() < s.Errors:
-		s.answerAfter(now, failFastTakes, j)
+	case s.random.uniform() < s.ErrorProbability:
+		s.failAfter(now, failFastSeconds, j)
 		return
 	}
-	if q := s.Classes[j.class].Query; q.Idempotency != 0 {
+	if q := s.Classes[j.class].Request; q.Idempotency != 0 {
 		if at, ok := s.FailureDomain.seen[j.id]; ok && now-at < q.DedupWindow { // a repeat: dropped, and answered as the first was
 			s.reply(j, answered)
 			return
 		}
-		if len(s.waiting) < s.Queue || len(s.running) < s.Cores {
+		if len(s.waiting) < s.QueueCapacity || len(s.running) < s.Cores {
 			s.FailureDomain.seen[j.id] = now
 		}
 	}
-	if !s.take(now, j) {
-		s.reply(j, full)
+	if !s.admit(now, j) {
+		s.reply(j, rejected)
 	}
 }
 
-// take puts work on a core, or in the queue; false: there is no room.
-func (s *Server) take(now float64, j job) bool {
+// admit puts work on a core, or in the queue; false: there is no room.
+func (s *Server) admit(now float64, j job) bool {
 	switch {
 	case len(s.running) < s.Cores:
-		s.run(now, j)
-	case len(s.waiting) < s.Queue:
+		s.startJob(now, j)
+	case len(s.waiting) < s.QueueCapacity:
 		s.waiting = append(s.waiting, j)
 	default:
 		return false
@@ -267,111 +267,111 @@
 	return true
 }
 
-// giveUp ends a query that nobody waits for any longer: where work stops for that, and always where it has not begun.
-func (s *Server) giveUp(now float64, c env.Conn, id uint64) {
+// cancel ends a query that nobody waits for any longer: where work stops for that, and always where it has not begun.
+func (s *Server) cancel(now float64, c env.Conn, id uint64) {
 	for i, j := range s.waiting {
-		if j.conn == c && j.id == id && !j.conns {
+		if j.conn == c && j.id == id && !j.connectionSetup {
 			s.waiting = append(s.waiting[:i], s.waiting[i+1:]...)
 			return
 		}
 	}
 	for number, j := range s.running {
-		if j.conn == c && j.id == id && j.class >= 0 && !j.conns && s.Stops {
+		if j.conn == c && j.id == id && j.class >= 0 && !j.connectionSetup && s.CancelsWork {
 			delete(s.running, number)
-			s.next(now)
+			s.startNext(now)
 			return
 		}
 	}
 }
 
-// knows tells whether a key is remembered, and remembers it.
-func (s *Server) knows(now float64, key uint32) bool {
-	if s.KeyMost == 0 {
+// rememberKey tells whether a key is remembered, and remembers it.
+func (s *Server) rememberKey(now float64, key uint32) bool {
+	if s.KeyCacheSize == 0 {
 		return false
 	}
-	at, known := s.keys[key]
+	at, known := s.keyUsedAt[key]
 	if !known {
-		if s.keys == nil {
-			s.keys = map[uint32]float64{}
+		if s.keyUsedAt == nil {
+			s.keyUsedAt = map[uint32]float64{}
 		}
-		if len(s.keyLine) >= s.KeyMost {
-			delete(s.keys, s.keyLine[0])
-			s.keyLine = s.keyLine[1:]
+		if len(s.keyOrder) >= s.KeyCacheSize {
+			delete(s.keyUsedAt, s.keyOrder[0])
+			s.keyOrder = s.keyOrder[1:]
 		}
-		s.keyLine = append(s.keyLine, key)
+		s.keyOrder = append(s.keyOrder, key)
 	}
-	s.keys[key] = now
-	return known && now-at < s.KeyFor
+	s.keyUsedAt[key] = now
+	return known && now-at < s.KeyCacheDuration
 }
 
-func (s *Server) answerAfter(now, after float64, j job) {
-	s.nextJob++
+func (s *Server) failAfter(now, after float64, j job) {
+	s.lastJob++
 	j.class = -1 - j.class // it fails
-	s.running[s.nextJob] = j
-	s.io.SetTimer(now+after, s.nextJob)
+	s.running[s.lastJob] = j
+	s.io.SetTimer(now+after, s.lastJob)
 }
 
-func (s *Server) run(now float64, j job) {
-	s.nextJob++
-	s.running[s.nextJob] = j
-	work := j.work * s.Slow * (1 + s.aged)
-	if s.aged += s.Ages; s.Ages == 0 {
-		s.aged = 0
+func (s *Server) startJob(now float64, j job) {
+	s.lastJob++
+	s.running[s.lastJob] = j
+	work := j.work * s.SlowdownFactor * (1 + s.aging)
+	if s.aging += s.AgingPerRequest; s.AgingPerRequest == 0 {
+		s.aging = 0
 	}
-	if !j.conns && s.knows(now, j.key) {
-		work *= 1 - s.KeyLess
+	if !j.connectionSetup && s.rememberKey(now, j.key) {
+		work *= 1 - s.KeyCacheSaving
 	}
-	if s.Tail > 0 && s.chance.float() < s.Tail {
-		work *= tailTakes
+	if s.HeavyTailProbability > 0 && s.random.uniform() < s.HeavyTailProbability {
+		work *= heavyTailFactor
 	}
-	s.io.SetTimer(now+work/(s.Speed*s.part(now)), s.nextJob)
+	s.io.SetTimer(now+work/(s.Speed*s.capacityFraction(now)), s.lastJob)
 }
 
-const tailTakes = 10.0 // times its work that a query of a heavy tail takes
+const heavyTailFactor = 10.0 // times its work that a query of a heavy tail takes
 
-// push counts what comes to a cold server: too much of it, and it falls over.
-func (s *Server) push(now float64, j job) {
+// checkOverload counts what comes to a cold server: too much of it, and it falls over.
+func (s *Server) checkOverload(now float64, j job) {
 	if now-s.started >= s.WarmupDuration {
 		s.recent, s.times = nil, nil
 		return
 	}
-	j.knowing = s.ref.knows(now, j.from, s.Addr)
+	j.senderKnowsServer = s.checker.senderKnowsServer(now, j.from, s.Addr)
 	s.recent, s.times = append(s.recent, j), append(s.times, now)
 	sum, knowing := 0.0, 0.0
 	for i := len(s.recent) - 1; i >= 0 && now-s.times[i] <= s.OverloadWindow; i-- {
 		sum += s.recent[i].work
-		if s.recent[i].knowing {
+		if s.recent[i].senderKnowsServer {
 			knowing += s.recent[i].work
 		}
 	}
-	if sum > s.OverloadFactor*s.part(now)*float64(s.Cores)*s.Speed*s.OverloadWindow+fallSlack {
-		s.fallen = true
-		s.ref.fell(now, s.Addr, knowing/sum)
-		s.Fall()
+	if sum > s.OverloadFactor*s.capacityFraction(now)*float64(s.Cores)*s.Speed*s.OverloadWindow+overloadSlackSeconds {
+		s.overloaded = true
+		s.checker.serverOverloaded(now, s.Addr, knowing/sum)
+		s.OnOverload()
 	}
 }
 
 // TimerFired of env.Program.
 func (s *Server) TimerFired(now float64, what int) {
 	switch {
-	case s.fallen:
-	case what == wakeReport:
+	case s.overloaded:
+	case what == serverReportTimer:
 		p := collectd.NewPacketWriter(now, s.Addr.String(), s.User, s.Key, func(b []byte) {
 			for _, a := range s.Coordinators {
-				s.io.Datagram(netip.AddrPortFrom(a.Addr(), s.Collect), b)
+				s.io.Datagram(netip.AddrPortFrom(a.Addr(), s.CollectorPort), b)
 			}
 		})
 		p.Uptime(now - s.started)
 		p.Flush()
-		s.io.SetTimer(now+serverReport, wakeReport)
-	case what >= wakeDial && what < wakeJobs:
-		s.dial(what - wakeDial)
+		s.io.SetTimer(now+serverReportSeconds, serverReportTimer)
+	case what >= firstServerDialTimer && what < firstJobTimer:
+		s.dial(what - firstServerDialTimer)
 	default:
-		s.finish(now, what)
+		s.finishJob(now, what)
 	}
 }
 
-func (s *Server) finish(now float64, what int) {
+func (s *Server) finishJob(now float64, what int) {
 	j, ok := s.running[what]
 	if !ok {
 		return
@@ -379,24 +379,24 @@
 	delete(s.running, what)
 	if j.class < 0 {
 		s.reply(j, failed)
-		s.next(now)
+		s.startNext(now)
 		return
 	}
-	if !j.conns {
-		s.ref.effect(now, s.Addr, j.id, s.Classes[j.class])
-		if s.Lost == 0 || s.chance.float() >= s.Lost {
+	if !j.connectionSetup {
+		s.checker.requestExecuted(now, s.Addr, j.id, s.Classes[j.class])
+		if s.ResponseLossProbability == 0 || s.random.uniform() >= s.ResponseLossProbability {
 			s.reply(j, answered)
 		}
 	}
-	s.next(now)
+	s.startNext(now)
 }
 
-// next begins what has waited longest.
-func (s *Server) next(now float64) {
+// startNext begins what has waited longest.
+func (s *Server) startNext(now float64) {
 	if len(s.waiting) > 0 && len(s.running) < s.Cores {
 		next := s.waiting[0]
 		s.waiting = s.waiting[1:]
-		s.run(now, next)
+		s.startJob(now, next)
 	}
 }
 
@@ -407,12 +407,12 @@
 type Agent struct {
 	Coordinators    []netip.AddrPort // it tells the first that it reaches
 	Server          netip.AddrPort
-	at              int
+	coordinator              int
 	FleetUID, Group string
 	Quiesce         bool
 	Checker         *InvariantChecker
 	io              env.IO
-	speak           speaker
+	session           saspSession
 	done            bool
 }
 
@@ -435,19 +435,19 @@
 	if a.Quiesce {
 		row.Flags = sasp.Quiesce
 	} else { // its end may be in force before it is confirmed
-		a.Checker.drain(now, a.Server, false)
+		a.Checker.setDraining(now, a.Server, false)
 	}
-	a.io.Send(c, a.speak.write(&sasp.Message{Kind: sasp.SetMember, Rows: []sasp.Row{row},
+	a.io.Send(c, a.session.write(&sasp.Message{Kind: sasp.SetMember, Rows: []sasp.Row{row},
 		Groups: []sasp.Group{{UID: []byte(a.FleetUID), Name: []byte(a.Group), To: 1}}}))
 }
 
 // Receive of env.Program: the reply is the moment at which the coordinator was told.
 func (a *Agent) Receive(now float64, c env.Conn, b []byte) {
-	a.speak.read(b, func(m *sasp.Message) {
+	a.session.read(b, func(m *sasp.Message) {
 		if a.done = true; m.Code == sasp.OK {
-			a.Checker.drain(now, a.Server, a.Quiesce)
+			a.Checker.setDraining(now, a.Server, a.Quiesce)
 		} else {
-			a.Checker.complain(now, "agent of %s: %s", a.Server, m.Code)
+			a.Checker.recordProtocolError(now, "agent of %s: %s", a.Server, m.Code)
 		}
 		a.io.Close(c)
 	})
@@ -469,7 +469,7 @@
 // TimerFired of env.Program: it tries again.
 func (a *Agent) TimerFired(float64, int) {
 	if !a.done {
-		a.at++
-		a.io.Dial(a.Coordinators[a.at%len(a.Coordinators)])
+		a.coordinator++
+		a.io.Dial(a.Coordinators[a.coordinator%len(a.Coordinators)])
 	}
 }
--- a/internal/emulator/standin.go
+++ b/internal/emulator/standin.go
@@ -14,47 +14,47 @@
 // Class is what stand-ins need to know of a query class.
 type Class struct {
 	Name    string
-	Query   balancer.RequestClass
+	Request   balancer.RequestClass
 	Share   float64 // of all queries
-	Work    float64 // mean seconds on a core of speed 1
-	Repeats balancer.RetryPolicy
+	MeanWork    float64 // mean seconds on a core of speed 1
+	RetryPolicy balancer.RetryPolicy
 }
 
 // A query between stand-ins: 24 bytes there, 9 back.
 const (
-	querySize  = 24
-	answerSize = 9
-	givenUp    = 1<<32 - 1 // in the place of a query's class: nobody waits for it any longer
+	requestBytes  = 24
+	responseBytes = 9
+	cancelledClass    = 1<<32 - 1 // in the place of a query's class: nobody waits for it any longer
 )
 
-type answer byte
+type outcome byte
 
 const (
-	answered answer = iota
+	answered outcome = iota
 	failed          // it ran, without a good answer
-	full            // it surely never ran
+	rejected            // it surely never ran
 )
 
-func appendQuery(b []byte, id uint64, class int, key uint32, work float64) []byte {
+func appendRequest(b []byte, id uint64, class int, key uint32, work float64) []byte {
 	b = binary.BigEndian.AppendUint64(b, id)
 	b = binary.BigEndian.AppendUint32(b, uint32(class))
 	b = binary.BigEndian.AppendUint32(b, key)
 	return binary.BigEndian.AppendUint64(b, math.Float64bits(work))
 }
 
-func appendAnswer(b []byte, id uint64, a answer) []byte {
+func appendResponse(b []byte, id uint64, a outcome) []byte {
 	return append(binary.BigEndian.AppendUint64(b, id), byte(a))
 }
 
-// speaker is the manager's other side: it frames what comes, and numbers what goes.
-type speaker struct {
+// saspSession is the manager's other side: it frames what comes, and numbers what goes.
+type saspSession struct {
 	buf []byte
-	id  uint32
-	in  sasp.Message
+	lastID  uint32
+	incoming  sasp.Message
 }
 
 // read hands each message of the bytes to take; false: the stream can't be followed.
-func (s *speaker) read(b []byte, take func(*sasp.Message)) bool {
+func (s *saspSession) read(b []byte, take func(*sasp.Message)) bool {
 	s.buf = append(s.buf, b...)
 	for {
 		n, err := sasp.Frame(s.buf, sasp.MaxMessageBytes)
@@ -64,16 +64,16 @@
 		if n == 0 {
 			return true
 		}
-		if sasp.Decode(s.buf[:n], &s.in) != nil {
+		if sasp.Decode(s.buf[:n], &s.incoming) != nil {
 			return false
 		}
-		take(&s.in)
+		take(&s.incoming)
 		s.buf = append(s.buf[:0], s.buf[n:]...)
 	}
 }
 
-func (s *speaker) write(m *sasp.Message) []byte {
-	s.id++
-	m.ID = s.id
+func (s *saspSession) write(m *sasp.Message) []byte {
+	s.lastID++
+	m.ID = s.lastID
 	return sasp.Append(nil, m)
 }
--- a/internal/scenario/hosted.go
+++ b/internal/scenario/hosted.go
@@ -385,14 +385,14 @@
 	}
 	site := &made.Config.Site
 	for i, name := range site.ClassNames {
-		x.classes = append(x.classes, emulator.Class{Name: name, Query: site.Classes[i], Share: []float64{0.79, 0.21}[i], Work: 0.1,
-			Repeats: site.RetryPolicies[i]})
+		x.classes = append(x.classes, emulator.Class{Name: name, Request: site.Classes[i], Share: []float64{0.79, 0.21}[i], MeanWork: 0.1,
+			RetryPolicy: site.RetryPolicies[i]})
 	}
 	slack := simSlack
 	if p.day.Sockets {
 		slack = socketSlack
 	}
-	p.rules = emulator.Rules{Guarantees: site.Guarantees, Channel: site.Channel, Hold: site.Limits.ServerHold + noticeMost, Slack: slack}
+	p.rules = emulator.Rules{Guarantees: site.Guarantees, Channel: site.Channel, DisconnectHold: site.Limits.ServerHold + noticeMost, ObservationSlack: slack}
 	p.rules.Channel.EntriesPerSecond *= float64(len(p.hosts)) // each has a channel of its own
 	x.ref = emulator.NewInvariantChecker(p.rules, x.classes)
 	p.tenants = append(p.tenants, x)
@@ -412,24 +412,24 @@
 	for i := range p.day.Servers {
 		half := i * 2 / p.day.Servers
 		s := emulator.NewServer(emulator.ServerConfig{Addr: tenantServer(x.number, i), FailureDomain: pods[half], Cores: 4, Speed: 0.8 + 0.4*chance.Float64(),
-			Queue: 30, WarmupFraction: 0.1, WarmupDuration: 18, OverloadFactor: 2, OverloadWindow: 1.5, Warm: true,
-			Coordinators: p.all(hostPort), Collect: hostCollect, User: string(x.name),
+			QueueCapacity: 30, WarmupFraction: 0.1, WarmupDuration: 18, OverloadFactor: 2, OverloadWindow: 1.5, StartsWarm: true,
+			Coordinators: p.all(hostPort), CollectorPort: hostCollect, User: string(x.name),
 			Key: fmt.Sprintf("measurements-%03d", x.number), FleetUID: x.name.UID("fleet"), Classes: x.classes, Seed: chance.Uint64()}, x.ref)
 		x.servers = append(x.servers, s)
 		p.fail(restart(p.place1(s.Addr, half), s))
 	}
 	for i := range p.day.Relays {
 		half := i * 2 / p.day.Relays
-		setup := emulator.RelayConfig{UID: x.name.UID(fmt.Sprint("relay-", i)), Host: tenantRelay(x.number, i), Polls: i%2 == 1,
+		setup := emulator.RelayConfig{UID: x.name.UID(fmt.Sprint("relay-", i)), Host: tenantRelay(x.number, i), UsesLongPoll: i%2 == 1,
 			Coordinator: netip.AddrPortFrom(hostAt, hostPort), Collector: netip.AddrPortFrom(hostAt, hostCollect), User: string(x.name),
 			Key: fmt.Sprintf("measurements-%03d", x.number), Flags: sasp.Push | sasp.Trust | sasp.NoChange, Classes: x.classes,
-			Rate: p.day.Rate / float64(p.day.Relays), Report: 0.5, EjectAfter: 8, EjectFor: 4, Keys: 200, Seed: chance.Uint64() >> 16}
+			Rate: p.day.Rate / float64(p.day.Relays), ReportInterval: 0.5, EjectAfter: 8, EjectDuration: 4, KeyCount: 200, Seed: chance.Uint64() >> 16}
 		port := uint16(hostPort)
-		if setup.Polls {
+		if setup.UsesLongPoll {
 			port = hostPoll
 		}
 		if all := p.all(port); len(all) > 1 {
-			setup.Others = all[1:]
+			setup.OtherCoordinators = all[1:]
 		}
 		setup.Coordinator = netip.AddrPortFrom(hostAt, port)
 		for k := range min(p.day.Servers, 3) {
@@ -445,8 +445,8 @@
 	now := p.stage.Now()
 	all := true
 	for _, t := range p.tenants {
-		t.ref.Look(now)
-		_, told := t.ref.AllLed()
+		t.ref.CheckDeadlines(now)
+		_, told := t.ref.AllRelaysLed()
 		all = all && told
 	}
 	if all && p.led == 0 && p.one() != nil {
@@ -486,7 +486,7 @@
 		}
 		at(0.5, func() {
 			x.ref.CoordinatorDown()
-			x.ref.Forget()
+			x.ref.ForgetDrains()
 			p.order(tenancy.Command{Kind: tenancy.Remove, Name: x.name})
 		})
 		p.stage.At(start+0.5*d.Seconds+tenancy.NameQuarantine+0.5, func() {
@@ -508,7 +508,7 @@
 		h.Drain(now, x.name, balancer.Server(s.String()), true, func(ok bool) {
 			if ok {
 				x.drained = p.stage.Now()
-				x.ref.Drained(p.stage.Now(), s, true)
+				x.ref.DrainChanged(p.stage.Now(), s, true)
 			} else if len(p.hosts) == 1 || p.day.Kills == 0 { // a host that is killed answers nobody
 				p.result.Problems = append(p.result.Problems, fmt.Sprintf("%s: drain refused", x.name))
 			}
@@ -523,25 +523,25 @@
 		}
 	}
 	for _, x := range p.tenants {
-		r := TenantResult{Name: x.name, Verdicts: x.ref.Verdicts(), Service: x.ref.Service(), Complaints: x.ref.Complaints, DrainTook: -1}
+		r := TenantResult{Name: x.name, Verdicts: x.ref.Verdicts(), Service: x.ref.Service(), Complaints: x.ref.ProtocolErrors, DrainTook: -1}
 		own := map[netip.AddrPort]bool{}
 		for _, s := range x.servers {
 			own[s.Addr] = true
 		}
-		for _, a := range x.ref.Named() {
+		for _, a := range x.ref.Servers() {
 			if !own[a] {
 				r.Foreign++
 			}
 		}
 		for _, rel := range x.relays {
-			for _, a := range rel.Lines() {
+			for _, a := range rel.TableServers() {
 				if !own[a] {
 					r.Foreign++
 				}
 			}
 		}
 		if x.drained > 0 {
-			r.DrainTook = x.ref.Latest()
+			r.DrainTook = x.ref.LatestAfterDrain()
 		}
 		for _, o := range p.hosts {
 			work, longest := o.program.Scheduler.Usage(x.name)
@@ -602,7 +602,7 @@
 // flood makes a tenant's own side as bad as it can be: see emulator.Flood.
 func (p *hostedPlay) flood(t int) {
 	f := &emulator.FloodGenerator{To: netip.AddrPortFrom(hostAt, hostPort), HTTP: netip.AddrPortFrom(hostAt, hostPoll), Collect: netip.AddrPortFrom(hostAt, hostCollect),
-		UID: tenantName(t).UID("relay-0"), Others: tenantName((t + 1) % max(p.day.Tenants, 2)).UID("relay-0"), User: string(tenantName(t)),
+		UID: tenantName(t).UID("relay-0"), OtherUID: tenantName((t + 1) % max(p.day.Tenants, 2)).UID("relay-0"), User: string(tenantName(t)),
 		Key: fmt.Sprintf("measurements-%03d", t), Class: "search", Rate: p.day.FloodRate, Server: tenantServer(t, 0), Seed: p.day.Seed,
 		OtherUser: string(tenantName((t + 1) % max(p.day.Tenants, 2)))}
 	p.fail(restart(p.place1(netip.AddrPortFrom(tenantRelay(t, 240), 0), 0), f))
--- a/internal/scenario/proxies.go
+++ b/internal/scenario/proxies.go
@@ -83,7 +83,7 @@
 	at := netip.AddrPortFrom(relayAddr(i).Addr(), clientPort)
 	x.proxy = proxy.New(p.stage.Now(), s)
 	x.host = p.add(at, zone, x.proxy, false)
-	x.crowd = emulator.NewClientGenerator(emulator.ClientConfig{To: at, Classes: p.classes, Rate: rate, Seed: uint64(i+1) + p.opts.Seed<<16}, p.ref)
+	x.crowd = emulator.NewClientGenerator(emulator.ClientConfig{Proxy: at, Classes: p.classes, Rate: rate, Seed: uint64(i+1) + p.opts.Seed<<16}, p.ref)
 	p.add(netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 0, crowdNet + byte(i/250), byte(1 + i%250)}), 0), zone, x.crowd, false)
 }
 
@@ -114,8 +114,8 @@
 		}
 	case "demand":
 		for _, x := range p.reals {
-			x.crowd.Load = t.Factor
-			later(func() { x.crowd.Load = 1 })
+			x.crowd.LoadFactor = t.Factor
+			later(func() { x.crowd.LoadFactor = 1 })
 		}
 	default:
 		return false
--- a/internal/scenario/rehearse.go
+++ b/internal/scenario/rehearse.go
@@ -159,8 +159,8 @@
 		for k < len(site.ClassNames) && site.ClassNames[k] != q.Class {
 			k++
 		}
-		p.classes = append(p.classes, emulator.Class{Name: q.Class, Query: site.Classes[k], Share: day.Queries[i].Share,
-			Work: q.Work, Repeats: site.RetryPolicies[k]})
+		p.classes = append(p.classes, emulator.Class{Name: q.Class, Request: site.Classes[k], Share: day.Queries[i].Share,
+			MeanWork: q.Work, RetryPolicy: site.RetryPolicies[k]})
 	}
 	rules := site.Channel
 	rules.EntriesPerSecond *= float64(max(opts.Coordinators, 1)) // each has a channel of its own
@@ -169,7 +169,7 @@
 		slack = socketSlack
 	}
 	p.ref = emulator.NewInvariantChecker(emulator.Rules{Guarantees: site.Guarantees, Channel: rules,
-		Hold: site.Limits.ServerHold + noticeMost, Slack: slack}, p.classes)
+		DisconnectHold: site.Limits.ServerHold + noticeMost, ObservationSlack: slack}, p.classes)
 	if opts.Sockets {
 		p.sock = socketnet.New(eventloop.Clock())
 		p.stage = p.sock
@@ -233,7 +233,7 @@
 }
 
 func (p *play) look() {
-	p.ref.Look(p.stage.Now())
+	p.ref.CheckDeadlines(p.stage.Now())
 	p.takeovers(p.stage.Now())
 	p.stage.At(p.stage.Now()+lookEvery, p.look)
 }
@@ -355,7 +355,7 @@
 		return
 	}
 	_, peak := o.program.Fleet.QueuedEntries()
-	p.ref.Queue(p.stage.Now(), peak)
+	p.ref.CheckQueue(p.stage.Now(), peak)
 	p.result.PeakQueue = max(p.result.PeakQueue, peak)
 	add(&p.result.Counts, o.program.Fleet.Stats)
 	d, c := &p.result.Desk, o.program.SASP.Stats
@@ -410,16 +410,16 @@
 	g := c.Site.Guarantees
 	speeds := rand.New(rand.NewPCG(p.opts.Seed, uint64(i)))
 	return emulator.ServerConfig{Addr: netip.MustParseAddrPort(string(s.Server)), FailureDomain: pod, Cores: p.day.Cores,
-		Speed: p.day.Slowest + (p.day.Fastest-p.day.Slowest)*speeds.Float64(), Queue: p.day.Queue, WarmupFraction: g.WarmupStartFraction,
-		WarmupDuration: g.WarmupDuration, OverloadFactor: g.OverloadFactor, OverloadWindow: g.OverloadWindow, Warm: warm, Coordinators: p.all(c.SASP),
-		Collect: c.Measurements.Port(), User: c.User, Key: c.Key, FleetUID: c.Policy.FleetUID, Classes: p.classes,
-		Seed: p.chance.Uint64(), Connections: p.day.Model.Connections, ConnWork: p.day.Model.ConnWork, KeyFor: p.day.Model.KeyFor,
-		KeyLess: p.day.Model.KeyLess, KeyMost: p.day.Model.KeyMost, Stops: p.day.Model.Stops}
+		Speed: p.day.Slowest + (p.day.Fastest-p.day.Slowest)*speeds.Float64(), QueueCapacity: p.day.Queue, WarmupFraction: g.WarmupStartFraction,
+		WarmupDuration: g.WarmupDuration, OverloadFactor: g.OverloadFactor, OverloadWindow: g.OverloadWindow, StartsWarm: warm, Coordinators: p.all(c.SASP),
+		CollectorPort: c.Measurements.Port(), User: c.User, Key: c.Key, FleetUID: c.Policy.FleetUID, Classes: p.classes,
+		Seed: p.chance.Uint64(), MaxConnections: p.day.Model.Connections, ConnectionWork: p.day.Model.ConnWork, KeyCacheDuration: p.day.Model.KeyFor,
+		KeyCacheSaving: p.day.Model.KeyLess, KeyCacheSize: p.day.Model.KeyMost, CancelsWork: p.day.Model.Stops}
 }
 
 func (p *play) newServer(i int, warm bool) *emulator.Server {
 	s := emulator.NewServer(p.serverSetup(i, warm), p.ref)
-	s.Fall = func() {
+	s.OnOverload = func() {
 		p.fallen[i] = true
 		p.stage.At(p.stage.Now(), func() { p.killServer(i) })
 	}
@@ -499,11 +499,11 @@
 	for k := range p.coordinators[1:] {
 		others = append(others, p.at(k+1, at))
 	}
-	return emulator.RelayConfig{Others: others, Polls: asks, UID: c.Site.Proxies[i].UID, Host: relayAddr(i).Addr(), Coordinator: at, Collector: c.Measurements, User: c.User,
+	return emulator.RelayConfig{OtherCoordinators: others, UsesLongPoll: asks, UID: c.Site.Proxies[i].UID, Host: relayAddr(i).Addr(), Coordinator: at, Collector: c.Measurements, User: c.User,
 		Key: c.Key, Flags: sasp.Push | sasp.Trust | sasp.NoChange, Classes: p.classes, Rate: rate,
-		Report: c.Site.Reporting.Period, EjectAfter: c.Site.DataPlane.EjectAfterFailures, EjectFor: 4, Keys: p.day.Keys,
-		Seed: uint64(i+1) + p.opts.Seed<<16, Popular: p.popular, Retries: p.day.Clients.Retries, RetryWait: p.day.Clients.RetryWait,
-		Patience: p.day.Clients.Patience, Policy: p.opts.Policy, AllServers: p.every()}
+		ReportInterval: c.Site.Reporting.Period, EjectAfter: c.Site.DataPlane.EjectAfterFailures, EjectDuration: 4, KeyCount: p.day.Keys,
+		Seed: uint64(i+1) + p.opts.Seed<<16, KeyPopularity: p.popular, ClientRetries: p.day.Clients.Retries, ClientRetryDelay: p.day.Clients.RetryWait,
+		PatienceFraction: p.day.Clients.Patience, Policy: p.opts.Policy, AllServers: p.every()}
 }
 
 // every is all servers of the day, for relays that need no coordinator.
@@ -529,13 +529,13 @@
 	}
 	switch t.Kind {
 	case "slow":
-		during(&p.servers[t.Server].Slow, 1)
+		during(&p.servers[t.Server].SlowdownFactor, 1)
 	case "fast_errors":
-		during(&p.servers[t.Server].Errors, 0)
+		during(&p.servers[t.Server].ErrorProbability, 0)
 	case "hang":
 		s := p.servers[t.Server]
-		s.Hangs = true
-		later(func() { s.Hangs = false })
+		s.Hanging = true
+		later(func() { s.Hanging = false })
 	case "crash":
 		p.killServer(t.Server)
 		later(func() { p.restartServer(t.Server) })
@@ -577,11 +577,11 @@
 		p.relayHosts[t.Relay].Freeze(t.For)
 	case "balancer_deaf":
 		r := p.relays[t.Relay]
-		r.Deaf(true)
-		r.Load = t.Factor // thin traffic would hide it, and do as little harm
+		r.IgnoreUpdates(true)
+		r.LoadFactor = t.Factor // thin traffic would hide it, and do as little harm
 		later(func() {
-			r.Deaf(false)
-			r.Load = 1
+			r.IgnoreUpdates(false)
+			r.LoadFactor = 1
 		})
 	case "balancer_restart":
 		p.relayHosts[t.Relay].Kill()
@@ -595,19 +595,19 @@
 			p.fail(restart(p.relayHosts[t.Relay], p.relays[t.Relay]))
 		})
 	case "reconnect":
-		p.relays[t.Relay].Drop(p.stage.Now())
+		p.relays[t.Relay].DropConnection(p.stage.Now())
 	case "answer_lost":
-		during(&p.servers[t.Server].Lost, 0)
+		during(&p.servers[t.Server].ResponseLossProbability, 0)
 	case "heavy_tail":
-		during(&p.servers[t.Server].Tail, 0)
+		during(&p.servers[t.Server].HeavyTailProbability, 0)
 	case "ageing":
-		during(&p.servers[t.Server].Ages, 0)
+		during(&p.servers[t.Server].AgingPerRequest, 0)
 	case "conn_squeeze":
-		during(&p.servers[t.Server].Room, 0)
+		during(&p.servers[t.Server].ConnectionCapacityFraction, 0)
 	case "shared_slow":
 		for i, v := range p.day.Coordinator.Site.Servers {
 			if int(v.FailureDomain) == t.FailureDomain {
-				during(&p.servers[i].Slow, 1)
+				during(&p.servers[i].SlowdownFactor, 1)
 			}
 		}
 	case "vanish": // silent: no reset, no answer; it comes back with a new process
@@ -622,22 +622,22 @@
 		}
 	case "give_up":
 		for _, r := range p.relays {
-			during(&r.Patience, r.Patience)
+			during(&r.PatienceFraction, r.PatienceFraction)
 		}
 	case "false_reports":
-		during(&p.relays[t.Relay].Lies, 0)
+		during(&p.relays[t.Relay].FalseFailureFraction, 0)
 	case "grow":
 		const steps = 20
 		for k := range steps {
 			p.stage.At(p.stage.Now()+t.For*float64(k)/steps, func() {
 				for _, r := range p.relays {
-					r.Load = 1 + (t.Factor-1)*float64(k+1)/steps
+					r.LoadFactor = 1 + (t.Factor-1)*float64(k+1)/steps
 				}
 			})
 		}
 		later(func() {
 			for _, r := range p.relays {
-				r.Load = 1
+				r.LoadFactor = 1
 			}
 		})
 	case "report_late", "reports_stop":
@@ -647,7 +647,7 @@
 		}
 	case "demand":
 		for _, r := range p.relays {
-			during(&r.Load, 1)
+			during(&r.LoadFactor, 1)
 		}
 	case "clock_gap":
 		if p.sim != nil {
@@ -664,14 +664,14 @@
 
 func (p *play) finish(start float64) {
 	r, f := &p.result, p.ref
-	r.Verdicts, r.Service, r.P50, r.P99 = f.Verdicts(), f.Service(), f.Tail(0.5), f.Tail(0.99)
-	r.Worst, r.Drained = f.Worst(), f.Latest()
+	r.Verdicts, r.Service, r.P50, r.P99 = f.Verdicts(), f.Service(), f.LatencyQuantile(0.5), f.LatencyQuantile(0.99)
+	r.Worst, r.Drained = f.WorstInterval(), f.LatestAfterDrain()
 	for k := range p.classes {
-		r.Times = append(r.Times, f.Times(k))
+		r.Times = append(r.Times, f.Latencies(k))
 	}
-	r.Asked, r.Answered, r.InTime = f.Asked, f.Answered, f.InTime
-	r.Bytes, r.WholeBytes = f.Bytes, f.WholeBytes
-	r.Tries, r.Messages, r.Lines, r.Complaints = f.Tries, f.Messages, f.Lines, f.Complaints
+	r.Asked, r.Answered, r.InTime = f.Requested, f.Answered, f.OnTime
+	r.Bytes, r.WholeBytes = f.Bytes, f.FullTableBytes
+	r.Tries, r.Messages, r.Lines, r.Complaints = f.Attempts, f.Messages, f.Entries, f.ProtocolErrors
 	r.Seconds = p.stage.Now() - start
 	if p.sim != nil {
 		r.Events = p.sim.Events
--- a/internal/scenario/takeover.go
+++ b/internal/scenario/takeover.go
@@ -124,7 +124,7 @@
 const noticedBy = 0.12 // seconds in which relays notice that their connection was reset
 
 func (p *play) takeovers(now float64) {
-	led, told := p.ref.AllLed()
+	led, told := p.ref.AllRelaysLed()
 	if p.opts.Led != nil {
 		p.opts.Led(now, led)
 	}
