--- a/internal/emulator/flood.go
+++ b/internal/emulator/flood.go
@@ -4,6 +4,7 @@
 	"fmt"
 	"net/netip"
 	"net/url"
+	"slices"
 
 	"snowquay/internal/core/loadreport"
 	"snowquay/internal/env"
@@ -11,34 +12,47 @@
 	"snowquay/internal/wire/sasp"
 )
 
-// FloodGenerator is a tenant's host that has gone wrong, or means ill: it opens connections again and again, registers and asks for weights
-// as fast as it can, sends measurements that are garbled, doubled, or of others, and names other tenants' relays, groups and users.
+// FloodGenerator is a faulty or malicious host of a tenant: it opens connections again and again, registers and requests
+// weights as fast as it can, sends measurements that are malformed, duplicated or of other tenants, and names other
+// tenants' relays, groups and users.
 type FloodGenerator struct {
-	To, HTTP, Collect netip.AddrPort
-	UID, OtherUID       string // its own relay, and another tenant's
-	User, Key         string
-	OtherUser         string
-	Class             string
-	Rate              float64 // of what it does, a second
-	Server            netip.AddrPort
-	Seed              uint64
-	io                env.IO
-	random            randomSource
-	conns             []env.Conn
-	httpConns               map[env.Conn]bool
-	sessions             map[env.Conn]*saspSession
+	ignoredEvents
+	SASP         netip.AddrPort // SASP
+	HTTP         netip.AddrPort // long-poll API
+	Measurements netip.AddrPort // measurements
+	UID          string         // its own relay
+	OtherUID     string         // another tenant's relay
+	User         string
+	Key          string
+	OtherUser    string
+	Class        string
+	Rate         float64 // actions a second
+	Server       netip.AddrPort
+	Seed         uint64
+
+	io        env.IO
+	random    randomSource
+	conns     []env.Conn
+	httpConns map[env.Conn]bool
+	sessions  map[env.Conn]*saspSession
 }
 
-const maxFloodConnections = 40 // connections at once
+const (
+	maxFloodConnections  = 40 // open at once
+	floodIntervalSeconds = 0.01
+	floodGarbageBytes    = 200
+	floodReports         = 20 // contradicting reports in a datagram
+)
 
 // Start of env.Program.
 func (f *FloodGenerator) Start(now float64, io env.IO) {
-	f.io, f.random, f.httpConns, f.sessions = io, newRandomSource(f.Seed), map[env.Conn]bool{}, map[env.Conn]*saspSession{}
+	f.io = io
+	f.random = newRandomSource(f.Seed)
+	f.httpConns = map[env.Conn]bool{}
+	f.sessions = map[env.Conn]*saspSession{}
 	io.SetTimer(now, 0)
 }
 
-const floodIntervalSeconds = 0.01 // seconds between two bursts
-
 // TimerFired of env.Program.
 func (f *FloodGenerator) TimerFired(now float64, _ int) {
 	for range int(f.Rate * floodIntervalSeconds) {
@@ -47,87 +61,89 @@
 	f.io.SetTimer(now+floodIntervalSeconds, 0)
 }
 
+// act does one thing that is drawn at random.
 func (f *FloodGenerator) act(now float64) {
-	switch v := f.random.uniform(); {
-	case v < 0.15 && len(f.conns) < maxFloodConnections:
-		c := f.io.Dial(f.To)
-		f.conns = append(f.conns, c)
-	case v < 0.2 && len(f.conns) < maxFloodConnections:
-		c := f.io.Dial(f.HTTP)
-		f.httpConns[c] = true
-		f.conns = append(f.conns, c)
-	case v < 0.25:
-		b := make([]byte, 200)
-		for i := range b {
-			b[i] = byte(f.random.IntN(256))
-		}
-		f.io.Datagram(f.Collect, b)
-	case v < 0.5:
-		user, key, host := f.User, f.Key, f.UID
-		if f.random.uniform() < 0.5 {
-			user, host = f.OtherUser, f.OtherUID
-		}
-		p := collectd.NewPacketWriter(now, host, user, key, func(b []byte) { f.io.Datagram(f.Collect, b) })
-		for i := range 20 {
-			p.Traffic(f.Server.String(), loadreport.Totals{Attempts: float64(i * 1000), Failed: float64(i * 900), Seconds: 1e6})
-		}
-		p.Flush()
+	position := f.random.uniform()
+	switch {
+	case position < 0.15 && len(f.conns) < maxFloodConnections:
+		f.conns = append(f.conns, f.io.Dial(f.SASP))
+	case position < 0.2 && len(f.conns) < maxFloodConnections:
+		conn := f.io.Dial(f.HTTP)
+		f.httpConns[conn] = true
+		f.conns = append(f.conns, conn)
+	case position < 0.25:
+		f.sendGarbage()
+	case position < 0.5:
+		f.sendReports(now)
 	case len(f.conns) > 0:
 		f.sendMessage(f.conns[f.random.IntN(len(f.conns))])
 	}
 }
 
-func (f *FloodGenerator) sendMessage(c env.Conn) {
+func (f *FloodGenerator) sendGarbage() {
+	b := make([]byte, floodGarbageBytes)
+	for i := range b {
+		b[i] = byte(f.random.IntN(256))
+	}
+	f.io.Datagram(f.Measurements, b)
+}
+
+// sendReports sends measurements that contradict each other, half of them in another tenant's name.
+func (f *FloodGenerator) sendReports(now float64) {
+	user := f.User
+	host := f.UID
+	if f.random.uniform() < 0.5 {
+		user = f.OtherUser
+		host = f.OtherUID
+	}
+	packets := collectd.NewPacketWriter(now, host, user, f.Key, func(b []byte) { f.io.Datagram(f.Measurements, b) })
+	for i := range floodReports {
+		packets.Traffic(f.Server.String(), loadreport.Totals{Attempts: float64(i * 1000), Failed: float64(i * 900), Seconds: 1e6})
+	}
+	packets.Flush()
+}
+
+// sendMessage sends a poll, a greeting or a registration, some of them for another tenant's relay.
+func (f *FloodGenerator) sendMessage(conn env.Conn) {
 	uid := f.UID
 	if f.random.uniform() < 0.3 {
 		uid = f.OtherUID
 	}
-	if f.httpConns[c] {
-		f.io.Send(c, fmt.Appendf(nil, "GET /v1/proxies/%s/tables?wait=0 HTTP/1.1\r\nHost: x\r\n\r\n", url.PathEscape(uid)))
+	if f.httpConns[conn] {
+		f.io.Send(conn, fmt.Appendf(nil, "GET /v1/proxies/%s/tables?wait=0 HTTP/1.1\r\nHost: x\r\n\r\n", url.PathEscape(uid)))
 		return
 	}
-	s := f.sessions[c]
-	if s == nil {
-		s = &saspSession{}
-		f.sessions[c] = s
+	session := f.sessions[conn]
+	if session == nil {
+		session = &saspSession{}
+		f.sessions[conn] = session
 	}
 	if f.random.uniform() < 0.5 {
-		f.io.Send(c, s.write(&sasp.Message{Kind: sasp.SetBalancer, UID: []byte(uid), Flags: sasp.Push | sasp.Trust}))
+		f.io.Send(conn, session.write(&sasp.Message{Kind: sasp.SetBalancer, UID: []byte(uid), Flags: sasp.Push | sasp.Trust}))
 		return
 	}
-	f.io.Send(c, s.write(&sasp.Message{Kind: sasp.Registration, LB: sasp.FromBalancer, Groups: []sasp.Group{{UID: []byte(uid), Name: []byte(f.Class), To: 1}},
-		Rows: []sasp.Row{{Address: sasp.AddressOf(f.Server)}}}))
+	f.io.Send(conn, session.write(&sasp.Message{
+		Kind:   sasp.Registration,
+		LB:     sasp.FromBalancer,
+		Groups: []sasp.Group{{UID: []byte(uid), Name: []byte(f.Class), To: 1}},
+		Rows:   []sasp.Row{{Address: sasp.AddressOf(f.Server)}},
+	}))
 }
 
-// Opened of env.Program.
-func (f *FloodGenerator) Opened(float64, env.Conn, netip.Addr, uint16) {}
-
 // Connected of env.Program.
-func (f *FloodGenerator) Connected(now float64, c env.Conn, ok bool) {
+func (f *FloodGenerator) Connected(now float64, conn env.Conn, ok bool) {
 	if !ok {
-		f.Closed(now, c)
+		f.Closed(now, conn)
 		return
 	}
-	f.sendMessage(c)
+	f.sendMessage(conn)
 }
 
-// Receive of env.Program.
-func (f *FloodGenerator) Receive(float64, env.Conn, []byte) {}
-
 // Closed of env.Program.
-func (f *FloodGenerator) Closed(_ float64, c env.Conn) {
-	for i, o := range f.conns {
-		if o == c {
-			f.conns = append(f.conns[:i], f.conns[i+1:]...)
-			break
-		}
+func (f *FloodGenerator) Closed(_ float64, conn env.Conn) {
+	if i := slices.Index(f.conns, conn); i >= 0 {
+		f.conns = slices.Delete(f.conns, i, i+1)
 	}
-	delete(f.httpConns, c)
-	delete(f.sessions, c)
+	delete(f.httpConns, conn)
+	delete(f.sessions, conn)
 }
-
-// Delivered of env.Program.
-func (f *FloodGenerator) Delivered(float64, env.Conn, uint64) {}
-
-// Datagram of env.Program.
-func (f *FloodGenerator) Datagram(float64, []byte) {}
--- /dev/null
+++ b/internal/emulator/random.go
@@ -0,0 +1,27 @@
+package emulator
+
+import "math/rand/v2"
+
+// randomStream is the second word of every generator's seed.
+const randomStream = 0xc0ffee
+
+// randomSource is a seeded source of random numbers.
+type randomSource struct{ *rand.Rand }
+
+func newRandomSource(seed uint64) randomSource {
+	return randomSource{rand.New(rand.NewPCG(seed, randomStream))}
+}
+
+// uniform draws evenly from 0 to 1, without 1.
+func (s randomSource) uniform() float64 { return s.Float64() }
+
+// drawClass draws a class by the shares of all requests.
+func drawClass(random randomSource, classes []Class) int {
+	position := random.uniform()
+	class := 0
+	for class < len(classes)-1 && position >= classes[class].Share {
+		position -= classes[class].Share
+		class++
+	}
+	return class
+}
--- a/internal/scenario/hosted.go
+++ b/internal/scenario/hosted.go
@@ -601,7 +601,7 @@
 
 // flood makes a tenant's own side as bad as it can be: see emulator.Flood.
 func (p *hostedPlay) flood(t int) {
-	f := &emulator.FloodGenerator{To: netip.AddrPortFrom(hostAt, hostPort), HTTP: netip.AddrPortFrom(hostAt, hostPoll), Collect: netip.AddrPortFrom(hostAt, hostCollect),
+	f := &emulator.FloodGenerator{SASP: netip.AddrPortFrom(hostAt, hostPort), HTTP: netip.AddrPortFrom(hostAt, hostPoll), Measurements: netip.AddrPortFrom(hostAt, hostCollect),
 		UID: tenantName(t).UID("relay-0"), OtherUID: tenantName((t + 1) % max(p.day.Tenants, 2)).UID("relay-0"), User: string(tenantName(t)),
 		Key: fmt.Sprintf("measurements-%03d", t), Class: "search", Rate: p.day.FloodRate, Server: tenantServer(t, 0), Seed: p.day.Seed,
 		OtherUser: string(tenantName((t + 1) % max(p.day.Tenants, 2)))}
--- a/internal/scenario/proxies.go
+++ b/internal/scenario/proxies.go
@@ -67,7 +67,7 @@
 	for k := range p.coordinators {
 		s.Coordinators = append(s.Coordinators, p.at(k, at))
 	}
-	seen.At(relayAddr(i).Addr())
+	seen.Started(relayAddr(i).Addr())
 	return s
 }
 
