--- a/internal/experiment/lab.go
+++ b/internal/experiment/lab.go
@@ -193,7 +193,7 @@
 
 // Options of a cell's play.
 func (c Cell) Options() scenario.Options {
-	o := scenario.Options{Seed: c.Seed, Front: c.Arm.Front, Coordinators: c.Arm.Coordinators, Mute: c.Arm.Policy == "listed"}
+	o := scenario.Options{Seed: c.Seed, Front: c.Arm.Front, Coordinators: c.Arm.Coordinators, DropMeasurements: c.Arm.Policy == "listed"}
 	switch c.Arm.Policy {
 	case "robin":
 		o.Policy = emulator.RoundRobin
@@ -218,12 +218,12 @@
 
 func record(x *settings.Experiment, c Cell, d *settings.Scenario, res *scenario.Result) *Record {
 	r := &Record{Experiment: x.Name, Fleet: c.Fleet.Name, Case: c.Case.Name, Arm: c.Arm.Name, Seed: c.Seed, Version: Version(),
-		Fingerprint: fingerprint(x), Servers: c.Fleet.Servers, Relays: c.Fleet.Relays, Seconds: c.Case.Seconds, Service: res.Service, WorstTenSeconds: res.Worst,
-		WorstClass: 1, DrainTime: res.Drained, Messages: res.Messages, Lines: res.Lines, FullTables: res.Counts.FullTables, PeakQueue: res.PeakQueue, Events: res.Events}
+		Fingerprint: fingerprint(x), Servers: c.Fleet.Servers, Relays: c.Fleet.Relays, Seconds: c.Case.Seconds, Service: res.Service, WorstTenSeconds: res.WorstInterval,
+		WorstClass: 1, DrainTime: res.LatestAfterDrain, Messages: res.Messages, Lines: res.Entries, FullTables: res.ControlPlane.FullTables, PeakQueue: res.PeakQueue, Events: res.Events}
 	for k, q := range d.Queries {
-		h := res.Times[k]
+		h := res.Latencies[k]
 		at := func(q float64) float64 { return float64(h.ValueAtQuantile(q)) / 1e6 }
-		v := ClassRecord{Class: q.Class, Asked: res.Asked[k], Answered: res.Answered[k], InTime: res.InTime[k], P50: at(50), P90: at(90), P99: at(99),
+		v := ClassRecord{Class: q.Class, Asked: res.Requested[k], Answered: res.Answered[k], InTime: res.OnTime[k], P50: at(50), P90: at(90), P99: at(99),
 			P999: at(99.9)}
 		for _, b := range h.Distribution() {
 			if b.Count > 0 {
@@ -236,8 +236,8 @@
 	for _, v := range res.Verdicts {
 		r.Rules = append(r.Rules, RuleRecord{v.Rule, v.Kept, v.Figure, v.Reasons})
 	}
-	r.AckedP50, r.AckedP99 = quantile(res.Held, 0.5), quantile(res.Held, 0.99)
-	r.TakeoverP50, r.TakeoverMax = quantile(res.Led, 0.5), quantile(res.Led, 1)
+	r.AckedP50, r.AckedP99 = quantile(res.AckDelays, 0.5), quantile(res.AckDelays, 0.99)
+	r.TakeoverP50, r.TakeoverMax = quantile(res.LedAfter, 0.5), quantile(res.LedAfter, 1)
 	for _, t := range d.Faults {
 		r.Faults = append(r.Faults, t.Kind)
 	}
--- a/internal/experiment/lab_test.go
+++ b/internal/experiment/lab_test.go
@@ -250,7 +250,7 @@
 	if math.Abs(v.Service-s.Service) > 0.03 || math.Abs(v.P50-s.P50) > 0.15*v.P50+0.01 {
 		t.Errorf("service %.3f and %.3f, median %.3f and %.3f s", v.Service, s.Service, v.P50, s.P50)
 	}
-	if r := float64(s.Lines) / float64(v.Lines); r < 0.6 || r > 1.6 {
-		t.Errorf("%d lines in virtual time, %d over sockets", v.Lines, s.Lines)
+	if r := float64(s.Entries) / float64(v.Entries); r < 0.6 || r > 1.6 {
+		t.Errorf("%d lines in virtual time, %d over sockets", v.Entries, s.Entries)
 	}
 }
--- a/internal/scenario/hosted.go
+++ b/internal/scenario/hosted.go
@@ -43,9 +43,9 @@
 	Drains                   bool    // each tenant has a server drained during the flood
 	Log                      *slog.Logger
 	Store                    coordinator.HostStore // nil: in memory
-	Set                      func(*settings.Host)
-	Without                  []controlplane.Guard // left out by each tenant's coordinator
-	Anywhere                 bool                 // relays of a tenant may come from any network: a guard left out
+	Configure                func(*settings.Host)
+	DisabledGuards           []controlplane.Guard // left out by each tenant's coordinator
+	AnyNetwork               bool                 // relays of a tenant may come from any network: a guard left out
 }
 
 // DefaultHostedScenario is one that CI plays.
@@ -55,46 +55,46 @@
 
 // TenantResult is one tenant's day.
 type TenantResult struct {
-	Name       tenancy.Name
-	Verdicts   []emulator.Verdict
-	Service    float64
-	Foreign    int // lines to servers of other tenants that its relays were given
-	Complaints []string
-	Longest    float64 // seconds that it was due and waited for its turn
-	Work       float64 // seconds of work that it was reckoned at
-	DrainTook  float64 // seconds until no relay sent to the server that drains; -1: none was ordered
+	Name           tenancy.Name
+	Verdicts       []emulator.Verdict
+	Service        float64
+	ForeignEntries int // lines to servers of other tenants that its relays were given
+	ProtocolErrors []string
+	LongestWait    float64 // seconds that it was due and waited for its turn
+	Work           float64 // seconds of work that it was reckoned at
+	DrainTime      float64 // seconds until no relay sent to the server that drains; -1: none was ordered
 }
 
 // HostedResult is the day.
 type HostedResult struct {
-	Tenants  []TenantResult
-	Counts   coordinator.HostStats
-	Turns    turnsSeen
-	AllLed   float64 // seconds from the host's start, or its latest restart, until all relays of all tenants were told their tables; 0: never
-	Events   int
-	Refused  map[tenancy.RejectReason]int
-	Memory   float64
-	Problems []string
+	Tenants      []TenantResult
+	Host         coordinator.HostStats
+	Scheduler    SchedulerStats
+	UpdatedAfter float64 // seconds from the host's start, or its latest restart, until all relays of all tenants were told their tables; 0: never
+	Events       int
+	Rejected     map[tenancy.RejectReason]int
+	Memory       float64
+	Problems     []string
 }
 
-type turnsSeen struct{ Looks, Urgent, Held int }
+type SchedulerStats struct{ Turns, Urgent, BudgetExhausted int }
 
 // Kept tells whether all tenants kept all rules and none saw anything of another.
 func (r *HostedResult) Kept() bool {
 	return !slices.ContainsFunc(r.Tenants, func(t TenantResult) bool {
-		return t.Foreign > 0 || slices.ContainsFunc(t.Verdicts, func(v emulator.Verdict) bool { return !v.Kept })
+		return t.ForeignEntries > 0 || slices.ContainsFunc(t.Verdicts, func(v emulator.Verdict) bool { return !v.Kept })
 	}) && len(r.Problems) == 0
 }
 
 const (
-	hostPort    = 14960
-	hostPoll    = 18760
-	hostCollect = 15927
-	tenantPort  = 18080
-	hostKey     = "a-key-for-rehearsals-of-hosts"
+	hostSASPPort         = 14960
+	hostHTTPPort         = 18760
+	hostMeasurementsPort = 15927
+	tenantPort           = 18080
+	hostKey              = "a-key-for-rehearsals-of-hosts"
 )
 
-var hostAt = netip.AddrFrom4([4]byte{127, 0, 0, 1})
+var firstHostAddr = netip.AddrFrom4([4]byte{127, 0, 0, 1})
 
 // HostSettings are those of the host of such a day.
 const HostSettings = `<host>
@@ -140,227 +140,227 @@
 }
 
 type hostedTenant struct {
-	number  int
-	name    tenancy.Name
-	ref     *emulator.InvariantChecker
-	servers []*emulator.Server
-	relays  []*emulator.Relay
-	classes []emulator.Class
-	drained float64
+	number    int
+	name      tenancy.Name
+	checker   *emulator.InvariantChecker
+	servers   []*emulator.Server
+	relays    []*emulator.Relay
+	classes   []emulator.Class
+	drainedAt float64
 }
 
-type hostedPlay struct {
-	day  HostedScenario
-	host *settings.Host
-	scene
-	hosts   []*aHost
-	chance  *rand.Rand
-	tenants []*hostedTenant
-	began   float64
-	led     float64
-	rules   emulator.Rules
-	result  HostedResult
+type hostedRun struct {
+	scenario HostedScenario
+	settings *settings.Host
+	environment
+	hosts     []*hostInstance
+	random    *rand.Rand
+	tenants   []*hostedTenant
+	startedAt float64
+	updatedAt float64
+	rules     emulator.Rules
+	result    HostedResult
 }
 
-// aHost of the day.
-type aHost struct {
-	place   *simnet.Host
+// hostInstance of the day.
+type hostInstance struct {
+	host    *simnet.Host
 	server  *eventloop.Server
 	program *coordinator.Host
-	up      bool
+	running bool
 	store   coordinator.HostStore
-	disk    consensus.MemoryStorage
-	lives   uint64
+	log     consensus.MemoryStorage
+	starts  uint64
 }
 
 // RunHosted plays it.
 func RunHosted(day HostedScenario) (*HostedResult, error) {
-	p := &hostedPlay{day: day}
+	p := &hostedRun{scenario: day}
 	var err error
-	if p.host, err = settings.ParseHost("host.xml", []byte(HostSettings)); err != nil {
+	if p.settings, err = settings.ParseHost("host.xml", []byte(HostSettings)); err != nil {
 		return nil, err
 	}
-	if day.Set != nil {
-		day.Set(p.host)
+	if day.Configure != nil {
+		day.Configure(p.settings)
 	}
-	p.host.ParseTenant = func(t tenancy.Tenant) (coordinator.TenantConfig, error) {
-		m, err := settings.ParseTenant(t.Name, t.Settings, p.host)
-		if day.Anywhere {
+	p.settings.ParseTenant = func(t tenancy.Tenant) (coordinator.TenantConfig, error) {
+		m, err := settings.ParseTenant(t.Name, t.Settings, p.settings)
+		if day.AnyNetwork {
 			m.Networks = nil
 		}
-		for _, g := range day.Without {
+		for _, g := range day.DisabledGuards {
 			m.Config.Site.DisabledGuards = map[controlplane.Guard]bool{g: true}
 		}
 		return m, err
 	}
 	if day.Log != nil {
-		p.host.Log = func(n tenancy.Name) *slog.Logger { return day.Log.With("tenant", string(n)) }
+		p.settings.Log = func(n tenancy.Name) *slog.Logger { return day.Log.With("tenant", string(n)) }
 	}
-	p.chance = rand.New(rand.NewPCG(day.Seed, 0x4057))
+	p.random = rand.New(rand.NewPCG(day.Seed, 0x4057))
 	for range max(day.Hosts, 1) {
-		o := &aHost{store: day.Store}
+		o := &hostInstance{store: day.Store}
 		if o.store == nil {
 			o.store = &store.MemoryTenantStore{}
 		}
 		p.hosts = append(p.hosts, o)
 	}
 	if day.Sockets {
-		p.sock = socketnet.New(eventloop.Clock())
-		p.sock.SetZone(hostAt, 0)
-		p.stage = p.sock
+		p.sockets = socketnet.New(eventloop.Clock())
+		p.sockets.SetZone(firstHostAddr, 0)
+		p.network = p.sockets
 	} else {
-		p.sim = simnet.New(day.Seed, startAt)
-		p.stage = p.sim
+		p.virtual = simnet.New(day.Seed, virtualStartSeconds)
+		p.network = p.virtual
 	}
-	start := p.stage.Now()
-	p.do(func() {
+	start := p.network.Now()
+	p.exclusively(func() {
 		for i := range p.hosts {
 			p.startHost(i)
 		}
 		if len(p.hosts) > 1 { // they elect one of them first
-			p.stage.Run(start + electionTakes)
+			p.network.Run(start + electionSeconds)
 		}
 		for t := range day.Tenants {
 			if p.err == nil && (day.Only < 0 || day.Only == t) {
-				p.makeTenant(t)
+				p.createTenant(t)
 			}
 		}
 		if len(p.hosts) > 1 { // until all know of all tenants
-			p.stage.Run(start + 2*electionTakes)
+			p.network.Run(start + 2*electionSeconds)
 		}
-		start = p.stage.Now()
-		p.began = start
+		start = p.network.Now()
+		p.startedAt = start
 		for _, t := range p.tenants {
 			p.startTenant(t)
 		}
-		p.look()
-		p.script(start)
+		p.check()
+		p.scheduleFaults(start)
 	})
 	if p.err != nil {
 		return nil, p.err
 	}
-	p.stage.Run(start + day.Seconds)
-	p.do(func() { p.finish() })
-	if p.sock != nil {
+	p.network.Run(start + day.Seconds)
+	p.exclusively(func() { p.finish() })
+	if p.sockets != nil {
 		p.stopHost(0)
-		p.sock.Stop()
+		p.sockets.Stop()
 	}
 	return &p.result, p.err
 }
 
-const electionTakes = 5.0 // seconds, at most, until a group of hosts has a leader and leases
+const electionSeconds = 5.0 // seconds, at most, until a group of hosts has a leader and leases
 
 // hostAddr is where a host is.
 func hostAddr(i int, port uint16) netip.AddrPort {
-	a := hostAt.As4()
+	a := firstHostAddr.As4()
 	a[3] += byte(i)
 	return netip.AddrPortFrom(netip.AddrFrom4(a), port)
 }
 
-func (p *hostedPlay) all(port uint16) (list []netip.AddrPort) {
+func (p *hostedRun) hostAddrs(port uint16) (list []netip.AddrPort) {
 	for i := range p.hosts {
 		list = append(list, hostAddr(i, port))
 	}
 	return list
 }
 
-func (p *hostedPlay) startHost(i int) {
-	now, o := p.stage.Now(), p.hosts[i]
-	setup := p.host.HostConfig
+func (p *hostedRun) startHost(i int) {
+	now, o := p.network.Now(), p.hosts[i]
+	setup := p.settings.HostConfig
 	if n := len(p.hosts); n > 1 {
-		o.lives++
-		setup.SASP, setup.HTTP = hostAddr(i, hostPort), hostAddr(i, hostPoll)
-		setup.Storage, setup.Incarnation = &o.disk, o.lives*100+uint64(i)
-		o.disk.OwnDataDirID = uint64(i + 1)
-		setup.Group = groupOf(n, i, func(k int) netip.Addr { return hostAddr(k, 0).Addr() })
+		o.starts++
+		setup.SASP, setup.HTTP = hostAddr(i, hostSASPPort), hostAddr(i, hostHTTPPort)
+		setup.Storage, setup.Incarnation = &o.log, o.starts*100+uint64(i)
+		o.log.OwnDataDirID = uint64(i + 1)
+		setup.Group = groupConfig(n, i, func(k int) netip.Addr { return hostAddr(k, 0).Addr() })
 	}
 	h, err := coordinator.NewHost(now, setup, o.store)
 	if err != nil {
 		p.fail(err)
 		return
 	}
-	o.program, p.began, p.led, o.up = h, now, 0, true
-	if p.sim == nil {
-		if o.server, err = eventloop.Listen(h, p.host.Ports(), p.host.Measurements, p.sock.Now); err != nil {
+	o.program, p.startedAt, p.updatedAt, o.running = h, now, 0, true
+	if p.virtual == nil {
+		if o.server, err = eventloop.Listen(h, p.settings.Ports(), p.settings.Measurements, p.sockets.Now); err != nil {
 			p.fail(err)
-			o.up = false
+			o.running = false
 		}
 		return
 	}
-	if o.place == nil {
-		o.place = p.sim.Add(hostAddr(i, 0).Addr(), i%2, false)
+	if o.host == nil {
+		o.host = p.virtual.Add(hostAddr(i, 0).Addr(), i%2, false)
 	}
-	o.place.Start(h)
+	o.host.Start(h)
 }
 
-func (p *hostedPlay) stopHost(i int) {
+func (p *hostedRun) stopHost(i int) {
 	o := p.hosts[i]
-	if !o.up {
+	if !o.running {
 		return
 	}
-	o.up = false
-	p.count(o)
-	if p.sim != nil {
-		o.place.Kill()
+	o.running = false
+	p.addStats(o)
+	if p.virtual != nil {
+		o.host.Kill()
 	} else {
 		p.fail(o.server.Stop())
 	}
 	if len(p.hosts) == 1 {
 		for _, t := range p.tenants {
-			t.ref.CoordinatorDown()
+			t.checker.CoordinatorDown()
 		}
 	}
 }
 
-func (p *hostedPlay) count(o *aHost) {
+func (p *hostedRun) addStats(o *hostInstance) {
 	c, t := o.program.Stats, o.program.Scheduler.Stats
 	r := &p.result
-	r.Counts.Starts += c.Starts
-	r.Counts.Stops += c.Stops
-	r.Counts.Restarts += c.Restarts
-	r.Counts.Reconfigured += c.Reconfigured
-	r.Counts.SaveFailures += c.SaveFailures
-	r.Counts.Unsigned += c.Unsigned
-	r.Counts.Foreign += c.Foreign
-	r.Turns.Looks += t.Turns
-	r.Turns.Urgent += t.Urgent
-	r.Turns.Held += t.BudgetExhausted
-	if r.Refused == nil {
-		r.Refused = map[tenancy.RejectReason]int{}
+	r.Host.Starts += c.Starts
+	r.Host.Stops += c.Stops
+	r.Host.Restarts += c.Restarts
+	r.Host.Reconfigured += c.Reconfigured
+	r.Host.SaveFailures += c.SaveFailures
+	r.Host.Unsigned += c.Unsigned
+	r.Host.Foreign += c.Foreign
+	r.Scheduler.Turns += t.Turns
+	r.Scheduler.Urgent += t.Urgent
+	r.Scheduler.BudgetExhausted += t.BudgetExhausted
+	if r.Rejected == nil {
+		r.Rejected = map[tenancy.RejectReason]int{}
 	}
 	for why, n := range o.program.Router.Rejected {
-		r.Refused[why] += n
+		r.Rejected[why] += n
 	}
 }
 
-// one is a host that runs; with several, any of them.
-func (p *hostedPlay) one() *aHost {
-	first := p.chance.IntN(len(p.hosts))
+// runningHost is a host that runs; with several, any of them.
+func (p *hostedRun) runningHost() *hostInstance {
+	first := p.random.IntN(len(p.hosts))
 	for k := range p.hosts {
-		if o := p.hosts[(first+k)%len(p.hosts)]; o.up {
+		if o := p.hosts[(first+k)%len(p.hosts)]; o.running {
 			return o
 		}
 	}
 	return nil
 }
 
-// on does something with a host that runs, between two of its steps.
-func (p *hostedPlay) on(f func(now float64, h *coordinator.Host)) {
-	o := p.one()
+// onRunningHost does something with a host that runs, between two of its steps.
+func (p *hostedRun) onRunningHost(f func(now float64, h *coordinator.Host)) {
+	o := p.runningHost()
 	switch {
 	case o == nil:
-	case p.sim != nil:
-		f(p.stage.Now(), o.program)
+	case p.virtual != nil:
+		f(p.network.Now(), o.program)
 	default:
 		o.server.Do(func(now float64) { f(now, o.program) })
 	}
 }
 
-func (p *hostedPlay) order(c tenancy.Command) {
-	p.on(func(now float64, h *coordinator.Host) {
+func (p *hostedRun) changeTenant(c tenancy.Command) {
+	p.onRunningHost(func(now float64, h *coordinator.Host) {
 		c.Time = now
 		if c.Kind != tenancy.Remove {
-			m, err := settings.ParseTenant(c.Name, c.Settings, p.host)
+			m, err := settings.ParseTenant(c.Name, c.Settings, p.settings)
 			if err != nil {
 				p.fail(err)
 				return
@@ -375,10 +375,10 @@
 	})
 }
 
-func (p *hostedPlay) makeTenant(t int) {
-	text := p.day.TenantSettings(t)
+func (p *hostedRun) createTenant(t int) {
+	text := p.scenario.TenantSettings(t)
 	x := &hostedTenant{number: t, name: tenantName(t)}
-	made, err := settings.ParseTenant(x.name, text, p.host)
+	made, err := settings.ParseTenant(x.name, text, p.settings)
 	if err != nil {
 		p.fail(err)
 		return
@@ -388,92 +388,92 @@
 		x.classes = append(x.classes, emulator.Class{Name: name, Request: site.Classes[i], Share: []float64{0.79, 0.21}[i], MeanWork: 0.1,
 			RetryPolicy: site.RetryPolicies[i]})
 	}
-	slack := simSlack
-	if p.day.Sockets {
-		slack = socketSlack
+	slack := virtualSlackSeconds
+	if p.scenario.Sockets {
+		slack = socketSlackSeconds
 	}
-	p.rules = emulator.Rules{Guarantees: site.Guarantees, Channel: site.Channel, DisconnectHold: site.Limits.ServerHold + noticeMost, ObservationSlack: slack}
+	p.rules = emulator.Rules{Guarantees: site.Guarantees, Channel: site.Channel, DisconnectHold: site.Limits.ServerHold + maxDetectionSeconds, ObservationSlack: slack}
 	p.rules.Channel.EntriesPerSecond *= float64(len(p.hosts)) // each has a channel of its own
-	x.ref = emulator.NewInvariantChecker(p.rules, x.classes)
+	x.checker = emulator.NewInvariantChecker(p.rules, x.classes)
 	p.tenants = append(p.tenants, x)
-	p.order(tenancy.Command{Kind: tenancy.Create, Name: x.name, Settings: text})
+	p.changeTenant(tenancy.Command{Kind: tenancy.Create, Name: x.name, Settings: text})
 }
 
-func (p *hostedPlay) place1(at netip.AddrPort, zone int) host {
-	if p.sim != nil {
-		return p.sim.Add(at.Addr(), zone, false)
+func (p *hostedRun) addHost(at netip.AddrPort, zone int) host {
+	if p.virtual != nil {
+		return p.virtual.Add(at.Addr(), zone, false)
 	}
-	return p.sock.Add(at, zone)
+	return p.sockets.Add(at, zone)
 }
 
-func (p *hostedPlay) startTenant(x *hostedTenant) {
-	chance := rand.New(rand.NewPCG(p.day.Seed, uint64(x.number)))
+func (p *hostedRun) startTenant(x *hostedTenant) {
+	chance := rand.New(rand.NewPCG(p.scenario.Seed, uint64(x.number)))
 	pods := map[int]*emulator.FailureDomain{0: emulator.NewFailureDomain(), 1: emulator.NewFailureDomain()}
-	for i := range p.day.Servers {
-		half := i * 2 / p.day.Servers
+	for i := range p.scenario.Servers {
+		half := i * 2 / p.scenario.Servers
 		s := emulator.NewServer(emulator.ServerConfig{Addr: tenantServer(x.number, i), FailureDomain: pods[half], Cores: 4, Speed: 0.8 + 0.4*chance.Float64(),
 			QueueCapacity: 30, WarmupFraction: 0.1, WarmupDuration: 18, OverloadFactor: 2, OverloadWindow: 1.5, StartsWarm: true,
-			Coordinators: p.all(hostPort), CollectorPort: hostCollect, User: string(x.name),
-			Key: fmt.Sprintf("measurements-%03d", x.number), FleetUID: x.name.UID("fleet"), Classes: x.classes, Seed: chance.Uint64()}, x.ref)
+			Coordinators: p.hostAddrs(hostSASPPort), CollectorPort: hostMeasurementsPort, User: string(x.name),
+			Key: fmt.Sprintf("measurements-%03d", x.number), FleetUID: x.name.UID("fleet"), Classes: x.classes, Seed: chance.Uint64()}, x.checker)
 		x.servers = append(x.servers, s)
-		p.fail(restart(p.place1(s.Addr, half), s))
+		p.fail(restart(p.addHost(s.Addr, half), s))
 	}
-	for i := range p.day.Relays {
-		half := i * 2 / p.day.Relays
+	for i := range p.scenario.Relays {
+		half := i * 2 / p.scenario.Relays
 		setup := emulator.RelayConfig{UID: x.name.UID(fmt.Sprint("relay-", i)), Host: tenantRelay(x.number, i), UsesLongPoll: i%2 == 1,
-			Coordinator: netip.AddrPortFrom(hostAt, hostPort), Collector: netip.AddrPortFrom(hostAt, hostCollect), User: string(x.name),
+			Coordinator: netip.AddrPortFrom(firstHostAddr, hostSASPPort), Collector: netip.AddrPortFrom(firstHostAddr, hostMeasurementsPort), User: string(x.name),
 			Key: fmt.Sprintf("measurements-%03d", x.number), Flags: sasp.Push | sasp.Trust | sasp.NoChange, Classes: x.classes,
-			Rate: p.day.Rate / float64(p.day.Relays), ReportInterval: 0.5, EjectAfter: 8, EjectDuration: 4, KeyCount: 200, Seed: chance.Uint64() >> 16}
-		port := uint16(hostPort)
+			Rate: p.scenario.Rate / float64(p.scenario.Relays), ReportInterval: 0.5, EjectAfter: 8, EjectDuration: 4, KeyCount: 200, Seed: chance.Uint64() >> 16}
+		port := uint16(hostSASPPort)
 		if setup.UsesLongPoll {
-			port = hostPoll
+			port = hostHTTPPort
 		}
-		if all := p.all(port); len(all) > 1 {
+		if all := p.hostAddrs(port); len(all) > 1 {
 			setup.OtherCoordinators = all[1:]
 		}
-		setup.Coordinator = netip.AddrPortFrom(hostAt, port)
-		for k := range min(p.day.Servers, 3) {
+		setup.Coordinator = netip.AddrPortFrom(firstHostAddr, port)
+		for k := range min(p.scenario.Servers, 3) {
 			setup.DefaultTable = append(setup.DefaultTable, tenantServer(x.number, k))
 		}
-		r := emulator.NewRelay(setup, x.ref)
+		r := emulator.NewRelay(setup, x.checker)
 		x.relays = append(x.relays, r)
-		p.fail(restart(p.place1(netip.AddrPortFrom(setup.Host, 0), half), r))
+		p.fail(restart(p.addHost(netip.AddrPortFrom(setup.Host, 0), half), r))
 	}
 }
 
-func (p *hostedPlay) look() {
-	now := p.stage.Now()
+func (p *hostedRun) check() {
+	now := p.network.Now()
 	all := true
 	for _, t := range p.tenants {
-		t.ref.CheckDeadlines(now)
-		_, told := t.ref.AllRelaysLed()
+		t.checker.CheckDeadlines(now)
+		_, told := t.checker.AllRelaysLed()
 		all = all && told
 	}
-	if all && p.led == 0 && p.one() != nil {
-		p.led = now
-		p.result.AllLed = now - p.began
+	if all && p.updatedAt == 0 && p.runningHost() != nil {
+		p.updatedAt = now
+		p.result.UpdatedAfter = now - p.startedAt
 	}
-	p.stage.At(now+lookEvery, p.look)
+	p.network.At(now+checkIntervalSeconds, p.check)
 }
 
-func (p *hostedPlay) script(start float64) {
-	d := p.day
-	at := func(part float64, do func()) { p.stage.At(start+part*d.Seconds, do) }
+func (p *hostedRun) scheduleFaults(start float64) {
+	d := p.scenario
+	at := func(part float64, do func()) { p.network.At(start+part*d.Seconds, do) }
 	if d.Flood >= 0 && (d.Only < 0 || d.Only == d.Flood) {
-		at(1.0/3, func() { p.flood(d.Flood) })
+		at(1.0/3, func() { p.startFlood(d.Flood) })
 	}
 	if d.Drains {
 		for k, t := range p.tenants {
-			at(0.45+0.1*float64(k)/float64(len(p.tenants)), func() { p.drain(t) })
+			at(0.45+0.1*float64(k)/float64(len(p.tenants)), func() { p.drainServer(t) })
 		}
 	}
 	if d.Restart > 0 {
-		p.stage.At(start+d.Restart, func() { p.kill(0) })
+		p.network.At(start+d.Restart, func() { p.restartHost(0) })
 	}
 	for k := range d.Kills {
-		at(0.25+0.6*(float64(k)+0.5*p.chance.Float64())/float64(d.Kills), func() {
-			if i := p.chance.IntN(len(p.hosts)); !slices.ContainsFunc(p.hosts, func(o *aHost) bool { return !o.up }) {
-				p.kill(i)
+		at(0.25+0.6*(float64(k)+0.5*p.random.Float64())/float64(d.Kills), func() {
+			if i := p.random.IntN(len(p.hosts)); !slices.ContainsFunc(p.hosts, func(o *hostInstance) bool { return !o.running }) {
+				p.restartHost(i)
 			}
 		})
 	}
@@ -485,73 +485,73 @@
 			}
 		}
 		at(0.5, func() {
-			x.ref.CoordinatorDown()
-			x.ref.ForgetDrains()
-			p.order(tenancy.Command{Kind: tenancy.Remove, Name: x.name})
+			x.checker.CoordinatorDown()
+			x.checker.ForgetDrains()
+			p.changeTenant(tenancy.Command{Kind: tenancy.Remove, Name: x.name})
 		})
-		p.stage.At(start+0.5*d.Seconds+tenancy.NameQuarantine+0.5, func() {
-			p.order(tenancy.Command{Kind: tenancy.Create, Name: x.name, Settings: d.TenantSettings(x.number)})
+		p.network.At(start+0.5*d.Seconds+tenancy.NameQuarantine+0.5, func() {
+			p.changeTenant(tenancy.Command{Kind: tenancy.Create, Name: x.name, Settings: d.TenantSettings(x.number)})
 		})
 	}
 }
 
-// kill ends a host's process, and starts it again.
-func (p *hostedPlay) kill(i int) {
+// restartHost ends a host's process, and starts it again.
+func (p *hostedRun) restartHost(i int) {
 	p.stopHost(i)
-	p.stage.At(p.stage.Now()+p.day.Down, func() { p.startHost(i) })
+	p.network.At(p.network.Now()+p.scenario.Down, func() { p.startHost(i) })
 }
 
-// drain orders one by the host, as its administration API does, and follows it on the relays' side.
-func (p *hostedPlay) drain(x *hostedTenant) {
-	s := tenantServer(x.number, p.day.Servers-1)
-	p.on(func(now float64, h *coordinator.Host) {
+// drainServer orders one by the host, as its administration API does, and follows it on the relays' side.
+func (p *hostedRun) drainServer(x *hostedTenant) {
+	s := tenantServer(x.number, p.scenario.Servers-1)
+	p.onRunningHost(func(now float64, h *coordinator.Host) {
 		h.Drain(now, x.name, balancer.Server(s.String()), true, func(ok bool) {
 			if ok {
-				x.drained = p.stage.Now()
-				x.ref.DrainChanged(p.stage.Now(), s, true)
-			} else if len(p.hosts) == 1 || p.day.Kills == 0 { // a host that is killed answers nobody
+				x.drainedAt = p.network.Now()
+				x.checker.DrainChanged(p.network.Now(), s, true)
+			} else if len(p.hosts) == 1 || p.scenario.Kills == 0 { // a host that is killed answers nobody
 				p.result.Problems = append(p.result.Problems, fmt.Sprintf("%s: drain refused", x.name))
 			}
 		})
 	})
 }
 
-func (p *hostedPlay) finish() {
+func (p *hostedRun) finish() {
 	for _, o := range p.hosts {
-		if o.up {
-			p.count(o)
+		if o.running {
+			p.addStats(o)
 		}
 	}
 	for _, x := range p.tenants {
-		r := TenantResult{Name: x.name, Verdicts: x.ref.Verdicts(), Service: x.ref.Service(), Complaints: x.ref.ProtocolErrors, DrainTook: -1}
+		r := TenantResult{Name: x.name, Verdicts: x.checker.Verdicts(), Service: x.checker.Service(), ProtocolErrors: x.checker.ProtocolErrors, DrainTime: -1}
 		own := map[netip.AddrPort]bool{}
 		for _, s := range x.servers {
 			own[s.Addr] = true
 		}
-		for _, a := range x.ref.Servers() {
+		for _, a := range x.checker.Servers() {
 			if !own[a] {
-				r.Foreign++
+				r.ForeignEntries++
 			}
 		}
 		for _, rel := range x.relays {
 			for _, a := range rel.TableServers() {
 				if !own[a] {
-					r.Foreign++
+					r.ForeignEntries++
 				}
 			}
 		}
-		if x.drained > 0 {
-			r.DrainTook = x.ref.LatestAfterDrain()
+		if x.drainedAt > 0 {
+			r.DrainTime = x.checker.LatestAfterDrain()
 		}
 		for _, o := range p.hosts {
 			work, longest := o.program.Scheduler.Usage(x.name)
-			r.Work, r.Longest = r.Work+work, max(r.Longest, longest)
+			r.Work, r.LongestWait = r.Work+work, max(r.LongestWait, longest)
 		}
 		p.result.Tenants = append(p.result.Tenants, r)
 	}
 	p.result.Memory = p.hosts[0].program.Directory.Used().Memory
-	if p.sim != nil {
-		p.result.Events = p.sim.Events
+	if p.virtual != nil {
+		p.result.Events = p.virtual.Events
 	}
 }
 
@@ -562,8 +562,8 @@
 	broken := map[int]int{}
 	for _, t := range r.Tenants {
 		worst, best, sum = min(worst, t.Service), max(best, t.Service), sum+t.Service
-		foreign += t.Foreign
-		longest, drain = max(longest, t.Longest), max(drain, t.DrainTook)
+		foreign += t.ForeignEntries
+		longest, drain = max(longest, t.LongestWait), max(drain, t.DrainTime)
 		for _, v := range t.Verdicts {
 			if !v.Kept {
 				if broken[v.Rule]++; broken[v.Rule] <= 3 {
@@ -571,7 +571,7 @@
 				}
 			}
 		}
-		for _, c := range t.Complaints[:min(len(t.Complaints), 2)] {
+		for _, c := range t.ProtocolErrors[:min(len(t.ProtocolErrors), 2)] {
 			fmt.Fprintf(&b, "%s: seen: %s\n", t.Name, c)
 		}
 	}
@@ -581,14 +581,14 @@
 	}
 	fmt.Fprintf(&b, "lines to servers of other tenants: %d\n", foreign)
 	fmt.Fprintf(&b, "service %.3f on average, %.3f at the worst tenant, %.3f at the best (simulated servers)\n", sum/n, worst, best)
-	fmt.Fprintf(&b, "all relays of all tenants told their tables %.2f s after the host's start\n", r.AllLed)
+	fmt.Fprintf(&b, "all relays of all tenants told their tables %.2f s after the host's start\n", r.UpdatedAfter)
 	fmt.Fprintf(&b, "%d turns, %d of them urgent; nobody had one %d times though some were due; the longest that a tenant waited %.0f ms\n",
-		r.Turns.Looks, r.Turns.Urgent, r.Turns.Held, longest*1000)
+		r.Scheduler.Turns, r.Scheduler.Urgent, r.Scheduler.BudgetExhausted, longest*1000)
 	if drain > 0 {
 		fmt.Fprintf(&b, "last query to a server that drains %.2f s after it was ordered\n", drain)
 	}
 	for _, why := range []tenancy.RejectReason{tenancy.TooManyUnidentified, tenancy.IdentifyTimedOut, tenancy.MalformedIdentity, tenancy.UnknownTenant, tenancy.TenantStarting, tenancy.TenantConnectionsFull, tenancy.AcceptRateExceeded, tenancy.NetworkNotAllowed} {
-		if k := r.Refused[why]; k > 0 {
+		if k := r.Rejected[why]; k > 0 {
 			fmt.Fprintf(&b, "%d connections refused: %s\n", k, why)
 		}
 	}
@@ -599,11 +599,11 @@
 	return err
 }
 
-// flood makes a tenant's own side as bad as it can be: see emulator.Flood.
-func (p *hostedPlay) flood(t int) {
-	f := &emulator.FloodGenerator{SASP: netip.AddrPortFrom(hostAt, hostPort), HTTP: netip.AddrPortFrom(hostAt, hostPoll), Measurements: netip.AddrPortFrom(hostAt, hostCollect),
-		UID: tenantName(t).UID("relay-0"), OtherUID: tenantName((t + 1) % max(p.day.Tenants, 2)).UID("relay-0"), User: string(tenantName(t)),
-		Key: fmt.Sprintf("measurements-%03d", t), Class: "search", Rate: p.day.FloodRate, Server: tenantServer(t, 0), Seed: p.day.Seed,
-		OtherUser: string(tenantName((t + 1) % max(p.day.Tenants, 2)))}
-	p.fail(restart(p.place1(netip.AddrPortFrom(tenantRelay(t, 240), 0), 0), f))
+// startFlood makes a tenant's own side as bad as it can be: see emulator.Flood.
+func (p *hostedRun) startFlood(t int) {
+	f := &emulator.FloodGenerator{SASP: netip.AddrPortFrom(firstHostAddr, hostSASPPort), HTTP: netip.AddrPortFrom(firstHostAddr, hostHTTPPort), Measurements: netip.AddrPortFrom(firstHostAddr, hostMeasurementsPort),
+		UID: tenantName(t).UID("relay-0"), OtherUID: tenantName((t + 1) % max(p.scenario.Tenants, 2)).UID("relay-0"), User: string(tenantName(t)),
+		Key: fmt.Sprintf("measurements-%03d", t), Class: "search", Rate: p.scenario.FloodRate, Server: tenantServer(t, 0), Seed: p.scenario.Seed,
+		OtherUser: string(tenantName((t + 1) % max(p.scenario.Tenants, 2)))}
+	p.fail(restart(p.addHost(netip.AddrPortFrom(tenantRelay(t, 240), 0), 0), f))
 }
--- a/internal/scenario/hosted_test.go
+++ b/internal/scenario/hosted_test.go
@@ -7,7 +7,7 @@
 	"snowquay/internal/core/controlplane"
 )
 
-func playHosted(t *testing.T, d HostedScenario) *HostedResult {
+func runHosted(t *testing.T, d HostedScenario) *HostedResult {
 	t.Helper()
 	r, err := RunHosted(d)
 	if err != nil {
@@ -26,7 +26,7 @@
 func TestHosted(t *testing.T) {
 	d := DefaultHostedScenario()
 	d.Drains = true
-	if r := playHosted(t, d); !r.Kept() || r.AllLed == 0 {
+	if r := runHosted(t, d); !r.Kept() || r.UpdatedAfter == 0 {
 		t.Error("not kept")
 	}
 }
@@ -36,18 +36,18 @@
 func TestHostedFlood(t *testing.T) {
 	d := DefaultHostedScenario()
 	d.Drains, d.Flood = true, 3
-	r := playHosted(t, d)
+	r := runHosted(t, d)
 	for k, x := range r.Tenants {
 		for _, v := range x.Verdicts {
 			if !v.Kept && k != d.Flood {
 				t.Errorf("%s: rule %d: %v", x.Name, v.Rule, v.Reasons)
 			}
 		}
-		if x.Foreign > 0 {
-			t.Errorf("%s: %d lines to other tenants' servers", x.Name, x.Foreign)
+		if x.ForeignEntries > 0 {
+			t.Errorf("%s: %d lines to other tenants' servers", x.Name, x.ForeignEntries)
 		}
-		if k != d.Flood && x.Longest > 0.1 {
-			t.Errorf("%s waited %.3f s for its turn", x.Name, x.Longest)
+		if k != d.Flood && x.LongestWait > 0.1 {
+			t.Errorf("%s waited %.3f s for its turn", x.Name, x.LongestWait)
 		}
 	}
 	if len(r.Problems) > 0 {
@@ -70,7 +70,7 @@
 func TestHostedGuards(t *testing.T) {
 	broken := func(tenant int, anywhere bool, without ...controlplane.Guard) bool {
 		d := DefaultHostedScenario()
-		d.Tenants, d.Drains, d.Flood, d.Anywhere, d.Without = 6, true, 3, anywhere, without
+		d.Tenants, d.Drains, d.Flood, d.AnyNetwork, d.DisabledGuards = 6, true, 3, anywhere, without
 		r, err := RunHosted(d)
 		if err != nil {
 			t.Fatal(err)
@@ -96,8 +96,8 @@
 func TestHostedRestart(t *testing.T) {
 	d := DefaultHostedScenario()
 	d.Drains, d.Restart, d.Down = true, 15.2, 1
-	if r := playHosted(t, d); !r.Kept() || r.Counts.Starts != 2*d.Tenants {
-		t.Error("not kept", r.Counts)
+	if r := runHosted(t, d); !r.Kept() || r.Host.Starts != 2*d.Tenants {
+		t.Error("not kept", r.Host)
 	}
 }
 
@@ -106,8 +106,8 @@
 func TestHostedRemoved(t *testing.T) {
 	d := DefaultHostedScenario()
 	d.Drains, d.Remove, d.Seconds = true, 5, 40
-	if r := playHosted(t, d); !r.Kept() || r.Counts.Stops != 1 || r.Refused[4] == 0 {
-		t.Error("not kept", r.Counts, r.Refused)
+	if r := runHosted(t, d); !r.Kept() || r.Host.Stops != 1 || r.Rejected[4] == 0 {
+		t.Error("not kept", r.Host, r.Rejected)
 	}
 }
 
@@ -116,8 +116,8 @@
 func TestHostedTakeovers(t *testing.T) {
 	d := DefaultHostedScenario()
 	d.Hosts, d.Kills, d.Down, d.Drains, d.Seconds, d.Remove = 3, 3, 2, true, 60, 5
-	if r := playHosted(t, d); !r.Kept() {
-		t.Error("not kept", r.Counts, r.Problems)
+	if r := runHosted(t, d); !r.Kept() {
+		t.Error("not kept", r.Host, r.Problems)
 	}
 }
 
@@ -127,7 +127,7 @@
 	}
 	d := DefaultHostedScenario()
 	d.Drains, d.Flood, d.Sockets, d.Seconds = true, 3, true, 12
-	r := playHosted(t, d)
+	r := runHosted(t, d)
 	for k, x := range r.Tenants {
 		for _, v := range x.Verdicts {
 			if !v.Kept && k != d.Flood {
--- a/internal/scenario/proxies.go
+++ b/internal/scenario/proxies.go
@@ -16,36 +16,36 @@
 )
 
 const (
-	clientPort = 8088 // of real proxies
-	crowdNet   = 40   // third number of the addresses that clients dial from
+	proxyPort     = 8088 // of real proxies
+	clientNetwork = 40   // third number of the addresses that clients dial from
 )
 
-// shelf keeps a proxy's table while it is down.
-type shelf struct{ b []byte }
+// memoryStore keeps a proxy's table while it is down.
+type memoryStore struct{ table []byte }
 
 // Save of proxy.Store.
-func (s *shelf) Save(b []byte) error { s.b = slices.Clone(b); return nil }
+func (s *memoryStore) Save(b []byte) error { s.table = slices.Clone(b); return nil }
 
 // Load of proxy.Store.
-func (s *shelf) Load() ([]byte, error) { return s.b, nil }
+func (s *memoryStore) Load() ([]byte, error) { return s.table, nil }
 
-// ownProxy is a proxy of our own with its clients, in a stand-in relay's place.
-type ownProxy struct {
-	proxy *proxy.Proxy
-	host  host
-	crowd *emulator.ClientGenerator
-	shelf shelf
-	lives uint64
+// realProxy is a proxy of our own with its clients, in a stand-in relay's place.
+type realProxy struct {
+	proxy    *proxy.Proxy
+	host     host
+	clients  *emulator.ClientGenerator
+	store    memoryStore
+	restarts uint64
 }
 
-func (p *play) proxySetup(i int) proxy.Config {
-	c := p.day.Coordinator
+func (p *run) proxyConfig(i int) proxy.Config {
+	c := p.scenario.Coordinator
 	site := &c.Site
-	x := p.reals[i]
-	seed := p.opts.Seed<<16 + uint64(i+1) + x.lives<<40
-	seen := &emulator.ProxyObserver{Checker: p.ref, UID: site.Proxies[i].UID}
+	x := p.proxies[i]
+	seed := p.options.Seed<<16 + uint64(i+1) + x.restarts<<40
+	seen := &emulator.ProxyObserver{Checker: p.checker, UID: site.Proxies[i].UID}
 	s := proxy.Config{UID: seen.UID, Limits: proxy.DefaultLimits, CollectorPort: c.Measurements.Port(), User: c.User, Key: c.Key,
-		ReportInterval: site.Reporting.Period, Seed: seed, Store: &x.shelf, Observer: seen,
+		ReportInterval: site.Reporting.Period, Seed: seed, Store: &x.store, Observer: seen,
 		Forwarding: forwarding.Config{ClassNames: site.ClassNames, Classes: site.Classes, RetryPolicies: site.RetryPolicies, AdmissionMode: site.DataPlane.Admission,
 			Limits: admission.DefaultLimits, Outliers: outlier.Config{ConsecutiveFailures: site.DataPlane.EjectAfterFailures, BaseEjection: outlier.DefaultConfig.BaseEjection, MaxEjection: outlier.DefaultConfig.MaxEjection},
 			Budget: retry.DefaultBudget, Locations: map[balancer.Server]retry.Location{},
@@ -59,63 +59,63 @@
 		s.Forwarding.Locations[v.Server] = retry.Location{Server: v.Server, Zone: v.Zone, FailureDomain: v.FailureDomain}
 	}
 	at := c.SASP
-	polls := p.opts.Front == "http" || p.opts.Front == "both" && i%2 == 1
+	polls := p.options.Front == "http" || p.options.Front == "both" && i%2 == 1
 	s.SASP = !polls
 	if polls {
 		at = c.HTTP
 	}
 	for k := range p.coordinators {
-		s.Coordinators = append(s.Coordinators, p.at(k, at))
+		s.Coordinators = append(s.Coordinators, p.coordinatorAddr(k, at))
 	}
 	seen.Started(relayAddr(i).Addr())
 	return s
 }
 
 // addProxy puts a proxy of our own, and its clients, in a stand-in relay's place.
-func (p *play) addProxy(i int, rate float64, standing []netip.AddrPort) {
-	x := &ownProxy{}
-	p.reals = append(p.reals, x)
-	s := p.proxySetup(i)
+func (p *run) addProxy(i int, rate float64, standing []netip.AddrPort) {
+	x := &realProxy{}
+	p.proxies = append(p.proxies, x)
+	s := p.proxyConfig(i)
 	for _, a := range standing {
 		s.DefaultServers = append(s.DefaultServers, balancer.Server(a.String()))
 	}
-	zone := int(p.day.Coordinator.Site.Proxies[i].Zone)
-	at := netip.AddrPortFrom(relayAddr(i).Addr(), clientPort)
-	x.proxy = proxy.New(p.stage.Now(), s)
-	x.host = p.add(at, zone, x.proxy, false)
-	x.crowd = emulator.NewClientGenerator(emulator.ClientConfig{Proxy: at, Classes: p.classes, Rate: rate, Seed: uint64(i+1) + p.opts.Seed<<16}, p.ref)
-	p.add(netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 0, crowdNet + byte(i/250), byte(1 + i%250)}), 0), zone, x.crowd, false)
+	zone := int(p.scenario.Coordinator.Site.Proxies[i].Zone)
+	at := netip.AddrPortFrom(relayAddr(i).Addr(), proxyPort)
+	x.proxy = proxy.New(p.network.Now(), s)
+	x.host = p.addHost(at, zone, x.proxy, false)
+	x.clients = emulator.NewClientGenerator(emulator.ClientConfig{Proxy: at, Classes: p.classes, Rate: rate, Seed: uint64(i+1) + p.options.Seed<<16}, p.checker)
+	p.addHost(netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 0, clientNetwork + byte(i/250), byte(1 + i%250)}), 0), zone, x.clients, false)
 }
 
-// proxyTrouble begins what goes wrong with real proxies, and sees to its end. It reports whether the kind is of theirs.
-func (p *play) proxyTrouble(t settings.Fault, later func(func())) bool {
-	if len(p.reals) == 0 {
+// injectProxyFault begins what goes wrong with real proxies, and sees to its end. It reports whether the kind is of theirs.
+func (p *run) injectProxyFault(t settings.Fault, later func(func())) bool {
+	if len(p.proxies) == 0 {
 		return false
 	}
 	switch t.Kind {
 	case "balancer_stall":
-		p.reals[t.Relay].host.Freeze(t.For)
+		p.proxies[t.Relay].host.Freeze(t.For)
 	case "balancer_deaf": // ours applies what it reads
 	case "balancer_restart":
-		x := p.reals[t.Relay]
+		x := p.proxies[t.Relay]
 		x.host.Kill()
-		p.ref.RelayDown(p.day.Coordinator.Site.Proxies[t.Relay].UID)
+		p.checker.RelayDown(p.scenario.Coordinator.Site.Proxies[t.Relay].UID)
 		later(func() {
-			x.lives++
-			x.proxy = proxy.New(p.stage.Now(), p.proxySetup(t.Relay))
+			x.restarts++
+			x.proxy = proxy.New(p.network.Now(), p.proxyConfig(t.Relay))
 			p.fail(restart(x.host, x.proxy))
 		})
 	case "reconnect":
-		p.reals[t.Relay].proxy.Reconnect(p.stage.Now())
+		p.proxies[t.Relay].proxy.Reconnect(p.network.Now())
 	case "report_late", "reports_stop":
-		for _, x := range p.reals {
+		for _, x := range p.proxies {
 			x.host.DisturbDatagrams(t.Kind == "reports_stop", t.Factor)
 			later(func() { x.host.DisturbDatagrams(false, 0) })
 		}
 	case "demand":
-		for _, x := range p.reals {
-			x.crowd.LoadFactor = t.Factor
-			later(func() { x.crowd.LoadFactor = 1 })
+		for _, x := range p.proxies {
+			x.clients.LoadFactor = t.Factor
+			later(func() { x.clients.LoadFactor = 1 })
 		}
 	default:
 		return false
--- a/internal/scenario/rehearse_test.go
+++ b/internal/scenario/rehearse_test.go
@@ -17,7 +17,7 @@
 
 func TestMain(m *testing.M) { testseed.Main(m) }
 
-func badDay(t *testing.T, text string, without ...controlplane.Guard) *settings.Scenario {
+func parseScenario(t *testing.T, text string, without ...controlplane.Guard) *settings.Scenario {
 	t.Helper()
 	d, err := settings.ParseScenario("bad-day.xml", []byte(text), without...)
 	if err != nil {
@@ -26,7 +26,7 @@
 	return d
 }
 
-func play1(t *testing.T, d *settings.Scenario, opts Options) (*Result, string) {
+func runScenario(t *testing.T, d *settings.Scenario, opts Options) (*Result, string) {
 	t.Helper()
 	r, err := Run(d, opts)
 	if err != nil {
@@ -41,21 +41,21 @@
 
 func TestBadDayKeepsAllRules(t *testing.T) {
 	for _, front := range fronts {
-		r, text := play1(t, badDay(t, string(DefaultScenario)), Options{Front: front})
-		if !r.Kept() || len(r.Complaints) > 0 {
+		r, text := runScenario(t, parseScenario(t, string(DefaultScenario)), Options{Front: front})
+		if !r.Kept() || len(r.ProtocolErrors) > 0 {
 			t.Errorf("%s: a rule was broken or something was not understood:\n%s", front, text)
 		}
-		if r.Counts.Noncompliant != btoi(front == "sasp") || r.Service < 0.6 || r.Messages < 200 {
+		if r.ControlPlane.Noncompliant != boolToInt(front == "sasp") || r.Service < 0.6 || r.Messages < 200 {
 			t.Errorf("%s: the day was not what it is meant to be:\n%s", front, text)
 		}
 	}
-	_, text := play1(t, badDay(t, string(DefaultScenario)), Options{})
-	if _, again := play1(t, badDay(t, string(DefaultScenario)), Options{}); again != text {
+	_, text := runScenario(t, parseScenario(t, string(DefaultScenario)), Options{})
+	if _, again := runScenario(t, parseScenario(t, string(DefaultScenario)), Options{}); again != text {
 		t.Errorf("the same seed brought another day:\n%s\n%s", text, again)
 	}
 }
 
-func btoi(b bool) int {
+func boolToInt(b bool) int {
 	if b {
 		return 1
 	}
@@ -71,11 +71,11 @@
 		controlplane.GuardReports: {3, 0}, controlplane.GuardWarmup: {4, 0}, controlplane.GuardPacing: {5, 0}} {
 		t.Run(string(guard), func(t *testing.T) {
 			t.Parallel()
-			r, text := play1(t, badDay(t, string(DefaultScenario), guard), Options{Seed: c.seed})
+			r, text := runScenario(t, parseScenario(t, string(DefaultScenario), guard), Options{Seed: c.seed})
 			if r.Verdicts[c.rule-1].Kept {
 				t.Errorf("rule %d was kept without it:\n%s", c.rule, text)
 			}
-			r, text = play1(t, badDay(t, string(DefaultScenario)), Options{Seed: c.seed})
+			r, text = runScenario(t, parseScenario(t, string(DefaultScenario)), Options{Seed: c.seed})
 			if !r.Verdicts[c.rule-1].Kept {
 				t.Errorf("rule %d was broken with it:\n%s", c.rule, text)
 			}
@@ -85,17 +85,17 @@
 
 var fronts = []string{"sasp", "http", "both"}
 
-var drawn = flag.Uint64("drawn", 60, "days that are drawn")
+var drawnScenarios = flag.Uint64("drawn", 60, "days that are drawn")
 
 // Days drawn by seed: other traffic, other speeds, and troubles of every kind at other times and places.
 func TestDrawnDaysKeepAllRules(t *testing.T) {
-	for seed := range *drawn {
+	for seed := range *drawnScenarios {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
-			d := badDay(t, string(DefaultScenario))
+			d := parseScenario(t, string(DefaultScenario))
 			d.Seed = seed + 100
-			RedrawServers(d)
-			if r, text := play1(t, d, Options{Front: fronts[seed%3]}); !r.Kept() || len(r.Complaints) > 0 && r.Desk.Rejected == 0 {
+			RedrawFaults(d)
+			if r, text := runScenario(t, d, Options{Front: fronts[seed%3]}); !r.Kept() || len(r.ProtocolErrors) > 0 && r.SASP.Rejected == 0 {
 				t.Errorf("%+v\n%s", d.Faults, text)
 			}
 		})
@@ -116,20 +116,20 @@
 </day>`
 	text = strings.NewReplacer("13860", "13861", "15826", "15827", "18600", "18601").Replace(text)
 	text = strings.ReplaceAll(strings.Replace(text, `seconds="73"`, `seconds="14"`, 1), ":18080", ":18081")
-	d := badDay(t, text)
-	r, told := play1(t, d, Options{Sockets: true, Front: "both"})
-	if !r.Kept() || r.Messages == 0 || len(r.Held) == 0 {
+	d := parseScenario(t, text)
+	r, told := runScenario(t, d, Options{Sockets: true, Front: "both"})
+	if !r.Kept() || r.Messages == 0 || len(r.AckDelays) == 0 {
 		t.Errorf("over sockets:\n%s", told)
 	}
-	if slices.Max(r.Held) > 5 {
-		t.Errorf("an order took %v s", slices.Max(r.Held))
+	if slices.Max(r.AckDelays) > 5 {
+		t.Errorf("an order took %v s", slices.Max(r.AckDelays))
 	}
 }
 
 // Days drawn by rapid, which cuts a day that breaks a rule down to the troubles that it takes.
 func TestDaysThatCanBeCutDown(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		d := badDay(t, string(DefaultScenario))
+		d := parseScenario(t, string(DefaultScenario))
 		d.Seconds, d.Seed = 36, rapid.Uint64Range(1, 1<<20).Draw(rt, "seed")
 		d.Faults = rapid.SliceOfN(rapid.Custom(func(rt *rapid.T) settings.Fault {
 			k := rapid.SampledFrom([]string{"slow", "fast_errors", "hang", "crash", "drain", "coordinator_restart", "balancer_stall",
@@ -142,7 +142,7 @@
 			return x
 		}), 0, 4).Draw(rt, "troubles")
 		front := rapid.SampledFrom(fronts).Draw(rt, "front")
-		if r, text := play1(t, d, Options{Front: front}); !r.Kept() {
+		if r, text := runScenario(t, d, Options{Front: front}); !r.Kept() {
 			rt.Errorf("%s %+v\n%s", front, d.Faults, text)
 		}
 	})
--- a/internal/scenario/seeds_test.go
+++ b/internal/scenario/seeds_test.go
@@ -22,8 +22,8 @@
 					t.Errorf("seed %d, %s: rule %d: %v", d.Seed, x.Name, v.Rule, v.Reasons)
 				}
 			}
-			if x.Foreign > 0 {
-				t.Errorf("seed %d, %s: %d lines of others", d.Seed, x.Name, x.Foreign)
+			if x.ForeignEntries > 0 {
+				t.Errorf("seed %d, %s: %d lines of others", d.Seed, x.Name, x.ForeignEntries)
 			}
 		}
 		if len(r.Problems) > 0 {
--- a/internal/scenario/takeover.go
+++ b/internal/scenario/takeover.go
@@ -24,11 +24,11 @@
 }
 
 const (
-	killFrom    = 5.0                         // seconds until the first kill: the coordinators have found each other
-	killAfter   = 10.0                        // seconds after the last one
-	otherEvery  = 9.0                         // seconds between two troubles of another kind, on average
-	processKey  = "a key for rehearsals only" // of the group
-	pausesOneIn = 4                           // kills, one is a pause instead
+	firstKillSeconds          = 5.0                         // seconds until the first kill: the coordinators have found each other
+	afterLastKillSeconds      = 10.0                        // seconds after the last one
+	otherFaultIntervalSeconds = 9.0                         // seconds between two troubles of another kind, on average
+	processKey                = "a key for rehearsals only" // of the group
+	pausesOneIn               = 4                           // kills, one is a pause instead
 )
 
 // AddTakeovers makes of a day one on which three coordinators are killed again and again, every so many seconds on average,
@@ -37,8 +37,8 @@
 func AddTakeovers(d *settings.Scenario, kills int, every float64, seed uint64, calm bool) {
 	c := rand.New(rand.NewPCG(seed, 0x7a4e))
 	d.Seed, d.Faults = seed, nil
-	d.Seconds = killFrom + float64(kills)*every + killAfter
-	at := killFrom
+	d.Seconds = firstKillSeconds + float64(kills)*every + afterLastKillSeconds
+	at := firstKillSeconds
 	for range kills {
 		t := settings.Fault{Kind: "coordinator_restart", Server: c.IntN(3), Relay: -1, FailureDomain: -1, Zone: -1, Factor: 1,
 			At: at, For: 0.2 + 1.2*every*c.Float64()}
@@ -49,13 +49,13 @@
 		}
 		at += every * (0.5 + c.Float64())
 	}
-	d.Seconds = max(d.Seconds, at+killAfter)
+	d.Seconds = max(d.Seconds, at+afterLastKillSeconds)
 	if calm {
 		return
 	}
 	site := &d.Coordinator.Site
 	kinds := []string{"drain", "drain", "crash", "mass_restart", "reconnect", "balancer_restart", "slow"}
-	for at := killFrom; at < d.Seconds-killAfter; at += otherEvery * (0.5 + c.Float64()) {
+	for at := firstKillSeconds; at < d.Seconds-afterLastKillSeconds; at += otherFaultIntervalSeconds * (0.5 + c.Float64()) {
 		i := c.IntN(len(site.Servers))
 		t := settings.Fault{Kind: kinds[c.IntN(len(kinds))], Server: i, Relay: c.IntN(len(site.Proxies)),
 			FailureDomain: int(site.Servers[i].FailureDomain), Zone: site.Servers[i].Zone, At: at, For: 0.5 + 5*c.Float64(), Factor: 3}
@@ -66,37 +66,37 @@
 	}
 }
 
-// procHost is a coordinator's process.
-type procHost struct {
-	cmd  *exec.Cmd
-	play *play
+// processHost is a coordinator's process.
+type processHost struct {
+	cmd *exec.Cmd
+	run *run
 }
 
-func (h *procHost) Kill() {
+func (h *processHost) Kill() {
 	_ = h.cmd.Process.Kill() // it has ended by itself
 	_ = h.cmd.Wait()         // killed, as it was to be
 }
 
 // Freeze stops the process for a while, wherever it is.
-func (h *procHost) Freeze(seconds float64) {
+func (h *processHost) Freeze(seconds float64) {
 	_ = h.cmd.Process.Signal(syscall.SIGSTOP)
-	h.play.stage.At(h.play.stage.Now()+seconds, func() { _ = h.cmd.Process.Signal(syscall.SIGCONT) })
+	h.run.network.At(h.run.network.Now()+seconds, func() { _ = h.cmd.Process.Signal(syscall.SIGCONT) })
 }
-func (h *procHost) DisturbDatagrams(bool, float64) {}
+func (h *processHost) DisturbDatagrams(bool, float64) {}
 
 // startProcess starts a coordinator as a process of its own.
-func (p *play) startProcess(i int) (host, error) {
-	x, c, n := p.opts.Processes, p.day.Coordinator, p.opts.Coordinators
+func (p *run) startProcess(i int) (host, error) {
+	x, c, n := p.options.Processes, p.scenario.Coordinator, p.options.Coordinators
 	file := func(what string) string { return filepath.Join(x.Folder, fmt.Sprintf("%d.%s", i+1, what)) }
-	m := settings.GroupMember{Number: membership.MemberID(i + 1), SASP: p.at(i, c.SASP), Measurements: p.at(i, c.Measurements),
+	m := settings.GroupMember{Number: membership.MemberID(i + 1), SASP: p.coordinatorAddr(i, c.SASP), Measurements: p.coordinatorAddr(i, c.Measurements),
 		Store: file("db"), GroupStore: file("group"), Key: processKey, Peers: map[membership.MemberID]netip.AddrPort{}}
 	if c.HTTP.IsValid() {
-		m.HTTP = p.at(i, c.HTTP)
+		m.HTTP = p.coordinatorAddr(i, c.HTTP)
 	}
 	for k := range n {
-		m.Peers[membership.MemberID(k+1)] = netip.AddrPortFrom(p.at(k, c.SASP).Addr(), peerPort)
+		m.Peers[membership.MemberID(k+1)] = netip.AddrPortFrom(p.coordinatorAddr(k, c.SASP).Addr(), groupPort)
 	}
-	text, err := p.day.Settings(m)
+	text, err := p.scenario.Settings(m)
 	if err != nil {
 		return nil, err
 	}
@@ -111,42 +111,42 @@
 	if err := cmd.Start(); err != nil {
 		return nil, err
 	}
-	return &procHost{cmd, p}, nil
+	return &processHost{cmd, p}, nil
 }
 
 // takeover measures from a coordinator's death until every relay is led again, and until every relay has been told its
 // table by whoever leads it.
 type takeover struct {
-	at        float64
-	led, told bool
+	stoppedAt    float64
+	led, updated bool
 }
 
-const noticedBy = 0.12 // seconds in which relays notice that their connection was reset
+const resetDetectionSeconds = 0.12 // seconds in which relays notice that their connection was reset
 
-func (p *play) takeovers(now float64) {
-	led, told := p.ref.AllRelaysLed()
-	if p.opts.Led != nil {
-		p.opts.Led(now, led)
+func (p *run) checkTakeovers(now float64) {
+	led, told := p.checker.AllRelaysLed()
+	if p.options.OnLedCheck != nil {
+		p.options.OnLedCheck(now, led)
 	}
-	for i := range p.deaths {
-		d := &p.deaths[i]
-		if now-d.at < noticedBy {
+	for i := range p.takeovers {
+		d := &p.takeovers[i]
+		if now-d.stoppedAt < resetDetectionSeconds {
 			continue
 		}
 		if led && !d.led {
 			d.led = true
-			p.result.Led = append(p.result.Led, now-d.at)
+			p.result.LedAfter = append(p.result.LedAfter, now-d.stoppedAt)
 		}
-		if told && !d.told {
-			d.told = true
-			p.result.Told = append(p.result.Told, now-d.at)
+		if told && !d.updated {
+			d.updated = true
+			p.result.UpdatedAfter = append(p.result.UpdatedAfter, now-d.stoppedAt)
 		}
 	}
-	p.deaths = slices.DeleteFunc(p.deaths, func(d takeover) bool { return d.led && d.told })
+	p.takeovers = slices.DeleteFunc(p.takeovers, func(d takeover) bool { return d.led && d.updated })
 }
 
-// part of a sorted list of times; NaN-free: 0 where it is empty.
-func part(of []float64, share float64) float64 {
+// quantile of a sorted list of times; NaN-free: 0 where it is empty.
+func quantile(of []float64, share float64) float64 {
 	if len(of) == 0 {
 		return 0
 	}
--- a/internal/scenario/takeover_test.go
+++ b/internal/scenario/takeover_test.go
@@ -8,19 +8,19 @@
 	"snowquay/internal/settings"
 )
 
-var takeovers = flag.Uint64("takeovers", 30, "days on which three coordinators share the fleet and are killed")
+var takeoverScenarios = flag.Uint64("takeovers", 30, "days on which three coordinators share the fleet and are killed")
 
 // Three coordinators share the fleet, and are killed and paused at random moments, in the midst of everything else.
 func TestTakeoversKeepAllRules(t *testing.T) {
-	for seed := range *takeovers {
+	for seed := range *takeoverScenarios {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
-			d := badDay(t, string(DefaultScenario))
+			d := parseScenario(t, string(DefaultScenario))
 			d.Seed = seed + 5000
-			RedrawServers(d)
+			RedrawFaults(d)
 			d.Faults = d.Faults[:min(len(d.Faults), 2)]
 			AddKills(d, 4)
-			if r, text := play1(t, d, Options{Coordinators: 3, Front: fronts[seed%3]}); !r.Kept() || r.Service < 0.3 {
+			if r, text := runScenario(t, d, Options{Coordinators: 3, Front: fronts[seed%3]}); !r.Kept() || r.Service < 0.3 {
 				t.Errorf("%+v\n%s", d.Faults, text)
 			}
 		})
@@ -32,12 +32,12 @@
 func TestACoordinatorThatReachesOneSideOnly(t *testing.T) {
 	for _, kind := range []string{"coordinator_hidden", "coordinator_alone"} {
 		for server := range 3 {
-			d := badDay(t, string(DefaultScenario))
+			d := parseScenario(t, string(DefaultScenario))
 			d.Seconds, d.Faults = 50, []settings.Fault{{Kind: kind, Server: server, At: 8, For: 30, Relay: -1, FailureDomain: -1, Zone: -1}}
 			unled, lastUnled := 0.0, 0.0
-			r, text := play1(t, d, Options{Coordinators: 3, Front: fronts[server], Led: func(now float64, led bool) {
-				if !led && now-startAt < 38 { // then it is well, and takes its part back
-					unled, lastUnled = unled+lookEvery, now-startAt
+			r, text := runScenario(t, d, Options{Coordinators: 3, Front: fronts[server], OnLedCheck: func(now float64, led bool) {
+				if !led && now-virtualStartSeconds < 38 { // then it is well, and takes its part back
+					unled, lastUnled = unled+checkIntervalSeconds, now-virtualStartSeconds
 				}
 			}})
 			if !r.Kept() || lastUnled > 28 || unled < 1 {
@@ -49,7 +49,7 @@
 
 func TestTheBadDayOfThree(t *testing.T) {
 	for _, front := range fronts {
-		if r, text := play1(t, badDay(t, string(DefaultScenario)), Options{Coordinators: 3, Front: front}); !r.Kept() || r.Service < 0.6 {
+		if r, text := runScenario(t, parseScenario(t, string(DefaultScenario)), Options{Coordinators: 3, Front: front}); !r.Kept() || r.Service < 0.6 {
 			t.Errorf("%s:\n%s", front, text)
 		}
 	}
