--- /dev/null
+++ b/internal/scenario/hosted_faults.go
@@ -0,0 +1,120 @@
+package scenario
+
+import (
+	"fmt"
+	"net/netip"
+	"slices"
+
+	"snowquay/balancer"
+	"snowquay/internal/coordinator"
+	"snowquay/internal/core/tenancy"
+	"snowquay/internal/emulator"
+)
+
+const (
+	floodStart         = 1.0 / 3 // share of the scenario
+	drainStart         = 0.45    // share of the scenario
+	drainSpread        = 0.1     // share of the scenario in which all tenants' drains begin
+	killStart          = 0.25    // share of the scenario
+	killSpread         = 0.6     // share of the scenario in which hosts are killed
+	removeStart        = 0.5     // share of the scenario
+	recreateSlack      = 0.5     // seconds after a removed tenant's name may be used again
+	floodRelay         = 240     // number of the address that a flood comes from
+	floodedRelayOfEach = "relay-0"
+)
+
+// at calls do when the given share of the scenario has passed.
+func (r *hostedRun) at(start, share float64, do func()) {
+	r.network.At(start+share*r.scenario.Seconds, do)
+}
+
+func (r *hostedRun) scheduleFaults(start float64) {
+	scenario := r.scenario
+	if scenario.Flood >= 0 && scenario.includes(scenario.Flood) {
+		r.at(start, floodStart, func() { r.startFlood(scenario.Flood) })
+	}
+	if scenario.Drains {
+		for i, tenant := range r.tenants {
+			r.at(start, drainStart+drainSpread*float64(i)/float64(len(r.tenants)), func() { r.drainServer(tenant) })
+		}
+	}
+	if scenario.Restart > 0 {
+		r.network.At(start+scenario.Restart, func() { r.restartHost(0) })
+	}
+	for i := range scenario.Kills {
+		share := killStart + killSpread*(float64(i)+0.5*r.random.Float64())/float64(scenario.Kills)
+		r.at(start, share, r.killRandomHost)
+	}
+	if scenario.Remove >= 0 && scenario.includes(scenario.Remove) {
+		r.scheduleRemoval(start)
+	}
+}
+
+// killRandomHost restarts a host, unless one is down already.
+func (r *hostedRun) killRandomHost() {
+	chosen := r.random.IntN(len(r.hosts))
+	if slices.ContainsFunc(r.hosts, func(instance *hostInstance) bool { return !instance.running }) {
+		return
+	}
+	r.restartHost(chosen)
+}
+
+// scheduleRemoval removes a tenant, and creates it again when its name may be used again.
+func (r *hostedRun) scheduleRemoval(start float64) {
+	removed := r.tenants[0]
+	for _, tenant := range r.tenants {
+		if tenant.number == r.scenario.Remove {
+			removed = tenant
+		}
+	}
+	r.at(start, removeStart, func() {
+		removed.checker.CoordinatorDown()
+		removed.checker.ForgetDrains()
+		r.changeTenant(tenancy.Command{Kind: tenancy.Remove, Name: removed.name})
+	})
+	r.network.At(start+removeStart*r.scenario.Seconds+tenancy.NameQuarantine+recreateSlack, func() {
+		text := r.scenario.TenantSettings(removed.number)
+		r.changeTenant(tenancy.Command{Kind: tenancy.Create, Name: removed.name, Settings: text})
+	})
+}
+
+// drainServer orders a drain from the host, as its administration API does.
+func (r *hostedRun) drainServer(tenant *hostedTenant) {
+	server := tenantServer(tenant.number, r.scenario.Servers-1)
+	r.onRunningHost(func(now float64, host *coordinator.Host) {
+		host.Drain(now, tenant.name, balancer.Server(server.String()), true, func(ok bool) {
+			if ok {
+				tenant.drainedAt = r.network.Now()
+				tenant.checker.DrainChanged(r.network.Now(), server, true)
+				return
+			}
+			killsHosts := len(r.hosts) > 1 && r.scenario.Kills > 0 // a host that is killed does not answer
+			if !killsHosts {
+				r.addProblem("%s: drain refused", tenant.name)
+			}
+		})
+	})
+}
+
+// startFlood starts a flood by a tenant, which also names the next tenant.
+func (r *hostedRun) startFlood(tenant int) {
+	name := tenantName(tenant)
+	victim := tenantName((tenant + 1) % max(r.scenario.Tenants, 2))
+	flood := &emulator.FloodGenerator{
+		SASP:         netip.AddrPortFrom(firstHostAddr, hostSASPPort),
+		HTTP:         netip.AddrPortFrom(firstHostAddr, hostHTTPPort),
+		Measurements: netip.AddrPortFrom(firstHostAddr, hostMeasurementsPort),
+		UID:          name.UID(floodedRelayOfEach),
+		OtherUID:     victim.UID(floodedRelayOfEach),
+		User:         string(name),
+		Key:          measurementsKey(tenant),
+		OtherUser:    string(victim),
+		Class:        "search",
+		Rate:         r.scenario.FloodRate,
+		Server:       tenantServer(tenant, 0),
+		Seed:         r.scenario.Seed,
+	}
+	r.addHost(netip.AddrPortFrom(tenantRelay(tenant, floodRelay), 0), 0, flood, false)
+}
+
+func measurementsKey(tenant int) string { return fmt.Sprintf("measurements-%03d", tenant) }
--- a/internal/scenario/proxies.go
+++ b/internal/scenario/proxies.go
@@ -16,20 +16,23 @@
 )
 
 const (
-	proxyPort     = 8088 // of real proxies
-	clientNetwork = 40   // third number of the addresses that clients dial from
+	proxyPort     = 8088
+	clientNetwork = 40 // third number of the first addresses that clients dial from
 )
 
 // memoryStore keeps a proxy's table while it is down.
 type memoryStore struct{ table []byte }
 
 // Save of proxy.Store.
-func (s *memoryStore) Save(b []byte) error { s.table = slices.Clone(b); return nil }
+func (s *memoryStore) Save(table []byte) error {
+	s.table = slices.Clone(table)
+	return nil
+}
 
 // Load of proxy.Store.
 func (s *memoryStore) Load() ([]byte, error) { return s.table, nil }
 
-// realProxy is a proxy of our own with its clients, in a stand-in relay's place.
+// realProxy is a real proxy with its clients, in place of an emulated relay.
 type realProxy struct {
 	proxy    *proxy.Proxy
 	host     host
@@ -38,87 +41,114 @@
 	restarts uint64
 }
 
-func (p *run) proxyConfig(i int) proxy.Config {
-	c := p.scenario.Coordinator
-	site := &c.Site
-	x := p.proxies[i]
-	seed := p.options.Seed<<16 + uint64(i+1) + x.restarts<<40
-	seen := &emulator.ProxyObserver{Checker: p.checker, UID: site.Proxies[i].UID}
-	s := proxy.Config{UID: seen.UID, Limits: proxy.DefaultLimits, CollectorPort: c.Measurements.Port(), User: c.User, Key: c.Key,
-		ReportInterval: site.Reporting.Period, Seed: seed, Store: &x.store, Observer: seen,
-		Forwarding: forwarding.Config{ClassNames: site.ClassNames, Classes: site.Classes, RetryPolicies: site.RetryPolicies, AdmissionMode: site.DataPlane.Admission,
-			Limits: admission.DefaultLimits, Outliers: outlier.Config{ConsecutiveFailures: site.DataPlane.EjectAfterFailures, BaseEjection: outlier.DefaultConfig.BaseEjection, MaxEjection: outlier.DefaultConfig.MaxEjection},
-			Budget: retry.DefaultBudget, Locations: map[balancer.Server]retry.Location{},
-			NewTable: func(class int) picker.Table { return picker.NewSmoothWeighted(seed + uint64(class)) }}}
-	for k, name := range site.ClassNames {
-		at := slices.IndexFunc(p.classes, func(q emulator.Class) bool { return q.Name == name })
-		seen.Classes = append(seen.Classes, at)
-		s.Routes = append(s.Routes, proxy.Route{Prefix: "/" + name, Class: balancer.Class(k)})
+func (r *run) proxyConfig(i int) proxy.Config {
+	coordinator := r.scenario.Coordinator
+	site := &coordinator.Site
+	seed := r.options.Seed<<16 + uint64(i+1) + r.proxies[i].restarts<<40
+	observer := &emulator.ProxyObserver{Checker: r.checker, UID: site.Proxies[i].UID}
+	config := proxy.Config{
+		UID:            observer.UID,
+		Limits:         proxy.DefaultLimits,
+		CollectorPort:  coordinator.Measurements.Port(),
+		User:           coordinator.User,
+		Key:            coordinator.Key,
+		ReportInterval: site.Reporting.Period,
+		Seed:           seed,
+		Store:          &r.proxies[i].store,
+		Observer:       observer,
+		Forwarding:     r.forwardingConfig(seed),
+		SASP:           !r.options.usesLongPoll(i),
+	}
+	for class, name := range site.ClassNames {
+		emulated := slices.IndexFunc(r.classes, func(c emulator.Class) bool { return c.Name == name })
+		observer.Classes = append(observer.Classes, emulated)
+		config.Routes = append(config.Routes, proxy.Route{Prefix: "/" + name, Class: balancer.Class(class)})
 	}
-	for _, v := range site.Servers {
-		s.Forwarding.Locations[v.Server] = retry.Location{Server: v.Server, Zone: v.Zone, FailureDomain: v.FailureDomain}
+	first := coordinator.SASP
+	if !config.SASP {
+		first = coordinator.HTTP
 	}
-	at := c.SASP
-	polls := p.options.Front == "http" || p.options.Front == "both" && i%2 == 1
-	s.SASP = !polls
-	if polls {
-		at = c.HTTP
+	config.Coordinators = r.coordinatorAddrs(first)
+	observer.Started(relayAddr(i).Addr())
+	return config
+}
+
+func (r *run) forwardingConfig(seed uint64) forwarding.Config {
+	site := &r.scenario.Coordinator.Site
+	config := forwarding.Config{
+		ClassNames:    site.ClassNames,
+		Classes:       site.Classes,
+		RetryPolicies: site.RetryPolicies,
+		AdmissionMode: site.DataPlane.Admission,
+		Limits:        admission.DefaultLimits,
+		Outliers: outlier.Config{
+			ConsecutiveFailures: site.DataPlane.EjectAfterFailures,
+			BaseEjection:        outlier.DefaultConfig.BaseEjection,
+			MaxEjection:         outlier.DefaultConfig.MaxEjection,
+		},
+		Budget:    retry.DefaultBudget,
+		Locations: map[balancer.Server]retry.Location{},
+		NewTable:  func(class int) picker.Table { return picker.NewSmoothWeighted(seed + uint64(class)) },
 	}
-	for k := range p.coordinators {
-		s.Coordinators = append(s.Coordinators, p.coordinatorAddr(k, at))
+	for _, server := range site.Servers {
+		config.Locations[server.Server] = retry.Location{Server: server.Server, Zone: server.Zone, FailureDomain: server.FailureDomain}
 	}
-	seen.Started(relayAddr(i).Addr())
-	return s
+	return config
 }
 
-// addProxy puts a proxy of our own, and its clients, in a stand-in relay's place.
-func (p *run) addProxy(i int, rate float64, standing []netip.AddrPort) {
-	x := &realProxy{}
-	p.proxies = append(p.proxies, x)
-	s := p.proxyConfig(i)
-	for _, a := range standing {
-		s.DefaultServers = append(s.DefaultServers, balancer.Server(a.String()))
+// addProxy adds a real proxy and its clients.
+func (r *run) addProxy(i int, rate float64, defaultTable []netip.AddrPort) {
+	added := &realProxy{}
+	r.proxies = append(r.proxies, added)
+	config := r.proxyConfig(i)
+	for _, server := range defaultTable {
+		config.DefaultServers = append(config.DefaultServers, balancer.Server(server.String()))
 	}
-	zone := int(p.scenario.Coordinator.Site.Proxies[i].Zone)
-	at := netip.AddrPortFrom(relayAddr(i).Addr(), proxyPort)
-	x.proxy = proxy.New(p.network.Now(), s)
-	x.host = p.addHost(at, zone, x.proxy, false)
-	x.clients = emulator.NewClientGenerator(emulator.ClientConfig{Proxy: at, Classes: p.classes, Rate: rate, Seed: uint64(i+1) + p.options.Seed<<16}, p.checker)
-	p.addHost(netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 0, clientNetwork + byte(i/250), byte(1 + i%250)}), 0), zone, x.clients, false)
+	zone := int(r.scenario.Coordinator.Site.Proxies[i].Zone)
+	address := netip.AddrPortFrom(relayAddr(i).Addr(), proxyPort)
+	added.proxy = proxy.New(r.network.Now(), config)
+	added.host = r.addHost(address, zone, added.proxy, false)
+	added.clients = emulator.NewClientGenerator(
+		emulator.ClientConfig{Proxy: address, Classes: r.classes, Rate: rate, Seed: r.relaySeed(i)}, r.checker)
+	r.addHost(networkAddr(clientNetwork, i), zone, added.clients, false)
 }
 
-// injectProxyFault begins what goes wrong with real proxies, and sees to its end. It reports whether the kind is of theirs.
-func (p *run) injectProxyFault(t settings.Fault, later func(func())) bool {
-	if len(p.proxies) == 0 {
+// injectProxyFault begins a fault of real proxies, and sees to its end. It returns false if the fault does not concern
+// them.
+func (r *run) injectProxyFault(fault settings.Fault) bool {
+	if len(r.proxies) == 0 {
 		return false
 	}
-	switch t.Kind {
+	switch fault.Kind {
 	case "balancer_stall":
-		p.proxies[t.Relay].host.Freeze(t.For)
-	case "balancer_deaf": // ours applies what it reads
+		r.proxies[fault.Relay].host.Freeze(fault.For)
+	case "balancer_deaf": // a real proxy applies what it receives
 	case "balancer_restart":
-		x := p.proxies[t.Relay]
-		x.host.Kill()
-		p.checker.RelayDown(p.scenario.Coordinator.Site.Proxies[t.Relay].UID)
-		later(func() {
-			x.restarts++
-			x.proxy = proxy.New(p.network.Now(), p.proxyConfig(t.Relay))
-			p.fail(restart(x.host, x.proxy))
-		})
+		r.killProxy(fault)
 	case "reconnect":
-		p.proxies[t.Relay].proxy.Reconnect(p.network.Now())
+		r.proxies[fault.Relay].proxy.Reconnect(r.network.Now())
 	case "report_late", "reports_stop":
-		for _, x := range p.proxies {
-			x.host.DisturbDatagrams(t.Kind == "reports_stop", t.Factor)
-			later(func() { x.host.DisturbDatagrams(false, 0) })
+		for _, disturbed := range r.proxies {
+			disturbed.host.DisturbDatagrams(fault.Kind == "reports_stop", fault.Factor)
+			r.after(fault.For, func() { disturbed.host.DisturbDatagrams(false, 0) })
 		}
 	case "demand":
-		for _, x := range p.proxies {
-			x.clients.LoadFactor = t.Factor
-			later(func() { x.clients.LoadFactor = 1 })
+		for _, loaded := range r.proxies {
+			r.during(fault, &loaded.clients.LoadFactor, 1)
 		}
 	default:
 		return false
 	}
 	return true
 }
+
+func (r *run) killProxy(fault settings.Fault) {
+	killed := r.proxies[fault.Relay]
+	killed.host.Kill()
+	r.checker.RelayDown(r.scenario.Coordinator.Site.Proxies[fault.Relay].UID)
+	r.after(fault.For, func() {
+		killed.restarts++
+		killed.proxy = proxy.New(r.network.Now(), r.proxyConfig(fault.Relay))
+		r.fail(startOn(killed.host, killed.proxy))
+	})
+}
--- /dev/null
+++ b/internal/scenario/scenario_test.go
@@ -0,0 +1,178 @@
+package scenario
+
+import (
+	"bytes"
+	"flag"
+	"fmt"
+	"slices"
+	"strings"
+	"testing"
+
+	"pgregory.net/rapid"
+
+	"snowquay/internal/core/controlplane"
+	"snowquay/internal/settings"
+	"snowquay/internal/testseed"
+)
+
+func TestMain(m *testing.M) { testseed.Main(m) }
+
+func parseScenario(t *testing.T, text string, disabled ...controlplane.Guard) *settings.Scenario {
+	t.Helper()
+	parsed, err := settings.ParseScenario("bad-day.xml", []byte(text), disabled...)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return parsed
+}
+
+func parseDefaultScenario(t *testing.T, disabled ...controlplane.Guard) *settings.Scenario {
+	t.Helper()
+	return parseScenario(t, string(DefaultScenario), disabled...)
+}
+
+// runScenario returns the result of a run, and how it is printed.
+func runScenario(t *testing.T, scenario *settings.Scenario, options Options) (*Result, string) {
+	t.Helper()
+	result, err := Run(scenario, options)
+	if err != nil {
+		t.Fatal(err)
+	}
+	var text bytes.Buffer
+	if err := result.Print(&text, scenario.Coordinator.Site.ClassNames); err != nil {
+		t.Fatal(err)
+	}
+	return result, text.String()
+}
+
+var fronts = []string{"sasp", "http", "both"}
+
+func TestDefaultScenarioKeepsAllRules(t *testing.T) {
+	for _, front := range fronts {
+		result, text := runScenario(t, parseDefaultScenario(t), Options{Front: front})
+		if !result.Kept() || len(result.ProtocolErrors) > 0 {
+			t.Errorf("%s: a rule was broken or something was not understood:\n%s", front, text)
+		}
+		noncompliant := 0
+		if front == "sasp" {
+			noncompliant = 1
+		}
+		if result.ControlPlane.Noncompliant != noncompliant || result.Service < 0.6 || result.Messages < 200 {
+			t.Errorf("%s: the scenario was not what it is meant to be:\n%s", front, text)
+		}
+	}
+}
+
+func TestSameSeedHasSameResult(t *testing.T) {
+	_, first := runScenario(t, parseDefaultScenario(t), Options{})
+	_, second := runScenario(t, parseDefaultScenario(t), Options{})
+	if first != second {
+		t.Errorf("the same seed had another result:\n%s\n%s", first, second)
+	}
+}
+
+// Each guard, when it is disabled, breaks the rule that it is for, in a scenario that keeps the rule with the guard.
+func TestEachGuardPreventsItsViolation(t *testing.T) {
+	for _, test := range []struct {
+		guard controlplane.Guard
+		rule  int
+		seed  uint64 // 0: the scenario's own
+	}{
+		{controlplane.GuardRejoin, 1, 18},
+		{controlplane.GuardRetries, 2, 0},
+		{controlplane.GuardPersistence, 3, 0},
+		{controlplane.GuardReports, 3, 0},
+		{controlplane.GuardWarmup, 4, 0},
+		{controlplane.GuardPacing, 5, 0},
+	} {
+		t.Run(string(test.guard), func(t *testing.T) {
+			t.Parallel()
+			options := Options{Seed: test.seed}
+			without, text := runScenario(t, parseDefaultScenario(t, test.guard), options)
+			if without.Verdicts[test.rule-1].Kept {
+				t.Errorf("rule %d was kept without it:\n%s", test.rule, text)
+			}
+			with, text := runScenario(t, parseDefaultScenario(t), options)
+			if !with.Verdicts[test.rule-1].Kept {
+				t.Errorf("rule %d was broken with it:\n%s", test.rule, text)
+			}
+		})
+	}
+}
+
+var drawnScenarios = flag.Uint64("drawn", 60, "scenarios that are drawn")
+
+// Scenarios drawn by seed have other traffic, other speeds, and faults of every kind at other times and places.
+func TestDrawnScenariosKeepAllRules(t *testing.T) {
+	for seed := range *drawnScenarios {
+		t.Run(fmt.Sprint(seed), func(t *testing.T) {
+			t.Parallel()
+			scenario := parseDefaultScenario(t)
+			scenario.Seed = seed + 100
+			RedrawFaults(scenario)
+			result, text := runScenario(t, scenario, Options{Front: fronts[seed%3]})
+			if !result.Kept() || len(result.ProtocolErrors) > 0 && result.SASP.Rejected == 0 {
+				t.Errorf("%+v\n%s", scenario.Faults, text)
+			}
+		})
+	}
+}
+
+func TestShortScenarioOverSockets(t *testing.T) {
+	before, _, found := strings.Cut(string(DefaultScenario), "  <trouble")
+	if !found {
+		t.Fatal("the default scenario has no fault")
+	}
+	text := before + `
+  <trouble kind="balancer_restart" at="3" for="0.5" relay="1"/>
+  <trouble kind="drain" at="4" server="4"/>
+  <trouble kind="coordinator_restart" at="4.2" for="1"/>
+  <trouble kind="mass_restart" at="8" for="1" pod="3"/>
+</day>`
+	text = strings.NewReplacer("13860", "13861", "15826", "15827", "18600", "18601").Replace(text)
+	text = strings.Replace(text, `seconds="73"`, `seconds="14"`, 1)
+	text = strings.ReplaceAll(text, ":18080", ":18081")
+	result, printed := runScenario(t, parseScenario(t, text), Options{Sockets: true, Front: "both"})
+	if !result.Kept() || result.Messages == 0 || len(result.AckDelays) == 0 {
+		t.Errorf("over sockets:\n%s", printed)
+	}
+	if slices.Max(result.AckDelays) > 5 {
+		t.Errorf("a message took %v s", slices.Max(result.AckDelays))
+	}
+}
+
+// rapidKinds are the kinds of faults that rapid draws from.
+var rapidKinds = []string{
+	"slow", "fast_errors", "hang", "crash", "drain", "coordinator_restart", "balancer_stall", "balancer_restart", "reconnect",
+	"report_late", "reports_stop", "clock_gap",
+}
+
+func drawFault(rt *rapid.T) settings.Fault {
+	fault := settings.Fault{
+		Kind:   rapid.SampledFrom(rapidKinds).Draw(rt, "kind"),
+		At:     4 + rapid.Float64Range(0, 22).Draw(rt, "at"),
+		Server: rapid.IntRange(0, 11).Draw(rt, "server"),
+		Relay:  rapid.IntRange(0, 11).Draw(rt, "relay"),
+		For:    rapid.Float64Range(0.3, 4).Draw(rt, "for"),
+		Factor: 3,
+	}
+	if fault.Kind == "fast_errors" {
+		fault.Factor = 0.7
+	}
+	return fault
+}
+
+// Scenarios drawn by rapid, which shrinks one that breaks a rule to the faults that it takes.
+func TestShrinkableScenariosKeepAllRules(t *testing.T) {
+	rapid.Check(t, func(rt *rapid.T) {
+		scenario := parseDefaultScenario(t)
+		scenario.Seconds = 36
+		scenario.Seed = rapid.Uint64Range(1, 1<<20).Draw(rt, "seed")
+		scenario.Faults = rapid.SliceOfN(rapid.Custom(drawFault), 0, 4).Draw(rt, "troubles")
+		front := rapid.SampledFrom(fronts).Draw(rt, "front")
+		result, text := runScenario(t, scenario, Options{Front: front})
+		if !result.Kept() {
+			rt.Errorf("%s %+v\n%s", front, scenario.Faults, text)
+		}
+	})
+}
