--- /dev/null
+++ b/internal/experiment/cell.go
@@ -0,0 +1,180 @@
+// Package experiment runs experiments in virtual time: fleets, cases and arms over many seeds, whose records are kept in a
+// folder, compared by paired seeds, searched for the worst, and shrunk to the smallest scenario that is still bad. All
+// figures are of emulated servers.
+package experiment
+
+import (
+	"errors"
+	"fmt"
+
+	"snowquay/balancer"
+	"snowquay/internal/emulator"
+	"snowquay/internal/scenario"
+	"snowquay/internal/settings"
+)
+
+// ErrNoCell means that an experiment has no cell of the given name.
+var ErrNoCell = errors.New("the experiment has no such cell")
+
+// Cell is one run of an experiment.
+type Cell struct {
+	Fleet settings.ExperimentFleet
+	Case  settings.ExperimentCase
+	Arm   settings.Arm
+	Seed  uint64
+}
+
+// Name returns the name of a cell, which is part of its file's name.
+func (c Cell) Name() string {
+	return fmt.Sprintf("%s.%s.%s.%d", c.Fleet.Name, c.Case.Name, c.Arm.Name, c.Seed)
+}
+
+// Cells returns the cells of an experiment. The arms of one seed follow each other.
+func Cells(experiment *settings.Experiment) []Cell {
+	var cells []Cell
+	for _, fleet := range experiment.Fleets {
+		for _, each := range experiment.Cases {
+			for offset := range experiment.Seeds {
+				for _, arm := range experiment.Arms {
+					cells = append(cells, Cell{Fleet: fleet, Case: each, Arm: arm, Seed: experiment.First + uint64(offset)})
+				}
+			}
+		}
+	}
+	return cells
+}
+
+// Find returns the cell with a name, or ErrNoCell.
+func Find(experiment *settings.Experiment, name string) (Cell, error) {
+	for _, cell := range Cells(experiment) {
+		if cell.Name() == name {
+			return cell, nil
+		}
+	}
+	return Cell{}, fmt.Errorf("%w: %q", ErrNoCell, name)
+}
+
+const (
+	meanWork                = 0.23 // seconds of a request on a core of speed 1
+	meanSpeed               = 0.9  // of a core
+	minSpeed                = 0.7
+	maxSpeed                = 1.1
+	coresPerServer          = 4
+	queueCapacity           = 30 // of each server
+	serversPerFailureDomain = 4
+	keysPerServer           = 60
+	minEntryRate            = 160 // entries a second
+	fullUpdateSeconds       = 4.0 // in which the channel can send all relays all entries
+	queuedSeconds           = 4   // of entries, that the channel may queue
+)
+
+// Day returns the scenario of a cell, ready to run.
+func (c Cell) Day() (*settings.Scenario, error) {
+	built, err := settings.ParseScenario("bad-day.xml", scenario.DefaultScenario, c.Arm.Without...)
+	if err != nil {
+		return nil, err
+	}
+	scenario.Enlarge(built, c.Fleet.Servers, c.Fleet.Relays)
+	built.Seconds = c.Case.Seconds
+	built.Seed = c.Seed
+	c.configureFleet(built)
+	c.configureLoad(built)
+	c.configureArm(built)
+	c.addFaults(built)
+	return built, nil
+}
+
+// configureFleet sets the servers and the channel. Servers of a failure domain are in one zone, and restart together.
+func (c Cell) configureFleet(built *settings.Scenario) {
+	site := &built.Coordinator.Site
+	for i := range site.Servers {
+		domain := i / serversPerFailureDomain
+		site.Servers[i].FailureDomain = balancer.FailureDomain(domain)
+		site.Servers[i].Zone = balancer.Zone(domain % len(site.Zones))
+	}
+	entries := len(site.Classes) * c.Fleet.Servers * c.Fleet.Relays
+	site.Channel.EntriesPerSecond = max(minEntryRate, float64(entries)/fullUpdateSeconds)
+	site.Channel.MaxQueued = queuedSeconds * site.Channel.EntriesPerSecond
+	built.Cores = coresPerServer
+	built.Queue = queueCapacity
+	built.Slowest = minSpeed
+	built.Fastest = maxSpeed
+	built.Model = settings.ServerModel{
+		Connections: 40 + 3*c.Fleet.Relays,
+		ConnWork:    0.004,
+		KeyFor:      5,
+		KeyLess:     0.15,
+		KeyMost:     200,
+		Stops:       true,
+	}
+}
+
+func (c Cell) configureLoad(built *settings.Scenario) {
+	site := &built.Coordinator.Site
+	built.Rate = c.Fleet.Rate
+	built.Spread = c.Fleet.Spread
+	built.Keys = keysPerServer * c.Fleet.Servers
+	if built.Rate == 0 {
+		built.Rate = c.Fleet.Load * float64(c.Fleet.Servers) * coresPerServer * meanSpeed / meanWork
+	}
+	for i := range site.Proxies {
+		site.Proxies[i].ExpectedRate = built.Rate / float64(c.Fleet.Relays)
+	}
+	built.Clients = settings.ClientModel{
+		Popularity: 0.8,
+		Retries:    c.Fleet.Retries,
+		RetryWait:  0.5,
+		Patience:   0.8,
+	}
+}
+
+func (c Cell) configureArm(built *settings.Scenario) {
+	site := &built.Coordinator.Site
+	if c.Arm.Period > 0 {
+		site.Reporting.Period = c.Arm.Period
+	}
+	switch c.Arm.Levels {
+	case "fraction":
+		site.DataPlane.Admission = balancer.AdmissionFraction
+	case "rate":
+		site.DataPlane.Admission = balancer.AdmissionRate
+	default:
+		return
+	}
+	built.Coordinator.Policy.MembersOnly = true // SASP does not carry admission
+}
+
+func (c Cell) addFaults(built *settings.Scenario) {
+	site := &built.Coordinator.Site
+	domains := int(site.Servers[len(site.Servers)-1].FailureDomain) + 1
+	built.Faults = nil
+	for _, fault := range c.Case.Faults {
+		fault.Server %= len(site.Servers)
+		fault.Relay %= len(site.Proxies)
+		fault.FailureDomain %= domains
+		built.Faults = append(built.Faults, fault)
+	}
+	if c.Case.Drawn > 0 {
+		drawFaults(built, c.Case.Drawn, c.Case.Kinds)
+	}
+	if c.Case.Kills > 0 {
+		scenario.AddKills(built, c.Case.Kills)
+	}
+}
+
+// Options returns the options of a cell's run.
+func (c Cell) Options() scenario.Options {
+	options := scenario.Options{
+		Seed:             c.Seed,
+		Front:            c.Arm.Front,
+		Coordinators:     c.Arm.Coordinators,
+		DropMeasurements: c.Arm.Policy == "listed",
+	}
+	switch c.Arm.Policy {
+	case "robin":
+		options.Policy = emulator.RoundRobin
+	case "two":
+		options.Policy = emulator.PowerOfTwoChoices
+	}
+	return options
+}
--- /dev/null
+++ b/internal/experiment/random_faults.go
@@ -0,0 +1,75 @@
+package experiment
+
+import (
+	"math/rand/v2"
+
+	"snowquay/internal/settings"
+)
+
+// faultKinds are the kinds of faults that can be drawn. Their order decides what a seed draws.
+var faultKinds = []string{
+	"slow", "fast_errors", "hang", "crash", "mass_restart", "zone_cut", "drain", "coordinator_restart", "balancer_stall",
+	"balancer_restart", "reconnect", "report_late", "reports_stop", "demand", "clock_gap", "answer_lost", "heavy_tail",
+	"ageing", "conn_squeeze", "shared_slow", "vanish", "grow", "give_up", "false_reports",
+}
+
+const (
+	firstFaultSeconds   = 6.0   // the coordinator has learnt the first weights
+	faultFreeEndSeconds = 8.0   // at the end of a scenario
+	faultStream         = 0x1ab // second word of the seed of random faults
+)
+
+// drawFaults adds faults to a scenario, by its seed, of the given kinds, or of any kind if none is given.
+func drawFaults(drawn *settings.Scenario, count int, kinds []string) {
+	random := rand.New(rand.NewPCG(drawn.Seed, faultStream))
+	if len(kinds) == 0 {
+		kinds = faultKinds
+	}
+	for i := range count {
+		kind := kinds[(i+random.IntN(len(kinds)))%len(kinds)]
+		drawn.Faults = append(drawn.Faults, drawFault(drawn, random, kind))
+	}
+}
+
+// drawFault draws where and when a fault of a kind occurs, how long it lasts, and its factor.
+func drawFault(drawn *settings.Scenario, random *rand.Rand, kind string) settings.Fault {
+	site := &drawn.Coordinator.Site
+	between := func(low, high float64) float64 { return low + (high-low)*random.Float64() }
+	fault := settings.Fault{
+		Kind:          kind,
+		Server:        random.IntN(len(site.Servers)),
+		Relay:         random.IntN(len(site.Proxies)),
+		Factor:        1,
+		Zone:          site.Servers[random.IntN(len(site.Servers))].Zone,
+		FailureDomain: int(site.Servers[random.IntN(len(site.Servers))].FailureDomain),
+	}
+	fault.At = firstFaultSeconds + random.Float64()*max(drawn.Seconds-faultFreeEndSeconds-firstFaultSeconds, 1)
+	fault.For = between(5, 20)
+	switch kind {
+	case "slow", "shared_slow":
+		fault.Factor = between(2, 8)
+	case "fast_errors":
+		fault.Factor = between(0.3, 0.9)
+	case "answer_lost":
+		fault.Factor = between(0.1, 0.6)
+	case "heavy_tail":
+		fault.Factor = between(0.02, 0.1)
+	case "ageing":
+		fault.Factor = between(0.001, 0.01)
+	case "conn_squeeze":
+		fault.Factor = between(0.05, 0.3)
+	case "give_up":
+		fault.Factor = between(0.2, 0.5)
+	case "false_reports":
+		fault.Factor = between(0.3, 1)
+	case "crash", "mass_restart", "coordinator_restart", "balancer_restart":
+		fault.For = between(0.3, 5)
+	case "balancer_stall", "clock_gap":
+		fault.For = between(0.5, 3)
+	case "report_late":
+		fault.Factor = between(1, 4)
+	case "demand", "grow":
+		fault.Factor = between(1.2, 1.8)
+	}
+	return fault
+}
--- /dev/null
+++ b/internal/experiment/record.go
@@ -0,0 +1,181 @@
+package experiment
+
+import (
+	"fmt"
+	"runtime/debug"
+	"slices"
+
+	"github.com/HdrHistogram/hdrhistogram-go"
+	"github.com/cespare/xxhash/v2"
+
+	"snowquay/internal/scenario"
+	"snowquay/internal/settings"
+)
+
+const (
+	microsecondsPerSecond = 1e6
+	revisionDigits        = 12
+)
+
+// ClassRecord is the result of a class's requests. Latencies are in seconds.
+type ClassRecord struct {
+	Class    string             `json:"Class"`
+	Asked    float64            `json:"Asked"`    // requests
+	Answered float64            `json:"Answered"` // requests
+	InTime   float64            `json:"InTime"`   // requests answered within the latency objective
+	P50      float64            `json:"P50"`
+	P90      float64            `json:"P90"`
+	P99      float64            `json:"P99"`
+	P999     float64            `json:"P999"`
+	Times    []hdrhistogram.Bar `json:"Times"` // how many answers took how many microseconds
+}
+
+// RuleRecord is the verdict on a rule.
+type RuleRecord struct {
+	Rule    int      `json:"Rule"`
+	Kept    bool     `json:"Kept"`
+	Figure  string   `json:"Figure"`            // what came closest to the limit
+	Reasons []string `json:"Reasons,omitempty"` // the first violations
+}
+
+// Record is the result of a cell. The same cell has the same bytes with the same build.
+type Record struct {
+	Experiment      string        `json:"Experiment"`
+	Fleet           string        `json:"Fleet"`
+	Case            string        `json:"Case"`
+	Arm             string        `json:"Arm"`
+	Seed            uint64        `json:"Seed"`
+	Version         string        `json:"Version"` // of the build
+	Fingerprint     string        `json:"Print"`   // of the experiment
+	Servers         int           `json:"Servers"`
+	Relays          int           `json:"Relays"`
+	Seconds         float64       `json:"Seconds"`
+	Service         float64       `json:"Service"` // benefit answered on time over the benefit requested
+	WorstTenSeconds float64       `json:"Worst"`   // service of the worst ten seconds
+	WorstClass      float64       `json:"WorstClass"`
+	Classes         []ClassRecord `json:"Classes"`
+	Rules           []RuleRecord  `json:"Rules"`
+	AckedP50        float64       `json:"Held50"`  // seconds from a decision until a relay acknowledged it
+	AckedP99        float64       `json:"Held99"`  // seconds from a decision until a relay acknowledged it
+	DrainTime       float64       `json:"Drained"` // seconds from a drain until the last request after it
+	TakeoverP50     float64       `json:"Led50"`   // seconds from a coordinator's stop until all relays were led again
+	TakeoverMax     float64       `json:"LedMost"` // seconds from a coordinator's stop until all relays were led again
+	Messages        int           `json:"Messages"`
+	Lines           int           `json:"Lines"` // table entries
+	FullTables      int           `json:"Fulls"`
+	PeakQueue       float64       `json:"PeakQueue"` // table entries
+	Events          int           `json:"Events"`    // of the virtual network
+	Faults          []string      `json:"Troubles"`  // kinds
+}
+
+// Broken returns the numbers of the rules that were broken.
+func (r *Record) Broken() []int {
+	var rules []int
+	for _, rule := range r.Rules {
+		if !rule.Kept {
+			rules = append(rules, rule.Rule)
+		}
+	}
+	return rules
+}
+
+// Version returns the revision that this build was made from, or "unknown".
+func Version() string {
+	info, ok := debug.ReadBuildInfo()
+	if !ok {
+		return "unknown"
+	}
+	for _, setting := range info.Settings {
+		if setting.Key == "vcs.revision" {
+			return setting.Value[:min(revisionDigits, len(setting.Value))]
+		}
+	}
+	return "unknown"
+}
+
+// Play runs a cell in this process.
+func Play(experiment *settings.Experiment, cell Cell) (*Record, error) {
+	built, err := cell.Day()
+	if err != nil {
+		return nil, err
+	}
+	result, err := scenario.Run(built, cell.Options())
+	if err != nil {
+		return nil, err
+	}
+	return newRecord(experiment, cell, built, result), nil
+}
+
+func newRecord(experiment *settings.Experiment, cell Cell, built *settings.Scenario, result *scenario.Result) *Record {
+	record := &Record{
+		Experiment:      experiment.Name,
+		Fleet:           cell.Fleet.Name,
+		Case:            cell.Case.Name,
+		Arm:             cell.Arm.Name,
+		Seed:            cell.Seed,
+		Version:         Version(),
+		Fingerprint:     fingerprint(experiment),
+		Servers:         cell.Fleet.Servers,
+		Relays:          cell.Fleet.Relays,
+		Seconds:         cell.Case.Seconds,
+		Service:         result.Service,
+		WorstTenSeconds: result.WorstInterval,
+		WorstClass:      1,
+		AckedP50:        quantile(result.AckDelays, 0.5),
+		AckedP99:        quantile(result.AckDelays, 0.99),
+		DrainTime:       result.LatestAfterDrain,
+		TakeoverP50:     quantile(result.LedAfter, 0.5),
+		TakeoverMax:     quantile(result.LedAfter, 1),
+		Messages:        result.Messages,
+		Lines:           result.Entries,
+		FullTables:      result.ControlPlane.FullTables,
+		PeakQueue:       result.PeakQueue,
+		Events:          result.Events,
+	}
+	for i, query := range built.Queries {
+		class := newClassRecord(query.Class, i, result)
+		record.Classes = append(record.Classes, class)
+		record.WorstClass = min(record.WorstClass, class.InTime/max(class.Asked, 1))
+	}
+	for _, verdict := range result.Verdicts {
+		record.Rules = append(record.Rules, RuleRecord{Rule: verdict.Rule, Kept: verdict.Kept, Figure: verdict.Figure, Reasons: verdict.Reasons})
+	}
+	for _, fault := range built.Faults {
+		record.Faults = append(record.Faults, fault.Kind)
+	}
+	return record
+}
+
+func newClassRecord(name string, class int, result *scenario.Result) ClassRecord {
+	latencies := result.Latencies[class]
+	percentile := func(p float64) float64 { return float64(latencies.ValueAtQuantile(p)) / microsecondsPerSecond }
+	record := ClassRecord{
+		Class:    name,
+		Asked:    result.Requested[class],
+		Answered: result.Answered[class],
+		InTime:   result.OnTime[class],
+		P50:      percentile(50),
+		P90:      percentile(90),
+		P99:      percentile(99),
+		P999:     percentile(99.9),
+	}
+	for _, bar := range latencies.Distribution() {
+		if bar.Count > 0 {
+			record.Times = append(record.Times, bar)
+		}
+	}
+	return record
+}
+
+// quantile of values in any order; 0 if there are none.
+func quantile(values []float64, share float64) float64 {
+	if len(values) == 0 {
+		return 0
+	}
+	sorted := slices.Sorted(slices.Values(values))
+	return sorted[min(int(share*float64(len(sorted))), len(sorted)-1)]
+}
+
+func fingerprint(experiment *settings.Experiment) string {
+	return fmt.Sprintf("%016x", xxhash.Sum64(experiment.Text))
+}
--- a/internal/experiment/shrink.go
+++ b/internal/experiment/shrink.go
@@ -4,177 +4,223 @@
 	"io"
 	"slices"
 
-	"snowquay/balancer"
 	"snowquay/internal/console"
+	"snowquay/internal/emulator"
 	"snowquay/internal/scenario"
 	"snowquay/internal/settings"
 )
 
-// Bad tells whether a day is still as bad as the one that is to be shrunk.
-type Bad func(*settings.Scenario) bool
+// Condition tells whether a scenario is as bad as the one that is to be shrunk.
+type Condition func(*settings.Scenario) bool
 
 const (
-	leastServers = 4
-	leastRelays  = 2
-	leastSeconds = 15.0
-	cutTo        = 0.5 // of servers, relays, seconds at each step
+	minServers        = 4
+	minRelays         = 2
+	minSeconds        = 15.0
+	minFaultSeconds   = 0.2
+	half              = 0.5
+	threeQuarters     = 0.75
+	shorterFraction   = 0.8 // of a scenario that its faults do not allow to end sooner
+	minSavedSeconds   = 1
+	minEarlierSeconds = 1
 )
 
-// Shrink makes a bad day smaller for as long as it stays bad: fewer troubles, servers and relays, a shorter day, less traffic. Each step
-// is kept if the day is still bad, until none is, or so many days were played. The result is a day of its own.
-func Shrink(d *settings.Scenario, bad Bad, most int, progress io.Writer) *settings.Scenario {
-	played := 0
-	try := func(what string, change func(*settings.Scenario) bool) bool {
-		if played >= most {
-			return false
-		}
-		next := clone(d)
-		if !change(next) {
-			return false
+// shrinker holds the smallest scenario so far that is still bad.
+type shrinker struct {
+	smallest *settings.Scenario
+	bad      Condition
+	played   int
+	limit    int // runs at most
+	progress io.Writer
+}
+
+// Shrink makes a bad scenario smaller while it stays bad: fewer faults, servers and relays, less time and traffic. It
+// stops when no step keeps it bad, or after limit runs. The result is another scenario.
+func Shrink(original *settings.Scenario, bad Condition, limit int, progress io.Writer) *settings.Scenario {
+	s := &shrinker{smallest: original, bad: bad, limit: limit, progress: progress}
+	for s.played < limit {
+		if !s.pass() {
+			break
 		}
-		played++
-		if !bad(next) {
-			return false
+	}
+	remaining := len(s.smallest.Faults)
+	for i := range remaining {
+		s.try("a shorter trouble", func(candidate *settings.Scenario) bool {
+			candidate.Faults[i].For *= half
+			return candidate.Faults[i].For > minFaultSeconds
+		})
+	}
+	return s.smallest
+}
+
+// try runs a changed scenario, and keeps it if it is bad. The change returns false if it does not apply.
+func (s *shrinker) try(what string, change func(*settings.Scenario) bool) bool {
+	if s.played >= s.limit {
+		return false
+	}
+	candidate := clone(s.smallest)
+	if !change(candidate) {
+		return false
+	}
+	s.played++
+	if !s.bad(candidate) {
+		return false
+	}
+	s.smallest = candidate
+	site := &candidate.Coordinator.Site
+	console.Printf(s.progress, "%d played: %s; %d troubles, %d servers, %d relays, %.0f s\n", s.played, what, len(candidate.Faults),
+		len(site.Servers), len(site.Proxies), candidate.Seconds)
+	return true
+}
+
+// pass tries each kind of change once. It returns whether any made the scenario smaller.
+func (s *shrinker) pass() bool {
+	shrunk := s.removeFaults()
+	for _, step := range []struct {
+		what   string
+		change func(*settings.Scenario) bool
+	}{
+		{"half the servers", func(candidate *settings.Scenario) bool { return fewerServers(candidate, half) }},
+		{"half the relays", func(candidate *settings.Scenario) bool { return fewerRelays(candidate, half) }},
+		{"three quarters of the servers", func(candidate *settings.Scenario) bool { return fewerServers(candidate, threeQuarters) }},
+		{"three quarters of the relays", func(candidate *settings.Scenario) bool { return fewerRelays(candidate, threeQuarters) }},
+		{"a shorter day", shorter},
+		{"all earlier", earlier},
+	} {
+		if s.try(step.what, step.change) {
+			shrunk = true
 		}
-		d = next
-		console.Printf(progress, "%d played: %s; %d troubles, %d servers, %d relays, %.0f s\n", played, what, len(d.Faults), len(d.Coordinator.Site.Servers),
-			len(d.Coordinator.Site.Proxies), d.Seconds)
-		return true
-	}
-	for again := true; again && played < most; {
-		again = false
-		for size := (len(d.Faults) + 1) / 2; size >= 1; size /= 2 { // halves first, then single ones
-			for at := 0; at < len(d.Faults); {
-				if !try("without some troubles", func(n *settings.Scenario) bool {
-					n.Faults = slices.Delete(n.Faults, at, min(at+size, len(n.Faults)))
-					return true
-				}) {
-					at += size
-				} else {
-					again = true
-				}
+	}
+	return shrunk
+}
+
+// removeFaults removes halves of the faults first, then smaller parts, then single ones.
+func (s *shrinker) removeFaults() bool {
+	removed := false
+	for size := (len(s.smallest.Faults) + 1) / 2; size >= 1; size /= 2 {
+		for from := 0; from < len(s.smallest.Faults); {
+			without := func(candidate *settings.Scenario) bool {
+				candidate.Faults = slices.Delete(candidate.Faults, from, min(from+size, len(candidate.Faults)))
+				return true
 			}
+			if s.try("without some troubles", without) {
+				removed = true
+				continue
+			}
+			from += size
 		}
-		again = try("half the servers", func(n *settings.Scenario) bool { return fewerServers(n, cutTo) }) || again
-		again = try("half the relays", func(n *settings.Scenario) bool { return fewerRelays(n, cutTo) }) || again
-		again = try("three quarters of the servers", func(n *settings.Scenario) bool { return fewerServers(n, 0.75) }) || again
-		again = try("three quarters of the relays", func(n *settings.Scenario) bool { return fewerRelays(n, 0.75) }) || again
-		again = try("a shorter day", shorter) || again
-		again = try("all earlier", earlier) || again
-	}
-	for i := range d.Faults { // what is left, shorter and sooner
-		try("a shorter trouble", func(n *settings.Scenario) bool {
-			n.Faults[i].For *= cutTo
-			return n.Faults[i].For > 0.2
-		})
 	}
-	return d
+	return removed
 }
 
-func clone(d *settings.Scenario) *settings.Scenario {
-	n := *d
-	c := *d.Coordinator
-	n.Coordinator = &c
-	s := &c.Site
-	s.Servers, s.Proxies = slices.Clone(s.Servers), slices.Clone(s.Proxies)
-	n.Faults = slices.Clone(d.Faults)
-	return &n
+func clone(original *settings.Scenario) *settings.Scenario {
+	cloned := *original
+	coordinator := *original.Coordinator
+	cloned.Coordinator = &coordinator
+	coordinator.Site.Servers = slices.Clone(coordinator.Site.Servers)
+	coordinator.Site.Proxies = slices.Clone(coordinator.Site.Proxies)
+	cloned.Faults = slices.Clone(original.Faults)
+	return &cloned
 }
 
-// keep the troubles that are about what is left.
-func keep(n *settings.Scenario) {
-	site := &n.Coordinator.Site
-	n.Faults = slices.DeleteFunc(n.Faults, func(t settings.Fault) bool {
-		return t.Server >= len(site.Servers) || t.Relay >= len(site.Proxies)
+// removeOrphans removes the faults of servers and relays that are gone.
+func removeOrphans(candidate *settings.Scenario) {
+	site := &candidate.Coordinator.Site
+	candidate.Faults = slices.DeleteFunc(candidate.Faults, func(fault settings.Fault) bool {
+		return fault.Server >= len(site.Servers) || fault.Relay >= len(site.Proxies)
 	})
 }
 
-func fewerServers(n *settings.Scenario, part float64) bool {
-	site := &n.Coordinator.Site
-	left := int(float64(len(site.Servers)) * part)
-	if left < leastServers || left == len(site.Servers) {
+func fewerServers(candidate *settings.Scenario, fraction float64) bool {
+	site := &candidate.Coordinator.Site
+	left := int(float64(len(site.Servers)) * fraction)
+	if left < minServers || left == len(site.Servers) {
 		return false
 	}
-	n.Rate *= float64(left) / float64(len(site.Servers))
+	candidate.Rate *= float64(left) / float64(len(site.Servers))
 	site.Servers = site.Servers[:left]
 	for i := range site.Servers {
 		if int(site.Servers[i].Zone) >= len(site.Zones) {
-			site.Servers[i].Zone = balancer.Zone(0)
+			site.Servers[i].Zone = 0
 		}
 	}
-	keep(n)
-	return len(n.Faults) > 0
+	removeOrphans(candidate)
+	return len(candidate.Faults) > 0
 }
 
-func fewerRelays(n *settings.Scenario, part float64) bool {
-	site := &n.Coordinator.Site
-	left := int(float64(len(site.Proxies)) * part)
-	if left < leastRelays || left == len(site.Proxies) {
+func fewerRelays(candidate *settings.Scenario, fraction float64) bool {
+	site := &candidate.Coordinator.Site
+	left := int(float64(len(site.Proxies)) * fraction)
+	if left < minRelays || left == len(site.Proxies) {
 		return false
 	}
-	site.Proxies, site.DataPlane.Proxies = site.Proxies[:left], left
+	site.Proxies = site.Proxies[:left]
+	site.DataPlane.Proxies = left
 	for i := range site.Proxies {
-		site.Proxies[i].ExpectedRate = n.Rate / float64(left)
+		site.Proxies[i].ExpectedRate = candidate.Rate / float64(left)
 	}
-	keep(n)
-	return len(n.Faults) > 0
+	removeOrphans(candidate)
+	return len(candidate.Faults) > 0
 }
 
-func shorter(n *settings.Scenario) bool {
-	last := 0.0
-	for _, t := range n.Faults {
-		last = max(last, t.At+t.For)
+// shorter ends the scenario soon after its last fault.
+func shorter(candidate *settings.Scenario) bool {
+	lastEnd := 0.0
+	for _, fault := range candidate.Faults {
+		lastEnd = max(lastEnd, fault.At+fault.For)
 	}
-	next := max(last+troubleFree, leastSeconds)
-	if next >= n.Seconds-1 {
-		next = n.Seconds * 0.8
+	seconds := max(lastEnd+faultFreeEndSeconds, minSeconds)
+	if seconds >= candidate.Seconds-minSavedSeconds {
+		seconds = candidate.Seconds * shorterFraction
+	}
+	if seconds < minSeconds {
+		return false
 	}
-	if next < leastSeconds || slices.ContainsFunc(n.Faults, func(t settings.Fault) bool { return t.At > next }) {
+	if slices.ContainsFunc(candidate.Faults, func(fault settings.Fault) bool { return fault.At > seconds }) {
 		return false
 	}
-	n.Seconds = next
+	candidate.Seconds = seconds
 	return true
 }
 
-func earlier(n *settings.Scenario) bool {
-	first := n.Seconds
-	for _, t := range n.Faults {
-		first = min(first, t.At)
+// earlier moves all faults, and the end, to an earlier time.
+func earlier(candidate *settings.Scenario) bool {
+	first := candidate.Seconds
+	for _, fault := range candidate.Faults {
+		first = min(first, fault.At)
 	}
-	if by := first - firstTrouble; by > 1 {
-		for i := range n.Faults {
-			n.Faults[i].At -= by
-		}
-		n.Seconds -= by
-		return true
+	shift := first - firstFaultSeconds
+	if shift <= minEarlierSeconds {
+		return false
+	}
+	for i := range candidate.Faults {
+		candidate.Faults[i].At -= shift
 	}
-	return false
+	candidate.Seconds -= shift
+	return true
 }
 
-// Breaks is a Bad for days that break a rule, 0: any, played in a way.
-func Breaks(rule int, opts scenario.Options) Bad {
-	return func(d *settings.Scenario) bool {
-		opts := opts
-		opts.Seed = d.Seed
-		r, err := scenario.Run(d, opts)
+// Breaks returns a condition for scenarios that break a rule; 0 is any rule.
+func Breaks(rule int, options scenario.Options) Condition {
+	return func(candidate *settings.Scenario) bool {
+		options := options
+		options.Seed = candidate.Seed
+		result, err := scenario.Run(candidate, options)
 		if err != nil {
 			return false
 		}
-		for _, v := range r.Verdicts {
-			if !v.Kept && (rule == 0 || v.Rule == rule) {
-				return true
-			}
-		}
-		return false
+		return slices.ContainsFunc(result.Verdicts, func(verdict emulator.Verdict) bool {
+			return !verdict.Kept && (rule == 0 || verdict.Rule == rule)
+		})
 	}
 }
 
-// ServiceBelow is a Bad for days with a service under a figure.
-func ServiceBelow(service float64, opts scenario.Options) Bad {
-	return func(d *settings.Scenario) bool {
-		opts := opts
-		opts.Seed = d.Seed
-		r, err := scenario.Run(d, opts)
-		return err == nil && r.Service < service
+// ServiceBelow returns a condition for scenarios with a lower service.
+func ServiceBelow(service float64, options scenario.Options) Condition {
+	return func(candidate *settings.Scenario) bool {
+		options := options
+		options.Seed = candidate.Seed
+		result, err := scenario.Run(candidate, options)
+		return err == nil && result.Service < service
 	}
 }
--- a/internal/experiment/golden_test.go
+++ b/internal/experiment/stored_test.go
@@ -19,14 +19,14 @@
 		AckedP50: 0.1, AckedP99: 0.2, DrainTime: 0.3, TakeoverP50: 0.4, TakeoverMax: 0.5, Messages: 11, Lines: 12, FullTables: 13, PeakQueue: 14, Events: 15,
 		Faults: []string{"crash"}}
 	golden.JSON(t, "record.json", record)
-	b, err := json.MarshalIndent(&record, "", " ")
+	indented, err := json.MarshalIndent(&record, "", " ")
 	if err != nil {
 		t.Fatal(err)
 	}
-	golden.Bytes(t, "record-indented.json", b)
+	golden.Bytes(t, "record-indented.json", indented)
 }
 
-// A folder of an experiment that an earlier version played is read, and names its cells alike.
+// A folder that an earlier version wrote can be read, and its cells have the same names.
 func TestStoredFolder(t *testing.T) {
 	folder, experiment, err := Read("testdata/golden/folder")
 	if err != nil {
@@ -40,15 +40,15 @@
 	if len(cells) == 0 || len(records) != len(cells) {
 		t.Fatalf("%d records of %d cells", len(records), len(cells))
 	}
-	for _, c := range cells {
-		r := records[c.Name()]
-		again, err := json.MarshalIndent(r, "", " ")
+	for _, cell := range cells {
+		record := records[cell.Name()]
+		again, err := json.MarshalIndent(record, "", " ")
 		if err != nil {
 			t.Fatal(err)
 		}
-		golden.Bytes(t, "folder/runs/"+c.Name()+".json", append(again, '\n'))
-		if r.Service == 0 || len(r.Rules) == 0 || reflect.DeepEqual(*r, Record{}) {
-			t.Errorf("%s: %+v", c.Name(), r)
+		golden.Bytes(t, "folder/runs/"+cell.Name()+".json", append(again, '\n'))
+		if record.Service == 0 || len(record.Rules) == 0 || reflect.DeepEqual(*record, Record{}) {
+			t.Errorf("%s: %+v", cell.Name(), record)
 		}
 	}
 }
