--- a/internal/emulator/server.go
+++ b/internal/emulator/server.go
@@ -10,466 +10,268 @@
 	"snowquay/internal/wire/sasp"
 )
 
-// FailureDomain is what servers share that drop each other's repeats. One goroutine at a time uses it.
-type FailureDomain struct{ seen map[uint64]float64 }
+// FailureDomain is shared by servers that detect each other's duplicate requests. One goroutine at a time may use it.
+type FailureDomain struct {
+	seen map[uint64]float64 // when a request was accepted last, by id
+}
+
+// NewFailureDomain returns a failure domain that has seen no request.
+func NewFailureDomain() *FailureDomain { return &FailureDomain{seen: map[uint64]float64{}} }
 
-// ServerConfig is what a match server is like.
+// ServerConfig describes an emulated server.
 type ServerConfig struct {
 	Addr           netip.AddrPort
 	FailureDomain  *FailureDomain
 	Cores          int
-	Speed          float64
-	Queue          int     // queries that may wait
+	Speed          float64 // of a core
+	QueueCapacity  int     // requests
 	WarmupFraction float64 // of its capacity, when it starts
 	WarmupDuration float64 // seconds
-	OverloadFactor float64 // of its present capacity; more of it for Within pushes it over
-	OverloadWindow float64
-	Warm           bool             // it started long ago
+	OverloadFactor float64 // of its present capacity: more work than that for OverloadWindow ends a server that warms up
+	OverloadWindow float64 // seconds
+	StartsWarm     bool
 	Coordinators   []netip.AddrPort // it registers with all of them
-	Collect        uint16           // port of their collectors
-	User, Key      string
+	CollectorPort  uint16           // for measurements, at each coordinator
+	User           string           // of its measurements
+	Key            string           // of its measurements
 	FleetUID       string
 	Classes        []Class
 	Seed           uint64
 
-	Connections int     // that it takes at once; 0: any number
-	ConnWork    float64 // seconds on a core of speed 1 that a new connection costs
-	KeyFor      float64 // seconds for which it remembers a key
-	KeyLess     float64 // part of the work that a query of a remembered key does not cost
-	KeyMost     int     // keys that it remembers
-	Stops       bool    // work ends when its query is given up; else it goes on for nobody
+	MaxConnections   int     // 0: unlimited
+	ConnectionWork   float64 // seconds on a core of speed 1 that a new connection costs
+	KeyCacheDuration float64 // seconds
+	KeyCacheSaving   float64 // share of the work that a cached key saves, 0 to 1
+	KeyCacheSize     int     // keys; 0: it caches none
+	CancelsWork      bool    // work ends when its request is cancelled; otherwise it continues
 }
 
 const (
-	serverDial    = 1.0  // seconds between two dials of the coordinator
-	serverReport  = 1.0  // seconds between two reports of uptime
-	fallSlack     = 0.25 // seconds of one core's work, against chance
-	wakeJobs      = 1000 // numbers of wake-ups from here on are of jobs
-	wakeReport    = 1
-	wakeDial      = 2      // and from there on, one for each coordinator
-	longWarm      = 1000.0 // seconds, uptime of a server that is warm at the start of a day
-	failFastTakes = 0.005  // seconds
+	serverRedialSeconds = 1.0 // on average
+	serverReportSeconds = 1.0
+	warmUptimeSeconds   = 1000.0 // uptime of a server that starts warm
 )
 
-type job struct {
-	conn  env.Conn
-	id    uint64
-	class int
-	work  float64
-	from  netip.Addr
-	key   uint32
-	http  bool // it came over HTTP, from a real proxy
-	conns bool // it is what a new connection costs
-
-	knowing bool // it came from a relay that could know that the server is cold
-}
+// Numbers of the timers.
+const (
+	serverReportTimer    = 1
+	firstServerDialTimer = 2    // one for each coordinator from here on
+	firstJobTimer        = 1000 // one for each job from here on
+)
 
-// registrar is a connection to a coordinator.
-type registrar struct {
-	at    int // which one
-	speak speaker
-	done  bool
+// serverRegistration is a registration of a server with a coordinator, over a connection.
+type serverRegistration struct {
+	coordinator int // index
+	session     saspSession
+	accepted    bool
 }
 
-// Server is a match server.
+// Server is an emulated server. The exported fields may be changed while it runs, by the goroutine that runs its program.
 type Server struct {
+	ignoredEvents
 	ServerConfig
-	Slow   float64 // times that its work takes; 1: as usual
-	Errors float64 // chance that a query fails at once
-	Hangs  bool    // it takes queries and answers none
-	Lost   float64 // chance that an answer does not arrive
-	Tail   float64 // chance that a query takes ten times its work
-	Ages   float64 // part by which each query makes it slower
-	Room   float64 // part of its connections that it takes; 0: all
-
-	ref        *InvariantChecker
-	io         env.IO
-	started    float64
-	running    map[int]job
-	waiting    []job
-	nextJob    int
-	parts      map[env.Conn][]byte
-	real       map[env.Conn]bool // those of real proxies
-	from       map[env.Conn]netip.Addr
-	sasp       map[env.Conn]*registrar
-	registered int // with so many coordinators
-	open       int // connections that others have made
-	keys       map[uint32]float64
-	keyLine    []uint32 // in the order in which they were remembered
-	aged       float64
-	recent     []job // while cold: what came in, for the budget
-	times      []float64
-	fallen     bool
-	chance     chance
-	Fall       func() // the host's death
+	SlowdownFactor             float64 // times that its work takes; 1: as configured
+	ErrorProbability           float64 // that a request fails at once
+	Hanging                    bool    // it accepts requests and answers none
+	ResponseLossProbability    float64
+	HeavyTailProbability       float64 // that a request takes heavyTailFactor times its work
+	AgingPerRequest            float64 // share by which each request slows it down
+	ConnectionCapacityFraction float64 // of MaxConnections; 0: all
+	OnOverload                 func()  // ends its host
+
+	checker         *InvariantChecker
+	io              env.IO
+	startedAt       float64
+	running         map[int]job
+	waiting         []job
+	lastJob         int
+	unparsed        map[env.Conn][]byte
+	httpConns       map[env.Conn]bool
+	peers           map[env.Conn]netip.Addr
+	registrations   map[env.Conn]*serverRegistration
+	registered      int // coordinators
+	openConnections int // that others dialed
+	keyUsedAt       map[uint32]float64
+	keyOrder        []uint32 // in the order in which they were cached
+	aging           float64
+	coldArrivals    []coldArrival
+	overloaded      bool
+	random          randomSource
 }
 
-// NewServer makes a match server that tells a referee what it does.
-func NewServer(s ServerConfig, ref *InvariantChecker) *Server {
-	return &Server{ServerConfig: s, Slow: 1, ref: ref, running: map[int]job{}, real: map[env.Conn]bool{}, parts: map[env.Conn][]byte{},
-		sasp: map[env.Conn]*registrar{}, from: map[env.Conn]netip.Addr{}, chance: newChance(s.Seed), nextJob: wakeJobs}
+// NewServer returns a server that reports what it does to checker.
+func NewServer(config ServerConfig, checker *InvariantChecker) *Server {
+	return &Server{
+		ServerConfig:   config,
+		SlowdownFactor: 1,
+		checker:        checker,
+		running:        map[int]job{},
+		lastJob:        firstJobTimer,
+		unparsed:       map[env.Conn][]byte{},
+		httpConns:      map[env.Conn]bool{},
+		peers:          map[env.Conn]netip.Addr{},
+		registrations:  map[env.Conn]*serverRegistration{},
+		random:         newRandomSource(config.Seed),
+	}
 }
 
 // Start of env.Program.
 func (s *Server) Start(now float64, io env.IO) {
-	if s.io, s.started = io, now; s.Warm {
-		s.started = now - longWarm
+	s.io = io
+	s.startedAt = now
+	if s.StartsWarm {
+		s.startedAt = now - warmUptimeSeconds
 	}
-	s.ref.serverUp(now, s.Addr, s.started)
+	s.checker.serverStarted(s.Addr, s.startedAt)
 	for i := range s.Coordinators {
 		s.dial(i)
 	}
-	io.SetTimer(now+serverReport*s.chance.float(), wakeReport)
+	io.SetTimer(now+serverReportSeconds*s.random.uniform(), serverReportTimer)
 }
 
-func (s *Server) dial(i int) { s.sasp[s.io.Dial(s.Coordinators[i])] = &registrar{at: i} }
+func (s *Server) dial(coordinator int) {
+	conn := s.io.Dial(s.Coordinators[coordinator])
+	s.registrations[conn] = &serverRegistration{coordinator: coordinator}
+}
 
 // Opened of env.Program.
-func (s *Server) Opened(now float64, c env.Conn, from netip.Addr, _ uint16) {
-	room := 1.0
-	if s.Room > 0 {
-		room = s.Room
+func (s *Server) Opened(now float64, conn env.Conn, from netip.Addr, _ uint16) {
+	capacity := 1.0
+	if s.ConnectionCapacityFraction > 0 {
+		capacity = s.ConnectionCapacityFraction
 	}
-	if s.Connections > 0 && float64(s.open) >= float64(s.Connections)*room {
-		s.io.Close(c)
+	if s.MaxConnections > 0 && float64(s.openConnections) >= float64(s.MaxConnections)*capacity {
+		s.io.Close(conn)
 		return
 	}
-	s.from[c] = from
-	if s.open++; s.ConnWork > 0 && !s.fallen && !s.Hangs {
-		s.take(now, job{class: 0, work: s.ConnWork, conns: true})
+	s.peers[conn] = from
+	s.openConnections++
+	if s.ConnectionWork > 0 && !s.overloaded && !s.Hanging {
+		s.admit(now, job{class: 0, work: s.ConnectionWork, connectionSetup: true})
 	}
 }
 
-// Connected of env.Program: the coordinator answers.
-func (s *Server) Connected(now float64, c env.Conn, ok bool) {
-	r := s.sasp[c]
-	if r == nil {
+// Connected of env.Program: a coordinator accepted or refused the connection.
+func (s *Server) Connected(now float64, conn env.Conn, ok bool) {
+	registration := s.registrations[conn]
+	if registration == nil {
 		return
 	}
 	if !ok {
-		delete(s.sasp, c)
-		s.io.SetTimer(now+serverDial*(0.5+s.chance.float()), wakeDial+r.at)
+		delete(s.registrations, conn)
+		delay := serverRedialSeconds * (0.5 + s.random.uniform())
+		s.io.SetTimer(now+delay, firstServerDialTimer+registration.coordinator)
 		return
 	}
-	m := &sasp.Message{Kind: sasp.Registration}
-	for _, c := range s.Classes {
-		m.Groups = append(m.Groups, sasp.Group{UID: []byte(s.FleetUID), Name: []byte(c.Name), From: len(m.Rows),
-			To: len(m.Rows) + 1})
-		m.Rows = append(m.Rows, sasp.Row{Address: sasp.AddressOf(s.Addr)})
+	message := &sasp.Message{Kind: sasp.Registration}
+	for _, class := range s.Classes {
+		row := len(message.Rows)
+		message.Groups = append(message.Groups, sasp.Group{UID: []byte(s.FleetUID), Name: []byte(class.Name), From: row, To: row + 1})
+		message.Rows = append(message.Rows, sasp.Row{Address: sasp.AddressOf(s.Addr)})
 	}
-	s.io.Send(c, r.speak.write(m))
+	s.io.Send(conn, registration.session.write(message))
 }
 
 // Receive of env.Program.
-func (s *Server) Receive(now float64, c env.Conn, b []byte) {
-	if r := s.sasp[c]; r != nil {
-		r.speak.read(b, func(m *sasp.Message) {
-			if m.Kind == sasp.RegistrationReply && m.Code == sasp.OK {
-				if !r.done {
-					r.done = true
-					s.registered++
-				}
-				s.ref.serverListed(now, s.Addr)
-			} else if m.Code != sasp.OK {
-				s.ref.complain(now, "server %s: %s", s.Addr, m.Code)
-			}
-		})
+func (s *Server) Receive(now float64, conn env.Conn, b []byte) {
+	if registration := s.registrations[conn]; registration != nil {
+		registration.session.read(b, func(message *sasp.Message) { s.handleMessage(now, registration, message) })
 		return
 	}
-	if p := s.parts[c]; s.real[c] || len(p) == 0 && b[0] == 'P' { // numbers of stand-ins' queries start lower
-		s.real[c] = true
-		s.http(now, c, b)
+	// An emulated relay's request starts with the high byte of an id, which is lower than the first letter of POST.
+	startsHTTP := len(s.unparsed[conn]) == 0 && b[0] == 'P'
+	if s.httpConns[conn] || startsHTTP {
+		s.httpConns[conn] = true
+		s.receiveHTTP(now, conn, b)
 		return
 	}
-	b = append(s.parts[c], b...)
-	for len(b) >= querySize {
-		if binary.BigEndian.Uint32(b[8:]) == givenUp {
-			s.giveUp(now, c, binary.BigEndian.Uint64(b))
-			b = b[querySize:]
-			continue
-		}
-		j := job{conn: c, from: s.from[c], id: binary.BigEndian.Uint64(b), class: int(binary.BigEndian.Uint32(b[8:])),
-			key: binary.BigEndian.Uint32(b[12:]), work: math.Float64frombits(binary.BigEndian.Uint64(b[16:]))}
-		b = b[querySize:]
-		s.query(now, j)
-	}
-	s.parts[c] = append([]byte(nil), b...)
-}
-
-// Closed of env.Program.
-func (s *Server) Closed(now float64, c env.Conn) {
-	if _, theirs := s.from[c]; theirs {
-		s.open--
-	}
-	delete(s.from, c)
-	delete(s.parts, c)
-	delete(s.real, c)
-	if r := s.sasp[c]; r != nil {
-		if delete(s.sasp, c); r.done {
-			s.registered--
-		}
-		if s.registered == 0 {
-			s.ref.serverUnheard(now, s.Addr)
-		}
-		s.io.SetTimer(now+serverDial*(0.3+0.7*s.chance.float()), wakeDial+r.at)
-	}
-}
-
-// Delivered of env.Program.
-func (s *Server) Delivered(float64, env.Conn, uint64) {}
-
-// Datagram of env.Program.
-func (s *Server) Datagram(float64, []byte) {}
-
-func (s *Server) part(now float64) float64 { // of its capacity
-	if age := now - s.started; age < s.WarmupDuration {
-		return s.WarmupFraction + (1-s.WarmupFraction)*age/s.WarmupDuration
-	}
-	return 1
+	s.receiveRequests(now, conn, b)
 }
 
-func (s *Server) query(now float64, j job) {
-	if s.fallen {
+// handleMessage takes a coordinator's message.
+func (s *Server) handleMessage(now float64, registration *serverRegistration, message *sasp.Message) {
+	if message.Code != sasp.OK {
+		s.checker.recordProtocolError(now, "server %s: %s", s.Addr, message.Code)
 		return
 	}
-	s.push(now, j)
-	switch {
-	case s.Hangs:
-		return
-	case s.chance.float() < s.Errors:
-		s.answerAfter(now, failFastTakes, j)
+	if message.Kind != sasp.RegistrationReply {
 		return
 	}
-	if q := s.Classes[j.class].Query; q.Idempotency != 0 {
-		if at, ok := s.FailureDomain.seen[j.id]; ok && now-at < q.DedupWindow { // a repeat: dropped, and answered as the first was
-			s.reply(j, answered)
-			return
-		}
-		if len(s.waiting) < s.Queue || len(s.running) < s.Cores {
-			s.FailureDomain.seen[j.id] = now
-		}
-	}
-	if !s.take(now, j) {
-		s.reply(j, full)
+	if !registration.accepted {
+		registration.accepted = true
+		s.registered++
 	}
+	s.checker.serverRegistered(now, s.Addr)
 }
 
-// take puts work on a core, or in the queue; false: there is no room.
-func (s *Server) take(now float64, j job) bool {
-	switch {
-	case len(s.running) < s.Cores:
-		s.run(now, j)
-	case len(s.waiting) < s.Queue:
-		s.waiting = append(s.waiting, j)
-	default:
-		return false
-	}
-	return true
-}
-
-// giveUp ends a query that nobody waits for any longer: where work stops for that, and always where it has not begun.
-func (s *Server) giveUp(now float64, c env.Conn, id uint64) {
-	for i, j := range s.waiting {
-		if j.conn == c && j.id == id && !j.conns {
-			s.waiting = append(s.waiting[:i], s.waiting[i+1:]...)
-			return
-		}
-	}
-	for number, j := range s.running {
-		if j.conn == c && j.id == id && j.class >= 0 && !j.conns && s.Stops {
-			delete(s.running, number)
-			s.next(now)
-			return
-		}
-	}
-}
-
-// knows tells whether a key is remembered, and remembers it.
-func (s *Server) knows(now float64, key uint32) bool {
-	if s.KeyMost == 0 {
-		return false
-	}
-	at, known := s.keys[key]
-	if !known {
-		if s.keys == nil {
-			s.keys = map[uint32]float64{}
+// receiveRequests takes requests of an emulated relay.
+func (s *Server) receiveRequests(now float64, conn env.Conn, received []byte) {
+	received = append(s.unparsed[conn], received...)
+	for len(received) >= requestBytes {
+		id := binary.BigEndian.Uint64(received)
+		class := binary.BigEndian.Uint32(received[classOffset:])
+		if class == cancelledClass {
+			s.cancel(now, conn, id)
+			received = received[requestBytes:]
+			continue
 		}
-		if len(s.keyLine) >= s.KeyMost {
-			delete(s.keys, s.keyLine[0])
-			s.keyLine = s.keyLine[1:]
+		request := job{
+			conn:  conn,
+			from:  s.peers[conn],
+			id:    id,
+			class: int(class),
+			key:   binary.BigEndian.Uint32(received[keyOffset:]),
+			work:  math.Float64frombits(binary.BigEndian.Uint64(received[workOffset:])),
 		}
-		s.keyLine = append(s.keyLine, key)
+		received = received[requestBytes:]
+		s.handleRequest(now, request)
 	}
-	s.keys[key] = now
-	return known && now-at < s.KeyFor
-}
-
-func (s *Server) answerAfter(now, after float64, j job) {
-	s.nextJob++
-	j.class = -1 - j.class // it fails
-	s.running[s.nextJob] = j
-	s.io.SetTimer(now+after, s.nextJob)
+	s.unparsed[conn] = append([]byte(nil), received...)
 }
 
-func (s *Server) run(now float64, j job) {
-	s.nextJob++
-	s.running[s.nextJob] = j
-	work := j.work * s.Slow * (1 + s.aged)
-	if s.aged += s.Ages; s.Ages == 0 {
-		s.aged = 0
-	}
-	if !j.conns && s.knows(now, j.key) {
-		work *= 1 - s.KeyLess
-	}
-	if s.Tail > 0 && s.chance.float() < s.Tail {
-		work *= tailTakes
-	}
-	s.io.SetTimer(now+work/(s.Speed*s.part(now)), s.nextJob)
-}
-
-const tailTakes = 10.0 // times its work that a query of a heavy tail takes
-
-// push counts what comes to a cold server: too much of it, and it falls over.
-func (s *Server) push(now float64, j job) {
-	if now-s.started >= s.WarmupDuration {
-		s.recent, s.times = nil, nil
+// Closed of env.Program.
+func (s *Server) Closed(now float64, conn env.Conn) {
+	if _, dialedByPeer := s.peers[conn]; dialedByPeer {
+		s.openConnections--
+	}
+	delete(s.peers, conn)
+	delete(s.unparsed, conn)
+	delete(s.httpConns, conn)
+	registration := s.registrations[conn]
+	if registration == nil {
 		return
 	}
-	j.knowing = s.ref.knows(now, j.from, s.Addr)
-	s.recent, s.times = append(s.recent, j), append(s.times, now)
-	sum, knowing := 0.0, 0.0
-	for i := len(s.recent) - 1; i >= 0 && now-s.times[i] <= s.OverloadWindow; i-- {
-		sum += s.recent[i].work
-		if s.recent[i].knowing {
-			knowing += s.recent[i].work
-		}
+	delete(s.registrations, conn)
+	if registration.accepted {
+		s.registered--
 	}
-	if sum > s.OverloadFactor*s.part(now)*float64(s.Cores)*s.Speed*s.OverloadWindow+fallSlack {
-		s.fallen = true
-		s.ref.fell(now, s.Addr, knowing/sum)
-		s.Fall()
+	if s.registered == 0 {
+		s.checker.serverDisconnected(now, s.Addr)
 	}
+	delay := serverRedialSeconds * (0.3 + 0.7*s.random.uniform())
+	s.io.SetTimer(now+delay, firstServerDialTimer+registration.coordinator)
 }
 
 // TimerFired of env.Program.
 func (s *Server) TimerFired(now float64, what int) {
 	switch {
-	case s.fallen:
-	case what == wakeReport:
-		p := collectd.NewPacketWriter(now, s.Addr.String(), s.User, s.Key, func(b []byte) {
-			for _, a := range s.Coordinators {
-				s.io.Datagram(netip.AddrPortFrom(a.Addr(), s.Collect), b)
-			}
-		})
-		p.Uptime(now - s.started)
-		p.Flush()
-		s.io.SetTimer(now+serverReport, wakeReport)
-	case what >= wakeDial && what < wakeJobs:
-		s.dial(what - wakeDial)
+	case s.overloaded:
+	case what == serverReportTimer:
+		s.reportUptime(now)
+		s.io.SetTimer(now+serverReportSeconds, serverReportTimer)
+	case what >= firstServerDialTimer && what < firstJobTimer:
+		s.dial(what - firstServerDialTimer)
 	default:
-		s.finish(now, what)
+		s.finishJob(now, what)
 	}
 }
 
-func (s *Server) finish(now float64, what int) {
-	j, ok := s.running[what]
-	if !ok {
-		return
-	}
-	delete(s.running, what)
-	if j.class < 0 {
-		s.reply(j, failed)
-		s.next(now)
-		return
-	}
-	if !j.conns {
-		s.ref.effect(now, s.Addr, j.id, s.Classes[j.class])
-		if s.Lost == 0 || s.chance.float() >= s.Lost {
-			s.reply(j, answered)
+func (s *Server) reportUptime(now float64) {
+	packets := collectd.NewPacketWriter(now, s.Addr.String(), s.User, s.Key, func(b []byte) {
+		for _, coordinator := range s.Coordinators {
+			s.io.Datagram(netip.AddrPortFrom(coordinator.Addr(), s.CollectorPort), b)
 		}
-	}
-	s.next(now)
-}
-
-// next begins what has waited longest.
-func (s *Server) next(now float64) {
-	if len(s.waiting) > 0 && len(s.running) < s.Cores {
-		next := s.waiting[0]
-		s.waiting = s.waiting[1:]
-		s.run(now, next)
-	}
-}
-
-// NewFailureDomain makes a pod.
-func NewFailureDomain() *FailureDomain { return &FailureDomain{seen: map[uint64]float64{}} }
-
-// Agent tells the coordinator once that a server drains, or does so no more, and goes.
-type Agent struct {
-	Coordinators    []netip.AddrPort // it tells the first that it reaches
-	Server          netip.AddrPort
-	at              int
-	FleetUID, Group string
-	Quiesce         bool
-	Checker         *InvariantChecker
-	io              env.IO
-	speak           speaker
-	done            bool
-}
-
-// Start of env.Program.
-func (a *Agent) Start(_ float64, io env.IO) {
-	a.io = io
-	io.Dial(a.Coordinators[0])
-}
-
-// Opened of env.Program.
-func (a *Agent) Opened(float64, env.Conn, netip.Addr, uint16) {}
-
-// Connected of env.Program.
-func (a *Agent) Connected(now float64, c env.Conn, ok bool) {
-	if !ok {
-		a.io.SetTimer(now+0.2, 0)
-		return
-	}
-	row := sasp.Row{Address: sasp.AddressOf(a.Server)}
-	if a.Quiesce {
-		row.Flags = sasp.Quiesce
-	} else { // its end may be in force before it is confirmed
-		a.Checker.drain(now, a.Server, false)
-	}
-	a.io.Send(c, a.speak.write(&sasp.Message{Kind: sasp.SetMember, Rows: []sasp.Row{row},
-		Groups: []sasp.Group{{UID: []byte(a.FleetUID), Name: []byte(a.Group), To: 1}}}))
-}
-
-// Receive of env.Program: the reply is the moment at which the coordinator was told.
-func (a *Agent) Receive(now float64, c env.Conn, b []byte) {
-	a.speak.read(b, func(m *sasp.Message) {
-		if a.done = true; m.Code == sasp.OK {
-			a.Checker.drain(now, a.Server, a.Quiesce)
-		} else {
-			a.Checker.complain(now, "agent of %s: %s", a.Server, m.Code)
-		}
-		a.io.Close(c)
 	})
-}
-
-// Closed of env.Program.
-func (a *Agent) Closed(now float64, _ env.Conn) {
-	if !a.done {
-		a.io.SetTimer(now+0.2, 0)
-	}
-}
-
-// Delivered of env.Program.
-func (a *Agent) Delivered(float64, env.Conn, uint64) {}
-
-// Datagram of env.Program.
-func (a *Agent) Datagram(float64, []byte) {}
-
-// TimerFired of env.Program: it tries again.
-func (a *Agent) TimerFired(float64, int) {
-	if !a.done {
-		a.at++
-		a.io.Dial(a.Coordinators[a.at%len(a.Coordinators)])
-	}
+	packets.Uptime(now - s.startedAt)
+	packets.Flush()
 }
