--- a/internal/cli/administration.go
+++ b/internal/cli/administration.go
@@ -75,7 +75,7 @@
 		return err
 	}
 	if !o.End && o.Follow > 0 {
-		path := fmt.Sprintf("/drains/%s?wait=%g", service.Escape(o.Server), o.Follow)
+		path := fmt.Sprintf("/drains/%s?wait=%g", service.EscapePathSegment(o.Server), o.Follow)
 		answer, err = call(authz.RoleViewer, http.MethodGet, path, nil)
 		if err != nil {
 			return err
--- a/internal/cli/experiment.go
+++ b/internal/cli/experiment.go
@@ -160,7 +160,7 @@
 	if err != nil {
 		return err
 	}
-	day, err := cell.Day()
+	day, err := cell.Scenario()
 	if err != nil {
 		return err
 	}
@@ -179,7 +179,7 @@
 	if err := os.WriteFile(c.Out, text, shrunkFileMode); err != nil {
 		return err
 	}
-	console.Printf(env.out, "%s: play it with scenario --virtual --front %s", c.Out, cell.Arm.Front)
+	console.Printf(env.out, "%s: play it with scenario --virtual --front %s", c.Out, cell.Arm.Frontend)
 	if cell.Arm.Coordinators > 1 {
 		console.Printf(env.out, " --coordinators %d", cell.Arm.Coordinators)
 	}
@@ -203,7 +203,7 @@
 		return err
 	}
 	cell.Arm.Program = ""
-	record, err := experiment.Play(config, cell)
+	record, err := experiment.RunCell(config, cell)
 	if err != nil {
 		return err
 	}
--- a/internal/cli/scenario.go
+++ b/internal/cli/scenario.go
@@ -50,7 +50,7 @@
 		Seed:         c.Seed,
 		Front:        c.Front,
 		Coordinators: c.Coordinators,
-		Proxies:      c.Proxies,
+		RealProxies:  c.Proxies,
 	})
 }
 
@@ -135,23 +135,23 @@
 		console.Printf(env.out, "playing %g s over loopback sockets ...\n", c.Seconds)
 	}
 	result, err := scenario.RunHosted(scenario.HostedScenario{
-		Tenants:   c.Tenants,
-		Servers:   c.Servers,
-		Relays:    c.Relays,
-		Seconds:   c.Seconds,
-		Seed:      c.Seed,
-		Sockets:   !c.Virtual,
-		Hosts:     c.Hosts,
-		Kills:     c.Kills,
-		Only:      allTenants,
-		Rate:      c.Rate,
-		Flood:     c.Flood,
-		FloodRate: hostedFloodRate,
-		Restart:   c.Restart,
-		Down:      hostedDowntime,
-		Remove:    c.Remove,
-		Drains:    c.Drains,
-		Log:       env.log,
+		Tenants:      c.Tenants,
+		Servers:      c.Servers,
+		Relays:       c.Relays,
+		Seconds:      c.Seconds,
+		Seed:         c.Seed,
+		Sockets:      !c.Virtual,
+		Hosts:        c.Hosts,
+		Kills:        c.Kills,
+		OnlyTenant:   allTenants,
+		Rate:         c.Rate,
+		Flood:        c.Flood,
+		FloodRate:    hostedFloodRate,
+		Restart:      c.Restart,
+		RestartDelay: hostedDowntime,
+		Remove:       c.Remove,
+		Drains:       c.Drains,
+		Log:          env.log,
 	})
 	if err != nil {
 		return err
--- a/internal/cli/serve.go
+++ b/internal/cli/serve.go
@@ -61,5 +61,5 @@
 			len(config.Forwarding.Locations), len(config.Coordinators))
 		return err
 	}
-	return service.Proxy(config, env.log, terminationSignal())
+	return service.ServeProxy(config, env.log, terminationSignal())
 }
--- a/internal/cli/takeover.go
+++ b/internal/cli/takeover.go
@@ -57,7 +57,7 @@
 		Log:          env.log,
 		Front:        c.Front,
 		Coordinators: takeoverCoordinators,
-		Proxies:      c.Proxies,
+		RealProxies:  c.Proxies,
 	}
 	if c.Virtual {
 		return runScenario(env, day, options)
@@ -87,6 +87,6 @@
 	console.Printf(env.out, "playing %.0f s over loopback sockets, three coordinators as processes, %d kills ...\n",
 		day.Seconds, c.Kills)
 	options.Sockets = true
-	options.Processes = &scenario.Processes{Exe: exe, Folder: folder, Log: log}
+	options.Processes = &scenario.Processes{Executable: exe, Folder: folder, Log: log}
 	return runScenario(env, day, options)
 }
--- a/internal/core/spool/spool.go
+++ b/internal/core/spool/spool.go
@@ -113,8 +113,8 @@
 // Samples returns the samples that wait to be sent, oldest first. They must not be changed.
 func (s *Spool) Samples() []*Sample { return s.samples }
 
-// Coarsest returns the longest time in seconds that one sample covers, which is the coarsest resolution.
-func (s *Spool) Coarsest() float64 {
+// LongestSpan returns the longest time in seconds that one sample covers, which is the coarsest resolution.
+func (s *Spool) LongestSpan() float64 {
 	longest := 0.0
 	for _, sample := range s.samples {
 		longest = max(longest, sample.At-sample.From)
--- a/internal/core/spool/spool_test.go
+++ b/internal/core/spool/spool_test.go
@@ -201,9 +201,9 @@
 	}
 	spans := s.Samples()[len(s.Samples())-1].At - s.Samples()[0].From
 	plainSpan := plain.samples[len(plain.samples)-1].At - plain.samples[0].At
-	t.Logf("the spool spans %.0f s in %d samples, the coarsest of %.0f s; the ring %.0f s", spans, len(s.Samples()), s.Coarsest(), plainSpan)
-	if spans != 3590 || plainSpan > 600 || s.Coarsest() > 300 {
-		t.Errorf("the spool spans %.0f s, the coarsest %.0f s; the ring %.0f s", spans, s.Coarsest(), plainSpan)
+	t.Logf("the spool spans %.0f s in %d samples, the coarsest of %.0f s; the ring %.0f s", spans, len(s.Samples()), s.LongestSpan(), plainSpan)
+	if spans != 3590 || plainSpan > 600 || s.LongestSpan() > 300 {
+		t.Errorf("the spool spans %.0f s, the coarsest %.0f s; the ring %.0f s", spans, s.LongestSpan(), plainSpan)
 	}
 	whole := New(DefaultConfig)
 	for i := range 360 {
--- a/internal/experiment/cell.go
+++ b/internal/experiment/cell.go
@@ -36,7 +36,7 @@
 		for _, each := range experiment.Cases {
 			for offset := range experiment.Seeds {
 				for _, arm := range experiment.Arms {
-					cells = append(cells, Cell{Fleet: fleet, Case: each, Arm: arm, Seed: experiment.First + uint64(offset)})
+					cells = append(cells, Cell{Fleet: fleet, Case: each, Arm: arm, Seed: experiment.FirstSeed + uint64(offset)})
 				}
 			}
 		}
@@ -68,13 +68,13 @@
 	queuedSeconds           = 4   // of entries, that the channel may queue
 )
 
-// Day returns the scenario of a cell, ready to run.
-func (c Cell) Day() (*settings.Scenario, error) {
+// Scenario returns the scenario of a cell, ready to run.
+func (c Cell) Scenario() (*settings.Scenario, error) {
 	built, err := settings.ParseScenario("bad-day.xml", scenario.DefaultScenario, c.Arm.Without...)
 	if err != nil {
 		return nil, err
 	}
-	scenario.Enlarge(built, c.Fleet.Servers, c.Fleet.Relays)
+	scenario.Enlarge(built, c.Fleet.Servers, c.Fleet.Proxies)
 	built.Seconds = c.Case.Seconds
 	built.Seed = c.Seed
 	c.configureFleet(built)
@@ -92,7 +92,7 @@
 		site.Servers[i].FailureDomain = balancer.FailureDomain(domain)
 		site.Servers[i].Zone = balancer.Zone(domain % len(site.Zones))
 	}
-	entries := len(site.Classes) * c.Fleet.Servers * c.Fleet.Relays
+	entries := len(site.Classes) * c.Fleet.Servers * c.Fleet.Proxies
 	site.Channel.EntriesPerSecond = max(minEntryRate, float64(entries)/fullUpdateSeconds)
 	site.Channel.MaxQueued = queuedSeconds * site.Channel.EntriesPerSecond
 	built.Cores = coresPerServer
@@ -100,12 +100,12 @@
 	built.Slowest = minSpeed
 	built.Fastest = maxSpeed
 	built.Model = settings.ServerModel{
-		Connections: 40 + 3*c.Fleet.Relays,
-		ConnWork:    0.004,
-		KeyFor:      5,
-		KeyLess:     0.15,
-		KeyMost:     200,
-		Stops:       true,
+		Connections:      40 + 3*c.Fleet.Proxies,
+		ConnectionCost:   0.004,
+		KeyCacheDuration: 5,
+		KeyCacheSaving:   0.15,
+		MaxCachedKeys:    200,
+		CancelsWork:      true,
 	}
 }
 
@@ -118,7 +118,7 @@
 		built.Rate = c.Fleet.Load * float64(c.Fleet.Servers) * coresPerServer * meanSpeed / meanWork
 	}
 	for i := range site.Proxies {
-		site.Proxies[i].ExpectedRate = built.Rate / float64(c.Fleet.Relays)
+		site.Proxies[i].ExpectedRate = built.Rate / float64(c.Fleet.Proxies)
 	}
 	built.Clients = settings.ClientModel{
 		Popularity: 0.8,
@@ -130,10 +130,10 @@
 
 func (c Cell) configureArm(built *settings.Scenario) {
 	site := &built.Coordinator.Site
-	if c.Arm.Period > 0 {
-		site.Reporting.Period = c.Arm.Period
+	if c.Arm.ReportInterval > 0 {
+		site.Reporting.Period = c.Arm.ReportInterval
 	}
-	switch c.Arm.Levels {
+	switch c.Arm.Admission {
 	case "fraction":
 		site.DataPlane.Admission = balancer.AdmissionFraction
 	case "rate":
@@ -150,12 +150,12 @@
 	built.Faults = nil
 	for _, fault := range c.Case.Faults {
 		fault.Server %= len(site.Servers)
-		fault.Relay %= len(site.Proxies)
+		fault.Proxy %= len(site.Proxies)
 		fault.FailureDomain %= domains
 		built.Faults = append(built.Faults, fault)
 	}
-	if c.Case.Drawn > 0 {
-		drawFaults(built, c.Case.Drawn, c.Case.Kinds)
+	if c.Case.RandomFaults > 0 {
+		drawFaults(built, c.Case.RandomFaults, c.Case.Kinds)
 	}
 	if c.Case.Kills > 0 {
 		scenario.AddKills(built, c.Case.Kills)
@@ -166,7 +166,7 @@
 func (c Cell) Options() scenario.Options {
 	options := scenario.Options{
 		Seed:             c.Seed,
-		Front:            c.Arm.Front,
+		Front:            c.Arm.Frontend,
 		Coordinators:     c.Arm.Coordinators,
 		DropMeasurements: c.Arm.Policy == "listed",
 	}
--- a/internal/experiment/compare.go
+++ b/internal/experiment/compare.go
@@ -28,7 +28,7 @@
 	{"held99", func(r *Record) float64 { return r.AckedP99 }},
 	{"drained", func(r *Record) float64 { return r.DrainTime }},
 	{"led", func(r *Record) float64 { return r.TakeoverMax }},
-	{"lines/s", func(r *Record) float64 { return float64(r.Lines) / r.Seconds }},
+	{"lines/s", func(r *Record) float64 { return float64(r.Entries) / r.Seconds }},
 	{"waiting", func(r *Record) float64 { return r.PeakQueue }},
 	{"broken", func(r *Record) float64 { return float64(len(r.Broken())) }},
 }
--- a/internal/experiment/experiment_test.go
+++ b/internal/experiment/experiment_test.go
@@ -50,7 +50,7 @@
 
 func play(t *testing.T, experiment *settings.Experiment, cell Cell) *Record {
 	t.Helper()
-	record, err := Play(experiment, cell)
+	record, err := RunCell(experiment, cell)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -196,7 +196,7 @@
 	experiment := parse(t, `<experiment name="s" seeds="1"><fleet name="f" servers="16" relays="12"/><case name="c" seconds="50" drawn="5">
 		<trouble kind="coordinator_restart" at="20" for="1"/><trouble kind="drain" at="15" for="0" server="3"/></case><arm name="a" front="sasp" without="memory"/></experiment>`)
 	cell := Cells(experiment)[0]
-	original, err := cell.Day()
+	original, err := cell.Scenario()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -268,7 +268,7 @@
 
 func runCell(t *testing.T, cell Cell, sockets bool) *scenario.Result {
 	t.Helper()
-	built, err := cell.Day()
+	built, err := cell.Scenario()
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/experiment/groups.go
+++ b/internal/experiment/groups.go
@@ -32,7 +32,7 @@
 			for _, arm := range experiment.Arms {
 				group := Group{Fleet: fleet.Name, Case: each.Name, Arm: arm.Name}
 				for offset := range experiment.Seeds {
-					cell := Cell{Fleet: fleet, Case: each, Arm: arm, Seed: experiment.First + uint64(offset)}
+					cell := Cell{Fleet: fleet, Case: each, Arm: arm, Seed: experiment.FirstSeed + uint64(offset)}
 					if record := records[cell.Name()]; record != nil {
 						group.Records = append(group.Records, record)
 					}
--- a/internal/experiment/random_faults.go
+++ b/internal/experiment/random_faults.go
@@ -38,13 +38,13 @@
 	fault := settings.Fault{
 		Kind:          kind,
 		Server:        random.IntN(len(site.Servers)),
-		Relay:         random.IntN(len(site.Proxies)),
+		Proxy:         random.IntN(len(site.Proxies)),
 		Factor:        1,
 		Zone:          site.Servers[random.IntN(len(site.Servers))].Zone,
 		FailureDomain: int(site.Servers[random.IntN(len(site.Servers))].FailureDomain),
 	}
 	fault.At = firstFaultSeconds + random.Float64()*max(drawn.Seconds-faultFreeEndSeconds-firstFaultSeconds, 1)
-	fault.For = between(5, 20)
+	fault.Duration = between(5, 20)
 	switch kind {
 	case "slow", "shared_slow":
 		fault.Factor = between(2, 8)
@@ -63,9 +63,9 @@
 	case "false_reports":
 		fault.Factor = between(0.3, 1)
 	case "crash", "mass_restart", "coordinator_restart", "balancer_restart":
-		fault.For = between(0.3, 5)
+		fault.Duration = between(0.3, 5)
 	case "balancer_stall", "clock_gap":
-		fault.For = between(0.5, 3)
+		fault.Duration = between(0.5, 3)
 	case "report_late":
 		fault.Factor = between(1, 4)
 	case "demand", "grow":
--- a/internal/experiment/record.go
+++ b/internal/experiment/record.go
@@ -19,15 +19,15 @@
 
 // ClassRecord is the result of a class's requests. Latencies are in seconds.
 type ClassRecord struct {
-	Class    string             `json:"Class"`
-	Asked    float64            `json:"Asked"`    // requests
-	Answered float64            `json:"Answered"` // requests
-	InTime   float64            `json:"InTime"`   // requests answered within the latency objective
-	P50      float64            `json:"P50"`
-	P90      float64            `json:"P90"`
-	P99      float64            `json:"P99"`
-	P999     float64            `json:"P999"`
-	Times    []hdrhistogram.Bar `json:"Times"` // how many answers took how many microseconds
+	Class     string             `json:"Class"`
+	Requested float64            `json:"Asked"`    // requests
+	Answered  float64            `json:"Answered"` // requests
+	OnTime    float64            `json:"InTime"`   // requests answered within the latency objective
+	P50       float64            `json:"P50"`
+	P90       float64            `json:"P90"`
+	P99       float64            `json:"P99"`
+	P999      float64            `json:"P999"`
+	Times     []hdrhistogram.Bar `json:"Times"` // how many answers took how many microseconds
 }
 
 // RuleRecord is the verdict on a rule.
@@ -61,7 +61,7 @@
 	TakeoverP50     float64       `json:"Led50"`   // seconds from a coordinator's stop until all relays were led again
 	TakeoverMax     float64       `json:"LedMost"` // seconds from a coordinator's stop until all relays were led again
 	Messages        int           `json:"Messages"`
-	Lines           int           `json:"Lines"` // table entries
+	Entries         int           `json:"Lines"` // table entries
 	FullTables      int           `json:"Fulls"`
 	PeakQueue       float64       `json:"PeakQueue"` // table entries
 	Events          int           `json:"Events"`    // of the virtual network
@@ -93,9 +93,9 @@
 	return "unknown"
 }
 
-// Play runs a cell in this process.
-func Play(experiment *settings.Experiment, cell Cell) (*Record, error) {
-	built, err := cell.Day()
+// RunCell runs a cell in this process.
+func RunCell(experiment *settings.Experiment, cell Cell) (*Record, error) {
+	built, err := cell.Scenario()
 	if err != nil {
 		return nil, err
 	}
@@ -116,7 +116,7 @@
 		Version:         Version(),
 		Fingerprint:     fingerprint(experiment),
 		Servers:         cell.Fleet.Servers,
-		Relays:          cell.Fleet.Relays,
+		Relays:          cell.Fleet.Proxies,
 		Seconds:         cell.Case.Seconds,
 		Service:         result.Service,
 		WorstTenSeconds: result.WorstInterval,
@@ -127,15 +127,15 @@
 		TakeoverP50:     quantile(result.LedAfter, 0.5),
 		TakeoverMax:     quantile(result.LedAfter, 1),
 		Messages:        result.Messages,
-		Lines:           result.Entries,
+		Entries:         result.Entries,
 		FullTables:      result.ControlPlane.FullTables,
 		PeakQueue:       result.PeakQueue,
 		Events:          result.Events,
 	}
-	for i, query := range built.Queries {
+	for i, query := range built.Classes {
 		class := newClassRecord(query.Class, i, result)
 		record.Classes = append(record.Classes, class)
-		record.WorstClass = min(record.WorstClass, class.InTime/max(class.Asked, 1))
+		record.WorstClass = min(record.WorstClass, class.OnTime/max(class.Requested, 1))
 	}
 	for _, verdict := range result.Verdicts {
 		record.Rules = append(record.Rules, RuleRecord{Rule: verdict.Rule, Kept: verdict.Kept, Figure: verdict.Figure, Reasons: verdict.Reasons})
@@ -150,14 +150,14 @@
 	latencies := result.Latencies[class]
 	percentile := func(p float64) float64 { return float64(latencies.ValueAtQuantile(p)) / microsecondsPerSecond }
 	record := ClassRecord{
-		Class:    name,
-		Asked:    result.Requested[class],
-		Answered: result.Answered[class],
-		InTime:   result.OnTime[class],
-		P50:      percentile(50),
-		P90:      percentile(90),
-		P99:      percentile(99),
-		P999:     percentile(99.9),
+		Class:     name,
+		Requested: result.Requested[class],
+		Answered:  result.Answered[class],
+		OnTime:    result.OnTime[class],
+		P50:       percentile(50),
+		P90:       percentile(90),
+		P99:       percentile(99),
+		P999:      percentile(99.9),
 	}
 	for _, bar := range latencies.Distribution() {
 		if bar.Count > 0 {
--- a/internal/experiment/run.go
+++ b/internal/experiment/run.go
@@ -92,7 +92,7 @@
 // play runs a cell in this process, or by the program of its arm.
 func (f *Folder) play(experiment *settings.Experiment, cell Cell) (*Record, error) {
 	if cell.Arm.Program == "" {
-		return Play(experiment, cell)
+		return RunCell(experiment, cell)
 	}
 	output, err := exec.Command(cell.Arm.Program, "lab", "one", filepath.Join(f.path, experimentFile), cell.Name()).Output()
 	if err != nil {
--- a/internal/experiment/shrink.go
+++ b/internal/experiment/shrink.go
@@ -46,8 +46,8 @@
 	remaining := len(s.smallest.Faults)
 	for i := range remaining {
 		s.try("a shorter trouble", func(candidate *settings.Scenario) bool {
-			candidate.Faults[i].For *= half
-			return candidate.Faults[i].For > minFaultSeconds
+			candidate.Faults[i].Duration *= half
+			return candidate.Faults[i].Duration > minFaultSeconds
 		})
 	}
 	return s.smallest
@@ -127,7 +127,7 @@
 func removeOrphans(candidate *settings.Scenario) {
 	site := &candidate.Coordinator.Site
 	candidate.Faults = slices.DeleteFunc(candidate.Faults, func(fault settings.Fault) bool {
-		return fault.Server >= len(site.Servers) || fault.Relay >= len(site.Proxies)
+		return fault.Server >= len(site.Servers) || fault.Proxy >= len(site.Proxies)
 	})
 }
 
@@ -167,7 +167,7 @@
 func shorter(candidate *settings.Scenario) bool {
 	lastEnd := 0.0
 	for _, fault := range candidate.Faults {
-		lastEnd = max(lastEnd, fault.At+fault.For)
+		lastEnd = max(lastEnd, fault.At+fault.Duration)
 	}
 	seconds := max(lastEnd+faultFreeEndSeconds, minSeconds)
 	if seconds >= candidate.Seconds-minSavedSeconds {
--- a/internal/experiment/stored_test.go
+++ b/internal/experiment/stored_test.go
@@ -13,10 +13,10 @@
 func TestStoredRecord(t *testing.T) {
 	record := Record{Experiment: "cold", Fleet: "small", Case: "roll", Arm: "new", Seed: 4, Version: "0123456789ab", Fingerprint: "f00d", Servers: 6, Relays: 8,
 		Seconds: 60, Service: 0.9, WorstTenSeconds: 0.5, WorstClass: 0.25,
-		Classes: []ClassRecord{{Class: "search", Asked: 100, Answered: 90, InTime: 80, P50: 0.01, P90: 0.02, P99: 0.03, P999: 0.04,
+		Classes: []ClassRecord{{Class: "search", Requested: 100, Answered: 90, OnTime: 80, P50: 0.01, P90: 0.02, P99: 0.03, P999: 0.04,
 			Times: []hdrhistogram.Bar{{From: 10, To: 11, Count: 7}}}},
 		Rules:    []RuleRecord{{Rule: 3, Kept: true, Figure: "0.5 s", Reasons: []string{"late"}}},
-		AckedP50: 0.1, AckedP99: 0.2, DrainTime: 0.3, TakeoverP50: 0.4, TakeoverMax: 0.5, Messages: 11, Lines: 12, FullTables: 13, PeakQueue: 14, Events: 15,
+		AckedP50: 0.1, AckedP99: 0.2, DrainTime: 0.3, TakeoverP50: 0.4, TakeoverMax: 0.5, Messages: 11, Entries: 12, FullTables: 13, PeakQueue: 14, Events: 15,
 		Faults: []string{"crash"}}
 	golden.JSON(t, "record.json", record)
 	indented, err := json.MarshalIndent(&record, "", " ")
--- a/internal/feed/graphite/sender.go
+++ b/internal/feed/graphite/sender.go
@@ -24,7 +24,7 @@
 
 // Config is the configuration of a Sender.
 type Config struct {
-	To        netip.AddrPort
+	Address   netip.AddrPort
 	Prefix    string  // of all paths, without a dot at the end
 	Interval  float64 // seconds between two samples
 	MaxSeries int     // maximum number of paths; further ones are left out and counted
@@ -107,7 +107,7 @@
 	}
 	switch s.Sender.Tick(now) {
 	case spool.Dial:
-		s.conn = s.io.Dial(s.config.To)
+		s.conn = s.io.Dial(s.config.Address)
 	case spool.CloseConnection:
 		s.io.Close(s.conn)
 		s.conn = 0
--- a/internal/scenario/faults.go
+++ b/internal/scenario/faults.go
@@ -34,11 +34,11 @@
 	"coordinator_hidden":  (*run).isolateCoordinator, // from relays and servers
 	"coordinator_alone":   (*run).isolateCoordinator, // from the other coordinators
 
-	"balancer_stall":   func(r *run, fault settings.Fault) { r.relayHosts[fault.Relay].Freeze(fault.For) },
+	"balancer_stall":   func(r *run, fault settings.Fault) { r.relayHosts[fault.Proxy].Freeze(fault.Duration) },
 	"balancer_deaf":    (*run).ignoreUpdates,
 	"balancer_restart": (*run).killRelay,
-	"reconnect":        func(r *run, fault settings.Fault) { r.relays[fault.Relay].DropConnection(r.network.Now()) },
-	"false_reports":    func(r *run, fault settings.Fault) { r.during(fault, &r.relays[fault.Relay].FalseFailureFraction, 0) },
+	"reconnect":        func(r *run, fault settings.Fault) { r.relays[fault.Proxy].DropConnection(r.network.Now()) },
+	"false_reports":    func(r *run, fault settings.Fault) { r.during(fault, &r.relays[fault.Proxy].FalseFailureFraction, 0) },
 	"give_up":          (*run).shortenPatience,
 	"demand":           (*run).multiplyLoad,
 	"grow":             (*run).growLoad,
@@ -62,7 +62,7 @@
 // during sets a value to the fault's factor for as long as the fault lasts.
 func (r *run) during(fault settings.Fault, value *float64, normal float64) {
 	*value = fault.Factor
-	r.after(fault.For, func() { *value = normal })
+	r.after(fault.Duration, func() { *value = normal })
 }
 
 func (r *run) slowFailureDomain(fault settings.Fault) {
@@ -76,19 +76,19 @@
 func (r *run) hangServer(fault settings.Fault) {
 	server := r.servers[fault.Server]
 	server.Hanging = true
-	r.after(fault.For, func() { server.Hanging = false })
+	r.after(fault.Duration, func() { server.Hanging = false })
 }
 
 func (r *run) crashServer(fault settings.Fault) {
 	r.killServer(fault.Server)
-	r.after(fault.For, func() { r.restartServer(fault.Server) })
+	r.after(fault.Duration, func() { r.restartServer(fault.Server) })
 }
 
 func (r *run) restartFailureDomain(fault settings.Fault) {
 	for i, server := range r.scenario.Coordinator.Site.Servers {
 		if int(server.FailureDomain) == fault.FailureDomain {
 			r.killServer(i)
-			r.after(fault.For, func() { r.restartServer(i) })
+			r.after(fault.Duration, func() { r.restartServer(i) })
 		}
 	}
 }
@@ -101,7 +101,7 @@
 	}
 	isolated.Isolate(func(netip.Addr) bool { return true })
 	r.checker.ServerDown(r.network.Now(), r.servers[fault.Server].Addr)
-	r.after(fault.For, func() {
+	r.after(fault.Duration, func() {
 		isolated.Kill()
 		isolated.Isolate(nil)
 		r.restartServer(fault.Server)
@@ -110,8 +110,8 @@
 
 func (r *run) drainServer(fault settings.Fault) {
 	r.startAgent(fault.Server, true)
-	if fault.For > 0 {
-		r.after(fault.For, func() { r.startAgent(fault.Server, false) })
+	if fault.Duration > 0 {
+		r.after(fault.Duration, func() { r.startAgent(fault.Server, false) })
 	}
 }
 
@@ -124,11 +124,11 @@
 	i := r.faultyCoordinator(fault)
 	r.takeovers = append(r.takeovers, takeover{stoppedAt: r.network.Now()})
 	r.stopCoordinator(i)
-	r.after(fault.For, func() { r.startCoordinator(i) })
+	r.after(fault.Duration, func() { r.startCoordinator(i) })
 }
 
 func (r *run) pauseCoordinator(fault settings.Fault) {
-	r.coordinators[r.faultyCoordinator(fault)].host.Freeze(fault.For)
+	r.coordinators[r.faultyCoordinator(fault)].host.Freeze(fault.Duration)
 }
 
 // isolateCoordinator cuts a coordinator off from one side, in virtual time only.
@@ -143,25 +143,25 @@
 	}
 	fromPeers := fault.Kind == "coordinator_alone"
 	isolated.Isolate(func(address netip.Addr) bool { return peers[address] == fromPeers })
-	r.after(fault.For, func() { isolated.Isolate(nil) })
+	r.after(fault.Duration, func() { isolated.Isolate(nil) })
 }
 
 // ignoreUpdates makes a relay ignore updates. Its load changes too: little traffic makes this harder to detect, and does
 // as little harm.
 func (r *run) ignoreUpdates(fault settings.Fault) {
-	relay := r.relays[fault.Relay]
+	relay := r.relays[fault.Proxy]
 	relay.IgnoreUpdates(true)
 	relay.LoadFactor = fault.Factor
-	r.after(fault.For, func() {
+	r.after(fault.Duration, func() {
 		relay.IgnoreUpdates(false)
 		relay.LoadFactor = 1
 	})
 }
 
 func (r *run) killRelay(fault settings.Fault) {
-	r.relayHosts[fault.Relay].Kill()
-	r.checker.RelayDown(r.relays[fault.Relay].UID)
-	r.after(fault.For, func() { r.restartRelay(fault.Relay) })
+	r.relayHosts[fault.Proxy].Kill()
+	r.checker.RelayDown(r.relays[fault.Proxy].UID)
+	r.after(fault.Duration, func() { r.restartRelay(fault.Proxy) })
 }
 
 func (r *run) shortenPatience(fault settings.Fault) {
@@ -178,11 +178,11 @@
 
 func (r *run) growLoad(fault settings.Fault) {
 	for step := range growSteps {
-		r.after(fault.For*float64(step)/growSteps, func() {
+		r.after(fault.Duration*float64(step)/growSteps, func() {
 			r.setLoad(1 + (fault.Factor-1)*float64(step+1)/growSteps)
 		})
 	}
-	r.after(fault.For, func() { r.setLoad(1) })
+	r.after(fault.Duration, func() { r.setLoad(1) })
 }
 
 func (r *run) setLoad(factor float64) {
@@ -195,19 +195,19 @@
 func (r *run) disturbReports(fault settings.Fault) {
 	for _, relayHost := range r.relayHosts {
 		relayHost.DisturbDatagrams(fault.Kind == "reports_stop", fault.Factor)
-		r.after(fault.For, func() { relayHost.DisturbDatagrams(false, 0) })
+		r.after(fault.Duration, func() { relayHost.DisturbDatagrams(false, 0) })
 	}
 }
 
 func (r *run) cutZone(fault settings.Fault) {
 	zones := len(r.scenario.Coordinator.Site.Zones)
 	r.network.Cut(int(fault.Zone), zones, true)
-	r.after(fault.For, func() { r.network.Cut(int(fault.Zone), zones, false) })
+	r.after(fault.Duration, func() { r.network.Cut(int(fault.Zone), zones, false) })
 }
 
 // skipTime makes the clock jump, in virtual time only.
 func (r *run) skipTime(fault settings.Fault) {
 	if r.virtual != nil {
-		r.virtual.Gap(fault.For)
+		r.virtual.Gap(fault.Duration)
 	}
 }
--- a/internal/scenario/hosted.go
+++ b/internal/scenario/hosted.go
@@ -23,14 +23,14 @@
 	Seconds        float64
 	Seed           uint64
 	Sockets        bool
-	Only           int                   // this tenant alone, for comparison; -1: all
+	OnlyTenant     int                   // this tenant alone, for comparison; -1: all
 	Rate           float64               // requests a second of each tenant
 	Flood          int                   // this tenant floods the host from a third of the scenario on; -1: none
 	FloodRate      float64               // messages a second of the flood
 	Hosts          int                   // that share the tenants, in virtual time; 0 or 1: one alone
 	Kills          int                   // of hosts, at random moments, one host at a time
 	Restart        float64               // second at which the host is killed; 0: never
-	Down           float64               // seconds until a killed host runs again
+	RestartDelay   float64               // seconds until a killed host runs again
 	Remove         int                   // this tenant is removed halfway, and created again; -1: none
 	Drains         bool                  // each tenant has a server drained during the flood
 	Log            *slog.Logger          // nil: none
@@ -43,21 +43,21 @@
 // DefaultHostedScenario returns the scenario that runs if nothing else is asked for.
 func DefaultHostedScenario() HostedScenario {
 	return HostedScenario{
-		Tenants:   20,
-		Servers:   4,
-		Relays:    4,
-		Seconds:   30,
-		Seed:      1,
-		Only:      -1,
-		Rate:      24,
-		Flood:     -1,
-		FloodRate: 2000,
-		Remove:    -1,
+		Tenants:    20,
+		Servers:    4,
+		Relays:     4,
+		Seconds:    30,
+		Seed:       1,
+		OnlyTenant: -1,
+		Rate:       24,
+		Flood:      -1,
+		FloodRate:  2000,
+		Remove:     -1,
 	}
 }
 
 // includes tells whether a tenant is part of the scenario.
-func (s *HostedScenario) includes(tenant int) bool { return s.Only < 0 || s.Only == tenant }
+func (s *HostedScenario) includes(tenant int) bool { return s.OnlyTenant < 0 || s.OnlyTenant == tenant }
 
 const (
 	electionSeconds = 5.0    // at most, until a group of hosts has a leader and leases
--- a/internal/scenario/hosted_hosts.go
+++ b/internal/scenario/hosted_hosts.go
@@ -118,7 +118,7 @@
 // restartHost kills a host, and starts it again.
 func (r *hostedRun) restartHost(i int) {
 	r.stopHost(i)
-	r.after(r.scenario.Down, func() { r.startHost(i) })
+	r.after(r.scenario.RestartDelay, func() { r.startHost(i) })
 }
 
 // addStats adds the counters of a host's program to the result.
--- a/internal/scenario/hosted_test.go
+++ b/internal/scenario/hosted_test.go
@@ -74,7 +74,7 @@
 	}
 	for _, number := range []int{0, 4, 11} {
 		alone := scenario
-		alone.Only = number
+		alone.OnlyTenant = number
 		alone.Flood = -1
 		aloneResult, err := RunHosted(alone)
 		if err != nil {
@@ -128,7 +128,7 @@
 	scenario := DefaultHostedScenario()
 	scenario.Drains = true
 	scenario.Restart = 15.2
-	scenario.Down = 1
+	scenario.RestartDelay = 1
 	result := runHosted(t, scenario)
 	if !result.Kept() || result.Host.Starts != 2*scenario.Tenants {
 		t.Error("not kept", result.Host)
@@ -154,7 +154,7 @@
 	scenario := DefaultHostedScenario()
 	scenario.Hosts = 3
 	scenario.Kills = 3
-	scenario.Down = 2
+	scenario.RestartDelay = 2
 	scenario.Drains = true
 	scenario.Seconds = 60
 	scenario.Remove = 5
@@ -185,7 +185,7 @@
 		scenario.Tenants = 6
 		scenario.Hosts = 3
 		scenario.Kills = 4
-		scenario.Down = 1 + float64(seed%4)
+		scenario.RestartDelay = 1 + float64(seed%4)
 		scenario.Drains = true
 		scenario.Seconds = 60
 		scenario.Remove = 5
--- a/internal/scenario/processes.go
+++ b/internal/scenario/processes.go
@@ -18,10 +18,10 @@
 
 // Processes describes coordinators that run as processes of their own.
 type Processes struct {
-	Exe    string    // the program, which has a command serve
-	Env    []string  // added to this process's environment
-	Folder string    // of their settings and stores
-	Log    io.Writer // takes their standard error
+	Executable string    // the program, which has a command serve
+	Env        []string  // added to this process's environment
+	Folder     string    // of their settings and stores
+	Log        io.Writer // takes their standard error
 }
 
 // processHost is a coordinator's process.
@@ -56,7 +56,7 @@
 	if err := os.WriteFile(file("xml"), text, 0o600); err != nil {
 		return nil, err
 	}
-	cmd := exec.Command(processes.Exe, "serve", "--log-level", "info", file("xml"))
+	cmd := exec.Command(processes.Executable, "serve", "--log-level", "info", file("xml"))
 	cmd.Env = append(os.Environ(), processes.Env...)
 	cmd.Stderr = processes.Log
 	// The process ends with this one, however this one ends.
--- a/internal/scenario/proxies.go
+++ b/internal/scenario/proxies.go
@@ -121,16 +121,16 @@
 	}
 	switch fault.Kind {
 	case "balancer_stall":
-		r.proxies[fault.Relay].host.Freeze(fault.For)
+		r.proxies[fault.Proxy].host.Freeze(fault.Duration)
 	case "balancer_deaf": // a real proxy applies what it receives
 	case "balancer_restart":
 		r.killProxy(fault)
 	case "reconnect":
-		r.proxies[fault.Relay].proxy.Reconnect(r.network.Now())
+		r.proxies[fault.Proxy].proxy.Reconnect(r.network.Now())
 	case "report_late", "reports_stop":
 		for _, disturbed := range r.proxies {
 			disturbed.host.DisturbDatagrams(fault.Kind == "reports_stop", fault.Factor)
-			r.after(fault.For, func() { disturbed.host.DisturbDatagrams(false, 0) })
+			r.after(fault.Duration, func() { disturbed.host.DisturbDatagrams(false, 0) })
 		}
 	case "demand":
 		for _, loaded := range r.proxies {
@@ -143,12 +143,12 @@
 }
 
 func (r *run) killProxy(fault settings.Fault) {
-	killed := r.proxies[fault.Relay]
+	killed := r.proxies[fault.Proxy]
 	killed.host.Kill()
-	r.checker.RelayDown(r.scenario.Coordinator.Site.Proxies[fault.Relay].UID)
-	r.after(fault.For, func() {
+	r.checker.RelayDown(r.scenario.Coordinator.Site.Proxies[fault.Proxy].UID)
+	r.after(fault.Duration, func() {
 		killed.restarts++
-		killed.proxy = proxy.New(r.network.Now(), r.proxyConfig(fault.Relay))
+		killed.proxy = proxy.New(r.network.Now(), r.proxyConfig(fault.Proxy))
 		r.fail(startOn(killed.host, killed.proxy))
 	})
 }
--- a/internal/scenario/random_faults.go
+++ b/internal/scenario/random_faults.go
@@ -27,12 +27,12 @@
 	return settings.Fault{
 		Kind:          "coordinator_restart",
 		Server:        server,
-		Relay:         noTarget,
+		Proxy:         noTarget,
 		FailureDomain: noTarget,
 		Zone:          noTarget,
 		Factor:        1,
 		At:            at,
-		For:           duration,
+		Duration:      duration,
 	}
 }
 
@@ -46,13 +46,13 @@
 		switch random.IntN(8) {
 		case 0, 1:
 			fault.Kind = "coordinator_pause"
-			fault.For = 0.5 + 10*random.Float64()
+			fault.Duration = 0.5 + 10*random.Float64()
 		case 2:
 			fault.Kind = "coordinator_hidden"
-			fault.For = 1 + 15*random.Float64()
+			fault.Duration = 1 + 15*random.Float64()
 		case 3:
 			fault.Kind = "coordinator_alone"
-			fault.For = 1 + 10*random.Float64()
+			fault.Duration = 1 + 10*random.Float64()
 		}
 		scenario.Faults = append(scenario.Faults, fault)
 	}
@@ -79,34 +79,34 @@
 	fault := settings.Fault{
 		Kind:          redrawnKinds[random.IntN(len(redrawnKinds))],
 		Server:        random.IntN(len(site.Servers)),
-		Relay:         random.IntN(len(site.Proxies)),
+		Proxy:         random.IntN(len(site.Proxies)),
 		Zone:          site.Servers[random.IntN(len(site.Servers))].Zone,
 		FailureDomain: int(site.Servers[random.IntN(len(site.Servers))].FailureDomain),
 	}
 	fault.At = firstFaultSeconds + random.Float64()*(scenario.Seconds-faultFreeEndSeconds-firstFaultSeconds)
 	switch fault.Kind {
 	case "slow":
-		fault.For = between(5, 20)
+		fault.Duration = between(5, 20)
 		fault.Factor = between(2, 8)
 	case "fast_errors":
-		fault.For = between(5, 20)
+		fault.Duration = between(5, 20)
 		fault.Factor = between(0.3, 0.9)
 	case "hang", "reports_stop":
-		fault.For = between(4, 15)
+		fault.Duration = between(4, 15)
 	case "crash", "mass_restart", "coordinator_restart", "balancer_restart":
-		fault.For = between(0.3, 5)
+		fault.Duration = between(0.3, 5)
 	case "zone_cut":
-		fault.For = between(4, 12)
+		fault.Duration = between(4, 12)
 		fault.Zone = site.Servers[len(site.Servers)/2].Zone // not the coordinator's
 	case "drain":
-		fault.For = between(5, 20)
+		fault.Duration = between(5, 20)
 	case "balancer_stall", "clock_gap":
-		fault.For = between(0.5, 3)
+		fault.Duration = between(0.5, 3)
 	case "report_late":
-		fault.For = between(5, 15)
+		fault.Duration = between(5, 15)
 		fault.Factor = between(1, 4)
 	case "demand":
-		fault.For = between(3, 10)
+		fault.Duration = between(3, 10)
 		fault.Factor = between(1.3, 2)
 	}
 	return fault
@@ -153,7 +153,7 @@
 	pause := kill
 	pause.Kind = "coordinator_pause"
 	pause.At = kill.At + interval*random.Float64()
-	pause.For = 0.5 + 7*random.Float64()
+	pause.Duration = 0.5 + 7*random.Float64()
 	pause.Server = random.IntN(sharedCoordinators)
 	return pause
 }
@@ -165,15 +165,15 @@
 		fault := settings.Fault{
 			Kind:          otherKinds[random.IntN(len(otherKinds))],
 			Server:        server,
-			Relay:         random.IntN(len(site.Proxies)),
+			Proxy:         random.IntN(len(site.Proxies)),
 			FailureDomain: int(site.Servers[server].FailureDomain),
 			Zone:          site.Servers[server].Zone,
 			At:            at,
-			For:           0.5 + 5*random.Float64(),
+			Duration:      0.5 + 5*random.Float64(),
 			Factor:        takeoverFactor,
 		}
 		if fault.Kind == "drain" {
-			fault.For += extraDrainSeconds
+			fault.Duration += extraDrainSeconds
 		}
 		scenario.Faults = append(scenario.Faults, fault)
 	}
--- a/internal/scenario/relays.go
+++ b/internal/scenario/relays.go
@@ -35,7 +35,7 @@
 	for i := range site.Proxies {
 		config := r.relayConfig(i, r.scenario.Rate*loads[i]/sum)
 		config.DefaultTable = r.drawDefaultTable()
-		if r.options.Proxies {
+		if r.options.RealProxies {
 			r.addProxy(i, config.Rate, config.DefaultTable)
 			continue
 		}
--- a/internal/scenario/scenario.go
+++ b/internal/scenario/scenario.go
@@ -41,7 +41,7 @@
 	OnMessageTrace   func(controlplane.MessageTrace) // optional
 	Seed             uint64                          // 0: the scenario's
 	Coordinators     int                             // that share the fleet; 0 or 1: one alone
-	Proxies          bool                            // real proxies with HTTP clients, in place of emulated relays
+	RealProxies      bool                            // real proxies with HTTP clients, in place of emulated relays
 	Processes        *Processes                      // coordinators are processes of their own, over sockets; nil: they are not
 	OnLedCheck       func(now float64, led bool)     // optional: whether all relays are led
 	Policy           emulator.Policy                 // of emulated relays
@@ -139,7 +139,7 @@
 func emulatedClasses(scenario *settings.Scenario) []emulator.Class {
 	site := &scenario.Coordinator.Site
 	var classes []emulator.Class
-	for _, query := range scenario.Queries {
+	for _, query := range scenario.Classes {
 		class := 0
 		for class < len(site.ClassNames) && site.ClassNames[class] != query.Class {
 			class++
@@ -170,8 +170,8 @@
 	faults := &r.virtual.Faults
 	faults.SplitProbability = r.scenario.Split
 	faults.LossProbability = r.scenario.Loss
-	faults.DuplicateProbability = r.scenario.Double
-	faults.MaxDelay = r.scenario.Late
+	faults.DuplicateProbability = r.scenario.Duplication
+	faults.MaxDelay = r.scenario.Delay
 	faults.DetectionDelay = maxDetectionSeconds
 }
 
--- a/internal/scenario/scenario_test.go
+++ b/internal/scenario/scenario_test.go
@@ -149,12 +149,12 @@
 
 func drawFault(rt *rapid.T) settings.Fault {
 	fault := settings.Fault{
-		Kind:   rapid.SampledFrom(rapidKinds).Draw(rt, "kind"),
-		At:     4 + rapid.Float64Range(0, 22).Draw(rt, "at"),
-		Server: rapid.IntRange(0, 11).Draw(rt, "server"),
-		Relay:  rapid.IntRange(0, 11).Draw(rt, "relay"),
-		For:    rapid.Float64Range(0.3, 4).Draw(rt, "for"),
-		Factor: 3,
+		Kind:     rapid.SampledFrom(rapidKinds).Draw(rt, "kind"),
+		At:       4 + rapid.Float64Range(0, 22).Draw(rt, "at"),
+		Server:   rapid.IntRange(0, 11).Draw(rt, "server"),
+		Proxy:    rapid.IntRange(0, 11).Draw(rt, "relay"),
+		Duration: rapid.Float64Range(0.3, 4).Draw(rt, "for"),
+		Factor:   3,
 	}
 	if fault.Kind == "fast_errors" {
 		fault.Factor = 0.7
--- a/internal/scenario/servers.go
+++ b/internal/scenario/servers.go
@@ -37,11 +37,11 @@
 		Classes:          r.classes,
 		Seed:             r.random.Uint64(),
 		MaxConnections:   model.Connections,
-		ConnectionWork:   model.ConnWork,
-		KeyCacheDuration: model.KeyFor,
-		KeyCacheSaving:   model.KeyLess,
-		KeyCacheSize:     model.KeyMost,
-		CancelsWork:      model.Stops,
+		ConnectionWork:   model.ConnectionCost,
+		KeyCacheDuration: model.KeyCacheDuration,
+		KeyCacheSaving:   model.KeyCacheSaving,
+		KeyCacheSize:     model.MaxCachedKeys,
+		CancelsWork:      model.CancelsWork,
 	}
 }
 
--- a/internal/scenario/takeover_test.go
+++ b/internal/scenario/takeover_test.go
@@ -42,7 +42,7 @@
 		for server := range 3 {
 			scenario := parseDefaultScenario(t)
 			scenario.Seconds = 50
-			scenario.Faults = []settings.Fault{{Kind: kind, Server: server, At: 8, For: 30, Relay: -1, FailureDomain: -1, Zone: -1}}
+			scenario.Faults = []settings.Fault{{Kind: kind, Server: server, At: 8, Duration: 30, Proxy: -1, FailureDomain: -1, Zone: -1}}
 			unledSeconds := 0.0
 			lastUnled := 0.0
 			checkLed := func(now float64, led bool) {
--- a/internal/service/admin_client.go
+++ b/internal/service/admin_client.go
@@ -114,5 +114,5 @@
 	return &AdminError{Status: status, Detail: problem.Detail}
 }
 
-// Escape escapes a server name for use as one segment of a path.
-func Escape(name string) string { return url.PathEscape(name) }
+// EscapePathSegment escapes a server name for use as one segment of a path.
+func EscapePathSegment(name string) string { return url.PathEscape(name) }
--- a/internal/service/helpers_test.go
+++ b/internal/service/helpers_test.go
@@ -38,7 +38,7 @@
 }
 
 func runProxy(config *settings.Proxy) *running {
-	return run(func(stop <-chan os.Signal) error { return Proxy(config, slog.New(slog.DiscardHandler), stop) })
+	return run(func(stop <-chan os.Signal) error { return ServeProxy(config, slog.New(slog.DiscardHandler), stop) })
 }
 
 // parseExample parses the example settings of a coordinator after replacements of their text.
--- a/internal/service/metrics.go
+++ b/internal/service/metrics.go
@@ -46,7 +46,7 @@
 	w.gauge("graphite_reached", "1 while the receiver of figures is connected.", boolGauge(connected))
 	w.gauge("graphite_waiting_samples", "Samples that wait for it.", float64(samples))
 	w.gauge("graphite_waiting_values", "Values in them.", float64(values))
-	w.gauge("graphite_coarsest_seconds", "Seconds that the coarsest of them stands for.", sender.Coarsest())
+	w.gauge("graphite_coarsest_seconds", "Seconds that the coarsest of them stands for.", sender.LongestSpan())
 	w.counter("graphite_samples", "Samples made.", sender.Stats.Samples)
 	w.counter("graphite_merged", "Times that two samples became one, for want of room.", sender.Stats.Merged)
 	w.counter("graphite_broken", "Connections that broke with samples on their way.", sender.Disconnects)
--- a/internal/service/proxy.go
+++ b/internal/service/proxy.go
@@ -13,13 +13,13 @@
 	"snowquay/internal/settings"
 )
 
-// Proxy runs a proxy until a signal arrives on stop. It sets the fields of config that belong to the running process, such as
+// ServeProxy runs a proxy until a signal arrives on stop. It sets the fields of config that belong to the running process, such as
 // its logger.
-func Proxy(config *settings.Proxy, logger *slog.Logger, stop <-chan os.Signal) (err error) {
+func ServeProxy(config *settings.Proxy, logger *slog.Logger, stop <-chan os.Signal) (err error) {
 	proc := &process{role: "proxy", logger: logger}
 	defer func() { err = errors.Join(err, proc.close()) }()
-	if config.Path != "" {
-		config.Store = tableSnapshot(config.Path)
+	if config.SnapshotPath != "" {
+		config.Store = tableSnapshot(config.SnapshotPath)
 	}
 	config.Log = func(event string, pairs ...any) { logger.Info(event, pairs...) }
 	clock := eventloop.Clock()
--- a/internal/settings/administration.go
+++ b/internal/settings/administration.go
@@ -44,7 +44,7 @@
 		return nil
 	}
 	config := &graphite.Config{
-		To:        d.endpoint(element, "address"),
+		Address:   d.endpoint(element, "address"),
 		Prefix:    element.attrs["prefix"],
 		Interval:  element.number("every"),
 		MaxSeries: graphite.DefaultMaxSeries,
--- a/internal/settings/coordinator.go
+++ b/internal/settings/coordinator.go
@@ -134,7 +134,7 @@
 	}
 	if g := c.Graphite; g != nil {
 		fmt.Fprintf(&text, "figures to %s each %g s, below %s; room for %d values while it is away\n",
-			g.To, g.Interval, g.Prefix, g.Spool.MaxValues)
+			g.Address, g.Interval, g.Prefix, g.Spool.MaxValues)
 	}
 	fmt.Fprintf(&text, "measurements on %s (signed: %t), store %q\n", c.Measurements, c.Key != "", c.Store)
 	c.writeSite(&text)
--- a/internal/settings/experiment.go
+++ b/internal/settings/experiment.go
@@ -11,46 +11,46 @@
 
 // Experiment is a set of runs: each case with each fleet, each arm and each seed.
 type Experiment struct {
-	Name   string
-	Seeds  int    // number of seeds
-	First  uint64 // first seed
-	Fleets []ExperimentFleet
-	Cases  []ExperimentCase
-	Arms   []Arm
-	Text   []byte // the file
+	Name      string
+	Seeds     int    // number of seeds
+	FirstSeed uint64 // first seed
+	Fleets    []ExperimentFleet
+	Cases     []ExperimentCase
+	Arms      []Arm
+	Text      []byte // the file
 }
 
 // ExperimentFleet is the size and the load of an experiment's fleet.
 type ExperimentFleet struct {
-	Name            string
-	Servers, Relays int
-	Load            float64 // fraction of the servers' capacity that is requested
-	Rate            float64 // requests per second instead of Load; 0: by Load
-	Spread          float64 // of traffic between proxies: a busy one has exp(2*Spread) times the least
-	Retries         int     // retries of a client
+	Name             string
+	Servers, Proxies int
+	Load             float64 // fraction of the servers' capacity that is requested
+	Rate             float64 // requests per second instead of Load; 0: by Load
+	Spread           float64 // of traffic between proxies: a busy one has exp(2*Spread) times the least
+	Retries          int     // retries of a client
 }
 
 // ExperimentCase is a scenario: faults that are listed, faults that are drawn by the seed, and crashes of
 // coordinators.
 type ExperimentCase struct {
-	Name    string
-	Seconds float64
-	Drawn   int      // number of faults that are drawn
-	Kinds   []string // kinds of faults that are drawn; none: any
-	Kills   int      // crashes of coordinators
-	Faults  []Fault
+	Name         string
+	Seconds      float64
+	RandomFaults int      // number of faults that are drawn
+	Kinds        []string // kinds of faults that are drawn; none: any
+	Kills        int      // crashes of coordinators
+	Faults       []Fault
 }
 
 // Arm is one of the variants that an experiment compares.
 type Arm struct {
-	Name         string
-	Policy       string // snowquay, listed, robin or two
-	Front        string
-	Coordinators int
-	Period       float64 // seconds between two load reports; 0: the default
-	Levels       string
-	Without      []controlplane.Guard // guards that are disabled
-	Program      string               // executable of another build that runs it; empty: this one
+	Name           string
+	Policy         string // snowquay, listed, robin or two
+	Frontend       string
+	Coordinators   int
+	ReportInterval float64 // seconds between two load reports; 0: the default
+	Admission      string
+	Without        []controlplane.Guard // guards that are disabled
+	Program        string               // executable of another build that runs it; empty: this one
 }
 
 // LoadExperiment reads an experiment file.
@@ -74,16 +74,16 @@
 func readExperiment(root *node) (*Experiment, error) {
 	dec := newDecoder()
 	experiment := &Experiment{
-		Name:  root.attrs["name"],
-		Seeds: root.int("seeds"),
-		First: uint64(root.int("first-seed")),
+		Name:      root.attrs["name"],
+		Seeds:     root.int("seeds"),
+		FirstSeed: uint64(root.int("first-seed")),
 	}
 	names := map[string]bool{}
 	for _, n := range root.all("fleet") {
 		experiment.Fleets = append(experiment.Fleets, ExperimentFleet{
 			Name:    dec.uniqueName(n, names),
 			Servers: n.int("servers"),
-			Relays:  n.int("relays"),
+			Proxies: n.int("relays"),
 			Load:    n.number("load"),
 			Rate:    n.number("rate"),
 			Spread:  n.number("spread"),
@@ -115,20 +115,20 @@
 
 func (d *decoder) readExperimentCase(caseElement *node, names map[string]bool) ExperimentCase {
 	experimentCase := ExperimentCase{
-		Name:    d.uniqueName(caseElement, names),
-		Seconds: caseElement.number("seconds"),
-		Drawn:   caseElement.int("drawn"),
-		Kinds:   strings.Fields(caseElement.attrs["kinds"]),
-		Kills:   caseElement.int("kills"),
+		Name:         d.uniqueName(caseElement, names),
+		Seconds:      caseElement.number("seconds"),
+		RandomFaults: caseElement.int("drawn"),
+		Kinds:        strings.Fields(caseElement.attrs["kinds"]),
+		Kills:        caseElement.int("kills"),
 	}
 	for _, element := range caseElement.all("trouble") {
 		fault := Fault{
 			Kind:          element.attrs["kind"],
 			At:            element.number("at"),
-			For:           element.number("for"),
+			Duration:      element.number("for"),
 			Factor:        element.number("factor"),
 			Server:        element.int("server"),
-			Relay:         element.int("relay"),
+			Proxy:         element.int("relay"),
 			FailureDomain: element.int("pod"),
 			Zone:          balancer.Zone(1),
 		}
@@ -142,13 +142,13 @@
 
 func (d *decoder) readArm(element *node, names map[string]bool) Arm {
 	arm := Arm{
-		Name:         d.uniqueName(element, names),
-		Policy:       element.attrs["policy"],
-		Front:        element.attrs["front"],
-		Coordinators: element.int("coordinators"),
-		Period:       element.number("period"),
-		Levels:       element.attrs["levels"],
-		Program:      element.attrs["program"],
+		Name:           d.uniqueName(element, names),
+		Policy:         element.attrs["policy"],
+		Frontend:       element.attrs["front"],
+		Coordinators:   element.int("coordinators"),
+		ReportInterval: element.number("period"),
+		Admission:      element.attrs["levels"],
+		Program:        element.attrs["program"],
 	}
 	for _, name := range strings.Fields(element.attrs["without"]) {
 		guard := controlplane.Guard(name)
@@ -157,7 +157,7 @@
 		}
 		arm.Without = append(arm.Without, guard)
 	}
-	if arm.Levels != admissionIgnored && arm.Front != "http" {
+	if arm.Admission != admissionIgnored && arm.Frontend != "http" {
 		d.fail(element, "levels: only the front http has a word for them")
 	}
 	return arm
--- a/internal/settings/fault.go
+++ b/internal/settings/fault.go
@@ -11,9 +11,9 @@
 type Fault struct {
 	Kind                         string
 	At                           float64 // seconds since the start
-	For                          float64 // duration in seconds
+	Duration                     float64 // duration in seconds
 	Factor                       float64
-	Server, Relay, FailureDomain int // the server and the proxy by their position in the settings
+	Server, Proxy, FailureDomain int // the server and the proxy by their position in the settings
 	Zone                         balancer.Zone
 }
 
@@ -50,7 +50,7 @@
 	fault := Fault{
 		Kind:          element.attrs["kind"],
 		At:            element.number("at"),
-		For:           element.number("for"),
+		Duration:      element.number("for"),
 		Factor:        element.number("factor"),
 		FailureDomain: noTarget,
 		Zone:          noTarget,
@@ -61,7 +61,7 @@
 	}
 	servers := scenario.Coordinator.Site.Servers
 	fault.Server = d.readIndex(element, "server", len(servers))
-	fault.Relay = d.readIndex(element, "relay", len(scenario.Coordinator.Site.Proxies))
+	fault.Proxy = d.readIndex(element, "relay", len(scenario.Coordinator.Site.Proxies))
 	if element.attrs["pod"] != "" {
 		fault.FailureDomain = element.int("pod")
 		inDomain := func(server registry.ServerConfig) bool {
--- a/internal/settings/proxy.go
+++ b/internal/settings/proxy.go
@@ -19,9 +19,9 @@
 // Proxy is the content of a proxy's settings file.
 type Proxy struct {
 	proxy.Config
-	Listen  netip.AddrPort
-	Metrics netip.AddrPort // not valid: no metrics are served
-	Path    string         // file of the table snapshot; empty: there is none
+	Listen       netip.AddrPort
+	Metrics      netip.AddrPort // not valid: no metrics are served
+	SnapshotPath string         // file of the table snapshot; empty: there is none
 }
 
 // LoadProxy reads a proxy's settings file.
@@ -50,7 +50,7 @@
 	config.UID = root.attrs["uid"]
 	config.Listen = dec.endpoint(listen, "clients")
 	config.Metrics = dec.endpoint(listen, "metrics")
-	config.Path = listen.attrs["store"]
+	config.SnapshotPath = listen.attrs["store"]
 	config.Seed = uint64(root.int("seed"))
 	forwarding := &config.Forwarding
 	forwarding.ClassNames = site.ClassNames
--- a/internal/settings/scenario.go
+++ b/internal/settings/scenario.go
@@ -8,8 +8,8 @@
 	"snowquay/internal/core/controlplane"
 )
 
-// QueryMix is the share of a request class in the traffic of a scenario.
-type QueryMix struct {
+// ClassMix is the share of a request class in the traffic of a scenario.
+type ClassMix struct {
 	Class string
 	Share float64 // of all requests
 	Work  float64 // mean seconds on a core
@@ -17,30 +17,30 @@
 
 // Scenario is a test run with emulated servers, proxies and clients, and with injected faults.
 type Scenario struct {
-	Coordinator      *Coordinator
-	coordinator      *node // what Coordinator was read from
-	Seconds          float64
-	Seed             uint64
-	Cores, Queue     int     // of each server
-	Slowest, Fastest float64 // range of the servers' speed
-	Rate             float64 // requests per second
-	Spread           float64 // of the traffic between proxies
-	Keys             int
-	Queries          []QueryMix
-	Split, Loss      float64 // probabilities that a message is split, and that a packet is lost
-	Double, Late     float64 // probabilities that a packet is duplicated, and that it is late
-	Faults           []Fault
-	Model            ServerModel
-	Clients          ClientModel
+	Coordinator        *Coordinator
+	coordinator        *node // what Coordinator was read from
+	Seconds            float64
+	Seed               uint64
+	Cores, Queue       int     // of each server
+	Slowest, Fastest   float64 // range of the servers' speed
+	Rate               float64 // requests per second
+	Spread             float64 // of the traffic between proxies
+	Keys               int
+	Classes            []ClassMix
+	Split, Loss        float64 // probabilities that a message is split, and that a packet is lost
+	Duplication, Delay float64 // probabilities that a packet is duplicated, and that it is late
+	Faults             []Fault
+	Model              ServerModel
+	Clients            ClientModel
 }
 
 // ServerModel is the behaviour of emulated servers besides their speed. A zero value disables a feature.
 type ServerModel struct {
-	Connections     int
-	ConnWork        float64 // seconds on a core that a new connection costs
-	KeyFor, KeyLess float64 // seconds for which a key is cached, and the fraction of the work that this saves
-	KeyMost         int     // maximum number of cached keys
-	Stops           bool    // work ends when its client has given up
+	Connections                      int
+	ConnectionCost                   float64 // seconds on a core that a new connection costs
+	KeyCacheDuration, KeyCacheSaving float64 // seconds for which a key is cached, and the fraction of the work that this saves
+	MaxCachedKeys                    int     // maximum number of cached keys
+	CancelsWork                      bool    // work ends when its client has given up
 }
 
 // ClientModel is the behaviour of emulated clients.
@@ -90,8 +90,8 @@
 	if network := root.one("net"); network != nil {
 		scenario.Split = network.number("split")
 		scenario.Loss = network.number("loss")
-		scenario.Double = network.number("double")
-		scenario.Late = network.number("late")
+		scenario.Duplication = network.number("double")
+		scenario.Delay = network.number("late")
 	}
 	for _, n := range root.all("trouble") {
 		scenario.Faults = append(scenario.Faults, dec.readFault(n, scenario))
@@ -108,12 +108,12 @@
 		d.fail(n, "the slowest is faster than the fastest")
 	}
 	scenario.Model = ServerModel{
-		Connections: n.int("connections"),
-		ConnWork:    n.number("connection-work"),
-		KeyFor:      n.number("key-for"),
-		KeyLess:     n.number("key-less"),
-		KeyMost:     n.int("key-most"),
-		Stops:       n.bool("stops"),
+		Connections:      n.int("connections"),
+		ConnectionCost:   n.number("connection-work"),
+		KeyCacheDuration: n.number("key-for"),
+		KeyCacheSaving:   n.number("key-less"),
+		MaxCachedKeys:    n.int("key-most"),
+		CancelsWork:      n.bool("stops"),
 	}
 }
 
@@ -129,7 +129,7 @@
 	}
 	sum := 0.0
 	for _, element := range traffic.all("query") {
-		mix := QueryMix{
+		mix := ClassMix{
 			Class: element.attrs["class"],
 			Share: element.number("share"),
 			Work:  element.number("work"),
@@ -137,7 +137,7 @@
 		if !slices.Contains(scenario.Coordinator.Site.ClassNames, mix.Class) {
 			d.fail(element, "no class is named %q", mix.Class)
 		}
-		scenario.Queries = append(scenario.Queries, mix)
+		scenario.Classes = append(scenario.Classes, mix)
 		sum += mix.Share
 	}
 	if sum < 1-maxShareError || sum > 1+maxShareError {
--- a/internal/settings/scenario_write.go
+++ b/internal/settings/scenario_write.go
@@ -74,8 +74,8 @@
 	root.children = append(root.children, &node{name: "net", attrs: map[string]string{
 		"split":  formatNumber(s.Split),
 		"loss":   formatNumber(s.Loss),
-		"double": formatNumber(s.Double),
-		"late":   formatNumber(s.Late),
+		"double": formatNumber(s.Duplication),
+		"late":   formatNumber(s.Delay),
 	}})
 	for _, fault := range s.Faults {
 		root.children = append(root.children, fault.element(s.Coordinator.Site.Zones))
@@ -149,11 +149,11 @@
 		"slowest":         formatNumber(s.Slowest),
 		"fastest":         formatNumber(s.Fastest),
 		"connections":     fmt.Sprint(s.Model.Connections),
-		"connection-work": formatNumber(s.Model.ConnWork),
-		"key-for":         formatNumber(s.Model.KeyFor),
-		"key-less":        formatNumber(s.Model.KeyLess),
-		"key-most":        fmt.Sprint(s.Model.KeyMost),
-		"stops":           fmt.Sprint(s.Model.Stops),
+		"connection-work": formatNumber(s.Model.ConnectionCost),
+		"key-for":         formatNumber(s.Model.KeyCacheDuration),
+		"key-less":        formatNumber(s.Model.KeyCacheSaving),
+		"key-most":        fmt.Sprint(s.Model.MaxCachedKeys),
+		"stops":           fmt.Sprint(s.Model.CancelsWork),
 	}}
 }
 
@@ -167,7 +167,7 @@
 		"wait":       formatNumber(s.Clients.RetryWait),
 		"patience":   formatNumber(s.Clients.Patience),
 	}}
-	for _, mix := range s.Queries {
+	for _, mix := range s.Classes {
 		queries.children = append(queries.children, &node{name: "query", attrs: map[string]string{
 			"class": mix.Class,
 			"share": formatNumber(mix.Share),
@@ -181,10 +181,10 @@
 	element := &node{name: "trouble", attrs: map[string]string{
 		"kind":   f.Kind,
 		"at":     formatNumber(f.At),
-		"for":    formatNumber(f.For),
+		"for":    formatNumber(f.Duration),
 		"factor": formatNumber(f.Factor),
 	}}
-	for name, value := range map[string]int{"server": f.Server, "relay": f.Relay, "pod": f.FailureDomain} {
+	for name, value := range map[string]int{"server": f.Server, "relay": f.Proxy, "pod": f.FailureDomain} {
 		if value >= 0 {
 			element.attrs[name] = fmt.Sprint(value)
 		}
