--- a/internal/core/controlplane/proxies.go
+++ b/internal/core/controlplane/proxies.go
@@ -104,7 +104,7 @@
 
 // Join adds a proxy that has connected through a frontend, which delivers its tables from now on. The flag fresh says
 // that the proxy holds its default table only. A proxy that is joined already moves to the new frontend, and the old
-// one is told so by Displaced. The errors are ErrWrongCoordinator, ErrUnlistedRelay, ErrTooManyRelays and
+// one is told so by Displaced. The errors are ErrWrongCoordinator, ErrUnlistedProxy, ErrTooManyProxies and
 // ErrJoinRateExceeded.
 func (f *Fleet) Join(now float64, uid string, frontend Frontend, fresh bool) (*Proxy, error) {
 	if !f.owns(now, uid) {
--- a/internal/wire/http1/parse.go
+++ b/internal/wire/http1/parse.go
@@ -39,7 +39,7 @@
 
 // ParseResponse reads a response to a request with the given method from the beginning of data and returns its
 // length. The length is 0 while the response is incomplete; if response.UntilClose is set it ends with the
-// connection, and ResponseAtEOF then completes it. Errors are of type *Error with status 502, except those of
+// connection, and CompleteResponseAtEOF then completes it. Errors are of type *Error with status 502, except those of
 // the head's form.
 func ParseResponse(data []byte, requestMethod string, limits Limits, response *Message) (int, error) {
 	lines, headLength, err := splitHead(data, limits)
--- a/internal/wire/peer/frame.go
+++ b/internal/wire/peer/frame.go
@@ -76,7 +76,7 @@
 }
 
 // Next decodes the first frame in b and returns its length, which is 0 where more bytes are needed. The frame's Message points into b. An
-// error wraps ErrFrame or ErrCode and is final for the stream: nothing of the frame may be used.
+// error wraps ErrFrame or ErrAuthentication and is final for the stream: nothing of the frame may be used.
 func Next(b, key []byte) (frame Frame, length int, err error) {
 	length, err = frameLength(b)
 	if err != nil || length == 0 || len(b) < length {
