--- a/internal/coordinator/coordinator.go
+++ b/internal/coordinator/coordinator.go
@@ -73,7 +73,7 @@
 	coordinator.Fleet = fleet
 	coordinator.SASP = saspsession.New(fleet, coordinator, config.Limits, config.Policy)
 	coordinator.LongPoll = longpollhttp.New(coordinator, config.LongPollHTTPLimits, config.Site.ClassNames)
-	coordinator.LongPoll.LongPoll = longpoll.New(now, longPollEpoch(now), fleet, coordinator.LongPoll, config.LongPollLimits)
+	coordinator.LongPoll.Polls = longpoll.New(now, longPollEpoch(now), fleet, coordinator.LongPoll, config.LongPollLimits)
 	coordinator.Collector = collectd.New(fleet, config.User, config.Key)
 	if config.Graphite != nil {
 		coordinator.links.graphite = newGraphiteSender(now, *config.Graphite, config.Site.Seed)
--- a/internal/frontend/longpollhttp/bench_test.go
+++ b/internal/frontend/longpollhttp/bench_test.go
@@ -46,7 +46,7 @@
 	}
 	parked := 0
 	for end := time.Now().Add(20 * time.Second); parked < n; time.Sleep(time.Millisecond) {
-		s.Do(func(float64) { parked, _ = program.LongPoll.LongPoll.Parked() })
+		s.Do(func(float64) { parked, _ = program.LongPoll.Polls.Parked() })
 		if time.Now().After(end) {
 			b.Fatalf("%d of %d polls are parked", parked, n)
 		}
--- a/internal/frontend/longpollhttp/connections.go
+++ b/internal/frontend/longpollhttp/connections.go
@@ -51,7 +51,7 @@
 	id := conn.poll
 	conn.poll = 0
 	delete(f.byPoll, id)
-	f.LongPoll.PollClosed(f.now, id)
+	f.Polls.PollClosed(f.now, id)
 }
 
 // takePoll ends a parked poll and returns its connection, nil if it has none.
--- a/internal/frontend/longpollhttp/frontend.go
+++ b/internal/frontend/longpollhttp/frontend.go
@@ -52,8 +52,8 @@
 
 // Frontend serves the API of one coordinator. Use New.
 type Frontend struct {
-	// LongPoll serves the polls. It must be set before the first connection; the Frontend is its Handler.
-	LongPoll *longpoll.Server
+	// Polls serves the polls. It must be set before the first connection; the Frontend is its Handler.
+	Polls *longpoll.Server
 	// Stats counts events since the start.
 	Stats Stats
 
@@ -90,7 +90,7 @@
 // that reads a byte a second are among them, so that its proxy then leaves.
 func (f *Frontend) Tick(now float64) {
 	f.now = now
-	f.LongPoll.Tick(now)
+	f.Polls.Tick(now)
 	if now-f.lastCheck < expiryCheckInterval {
 		return
 	}
--- a/internal/frontend/longpollhttp/requests.go
+++ b/internal/frontend/longpollhttp/requests.go
@@ -118,7 +118,7 @@
 }
 
 func (f *Frontend) deleteProxy(conn *connection, uid string) {
-	if !f.LongPoll.ProxyLeft(f.now, uid) {
+	if !f.Polls.ProxyLeft(f.now, uid) {
 		f.respondProblem(conn, http.StatusNotFound, "not-joined", 0, "proxy %q has not joined", uid)
 		return
 	}
@@ -141,7 +141,7 @@
 	f.lastPoll++
 	conn.poll = f.lastPoll
 	f.byPoll[conn.poll] = conn
-	f.LongPoll.HandlePoll(f.now, conn.poll, poll)
+	f.Polls.HandlePoll(f.now, conn.poll, poll)
 }
 
 // parsePoll reads the query parameters of a poll. invalid is the parameter that the response names as the wrong one, empty
--- a/internal/scenario/coordinators.go
+++ b/internal/scenario/coordinators.go
@@ -162,7 +162,7 @@
 	r.result.PeakQueue = max(r.result.PeakQueue, peak)
 	addControlPlaneStats(&r.result.ControlPlane, instance.program.Fleet.Stats)
 	addSASPStats(&r.result.SASP, instance.program.SASP.Stats)
-	addLongPollStats(&r.result.LongPoll, instance.program.LongPoll.LongPoll.Stats)
+	addLongPollStats(&r.result.LongPoll, instance.program.LongPoll.Polls.Stats)
 	if len(r.coordinators) == 1 {
 		r.checker.CoordinatorDown()
 	}
--- a/internal/service/metrics_coordinator.go
+++ b/internal/service/metrics_coordinator.go
@@ -83,8 +83,8 @@
 
 func (w metricWriter) writeLongPoll(program *coordinator.Coordinator) {
 	frontend := program.LongPoll
-	parked, unacknowledged := frontend.LongPoll.Parked()
-	stats := frontend.LongPoll.Stats
+	parked, unacknowledged := frontend.Polls.Parked()
+	stats := frontend.Polls.Stats
 	w.gauge("polls_parked", "Polls that wait.", float64(parked))
 	w.gauge("polls_unacknowledged", "Answers that no later poll has acknowledged.", float64(unacknowledged))
 	w.gauge("poll_connections", "Connections of the long-poll API.", float64(frontend.Connections()))
