--- a/internal/core/histogram/histogram.go
+++ b/internal/core/histogram/histogram.go
@@ -9,7 +9,7 @@
 
 // Scale says where the bins begin. One histogram always uses the same scale.
 type Scale struct {
-	Least  float64 // start of the first bin; smaller values count as this one
+	Min    float64 // start of the first bin; smaller values count as this one
 	Growth float64 // ratio of the starts of two neighbouring bins, over 1
 	Halve  float64 // number of values after which all count half
 }
@@ -23,7 +23,7 @@
 
 // Add adds a value.
 func (h *Histogram) Add(scale Scale, value float64) {
-	bin := math.Log(max(value, scale.Least)/scale.Least) / math.Log(scale.Growth)
+	bin := math.Log(max(value, scale.Min)/scale.Min) / math.Log(scale.Growth)
 	h.counts[int(min(bin, binCount-1))]++
 	h.total++
 	for h.total > scale.Halve {
@@ -31,7 +31,7 @@
 	}
 	h.mean = 0
 	for i, count := range h.counts {
-		h.mean += count / max(h.total, 1) * scale.Least * math.Pow(scale.Growth, float64(i)+0.5)
+		h.mean += count / max(h.total, 1) * scale.Min * math.Pow(scale.Growth, float64(i)+0.5)
 	}
 }
 
--- a/internal/core/histogram/histogram_test.go
+++ b/internal/core/histogram/histogram_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-var testScale = Scale{Least: 0.2, Growth: 1.5, Halve: 64}
+var testScale = Scale{Min: 0.2, Growth: 1.5, Halve: 64}
 
 func TestMeanIsWithinABin(t *testing.T) {
 	for _, value := range []float64{0.01, 0.2, 3, 40, 1e9} {
--- a/internal/core/platformstate/command_buffer.go
+++ b/internal/core/platformstate/command_buffer.go
@@ -53,9 +53,9 @@
 }
 
 // SetAdmission implements balancer.CommandSink.
-func (c *CommandBuffer) SetAdmission(t balancer.Table, classes balancer.ClassSet, level float64, policy balancer.RetryPolicy) {
+func (c *CommandBuffer) SetAdmission(t balancer.Table, classes balancer.ClassSet, rate float64, policy balancer.RetryPolicy) {
 	key := commandKey{kind: setAdmission, table: t, classes: classes}
-	c.put(key, c.classes.AppendAdmission(nil, int(t), uint64(classes), level, int(policy)))
+	c.put(key, c.classes.AppendAdmission(nil, int(t), uint64(classes), rate, int(policy)))
 }
 
 // RequestAck implements balancer.CommandSink. Only the proxies that the call concerns acknowledge it.
--- a/internal/emulator/server.go
+++ b/internal/emulator/server.go
@@ -94,7 +94,7 @@
 	keyUsedAt       map[uint32]float64
 	keyOrder        []uint32 // in the order in which they were cached
 	aging           float64
-	coldArrivals    []coldArrival
+	warmupArrivals  []warmupArrival
 	overloaded      bool
 	random          randomSource
 }
--- a/internal/emulator/server_jobs.go
+++ b/internal/emulator/server_jobs.go
@@ -26,8 +26,8 @@
 	connectionSetup bool
 }
 
-// coldArrival is a request that arrived while the server was warming up.
-type coldArrival struct {
+// warmupArrival is a request that arrived while the server was warming up.
+type warmupArrival struct {
 	at                float64
 	work              float64
 	senderKnowsServer bool // the relay could know that the server is warming up
@@ -159,17 +159,17 @@
 // checkOverload adds up what arrives while the server warms up: too much of it within the window ends the server.
 func (s *Server) checkOverload(now float64, request job) {
 	if now-s.startedAt >= s.WarmupDuration {
-		s.coldArrivals = nil
+		s.warmupArrivals = nil
 		return
 	}
-	s.coldArrivals = append(s.coldArrivals, coldArrival{
+	s.warmupArrivals = append(s.warmupArrivals, warmupArrival{
 		at:                now,
 		work:              request.work,
 		senderKnowsServer: s.checker.senderKnowsServer(now, request.from, s.Addr),
 	})
 	sum := 0.0
 	knowing := 0.0
-	for _, arrival := range slices.Backward(s.coldArrivals) {
+	for _, arrival := range slices.Backward(s.warmupArrivals) {
 		if now-arrival.at > s.OverloadWindow {
 			break
 		}
--- a/internal/wire/peer/frame.go
+++ b/internal/wire/peer/frame.go
@@ -17,15 +17,15 @@
 
 // Offsets and lengths of the parts of a frame, in bytes.
 const (
-	lengthOffset  = 4
-	fromOffset    = 8
-	markOffset    = 16
-	commitOffset  = 24
-	toOffset      = 32
-	kindOffset    = 40
-	messageOffset = 41
-	codeBytes     = sha256.Size
-	maxFrameBytes = 8 << 20 // a snapshot of 16,000 servers takes half of that
+	lengthOffset    = 4
+	fromOffset      = 8
+	dataDirIDOffset = 16
+	commitOffset    = 24
+	toOffset        = 32
+	kindOffset      = 40
+	messageOffset   = 41
+	codeBytes       = sha256.Size
+	maxFrameBytes   = 8 << 20 // a snapshot of 16,000 servers takes half of that
 )
 
 // magic starts every frame. Another version of the format has another one.
@@ -89,7 +89,7 @@
 	frame = Frame{
 		From:      binary.BigEndian.Uint64(b[fromOffset:]),
 		To:        binary.BigEndian.Uint64(b[toOffset:]),
-		DataDirID: binary.BigEndian.Uint64(b[markOffset:]),
+		DataDirID: binary.BigEndian.Uint64(b[dataDirIDOffset:]),
 		Commit:    binary.BigEndian.Uint64(b[commitOffset:]),
 		Kind:      Kind(b[kindOffset]),
 		Message:   b[messageOffset:end],
