--- a/internal/core/pacing/queue.go
+++ b/internal/core/pacing/queue.go
@@ -7,10 +7,10 @@
 package pacing
 
 import (
-	"container/heap"
 	"math"
 
 	"snowquay/balancer"
+	"snowquay/internal/core/indexedheap"
 )
 
 // burstSeconds is for how many seconds entries may be sent at once after a pause: about a round, so that a few entries
@@ -33,11 +33,11 @@
 	unpaced  bool
 	waiters  map[balancer.Proxy]*waiter
 	ready    [priorities]waiterList
-	delayed  delayHeap // by the message limit
-	entries  float64   // that wait, with the overhead of their messages
-	peak     float64   // the most entries that ever waited
-	tokens   float64   // entries that may be sent now; below 0 after a large message
-	refillAt float64   // of the last refill of tokens
+	delayed  indexedheap.Heap[*waiter] // by the message limit
+	entries  float64                   // that wait, with the overhead of their messages
+	peak     float64                   // the most entries that ever waited
+	tokens   float64                   // entries that may be sent now; below 0 after a large message
+	refillAt float64                   // of the last refill of tokens
 }
 
 // New makes a queue for a channel. With unpaced, its rate and message limits do not hold, for tests of that safeguard.
@@ -103,8 +103,9 @@
 // allows no message, or no proxy waits. The caller sends the message and calls MarkSent, or calls Suspend, Drop or
 // Forget.
 func (q *Queue) Next(now float64) (proxy balancer.Proxy, ok bool) {
-	for len(q.delayed) > 0 && q.delayed[0].delayedUntil <= now {
-		w := heap.Pop(&q.delayed).(*waiter)
+	for q.delayed.Len() > 0 && q.delayed.First().delayedUntil <= now {
+		w := q.delayed.First()
+		q.delayed.Remove(w)
 		q.schedule(now, w)
 	}
 	q.refill(now)
@@ -167,7 +168,7 @@
 func (q *Queue) waiter(proxy balancer.Proxy) *waiter {
 	w := q.waiters[proxy]
 	if w == nil {
-		w = &waiter{proxy: proxy, heapIndex: notInHeap}
+		w = &waiter{proxy: proxy}
 		q.waiters[proxy] = w
 	}
 	return w
@@ -175,12 +176,12 @@
 
 // schedule puts a waiter where it belongs, unless it is there already or has nothing to wait for.
 func (q *Queue) schedule(now float64, w *waiter) {
-	if w.suspended || w.ready || w.heapIndex >= 0 || w.entries <= 0 {
+	if w.suspended || w.ready || w.InHeap() || w.entries <= 0 {
 		return
 	}
 	if until := q.limitedUntil(w); until > now {
 		w.delayedUntil = until
-		heap.Push(&q.delayed, w)
+		q.delayed.Push(w)
 		return
 	}
 	q.ready[w.priority].push(w)
@@ -200,9 +201,7 @@
 	if w.ready {
 		q.ready[w.priority].remove(w)
 	}
-	if w.heapIndex >= 0 {
-		heap.Remove(&q.delayed, w.heapIndex)
-	}
+	q.delayed.Remove(w)
 	if w.entries > 0 {
 		q.entries -= w.entries + q.channel.MessageOverhead
 	}
--- a/internal/core/pacing/waiter.go
+++ b/internal/core/pacing/waiter.go
@@ -1,12 +1,15 @@
 package pacing
 
-import "snowquay/balancer"
-
-const notInHeap = -1
+import (
+	"snowquay/balancer"
+	"snowquay/internal/core/indexedheap"
+)
 
 // waiter is the state of one proxy. It is in the ready list of its priority, in the heap of delayed waiters, or in
 // neither.
 type waiter struct {
+	indexedheap.Position // among the delayed waiters
+
 	proxy     balancer.Proxy
 	priority  Priority
 	entries   float64 // that it waits for; 0: none
@@ -15,7 +18,6 @@
 	ready          bool // it is in a ready list
 	previous, next *waiter
 
-	heapIndex    int // in the heap of delayed waiters, or notInHeap
 	delayedUntil float64
 
 	sentAt    []float64 // times of the latest messages, a ring as long as the message limit
@@ -23,6 +25,9 @@
 	sentCount int       // messages in the ring
 }
 
+// Less orders delayed waiters: the first due first.
+func (w *waiter) Less(other *waiter) bool { return w.delayedUntil < other.delayedUntil }
+
 // markSent adds a message to the ring. A limit of 0 is none.
 func (w *waiter) markSent(now float64, limit int) {
 	if limit <= 0 {
@@ -69,35 +74,3 @@
 	w.next = nil
 	w.ready = false
 }
-
-// delayHeap is a container/heap of the waiters that the message limit delays, first due on top.
-type delayHeap []*waiter
-
-// Len implements heap.Interface.
-func (h delayHeap) Len() int { return len(h) }
-
-// Less implements heap.Interface.
-func (h delayHeap) Less(i, j int) bool { return h[i].delayedUntil < h[j].delayedUntil }
-
-// Swap implements heap.Interface.
-func (h delayHeap) Swap(i, j int) {
-	h[i], h[j] = h[j], h[i]
-	h[i].heapIndex = i
-	h[j].heapIndex = j
-}
-
-// Push implements heap.Interface.
-func (h *delayHeap) Push(x any) {
-	w := x.(*waiter)
-	w.heapIndex = len(*h)
-	*h = append(*h, w)
-}
-
-// Pop implements heap.Interface.
-func (h *delayHeap) Pop() any {
-	last := len(*h) - 1
-	w := (*h)[last]
-	w.heapIndex = notInHeap
-	*h = (*h)[:last]
-	return w
-}
