--- a/internal/platform/run_test.go
+++ b/internal/platform/run_test.go
@@ -182,14 +182,12 @@
 // how many bytes were written, and the error that ended that.
 func writeWithoutReading(t *testing.T, address string) (written int, err error) {
 	t.Helper()
-	conn, err := net.Dial("tcp", address)
+	dialer := net.Dialer{Control: limitReceiveBuffer}
+	conn, err := dialer.Dial("tcp", address)
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = conn.Close() })
-	if err := conn.(*net.TCPConn).SetReadBuffer(4 << 10); err != nil {
-		t.Fatal(err)
-	}
 	if _, err := conn.Write(resp.Append(nil, "telemetry", "az", "a")); err != nil {
 		t.Fatal(err)
 	}
@@ -206,3 +204,14 @@
 	}
 	return written, nil
 }
+
+// limitReceiveBuffer gives a socket a receive buffer of 4 KiB before it connects. Done afterwards, it would shrink
+// a window that the peer may have filled already: the kernel then drops the peer's acknowledgements with its
+// data, and the connection only retransmits.
+func limitReceiveBuffer(_, _ string, socket syscall.RawConn) error {
+	var setErr error
+	err := socket.Control(func(descriptor uintptr) {
+		setErr = syscall.SetsockoptInt(int(descriptor), syscall.SOL_SOCKET, syscall.SO_RCVBUF, 4<<10)
+	})
+	return errors.Join(err, setErr)
+}
