--- a/internal/core/platformstate/acknowledged_test.go
+++ b/internal/core/platformstate/acknowledged_test.go
@@ -28,12 +28,12 @@
 func expectServers(t *testing.T, c *CommandBuffer, want ...string) {
 	t.Helper()
 	if got := sentServers(t, c); !slices.Equal(got, want) {
-		t.Errorf("the call sets the weights of %v, want %v", got, want)
+		t.Errorf("call sets the weights of %v, want %v", got, want)
 	}
 }
 
-// An acknowledgement proves that a call was carried out that was not answered: it does not go again.
-func TestAcknowledgedCallDoesNotGoAgain(t *testing.T) {
+// An acknowledgement proves that a call without a response was applied, so the call is not sent again.
+func TestAcknowledgedCallIsNotResent(t *testing.T) {
 	c := NewCommandBuffer(nil)
 	c.SetWeight(1, "a", 1)
 	c.RequestAck(7)
@@ -43,17 +43,17 @@
 	c.Acknowledged(7)
 	c.ConnectionLost()
 	if redelivered := c.TakeRedelivered(); c.Resends != 0 || len(redelivered.Tables) != 0 {
-		t.Errorf("%d calls are sent again, %+v", c.Resends, redelivered)
+		t.Errorf("%d calls resent, redelivered %+v; want none", c.Resends, redelivered)
 	}
 	expectServers(t, c, "b")
 	accepted := `"result":{"accepted":2}`
 	if outcome := respond(c, 2, accepted); outcome != Applied || !idle(c) {
-		t.Errorf("outcome %v, %d commands wait", outcome, c.Pending())
+		t.Errorf("outcome %v with %d commands pending, want Applied and none", outcome, c.Pending())
 	}
 }
 
-// The same, when the acknowledgement comes after the call was given up.
-func TestAcknowledgementAfterTheCallWasGivenUp(t *testing.T) {
+// As TestAcknowledgedCallIsNotResent, but the acknowledgement arrives after the call was abandoned.
+func TestAcknowledgementAfterCallWasAbandoned(t *testing.T) {
 	c := NewCommandBuffer(nil)
 	c.SetWeight(1, "a", 1)
 	c.RequestAck(7)
@@ -65,8 +65,8 @@
 	expectServers(t, c, "b")
 }
 
-// An acknowledgement of the first call proves nothing of what has joined the second one, nor of what was decided since.
-func TestAcknowledgementProvesNothingOfLaterCommands(t *testing.T) {
+// An acknowledgement of the first call does not confirm commands that were added to the second call or decided later.
+func TestAcknowledgementDoesNotCoverLaterCommands(t *testing.T) {
 	c := NewCommandBuffer(nil)
 	c.SetWeight(1, "a", 1)
 	c.SetWeight(1, "b", 1)
@@ -82,8 +82,8 @@
 	expectServers(t, c, "b", "c")
 }
 
-// A call that was rejected was not carried out, whatever was acknowledged before.
-func TestRejectedCallGoesAgain(t *testing.T) {
+// A rejected call was not applied, so an acknowledgement of another request does not keep it from being sent again.
+func TestRejectedCallIsResent(t *testing.T) {
 	c := NewCommandBuffer(nil)
 	c.SetWeight(1, "a", 1)
 	c.RequestAck(7)
@@ -95,29 +95,29 @@
 	expectServers(t, c, "a")
 }
 
-// Calls are answered or not, carried out or not, and acknowledged late or never: in the end the relay holds the newest state, and
-// no call is empty.
+// Calls may lack a response, may not be applied, and may be acknowledged late or never: the relay must still end with the
+// newest state, and no call may be empty.
 func TestAcknowledgementsLoseNoCommand(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c := NewCommandBuffer(nil)
 		relay := &fakeRelay{map[string]float64{}}
 		want := map[string]float64{}
 		var lastAck balancer.AckID
-		var acks []balancer.AckID // on their way
-		var out decodedCall
+		var acks []balancer.AckID // sent by the relay; any of them may arrive at any time
+		var latestCall decodedCall
 		next := func() {
 			call, ok := c.NextCall(nil)
 			if !ok {
 				return
 			}
-			out = decodeCall(t, call)
-			if len(out.Params.Changes) == 0 {
-				t.Fatalf("a call without commands")
+			latestCall = decodeCall(t, call)
+			if len(latestCall.Params.Changes) == 0 {
+				t.Fatalf("call without commands")
 			}
 		}
 		apply := func() {
-			relay.apply(out.Params.Changes)
-			for _, change := range out.Params.Changes {
+			relay.apply(latestCall.Params.Changes)
+			for _, change := range latestCall.Params.Changes {
 				if stamp, ok := change["stamp"].(float64); ok {
 					acks = append(acks, balancer.AckID(stamp))
 				}
@@ -139,9 +139,9 @@
 			case 4:
 				if c.InFlight() {
 					apply()
-					accept(c, out)
+					accept(c, latestCall)
 				}
-			case 5: // the answer is lost, or the call
+			case 5: // the response or the call is lost
 				if c.InFlight() && rapid.Bool().Draw(t, "applied") {
 					apply()
 				}
@@ -155,18 +155,18 @@
 				}
 			case 7:
 				if c.InFlight() {
-					respond(c, out.ID, `"error":{"code":-32000,"message":"limit"}`)
+					respond(c, latestCall.ID, `"error":{"code":-32000,"message":"limit"}`)
 				}
 			}
 		}
 		for !idle(c) {
 			next()
-			relay.apply(out.Params.Changes)
-			accept(c, out)
+			relay.apply(latestCall.Params.Changes)
+			accept(c, latestCall)
 		}
 		for server, weight := range want {
 			if relay.weights[server] != weight {
-				t.Fatalf("%s is %v, want %v", server, relay.weights[server], weight)
+				t.Fatalf("weight of %s is %v, want %v", server, relay.weights[server], weight)
 			}
 		}
 	})
--- a/internal/core/platformstate/call.go
+++ b/internal/core/platformstate/call.go
@@ -7,33 +7,33 @@
 )
 
 const (
-	callOverhead        = 128 // bytes of a call besides its commands, at most
-	maxMalformedReplies = 3   // consecutive rejections as malformed after which the commands are dropped
+	callOverhead        = 128 // upper bound on the bytes of a call other than its commands
+	maxMalformedReplies = 3   // consecutive "malformed" rejections after which the commands of a call are dropped
 )
 
-// Outcome is what became of the call in flight.
+// Outcome is the result of the call in flight.
 type Outcome int
 
-// The outcomes of a call.
+// Possible outcomes of a call.
 const (
 	Applied          Outcome = iota // all commands were applied
-	PartiallyApplied                // one command could not be applied and was dropped; those after it go again
-	Rejected                        // no command was applied; the call goes again
-	Indeterminate                   // applied whole or not at all; the call goes again
-	Unsolicited                     // the response belongs to no call in flight
+	PartiallyApplied                // one command could not be applied and was dropped; those after it are sent again
+	Rejected                        // no command was applied; the call is sent again
+	Indeterminate                   // it is unknown whether the call was applied as a whole or not at all; it is sent again
+	Unsolicited                     // the response does not belong to the call in flight
 )
 
-// NextCall appends the next call to buffer. It returns false if a call is in flight or no command waits.
+// NextCall appends the next call to buffer. It returns false if a call is in flight or no command is pending.
 func (c *CommandBuffer) NextCall(buffer []byte) ([]byte, bool) {
 	if c.callInFlight || len(c.index) == 0 {
 		return buffer, false
 	}
 	c.compact()
-	count := c.fitting()
+	count := c.countFitting()
 	if count < len(c.pending) {
 		count = c.splitPoint(count)
 		if next := c.pending[count].key; next.setsTable() {
-			// Other commands for the table may go with this call.
+			// Other commands for the same table may be part of this call.
 			c.redelivered.Tables = append(c.redelivered.Tables, next.table)
 		}
 	}
@@ -51,9 +51,9 @@
 	return jsonrpc.AppendApply(buffer, c.callID, joinCommands(c.call)), true
 }
 
-// markSent notes which acknowledgement proves that the commands of the call are applied: that of the request in the call, for the
-// commands before it. A request that goes again may be acknowledged for the earlier call, and proves nothing of commands that
-// go for the first time.
+// markSent marks the commands of the call as sent and records which acknowledgement confirms them. The request in the call
+// covers the commands before it. If the request is itself sent again, its acknowledgement may refer to the earlier call and
+// does not confirm commands that are sent for the first time.
 func (c *CommandBuffer) markSent() {
 	request := slices.IndexFunc(c.call, func(sent command) bool { return sent.key.kind == requestAck })
 	for i := range c.call {
@@ -82,8 +82,8 @@
 	return joined
 }
 
-// fitting returns how many of the pending commands one call can hold.
-func (c *CommandBuffer) fitting() int {
+// countFitting returns how many pending commands, from the first on, fit into one call.
+func (c *CommandBuffer) countFitting() int {
 	size := 0
 	for count, waiting := range c.pending {
 		size += len(waiting.text) + 1
@@ -94,9 +94,10 @@
 	return len(c.pending)
 }
 
-// splitPoint moves the end of a call that cannot hold all commands back to where those for another table or
-// proxy begin: each call is a message of its own to the proxies that it concerns, and messages are limited. It
-// does not leave the request for acknowledgement alone in the next call, which would concern no proxy.
+// splitPoint returns how many pending commands to send if only the first fitting ones fit into a call. It splits
+// between the commands for two tables or proxies, because each call is a separate message to the proxies that it
+// concerns, and the number of messages is limited. It also never leaves the acknowledgement request alone in the next
+// call, which would then concern no proxy.
 func (c *CommandBuffer) splitPoint(fitting int) int {
 	count := fitting
 	if count == len(c.pending)-1 && c.pending[count].key.kind == requestAck {
@@ -105,14 +106,14 @@
 	for count > 0 && c.pending[count-1].key.sameTarget(c.pending[count].key) {
 		count--
 	}
-	if count == 0 { // one table is larger than a call
+	if count == 0 { // the commands for one table do not fit into a call
 		return fitting
 	}
 	return count
 }
 
-// HandleResponse takes a response of the relay. One to a later call than the one in flight makes that
-// indeterminate.
+// HandleResponse handles a response of the relay and returns the outcome of the call in flight. A response to a later
+// call than the one in flight makes the outcome indeterminate.
 func (c *CommandBuffer) HandleResponse(response *jsonrpc.Response) Outcome {
 	if !c.callInFlight || response.ID < c.callID {
 		return Unsolicited
@@ -131,19 +132,19 @@
 	c.malformedReplies = 0
 	if accepted < len(c.call) {
 		c.Dropped++
-		c.requeueUnsent(c.call[accepted+1:])
+		c.requeueUnapplied(c.call[accepted+1:])
 		return PartiallyApplied
 	}
 	c.endCall()
 	return Applied
 }
 
-// handleRejection sends the call again. After some rejections as malformed its commands are dropped, since
-// retrying them for ever would block all later commands.
+// handleRejection schedules the rejected call to be sent again. After maxMalformedReplies consecutive rejections as
+// malformed its commands are dropped, since retrying them forever would block all later commands.
 func (c *CommandBuffer) handleRejection(err *jsonrpc.RemoteError) {
 	if !err.Malformed() {
 		c.malformedReplies = 0
-		c.requeueUnsent(c.call)
+		c.requeueUnapplied(c.call)
 		return
 	}
 	c.malformedReplies++
@@ -152,11 +153,11 @@
 		c.malformedReplies = 0
 		c.call = nil
 	}
-	c.requeueUnsent(c.call)
+	c.requeueUnapplied(c.call)
 }
 
-// HandleUnreadable takes a line of the relay that cannot be read: it may have been the response to the call in
-// flight.
+// HandleUnreadable handles a line of the relay that cannot be parsed. It may have been the response to the call in
+// flight, whose outcome is then indeterminate.
 func (c *CommandBuffer) HandleUnreadable() Outcome {
 	if !c.callInFlight {
 		return Unsolicited
@@ -165,8 +166,8 @@
 	return Indeterminate
 }
 
-// ConnectionLost says that the call in flight, if any, will get no response: it may or may not have been
-// carried out.
+// ConnectionLost records that the call in flight, if any, will get no response. The call may or may not have been
+// applied, so it is sent again.
 func (c *CommandBuffer) ConnectionLost() {
 	if !c.callInFlight {
 		return
--- a/internal/core/platformstate/command.go
+++ b/internal/core/platformstate/command.go
@@ -5,7 +5,7 @@
 	"snowquay/internal/wire/jsonrpc"
 )
 
-// commandKind is what a command sets.
+// commandKind identifies the kind of state that a command sets.
 type commandKind byte
 
 const (
@@ -15,8 +15,8 @@
 	requestAck
 )
 
-// commandKey identifies the state that a command sets. A newer command with the same key supersedes one that
-// has not been sent. Fields that the kind does not use are zero.
+// commandKey identifies the state that a command sets. A newer command supersedes a pending command with the same key.
+// Fields that the kind does not use are zero.
 type commandKey struct {
 	kind    commandKind
 	table   balancer.Table
@@ -25,24 +25,24 @@
 	proxy   balancer.Proxy
 }
 
-// command is one element of a batch, encoded for the relay.
+// command is one command of a call, encoded for the relay.
 type command struct {
 	key  commandKey
 	text []byte // nil if superseded
-	sent bool   // it was in a call that may have been carried out
+	sent bool   // the command was part of a call that may have been applied
 
-	// Requests whose acknowledgement proves that the command was applied: that of the first call with it and that of the latest; 0: there is
-	// none. Of a requestAck, its own.
+	// IDs of the acknowledgement requests that confirm the command: the request of the first call that contained it and that of
+	// the latest; 0 if there is none. For a requestAck both are its own ID.
 	firstAckID  balancer.AckID
 	latestAckID balancer.AckID
 }
 
-// provedBy reports whether the acknowledgement of a request proves that the command was applied.
-func (c *command) provedBy(id balancer.AckID) bool {
+// confirmedBy reports whether the acknowledgement with the given ID proves that the command was applied.
+func (c *command) confirmedBy(id balancer.AckID) bool {
 	return c.firstAckID == id || c.latestAckID == id
 }
 
-// newAckRequest returns the command that requests an acknowledgement from the proxies that its call concerns.
+// newAckRequest returns a command that requests an acknowledgement from the proxies that its call concerns.
 func newAckRequest(id balancer.AckID) command {
 	return command{
 		key:         commandKey{kind: requestAck},
@@ -52,8 +52,8 @@
 	}
 }
 
-// sameTarget reports whether two commands concern the same table or the same proxy, and so belong into one
-// call.
+// sameTarget reports whether two commands concern the same table or the same proxy, so that they should be sent in
+// one call.
 func (k commandKey) sameTarget(other commandKey) bool {
 	switch {
 	case k.kind == requestAck || other.kind == requestAck:
@@ -67,5 +67,5 @@
 // setsTable reports whether the command changes the contents of a table.
 func (k commandKey) setsTable() bool { return k.kind == setWeight || k.kind == setAdmission }
 
-// assigns reports whether the command assigns a table to a proxy.
+// assigns reports whether the command assigns a table to the given proxy.
 func (k commandKey) assigns(p balancer.Proxy) bool { return k.kind == assignTable && k.proxy == p }
--- a/internal/core/platformstate/command_buffer.go
+++ b/internal/core/platformstate/command_buffer.go
@@ -1,8 +1,8 @@
-// Package platformstate keeps what a coordinator on the platform knows of its proxies, its servers and the
-// commands to its relay.
+// Package platformstate holds the state of a coordinator on the platform: the joined proxies, the listed servers and
+// the commands to the relay.
 //
-// It is pure: it has no sockets and no clock; times are seconds of the caller's clock. It resolves disagreement
-// between two sources, and leaves every balancing decision to package balancer.
+// It does no I/O and reads no clock; times are seconds of the caller's clock. It reconciles the sources of this state
+// where they disagree, and leaves every balancing decision to package balancer.
 package platformstate
 
 import (
@@ -10,32 +10,31 @@
 	"snowquay/internal/wire/jsonrpc"
 )
 
-// minPendingSlack is the number of superseded commands that may stay in the buffer before it is compacted.
+// minPendingSlack is the number of superseded commands that may always stay in the buffer before it is compacted.
 const minPendingSlack = 64
 
-// CommandBuffer coalesces commands to the relay and keeps one call in flight.
+// CommandBuffer coalesces commands to the relay and allows one call in flight at a time.
 //
-// Commands that are decided while a call is in flight wait as the newest state of each key, not as a queue, so
-// that they cannot outgrow the tables, servers and proxies. The buffer implements the part of
-// balancer.CommandSink that goes to the relay.
+// It stores only the newest pending command of each key rather than a queue, so its size is bounded by the number of
+// tables, servers and proxies. It implements those methods of balancer.CommandSink whose commands are sent to the relay.
 type CommandBuffer struct {
 	classes jsonrpc.ClassNames
 
 	pending []command
 	index   map[commandKey]int // position in pending of the newest command of each key
 
-	call             []command // of the call in flight
+	call             []command // the commands of the call in flight
 	callID           uint64
 	callInFlight     bool
-	malformedReplies int // consecutive calls that the relay rejected as malformed
+	malformedReplies int // number of consecutive calls that the relay rejected as malformed
 
 	redelivered balancer.Redelivered
 
 	Dropped uint64 // commands that the relay could not apply, or rejected as malformed
-	Resends uint64 // calls sent again although the relay may have carried them out
+	Resends uint64 // calls sent again although the relay may have applied them
 }
 
-// NewCommandBuffer returns an empty buffer. The relay knows the request classes by names.
+// NewCommandBuffer returns an empty buffer. names are the names of the request classes in the relay protocol.
 func NewCommandBuffer(names jsonrpc.ClassNames) *CommandBuffer {
 	return &CommandBuffer{classes: names, index: map[commandKey]int{}}
 }
@@ -60,10 +59,10 @@
 
 // RequestAck implements balancer.CommandSink. Only the proxies that the call concerns acknowledge it.
 //
-// A call carries one request. Where commands of several rounds wait for the same call the oldest request stays:
-// an acknowledgement proves that everything before the request has left the channel, which for a newer request
-// would not be true of every proxy. A request that goes again gives its place to the newer one, since its acknowledgement may be that
-// of the first time.
+// A call contains one request. If commands of several rounds are pending for the same call, the oldest request is kept:
+// an acknowledgement proves that everything before its request has left the channel, which would not hold for every
+// proxy with a newer request. A request that is sent again is replaced by the newer one, since its acknowledgement may
+// be for the first transmission.
 func (c *CommandBuffer) RequestAck(id balancer.AckID) {
 	request := newAckRequest(id)
 	i, pending := c.index[request.key]
@@ -75,24 +74,24 @@
 	}
 }
 
-// Acknowledged says that a proxy has acknowledged a request. That proves that the call with the request was carried out, whole, as calls are:
-// if it has not been answered, its commands up to the request do not go again.
+// Acknowledged records that a proxy has acknowledged a request. This proves that the call with the request was applied
+// as a whole, as every call is: if the call has got no response, its commands up to the request are not sent again.
 func (c *CommandBuffer) Acknowledged(id balancer.AckID) {
 	for i := range c.call {
-		if c.call[i].provedBy(id) {
+		if c.call[i].confirmedBy(id) {
 			c.call[i].text = nil
 		}
 	}
 	for i, waiting := range c.pending {
-		if waiting.sent && waiting.text != nil && waiting.provedBy(id) {
+		if waiting.sent && waiting.text != nil && waiting.confirmedBy(id) {
 			c.pending[i].text = nil
 			delete(c.index, waiting.key)
 		}
 	}
 }
 
-// ProxyLeft drops the commands for a proxy that has left, which the relay could not apply. Those of the call in
-// flight are dropped from its retry, so that they do not apply to the proxy's next connection.
+// ProxyLeft drops the commands for a proxy that has left, because the relay could not apply them. Commands in the call
+// in flight are excluded if it is sent again, so that they are not applied to the proxy's next connection.
 func (c *CommandBuffer) ProxyLeft(p balancer.Proxy) {
 	for i, waiting := range c.pending {
 		if waiting.text != nil && waiting.key.assigns(p) {
@@ -107,19 +106,19 @@
 	}
 }
 
-// InFlight reports whether a call waits for its response.
+// InFlight reports whether a call is waiting for its response.
 func (c *CommandBuffer) InFlight() bool { return c.callInFlight }
 
-// Pending returns the number of commands that wait for a call.
+// Pending returns the number of commands that have not been sent or are to be sent again.
 func (c *CommandBuffer) Pending() int { return len(c.index) }
 
-// HasRedelivered reports whether TakeRedelivered has something to return.
+// HasRedelivered reports whether TakeRedelivered would return any table or proxy.
 func (c *CommandBuffer) HasRedelivered() bool {
 	return len(c.redelivered.Tables)+len(c.redelivered.Proxies) > 0
 }
 
-// TakeRedelivered returns, and forgets, what has been scheduled to go again although it may have been carried
-// out.
+// TakeRedelivered returns and clears the list of commands that are scheduled to be sent again although they may have been
+// applied.
 func (c *CommandBuffer) TakeRedelivered() balancer.Redelivered {
 	taken := c.redelivered
 	c.redelivered = balancer.Redelivered{}
@@ -137,7 +136,7 @@
 	}
 }
 
-// compact removes superseded commands.
+// compact removes superseded commands from the buffer.
 func (c *CommandBuffer) compact() {
 	kept := c.pending[:0]
 	for _, waiting := range c.pending {
@@ -151,8 +150,8 @@
 	c.pending = kept
 }
 
-// requeueUnsent is requeue for commands that were surely not carried out.
-func (c *CommandBuffer) requeueUnsent(commands []command) {
+// requeueUnapplied is like requeue, for commands that are known not to have been applied.
+func (c *CommandBuffer) requeueUnapplied(commands []command) {
 	for i := range commands {
 		commands[i].sent = false
 		if commands[i].key.kind != requestAck {
@@ -163,8 +162,8 @@
 	c.requeue(commands)
 }
 
-// requeue ends the call in flight and puts commands of it before the pending ones. Newer commands of the same
-// key win, except that the older request for acknowledgement stays.
+// requeue ends the call in flight and inserts the given commands of it before the pending ones. A newer pending command
+// with the same key takes precedence, except that the older acknowledgement request is kept.
 func (c *CommandBuffer) requeue(commands []command) {
 	all := make([]command, 0, len(commands)+len(c.pending))
 	for _, sent := range commands {
--- a/internal/core/platformstate/command_buffer_test.go
+++ b/internal/core/platformstate/command_buffer_test.go
@@ -16,7 +16,7 @@
 
 func TestMain(m *testing.M) { testseed.Main(m) }
 
-// fakeRelay carries out calls as the relay's protocol says.
+// fakeRelay applies the weight commands of calls.
 type fakeRelay struct{ weights map[string]float64 }
 
 type decodedCall struct {
@@ -32,7 +32,7 @@
 		t.Fatalf("%v: %s", err, b)
 	}
 	if len(b) > jsonrpc.MaxCallBytes {
-		t.Fatalf("a call of %d bytes", len(b))
+		t.Fatalf("call of %d bytes exceeds the limit", len(b))
 	}
 	return c
 }
@@ -47,7 +47,7 @@
 
 func idle(c *CommandBuffer) bool { return !c.InFlight() && c.Pending() == 0 }
 
-// respond hands the buffer a line of the relay with an id and the given members.
+// respond passes a response line with an ID and the given JSON members to the buffer.
 func respond(c *CommandBuffer, id uint64, members string) Outcome {
 	message, err := jsonrpc.Parse(fmt.Appendf(nil, `{"jsonrpc":"2.0","id":%d,%s}`, id, members))
 	if err != nil {
@@ -56,13 +56,13 @@
 	return c.HandleResponse(message.(*jsonrpc.Response))
 }
 
-// accept hands the buffer the response that all commands of a call were applied.
+// accept passes the response that all commands of a call were applied to the buffer.
 func accept(c *CommandBuffer, call decodedCall) Outcome {
 	return respond(c, call.ID, fmt.Sprintf(`"result":{"accepted":%d}`, len(call.Params.Changes)))
 }
 
-// Whatever becomes of calls, no command is lost, and none overtakes a newer one.
-func TestRelayEndsWithNewestCommands(t *testing.T) {
+// Whatever the outcome of calls, no command is lost, and no older command overrides a newer one.
+func TestNewestCommandsReachTheRelay(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c := NewCommandBuffer(jsonrpc.ClassNames{"a", "b"})
 		relay := &fakeRelay{map[string]float64{}}
@@ -76,57 +76,57 @@
 				want[fmt.Sprint(table, server)] = weight
 			}
 		}
-		var out decodedCall
+		var latestCall decodedCall
 		for range 60 {
 			switch rapid.IntRange(0, 7).Draw(t, "event") {
 			case 0, 1:
 				decide()
 			case 2, 3:
 				if b, ok := c.NextCall(nil); ok {
-					out = decodeCall(t, b)
+					latestCall = decodeCall(t, b)
 				}
 			case 4: // applied, with a response
 				if c.InFlight() {
-					relay.apply(out.Params.Changes)
-					if got := accept(c, out); got != Applied {
-						t.Fatalf("%v", got)
+					relay.apply(latestCall.Params.Changes)
+					if got := accept(c, latestCall); got != Applied {
+						t.Fatalf("outcome %v, want Applied", got)
 					}
 				}
 			case 5: // applied or not, with an unreadable response
 				if c.InFlight() {
 					if rapid.Bool().Draw(t, "applied") {
-						relay.apply(out.Params.Changes)
+						relay.apply(latestCall.Params.Changes)
 					}
 					malformed := rapid.SampledFrom([]string{`"result":{}`, `"result":{"accepted":-1}`, `"result":{"accepted":1e9}`,
 						`"result":{"accepted":"2"}`, `"result":7`, `"nothing":1`}).Draw(t, "malformed")
-					if got := respond(c, out.ID, malformed); got != Indeterminate {
-						t.Fatalf("%s is %v", malformed, got)
+					if got := respond(c, latestCall.ID, malformed); got != Indeterminate {
+						t.Fatalf("outcome of response %s is %v, want Indeterminate", malformed, got)
 					}
 				}
 			case 6:
 				c.ConnectionLost()
 			case 7:
 				if c.InFlight() {
-					respond(c, out.ID, `"error":{"code":-32000,"message":"limit"}`)
+					respond(c, latestCall.ID, `"error":{"code":-32000,"message":"limit"}`)
 				}
 			}
 		}
 		for !idle(c) {
 			if b, ok := c.NextCall(nil); ok {
-				out = decodeCall(t, b)
+				latestCall = decodeCall(t, b)
 			}
-			relay.apply(out.Params.Changes)
-			accept(c, out)
+			relay.apply(latestCall.Params.Changes)
+			accept(c, latestCall)
 		}
 		for k, v := range want {
 			if relay.weights[k] != v {
-				t.Fatalf("%s is %v, want %v", k, relay.weights[k], v)
+				t.Fatalf("weight of %s is %v, want %v", k, relay.weights[k], v)
 			}
 		}
 	})
 }
 
-func TestInapplicableCommandIsDroppedAndTheRestGoesAgain(t *testing.T) {
+func TestInapplicableCommandIsDroppedAndTheRestIsResent(t *testing.T) {
 	c := NewCommandBuffer(jsonrpc.ClassNames{"a"})
 	c.SetWeight(1, "x", 1)
 	c.AssignTable(7, 1, 0)
@@ -134,19 +134,19 @@
 	c.RequestAck(3)
 	c.NextCall(nil)
 	if got := respond(c, 1, `"result":{"accepted":1}`); got != PartiallyApplied || c.Dropped != 1 {
-		t.Fatalf("%v, %d dropped", got, c.Dropped)
+		t.Fatalf("outcome %v with %d commands dropped, want PartiallyApplied and 1", got, c.Dropped)
 	}
 	b, _ := c.NextCall(nil)
 	if s := string(b); strings.Contains(s, "bind") || !strings.Contains(s, `"y"`) || !strings.Contains(s, "mark") || strings.Contains(s, `"x"`) {
 		t.Error(s)
 	}
 	if got := respond(c, 1, `"result":{"accepted":4}`); got != Unsolicited || !c.InFlight() {
-		t.Errorf("a late response to an earlier call is %v", got)
+		t.Errorf("outcome of a late response to an earlier call is %v, want Unsolicited", got)
 	}
 }
 
-// If the newer request stood, an acknowledgement of it could arrive before all commands of the older round had
-// left the channel, where both rounds went with one call.
+// If one call contains commands of two rounds and the newer acknowledgement request were kept, its acknowledgement could
+// arrive before all commands of the older round had left the channel.
 func TestOldestAckRequestOfSeveralRoundsStands(t *testing.T) {
 	c := NewCommandBuffer(jsonrpc.ClassNames{"a"})
 	ackIDs := func(b []byte) (list []float64) {
@@ -163,26 +163,26 @@
 	c.RequestAck(8)
 	b, _ := c.NextCall(nil)
 	if got := ackIDs(b); !slices.Equal(got, []float64{7}) {
-		t.Errorf("a call of two rounds requests the acknowledgements %v, want the first round's", got)
+		t.Errorf("call with two rounds requests acknowledgements %v, want only that of the first round", got)
 	}
 	c.SetWeight(3, "x", 1)
 	c.RequestAck(9)
-	c.ConnectionLost() // the first call goes again, before what has been decided since
+	c.ConnectionLost() // the first call is sent again, before the commands decided since
 	b, _ = c.NextCall(nil)
 	if got := ackIDs(b); !slices.Equal(got, []float64{7}) {
-		t.Errorf("a call that goes again requests the acknowledgements %v, want its own", got)
+		t.Errorf("resent call requests acknowledgements %v, want only its own", got)
 	}
 	respond(c, 2, `"result":{"accepted":4}`)
 	c.SetWeight(4, "x", 1)
 	c.RequestAck(10)
 	b, _ = c.NextCall(nil)
 	if got := ackIDs(b); !slices.Equal(got, []float64{10}) {
-		t.Errorf("the next call requests the acknowledgements %v", got)
+		t.Errorf("next call requests acknowledgements %v, want only 10", got)
 	}
 }
 
-// Each call is a message of its own to the proxies that it concerns, and messages are limited. A round that is
-// too large for one call is therefore split between tables; a table that is larger than a call is reported as
+// Each call is a separate message to the proxies that it concerns, and the number of messages is limited. A round that
+// is too large for one call is therefore split between tables; a table that is larger than a call is reported as
 // redelivered.
 func TestLargeRoundIsSplitBetweenTables(t *testing.T) {
 	for _, servers := range []int{5, 300, 1024} {
@@ -200,7 +200,7 @@
 			b, _ := c.NextCall(nil)
 			call := decodeCall(t, b)
 			if len(call.Params.Changes) == 1 && call.Params.Changes[0]["do"] == "mark" {
-				t.Error("a call holds nothing but the request for acknowledgement: no proxy gets it")
+				t.Error("call contains only the acknowledgement request, so no proxy receives it")
 			}
 			for _, command := range call.Params.Changes {
 				table, ok := command["group"].(float64)
@@ -217,13 +217,13 @@
 		redelivered := c.TakeRedelivered().Tables
 		for table, ids := range calls {
 			if len(ids) > 1 && (servers < 900 || !slices.Contains(redelivered, balancer.Table(table))) {
-				t.Errorf("%d servers: table %.0f goes with %d calls; redelivered %v", servers, table, len(ids), redelivered)
+				t.Errorf("%d servers: table %.0f is split over %d calls; redelivered tables: %v", servers, table, len(ids), redelivered)
 			}
 		}
 	}
 }
 
-// What may be applied twice is reported once, except what a newer command has superseded.
+// Commands that may be applied twice are reported once, unless a newer command has superseded them.
 func TestRedeliveredCommandsAreReported(t *testing.T) {
 	c := NewCommandBuffer(jsonrpc.ClassNames{"a"})
 	c.SetWeight(1, "x", 1)
@@ -238,20 +238,20 @@
 	c.ConnectionLost()
 	c.ConnectionLost() // no call is in flight
 	if r := c.TakeRedelivered(); !slices.Equal(r.Tables, []balancer.Table{1, 3}) || !slices.Equal(r.Proxies, []balancer.Proxy{7}) {
-		t.Errorf("%+v", r)
+		t.Errorf("redelivered %+v, want tables 1 and 3 and proxy 7", r)
 	}
 	if r := c.TakeRedelivered(); len(r.Tables)+len(r.Proxies) > 0 {
-		t.Errorf("reported twice: %+v", r)
+		t.Errorf("redelivered commands are reported twice: %+v", r)
 	}
 	c.NextCall(nil)
 	respond(c, 2, `"error":"limit"`)
 	if len(c.TakeRedelivered().Tables) > 0 {
-		t.Error("a rejected call was surely not applied")
+		t.Error("commands of a rejected call, which were not applied, are reported as redelivered")
 	}
 }
 
-// A proxy leaves while the call that assigns its table is in flight, and the call goes again: the assignment
-// must not apply to the proxy's next connection.
+// A proxy leaves while the call that assigns its table is in flight, and the call is sent again: the assignment must
+// not be applied to the proxy's next connection.
 func TestAssignmentToDepartedProxyDoesNotGoAgain(t *testing.T) {
 	c := NewCommandBuffer(jsonrpc.ClassNames{"a"})
 	c.AssignTable(7, 1, 0)
@@ -260,10 +260,10 @@
 	c.ProxyLeft(7)
 	c.ConnectionLost()
 	if r := c.TakeRedelivered(); len(r.Proxies) > 0 || len(r.Tables) != 1 {
-		t.Errorf("redelivered: %+v", r)
+		t.Errorf("redelivered %+v, want one table and no proxy", r)
 	}
 	if b, ok := c.NextCall(nil); !ok || strings.Contains(string(b), "bind") || !strings.Contains(string(b), `"x"`) {
-		t.Errorf("%s", b)
+		t.Errorf("resent call should set the weight of x and assign no table: %s", b)
 	}
 }
 
@@ -274,16 +274,16 @@
 		c.RequestAck(balancer.AckID(i))
 	}
 	if c.Pending() != 21 || len(c.pending) > 200 {
-		t.Errorf("%d commands are pending, %d are kept", c.Pending(), len(c.pending))
+		t.Errorf("%d commands are pending and %d are stored, want 21 and at most 200", c.Pending(), len(c.pending))
 	}
 	c.AssignTable(5, 1, 1)
 	c.ProxyLeft(5)
 	if b, _ := c.NextCall(nil); strings.Contains(string(b), "bind") {
-		t.Error("a proxy that has left is assigned a table")
+		t.Error("call assigns a table to a proxy that has left")
 	}
 }
 
-func TestCallRejectedAsMalformedIsDroppedInTheEnd(t *testing.T) {
+func TestCallIsDroppedAfterRepeatedMalformedRejections(t *testing.T) {
 	c := NewCommandBuffer(nil)
 	c.SetWeight(1, "x", 1)
 	for i := range uint64(maxMalformedReplies) {
@@ -291,6 +291,6 @@
 		respond(c, i+1, `"error":"malformed"`)
 	}
 	if !idle(c) || c.Dropped != 1 {
-		t.Errorf("%d dropped, %d pending", c.Dropped, c.Pending())
+		t.Errorf("%d commands dropped and %d pending, want 1 and 0", c.Dropped, c.Pending())
 	}
 }
--- a/internal/core/platformstate/endpoint_set.go
+++ b/internal/core/platformstate/endpoint_set.go
@@ -8,28 +8,28 @@
 	"snowquay/internal/wire/discovery"
 )
 
-// EndpointSet holds the servers that discovery lists, with the addresses of their health checks, and the
-// version up to which they are known completely.
+// EndpointSet holds the servers listed by discovery, with their addresses for health checks, and the version up to
+// which all changes of the list are known.
 type EndpointSet struct {
 	zones           []string
 	machineKinds    []string
 	endpoints       map[balancer.Server]listedEndpoint
 	version         int64
 	completeVersion int64
-	incomplete      bool // something after completeVersion could not be read
+	incomplete      bool // a change after completeVersion could not be parsed
 	everListed      bool
 
 	Malformed uint64 // entries that could not be used
 }
 
-// listedEndpoint is a server as discovery described it last.
+// listedEndpoint is the most recent usable description of a server by discovery.
 type listedEndpoint struct {
 	address  netip.AddrPort
 	endpoint balancer.Endpoint
 }
 
-// NewEndpointSet returns an empty set. Discovery names zones and kinds of machines, which package balancer
-// numbers in the order of these slices.
+// NewEndpointSet returns an empty set. The slices map the names of zones and machine kinds in lists of discovery to the
+// numbers that package balancer uses.
 func NewEndpointSet(zones, machineKinds []string) *EndpointSet {
 	return &EndpointSet{
 		zones:           zones,
@@ -40,17 +40,17 @@
 	}
 }
 
-// CompleteVersion returns the version up to which all lists were read completely; 0 before the first.
+// CompleteVersion returns the version up to which all lists were applied completely; 0 before the first list.
 func (s *EndpointSet) CompleteVersion() int64 { return max(s.completeVersion, 0) }
 
-// NewestVersion returns the version of the newest list that was applied; -1 before the first.
+// NewestVersion returns the version of the newest list that was applied; -1 before the first list.
 func (s *EndpointSet) NewestVersion() int64 { return s.version }
 
-// MarkIncomplete says that a list could not be read: what it changed is missing until a new connection has
-// delivered everything after CompleteVersion.
+// MarkIncomplete records that a list could not be parsed. Its changes are missing until a new connection has delivered
+// everything after CompleteVersion.
 func (s *EndpointSet) MarkIncomplete() { s.incomplete = true }
 
-// Incomplete reports whether a change is missing.
+// Incomplete reports whether changes are missing from the set.
 func (s *EndpointSet) Incomplete() bool { return s.incomplete }
 
 // Contains reports whether a server is listed.
@@ -59,8 +59,8 @@
 	return ok
 }
 
-// Address returns where a server listens. It is invalid if the server is not listed or its address could not be
-// read.
+// Address returns the address of a server. It is invalid if the server is not listed or its address could not be
+// parsed.
 func (s *EndpointSet) Address(id balancer.Server) netip.AddrPort { return s.endpoints[id].address }
 
 // EverListed reports whether any server has been listed, now or earlier.
@@ -69,18 +69,18 @@
 // Len returns the number of listed servers.
 func (s *EndpointSet) Len() int { return len(s.endpoints) }
 
-// LoadCached takes a list that was stored earlier and may be out of date.
+// LoadCached replaces the set by a list that was stored earlier and may be out of date.
 func (s *EndpointSet) LoadCached(list *discovery.List, events *balancer.Events) {
 	s.merge(list, balancer.CachedList, events)
 	s.completeVersion = s.version
 	s.incomplete = false
 }
 
-// Apply takes a list of discovery and reports whether the set is complete. first says that it is the first list
-// on its connection.
+// Apply applies a list from discovery and reports whether the set is complete afterwards. first is true for the first
+// list on a connection.
 //
-// A list older than the set changes nothing, unless it is full and first: discovery may have restarted. Where
-// an entry cannot be used the others count, and the set is incomplete until the first list of a new connection.
+// A list older than the set is ignored unless it is full and the first one, since discovery may have restarted. If an
+// entry cannot be used, the others are still applied, and the set is incomplete until the first list of a new connection.
 func (s *EndpointSet) Apply(list *discovery.List, first bool, events *balancer.Events) bool {
 	if !s.accepts(list, first) {
 		return !s.incomplete
@@ -97,7 +97,7 @@
 	return !s.incomplete
 }
 
-// accepts reports whether a list is newer than the set, or replaces it.
+// accepts reports whether a list is to be applied: it is newer than the set or may replace it.
 func (s *EndpointSet) accepts(list *discovery.List, first bool) bool {
 	switch {
 	case list.Version > s.version:
@@ -108,12 +108,12 @@
 	return first && list.Full
 }
 
-// merge updates the set and reports whether every entry could be used.
+// merge updates the set with a list and reports whether every entry could be used.
 func (s *EndpointSet) merge(list *discovery.List, scope balancer.ListScope, events *balancer.Events) bool {
 	s.version = list.Version
 	malformedBefore := s.Malformed
 	s.Malformed += uint64(list.Malformed)
-	if scope == balancer.FullList && list.Malformed > 0 { // an absent server may be the one of an unreadable entry
+	if scope == balancer.FullList && list.Malformed > 0 { // a server that seems absent may belong to an unreadable entry
 		scope = balancer.DeltaList
 	}
 	previous := s.endpoints
@@ -133,8 +133,8 @@
 	return s.Malformed == malformedBefore
 }
 
-// mergeServer updates one server. One whose entry cannot be used stays as it was in previous, except that
-// draining always counts.
+// mergeServer updates one server. If its entry cannot be used, the server keeps its state from previous, except that the
+// draining state is always applied.
 func (s *EndpointSet) mergeServer(server discovery.Server, previous map[balancer.Server]listedEndpoint) (balancer.Endpoint, bool) {
 	endpoint, usable := s.endpoint(server)
 	if usable && endpoint.Phase == balancer.Removed {
@@ -142,7 +142,7 @@
 		return endpoint, true
 	}
 	if usable {
-		address, _ := netip.ParseAddrPort(server.Address) // a server without a readable address is not health-checked
+		address, _ := netip.ParseAddrPort(server.Address) // a server without a valid address gets no health checks
 		s.endpoints[endpoint.Server] = listedEndpoint{address: address, endpoint: endpoint}
 		return endpoint, true
 	}
@@ -158,8 +158,7 @@
 	return known.endpoint, true
 }
 
-// endpoint converts an entry and reports whether it can be used. The fields of a removed server, other than its
-// id, do not matter.
+// endpoint converts an entry and reports whether it can be used. For a removed server only the ID is checked.
 func (s *EndpointSet) endpoint(server discovery.Server) (balancer.Endpoint, bool) {
 	endpoint := balancer.Endpoint{
 		Server:        balancer.Server(server.ID),
@@ -179,7 +178,7 @@
 		return endpoint, false
 	}
 	endpoint.Zone = balancer.Zone(slices.Index(s.zones, server.Zone))
-	endpoint.Kind = balancer.Kind(max(slices.Index(s.machineKinds, server.Kind), 0)) // an unknown kind counts as the first
+	endpoint.Kind = balancer.Kind(max(slices.Index(s.machineKinds, server.Kind), 0)) // an unknown kind is treated as the first one
 	usable := server.ID != "" && !server.Malformed && endpoint.Zone >= 0 && server.Weight >= 0 && server.StartedMS >= 0
 	return endpoint, usable
 }
--- a/internal/core/platformstate/endpoint_set_test.go
+++ b/internal/core/platformstate/endpoint_set_test.go
@@ -19,7 +19,7 @@
 	return &discovery.List{Version: version, Servers: servers}
 }
 
-// applyTest is an endpoint set and the events of the last list.
+// applyTest is an endpoint set with the events of the list that was applied last.
 type applyTest struct {
 	*EndpointSet
 	events *balancer.Events
@@ -29,18 +29,18 @@
 	return &applyTest{EndpointSet: NewEndpointSet([]string{"a"}, nil), events: &balancer.Events{}}
 }
 
-// apply applies a list and checks whether the set is complete after it, and its complete version.
+// apply applies a list and checks afterwards whether the set is complete and which version is complete.
 func (a *applyTest) apply(t *testing.T, list *discovery.List, first, complete bool, version int64) {
 	t.Helper()
 	*a.events = balancer.Events{}
 	got := a.Apply(list, first, a.events)
 	if got != complete || a.CompleteVersion() != version {
-		t.Errorf("after version %d complete: %v, version %d; want %v, %d", list.Version, got, a.CompleteVersion(), complete, version)
+		t.Errorf("after version %d: complete %v, complete version %d; want %v, %d", list.Version, got, a.CompleteVersion(), complete, version)
 	}
 }
 
-// The complete version does not advance past an entry that cannot be used, so that it is requested again. Draining
-// counts whatever else the entry says.
+// The complete version does not advance past an entry that cannot be used, so that the entry is requested again. The
+// draining state is applied even if the rest of the entry is invalid.
 func TestUnusableEntryLeavesTheSetIncomplete(t *testing.T) {
 	set := newApplyTest()
 	set.apply(t, fullList(4, entry("x", "ready"), entry("y", "ready")), true, true, 4)
@@ -51,19 +51,19 @@
 	unknownZone.Zone = "nowhere"
 	set.apply(t, changes(5, draining, unknownZone), false, false, 4)
 	if set.NewestVersion() != 5 || set.Malformed != 2 {
-		t.Errorf("newest version %d, %d malformed", set.NewestVersion(), set.Malformed)
+		t.Errorf("newest version %d, %d malformed entries; want 5, 2", set.NewestVersion(), set.Malformed)
 	}
 	if endpoints := set.events.Lists[0].Endpoints; len(endpoints) != 1 {
-		t.Errorf("%+v", endpoints)
+		t.Errorf("reported endpoints %+v, want only x", endpoints)
 	} else if x := endpoints[0]; x.Server != "x" || x.Phase != balancer.Draining || x.Weight != 1 {
-		t.Errorf("%+v", x)
+		t.Errorf("reported endpoint %+v, want x draining with weight 1", x)
 	}
 
-	// A list without faults does not make up for the one before.
+	// A later list without errors does not replace the missing entry.
 	set.apply(t, changes(6, entry("y", "ready")), false, false, 4)
 }
 
-// An entry that cannot be read may be the one of a server that is absent from a full list.
+// A server that seems absent from a full list may belong to an entry that cannot be parsed.
 func TestFullListWithUnreadableEntryRemovesNoServer(t *testing.T) {
 	set := newApplyTest()
 	set.apply(t, fullList(4, entry("x", "ready"), entry("y", "ready")), true, true, 4)
@@ -71,12 +71,12 @@
 	list.Malformed = 1
 	set.apply(t, list, false, false, 4)
 	if !set.Contains("y") || set.events.Lists[0].Scope != balancer.DeltaList {
-		t.Errorf("y is listed: %v; %+v", set.Contains("y"), set.events.Lists)
+		t.Errorf("y is listed: %v, want true; reported lists, which should be deltas: %+v", set.Contains("y"), set.events.Lists)
 	}
 	list.Malformed = 0
 	set.apply(t, list, false, true, 6)
 	if set.Contains("y") {
-		t.Error("y is listed after a full list without it")
+		t.Error("y is still listed after a complete full list without it")
 	}
 }
 
@@ -88,31 +88,31 @@
 	set.apply(t, changes(7), true, true, 7)
 }
 
-func TestOlderListsChangeNothing(t *testing.T) {
+func TestOlderListsAreIgnored(t *testing.T) {
 	set := newApplyTest()
 	set.LoadCached(fullList(4, entry("a", "ready"), entry("b", "ready"), entry("c", "ready")), set.events)
 	set.apply(t, changes(6, entry("a", "gone")), true, true, 6)
 	set.apply(t, changes(5, entry("a", "ready")), false, true, 6)
 	if set.Contains("a") || !set.Contains("b") || len(set.events.Lists) != 0 {
-		t.Errorf("%d lists from an old one", len(set.events.Lists))
+		t.Errorf("old list was applied; it reported %d lists", len(set.events.Lists))
 	}
 	set.apply(t, fullList(1, entry("a", "ready")), false, true, 6) // not the first list of its connection
 	if set.Contains("a") {
-		t.Error("an old list was applied")
+		t.Error("old full list was applied")
 	}
 	set.apply(t, fullList(1, entry("a", "ready")), true, true, 1) // discovery has restarted
 	if !set.Contains("a") || set.Contains("b") || set.events.Lists[0].Scope != balancer.FullList {
-		t.Error("the full list of a new connection was not applied")
+		t.Error("full list of a new connection was not applied")
 	}
 }
 
-func TestUnusableEntriesOfUnknownServersAreLeftOut(t *testing.T) {
+func TestUnusableEntriesOfUnknownServersAreSkipped(t *testing.T) {
 	set := newApplyTest()
 	set.apply(t, fullList(1, entry("a", "ready")), true, true, 1)
 	unknownZone := entry("y", "ready")
 	unknownZone.Zone = "elsewhere"
 	set.apply(t, changes(2, entry("x", "strange"), unknownZone, entry("", "gone")), false, false, 1)
 	if set.Malformed != 3 || set.Len() != 1 || len(set.events.Lists[0].Endpoints) != 0 {
-		t.Errorf("%d malformed, %d listed, %+v", set.Malformed, set.Len(), set.events.Lists)
+		t.Errorf("%d malformed entries, %d servers listed, reported %+v; want 3, 1 and no endpoints", set.Malformed, set.Len(), set.events.Lists)
 	}
 }
--- a/internal/core/platformstate/proxy_registry.go
+++ b/internal/core/platformstate/proxy_registry.go
@@ -9,47 +9,47 @@
 
 // Times in seconds. The relay sends a heartbeat on each connection every second.
 const (
-	snapshotTimeout    = 0.5  // for the joined proxies to be listed, if no heartbeat ends the list earlier
-	maxUnnoticedGap    = 0.25 // without events in which no proxy can leave and join again: it has to notice and to dial
-	heartbeatTimeout   = 1.25 // from one heartbeat to the next at most
-	maxSourceSkew      = 0.5  // between the reports of the same join on two connections
-	sourceStaleTimeout = 1.5  // without events until a source is not relied on
+	snapshotTimeout    = 0.5  // after which a snapshot of the joined proxies ends, if no heartbeat has ended it earlier
+	maxUnnoticedGap    = 0.25 // without events, too short for a proxy to leave and join again: it must detect the loss and dial
+	heartbeatTimeout   = 1.25 // maximum time between two heartbeats
+	maxSourceSkew      = 0.5  // maximum time between the reports of one join on two connections
+	sourceStaleTimeout = 1.5  // without events, after which a source is considered stale
 )
 
-// proxyJoin is a proxy that a source reported as joined.
+// proxyJoin records that a source reported a proxy as joined.
 type proxyJoin struct {
 	event    balancer.ProxyEvent
 	at       float64
-	snapshot bool // it had joined before the source was opened
+	snapshot bool // the proxy had joined before the source was opened
 }
 
-// Source is what one connection to the relay reports of the joined proxies: first a snapshot of those that had
-// joined, then the changes.
+// Source holds the joined proxies as one connection to the relay reports them: first a snapshot of the proxies that
+// had already joined, then the changes.
 type Source struct {
-	joined     map[balancer.Proxy]proxyJoin
-	inSnapshot bool
-	openedAt   float64
-	heardAt    float64
+	joined         map[balancer.Proxy]proxyJoin
+	inSnapshot     bool
+	openedAt       float64
+	lastReceivedAt float64
 }
 
 // NewSource returns a source whose connection has just been subscribed to proxy events.
 func NewSource(now float64) *Source {
-	return &Source{joined: map[balancer.Proxy]proxyJoin{}, inSnapshot: true, openedAt: now, heardAt: now}
+	return &Source{joined: map[balancer.Proxy]proxyJoin{}, inSnapshot: true, openedAt: now, lastReceivedAt: now}
 }
 
-// Complete reports whether the snapshot has ended and the connection is alive.
+// Complete reports whether the snapshot has ended and the connection is not stale.
 func (s *Source) Complete(now float64) bool {
-	return !s.inSnapshot && now-s.heardAt <= sourceStaleTimeout
+	return !s.inSnapshot && now-s.lastReceivedAt <= sourceStaleTimeout
 }
 
-// ProxyRegistry holds the joined proxies as one source at a time reports them.
+// ProxyRegistry holds the joined proxies as reported by its current source.
 //
-// A source that has been subscribed all along can replace it at any time, and no proxy has to be configured
-// again. If there was none, proxies may have left and joined again unnoticed, and count as rejoined.
+// Another source that was subscribed without a gap can replace the current one at any time, and no proxy has to be
+// configured again. After a gap, proxies may have left and joined again unnoticed, so they are treated as rejoined.
 type ProxyRegistry struct {
 	joined      map[balancer.Proxy]proxyJoin
 	source      *Source
-	currentUpTo float64 // events are known up to this time
+	currentUpTo float64 // time up to which all events are known
 }
 
 // NewProxyRegistry returns an empty registry without a source.
@@ -60,7 +60,7 @@
 // Len returns the number of joined proxies.
 func (r *ProxyRegistry) Len() int { return len(r.joined) }
 
-// JoinEvents returns the joined proxies in the order of their numbers.
+// JoinEvents returns the join events of all joined proxies in the order of their numbers.
 func (r *ProxyRegistry) JoinEvents() []balancer.ProxyEvent {
 	var events []balancer.ProxyEvent
 	for _, proxy := range slices.Sorted(maps.Keys(r.joined)) {
@@ -75,24 +75,24 @@
 	return ok
 }
 
-// Touch records that a source's connection has delivered something.
+// Touch records that a source's connection has delivered a message.
 func (r *ProxyRegistry) Touch(now float64, s *Source) {
-	s.heardAt = now
+	s.lastReceivedAt = now
 	if r.source == s && !s.inSnapshot {
 		r.currentUpTo = now
 	}
 }
 
-// MarkReplaced says that the connection of a source is replaced while it stands; s may be nil. If its heartbeat
-// is not overdue it would have reported every join and departure, so there was no gap. Otherwise each new
-// connection would make all proxies join again, and their assignments would fill the channel.
+// MarkReplaced records that the connection of a source is replaced while it is still open; s may be nil. If no heartbeat
+// is overdue, the source has reported every join and departure, so there is no gap. Without this, each new connection
+// would make all proxies join again, and their assignments would fill the channel.
 func (r *ProxyRegistry) MarkReplaced(now float64, s *Source) {
-	if s != nil && r.source == s && !s.inSnapshot && now-s.heardAt <= heartbeatTimeout {
+	if s != nil && r.source == s && !s.inSnapshot && now-s.lastReceivedAt <= heartbeatTimeout {
 		r.currentUpTo = now
 	}
 }
 
-// SwitchSource follows another source from now on. What differs is appended to events once the snapshot of the
+// SwitchSource makes another source the current one. The differences are appended to events once the snapshot of the
 // source is complete.
 func (r *ProxyRegistry) SwitchSource(now float64, s *Source, events *balancer.Events) {
 	r.source = s
@@ -101,8 +101,8 @@
 	}
 }
 
-// ProxyJoined records that a source reports a proxy as joined. A proxy that was joined already joins again,
-// since its tables are not known.
+// ProxyJoined records that a source reports a proxy as joined. A proxy that had already joined is reported as joining
+// again, since its tables are unknown.
 func (r *ProxyRegistry) ProxyJoined(now float64, s *Source, event balancer.ProxyEvent, events *balancer.Events) {
 	event.Joined = true
 	join := proxyJoin{event: event, at: now, snapshot: s.inSnapshot}
@@ -112,7 +112,7 @@
 	}
 }
 
-// ProxyLeft records that a source reports that a proxy has left.
+// ProxyLeft records that a source reports a proxy as left.
 func (r *ProxyRegistry) ProxyLeft(s *Source, p balancer.Proxy, events *balancer.Events) {
 	delete(s.joined, p)
 	if r.source == s {
@@ -120,14 +120,14 @@
 	}
 }
 
-// ExpireSnapshot ends the snapshot of a source that has been in it for too long.
+// ExpireSnapshot ends the snapshot of a source once snapshotTimeout has passed.
 func (r *ProxyRegistry) ExpireSnapshot(now float64, s *Source, events *balancer.Events) {
 	if now-s.openedAt >= snapshotTimeout {
 		r.EndSnapshot(now, s, events)
 	}
 }
 
-// EndSnapshot ends the snapshot of a source, if it has not ended.
+// EndSnapshot ends the snapshot of a source unless it has already ended.
 func (r *ProxyRegistry) EndSnapshot(now float64, s *Source, events *balancer.Events) {
 	if !s.inSnapshot {
 		return
@@ -150,7 +150,7 @@
 	}
 }
 
-// reconcile makes the registry equal to its source: proxies that are absent there have left unnoticed.
+// reconcile makes the registry match its source. Proxies that the source does not list have left unnoticed.
 func (r *ProxyRegistry) reconcile(now float64, events *balancer.Events) {
 	source := r.source
 	gap := source.openedAt-r.currentUpTo > maxUnnoticedGap
@@ -169,8 +169,8 @@
 	}
 }
 
-// rejoined reports whether j, as a new source reports it, may be another join than the known one of the same
-// proxy. gap says that events were missed before the source was opened.
+// rejoined reports whether j, reported by a new source, may be a later join than the known one of the same proxy. gap
+// is true if events may have been missed before the source was opened.
 func (j proxyJoin) rejoined(known proxyJoin, gap bool, openedAt float64) bool {
 	switch {
 	case gap && known.at < openedAt:
--- a/internal/core/platformstate/proxy_registry_test.go
+++ b/internal/core/platformstate/proxy_registry_test.go
@@ -7,8 +7,8 @@
 	"snowquay/balancer"
 )
 
-// A connection that is replaced while it stands leaves no gap, whenever its last heartbeat came: no proxy joins
-// again. After a longer silence all do.
+// Replacing an open connection causes no gap as long as its heartbeat is not overdue, so no proxy joins again. After a
+// longer silence all proxies join again.
 func TestReplacedConnectionLeavesNoGap(t *testing.T) {
 	for silence, rejoined := range map[float64]int{0.1: 0, 0.9: 0, 1.2: 0, 1.4: 1, 3: 1} {
 		r := NewProxyRegistry()
@@ -26,13 +26,13 @@
 		r.ProxyJoined(at, next, balancer.ProxyEvent{Proxy: 1, Zone: 0}, events)
 		r.EndSnapshot(at+0.1, next, events)
 		if len(events.ProxyEvents) != rejoined {
-			t.Errorf("after %.1f s of silence %d rejoined, want %d", silence, len(events.ProxyEvents), rejoined)
+			t.Errorf("after %.1f s of silence %d proxies rejoined, want %d", silence, len(events.ProxyEvents), rejoined)
 		}
 	}
 }
 
-// takeEvents returns the proxy events in short, "+1" for a join of proxy 1 and "-1" for its departure, and
-// clears them.
+// takeEvents returns the proxy events in a short notation and clears them: "+1" is a join of proxy 1, "-1" its
+// departure.
 func takeEvents(events *balancer.Events) string {
 	text := ""
 	for _, event := range events.ProxyEvents {
@@ -58,22 +58,22 @@
 	if got := takeEvents(events); got != "+0+1+2" {
 		t.Fatal(got)
 	}
-	// The primary falls silent; meanwhile 0 leaves, 1 leaves and joins again, 3 joins.
+	// The primary receives no events while 0 leaves, 1 leaves and joins again, and 3 joins.
 	r.ProxyLeft(standby, 0, events)
 	r.ProxyLeft(standby, 1, events)
 	r.ProxyJoined(2.5, standby, balancer.ProxyEvent{Proxy: 1}, events)
 	r.ProxyJoined(2.6, standby, balancer.ProxyEvent{Proxy: 3}, events)
 	r.Touch(2.6, standby)
 	if takeEvents(events) != "" || !standby.Complete(2.7) || standby.Complete(9) {
-		t.Fatal("the standby source was followed before the switch")
+		t.Fatal("standby source caused events before the switch, or is not complete at 2.7 s, or not stale at 9 s")
 	}
 	r.SwitchSource(2.7, standby, events)
 	if takeEvents(events) != "-0+1+3" || r.Len() != 3 {
-		t.Error("the events are not what has changed")
+		t.Error("events or proxy count after the switch do not match the changes")
 	}
 }
 
-func TestNewSourceAfterAGapMakesAllJoinAnew(t *testing.T) {
+func TestNewSourceAfterGapRejoinsAllProxies(t *testing.T) {
 	for _, gap := range []float64{0.01, 5} {
 		r := NewProxyRegistry()
 		events := &balancer.Events{}
@@ -90,11 +90,11 @@
 		r.ProxyJoined(8+gap, second, balancer.ProxyEvent{Proxy: 1}, events)
 		r.ProxyJoined(8+gap, second, balancer.ProxyEvent{Proxy: 2}, events)
 		if got := takeEvents(events); got != "" {
-			t.Errorf("after %g s the snapshot has not ended, and %s", gap, got)
+			t.Errorf("gap of %g s: events %s before the snapshot has ended", gap, got)
 		}
 		r.ExpireSnapshot(8+gap+snapshotTimeout, second, events)
 		if got, want := takeEvents(events), map[float64]string{0.01: "-0", 5: "-0+1+2"}[gap]; got != want {
-			t.Errorf("after %g s %q, want %q", gap, got, want)
+			t.Errorf("gap of %g s: events %q, want %q", gap, got, want)
 		}
 	}
 }
