--- a/internal/frontend/platform/clients.go
+++ b/internal/frontend/platform/clients.go
@@ -7,27 +7,27 @@
 )
 
 const (
-	identifyTimeout     = 0.9     // seconds for a client to name its zone: those that have not within 1 may be closed
-	reservedDescriptors = 96      // not available to clients: relay, discovery, health checks and the runtime need them
-	minClients          = 32      // connections of clients, whatever the limit of descriptors is
-	maxBufferedBytes    = 4 << 10 // of an unfinished message of an unidentified client
-	maxReadinessChecks  = 64      // of an unidentified client
+	identifyTimeout     = 0.9     // seconds for a client to name its zone; the platform allows closing it after 1
+	reservedDescriptors = 96      // descriptors reserved for relay, discovery, health checks and the runtime
+	minClients          = 32      // lower bound of maxClients, whatever the limit of descriptors is
+	maxBufferedBytes    = 4 << 10 // maximum size of an incomplete message of an unidentified client
+	maxReadinessChecks  = 64      // maximum number for an unidentified client
 )
 
-// messageLimits bound a collector's message: its bytes by the platform, its elements well above the 20 or so of
-// a report.
+// messageLimits bound a collector's message. The byte limit is the platform's; the element limit is well above the
+// approximately 20 elements of a report.
 var messageLimits = resp.Limits{Bytes: 1 << 20, Elements: 512}
 
-// client is the other end of an accepted connection.
+// client is the peer of an accepted connection.
 type client struct {
 	conn            env.Conn
 	acceptedAt      float64
 	reader          resp.Reader
-	identified      bool // it is a collector: it has named a zone
+	identified      bool // the client has named a known zone, so it is a collector
 	readinessChecks int
 }
 
-// acceptClient takes a connection. Where there are too many, the oldest unidentified clients make room.
+// acceptClient accepts a connection. At the limit of clients, the oldest unidentified ones are rejected to make room.
 func (p *Program) acceptClient(now float64, conn env.Conn) {
 	for len(p.unidentified) > 0 && len(p.clients) >= p.maxClients {
 		p.reject(p.unidentified[0])
@@ -43,7 +43,7 @@
 	p.unidentified = append(p.unidentified, accepted)
 }
 
-// reject tells an unidentified client that it is not accepted, and closes its connection.
+// reject sends a rejection to an unidentified client and closes its connection.
 func (p *Program) reject(c *client) {
 	if p.clients[c.conn] != c || c.identified {
 		return
@@ -54,14 +54,14 @@
 	p.io.Close(c.conn)
 }
 
-// rejectUnidentified rejects the clients that have not identified themselves in time.
+// rejectUnidentified rejects the clients that have not identified themselves within identifyTimeout.
 func (p *Program) rejectUnidentified(now float64) {
 	for len(p.unidentified) > 0 && now-p.unidentified[0].acceptedAt >= identifyTimeout {
 		p.reject(p.unidentified[0])
 		p.unidentified = p.unidentified[1:]
 	}
 	if len(p.unidentified) == 0 {
-		p.unidentified = nil // release the array
+		p.unidentified = nil // releases the backing array
 	}
 }
 
@@ -73,7 +73,7 @@
 		var err error
 		elements, ok, err = sender.reader.Next(elements[:0], messageLimits)
 		if err != nil {
-			p.closeUnreadable(sender)
+			p.closeOnFramingError(sender)
 			return
 		}
 		if !ok {
@@ -89,8 +89,8 @@
 	}
 }
 
-// closeUnreadable closes a connection on which the next message cannot be found.
-func (p *Program) closeUnreadable(c *client) {
+// closeOnFramingError closes a connection on which the start of the next message cannot be determined.
+func (p *Program) closeOnFramingError(c *client) {
 	if !c.identified {
 		p.reject(c)
 		return
@@ -100,7 +100,7 @@
 	p.io.Close(c.conn)
 }
 
-// handleMessage takes one message and reports whether its sender may stay.
+// handleMessage handles one message and reports whether its sender may stay connected.
 func (p *Program) handleMessage(now float64, sender *client, message collector.Message) bool {
 	if message.Kind == collector.ReadinessCheckKind {
 		return p.handleReadinessCheck(sender)
--- a/internal/frontend/platform/clients_test.go
+++ b/internal/frontend/platform/clients_test.go
@@ -13,16 +13,16 @@
 
 var (
 	readinessCheck = resp.Append(nil, "hb")
-	readyAnswer    = string(resp.Append(nil, "hb_ok"))
+	readyResponse  = string(resp.Append(nil, "hb_ok"))
 )
 
-func TestCollectorsRelayAndDiscoveryAreServed(t *testing.T) {
+func TestReportsAndListChangesAreHandled(t *testing.T) {
 	sim := simulate(t, 1)
 	sim.relay.join(4, "a")
 	conn := sim.client.dial(slices.Concat(readinessCheck, hello("a")))
 	sim.net.Run(1001.5)
-	if sim.client.received[conn] != readyAnswer || len(sim.relay.weights) != 3 || sim.relay.assignedAt[4] == 0 {
-		t.Fatalf("answered %q, %d weights, proxy assigned at %g", sim.client.received[conn], len(sim.relay.weights), sim.relay.assignedAt[4])
+	if sim.client.received[conn] != readyResponse || len(sim.relay.weights) != 3 || sim.relay.assignedAt[4] == 0 {
+		t.Fatalf("response %q, %d weights set, proxy assigned a table at %g", sim.client.received[conn], len(sim.relay.weights), sim.relay.assignedAt[4])
 	}
 	sim.client.io.Send(conn, resp.Append(nil, "upstream_stats", "az", "a", "host", "s-1", "n", "12", "bad", "3", "avg", "41.7", "window", "1000.0",
 		"report", "queue:7,util:0.61,other:2"))
@@ -30,10 +30,10 @@
 	sim.discovery.publish(false, server("s-2", "draining"))
 	sim.net.Run(1001.6)
 	if counts := sim.program.counts; counts.reports != 2 || counts.malformed != 0 {
-		t.Errorf("%d reports, %d malformed", counts.reports, counts.malformed)
+		t.Errorf("%d reports accepted, %d malformed; want 2, 0", counts.reports, counts.malformed)
 	}
 	if sim.relay.inTable("s-2") {
-		t.Error("0.1 s after it started to drain s-2 is in the table")
+		t.Error("s-2 is still in the table 0.1 s after it started to drain")
 	}
 }
 
@@ -69,12 +69,12 @@
 	sim.client.io.Send(conn, resp.Append(nil, append(slices.Clone(good), "more", "1")...))
 	sim.net.Run(1001.5)
 	if got := sim.program.counts; got.malformed != uint64(malformed) || got.reports != 1 || sim.client.closedAt[conn] != 0 {
-		t.Errorf("%d malformed, want %d; %d reports, closed at %g", got.malformed, malformed, got.reports, sim.client.closedAt[conn])
+		t.Errorf("%d malformed, want %d; %d reports, want 1; connection closed at %g, want 0 for open", got.malformed, malformed, got.reports, sim.client.closedAt[conn])
 	}
 	sim.client.io.Send(conn, []byte("GET / HTTP/1.1\r\n\r\n"))
 	sim.net.Run(1001.6)
 	if sim.client.closedAt[conn] == 0 {
-		t.Error("a connection that goes on with what cannot be read stays open")
+		t.Error("connection stays open after data that is not a RESP message")
 	}
 }
 
@@ -106,15 +106,15 @@
 	for _, conn := range sim.client.conns {
 		closedAt := sim.client.closedAt[conn]
 		if closedAt == 0 || closedAt-sim.client.openedAt[conn] > 1.05 {
-			t.Errorf("%.30q was not closed within a second: %g", sim.client.greetings[conn], closedAt)
+			t.Errorf("client that sent %.30q was not closed within a second; closed at %g", sim.client.greetings[conn], closedAt)
 		}
 	}
 	if len(sim.program.clients) != 0 || len(sim.program.unidentified) != 0 || sim.relay.calls > 3 {
-		t.Errorf("%d clients are left, %d calls were made", len(sim.program.clients), sim.relay.calls)
+		t.Errorf("unidentified clients are left (%d clients), or too many calls were made (%d)", len(sim.program.clients), sim.relay.calls)
 	}
 }
 
-func TestSilentClientsLeaveRoomForCollectors(t *testing.T) {
+func TestSilentClientsDoNotExhaustDescriptors(t *testing.T) {
 	const descriptors = 200
 	sim := simulateWith(t, 1, descriptors, settings, server("s-1", "ready"), server("s-2", "ready"), server("s-3", "ready"))
 	first := sim.client.dial(hello("b"))
@@ -124,11 +124,11 @@
 	}
 	sim.net.Run(1000.8)
 	if clients := len(sim.program.clients); clients > descriptors-reservedDescriptors {
-		t.Errorf("%d clients hold descriptors", clients)
+		t.Errorf("%d clients hold descriptors, more than are available to clients", clients)
 	}
 	late := sim.client.dial(hello("a"))
 	sim.net.Run(1003)
 	if sim.client.closedAt[first] != 0 || sim.client.closedAt[late] != 0 || len(sim.program.clients) != 2 {
-		t.Errorf("%d clients are left", len(sim.program.clients))
+		t.Errorf("%d clients are left, want the two collectors", len(sim.program.clients))
 	}
 }
--- a/internal/frontend/platform/connection.go
+++ b/internal/frontend/platform/connection.go
@@ -13,101 +13,100 @@
 
 // Times in seconds.
 const (
-	dialTimeout       = 0.3 // then another dial is made: a lost first packet is repeated only after 1
-	activationTimeout = 2.0 // for a new connection to show that it works, the dial included
-	minBackoff        = 0.1 // before a connection that broke is dialled again
-	maxBackoff        = 0.4 // a peer that is back is to be noticed soon
+	dialTimeout       = 0.3 // then another dial is made, since a lost first packet is retransmitted only after 1
+	activationTimeout = 2.0 // for a new connection to be activated, including the dial
+	minBackoff        = 0.1 // before a failed connection is dialled again
+	maxBackoff        = 0.4 // low, so that a peer that has returned is detected soon
 )
 
-// maxLineBytes bounds a line of relay or discovery; the full list of 2,000 servers has a fifth of it.
+// maxLineBytes bounds a line from the relay or discovery. The full list of 2,000 servers takes a fifth of it.
 const maxLineBytes = 1 << 20
 
 var httpLimits = http1.Limits{Head: 8 << 10, Body: 1 << 20, Fields: 50}
 
-// connection is one that the program dials to the relay or to discovery.
+// connection is an outgoing connection to the relay or to discovery.
 type connection struct {
-	peer        *peer
-	conn        env.Conn
-	address     netip.AddrPort
-	established bool
-	dialledAt   float64
-	heardAt     float64
-	lines       lines.Reader
-
-	// Of connections to the relay.
+	peer           *peer
+	conn           env.Conn
+	address        netip.AddrPort
+	established    bool
+	dialledAt      float64
+	lastReceivedAt float64
+	lines          lines.Reader
+
+	// Used for connections to the relay only.
 	source       *platformstate.Source // nil until the subscription to proxy events is confirmed
-	unresponsive bool                  // a call was not answered properly, and no heartbeat has come since
+	unresponsive bool                  // a call got no valid response, and no heartbeat has arrived since
 
-	lists discoveryStream // of a connection to discovery
+	lists discoveryStream // used for connections to discovery only
 }
 
-// peer is a service that the program keeps a connection to. Where the active connection is silent, or goes to
-// an address that is no longer the one to use, a candidate is dialled beside it, and takes its place when it
-// has shown that it works.
+// peer is a service that the program maintains a connection to. If the active connection is silent or uses an outdated
+// address, a candidate is dialled in addition and replaces it once it has proved to work.
 type peer struct {
 	address   netip.AddrPort
 	active    *connection
 	candidate *connection
-	dialAt    float64 // no dial before
+	dialAt    float64 // earliest time of the next dial
 	backoff   float64 // seconds
-	replaceAt float64 // when the active connection is replaced although it works; 0 if it is not to be
+	replaceAt float64 // when to replace the active connection although it works; 0 for never
 
 	connected func(now float64, c *connection)
 	receive   func(now float64, c *connection, b []byte)
 }
 
-// maintainPeer dials where a connection is missing, has been silent for longer than a time in seconds, or goes
-// to an old address. With silence 0 a silent connection stays.
-func (p *Program) maintainPeer(now float64, to *peer, silence float64) {
-	if candidate := to.candidate; candidate != nil {
+// maintainPeer dials a peer whose connection is missing, has received nothing for longer than maxSilence seconds, uses
+// an outdated address or is due for replacement. A maxSilence of 0 disables the check for silence.
+func (p *Program) maintainPeer(now float64, target *peer, maxSilence float64) {
+	if candidate := target.candidate; candidate != nil {
 		age := now - candidate.dialledAt
 		if age < dialTimeout || candidate.established && age < activationTimeout {
 			return
 		}
 		p.log.Debug("connection not activated in time",
-			"address", candidate.address, "standby", p.isStandby(to), "established", candidate.established)
+			"address", candidate.address, "standby", p.isStandby(target), "established", candidate.established)
 		p.close(candidate)
-		to.candidate = nil
+		target.candidate = nil
 		if candidate.established {
-			p.backOff(now, to)
+			p.backOff(now, target)
 		}
 	}
-	silent := to.active != nil && silence > 0 && now-to.active.heardAt > silence
-	moved := to.active != nil && to.active.address != to.address
-	replace := to.replaceAt > 0 && now >= to.replaceAt
-	if now >= to.dialAt && (to.active == nil || silent || moved || replace) {
-		to.replaceAt = 0
-		p.dial(now, to)
+	silent := target.active != nil && maxSilence > 0 && now-target.active.lastReceivedAt > maxSilence
+	moved := target.active != nil && target.active.address != target.address
+	replace := target.replaceAt > 0 && now >= target.replaceAt
+	if now >= target.dialAt && (target.active == nil || silent || moved || replace) {
+		target.replaceAt = 0
+		p.dial(now, target)
 	}
 }
 
-// move makes a peer's next connections go to an address.
-func (p *Program) move(to *peer, address netip.AddrPort) {
-	to.address = address
-	to.dialAt = 0
-	if candidate := to.candidate; candidate != nil && candidate.address != address { // it would be waited for
+// changeAddress sets the address of a peer's future connections.
+func (p *Program) changeAddress(target *peer, address netip.AddrPort) {
+	target.address = address
+	target.dialAt = 0
+	if candidate := target.candidate; candidate != nil && candidate.address != address { // it would delay a dial to the new address
 		p.close(candidate)
-		to.candidate = nil
+		target.candidate = nil
 	}
 }
 
-func (p *Program) dial(now float64, to *peer) {
-	candidate := &connection{peer: to, address: to.address, dialledAt: now, heardAt: now}
-	candidate.conn = p.io.Dial(to.address)
+func (p *Program) dial(now float64, target *peer) {
+	candidate := &connection{peer: target, address: target.address, dialledAt: now, lastReceivedAt: now}
+	candidate.conn = p.io.Dial(target.address)
 	p.connections[candidate.conn] = candidate
-	to.candidate = candidate
-	to.dialAt = now + minBackoff // so that a peer that closes each connection at once is not dialled in a loop
+	target.candidate = candidate
+	target.dialAt = now + minBackoff // so that a peer that closes each connection at once is not dialled in a loop
 }
 
-// backOff gives up a peer's candidate, and dials again after a pause.
-func (p *Program) backOff(now float64, to *peer) {
-	to.candidate = nil
-	to.backoff = min(max(2*to.backoff, minBackoff), maxBackoff)
-	to.dialAt = now + to.backoff
+// backOff drops a peer's candidate and delays the next dial.
+func (p *Program) backOff(now float64, target *peer) {
+	target.candidate = nil
+	target.backoff = min(max(2*target.backoff, minBackoff), maxBackoff)
+	target.dialAt = now + target.backoff
 }
 
-// dialled takes the end of a dial.
-func (p *Program) dialled(now float64, c *connection, ok bool) {
+// dialFinished handles the result of a dial.
+func (p *Program) dialFinished(now float64, c *connection, ok bool) {
 	p.log.Debug("dialled", "address", c.address, "standby", p.isStandby(c.peer), "ok", ok, "seconds", now-c.dialledAt)
 	if !ok {
 		delete(p.connections, c.conn)
@@ -115,48 +114,48 @@
 		return
 	}
 	c.established = true
-	c.heardAt = now
+	c.lastReceivedAt = now
 	c.peer.connected(now, c)
 }
 
-// activate puts a peer's candidate into the place of its active connection.
-func (p *Program) activate(now float64, to *peer) {
-	if to.active != nil {
-		p.proxies.MarkReplaced(now, to.active.source)
+// activate replaces a peer's active connection by its candidate.
+func (p *Program) activate(now float64, target *peer) {
+	if target.active != nil {
+		p.proxies.MarkReplaced(now, target.active.source)
 	}
-	p.retire(to.active)
-	to.active = to.candidate
-	to.candidate = nil
-	to.backoff = 0
+	p.retire(target.active)
+	target.active = target.candidate
+	target.candidate = nil
+	target.backoff = 0
 }
 
-// lost takes the end of a connection.
-func (p *Program) lost(now float64, c *connection) {
+// connectionLost handles the loss of a connection.
+func (p *Program) connectionLost(now float64, c *connection) {
 	delete(p.connections, c.conn)
-	to := c.peer
-	p.log.Debug("connection lost", "address", c.address, "standby", p.isStandby(to),
-		"call_in_flight", p.commands.InFlight(), "candidate", to.candidate == c)
-	if to.candidate == c {
-		p.backOff(now, to)
+	target := c.peer
+	p.log.Debug("connection lost", "address", c.address, "standby", p.isStandby(target),
+		"call_in_flight", p.commands.InFlight(), "candidate", target.candidate == c)
+	if target.candidate == c {
+		p.backOff(now, target)
 		return
 	}
-	if p.relay.callOn == c {
+	if p.relay.callConn == c {
 		p.abandonCall(now)
 	}
-	if to.active != c {
+	if target.active != c {
 		return
 	}
-	to.active = nil
-	switch to {
+	target.active = nil
+	switch target {
 	case &p.relay.standby:
 		p.relay.standbyLostAt = now
 	case &p.relay.primary:
 		p.promoteStandby(now)
 	}
-	p.maintainPeer(now, to, 0)
+	p.maintainPeer(now, target, 0)
 }
 
-// close closes a connection, which may be nil, and does nothing about its loss.
+// close closes a connection, which may be nil, without handling its loss.
 func (p *Program) close(c *connection) {
 	if c != nil {
 		delete(p.connections, c.conn)
@@ -167,13 +166,13 @@
 // disconnect closes a connection and handles its loss.
 func (p *Program) disconnect(now float64, c *connection) {
 	p.close(c)
-	p.lost(now, c)
+	p.connectionLost(now, c)
 }
 
 // isOpen reports whether a connection is neither closed nor lost.
 func (p *Program) isOpen(c *connection) bool { return p.connections[c.conn] == c }
 
-// trace logs a message that passes on a connection.
+// trace logs a sent or received message at debug level.
 func (p *Program) trace(event string, text []byte) {
 	if p.log.Enabled(context.Background(), slog.LevelDebug) {
 		p.log.Debug(event, "text", string(text))
--- a/internal/frontend/platform/discovery_watch.go
+++ b/internal/frontend/platform/discovery_watch.go
@@ -10,30 +10,30 @@
 
 // Times in seconds.
 const (
-	discoverySilence  = 4.6 // without a line until the connection counts as silent: a heartbeat comes every 2
-	minRefetchBackoff = 0.1 // before a list that could not be read is requested again
-	maxRefetchBackoff = 8.0 // discovery delivers the same list again
+	discoverySilenceTimeout = 4.6 // without a line, after which a connection is considered silent; heartbeats arrive every 2
+	minRefetchBackoff       = 0.1 // before an unreadable list is requested again
+	maxRefetchBackoff       = 8.0 // discovery may deliver the same unreadable list again
 )
 
-// maxRefetchDoublings bounds the exponent of the backoff, which has reached its maximum before.
+// maxRefetchDoublings bounds the exponent of the backoff. The backoff reaches its maximum with fewer doublings.
 const maxRefetchDoublings = 10
 
-// discoveryWatch keeps a connection on which discovery delivers the changes of its list of servers.
+// discoveryWatch is the peer whose connection delivers changes of the list of servers.
 type discoveryWatch struct {
 	peer
-	fullListFirst   bool // the next connection requests the full list, then the changes
-	incompleteLists int  // consecutive requests after which the list was incomplete
+	fullListFirst   bool // the next connection requests the full list before the changes
+	incompleteLists int  // number of consecutive refetches scheduled for an incomplete list
 }
 
-// discoveryStream is what a connection has received of discovery's responses.
+// discoveryStream is the state of reading discovery's responses on one connection.
 type discoveryStream struct {
-	fullList  bool              // the response is the full list, not the stream of changes
+	fullList  bool              // the current response is the full list, not the stream of changes
 	delivered bool              // a list has been received
-	buffer    []byte            // of the full list, or of the stream's head, until it is complete
-	body      *http1.BodyReader // of the stream; nil before its head is complete
+	buffer    []byte            // incomplete response with the full list, or incomplete head of the stream
+	body      *http1.BodyReader // body of the stream; nil until its head is complete
 }
 
-// requestLists requests the full list if it is needed, otherwise the changes since the last complete version.
+// requestLists requests the full list if needed, otherwise the changes since the last complete version.
 func (p *Program) requestLists(_ float64, c *connection) {
 	path := discovery.WatchPath(p.endpoints.CompleteVersion())
 	c.lists.fullList = p.discovery.fullListFirst
@@ -58,8 +58,8 @@
 	p.receiveStream(now, c, b)
 }
 
-// receiveStreamHead reads the head of the stream of changes and returns the bytes after it. ok is false while
-// it is incomplete and if it cannot be used.
+// receiveStreamHead reads the response head of the stream of changes and returns the bytes after it. ok is false while
+// the head is incomplete and if it is unusable.
 func (p *Program) receiveStreamHead(now float64, c *connection, b []byte) (rest []byte, ok bool) {
 	c.lists.buffer = append(c.lists.buffer, b...)
 	var head http1.Message
@@ -77,7 +77,7 @@
 	return rest, true
 }
 
-// receiveStream reads lines of the stream of changes; a connection on which it ends is of no use.
+// receiveStream reads lines of the stream of changes, and disconnects if the stream ends or is invalid.
 func (p *Program) receiveStream(now float64, c *connection, b []byte) {
 	lineTooLong := false
 	ended, err := c.lists.body.Read(b, func(part []byte) {
@@ -94,32 +94,32 @@
 }
 
 // receiveFullList reads the response with the full list, then requests the changes on the same connection.
-func (p *Program) receiveFullList(now float64, on *connection, b []byte) {
-	on.lists.buffer = append(on.lists.buffer, b...)
+func (p *Program) receiveFullList(now float64, c *connection, b []byte) {
+	c.lists.buffer = append(c.lists.buffer, b...)
 	var response http1.Message
-	length, err := http1.ParseResponse(on.lists.buffer, http.MethodGet, httpLimits, &response)
+	length, err := http1.ParseResponse(c.lists.buffer, http.MethodGet, httpLimits, &response)
 	if err == nil && length == 0 {
 		return
 	}
 	if err == nil {
 		_, err = discovery.Parse(response.Body)
 	}
-	if err != nil || response.Status != http.StatusOK { // changes mean nothing without the list, so it is requested again
-		p.rejectDiscoveryResponse(now, on, response.Status, err)
+	if err != nil || response.Status != http.StatusOK { // changes are meaningless without the full list, so it is requested again
+		p.rejectDiscoveryResponse(now, c, response.Status, err)
 		return
 	}
-	rest := bytes.Clone(on.lists.buffer[length:])
-	p.handleList(now, on, bytes.TrimSpace(response.Body))
+	rest := bytes.Clone(c.lists.buffer[length:])
+	p.handleList(now, c, bytes.TrimSpace(response.Body))
 	p.discovery.fullListFirst = false
-	on.lists.delivered = true
-	on.lists.buffer = nil
+	c.lists.delivered = true
+	c.lists.buffer = nil
 	if response.Close {
-		p.disconnect(now, on)
+		p.disconnect(now, c)
 		return
 	}
-	p.requestLists(now, on)
+	p.requestLists(now, c)
 	if len(rest) > 0 {
-		p.receiveDiscovery(now, on, rest)
+		p.receiveDiscovery(now, c, rest)
 	}
 }
 
@@ -128,10 +128,10 @@
 	p.disconnect(now, c)
 }
 
-// handleList takes a line of discovery: a list, or an empty line as a heartbeat.
+// handleList handles a line from discovery: a list, or an empty line as a heartbeat.
 //
-// Where something in a list cannot be read, its changes would be lost for good when the versions go on. The
-// connection stays for the others, and one beside it requests everything since the last complete version.
+// If part of a list cannot be parsed, its changes would be lost permanently once the version advances. The connection
+// stays open for other changes, and an additional connection requests everything since the last complete version.
 func (p *Program) handleList(now float64, c *connection, line []byte) {
 	if len(line) > 0 {
 		if !p.applyList(now, c, line) {
@@ -145,8 +145,8 @@
 	}
 }
 
-// applyList returns false if the connection has been closed, since its versions are not those that the
-// coordinator knows.
+// applyList applies a list from discovery. It returns false if it has closed the connection because the versions on it do
+// not continue those that the coordinator knows.
 func (p *Program) applyList(now float64, c *connection, line []byte) bool {
 	list, err := discovery.Parse(line)
 	if err != nil {
@@ -166,12 +166,12 @@
 	return true
 }
 
-// scheduleRefetch plans a new connection while the set of servers is incomplete, with growing pauses.
+// scheduleRefetch schedules a replacement connection while the set of servers is incomplete, with exponential backoff.
 func (p *Program) scheduleRefetch(now float64, c *connection) {
 	watch := &p.discovery
 	if !p.endpoints.Incomplete() {
 		watch.replaceAt = 0
-		if now-c.dialledAt > maxRefetchBackoff { // the first list of a new connection proves little
+		if now-c.dialledAt > maxRefetchBackoff { // the first list of a new connection does not show that later lists are readable
 			watch.incompleteLists = 0
 		}
 		return
--- a/internal/frontend/platform/fake_client_test.go
+++ b/internal/frontend/platform/fake_client_test.go
@@ -2,11 +2,11 @@
 
 import "snowquay/internal/env"
 
-// fakeClient connects to the program from the simulated network, any number of times.
+// fakeClient opens any number of connections to the program in the simulated network.
 type fakeClient struct {
 	idleProgram
 	conns     []env.Conn
-	greetings map[env.Conn][]byte // sent as soon as the connection is established
+	greetings map[env.Conn][]byte // data sent as soon as the connection is established
 	received  map[env.Conn]string
 	openedAt  map[env.Conn]float64
 	closedAt  map[env.Conn]float64
--- a/internal/frontend/platform/fake_discovery_test.go
+++ b/internal/frontend/platform/fake_discovery_test.go
@@ -9,25 +9,25 @@
 	"snowquay/internal/wire/discovery"
 )
 
-// discoveryHeartbeat is the time between two heartbeats of a discovery, in seconds.
+// discoveryHeartbeat is the interval between heartbeats of discovery, in seconds.
 const discoveryHeartbeat = 2
 
-// streamHead is the head of the response to a watch.
+// streamHead is the response head of a watch.
 const streamHead = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 
-// fakeDiscovery is a discovery in the simulated network.
+// fakeDiscovery is a discovery service in the simulated network.
 type fakeDiscovery struct {
 	idleProgram
 	list     discovery.List
 	watchers map[env.Conn]bool
-	requests map[env.Conn]string // as far as they have come
+	requests map[env.Conn]string // incomplete requests
 
-	firstLine string // of a watch; empty: the full list
-	truncated bool   // responses with the full list lack their second half
-	silent    bool   // nothing is sent
+	firstLine string // first line of a watch; empty for the full list
+	truncated bool   // whether responses with the full list lack their second half
+	silent    bool   // whether to send nothing
 
-	fullLists     int      // requests for the full list
-	watchRequests []string // requests for a watch
+	fullLists     int      // number of requests for the full list
+	watchRequests []string // received requests for a watch
 }
 
 func (d *fakeDiscovery) Start(now float64, io env.IO) {
@@ -99,7 +99,7 @@
 	}
 }
 
-// publish sends the next version of the list, in two chunks, since a line need not end where a chunk does.
+// publish sends the next version of the list, in two chunks because a line may span chunks.
 func (d *fakeDiscovery) publish(full bool, servers ...discovery.Server) {
 	d.list.Version++
 	text := encodeList(d.list.Version, full, servers...)
@@ -112,7 +112,7 @@
 	}
 }
 
-// lastWatchRequest is the newest request for a watch.
+// lastWatchRequest returns the newest request for a watch.
 func (d *fakeDiscovery) lastWatchRequest() string { return d.watchRequests[len(d.watchRequests)-1] }
 
 func server(id string, state discovery.State) discovery.Server {
@@ -121,7 +121,7 @@
 
 func encodeList(version int64, full bool, servers ...discovery.Server) string {
 	list := discovery.List{Version: version, Full: full, Servers: append([]discovery.Server{}, servers...)}
-	text, _ := json.Marshal(list) // a list always has a JSON form
+	text, _ := json.Marshal(list) // encoding a list cannot fail
 	return string(text)
 }
 
--- a/internal/frontend/platform/fake_relay_test.go
+++ b/internal/frontend/platform/fake_relay_test.go
@@ -10,31 +10,31 @@
 	"snowquay/internal/wire/lines"
 )
 
-// relayHeartbeat is the time between two heartbeats of a relay, in seconds.
+// relayHeartbeat is the interval between heartbeats of the relay, in seconds.
 const relayHeartbeat = 1
 
-// fakeRelay is a relay in the simulated network. It keeps what its proxies were told.
+// fakeRelay is a relay in the simulated network. It records the commands that it has applied.
 type fakeRelay struct {
 	idleProgram
 	readers     map[env.Conn]*lines.Reader
 	subscribers map[env.Conn]bool
-	zones       map[int]string             // of the joined proxies
-	assignedAt  map[int]float64            // by proxy
-	tableOf     map[int]int                // by proxy
+	zones       map[int]string             // zones of the joined proxies
+	assignedAt  map[int]float64            // time of the latest assignment by proxy
+	tableOf     map[int]int                // assigned table by proxy
 	tables      map[int]map[string]float64 // weights by table and server
-	weights     map[string]float64         // by server, of the newest command in any table
+	weights     map[string]float64         // weights by server, from the newest command for any table
 
-	respond      func(id uint64, commands int) (members string, applied bool) // nil: every command is applied
-	delay        func(send func())                                            // nil: responses are sent at once
-	acknowledges bool                                                         // proxies acknowledge at once
-	unreachable  bool                                                         // nothing is sent
+	respond       func(id uint64, commands int) (members string, applied bool) // nil if every command is applied
+	delayResponse func(send func())                                            // nil if responses are sent immediately
+	acknowledges  bool                                                         // whether proxies acknowledge immediately
+	unreachable   bool                                                         // whether to send nothing
 
 	calls       int
-	opened      int // connections
-	largestCall int // bytes
+	opened      int // number of accepted connections
+	largestCall int // size of the largest call in bytes
 }
 
-// closeConnection as the members of a response stands for the end of the connection instead of one.
+// closeConnection, returned by respond as the members of a response, makes the relay close the connection instead.
 const closeConnection = "reset"
 
 func newFakeRelay() *fakeRelay {
@@ -49,8 +49,8 @@
 	}
 }
 
-// newRelayOf returns a relay for the proxies of another one.
-func newRelayOf(other *fakeRelay) *fakeRelay {
+// newReplacementRelay returns a relay that shares the proxies and weights of another one.
+func newReplacementRelay(other *fakeRelay) *fakeRelay {
 	relay := newFakeRelay()
 	relay.zones = other.zones
 	relay.weights = other.weights
@@ -81,7 +81,7 @@
 	delete(r.subscribers, conn)
 }
 
-// join makes a proxy join, and tells all subscribers.
+// join makes a proxy join and notifies all subscribers.
 func (r *fakeRelay) join(proxy int, zone string) {
 	r.zones[proxy] = zone
 	for conn := range r.subscribers {
@@ -150,8 +150,8 @@
 
 func (r *fakeRelay) sendResponse(conn env.Conn, id uint64, members string) {
 	send := func() { r.io.Send(conn, fmt.Appendf(nil, `{"jsonrpc":"2.0","id":%d,%s}`+"\n", id, members)) }
-	if r.delay != nil {
-		r.delay(send)
+	if r.delayResponse != nil {
+		r.delayResponse(send)
 		return
 	}
 	send()
@@ -182,7 +182,7 @@
 	r.tables[table][server] = weight
 }
 
-// acknowledge makes all joined proxies that a call concerns acknowledge it.
+// acknowledge sends an acknowledgement from each joined proxy that a call concerns.
 func (r *fakeRelay) acknowledge(commands []relayCommand) {
 	proxies := map[int]bool{}
 	tables := map[int]bool{}
@@ -210,7 +210,7 @@
 	}
 }
 
-// inTable reports whether the newest command for a server puts it into a table.
+// inTable reports whether the newest command for a server sets a nonzero weight.
 func (r *fakeRelay) inTable(server string) bool {
 	_, ok := r.weights[server]
 	return ok
--- a/internal/frontend/platform/faults_test.go
+++ b/internal/frontend/platform/faults_test.go
@@ -10,95 +10,95 @@
 	"snowquay/internal/wire/discovery"
 )
 
-// faultDay is a simulation with what discovery has published in it.
-type faultDay struct {
+// faultScenario is a simulation with the current time and the server states published by discovery.
+type faultScenario struct {
 	*simulation
 	now    float64
 	states map[string]discovery.State
 }
 
-// Whatever happens to calls, lists and connections, the relay ends with the servers that discovery published
-// last, and every proxy has a table.
-func TestFaultsEndWithTheRightTables(t *testing.T) {
+// Regardless of faults in calls, lists and connections, the relay ends with the servers that discovery published last,
+// and every proxy has a table.
+func TestTablesAreCorrectAfterFaults(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		day := &faultDay{
+		scenario := &faultScenario{
 			simulation: simulate(t, rapid.Uint64Range(0, 1000).Draw(t, "seed")),
 			now:        simulationReady,
 			states:     map[string]discovery.State{"s-1": "ready", "s-2": "ready", "s-3": "ready"},
 		}
-		day.net.Faults.SplitProbability = rapid.SampledFrom([]float64{0, 0.3}).Draw(t, "pieces")
-		day.relay.join(0, "a")
+		scenario.net.Faults.SplitProbability = rapid.SampledFrom([]float64{0, 0.3}).Draw(t, "pieces")
+		scenario.relay.join(0, "a")
 		for range rapid.IntRange(3, 12).Draw(t, "events") {
-			day.event(t)
-			day.now += rapid.Float64Range(0.01, 3).Draw(t, "pause")
-			day.net.Run(day.now)
+			scenario.event(t)
+			scenario.now += rapid.Float64Range(0.01, 3).Draw(t, "pause")
+			scenario.net.Run(scenario.now)
 		}
-		day.recover()
-		day.check(t)
+		scenario.recover()
+		scenario.check(t)
 	})
 }
 
-// event draws a change or a fault.
-func (d *faultDay) event(t *rapid.T) {
+// event applies a randomly chosen change or fault.
+func (s *faultScenario) event(t *rapid.T) {
 	switch rapid.IntRange(0, 9).Draw(t, "event") {
 	case 0, 1:
-		d.relay.join(rapid.IntRange(0, 8).Draw(t, "proxy"), "a")
+		s.relay.join(rapid.IntRange(0, 8).Draw(t, "proxy"), "a")
 	case 2, 3:
 		id := rapid.SampledFrom([]string{"s-2", "s-3"}).Draw(t, "server")
-		d.states[id] = rapid.SampledFrom([]discovery.State{"ready", "draining", "gone"}).Draw(t, "state")
-		d.discovery.publish(false, server(id, d.states[id]))
+		s.states[id] = rapid.SampledFrom([]discovery.State{"ready", "draining", "gone"}).Draw(t, "state")
+		s.discovery.publish(false, server(id, s.states[id]))
 	case 4:
 		members := rapid.SampledFrom([]string{"", closeConnection, `"result":{}`, `"error":"limit"`, `"nothing":0`}).Draw(t, "response")
 		applied := rapid.Bool().Draw(t, "applied") && members != `"error":"limit"`
-		d.relay.respond = func(uint64, int) (string, bool) { return members, applied }
+		s.relay.respond = func(uint64, int) (string, bool) { return members, applied }
 	case 5:
-		for conn := range d.relay.subscribers {
-			d.relay.io.Close(conn)
-			d.relay.Closed(d.now, conn)
+		for conn := range s.relay.subscribers {
+			s.relay.io.Close(conn)
+			s.relay.Closed(s.now, conn)
 			break
 		}
 	case 6:
-		for conn := range d.discovery.watchers {
-			d.discovery.io.Close(conn)
-			d.discovery.Closed(d.now, conn)
+		for conn := range s.discovery.watchers {
+			s.discovery.io.Close(conn)
+			s.discovery.Closed(s.now, conn)
 		}
 	case 7:
-		d.discovery.silent = !d.discovery.silent
+		s.discovery.silent = !s.discovery.silent
 	case 8:
-		d.relayHost.Stall(rapid.Float64Range(0.1, 4).Draw(t, "stall"))
+		s.relayHost.Stall(rapid.Float64Range(0.1, 4).Draw(t, "stall"))
 	case 9:
-		if conns := slices.Sorted(maps.Keys(d.relay.readers)); len(conns) > 0 {
-			d.relay.io.Send(conns[0], []byte("what is this\n"))
+		if conns := slices.Sorted(maps.Keys(s.relay.readers)); len(conns) > 0 {
+			s.relay.io.Send(conns[0], []byte("what is this\n"))
 		}
 	}
 }
 
-// recover ends all faults, publishes the full list, and gives the program time to follow.
-func (d *faultDay) recover() {
-	d.relay.respond = nil
-	d.discovery.silent = false
+// recover ends all faults, publishes the full list, and lets the simulation run until the program has caught up.
+func (s *faultScenario) recover() {
+	s.relay.respond = nil
+	s.discovery.silent = false
 	var all []discovery.Server
 	for _, id := range []string{"s-1", "s-2", "s-3"} {
-		if d.states[id] != discovery.Removed {
-			all = append(all, server(id, d.states[id]))
+		if s.states[id] != discovery.Removed {
+			all = append(all, server(id, s.states[id]))
 		}
 	}
-	d.discovery.publish(true, all...)
-	d.net.Run(d.now + 25)
+	s.discovery.publish(true, all...)
+	s.net.Run(s.now + 25)
 }
 
-func (d *faultDay) check(t *rapid.T) {
-	for id, state := range d.states {
-		if d.relay.inTable(id) != (state == discovery.Ready) {
-			t.Fatalf("%s is %s, in the table: %v", id, state, d.relay.inTable(id))
+func (s *faultScenario) check(t *rapid.T) {
+	for id, state := range s.states {
+		if s.relay.inTable(id) != (state == discovery.Ready) {
+			t.Fatalf("server %s is %s, in the table: %v", id, state, s.relay.inTable(id))
 		}
 	}
-	for proxy := range d.relay.zones {
-		if d.relay.assignedAt[proxy] == 0 {
+	for proxy := range s.relay.zones {
+		if s.relay.assignedAt[proxy] == 0 {
 			t.Fatalf("proxy %d was never assigned a table", proxy)
 		}
 	}
-	if connections := len(d.relay.readers); connections > 3 {
-		t.Fatalf("%d connections to the relay are open", connections)
+	if connections := len(s.relay.readers); connections > 3 {
+		t.Fatalf("%d connections to the relay are open, want at most 3", connections)
 	}
 }
--- a/internal/frontend/platform/health_checks.go
+++ b/internal/frontend/platform/health_checks.go
@@ -10,41 +10,41 @@
 )
 
 const (
-	maxHealthChecks    = 8   // at once, on a connection each
-	healthCheckTimeout = 1.0 // seconds, the dial included
+	maxHealthChecks    = 8   // maximum number at a time, each on its own connection
+	healthCheckTimeout = 1.0 // seconds, including the dial
 
 	livenessPath = "/health/live"
-	loadPath     = "/stats" // answers with a load report
+	loadPath     = "/stats" // its response contains a load report
 
-	loadSeparator = '=' // between name and value in a server's own load report
+	loadSeparator = '=' // separates name and value in a load report served by a server
 )
 
-// healthCheck is one that runs.
+// healthCheck is a health check in progress.
 type healthCheck struct {
 	server    balancer.Server
 	conn      env.Conn
 	startedAt float64
 	connected bool
-	response  []byte // as far as it has come
+	response  []byte // the part received so far
 }
 
-// healthStatuses are the meanings of a server's response; any other status is an error.
+// healthStatuses maps the HTTP status of a server's response to its health; any other HTTP status is an error.
 var healthStatuses = map[int]balancer.HealthStatus{
 	http.StatusOK:                 balancer.HealthOK,
 	http.StatusServiceUnavailable: balancer.HealthRefused,
 }
 
-// checkHealth starts a health check of a server. It is inconclusive at once where none may be made now.
+// checkHealth starts a health check of a server. The result is inconclusive immediately if no check is possible now.
 func (p *Program) checkHealth(now float64, server balancer.Server) {
 	address := p.endpoints.Address(server)
 	allowed := p.deployment.HealthChecking.Allowed
-	if !allowed || !address.IsValid() || p.checking[server] || len(p.healthChecks) >= maxHealthChecks {
+	if !allowed || !address.IsValid() || p.checkInProgress[server] || len(p.healthChecks) >= maxHealthChecks {
 		p.addHealthCheckResult(now, balancer.HealthCheckResult{Server: server, Status: balancer.HealthInconclusive})
 		return
 	}
 	check := &healthCheck{server: server, startedAt: now, conn: p.io.Dial(address)}
 	p.healthChecks[check.conn] = check
-	p.checking[server] = true
+	p.checkInProgress[server] = true
 }
 
 func (p *Program) healthCheckConnected(now float64, check *healthCheck, ok bool) {
@@ -79,8 +79,8 @@
 	p.finishHealthCheck(now, check, status, load)
 }
 
-// parseServerLoad returns the metrics in the order of the settings; nil if the body cannot be read, which
-// leaves the server healthy.
+// parseServerLoad returns the metrics in the order of the settings. It returns nil if the body cannot be parsed; the
+// server still counts as healthy then.
 func (p *Program) parseServerLoad(body []byte) []float64 {
 	report, err := collector.ParseLoadReport(body, loadSeparator)
 	if err != nil {
@@ -91,7 +91,7 @@
 
 func (p *Program) finishHealthCheck(now float64, check *healthCheck, status balancer.HealthStatus, load []float64) {
 	delete(p.healthChecks, check.conn)
-	delete(p.checking, check.server)
+	delete(p.checkInProgress, check.server)
 	p.io.Close(check.conn)
 	p.addHealthCheckResult(now, balancer.HealthCheckResult{
 		Server:  check.server,
@@ -106,7 +106,7 @@
 	p.scheduleRound(now)
 }
 
-// expireHealthChecks ends the health checks that have taken too long.
+// expireHealthChecks finishes the health checks that have exceeded healthCheckTimeout.
 func (p *Program) expireHealthChecks(now float64) {
 	for _, check := range p.healthChecks {
 		if now-check.startedAt < healthCheckTimeout {
--- a/internal/frontend/platform/program.go
+++ b/internal/frontend/platform/program.go
@@ -1,9 +1,9 @@
-// Package platform runs a coordinator on the platform: it serves collectors, keeps connections to the relay and
+// Package platform runs a coordinator on the platform: it serves collectors, maintains connections to the relay and
 // to discovery, and checks the health of servers.
 //
 // Program is an env.Program: the same code runs on sockets and in virtual time, with times in seconds of the
-// environment's clock. It makes no balancing decision: what it reads becomes the events of a round of package
-// balancer, and the commands of the round leave as calls to the relay.
+// environment's clock. It makes no balancing decisions: the messages that it receives become the events of a round of
+// package balancer, and the commands of the round are sent as calls to the relay.
 package platform
 
 import (
@@ -20,88 +20,88 @@
 )
 
 const (
-	maintenanceInterval = 0.1 // seconds between two checks of what is due by time alone
+	maintenanceInterval = 0.1 // seconds between two checks for timeouts and other periodic work
 	stateLogInterval    = 5.0 // seconds between two log lines with the counters
 
-	maxUnreadBytes = 128 << 10 // that a peer may leave unread: the platform's limit
+	maxUnreadBytes = 128 << 10 // the platform's limit on the data that a peer may leave unread
 )
 
-// Config says where a coordinator runs and what it knows at its start.
+// Config configures a coordinator: the addresses of its peers, its limits and its initial state.
 type Config struct {
 	Discovery      netip.AddrPort
 	Relay          netip.AddrPort
-	MaxDescriptors int             // that the process may hold
-	CachedList     *discovery.List // the servers as they were known last; nil if there is no readable list
-	CachedListErr  error           // why CachedList is nil; nil if no list was given
+	MaxDescriptors int             // maximum number of file descriptors of the process
+	CachedList     *discovery.List // a stored list of the servers; nil if there is no readable one
+	CachedListErr  error           // why CachedList could not be read; nil if no list was given
 	Seed           uint64
 	Deployment     *deployment.Deployment
 }
 
-// Program is one coordinator. It is made by New and is not safe for concurrent use: the environment calls its
-// methods one at a time.
+// Program is a coordinator. It is created by New and is not safe for concurrent use: the environment calls its methods
+// one at a time.
 type Program struct {
 	deployment *deployment.Deployment
 	classes    jsonrpc.ClassNames
-	metrics    []balancer.LoadMetric // of load reports, in their order
+	metrics    []balancer.LoadMetric // in the order of the values in load reports
 	balancer   *balancer.Balancer
 	log        *slog.Logger
 	io         env.IO
 
-	events        balancer.Events // for the next round
-	inspected     int             // proxy events among them that dropDeparted has seen
-	joinsWithheld bool            // the balancer has not been given the joined proxies
-	eventsSince   float64         // since when events wait for their round; 0 if none do
-	timers        []timer         // requested by the balancer
+	events               balancer.Events // collected for the next round
+	processedProxyEvents int             // number of proxy events already handled by dropCommandsForDepartedProxies
+	joinsWithheld        bool            // join events are withheld from the balancer until a server is known
+	firstEventAt         float64         // when the first event waiting for a round arrived; 0 if there is none
+	timers               []timer         // requested by the balancer
 
 	proxies   *platformstate.ProxyRegistry
 	endpoints *platformstate.EndpointSet
 	commands  *platformstate.CommandBuffer
 
-	clients      map[env.Conn]*client
-	unidentified []*client // oldest first, including some that have been identified or closed
-	maxClients   int
-	connections  map[env.Conn]*connection
-	relay        relay
-	discovery    discoveryWatch
-	healthChecks map[env.Conn]*healthCheck
-	checking     map[balancer.Server]bool
+	clients         map[env.Conn]*client
+	unidentified    []*client // oldest first; may include clients that have since been identified or closed
+	maxClients      int
+	connections     map[env.Conn]*connection
+	relay           relay
+	discovery       discoveryWatch
+	healthChecks    map[env.Conn]*healthCheck
+	checkInProgress map[balancer.Server]bool
 
 	maintenanceAt float64
 	stateLogAt    float64
-	wakeAt        float64 // when the environment's timer fires; 0 if it is not set
+	wakeAt        float64 // when the environment's timer fires; 0 if no timer is set
 	counts        counters
 }
 
-// counters are logged at intervals.
+// counters are logged every stateLogInterval.
 type counters struct {
 	rounds    uint64
-	calls     uint64 // to the relay
-	reports   uint64 // from collectors, that were used
-	malformed uint64 // messages of collectors, relay and discovery
-	rejected  uint64 // clients
-	closed    uint64 // connections of clients, other than rejected ones
+	calls     uint64 // calls sent to the relay
+	reports   uint64 // accepted reports from collectors
+	malformed uint64 // malformed messages from collectors, relay and discovery
+	rejected  uint64 // rejected clients
+	closed    uint64 // closed connections of clients that were not rejected
 }
 
-// New returns a coordinator that does nothing until Start.
+// New returns a coordinator that is idle until Start is called.
 func New(config Config, log *slog.Logger) *Program {
 	var classes jsonrpc.ClassNames
 	for _, class := range config.Deployment.Classes {
 		classes = append(classes, class.Name)
 	}
 	program := &Program{
-		deployment:   config.Deployment,
-		classes:      classes,
-		metrics:      config.Deployment.LoadMetrics(),
-		balancer:     config.Deployment.NewBalancer(config.Seed),
-		log:          log,
-		proxies:      platformstate.NewProxyRegistry(),
-		endpoints:    platformstate.NewEndpointSet(config.Deployment.Zones, config.Deployment.MachineKinds),
-		commands:     platformstate.NewCommandBuffer(classes),
-		clients:      map[env.Conn]*client{},
-		maxClients:   max(config.MaxDescriptors-reservedDescriptors, minClients),
-		connections:  map[env.Conn]*connection{},
-		healthChecks: map[env.Conn]*healthCheck{},
-		checking:     map[balancer.Server]bool{},
+		deployment:      config.Deployment,
+		classes:         classes,
+		metrics:         config.Deployment.LoadMetrics(),
+		balancer:        config.Deployment.NewBalancer(config.Seed),
+		log:             log,
+		proxies:         platformstate.NewProxyRegistry(),
+		endpoints:       platformstate.NewEndpointSet(config.Deployment.Zones, config.Deployment.MachineKinds),
+		commands:        platformstate.NewCommandBuffer(classes),
+		clients:         map[env.Conn]*client{},
+		maxClients:      max(config.MaxDescriptors-reservedDescriptors, minClients),
+		connections:     map[env.Conn]*connection{},
+		healthChecks:    map[env.Conn]*healthCheck{},
+		checkInProgress: map[balancer.Server]bool{},
 	}
 	program.relay.primary = peer{address: config.Relay, connected: program.subscribe, receive: program.receiveRelay}
 	program.relay.standby = peer{address: config.Relay, connected: program.subscribe, receive: program.receiveRelay}
@@ -114,8 +114,8 @@
 	return program
 }
 
-// IgnoreDelivery implements eventloop.DeliveryIgnorer: the program does not use reports of what the peers'
-// hosts have received.
+// IgnoreDelivery implements eventloop.DeliveryIgnorer: the program does not use reports of how much data has reached
+// the peers' hosts.
 func (p *Program) IgnoreDelivery() {}
 
 // MaxUnread implements eventloop.UnreadLimiter, in bytes. The relay reads a call before it responds, and no
@@ -128,23 +128,23 @@
 	p.stateLogAt = now + stateLogInterval
 	p.round(now)
 	p.maintain(now)
-	p.finishTurn(now)
+	p.finishEvent(now)
 }
 
-// SetAddresses moves to other addresses of discovery and relay. The connections to the old ones stay until
-// those to the new ones work.
+// SetAddresses changes the addresses of discovery and relay. The existing connections stay open until those to the new
+// addresses work.
 func (p *Program) SetAddresses(now float64, discovery, relay netip.AddrPort) {
 	if p.discovery.address != discovery {
-		p.discovery.fullListFirst = true // the versions of one discovery mean nothing to another
+		p.discovery.fullListFirst = true // versions are not comparable between two discovery services
 	}
-	p.move(&p.relay.primary, relay)
-	p.move(&p.relay.standby, relay)
-	p.move(&p.discovery.peer, discovery)
+	p.changeAddress(&p.relay.primary, relay)
+	p.changeAddress(&p.relay.standby, relay)
+	p.changeAddress(&p.discovery.peer, discovery)
 	p.maintain(now)
-	p.finishTurn(now)
+	p.finishEvent(now)
 }
 
-// Shutdown closes all connections of clients, relay and discovery, so that the clients go elsewhere.
+// Shutdown closes all connections to clients, relay and discovery, so that the clients connect to other coordinators.
 func (p *Program) Shutdown() {
 	for conn := range p.clients {
 		p.io.Close(conn)
@@ -159,20 +159,20 @@
 // Opened implements env.Program.
 func (p *Program) Opened(now float64, conn env.Conn, _ netip.Addr, _ uint16) {
 	p.acceptClient(now, conn)
-	p.finishTurn(now)
+	p.finishEvent(now)
 }
 
 // Connected implements env.Program.
 func (p *Program) Connected(now float64, conn env.Conn, ok bool) {
 	switch {
 	case p.connections[conn] != nil:
-		p.dialled(now, p.connections[conn], ok)
+		p.dialFinished(now, p.connections[conn], ok)
 	case p.healthChecks[conn] != nil:
 		p.healthCheckConnected(now, p.healthChecks[conn], ok)
-	case ok: // it was given up meanwhile
+	case ok: // the dial was abandoned in the meantime
 		p.io.Close(conn)
 	}
-	p.finishTurn(now)
+	p.finishEvent(now)
 }
 
 // Receive implements env.Program.
@@ -182,12 +182,12 @@
 		p.receiveClient(now, p.clients[conn], b)
 	case p.connections[conn] != nil:
 		c := p.connections[conn]
-		c.heardAt = now
+		c.lastReceivedAt = now
 		c.peer.receive(now, c, b)
 	case p.healthChecks[conn] != nil:
 		p.receiveHealth(now, p.healthChecks[conn], b)
 	}
-	p.finishTurn(now)
+	p.finishEvent(now)
 }
 
 // Closed implements env.Program.
@@ -196,11 +196,11 @@
 	case p.clients[conn] != nil:
 		delete(p.clients, conn)
 	case p.connections[conn] != nil:
-		p.lost(now, p.connections[conn])
+		p.connectionLost(now, p.connections[conn])
 	case p.healthChecks[conn] != nil:
 		p.finishHealthCheck(now, p.healthChecks[conn], balancer.HealthUnreachable, nil)
 	}
-	p.finishTurn(now)
+	p.finishEvent(now)
 }
 
 // Delivered implements env.Program.
@@ -219,15 +219,15 @@
 	if now >= p.maintenanceAt {
 		p.maintain(now)
 	}
-	p.finishTurn(now)
+	p.finishEvent(now)
 }
 
-// maintain handles what is due by time alone.
+// maintain handles timeouts and other periodic work.
 func (p *Program) maintain(now float64) {
 	p.maintenanceAt = now + maintenanceInterval
 	p.rejectUnidentified(now)
 	p.maintainRelay(now)
-	p.maintainPeer(now, &p.discovery.peer, discoverySilence)
+	p.maintainPeer(now, &p.discovery.peer, discoverySilenceTimeout)
 	p.expireHealthChecks(now)
 	if now >= p.stateLogAt {
 		p.stateLogAt = now + stateLogInterval
@@ -251,14 +251,13 @@
 		"closed", p.counts.closed)
 }
 
-// finishTurn ends the handling of an event: it sends the next call, and has the program woken for what is due
-// next.
-func (p *Program) finishTurn(now float64) {
-	p.dropDeparted(now)
+// finishEvent is called at the end of each event: it sends the next call and sets the timer for whatever is due next.
+func (p *Program) finishEvent(now float64) {
+	p.dropCommandsForDepartedProxies(now)
 	p.sendCall(now)
 	at := p.maintenanceAt
-	if p.eventsSince > 0 {
-		at = min(at, p.eventsSince+gatherTime)
+	if p.firstEventAt > 0 {
+		at = min(at, p.firstEventAt+batchWindow)
 	}
 	for _, t := range p.timers {
 		at = min(at, t.at)
--- a/internal/frontend/platform/relay.go
+++ b/internal/frontend/platform/relay.go
@@ -8,45 +8,44 @@
 
 // Times in seconds.
 const (
-	relaySilence      = 1.6  // without any message until a connection counts as silent: heartbeats come every second
-	standbyRedialTime = 0.15 // without a standby until calls go on the primary: a dial takes a hundredth of a second
+	relaySilenceTimeout = 1.6  // without a message, after which a connection is considered silent; heartbeats arrive every second
+	standbyRedialTime   = 0.15 // without a standby, after which calls are sent on the primary; a dial takes a hundredth of a second
 )
 
-// relay holds two connections to the relay, both of which deliver proxy events, so that one can take the
-// other's place without a gap.
+// relay holds two connections to the relay. Both deliver proxy events, so that one can replace the other without a gap.
 //
-// The proxy registry follows the primary. Calls go on the standby, since the relay may close the connection
-// that a call comes on, and on the primary where there is no standby.
+// The primary is the source of the proxy registry. Calls are sent on the standby, since the relay may close the
+// connection that it receives a call on; without a standby they are sent on the primary.
 type relay struct {
 	primary       peer
 	standby       peer
 	standbyLostAt float64
-	watchID       uint64 // of the newest subscription
+	watchID       uint64 // request ID of the newest subscription
 
-	nextCallAt float64     // no call before
-	callOn     *connection // of the call in flight
-	retired    *connection // callOn, if it has been replaced and stays open for the response
-	callSentAt float64
-	stalled    bool // the balancer was told last that commands do not reach the channel
+	nextCallAt     float64     // earliest time of the next call
+	callConn       *connection // connection of the call in flight
+	retired        *connection // callConn if it has been replaced and stays open for the response
+	callSentAt     float64
+	channelStalled bool // the latest round was given ChannelStalled
 }
 
-func (p *Program) isStandby(to *peer) bool { return to == &p.relay.standby }
+func (p *Program) isStandby(target *peer) bool { return target == &p.relay.standby }
 
-// maintainRelay keeps both connections alive and ends overdue snapshots of proxies.
+// maintainRelay dials missing connections to the relay, ends overdue snapshots and replaces a silent primary.
 func (p *Program) maintainRelay(now float64) {
 	r := &p.relay
-	for _, to := range []*peer{&r.primary, &r.standby} {
-		p.maintainPeer(now, to, relaySilence)
-		if to.active != nil {
-			p.proxies.ExpireSnapshot(now, to.active.source, &p.events)
+	for _, target := range []*peer{&r.primary, &r.standby} {
+		p.maintainPeer(now, target, relaySilenceTimeout)
+		if target.active != nil {
+			p.proxies.ExpireSnapshot(now, target.active.source, &p.events)
 		}
 	}
-	if r.primary.active != nil && now-r.primary.active.heardAt > relaySilence {
+	if r.primary.active != nil && now-r.primary.active.lastReceivedAt > relaySilenceTimeout {
 		p.promoteStandby(now)
 	}
 }
 
-// promoteStandby makes the standby the primary, if its snapshot is complete and it is alive.
+// promoteStandby makes the standby the primary if its snapshot is complete and it is not stale.
 func (p *Program) promoteStandby(now float64) {
 	r := &p.relay
 	standby := r.standby.active
@@ -68,7 +67,7 @@
 	p.io.Send(c.conn, jsonrpc.AppendWatch(nil, p.relay.watchID))
 }
 
-// subscribed takes the confirmation that proxy events will come on a connection.
+// subscribed handles the confirmation of a subscription to proxy events.
 func (p *Program) subscribed(now float64, c *connection) {
 	c.source = platformstate.NewSource(now)
 	p.activate(now, c.peer)
@@ -93,27 +92,27 @@
 	}
 }
 
-// handleResponse takes a response, or nil for a line that cannot be read: it may have been one.
+// handleResponse handles a response. It is nil for a line that cannot be parsed, which may have been a response.
 func (p *Program) handleResponse(now float64, c *connection, response *jsonrpc.Response) {
 	switch {
 	case c.source == nil && response != nil && response.Err == nil:
 		p.subscribed(now, c)
-	case c == p.relay.callOn:
+	case c == p.relay.callConn:
 		p.finishCall(now, response)
 	default:
 		p.counts.malformed++
 	}
 }
 
-// handleEvent takes a proxy event of a subscribed connection.
-func (p *Program) handleEvent(now float64, on *connection, event *jsonrpc.Event) {
-	if on.source == nil || !p.isOpen(on) {
+// handleEvent handles a heartbeat or proxy event on a subscribed connection.
+func (p *Program) handleEvent(now float64, c *connection, event *jsonrpc.Event) {
+	if c.source == nil || !p.isOpen(c) {
 		return
 	}
-	p.proxies.Touch(now, on.source)
+	p.proxies.Touch(now, c.source)
 	if event.Kind == jsonrpc.Heartbeat {
-		on.unresponsive = false
-		p.proxies.EndSnapshot(now, on.source, &p.events)
+		c.unresponsive = false
+		p.proxies.EndSnapshot(now, c.source, &p.events)
 		return
 	}
 	if event.Proxy < 0 || event.Proxy >= p.deployment.DataPlane.Proxies {
@@ -122,11 +121,11 @@
 	}
 	switch event.Kind {
 	case jsonrpc.ProxyJoined:
-		p.proxyJoined(now, on, event)
+		p.proxyJoined(now, c, event)
 	case jsonrpc.ProxyLeft:
-		p.proxies.ProxyLeft(on.source, balancer.Proxy(event.Proxy), &p.events)
+		p.proxies.ProxyLeft(c.source, balancer.Proxy(event.Proxy), &p.events)
 	case jsonrpc.CommandsAcknowledged:
-		p.acknowledged(now, on, event)
+		p.acknowledged(now, c, event)
 	}
 }
 
@@ -144,7 +143,7 @@
 	}, &p.events)
 }
 
-// acknowledged takes an acknowledgement. Both connections deliver it; the one of the primary counts.
+// acknowledged handles an acknowledgement. Both connections deliver it; only that on the primary is passed to the balancer.
 func (p *Program) acknowledged(now float64, c *connection, event *jsonrpc.Event) {
 	if event.Incomplete {
 		p.counts.malformed++
--- a/internal/frontend/platform/relay_calls.go
+++ b/internal/frontend/platform/relay_calls.go
@@ -7,25 +7,25 @@
 
 // Times in seconds.
 const (
-	usualResponseTime = 0.05 // in which the relay responds, or never
-	responseTimeout   = 0.25 // until a call is given up: the margin is for a busy processor
-	rejectionPause    = 0.1  // between a rejected call and the next
+	usualResponseTime = 0.05 // within which the relay responds, if it responds at all
+	responseTimeout   = 0.25 // after which a call is abandoned; the margin allows for a busy processor
+	rejectionPause    = 0.1  // between a rejected call and the next one
 )
 
-// sendCall gives up a call that has not been answered in time, and sends the next one.
+// sendCall abandons a call that got no response within responseTimeout, and sends the next one.
 func (p *Program) sendCall(now float64) {
 	relay := &p.relay
 	if p.commands.InFlight() && now >= relay.callSentAt+responseTimeout {
 		p.log.Warn("relay does not respond", "address", relay.primary.address)
-		p.abandonCallOnFaulty(now)
+		p.abandonFailedCall(now)
 	}
 	c := p.callConnection(now)
 	if c == nil || p.commands.InFlight() || now < relay.nextCallAt {
 		return
 	}
-	// What is pending was decided before the relay was out of reach; what goes again is charged, and has a request for its own
-	// acknowledgement, before it goes.
-	if relay.stalled || p.commands.HasRedelivered() {
+	// After a stall the pending commands are out of date, since they were decided before the relay became unreachable.
+	// Redelivered commands are charged to the channel, and get an acknowledgement request of their own, before they are sent.
+	if relay.channelStalled || p.commands.HasRedelivered() {
 		p.round(now)
 	}
 	call, ok := p.commands.NextCall(nil)
@@ -33,15 +33,14 @@
 		return
 	}
 	p.counts.calls++
-	relay.callOn = c
+	relay.callConn = c
 	relay.callSentAt = now
 	p.io.Send(c.conn, call)
 	p.trace("relay call", call[:len(call)-1])
 }
 
-// callConnection returns the connection for the next call; nil if there is none. What was written to a relay
-// that is out of reach may still arrive, so that nothing goes again on a connection that has not responded
-// until a heartbeat has come on it.
+// callConnection returns the connection for the next call; nil if there is none. Data written to an unreachable relay may
+// still arrive, so nothing is sent again on an unresponsive connection until a heartbeat has arrived on it.
 func (p *Program) callConnection(now float64) *connection {
 	r := &p.relay
 	if standby := r.standby.active; standby != nil {
@@ -54,9 +53,9 @@
 	return nil
 }
 
-// stalled reports whether commands do not reach the channel: the relay is out of reach, rejects them, or does
-// not respond.
-func (p *Program) stalled(now float64) bool {
+// channelStalled reports whether commands do not reach the channel because the relay is unreachable, rejects them or
+// does not respond.
+func (p *Program) channelStalled(now float64) bool {
 	r := &p.relay
 	if p.commands.InFlight() {
 		return now >= r.callSentAt+usualResponseTime
@@ -64,8 +63,8 @@
 	return p.callConnection(now) == nil || now < r.nextCallAt && p.commands.Pending() > 0
 }
 
-// finishCall takes a response on the connection of the call in flight; nil stands for a line that cannot be
-// read.
+// finishCall handles a response on the connection of the call in flight. A nil response is a line that cannot be
+// parsed.
 func (p *Program) finishCall(now float64, response *jsonrpc.Response) {
 	var outcome platformstate.Outcome
 	if response == nil {
@@ -85,29 +84,29 @@
 		p.releaseCall()
 	case platformstate.Indeterminate:
 		p.log.Warn("relay response cannot be read")
-		p.abandonCallOnFaulty(now)
+		p.abandonFailedCall(now)
 	}
 }
 
-// releaseCall forgets the connection of a call whose outcome is known, and closes it if it has been replaced.
+// releaseCall clears the connection of the call that has ended, and closes it if it has been replaced.
 func (p *Program) releaseCall() {
 	r := &p.relay
 	p.close(r.retired)
-	r.callOn = nil
+	r.callConn = nil
 	r.retired = nil
 }
 
-// abandonCall ends a call whose outcome will not be known.
+// abandonCall ends a call whose outcome will remain unknown.
 func (p *Program) abandonCall(now float64) {
 	p.commands.ConnectionLost()
 	p.releaseCall()
 	p.scheduleRound(now)
 }
 
-// abandonCallOnFaulty ends a call that was not answered properly, and the connection that it was made on if
-// that is the standby. The primary stays for as long as it delivers events, since the loss of it costs more.
-func (p *Program) abandonCallOnFaulty(now float64) {
-	c := p.relay.callOn
+// abandonFailedCall ends a call that got no valid response, and closes its connection if that is the standby. The
+// primary is kept as long as it delivers events, since losing it costs more.
+func (p *Program) abandonFailedCall(now float64) {
+	c := p.relay.callConn
 	p.abandonCall(now)
 	if c == nil {
 		return
@@ -118,11 +117,10 @@
 	}
 }
 
-// retire closes a connection that another one replaces. If a call is in flight on it, that happens when the
-// call has ended: otherwise its response would be lost, and the commands would go twice, whenever connections
-// change under load.
+// retire closes a connection that has been replaced. If a call is in flight on it, it is closed only after the call has
+// ended. Otherwise the response would be lost and the commands sent twice whenever connections change under load.
 func (p *Program) retire(c *connection) {
-	if c != nil && c == p.relay.callOn {
+	if c != nil && c == p.relay.callConn {
 		p.relay.retired = c
 		return
 	}
--- a/internal/frontend/platform/relay_test.go
+++ b/internal/frontend/platform/relay_test.go
@@ -9,9 +9,9 @@
 	"snowquay/internal/wire/discovery"
 )
 
-// A relay that is out of reach is dialled three times a second, so that pending commands go out as soon as it
-// is back.
-func TestPendingCommandsGoOutWhenTheRelayReturns(t *testing.T) {
+// An unreachable relay is dialled three times a second, so that pending commands are sent soon after it is reachable
+// again.
+func TestPendingCommandsAreSentWhenTheRelayReturns(t *testing.T) {
 	sim := simulate(t, 1)
 	sim.relay.join(1, "a")
 	sim.net.Run(1002)
@@ -20,17 +20,17 @@
 	sim.discovery.publish(false, server("s-3", "draining"))
 	for at := 1004.0; at < 1011; at += 0.5 {
 		sim.net.Run(at)
-		sim.discovery.publish(false, server("s-1", "ready")) // no change, but a round
+		sim.discovery.publish(false, server("s-1", "ready")) // changes nothing, but triggers a round
 	}
 	sim.net.Run(1011)
 	sim.relayHost.Isolate(nil)
 	sim.net.Run(1011.6)
 	if sim.relay.inTable("s-3") {
-		t.Error("0.6 s after the relay is back s-3, which is draining, is in the table")
+		t.Error("draining server s-3 is in the table 0.6 s after the relay is reachable again")
 	}
 }
 
-// What is written to a relay that is out of reach may still arrive, so that it is not written again and again.
+// Data written to an unreachable relay may still arrive, so commands are not written to it repeatedly.
 func TestUnreachableRelayGetsFewCalls(t *testing.T) {
 	sim := simulate(t, 1)
 	sim.relay.join(1, "a")
@@ -44,51 +44,51 @@
 		sim.net.Run(at)
 	}
 	if calls := sim.relay.calls - before; calls < 1 || calls > 2 {
-		t.Errorf("%d calls were written in six seconds", calls)
+		t.Errorf("%d calls were written in six seconds, want 1 or 2", calls)
 	}
 	sim.discovery.publish(false, server("s-2", "draining"))
 	sim.relay.unreachable = false
 	sim.net.Run(1010)
 	if len(sim.relay.weights) != 1 || sim.relay.weights["s-1"] == 0 {
-		t.Errorf("two seconds after it is back the weights are %v", sim.relay.weights)
+		t.Errorf("weights two seconds after the relay is reachable again are %v, want only s-1", sim.relay.weights)
 	}
 }
 
-// While commands do not reach the channel the balancer makes no decisions, and does not assume that earlier
-// ones have left it.
+// While commands do not reach the channel, the balancer makes no decisions and does not assume that earlier ones have
+// left the channel.
 func TestBalancerKnowsThatTheChannelIsStalled(t *testing.T) {
 	sim := simulate(t, 1)
 	sim.relay.join(1, "a")
 	sim.net.Run(1002)
-	if sim.program.stalled(1002) {
-		t.Fatal("stalled though the relay responds")
+	if sim.program.channelStalled(1002) {
+		t.Fatal("channel is reported as stalled although the relay responds")
 	}
 	sim.relay.unreachable = true
 	sim.discovery.publish(false, server("s-3", "draining"))
 	sim.net.Run(1002.02)
-	if !sim.program.commands.InFlight() || sim.program.stalled(1002.02) {
-		t.Error("a call that may still get a response is given up")
+	if !sim.program.commands.InFlight() || sim.program.channelStalled(1002.02) {
+		t.Error("call was abandoned, or the channel counts as stalled, while a response may still arrive")
 	}
 	sim.net.Run(1004)
 	pending := sim.program.commands.Pending()
 	sim.discovery.publish(false, server("s-2", "draining"))
 	sim.net.Run(1005)
-	if !sim.program.stalled(1005) || sim.program.commands.Pending() > pending || !sim.program.relay.stalled {
-		t.Errorf("%d commands are pending, %d before; stalled %v", sim.program.commands.Pending(), pending, sim.program.relay.stalled)
+	if !sim.program.channelStalled(1005) || sim.program.commands.Pending() > pending || !sim.program.relay.channelStalled {
+		t.Errorf("%d commands are pending, %d before; latest round was given ChannelStalled: %v, want true", sim.program.commands.Pending(), pending, sim.program.relay.channelStalled)
 	}
 }
 
-// The connections are replaced while a call is in flight: its response is taken on the old one, which is closed
-// then, and nothing is sent twice.
+// The connections are replaced while a call is in flight: its response is accepted on the old connection, which is then
+// closed, and nothing is sent twice.
 func TestResponseOnReplacedConnectionCounts(t *testing.T) {
 	sim := simulate(t, 1)
 	sim.relay.join(1, "a")
 	sim.net.Run(1002)
-	relay := newRelayOf(sim.relay)
+	relay := newReplacementRelay(sim.relay)
 	relay.assignedAt = sim.relay.assignedAt
 	sim.start(otherRelay, relay)
 	var send func()
-	sim.relay.delay = func(now func()) { send = now }
+	sim.relay.delayResponse = func(sendResponse func()) { send = sendResponse }
 	sim.discovery.publish(false, server("s-3", "draining"))
 	for at := 1002.0; send == nil && at < 1003; at += 0.001 {
 		sim.net.Run(at)
@@ -101,41 +101,41 @@
 		sim.net.Run(at)
 	}
 	if len(relay.subscribers) != 2 || !sim.program.commands.InFlight() || len(sim.relay.readers) != 1 {
-		t.Fatalf("%d new connections, %d old ones, a call is in flight: %v", len(relay.subscribers), len(sim.relay.readers), sim.program.commands.InFlight())
+		t.Fatalf("%d new connections, %d old ones, call in flight: %v; want 2, 1, true", len(relay.subscribers), len(sim.relay.readers), sim.program.commands.InFlight())
 	}
 	send()
 	sim.net.Run(sim.net.Now() + 0.05)
 	if sim.program.commands.InFlight() || sim.program.commands.Resends != 0 || len(sim.relay.readers) != 0 {
-		t.Errorf("after the response a call is in flight: %v; %d were sent again, %d old connections", sim.program.commands.InFlight(),
+		t.Errorf("after the response: call in flight: %v, %d calls resent, %d old connections; want none", sim.program.commands.InFlight(),
 			sim.program.commands.Resends, len(sim.relay.readers))
 	}
 }
 
-// SIGHUP moves the relay while the old connections stand: no proxy is assigned a table anew, at whatever time
-// after the last heartbeat.
+// SIGHUP changes the relay address while the old connections are open: no proxy is assigned its table again, regardless
+// of the time since the last heartbeat.
 func TestMovedConnectionsCauseNoAssignments(t *testing.T) {
 	for _, after := range []float64{0.05, 0.3, 0.6, 0.95} {
 		sim := simulate(t, 1)
 		sim.relay.join(1, "a")
 		sim.relay.join(2, "b")
 		sim.net.Run(1003 + after)
-		relay := newRelayOf(sim.relay)
+		relay := newReplacementRelay(sim.relay)
 		sim.start(otherRelay, relay)
 		sim.program.SetAddresses(sim.net.Now(), discoveryAddress, otherRelay)
 		sim.net.Run(1006)
 		if len(relay.subscribers) != 2 || len(relay.assignedAt) > 0 {
-			t.Errorf("%.2f s after a heartbeat: %d new connections, %d proxies assigned anew", after, len(relay.subscribers), len(relay.assignedAt))
+			t.Errorf("%.2f s after a heartbeat: %d new connections, %d proxies assigned again; want 2, 0", after, len(relay.subscribers), len(relay.assignedAt))
 		}
 		relay.join(3, "a")
 		sim.net.Run(1006.1)
 		if len(relay.assignedAt) != 1 {
-			t.Errorf("after another join the assignments are %v", relay.assignedAt)
+			t.Errorf("assignments after another join are %v, want one", relay.assignedAt)
 		}
 	}
 }
 
-// SIGHUP while the old addresses are being dialled, or connections to them get no response: the program does
-// not wait for them.
+// SIGHUP arrives while the old addresses are being dialled or connections to them get no response: the program does not
+// wait for these connections.
 func TestCandidatesAreGivenUpForNewAddresses(t *testing.T) {
 	sim := simulate(t, 1)
 	sim.relay.join(1, "a")
@@ -153,7 +153,7 @@
 	}
 	sim.net.Run(1002.3)
 	if candidate := sim.program.relay.primary.candidate; candidate == nil || !candidate.established {
-		t.Fatalf("there is no established candidate: %+v", candidate)
+		t.Fatalf("candidate is missing or not established: %+v", candidate)
 	}
 	relay := newFakeRelay()
 	relay.zones = sim.relay.zones
@@ -163,12 +163,11 @@
 	sim.program.SetAddresses(sim.net.Now(), otherDiscovery, otherRelay)
 	sim.net.Run(1002.5)
 	if len(relay.subscribers) != 2 || len(newDiscovery.watchers) != 1 {
-		t.Errorf("0.2 s after SIGHUP %d connections to the new relay, %d to discovery", len(relay.subscribers), len(newDiscovery.watchers))
+		t.Errorf("0.2 s after SIGHUP there are %d connections to the new relay and %d to discovery, want 2 and 1", len(relay.subscribers), len(newDiscovery.watchers))
 	}
 }
 
-// Proxies are grouped by the zones of servers, so that those that join before any server is known wait for the
-// first list.
+// Proxies are grouped by the zones of servers, so proxies that join before any server is known wait for the first list.
 func TestJoinsWaitForTheFirstList(t *testing.T) {
 	parsed, err := deployment.Read([]byte(settings))
 	if err != nil {
@@ -197,11 +196,11 @@
 	for proxy := 1; proxy < 7; proxy++ {
 		want := map[string]string{"a": "s-1", "b": "s-2"}[sim.relay.zones[proxy]]
 		if table := sim.relay.tables[sim.relay.tableOf[proxy]]; len(table) != 1 || table[want] == 0 {
-			t.Errorf("proxy %d of zone %s has the table %v", proxy, sim.relay.zones[proxy], table)
+			t.Errorf("proxy %d of zone %s has table %v, want only the server of its zone", proxy, sim.relay.zones[proxy], table)
 		}
 	}
 	if sim.relay.assignedAt[0] > 0 {
-		t.Error("a proxy that has left is assigned a table")
+		t.Error("proxy that has left is assigned a table")
 	}
 }
 
@@ -209,7 +208,7 @@
 	sim := simulate(t, 1)
 	sim.relay.join(1, "a")
 	sim.net.Run(1002)
-	relay := newRelayOf(sim.relay)
+	relay := newReplacementRelay(sim.relay)
 	relay.assignedAt = sim.relay.assignedAt
 	newDiscovery := &fakeDiscovery{list: sim.discovery.list}
 	sim.start(otherRelay, relay)
@@ -217,12 +216,12 @@
 	sim.program.SetAddresses(sim.net.Now(), otherDiscovery, otherRelay)
 	sim.net.Run(1003)
 	if len(sim.relay.readers) != 0 || len(sim.discovery.watchers) != 0 || len(relay.subscribers) != 2 || len(newDiscovery.watchers) != 1 {
-		t.Fatalf("%d and %d old connections, %d and %d new ones", len(sim.relay.readers), len(sim.discovery.watchers), len(relay.subscribers),
+		t.Fatalf("old connections to relay and discovery: %d, %d; new ones: %d, %d; want 0, 0, 2, 1", len(sim.relay.readers), len(sim.discovery.watchers), len(relay.subscribers),
 			len(newDiscovery.watchers))
 	}
 	newDiscovery.publish(false, server("s-3", "draining"))
 	sim.net.Run(1003.1)
 	if relay.inTable("s-3") || relay.calls == 0 {
-		t.Errorf("%d calls to the new relay; s-3 is in the table: %v", relay.calls, relay.inTable("s-3"))
+		t.Errorf("%d calls to the new relay; draining server s-3 is in the table: %v", relay.calls, relay.inTable("s-3"))
 	}
 }
--- a/internal/frontend/platform/relay_wire_test.go
+++ b/internal/frontend/platform/relay_wire_test.go
@@ -5,7 +5,7 @@
 	"fmt"
 )
 
-// relayRequest is a call of the program, as a relay reads it.
+// relayRequest is a request of the program as decoded by a relay.
 type relayRequest struct {
 	ID     uint64 `json:"id"`
 	Method string `json:"method"`
@@ -14,14 +14,14 @@
 	} `json:"params"`
 }
 
-// The methods of a relayRequest.
+// Methods of a relayRequest.
 const (
 	watchMethod = "relay.watch"
 	applyMethod = "relay.apply"
 )
 
-// relayCommand is a command as a relay reads it. Tests dereference the fields of a kind, so that one that is
-// missing fails them.
+// relayCommand is a command as decoded by a relay. Tests dereference the fields that a kind uses, so a missing field
+// fails them.
 type relayCommand struct {
 	Kind   string   `json:"do"`
 	Table  *int     `json:"group"`
@@ -31,7 +31,7 @@
 	AckID  *int64   `json:"stamp"`
 }
 
-// The kinds of a relayCommand.
+// Kinds of a relayCommand.
 const (
 	weightKind     = "share"
 	assignmentKind = "bind"
@@ -44,25 +44,25 @@
 	return request, err
 }
 
-// joinLine is the event that a proxy has joined.
+// joinLine returns the event that a proxy has joined.
 func joinLine(proxy int, zone string) string {
 	return fmt.Sprintf(`{"jsonrpc":"2.0","method":"attach","params":{"sidecar":%d,"az":%q,"share":5,"standing":true}}`+"\n", proxy, zone)
 }
 
-// leaveLine is the event that a proxy has left.
+// leaveLine returns the event that a proxy has left.
 func leaveLine(proxy int) string {
 	return fmt.Sprintf(`{"jsonrpc":"2.0","method":"detach","params":{"sidecar":%d}}`+"\n", proxy)
 }
 
-// ackLine is the event that a proxy has acknowledged commands.
+// ackLine returns the event that a proxy has acknowledged commands.
 func ackLine(proxy int, id int64) string {
 	return fmt.Sprintf(`{"jsonrpc":"2.0","method":"done","params":{"sidecar":%d,"version":%d,"lag_ms":100}}`+"\n", proxy, id)
 }
 
-// heartbeatLine is the relay's heartbeat.
+// heartbeatLine is the heartbeat event of a relay.
 const heartbeatLine = `{"jsonrpc":"2.0","method":"ping","params":{}}` + "\n"
 
-// subscribedLine is the response to a subscription.
+// subscribedLine returns the response that confirms a subscription.
 func subscribedLine(id uint64) string {
 	return fmt.Sprintf(`{"jsonrpc":"2.0","id":%d,"result":true}`+"\n", id)
 }
--- a/internal/frontend/platform/reports.go
+++ b/internal/frontend/platform/reports.go
@@ -5,8 +5,8 @@
 	"snowquay/internal/wire/collector"
 )
 
-// handleUpstreamReport takes what the proxies of a zone observed at a server. It returns false if the report
-// cannot be used.
+// handleUpstreamReport handles a report of what the proxies of a zone observed at a server. It returns false if the
+// report cannot be used.
 func (p *Program) handleUpstreamReport(now float64, message collector.Message) bool {
 	report, err := message.UpstreamReport()
 	zone := p.zone(report.Zone)
@@ -28,7 +28,8 @@
 	return true
 }
 
-// handleDemandReport takes what a proxy received of a class. It returns false if the report cannot be used.
+// handleDemandReport handles a report of the requests of one class that a proxy received. It returns false if the report
+// cannot be used.
 func (p *Program) handleDemandReport(now float64, message collector.Message) bool {
 	report, err := message.DemandReport()
 	class := p.class(report.Class)
--- a/internal/frontend/platform/round.go
+++ b/internal/frontend/platform/round.go
@@ -5,37 +5,37 @@
 	"snowquay/internal/core/platformstate"
 )
 
-// gatherTime is how long the first event waits for its round, in seconds, so that events that come together are
-// decided together.
-const gatherTime = 0.004
+// batchWindow is the time in seconds between the first event and its round, so that events that arrive together are
+// handled in one round.
+const batchWindow = 0.004
 
-// timer is one that the balancer has requested.
+// timer is a timer requested by the balancer.
 type timer struct {
 	at float64
 	id balancer.Timer
 }
 
-// scheduleRound says that there are events for a round.
+// scheduleRound records that events are waiting for a round.
 func (p *Program) scheduleRound(now float64) {
-	if p.eventsSince == 0 {
-		p.eventsSince = now
+	if p.firstEventAt == 0 {
+		p.firstEventAt = now
 	}
 }
 
 func (p *Program) roundDue(now float64) bool {
-	return p.eventsSince > 0 && now >= p.eventsSince+gatherTime
+	return p.firstEventAt > 0 && now >= p.firstEventAt+batchWindow
 }
 
-// round hands the balancer all events that have come, and takes its commands.
+// round passes all collected events to the balancer, which issues its commands to a roundSink.
 func (p *Program) round(now float64) {
 	events := p.events
-	events.ChannelStalled = p.stalled(now)
+	events.ChannelStalled = p.channelStalled(now)
 	events.Redelivered = p.commands.TakeRedelivered()
 	p.events = balancer.Events{}
-	p.inspected = 0
-	p.eventsSince = 0
-	p.relay.stalled = events.ChannelStalled
-	// Proxies are grouped by the zones of servers, so that joins wait until a server is known.
+	p.processedProxyEvents = 0
+	p.firstEventAt = 0
+	p.relay.channelStalled = events.ChannelStalled
+	// Proxies are grouped by the zones of servers, so join events are withheld until a server is known.
 	switch {
 	case !p.endpoints.EverListed():
 		events.ProxyEvents = nil
@@ -48,18 +48,18 @@
 	p.balancer.Reconcile(now, events, &roundSink{CommandBuffer: p.commands, program: p, now: now})
 }
 
-// dropDeparted drops the commands for proxies that have left since it was called last.
-func (p *Program) dropDeparted(now float64) {
-	for _, event := range p.events.ProxyEvents[p.inspected:] {
+// dropCommandsForDepartedProxies drops the commands for proxies that have left since the previous call.
+func (p *Program) dropCommandsForDepartedProxies(now float64) {
+	for _, event := range p.events.ProxyEvents[p.processedProxyEvents:] {
 		p.scheduleRound(now)
 		if !event.Joined {
 			p.commands.ProxyLeft(event.Proxy)
 		}
 	}
-	p.inspected = len(p.events.ProxyEvents)
+	p.processedProxyEvents = len(p.events.ProxyEvents)
 }
 
-// fireTimers hands the next round, which then is due at once, the timers that have expired.
+// fireTimers adds the expired timers to the events of the next round, and makes that round due immediately.
 func (p *Program) fireTimers(now float64) {
 	waiting := p.timers[:0]
 	for _, t := range p.timers {
@@ -68,13 +68,13 @@
 			continue
 		}
 		p.events.FiredTimers = append(p.events.FiredTimers, t.id)
-		p.scheduleRound(now - gatherTime)
+		p.scheduleRound(now - batchWindow)
 	}
 	p.timers = waiting
 }
 
-// roundSink is the balancer.CommandSink of one round. Commands to the relay go into the buffer; the others are
-// carried out at once.
+// roundSink is the balancer.CommandSink of one round. Commands to the relay are added to the buffer; all others are
+// carried out immediately.
 type roundSink struct {
 	*platformstate.CommandBuffer
 	program *Program
@@ -84,7 +84,7 @@
 // HealthCheck implements balancer.CommandSink.
 func (s *roundSink) HealthCheck(server balancer.Server) { s.program.checkHealth(s.now, server) }
 
-// PollDiscovery implements balancer.CommandSink. It does nothing, since discovery is watched all the time.
+// PollDiscovery implements balancer.CommandSink. It does nothing, since discovery is watched continuously.
 func (s *roundSink) PollDiscovery() {}
 
 // SetTimer implements balancer.CommandSink.
--- a/internal/frontend/platform/scale_test.go
+++ b/internal/frontend/platform/scale_test.go
@@ -10,8 +10,8 @@
 	"snowquay/internal/wire/jsonrpc"
 )
 
-// largeSettings are those of a deployment of many coordinators, with a limit on messages and a channel that
-// holds ten seconds of its rate.
+// largeSettings returns the settings of a deployment of many coordinators, with a limit on messages and a channel that
+// holds ten seconds of messages at its rate.
 func largeSettings(coordinators, proxies int) string {
 	large := strings.NewReplacer(`"balancers":1`, fmt.Sprintf(`"balancers":%d`, coordinators),
 		`"data-plane-size":9`, fmt.Sprintf(`"data-plane-size":%d`, proxies), `"pending-max":1600`, `"pending-max":16000`,
@@ -29,15 +29,16 @@
 	return list
 }
 
-// TestLargeDeployment has 350 coordinators and 1,024 servers: proxies join the coordinator, half of the servers
-// are replaced, and no table has a limit on the way.
+// TestLargeDeployment simulates a deployment of 350 coordinators and 1,024 servers. Proxies join the coordinator and half
+// of the servers are replaced. Every proxy must end with a table without drained servers, no call may exceed its size
+// limit and no command may be dropped.
 func TestLargeDeployment(t *testing.T) {
 	const (
-		servers  = 1024
-		proxies  = 24 // joined at the start
-		joiners  = 60
-		steps    = 4
-		drainEnd = 11.3 // seconds: the deadline of drains in the settings
+		servers       = 1024
+		proxies       = 24 // joined at the start of the test
+		joiners       = 60
+		steps         = 4
+		drainDeadline = 11.3 // seconds; the drain deadline in the settings
 	)
 	all := manyServers(servers)
 	sim := simulateWith(t, 1, 1024, largeSettings(350, 2400), all...)
@@ -47,8 +48,8 @@
 	}
 	conn := sim.client.dial(slices.Concat(readinessCheck, hello("a")))
 	sim.net.Run(1010)
-	if got := sim.client.received[conn]; got != readyAnswer {
-		t.Fatalf("the collector was answered %q", got)
+	if got := sim.client.received[conn]; got != readyResponse {
+		t.Fatalf("response to the readiness check is %q", got)
 	}
 	drained := map[string]bool{}
 	at := 1010.0
@@ -70,13 +71,13 @@
 		at += 3
 		sim.net.Run(at)
 	}
-	sim.net.Run(at + drainEnd)
+	sim.net.Run(at + drainDeadline)
 	if joined := len(sim.program.proxies.JoinEvents()); joined != proxies+joiners {
-		t.Errorf("%d proxies count as joined, want %d", joined, proxies+joiners)
+		t.Errorf("%d proxies are joined, want %d", joined, proxies+joiners)
 	}
 	checkTables(t, sim.relay, drained)
 	if sim.relay.largestCall > jsonrpc.MaxCallBytes || sim.program.commands.Dropped > 0 {
-		t.Errorf("a call of %d bytes, %d commands dropped", sim.relay.largestCall, sim.program.commands.Dropped)
+		t.Errorf("largest call has %d bytes, %d commands were dropped", sim.relay.largestCall, sim.program.commands.Dropped)
 	}
 	if malformed := sim.program.counts.malformed + sim.program.endpoints.Malformed; malformed > 0 {
 		t.Errorf("%d malformed messages", malformed)
@@ -89,18 +90,18 @@
 	for proxy := range relay.zones {
 		table := relay.tables[relay.tableOf[proxy]]
 		if relay.tableOf[proxy] == 0 || len(table) == 0 {
-			t.Errorf("proxy %d has a table of %d entries", proxy, len(table))
+			t.Errorf("proxy %d has no table or an empty one: %d entries", proxy, len(table))
 		}
 		for id := range table {
 			if drained[id] {
-				t.Errorf("proxy %d holds %s, which is draining", proxy, id)
+				t.Errorf("table of proxy %d contains %s, which is draining", proxy, id)
 				break
 			}
 		}
 	}
 }
 
-// BenchmarkRound measures a round with a row of reports, at three sizes of a deployment at rest.
+// BenchmarkRound measures a round in an idle deployment of three sizes.
 func BenchmarkRound(b *testing.B) {
 	for _, servers := range []int{24, 200, 1024} {
 		b.Run(fmt.Sprintf("servers=%d", servers), func(b *testing.B) {
--- a/internal/frontend/platform/simulation_test.go
+++ b/internal/frontend/platform/simulation_test.go
@@ -29,7 +29,7 @@
 "points":3}],"guarantees":{"cold":18,"cold-from":0.2,"fall":1.5,"fall-multiple":3,"stop-sending-within":2.3},
 "policy-limits":{"may-probe":true},"report":{"how":"piggyback","names":["q","busy"]}}`
 
-// idleProgram is an env.Program that does nothing. The fakes embed it.
+// idleProgram is an env.Program that does nothing, for embedding in the fakes.
 type idleProgram struct{ io env.IO }
 
 func (p *idleProgram) Start(_ float64, io env.IO)                   { p.io = io }
@@ -41,7 +41,7 @@
 func (p *idleProgram) Datagram(float64, []byte)                     {}
 func (p *idleProgram) TimerFired(float64, int)                      {}
 
-// simulation is a program with its peers in a simulated network that starts at simulationStart.
+// simulation is a program with its peers in a simulated network whose clock starts at simulationStart.
 type simulation struct {
 	net       *simnet.Net
 	program   *Program
@@ -53,13 +53,13 @@
 
 const (
 	simulationStart = 1000   // seconds
-	simulationReady = 1000.5 // seconds: the program has its connections
+	simulationReady = 1000.5 // seconds; the program has established its connections by then
 )
 
-// fataler is the part of testing.TB that rapid.T has too.
+// fataler is implemented by both testing.TB and rapid.T.
 type fataler interface{ Fatal(args ...any) }
 
-// simulate starts a program that may hold 256 descriptors, with three servers.
+// simulate starts a program with a limit of 256 descriptors and three servers.
 func simulate(t fataler, seed uint64) *simulation {
 	return simulateWith(t, seed, 256, settings, server("s-1", "ready"), server("s-2", "ready"), server("s-3", "ready"))
 }
@@ -84,7 +84,7 @@
 	return sim
 }
 
-// newSimulation returns a simulation in which nothing has been started.
+// newSimulation returns a simulation in which no program has been started.
 func newSimulation(seed uint64, config Config) *simulation {
 	return &simulation{
 		net:       simnet.New(seed, simulationStart),
@@ -95,7 +95,7 @@
 	}
 }
 
-// startAll starts the peers, then the program.
+// startAll starts the peers and then the program.
 func (s *simulation) startAll() {
 	s.relayHost = s.start(relayAddress, s.relay)
 	s.start(discoveryAddress, s.discovery)
--- a/internal/frontend/platform/socket_discovery_test.go
+++ b/internal/frontend/platform/socket_discovery_test.go
@@ -14,19 +14,19 @@
 	"snowquay/internal/wire/discovery"
 )
 
-// socketDiscovery is a discovery on a loopback socket.
+// socketDiscovery is a discovery service on a loopback socket.
 type socketDiscovery struct {
 	listener net.Listener
 
 	mu        sync.Mutex
 	fullList  string
-	firstLine string   // of a watch; empty: the full list
-	requested []string // paths
+	firstLine string   // first line of a watch; empty for the full list
+	requested []string // paths of all requests
 	watchers  []net.Conn
 	conns     []net.Conn
 }
 
-// openSocketDiscovery starts a discovery that ends with the test.
+// openSocketDiscovery starts a discovery service that is stopped at the end of the test.
 func openSocketDiscovery(t *testing.T, fullList, firstLine string) *socketDiscovery {
 	t.Helper()
 	d := &socketDiscovery{listener: listen(t), fullList: fullList, firstLine: firstLine}
@@ -36,7 +36,7 @@
 		_ = d.listener.Close()
 		d.closeAll()
 	})
-	go every(time.Second, stop, func() { d.publish("\n") })
+	go callEvery(time.Second, stop, func() { d.publish("\n") })
 	go acceptAll(d.listener, d.serve)
 	return d
 }
@@ -96,14 +96,14 @@
 	}
 }
 
-// setFirstLine changes what the next watches get first.
+// setFirstLine sets the first line of future watches.
 func (d *socketDiscovery) setFirstLine(line string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.firstLine = line
 }
 
-// paths returns the paths that were requested.
+// paths returns the paths of all requests.
 func (d *socketDiscovery) paths() []string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/frontend/platform/socket_relay_test.go
+++ b/internal/frontend/platform/socket_relay_test.go
@@ -11,7 +11,7 @@
 	"time"
 )
 
-// receivedCall is a call of the program that waits for the test's response.
+// receivedCall is a call of the program that the test has to respond to.
 type receivedCall struct {
 	conn     net.Conn
 	id       uint64
@@ -27,7 +27,7 @@
 func (c receivedCall) respond(t *testing.T, format string, args ...any) {
 	t.Helper()
 	if _, err := fmt.Fprintf(c.conn, format+"\n", args...); err != nil {
-		t.Errorf("the connection of call %d: %v", c.id, err)
+		t.Errorf("cannot respond to call %d: %v", c.id, err)
 	}
 }
 
@@ -42,7 +42,7 @@
 	return weights
 }
 
-// assignedProxies returns the proxies that the call assigns a table to.
+// assignedProxies returns the proxies that the call assigns tables to.
 func (c receivedCall) assignedProxies() []int {
 	var proxies []int
 	for _, command := range c.commands {
@@ -53,15 +53,15 @@
 	return proxies
 }
 
-// assigns returns a condition: the call assigns a table to a proxy.
+// assigns returns the condition that a call assigns a table to a proxy.
 func assigns(proxy int) func(receivedCall) bool {
 	return func(c receivedCall) bool { return slices.Contains(c.assignedProxies(), proxy) }
 }
 
-// assignsAny is the condition that the call assigns a table to any proxy.
+// assignsAny reports whether a call assigns a table to any proxy.
 func assignsAny(c receivedCall) bool { return len(c.assignedProxies()) > 0 }
 
-// removes returns a condition: the call removes a server from a table.
+// removes returns the condition that a call removes a server from a table.
 func removes(server string) func(receivedCall) bool {
 	return func(c receivedCall) bool {
 		weight, ok := c.weights()[server]
@@ -69,19 +69,19 @@
 	}
 }
 
-// socketRelay is a relay on a loopback socket. It confirms subscriptions and sends heartbeats by itself; calls
-// are left to the test.
+// socketRelay is a relay on a loopback socket. It confirms subscriptions and sends heartbeats; the test responds to the
+// calls.
 type socketRelay struct {
 	listener net.Listener
 	calls    chan receivedCall
-	silent   bool // it accepts connections and sends nothing
+	silent   bool // accepts connections but sends nothing
 
 	mu          sync.Mutex
-	joined      []int      // proxies
-	subscribers []net.Conn // that get events
+	joined      []int      // joined proxies
+	subscribers []net.Conn // connections that receive events
 }
 
-// openSocketRelay starts a relay that ends with the test. Without joined proxies it is silent.
+// openSocketRelay starts a relay that is stopped at the end of the test. Without joined proxies it is silent.
 func openSocketRelay(t *testing.T, joined ...int) *socketRelay {
 	t.Helper()
 	relay := &socketRelay{
@@ -97,7 +97,7 @@
 		relay.closeSubscribers()
 	})
 	go acceptAll(relay.listener, relay.serve)
-	go every(250*time.Millisecond, stop, func() { relay.broadcast(heartbeatLine) })
+	go callEvery(250*time.Millisecond, stop, func() { relay.broadcast(heartbeatLine) })
 	return relay
 }
 
@@ -180,20 +180,20 @@
 	case call := <-r.calls:
 		return call
 	case <-time.After(waitLimit):
-		t.Fatal("no call came")
+		t.Fatal("no call arrived")
 		return receivedCall{}
 	}
 }
 
-// expectNone accepts the calls of a while, and fails the test if one meets the condition.
-func (r *socketRelay) expectNone(t *testing.T, what string, is func(receivedCall) bool) {
+// expectNoCall accepts the calls of the next 300 ms and fails the test if one meets the condition.
+func (r *socketRelay) expectNoCall(t *testing.T, what string, condition func(receivedCall) bool) {
 	t.Helper()
 	end := time.After(300 * time.Millisecond)
 	for {
 		select {
 		case call := <-r.calls:
 			call.accept(t)
-			if is(call) {
+			if condition(call) {
 				t.Errorf("%s: %+v", what, call.commands)
 			}
 		case <-end:
@@ -202,19 +202,19 @@
 	}
 }
 
-// awaitCall accepts calls until one meets the condition; that one is left to the test.
-func (r *socketRelay) awaitCall(t *testing.T, what string, is func(receivedCall) bool) receivedCall {
+// awaitCall accepts calls until one meets the condition. It returns that call without responding to it.
+func (r *socketRelay) awaitCall(t *testing.T, what string, condition func(receivedCall) bool) receivedCall {
 	t.Helper()
 	end := time.After(waitLimit)
 	for {
 		select {
 		case call := <-r.calls:
-			if is(call) {
+			if condition(call) {
 				return call
 			}
 			call.accept(t)
 		case <-end:
-			t.Fatalf("no call came that %s", what)
+			t.Fatalf("no call arrived that %s", what)
 			return receivedCall{}
 		}
 	}
--- a/internal/frontend/platform/socket_setup_test.go
+++ b/internal/frontend/platform/socket_setup_test.go
@@ -13,16 +13,16 @@
 	"snowquay/internal/wire/discovery"
 )
 
-// waitLimit is how long a test waits for what has to come.
+// waitLimit is the maximum time that a test waits for an expected event.
 const waitLimit = 10 * time.Second
 
-// socketSetup is a running program with its relay and discovery.
+// socketSetup is a program that runs on sockets, with its relay and discovery.
 type socketSetup struct {
 	relay     *socketRelay
 	discovery *socketDiscovery
 	program   *Program
 	server    *eventloop.Server
-	address   netip.AddrPort // of the program
+	address   netip.AddrPort // address of the program
 }
 
 func listen(t *testing.T) net.Listener {
@@ -43,7 +43,7 @@
 	return address
 }
 
-// freeAddress returns an address that nobody listens on.
+// freeAddress returns a loopback address without a listener.
 func freeAddress(t *testing.T) netip.AddrPort {
 	t.Helper()
 	listener := listen(t)
@@ -62,8 +62,8 @@
 	}
 }
 
-// every calls do at intervals until stop is closed.
-func every(interval time.Duration, stop <-chan struct{}, do func()) {
+// callEvery calls do periodically until stop is closed.
+func callEvery(interval time.Duration, stop <-chan struct{}, do func()) {
 	for {
 		select {
 		case <-stop:
@@ -74,8 +74,8 @@
 	}
 }
 
-// startOnSockets starts the program with three servers and one joined proxy, and accepts its calls until the
-// proxy has a table and all connections stand.
+// startOnSockets starts the program with three servers and one joined proxy, and accepts its calls until the proxy has a
+// table and all connections are active.
 func startOnSockets(t *testing.T) *socketSetup {
 	t.Helper()
 	parsed, err := deployment.Read([]byte(settings))
@@ -109,16 +109,16 @@
 	return setup
 }
 
-// isComplete reports whether a connection to the relay stands and its snapshot of proxies has ended.
-func isComplete(c *connection) bool { return c != nil && c.source.Complete(c.heardAt) }
+// isComplete reports whether a connection to the relay is active and its snapshot of proxies has ended.
+func isComplete(c *connection) bool { return c != nil && c.source.Complete(c.lastReceivedAt) }
 
-// eventually waits for a state of the program. Calls that come meanwhile are accepted.
-func (s *socketSetup) eventually(t *testing.T, what string, is func(p *Program) bool) {
+// eventually waits until the program meets a condition. Calls that arrive in the meantime are accepted.
+func (s *socketSetup) eventually(t *testing.T, what string, condition func(p *Program) bool) {
 	t.Helper()
 	end := time.Now().Add(waitLimit)
 	for time.Now().Before(end) {
 		reached := false
-		s.inspect(func(_ float64, p *Program) { reached = is(p) })
+		s.inspect(func(_ float64, p *Program) { reached = condition(p) })
 		if reached {
 			return
 		}
@@ -128,26 +128,26 @@
 		case <-time.After(2 * time.Millisecond):
 		}
 	}
-	t.Fatalf("never reached: %s", what)
+	t.Fatalf("timed out waiting for: %s", what)
 }
 
-// inspect calls look in the program's event loop.
-func (s *socketSetup) inspect(look func(now float64, p *Program)) {
-	s.server.Do(func(now float64) { look(now, s.program) })
+// inspect calls f in the program's event loop.
+func (s *socketSetup) inspect(f func(now float64, p *Program)) {
+	s.server.Do(func(now float64) { f(now, s.program) })
 }
 
-// setAddresses moves the program to other addresses of discovery and relay, as SIGHUP does.
+// setAddresses changes the program's addresses of discovery and relay, as SIGHUP does.
 func (s *socketSetup) setAddresses(discovery, relay netip.AddrPort) {
 	s.inspect(func(now float64, p *Program) { p.SetAddresses(now, discovery, relay) })
 }
 
-// extendResponseTimeout makes the program wait a minute longer for the response to the call in flight, so that
-// the test decides what happens.
+// extendResponseTimeout makes the program wait a minute longer for the response to the call in flight, so that the
+// timeout does not interfere with the test.
 func (s *socketSetup) extendResponseTimeout() {
 	s.inspect(func(now float64, p *Program) { p.relay.callSentAt = now + 60 })
 }
 
-// drain publishes that a server drains.
+// drain publishes that a server is draining.
 func (s *socketSetup) drain(t *testing.T, id string) {
 	t.Helper()
 	s.discovery.mu.Lock()
--- a/internal/frontend/platform/unanswered_test.go
+++ b/internal/frontend/platform/unanswered_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// The relay carries calls out and answers none for a while, and the proxies acknowledge. The calls do not fill the channel's account
-// again and again: a drain that follows is told within its deadline.
+// For a while the relay applies calls without responding, while the proxies acknowledge them. The calls must not be charged
+// to the channel repeatedly: a later drain reaches the proxies within its deadline.
 func TestDrainAfterUnansweredCalls(t *testing.T) {
 	small := strings.NewReplacer(`"egress-per-s":1600,"pending-max":1600`, `"egress-per-s":160,"pending-max":160`).Replace(settings)
 	sim := simulateWith(t, 1, 256, small, server("s-1", "ready"), server("s-2", "ready"), server("s-3", "ready"))
@@ -17,7 +17,7 @@
 	}
 	sim.net.Run(1002)
 	if calls := sim.relay.calls; calls > 3 {
-		t.Errorf("%d calls were made", calls)
+		t.Errorf("%d calls were made, want at most 3", calls)
 	}
 	sim.relay.respond = nil
 	sim.net.Run(1003)
@@ -28,7 +28,8 @@
 	}
 }
 
-// The same, and the acknowledgements come late, so that calls have gone again by then: a drain that follows is told within its deadline.
+// As TestDrainAfterUnansweredCalls, but the acknowledgements arrive late, after calls have been sent again: a later drain
+// reaches the proxies within its deadline.
 func TestDrainAfterUnansweredCallsWithLateAcknowledgements(t *testing.T) {
 	small := strings.NewReplacer(`"egress-per-s":1600,"pending-max":1600`, `"egress-per-s":160,"pending-max":160`).Replace(settings)
 	sim := simulateWith(t, 1, 256, small, server("s-1", "ready"), server("s-2", "ready"), server("s-3", "ready"))
