--- a/internal/core/platformstate/command.go
+++ b/internal/core/platformstate/command.go
@@ -28,7 +28,7 @@
 // command is one command of a call, encoded for the relay.
 type command struct {
 	key  commandKey
-	text []byte // nil if superseded
+	text []byte // nil if the command is not to be sent any more
 	sent bool   // the command was part of a call that may have been applied
 
 	// IDs of the acknowledgement requests that confirm the command: the request of the first call that contained it and that of
