--- a/internal/core/controlplane/controlplane_test.go
+++ b/internal/core/controlplane/controlplane_test.go
@@ -145,7 +145,7 @@
 				totals += 20
 				b.StopTimer()
 				for i := range rows {
-					f.ReportUpstream(now, now, proxyUID(i), serverName(i), loadreport.Totals{Attempts: totals, Seconds: totals / 4})
+					f.ReportUpstream(now, now, proxyUID(i), serverName(i), loadreport.Totals{Attempts: totals, LatencySum: totals / 4})
 				}
 				if rows == 300 {
 					for i := range 460 {
--- a/internal/core/controlplane/metrics.go
+++ b/internal/core/controlplane/metrics.go
@@ -55,7 +55,7 @@
 		totals := f.serverTotals(report.Server)
 		totals.Attempts += report.Attempts
 		totals.Failed += report.Failed
-		totals.Seconds += report.Latency * (report.Attempts - report.Failed)
+		totals.LatencySum += report.Latency * (report.Attempts - report.Failed)
 	}
 	for _, report := range demands {
 		if class := int(report.Class); class >= 0 && class < len(f.traffic.classes) {
@@ -139,7 +139,7 @@
 	return append(metrics,
 		Metric{Scope: scopeServers, Name: name, Quantity: "tries", Value: totals.Attempts, Cumulative: true},
 		Metric{Scope: scopeServers, Name: name, Quantity: "lost", Value: totals.Failed, Cumulative: true},
-		Metric{Scope: scopeServers, Name: name, Quantity: "seconds", Value: totals.Seconds, Cumulative: true})
+		Metric{Scope: scopeServers, Name: name, Quantity: "seconds", Value: totals.LatencySum, Cumulative: true})
 }
 
 // weightMetrics are a server's mean weights for all classes that have a table in use.
--- a/internal/core/controlplane/metrics_test.go
+++ b/internal/core/controlplane/metrics_test.go
@@ -16,7 +16,7 @@
 	for i := range 40 {
 		now += 0.5
 		for r := range 2 {
-			totals := loadreport.Totals{Attempts: float64(10 * i), Failed: float64(i), Seconds: float64(i)}
+			totals := loadreport.Totals{Attempts: float64(10 * i), Failed: float64(i), LatencySum: float64(i)}
 			f.ReportUpstream(now, now, proxyUID(r), serverName(0), totals)
 			f.ReportDemand(now, now, proxyUID(r), "search", loadreport.Totals{Attempts: float64(10 * i)})
 		}
--- a/internal/core/fairqueue/fairqueue.go
+++ b/internal/core/fairqueue/fairqueue.go
@@ -16,13 +16,13 @@
 	Rate       float64 // work per second
 	Burst      float64 // work that may be done at once after a pause; it also bounds how long others wait
 	Reserve    float64 // work beyond the burst, for urgent turns only
-	Urgent     float64 // work per second in urgent turns of a tenant with weight 1, on average
+	UrgentRate float64 // work per second in urgent turns of a tenant with weight 1, on average
 	IdleCredit float64 // work by which a tenant with weight 1 is ahead of others after it was idle, so that light ones do not wait
 	Tick       float64 // seconds of the timing wheel
 }
 
 // DefaultConfig leaves three tenths of a core to input: receiving data and answering calls.
-var DefaultConfig = Config{Rate: 0.7, Burst: 0.014, Reserve: 0.007, Urgent: 0.02, IdleCredit: 0.005, Tick: 0.005}
+var DefaultConfig = Config{Rate: 0.7, Burst: 0.014, Reserve: 0.007, UrgentRate: 0.02, IdleCredit: 0.005, Tick: 0.005}
 
 // urgentBurstSeconds is the seconds over which a tenant may save up urgent work.
 const urgentBurstSeconds = 2.0
@@ -70,7 +70,7 @@
 		key:                   key,
 		weight:                weight,
 		startTag:              q.virtualTime,
-		urgentBudget:          q.config.Urgent * weight * urgentBurstSeconds,
+		urgentBudget:          q.config.UrgentRate * weight * urgentBurstSeconds,
 		urgentBudgetUpdatedAt: now,
 	}
 	added.timer.Value = added
@@ -105,7 +105,7 @@
 }
 
 func (q *Queue[K]) markDue(now float64, marked *entry[K], urgent bool) {
-	if urgent && !marked.urgent && marked.refillUrgentBudget(now, q.config.Urgent) {
+	if urgent && !marked.urgent && marked.refillUrgentBudget(now, q.config.UrgentRate) {
 		marked.urgent = true
 		q.due.Fix(marked)
 	}
--- a/internal/core/fairqueue/fairqueue_test.go
+++ b/internal/core/fairqueue/fairqueue_test.go
@@ -120,7 +120,7 @@
 	const keys = 10
 	const urgent = 3
 	work := runAlwaysDue(newQueue(DefaultConfig, keys), slices.Repeat([]float64{1e-3}, keys), 20, urgent)
-	limit := 20*DefaultConfig.Rate/keys + 22*DefaultConfig.Urgent
+	limit := 20*DefaultConfig.Rate/keys + 22*DefaultConfig.UrgentRate
 	if work[urgent] > limit {
 		t.Errorf("the urgent key has done %.2f s of work, its share is at most %.2f", work[urgent], limit)
 	}
--- a/internal/core/fairshare/fairshare.go
+++ b/internal/core/fairshare/fairshare.go
@@ -38,11 +38,11 @@
 	BucketSeconds float64 // seconds of its share that a tenant's bucket holds; New limits it to half a burst for all tenants together
 	Reserve       float64 // fraction of rate and burst that only urgent requests take
 	MaxTenants    int
-	RecentWindow  float64 // seconds for which a throttled tenant is waited for, at most; less than the burst lasts
+	MaxYield      float64 // seconds for which a throttled tenant is waited for, at most; less than the burst lasts
 }
 
 // DefaultConfig is that of a resource whose settings name nothing else.
-var DefaultConfig = Config{Rate: 1000, Burst: 1000, BucketSeconds: 1, Reserve: 0.1, MaxTenants: 20000, RecentWindow: 0.1}
+var DefaultConfig = Config{Rate: 1000, Burst: 1000, BucketSeconds: 1, Reserve: 0.1, MaxTenants: 20000, MaxYield: 0.1}
 
 const (
 	waitedIntervals   = 16.0 // average intervals of its requests for which a throttled tenant is waited for
@@ -234,7 +234,7 @@
 	}
 	a.refill(now)
 	a.refillTenant(now, tenant)
-	tenant.observeRequest(now, a.config.RecentWindow)
+	tenant.observeRequest(now, a.config.MaxYield)
 	group := tenant.group
 	lead := max(group.members.lead(now, &tenant.flow), a.groupSiblings.lead(now, &group.flow))
 	if a.takeOwn(tenant, cost) {
@@ -283,7 +283,7 @@
 
 // throttle makes others that are ahead wait for the tenant, and returns the seconds until its own bucket has filled.
 func (a *Allocator) throttle(now float64, tenant *tenantState, cost float64) float64 {
-	until := now + min(a.config.RecentWindow, waitedIntervals*tenant.requestInterval)
+	until := now + min(a.config.MaxYield, waitedIntervals*tenant.requestInterval)
 	tenant.group.members.waitFor(&tenant.flow, until)
 	a.groupSiblings.waitFor(&tenant.group.flow, until)
 	rate := a.sharedRate()
--- a/internal/core/fairshare/fairshare_test.go
+++ b/internal/core/fairshare/fairshare_test.go
@@ -11,7 +11,7 @@
 const testStart = 1000.0 // clock time in seconds
 
 // testConfig shares 900 units per second, and reserves 100.
-var testConfig = Config{Rate: 1000, Burst: 100, BucketSeconds: 1, Reserve: 0.1, MaxTenants: 100, RecentWindow: 0.1}
+var testConfig = Config{Rate: 1000, Burst: 100, BucketSeconds: 1, Reserve: 0.1, MaxTenants: 100, MaxYield: 0.1}
 
 func tenantName(number int) Tenant { return Tenant(fmt.Sprint("t", number)) }
 
@@ -189,7 +189,7 @@
 
 // A throttled tenant that retries when it was told to is granted its request.
 func TestRetryAfter(t *testing.T) {
-	allocator := newAllocator(t, Config{Rate: 100, Burst: 20, BucketSeconds: 1, MaxTenants: 10, RecentWindow: 0.1}, 2)
+	allocator := newAllocator(t, Config{Rate: 100, Burst: 20, BucketSeconds: 1, MaxTenants: 10, MaxYield: 0.1}, 2)
 	retryAfter := 0.0
 	ok := true
 	for ok {
@@ -208,7 +208,7 @@
 }
 
 func TestInvalidTenants(t *testing.T) {
-	allocator := newAllocator(t, Config{Rate: 100, Burst: 20, BucketSeconds: 1, MaxTenants: 10, RecentWindow: 0.1}, 2)
+	allocator := newAllocator(t, Config{Rate: 100, Burst: 20, BucketSeconds: 1, MaxTenants: 10, MaxYield: 0.1}, 2)
 	if _, _, err := allocator.Take(testStart, "x", 1, false); !errors.Is(err, ErrUnknownTenant) {
 		t.Error(err)
 	}
@@ -229,7 +229,7 @@
 
 // A tenant that was idle has not saved up more than its bucket.
 func TestIdleTenantSavesNothingUp(t *testing.T) {
-	allocator := newAllocator(t, Config{Rate: 1000, Burst: 50, BucketSeconds: 1, MaxTenants: 100, RecentWindow: 0.1}, 6)
+	allocator := newAllocator(t, Config{Rate: 1000, Burst: 50, BucketSeconds: 1, MaxTenants: 100, MaxYield: 0.1}, 6)
 	rates := map[Tenant]float64{"t0": 5000, "t3": 50000} // of the same group
 	runRequests(allocator, 10, map[Tenant]float64{"t0": 5000}, 1)
 	runRequests(allocator, 0.3, rates, 2) // t3 empties its own bucket
@@ -256,7 +256,7 @@
 
 func BenchmarkTake(b *testing.B) {
 	for _, tenants := range []int{10, 1000, 10000} {
-		allocator := New(testStart, Config{Rate: 1e6, Burst: 1e5, BucketSeconds: 1, Reserve: 0.1, MaxTenants: tenants, RecentWindow: 0.1})
+		allocator := New(testStart, Config{Rate: 1e6, Burst: 1e5, BucketSeconds: 1, Reserve: 0.1, MaxTenants: tenants, MaxYield: 0.1})
 		names := make([]Tenant, tenants)
 		for number := range names {
 			names[number] = tenantName(number)
--- a/internal/core/forwarding/attempts.go
+++ b/internal/core/forwarding/attempts.go
@@ -107,7 +107,7 @@
 	p.endAttempt(req, a)
 	p.Outliers.RecordSuccess(a.server)
 	if totals := p.totalsOf(a.server); totals != nil {
-		totals.Seconds += now - a.sentAt
+		totals.LatencySum += now - a.sentAt
 	}
 	p.rememberExecution(req, a)
 	p.Stats.Answered++
--- a/internal/core/loadreport/aggregator.go
+++ b/internal/core/loadreport/aggregator.go
@@ -18,9 +18,9 @@
 
 // Totals is what a proxy has counted since it started.
 type Totals struct {
-	Attempts float64
-	Failed   float64
-	Seconds  float64 // latency of the successful ones, added up; not used for demand
+	Attempts   float64
+	Failed     float64
+	LatencySum float64 // latency of the successful ones, added up; not used for demand
 }
 
 // RejectedCounts counts reports that were ignored, by reason.
@@ -28,7 +28,7 @@
 	Stale     int // duplicated, or older than one that was seen
 	Malformed int // with impossible totals
 	Overflow  int // of one series more than the limit
-	First     int // the first of a series, or the first after a gap or a restart: the next one is counted from it
+	Baseline  int // the first of a series, or the first after a gap or a restart: the next one is counted from it
 }
 
 // Aggregator turns running totals into sums for a period. Use New. It is not safe for concurrent use.
@@ -135,7 +135,7 @@
 		return
 	}
 	a.series[key] = &series{reportedAt: at, receivedAt: now, totals: totals}
-	a.Rejected.First++
+	a.Rejected.Baseline++
 }
 
 func (a *Aggregator) expireSeries(now float64) {
@@ -196,7 +196,7 @@
 		Interval: s.weightedInterval / max(s.totals.Attempts, minAttempts),
 	}
 	if succeeded := s.totals.Attempts - s.totals.Failed; succeeded > 0 {
-		report.Latency = s.totals.Seconds / succeeded
+		report.Latency = s.totals.LatencySum / succeeded
 	}
 	return report
 }
--- a/internal/core/loadreport/aggregator_test.go
+++ b/internal/core/loadreport/aggregator_test.go
@@ -11,7 +11,7 @@
 type testReporter struct{ *Aggregator }
 
 func (r testReporter) report(now, at, attempts, failed, seconds float64) {
-	r.AddUpstream(now, at, 1, 2, "a", Totals{Attempts: attempts, Failed: failed, Seconds: seconds})
+	r.AddUpstream(now, at, 1, 2, "a", Totals{Attempts: attempts, Failed: failed, LatencySum: seconds})
 }
 
 func TestOnlyDifferencesInOrderCount(t *testing.T) {
@@ -38,7 +38,7 @@
 		math.Abs(got.Latency-want.Latency) > 1e-9 || math.Abs(got.Interval-want.Interval) > 1e-9 {
 		t.Errorf("%+v, want %+v", got, want)
 	}
-	if r.Rejected.Stale != 2 || r.Rejected.First != 1 {
+	if r.Rejected.Stale != 2 || r.Rejected.Baseline != 1 {
 		t.Errorf("%+v", r.Rejected)
 	}
 }
--- a/internal/core/loadreport/series.go
+++ b/internal/core/loadreport/series.go
@@ -32,9 +32,9 @@
 	}
 	difference := change{
 		totals: Totals{
-			Attempts: totals.Attempts - s.totals.Attempts,
-			Failed:   totals.Failed - s.totals.Failed,
-			Seconds:  totals.Seconds - s.totals.Seconds,
+			Attempts:   totals.Attempts - s.totals.Attempts,
+			Failed:     totals.Failed - s.totals.Failed,
+			LatencySum: totals.LatencySum - s.totals.LatencySum,
 		},
 		interval: at - s.reportedAt,
 	}
@@ -43,7 +43,7 @@
 	s.totals = totals
 	switch {
 	case difference.interval > maxGap || difference.interval < minInterval || difference.totals.isNegative():
-		rejected.First++ // a gap, or a restart of the proxy
+		rejected.Baseline++ // a gap, or a restart of the proxy
 		return change{}, false
 	case difference.totals.Attempts > maxRate*difference.interval || difference.totals.Failed > difference.totals.Attempts:
 		rejected.Malformed++
@@ -55,13 +55,13 @@
 func (t *Totals) add(other Totals) {
 	t.Attempts += other.Attempts
 	t.Failed += other.Failed
-	t.Seconds += other.Seconds
+	t.LatencySum += other.LatencySum
 }
 
-func (t Totals) isNegative() bool { return t.Attempts < 0 || t.Failed < 0 || t.Seconds < 0 }
+func (t Totals) isNegative() bool { return t.Attempts < 0 || t.Failed < 0 || t.LatencySum < 0 }
 
 func (t Totals) valid() bool {
-	for _, value := range []float64{t.Attempts, t.Failed, t.Seconds} {
+	for _, value := range []float64{t.Attempts, t.Failed, t.LatencySum} {
 		if !isFinite(value) || value < 0 {
 			return false
 		}
--- a/internal/core/registry/lifecycle.go
+++ b/internal/core/registry/lifecycle.go
@@ -85,9 +85,9 @@
 	return nil
 }
 
-// AdjustVouchers says that one balancer more (n is 1) or less (n is -1) lists a server, where the site believes balancers. A server that
+// AdjustListings says that one balancer more (n is 1) or less (n is -1) lists a server, where the site believes balancers. A server that
 // was not present starts now, as with Register. An error wraps ErrFull.
-func (r *Registry) AdjustVouchers(now float64, address balancer.Server, zone balancer.Zone, n int) error {
+func (r *Registry) AdjustListings(now float64, address balancer.Server, zone balancer.Zone, n int) error {
 	server, err := r.findOrAdd(now, address)
 	if err != nil {
 		return err
--- a/internal/core/registry/registry_test.go
+++ b/internal/core/registry/registry_test.go
@@ -153,7 +153,7 @@
 	r := New(1, 3, false)
 	adjust := func(now float64, n int) {
 		t.Helper()
-		if err := r.AdjustVouchers(now, "a", 2, n); err != nil {
+		if err := r.AdjustListings(now, "a", 2, n); err != nil {
 			t.Fatal(err)
 		}
 	}
--- a/internal/core/saspsession/groups.go
+++ b/internal/core/saspsession/groups.go
@@ -75,7 +75,7 @@
 
 func (s *Server) withdrawVoucher(now float64, lb *loadBalancer, member *registration, server balancer.Server) {
 	if member.byBalancer && s.policy.BalancersRegister {
-		_ = s.fleet.Registry.AdjustVouchers(now, server, s.zoneOf(lb), -1) // fails only for a new server in a full registry
+		_ = s.fleet.Registry.AdjustListings(now, server, s.zoneOf(lb), -1) // fails only for a new server in a full registry
 	}
 }
 
--- a/internal/core/saspsession/registration.go
+++ b/internal/core/saspsession/registration.go
@@ -107,7 +107,7 @@
 	for _, row := range message.Rows[named.From:named.To] {
 		server := s.serverAt(row.Address)
 		if s.policy.BalancersRegister {
-			s.logRefused(server, s.fleet.Registry.AdjustVouchers(now, server, s.zoneOf(lb), 1))
+			s.logRefused(server, s.fleet.Registry.AdjustListings(now, server, s.zoneOf(lb), 1))
 		}
 		group.addMember(server, row).byBalancer = true
 	}
--- a/internal/core/tenancy/router.go
+++ b/internal/core/tenancy/router.go
@@ -50,7 +50,7 @@
 			Burst:         limits.AcceptBurst,
 			BucketSeconds: 1,
 			MaxTenants:    limits.MaxTenants,
-			RecentWindow:  acceptWindow,
+			MaxYield:      acceptWindow,
 		}),
 	}
 }
--- a/internal/emulator/flood.go
+++ b/internal/emulator/flood.go
@@ -98,7 +98,7 @@
 	}
 	packets := collectd.NewPacketWriter(now, host, user, f.Key, func(b []byte) { f.io.Datagram(f.Measurements, b) })
 	for i := range floodReports {
-		packets.Traffic(f.Server.String(), loadreport.Totals{Attempts: float64(i * 1000), Failed: float64(i * 900), Seconds: 1e6})
+		packets.Traffic(f.Server.String(), loadreport.Totals{Attempts: float64(i * 1000), Failed: float64(i * 900), LatencySum: 1e6})
 	}
 	packets.Flush()
 }
--- a/internal/emulator/relay_requests.go
+++ b/internal/emulator/relay_requests.go
@@ -172,7 +172,7 @@
 	target.inFlight--
 	if result == answered {
 		target.failures = 0
-		target.totals.Seconds += now - ended.sentAt
+		target.totals.LatencySum += now - ended.sentAt
 		r.requestAnswered(now, ended.request)
 		return
 	}
--- a/internal/feed/collectd/collector.go
+++ b/internal/feed/collectd/collector.go
@@ -189,8 +189,8 @@
 		numbers[i] = float64(derive)
 	}
 	return loadreport.Totals{
-		Attempts: numbers[0],
-		Failed:   numbers[1],
-		Seconds:  numbers[2] * secondsPerMicrosecond,
+		Attempts:   numbers[0],
+		Failed:     numbers[1],
+		LatencySum: numbers[2] * secondsPerMicrosecond,
 	}, true
 }
--- a/internal/feed/collectd/collector_test.go
+++ b/internal/feed/collectd/collector_test.go
@@ -26,7 +26,7 @@
 
 func packet(now, tries float64, key string) (out []byte) {
 	p := NewPacketWriter(now, "r1", "relays", key, func(b []byte) { out = bytes.Clone(b) })
-	p.Traffic("10.0.0.1:80", loadreport.Totals{Attempts: tries, Failed: 1, Seconds: tries / 4})
+	p.Traffic("10.0.0.1:80", loadreport.Totals{Attempts: tries, Failed: 1, LatencySum: tries / 4})
 	p.Demand("search", loadreport.Totals{Attempts: tries})
 	p.Uptime(77)
 	p.Flush()
--- a/internal/feed/collectd/writer.go
+++ b/internal/feed/collectd/writer.go
@@ -38,7 +38,7 @@
 // Traffic adds a proxy's totals for a server.
 func (w *PacketWriter) Traffic(server string, totals loadreport.Totals) {
 	w.add(pluginName, server, trafficType, api.Derive(totals.Attempts), api.Derive(totals.Failed),
-		api.Derive(totals.Seconds/secondsPerMicrosecond))
+		api.Derive(totals.LatencySum/secondsPerMicrosecond))
 }
 
 // Demand adds a proxy's totals for a class.
--- a/internal/frontend/admin/admin.go
+++ b/internal/frontend/admin/admin.go
@@ -64,7 +64,7 @@
 	BucketSeconds: 2,
 	Reserve:       0.2,
 	MaxTenants:    1024,
-	RecentWindow:  0.1,
+	MaxYield:      0.1,
 }
 
 // hostCallLimits divides the calls between the callers of a host of many tenants.
@@ -74,7 +74,7 @@
 	BucketSeconds: 2,
 	Reserve:       0.2,
 	MaxTenants:    1 << 16,
-	RecentWindow:  0.1,
+	MaxYield:      0.1,
 }
 
 // API is the HTTP handler of the administration API. Use New or NewHosted.
--- a/internal/service/tenant_loggers.go
+++ b/internal/service/tenant_loggers.go
@@ -17,7 +17,7 @@
 	BucketSeconds: 10,
 	Reserve:       0,
 	MaxTenants:    1 << 16,
-	RecentWindow:  0.1,
+	MaxYield:      0.1,
 }
 
 // suppressedReportInterval is the minimum time in seconds between two lines that report how many lines of a tenant were
