--- a/internal/core/inflight/window.go
+++ b/internal/core/inflight/window.go
@@ -1,34 +1,34 @@
-// Package inflight bounds how much may wait in a first-in first-out channel of unknown pace: whatever was sent and is
-// not acknowledged. It does no I/O and reads no clock. Amounts are in whatever unit the channel counts.
+// Package inflight computes an upper bound of the amount that waits in a first-in first-out channel of unknown throughput:
+// all that was sent and is not known to be delivered. It does no I/O and reads no clock. Amounts are in the unit of the channel.
 package inflight
 
-// maxOpenBatches bounds the numbered batches that are remembered.
+// maxOpenBatches is the maximum number of batches that are tracked until they are acknowledged.
 const maxOpenBatches = 4096
 
-// Window is the account of one channel. Its zero value is an empty channel.
+// Window tracks what one channel may still hold. Its zero value is an empty channel.
 type Window struct {
-	sent      float64 // since the start
-	delivered float64 // of it, what has surely left the channel
-	open      []batch // not acknowledged in full, oldest first
+	sent      float64 // total amount sent
+	delivered float64 // part of sent that has certainly left the channel
+	open      []batch // batches that are not fully acknowledged, oldest first
 }
 
-// batch is a group of messages that carry one number.
+// batch is a group of messages with a common number.
 type batch struct {
 	number       int
-	sentBefore   float64
-	size         float64
-	outstanding  float64 // including it, when it was sent
-	acknowledged float64 // of its messages, those whose receivers have answered
+	sentBefore   float64 // total amount sent before the batch
+	size         float64 // total amount of the batch
+	outstanding  float64 // outstanding amount when the batch was sent, including the batch
+	acknowledged float64 // amount of the messages that their receivers have acknowledged
 }
 
-// Send adds an amount to the channel.
+// Send notes that an amount was sent to the channel.
 func (w *Window) Send(amount float64) { w.sent += amount }
 
-// Outstanding returns the most that may still wait in the channel.
+// Outstanding returns the greatest amount that may still wait in the channel.
 func (w *Window) Outstanding() float64 { return w.sent - w.delivered }
 
-// MarkBatch gives a number to the latest part of what was sent, of the given size. It returns false if no more
-// batches can be remembered; what was sent then waits for the acknowledgement of a later batch.
+// MarkBatch assigns a number to the last size units that were sent. It returns false if no more batches can be tracked;
+// these units then remain outstanding until a later batch is acknowledged.
 func (w *Window) MarkBatch(number int, size float64) bool {
 	if len(w.open) >= maxOpenBatches {
 		return false
@@ -42,9 +42,9 @@
 	return true
 }
 
-// Acknowledge notes that one receiver has got its message, of the given size, of a numbered batch. All that was sent
-// before the batch has then left the channel, and older batches are closed. It returns how much may have waited when
-// the batch was sent, and false for a number that is not open.
+// Acknowledge notes that one receiver has received its message, of the given size, of a numbered batch. Everything sent
+// before the batch has then left the channel, and older batches are closed. It returns the amount that may have been
+// waiting when the batch was sent. ok is false if no open batch has the number.
 func (w *Window) Acknowledge(number int, size float64) (outstanding float64, ok bool) {
 	for i := range w.open {
 		if w.open[i].number == number {
@@ -54,6 +54,7 @@
 	return 0, false
 }
 
+// acknowledgeAt notes an acknowledgement of the batch at an index of w.open.
 func (w *Window) acknowledgeAt(index int, size float64) (outstanding float64) {
 	b := &w.open[index]
 	b.acknowledged = min(b.acknowledged+size, b.size)
@@ -67,7 +68,7 @@
 	return outstanding
 }
 
-// AssumeDelivered notes that an amount has left the channel although nobody has acknowledged it.
+// AssumeDelivered notes that an amount is assumed to have left the channel although it was not acknowledged.
 func (w *Window) AssumeDelivered(amount float64) {
 	w.delivered = min(w.delivered+max(amount, 0), w.sent)
 }
--- a/internal/core/inflight/window_test.go
+++ b/internal/core/inflight/window_test.go
@@ -6,31 +6,31 @@
 	"pgregory.net/rapid"
 )
 
-func TestAcknowledgementShowsThatAllBeforeItHasLeft(t *testing.T) {
+func TestAcknowledgementCoversEarlierMessages(t *testing.T) {
 	var w Window
 	w.Send(100)
 	w.MarkBatch(1, 100)
 	w.Send(60)
 	w.MarkBatch(2, 60)
-	w.Send(5) // without a number
+	w.Send(5) // not in a batch
 	if w.Outstanding() != 165 {
-		t.Fatalf("%v are outstanding, want 165", w.Outstanding())
+		t.Fatalf("outstanding amount is %v, want 165", w.Outstanding())
 	}
 	outstanding, ok := w.Acknowledge(2, 20)
 	if !ok || outstanding != 160 || w.Outstanding() != 45 {
-		t.Errorf("acknowledgement of the second batch: %v %v, %v outstanding; want 160 before, 45 after",
+		t.Errorf("acknowledgement of the second batch returns %v, %v and leaves %v outstanding; want 160, true and 45",
 			outstanding, ok, w.Outstanding())
 	}
 	if _, ok := w.Acknowledge(1, 100); ok || w.Outstanding() != 45 {
-		t.Error("a late acknowledgement of the first batch shows something new")
+		t.Error("a late acknowledgement of the first batch has an effect")
 	}
 	w.Acknowledge(2, 40)
 	if _, ok := w.Acknowledge(2, 20); ok || w.Outstanding() != 5 {
-		t.Errorf("%v are outstanding after all acknowledgements, want the 5 without a number", w.Outstanding())
+		t.Errorf("outstanding amount after all acknowledgements is %v, want the 5 that are in no batch", w.Outstanding())
 	}
 	w.AssumeDelivered(100)
 	if w.Outstanding() != 0 {
-		t.Error("more has left than was sent")
+		t.Error("the assumed amount is not limited to what was sent")
 	}
 }
 
@@ -38,18 +38,18 @@
 	var w Window
 	for i := range 2 * maxOpenBatches {
 		w.Send(1)
-		if remembered := w.MarkBatch(i, 1); remembered != (i < maxOpenBatches) {
-			t.Fatalf("number %d: %v", i, remembered)
+		if tracked := w.MarkBatch(i, 1); tracked != (i < maxOpenBatches) {
+			t.Fatalf("batch %d is tracked: %v", i, tracked)
 		}
 	}
 	w.Acknowledge(maxOpenBatches-1, 1)
 	if w.Outstanding() != maxOpenBatches || len(w.open) != 0 {
-		t.Errorf("%v outstanding, %d open", w.Outstanding(), len(w.open))
+		t.Errorf("outstanding amount is %v with %d open batches, want the maximum number and none", w.Outstanding(), len(w.open))
 	}
 }
 
-// Whatever the channel's pace is and whichever acknowledgements are lost, no less is outstanding than waits.
-func TestNoLessIsOutstandingThanWaits(t *testing.T) {
+// The outstanding amount is never less than what waits, for any throughput of the channel and any loss of acknowledgements.
+func TestOutstandingIsAnUpperBound(t *testing.T) {
 	type message struct {
 		number int
 		size   float64
@@ -77,7 +77,7 @@
 				}
 			}
 			if w.Outstanding() < waiting-1e-6 {
-				t.Fatalf("%v wait, %v are outstanding", waiting, w.Outstanding())
+				t.Fatalf("%v are waiting but only %v are outstanding", waiting, w.Outstanding())
 			}
 		}
 	})
--- a/internal/core/registry/changes.go
+++ b/internal/core/registry/changes.go
@@ -7,8 +7,8 @@
 	"snowquay/balancer"
 )
 
-// TakeChanges returns the entries that the decision module does not know yet, sorted by address. full says that they are all entries
-// rather than those that have changed.
+// TakeChanges returns the endpoint entries that changed since the last call, sorted by address, for the decision module. If full is true,
+// the entries are those of all servers.
 func (r *Registry) TakeChanges() (entries []balancer.Endpoint, full bool) {
 	full = r.announceAll
 	r.announceAll = false
@@ -29,7 +29,7 @@
 	return entries, full
 }
 
-// appendEntry appends a server's entry, unless the server is removed and the decision module does not know it.
+// appendEntry appends a server's entry, unless the server is removed and the decision module has no entry of it.
 func appendEntry(entries []balancer.Endpoint, server *serverState) []balancer.Endpoint {
 	if server.Phase == balancer.Removed && !server.announced {
 		return entries
@@ -46,8 +46,8 @@
 	})
 }
 
-// ChangedRecords returns the records of the servers that have changed since the last TakeChanges, sorted by address. They have to be
-// stored before the changes are acted on, so it is called before TakeChanges.
+// ChangedRecords returns the records of the servers that changed since the last TakeChanges, sorted by address. Call it before
+// TakeChanges: the records must be stored before the changes take effect.
 func (r *Registry) ChangedRecords() (records []Record) {
 	for _, server := range r.changed {
 		records = append(records, server.Record)
@@ -56,11 +56,11 @@
 	return records
 }
 
-// HasChanges tells whether TakeChanges has something to return.
+// HasChanges reports whether changes are pending for TakeChanges, or all servers are to be listed.
 func (r *Registry) HasChanges() bool { return len(r.changed) > 0 || r.announceAll }
 
-// NeedsPersist tells whether a record has changed since the last MarkPersisted.
+// NeedsPersist reports whether a record has changed since the last MarkPersisted.
 func (r *Registry) NeedsPersist() bool { return r.unpersisted }
 
-// MarkPersisted says that the records which ChangedRecords returned are stored.
+// MarkPersisted notes that the records returned by ChangedRecords have been stored.
 func (r *Registry) MarkPersisted() { r.unpersisted = false }
--- a/internal/core/registry/lifecycle.go
+++ b/internal/core/registry/lifecycle.go
@@ -2,11 +2,12 @@
 
 import "snowquay/balancer"
 
-// reconnectWindow is the number of seconds after a coordinator's start within which processes that are still running register again.
+// reconnectWindow is the number of seconds after the coordinator's start within which servers that kept running are expected to register
+// again.
 const reconnectWindow = 1.5
 
-// Restore takes the records of a former process of the coordinator, before any other fact. Servers that were in service stay so until the
-// hold is over; drains go on from when they began. An error wraps ErrFull.
+// Restore loads the records that an earlier process of the coordinator stored. Call it before any other update. Servers that were in
+// service remain so until the hold expires; drains continue with their original start times. The error wraps ErrFull.
 func (r *Registry) Restore(now float64, records []Record) error {
 	for _, record := range records {
 		server, err := r.findOrAdd(now, record.Server)
@@ -14,25 +15,25 @@
 			return err
 		}
 		server.Record = record
-		server.unlisted = record.Phase == balancer.Removed
-		if !server.unlisted {
+		server.removedFromConfig = record.Phase == balancer.Removed
+		if !server.removedFromConfig {
 			server.restored = true
 			server.connectionLostAt = now
-			server.uptime = now - record.Started // what a process that is still running has at least
+			server.uptime = now - record.Started // lower bound for a process that is still running
 		}
 		r.markChanged(server)
 	}
 	return nil
 }
 
-// Configure takes what the settings say of a server. An error wraps ErrFull.
+// Configure adds a server that the settings list, or updates its configuration. The error wraps ErrFull.
 func (r *Registry) Configure(now float64, config ServerConfig) error {
 	server, err := r.findOrAdd(now, config.Server)
 	if err != nil {
 		return err
 	}
 	server.configured = true
-	server.unlisted = false
+	server.removedFromConfig = false
 	if server.ServerConfig != config {
 		server.ServerConfig = config
 		r.markChanged(server)
@@ -41,8 +42,8 @@
 	return nil
 }
 
-// Unconfigure says that the settings do not list a server any more. It is removed, whatever connection it has, and comes back only by
-// registering, where the settings let servers do so that they do not list.
+// Unconfigure removes a server that the settings no longer list, even if it has an open connection. It returns to service only by a new
+// registration, where the settings permit servers that they do not list to register.
 func (r *Registry) Unconfigure(now float64, address balancer.Server) {
 	server := r.servers[address]
 	if server == nil {
@@ -51,17 +52,17 @@
 	server.configured = false
 	server.Static = false
 	server.DrainOrdered = false
-	server.unlisted = true
-	server.vouchers = 0
+	server.removedFromConfig = true
+	server.listings = 0
 	server.dropConnection()
 	r.markChanged(server)
 	r.updatePhase(now, server)
 }
 
-// Register says that the process of a server is up and wants requests. zone is used for servers that the settings do not list. A process
-// that was gone, or whose connection broke, has started anew as far as can be known, and is warming up from now on; a report of its uptime
-// may correct that. Guards against a server that has just started and is taken for a warm one; it does harm where connections break
-// without a restart and no uptime is reported. An error wraps ErrFull.
+// Register marks a server as registered: its process is running and accepts requests. zone applies to servers that the settings do not
+// list. A server that was absent, or whose connection broke, is assumed to have restarted and warms up from now on; a report of its
+// uptime may correct that. The assumption prevents a server that has just started from being treated as warm. Its cost is that a server
+// whose connection broke without a restart warms up needlessly if its uptime is not reported. The error wraps ErrFull.
 func (r *Registry) Register(now float64, address balancer.Server, zone balancer.Zone) error {
 	server, err := r.findOrAdd(now, address)
 	if err != nil {
@@ -72,7 +73,7 @@
 	}
 	connected := server.registered && server.connectionLostAt == 0
 	reconnected := server.restored && now-server.connectionLostAt <= reconnectWindow
-	if !connected && !reconnected && !r.startsIgnored {
+	if !connected && !reconnected && !r.ignoreStarts {
 		server.Started = now
 		server.uptime = 0
 		r.markChanged(server)
@@ -80,13 +81,13 @@
 	server.registered = true
 	server.restored = false
 	server.connectionLostAt = 0
-	server.unlisted = false
+	server.removedFromConfig = false
 	r.updatePhase(now, server)
 	return nil
 }
 
-// AdjustListings says that one balancer more (n is 1) or less (n is -1) lists a server, where the site believes balancers. A server that
-// was not present starts now, as with Register. An error wraps ErrFull.
+// AdjustListings increments (n is 1) or decrements (n is -1) the number of balancers that list a server, where the site trusts them. A
+// server that was not present is assumed to start now, as in Register. The error wraps ErrFull.
 func (r *Registry) AdjustListings(now float64, address balancer.Server, zone balancer.Zone, n int) error {
 	server, err := r.findOrAdd(now, address)
 	if err != nil {
@@ -96,20 +97,20 @@
 		if !server.configured {
 			server.Zone = zone
 		}
-		if !r.startsIgnored {
+		if !r.ignoreStarts {
 			server.Started = now
 			server.uptime = 0
 		}
 	}
-	server.vouchers = max(0, server.vouchers+n)
+	server.listings = max(0, server.listings+n)
 	if n >= 0 {
-		server.unlisted = false
+		server.removedFromConfig = false
 	}
 	r.updatePhase(now, server)
 	return nil
 }
 
-// Deregister says that the process of a server ends for good; a drain of it ends, too.
+// Deregister removes the registration of a server whose process is ending, and ends its drain.
 func (r *Registry) Deregister(now float64, address balancer.Server) {
 	server := r.servers[address]
 	if server == nil {
@@ -123,7 +124,8 @@
 	r.updatePhase(now, server)
 }
 
-// SetDrain orders a drain of a server, or ends it. It returns false where the server is not present, unless a drain of it could be ended.
+// SetDrain orders a drain of a server or ends it. It returns false if the server is unknown, or is removed and has no ordered
+// drain.
 func (r *Registry) SetDrain(now float64, address balancer.Server, on bool) bool {
 	server := r.servers[address]
 	if server == nil || server.Phase == balancer.Removed && !server.DrainOrdered {
@@ -137,7 +139,7 @@
 	return true
 }
 
-// ConnectionLost says that the connection which registered a server broke. The server stays for the hold.
+// ConnectionLost notes that the connection that registered a server broke. The registration remains valid until the hold expires.
 func (r *Registry) ConnectionLost(now float64, address balancer.Server) {
 	server := r.servers[address]
 	if server != nil && server.registered && server.connectionLostAt == 0 {
@@ -145,7 +147,7 @@
 	}
 }
 
-// ExpireHolds ends the hold of servers whose connection broke.
+// ExpireHolds drops the registrations, made or restored, whose hold has expired.
 func (r *Registry) ExpireHolds(now float64) {
 	for _, server := range r.servers {
 		if server.connectionLostAt > 0 && now-server.connectionLostAt >= r.hold {
--- a/internal/core/registry/registry.go
+++ b/internal/core/registry/registry.go
@@ -1,10 +1,11 @@
-// Package registry keeps the servers that a coordinator knows: their configuration, whether they are in service, draining or removed, and
-// when they last started.
+// Package registry stores the servers that a coordinator knows: their configuration, their phase (in service, draining or removed) and
+// the time of their latest start.
 //
-// It is pure: facts come in with the time at which they are known, and entries for the decision module and records to store come out. A
-// server is present while it is static (in service by the settings alone), registered, or vouched for by a balancer. A registration whose
-// connection broke stays for a while, since a broken connection does not prove that the process has ended. Times are clock times in
-// seconds, well above 0, as the seconds since 1970 are.
+// The package does no I/O and reads no clock. Its inputs are events with the times at which they became known; its outputs are
+// endpoint entries for the decision module and records to store. A server is present while it is static (in service by the settings alone),
+// registered, listed by a balancer, or restored from a record. A registration whose connection broke stays valid for a hold period,
+// since a broken connection does not prove that the process has ended. Times are clock times in seconds, far above 0, such as
+// seconds since 1970.
 package registry
 
 import (
@@ -16,83 +17,84 @@
 )
 
 const (
-	maxIncrementalChanges = 256 // changes for one update; when there are more it lists all servers
-	evictAfter            = 600 // seconds after which a server that is removed and not configured makes room for others
+	maxIncrementalChanges = 256 // largest number of changes in an incremental update; if there are more, all servers are listed
+	evictAfter            = 600 // seconds after its removal from which a server that is not configured may be evicted
 )
 
-// ErrFull says that no further server is accepted.
+// ErrFull reports that the registry has reached its maximum number of servers.
 var ErrFull = errors.New("the server registry is full")
 
-// ServerConfig is what the settings say of a server.
+// ServerConfig is the configuration of a server in the settings.
 type ServerConfig struct {
 	Server        balancer.Server        `json:"Server"`
 	Zone          balancer.Zone          `json:"Zone"`
 	Kind          balancer.Kind          `json:"Kind"`
 	FailureDomain balancer.FailureDomain `json:"Pod"`
 	Weight        float64                `json:"Weight"`
-	Static        bool                   `json:"Standing"` // in service without registering
+	Static        bool                   `json:"Standing"` // in service without a registration
 }
 
-// Record is what has to outlive the coordinator of one server.
+// Record is the persistent state of a server, which must survive a restart of the coordinator.
 type Record struct {
 	ServerConfig
 	Phase        balancer.Phase `json:"Phase"`
-	Started      float64        `json:"Started"` // clock time; 0: long ago
-	NotifiedAt   float64        `json:"Told"`    // when its drain or removal became known; 0: it is in service
-	DrainOrdered bool           `json:"Drained"` // by an operator; a registration does not end the drain
+	Started      float64        `json:"Started"` // clock time of the latest start; 0: long ago
+	NotifiedAt   float64        `json:"Told"`    // clock time at which its drain or removal became known; 0: in service, or never in service
+	DrainOrdered bool           `json:"Drained"` // an operator ordered a drain, which a new registration does not end
 }
 
-// serverState is a known server and the facts that its phase follows from.
+// serverState is a known server and the state from which its phase is derived.
 type serverState struct {
 	Record
-	configured       bool // the settings list it
-	registered       bool
-	vouchers         int     // balancers that list it, where the site believes them
-	restored         bool    // from a record, and not registered since
-	connectionLostAt float64 // when the connection that registered it broke, or it was restored; 0: the connection stands
-	uptime           float64 // seconds; the latest that was reported, 0: none
-	announced        bool    // the decision module knows it
-	changed          bool    // it is in Registry.changed
-	unlisted         bool    // it was taken out of the settings, and has not registered since
+	configured        bool // the settings list the server
+	registered        bool
+	listings          int     // number of balancers that list the server, where the site trusts them
+	restored          bool    // restored from a record and not registered since
+	connectionLostAt  float64 // when the registering connection broke or the server was restored; 0: the connection is open
+	uptime            float64 // seconds; latest reported value, or 0 if there is none
+	announced         bool    // the decision module has its entry
+	changed           bool    // in Registry.changed
+	removedFromConfig bool    // removed from the settings, or restored as removed, and not registered since
 }
 
-// present tells whether anything puts the server in service.
+// present reports whether the server is static, registered, restored or listed by a balancer.
 func (s *serverState) present() bool {
-	return s.registered || s.Static || s.restored || s.vouchers > 0
+	return s.registered || s.Static || s.restored || s.listings > 0
 }
 
-// dropConnection forgets that the server registered, or was restored as if it had.
+// dropConnection clears the server's registration, whether made by a connection or restored from a record.
 func (s *serverState) dropConnection() {
 	s.registered = false
 	s.restored = false
 	s.connectionLostAt = 0
 }
 
-// Registry is the set of known servers. Use New. It is not safe for concurrent use.
+// Registry is the set of known servers. Create one with New. It is not safe for concurrent use.
 type Registry struct {
-	servers       map[balancer.Server]*serverState
-	changed       []*serverState // since the last TakeChanges
-	announceAll   bool           // the next TakeChanges lists all servers
-	unpersisted   bool           // something has changed since the last MarkPersisted
-	hold          float64
-	maxServers    int
-	version       int // grows with every change of a phase
-	startsIgnored bool
+	servers      map[balancer.Server]*serverState
+	changed      []*serverState // servers changed since the last TakeChanges
+	announceAll  bool           // the next TakeChanges returns all servers
+	unpersisted  bool           // a record has changed since the last MarkPersisted
+	hold         float64        // seconds for which a registration outlives its connection
+	maxServers   int
+	version      int // incremented with every phase change
+	ignoreStarts bool
 }
 
-// New returns an empty registry. hold is the number of seconds for which a server stays when the connection that registered it breaks.
-// maxServers bounds the servers. startsIgnored leaves out the guard of servers that are warming up; it is for tests of that guard.
-func New(hold float64, maxServers int, startsIgnored bool) *Registry {
+// New returns an empty registry. hold is the number of seconds for which a server stays registered after its registering connection
+// breaks. maxServers limits the number of servers. ignoreStarts disables the protection of servers that are warming up; it is for tests
+// of that protection.
+func New(hold float64, maxServers int, ignoreStarts bool) *Registry {
 	return &Registry{
-		servers:       map[balancer.Server]*serverState{},
-		announceAll:   true,
-		hold:          hold,
-		maxServers:    maxServers,
-		startsIgnored: startsIgnored,
+		servers:      map[balancer.Server]*serverState{},
+		announceAll:  true,
+		hold:         hold,
+		maxServers:   maxServers,
+		ignoreStarts: ignoreStarts,
 	}
 }
 
-// findOrAdd returns a server, which it adds if it is not known.
+// findOrAdd returns the server at an address, and adds it if it is unknown. The error wraps ErrFull.
 func (r *Registry) findOrAdd(now float64, address balancer.Server) (*serverState, error) {
 	if server := r.servers[address]; server != nil {
 		return server, nil
@@ -108,7 +110,8 @@
 	return server, nil
 }
 
-// HasRoom tells whether all of some servers can be added that are not known yet, so that none of the facts about them fails with ErrFull.
+// HasRoom reports whether all unknown servers among addresses can be added, so that no later call for one of them fails with ErrFull. It
+// evicts removed servers if necessary.
 func (r *Registry) HasRoom(now float64, addresses []balancer.Server) bool {
 	if len(r.servers)+r.countUnknown(addresses) <= r.maxServers {
 		return true
@@ -117,7 +120,7 @@
 	return len(r.servers)+r.countUnknown(addresses) <= r.maxServers
 }
 
-// countUnknown returns the number of different servers that are not known.
+// countUnknown returns the number of distinct addresses that are not in the registry.
 func (r *Registry) countUnknown(addresses []balancer.Server) int {
 	unknown := map[balancer.Server]bool{}
 	for _, address := range addresses {
@@ -128,7 +131,7 @@
 	return len(unknown)
 }
 
-// evict makes room: it forgets servers that were removed long ago and that no settings list.
+// evict deletes servers that are not configured and were removed more than evictAfter seconds ago.
 func (r *Registry) evict(now float64) {
 	for address, server := range r.servers {
 		if !server.configured && server.Phase == balancer.Removed && now-server.NotifiedAt > evictAfter {
@@ -138,7 +141,7 @@
 	}
 }
 
-// markChanged notes that a server's record or entry has changed.
+// markChanged marks a server's record and entry as changed.
 func (r *Registry) markChanged(server *serverState) {
 	r.unpersisted = true
 	if !server.changed {
@@ -150,8 +153,8 @@
 	}
 }
 
-// updatePhase derives a server's phase after a fact. A drain outlives a broken connection: a server that registers again may be the same
-// process, after a partition.
+// updatePhase derives a server's phase from its state. A drain order survives a broken connection, since a server that registers again
+// may be the same process after a network partition.
 func (r *Registry) updatePhase(now float64, server *serverState) {
 	phase := balancer.Ready
 	switch {
--- a/internal/core/registry/starts.go
+++ b/internal/core/registry/starts.go
@@ -3,17 +3,17 @@
 import "snowquay/balancer"
 
 const (
-	startTolerance  = 0.5 // seconds by which two reports of one start may differ, as reports take varying times
-	restartDecrease = 2.0 // seconds; an uptime that falls by more is that of a new process
-	maxUptime       = 1e9 // seconds, 30 years; a longer uptime is garbled
+	startTolerance  = 0.5 // seconds by which two reports of the same start may differ, since reporting delays vary
+	restartDecrease = 2.0 // seconds; an uptime that decreases by more indicates a new process
+	maxUptime       = 1e9 // seconds, about 30 years; a greater uptime is invalid
 )
 
-// ObserveUptime takes a report of the seconds since a server's process started. It moves the start of servers that registered or that
-// balancers vouch for; a report alone puts no server in service. An uptime that falls is that of a new process; one that says that the
-// process is older than was thought ends its warm-up. Repeated and garbled reports change nothing.
+// ObserveUptime handles a report of the seconds since a server's process started. It corrects the start time of a server that is
+// registered or listed by a balancer; a report alone does not put a server in service. A decreased uptime indicates a new process; an
+// uptime that shows an earlier start than assumed may end the warm-up. Repeated and invalid reports are ignored.
 func (r *Registry) ObserveUptime(now float64, address balancer.Server, uptime float64) {
 	server := r.servers[address]
-	if server == nil || !server.registered && server.vouchers == 0 || r.startsIgnored {
+	if server == nil || !server.registered && server.listings == 0 || r.ignoreStarts {
 		return
 	}
 	if !(uptime >= 0) || uptime > maxUptime || uptime == server.uptime {
@@ -28,12 +28,12 @@
 	}
 }
 
-// ObserveLaterStart says that another coordinator has heard of a later start of a server than this one may have. Guards against a server
-// that has just started and is taken for a warm one by a coordinator that it has not dialled again yet; it does harm where clocks of
-// coordinators differ by more than the tolerance, until the server's next report of its uptime.
+// ObserveLaterStart handles a start time that another coordinator knows, if it is later than the one known here. It prevents a
+// coordinator to which a restarted server has not reconnected yet from treating that server as warm. Its cost is that a warm server
+// appears to be warming up, until its next uptime report, if the coordinators' clocks differ by more than restartDecrease.
 func (r *Registry) ObserveLaterStart(address balancer.Server, started float64) {
 	server := r.servers[address]
-	if server == nil || !server.present() || r.startsIgnored {
+	if server == nil || !server.present() || r.ignoreStarts {
 		return
 	}
 	if started > server.Started+restartDecrease {
@@ -42,7 +42,7 @@
 	}
 }
 
-// WarmingUp tells whether a server started less than warmup seconds ago.
+// WarmingUp reports whether a server started less than warmup seconds ago.
 func (r *Registry) WarmingUp(now float64, address balancer.Server, warmup float64) bool {
 	server := r.servers[address]
 	return server != nil && server.Started > 0 && now-server.Started < warmup
