--- a/internal/core/loadreport/aggregator.go
+++ b/internal/core/loadreport/aggregator.go
@@ -1,7 +1,7 @@
 // Package loadreport aggregates the load reports of proxies for the decision module.
 //
-// Reports are running totals. A lost report costs nothing but time, and one that is duplicated or reordered is recognised
-// as old. The package is pure: times are arguments, in seconds.
+// Reports carry running totals, so that a lost report only delays the counts, and a duplicated or reordered one is recognised
+// as stale. The package does no I/O and reads no clock: times are arguments, in seconds.
 package loadreport
 
 import (
@@ -12,28 +12,28 @@
 )
 
 const (
-	seriesExpiry = 60.0 // seconds without a report, after which a series may give way to another
-	minAttempts  = 1e-9 // weight of a report without attempts in the mean interval
+	seriesExpiry = 60.0 // seconds without a report after which a series may be removed in favour of another
+	minAttempts  = 1e-9 // least weight of a report in the mean interval, for reports without attempts
 )
 
-// Totals is what a proxy has counted since it started.
+// Totals are the running totals of a proxy since it started.
 type Totals struct {
 	Attempts   float64
 	Failed     float64
-	LatencySum float64 // latency of the successful ones, added up; not used for demand
+	LatencySum float64 // sum of the latencies of successful attempts, in seconds; not used for demand
 }
 
-// RejectedCounts counts reports that were ignored, by reason.
+// RejectedCounts counts ignored reports by reason.
 type RejectedCounts struct {
-	Stale     int // duplicated, or older than one that was seen
-	Malformed int // with impossible totals
-	Overflow  int // of one series more than the limit
-	Baseline  int // the first of a series, or the first after a gap or a restart: the next one is counted from it
+	Stale     int // duplicated, or older than an accepted report
+	Malformed int // with totals or a time that are invalid or implausible
+	Overflow  int // of new series beyond the limit
+	Baseline  int // first of a series, or first after a gap or a restart; the next report is compared with it
 }
 
-// Aggregator turns running totals into sums for a period. Use New. It is not safe for concurrent use.
+// Aggregator converts running totals into sums for a period. Create one with New. It is not safe for concurrent use.
 type Aggregator struct {
-	// Rejected counts the reports ignored so far.
+	// Rejected counts the reports that were ignored so far.
 	Rejected RejectedCounts
 
 	maxSeries int
@@ -42,32 +42,32 @@
 	demands   map[seriesKey]*demandSum
 }
 
-// seriesKey identifies the reports of a proxy about a server, or about a class.
+// seriesKey identifies the series of a proxy's reports about a server or a request class.
 type seriesKey struct {
 	proxy  balancer.Proxy
-	server balancer.Server // empty: the series is about a class
+	server balancer.Server // empty if the series is about a class
 	class  balancer.Class
 }
 
-// upstreamKey identifies a server as seen from a zone.
+// upstreamKey identifies a server and the zone of the proxies that report about it.
 type upstreamKey struct {
 	server balancer.Server
 	zone   balancer.Zone
 }
 
-// upstreamSum adds up the reports of a zone's proxies about a server.
+// upstreamSum is the sum of the reports of a zone's proxies about a server.
 type upstreamSum struct {
 	totals           Totals
-	weightedInterval float64 // the reports' seconds, weighted by their attempts
+	weightedInterval float64 // sum of the reports' intervals in seconds, weighted by their attempts
 }
 
-// demandSum adds up a proxy's reports about a class.
+// demandSum is the sum of a proxy's reports about a request class.
 type demandSum struct {
 	totals   Totals
-	interval float64 // seconds of the longest report
+	interval float64 // longest interval of a report, in seconds
 }
 
-// New makes an aggregator of at most maxSeries series.
+// New returns an aggregator that tracks at most maxSeries series.
 func New(maxSeries int) *Aggregator {
 	return &Aggregator{
 		maxSeries: maxSeries,
@@ -77,8 +77,8 @@
 	}
 }
 
-// AddUpstream takes a proxy's totals at a server, which it counted at a time of its own clock. It returns how many attempts
-// are new, and since when by that clock.
+// AddUpstream adds a proxy's totals for a server. at is the time of the totals by the proxy's clock. It returns the number of
+// attempts since the previous report and the time of that report by the proxy's clock, or 0 and at if the report is rejected.
 func (a *Aggregator) AddUpstream(now, at float64, proxy balancer.Proxy, zone balancer.Zone, server balancer.Server,
 	totals Totals) (attempts, since float64) {
 	change, ok := a.change(now, at, seriesKey{proxy: proxy, server: server}, totals)
@@ -95,7 +95,7 @@
 	return change.totals.Attempts, at - change.interval
 }
 
-// AddDemand takes a proxy's totals of a request class, which it counted at a time of its own clock.
+// AddDemand adds a proxy's totals for a request class. at is the time of the totals by the proxy's clock.
 func (a *Aggregator) AddDemand(now, at float64, proxy balancer.Proxy, class balancer.Class, totals Totals) {
 	key := seriesKey{proxy: proxy, class: class}
 	change, ok := a.change(now, at, key, totals)
@@ -111,7 +111,8 @@
 	sum.interval = max(sum.interval, change.interval)
 }
 
-// change finds or starts a series and takes a report of it. ok is false if the report was rejected.
+// change adds a report to its series, which is created if necessary, and returns the difference from the previous report. ok
+// is false if the report was rejected.
 func (a *Aggregator) change(now, at float64, key seriesKey, totals Totals) (change change, ok bool) {
 	if !totals.valid() || !isFinite(at) {
 		a.Rejected.Malformed++
@@ -119,14 +120,14 @@
 	}
 	s := a.series[key]
 	if s == nil {
-		a.start(now, at, key, totals)
+		a.startSeries(now, at, key, totals)
 		return change, false
 	}
 	return s.advance(now, at, totals, &a.Rejected)
 }
 
-// start makes a series from its first report, unless there are too many.
-func (a *Aggregator) start(now, at float64, key seriesKey, totals Totals) {
+// startSeries creates a series from its first report, unless the limit is reached.
+func (a *Aggregator) startSeries(now, at float64, key seriesKey, totals Totals) {
 	if len(a.series) >= a.maxSeries {
 		a.expireSeries(now)
 	}
@@ -138,6 +139,7 @@
 	a.Rejected.Baseline++
 }
 
+// expireSeries deletes the series without a report in the last seriesExpiry seconds.
 func (a *Aggregator) expireSeries(now float64) {
 	for key, s := range a.series {
 		if now-s.receivedAt > seriesExpiry {
@@ -146,7 +148,7 @@
 	}
 }
 
-// RemoveProxy forgets the series of a proxy, whose ID may be given to another.
+// RemoveProxy deletes the series and pending demand of a proxy, whose ID may be assigned to another.
 func (a *Aggregator) RemoveProxy(proxy balancer.Proxy) {
 	for key := range a.series {
 		if key.proxy == proxy {
@@ -160,9 +162,9 @@
 	}
 }
 
-// Flush hands out all that came in since the last call, in a fixed order. The caller owns it. The interval of an upstream
-// report is the mean of its parts, weighted by their attempts, since a proxy that lost a report covers more than the
-// others.
+// Flush returns the reports aggregated since the last call, sorted. The caller owns the slices. The interval of an upstream
+// report is the mean of the intervals of its parts, weighted by their attempts, since the difference after a lost report
+// covers a longer interval.
 func (a *Aggregator) Flush() (upstreams []balancer.UpstreamReport, demands []balancer.DemandReport) {
 	for key, sum := range a.upstreams {
 		upstreams = append(upstreams, sum.report(key))
@@ -187,6 +189,7 @@
 	return upstreams, demands
 }
 
+// report returns the sum as an upstream report.
 func (s *upstreamSum) report(key upstreamKey) balancer.UpstreamReport {
 	report := balancer.UpstreamReport{
 		Server:   key.server,
@@ -201,8 +204,8 @@
 	return report
 }
 
-// HasPending tells whether Flush would hand out anything.
+// HasPending reports whether Flush would return any report.
 func (a *Aggregator) HasPending() bool { return len(a.upstreams)+len(a.demands) > 0 }
 
-// Len is the number of series.
+// Len returns the number of series.
 func (a *Aggregator) Len() int { return len(a.series) }
--- a/internal/core/loadreport/series.go
+++ b/internal/core/loadreport/series.go
@@ -3,28 +3,28 @@
 import "math"
 
 const (
-	maxGap      = 15.0 // seconds between two reports of a series; after a longer gap the series starts anew
-	minInterval = 0.01 // seconds between two reports; less is a clock that was set back and forth
-	maxRate     = 1e6  // requests per second at one proxy; more is a corrupted total
+	maxGap      = 15.0 // seconds between two reports of a series; after a longer gap the series starts again
+	minInterval = 0.01 // seconds between two reports; a shorter interval means that the clock was set back and forth
+	maxRate     = 1e6  // requests per second of one proxy; a higher rate means a corrupted total
 )
 
-// series is the latest report of a proxy about a server or a class.
+// series is the latest report of a proxy about a server or a request class.
 type series struct {
-	reportedAt float64 // by the proxy's clock
-	receivedAt float64 // by ours
+	reportedAt float64 // time in seconds by the proxy's clock
+	receivedAt float64 // time in seconds by the local clock
 	totals     Totals
 }
 
-// change is the difference of two reports of a series.
+// change is the difference between two reports of a series.
 type change struct {
 	totals   Totals
-	interval float64 // seconds between them
+	interval float64 // seconds between the reports
 }
 
-// advance takes the next report of a series and returns the difference. ok is false if the report was rejected, which is
-// counted. Only differences of two reports in order are counted, so that duplicated, reordered and corrupted reports, and
-// those of a proxy that restarted, do no harm. The cost is that a proxy whose clock runs backwards is ignored until it
-// has caught up, or for maxGap.
+// advance replaces the latest report of a series and returns the difference from the previous one. ok is false if the report
+// was rejected, which is counted in rejected. Only differences between two reports in order are used, so that duplicated,
+// reordered and corrupted reports, and a restart of the proxy, do not distort the sums. The cost is that the reports of a
+// proxy whose clock was set back are ignored until the clock has caught up, or for maxGap.
 func (s *series) advance(now, at float64, totals Totals, rejected *RejectedCounts) (_ change, ok bool) {
 	if at < s.reportedAt+minInterval && now-s.receivedAt < maxGap {
 		rejected.Stale++
@@ -43,7 +43,7 @@
 	s.totals = totals
 	switch {
 	case difference.interval > maxGap || difference.interval < minInterval || difference.totals.isNegative():
-		rejected.Baseline++ // a gap, or a restart of the proxy
+		rejected.Baseline++ // after a gap or a restart of the proxy
 		return change{}, false
 	case difference.totals.Attempts > maxRate*difference.interval || difference.totals.Failed > difference.totals.Attempts:
 		rejected.Malformed++
