--- a/internal/core/fairqueue/fairqueue.go
+++ b/internal/core/fairqueue/fairqueue.go
@@ -1,9 +1,9 @@
 // Package fairqueue schedules the work of many tenants on one event loop by start-time fair queueing, within a CPU budget: a tenant
-// that uses much CPU time waits for those that use little. Urgent turns, which are for drains, go first as long as a tenant has not
-// used up its share of them. It is pure.
+// that uses much CPU time waits for those that use little. Urgent turns, which are for drains, go first as long as the tenant has not
+// used up its share of them. The package does no I/O and reads no clock.
 //
-// Times at which tenants are due are kept in a timing wheel, those that are due in a heap by start tag. A turn costs a heap operation,
-// a tenant that is not due costs nothing.
+// A timing wheel holds the times at which tenants become due, and a heap holds the due tenants by start tag. A turn costs one heap
+// operation; a tenant that is not due costs nothing.
 package fairqueue
 
 import (
@@ -14,41 +14,41 @@
 // Config configures a Queue. Work is in seconds of CPU time.
 type Config struct {
 	Rate       float64 // work per second
-	Burst      float64 // work that may be done at once after a pause; it also bounds how long others wait
-	Reserve    float64 // work beyond the burst, for urgent turns only
-	UrgentRate float64 // work per second in urgent turns of a tenant with weight 1, on average
-	IdleCredit float64 // work by which a tenant with weight 1 is ahead of others after it was idle, so that light ones do not wait
-	Tick       float64 // seconds of the timing wheel
+	Burst      float64 // work that may be done at once after a pause; it also limits how long others wait
+	Reserve    float64 // work in excess of the budget that only urgent turns may do
+	UrgentRate float64 // average work per second in urgent turns of a tenant with weight 1
+	IdleCredit float64 // lead in work of a tenant with weight 1 after it was idle, so that light tenants do not wait
+	Tick       float64 // resolution of the timing wheel in seconds
 }
 
-// DefaultConfig leaves three tenths of a core to input: receiving data and answering calls.
+// DefaultConfig leaves three tenths of a core to input, which is receiving data and answering calls.
 var DefaultConfig = Config{Rate: 0.7, Burst: 0.014, Reserve: 0.007, UrgentRate: 0.02, IdleCredit: 0.005, Tick: 0.005}
 
-// urgentBurstSeconds is the seconds over which a tenant may save up urgent work.
+// urgentBurstSeconds is the number of seconds over which a tenant's budget for urgent work may accrue.
 const urgentBurstSeconds = 2.0
 
-// Stats are totals since the start, for metrics.
+// Stats are totals since the queue was created, for metrics.
 type Stats struct {
 	Turns           int
-	Urgent          int // turns that were urgent
-	BudgetExhausted int // calls of Next for which a key was due and the budget was used up
+	Urgent          int // urgent turns
+	BudgetExhausted int // calls of Next with a due key that got no turn because the budget was used up
 }
 
-// Queue schedules keys. Use New. All times are clock times in seconds.
+// Queue schedules the turns of keys, for instance tenants. Create one with New. All times are clock times in seconds.
 type Queue[K comparable] struct {
-	// Stats are totals for metrics.
+	// Stats are the totals for metrics.
 	Stats Stats
 
 	config          Config
 	entries         map[K]*entry[K]
 	wheel           *timingwheel.Wheel[*entry[K]]
 	due             indexedheap.Heap[*entry[K]]
-	virtualTime     float64 // start tag of the latest turn that was not urgent, in work over weight
-	budget          float64 // work that may be done now
+	virtualTime     float64 // highest start tag of a turn that was not urgent, in work divided by weight
+	budget          float64 // work that may be done now; negative after an overrun
 	budgetUpdatedAt float64
 }
 
-// New returns an empty queue with its full budget.
+// New returns an empty queue with a full budget.
 func New[K comparable](now float64, config Config) *Queue[K] {
 	return &Queue[K]{
 		config:          config,
@@ -59,7 +59,7 @@
 	}
 }
 
-// Set adds a key with a weight greater than 0, or changes its weight. A key that was added is not due.
+// Set adds a key with a weight greater than 0, or changes its weight. A new key is not due.
 func (q *Queue[K]) Set(now float64, key K, weight float64) {
 	existing := q.entries[key]
 	if existing != nil {
@@ -88,7 +88,7 @@
 	delete(q.entries, key)
 }
 
-// ScheduleAt makes a key due at a clock time, in place of the time that was set before.
+// ScheduleAt makes a key due at a clock time, which replaces the time that was set before.
 func (q *Queue[K]) ScheduleAt(key K, at float64) {
 	scheduled := q.entries[key]
 	if scheduled != nil {
@@ -96,7 +96,7 @@
 	}
 }
 
-// MarkDue makes a key due now. If urgent is set, it gets its turn before others unless its share of urgent work is used up.
+// MarkDue makes a key due now. If urgent is true, its turn precedes those that are not urgent, unless its budget of urgent work is used up.
 func (q *Queue[K]) MarkDue(now float64, key K, urgent bool) {
 	marked := q.entries[key]
 	if marked != nil {
@@ -104,6 +104,7 @@
 	}
 }
 
+// markDue implements MarkDue for an entry.
 func (q *Queue[K]) markDue(now float64, marked *entry[K], urgent bool) {
 	if urgent && !marked.urgent && marked.refillUrgentBudget(now, q.config.UrgentRate) {
 		marked.urgent = true
@@ -117,12 +118,13 @@
 	q.due.Push(marked)
 }
 
-// earliestStartTag is at most the idle credit behind the virtual time: a key does not save up more work while it is idle.
+// earliestStartTag returns a key's start tag, raised to at least the virtual time less the idle credit, which limits the work that a key
+// accrues while it is idle.
 func (q *Queue[K]) earliestStartTag(e *entry[K]) float64 {
 	return max(e.startTag, q.virtualTime-q.config.IdleCredit/e.weight)
 }
 
-// Next returns the key whose turn it is. ok is false if none is due or the budget is used up. The caller does the key's work and then
+// Next returns the key whose turn it is. ok is false if no key is due or the budget is used up. The caller does the key's work and then
 // calls Charge.
 func (q *Queue[K]) Next(now float64) (key K, ok bool) {
 	q.wheel.Advance(now, func(expired *entry[K]) { q.markDue(now, expired, false) })
@@ -149,7 +151,7 @@
 	return next.key, true
 }
 
-// Charge charges a key with work in seconds, which it did in its turn or for input.
+// Charge charges a key for work in seconds, which was done in its turn or for its input.
 func (q *Queue[K]) Charge(key K, work float64) {
 	q.budget -= work
 	charged := q.entries[key]
@@ -165,7 +167,7 @@
 	q.due.Fix(charged)
 }
 
-// Usage returns the work of a key since it was added, and the longest time that it was due before its turn, in seconds.
+// Usage returns the work of a key since it was added and its longest wait from becoming due to its turn, both in seconds.
 func (q *Queue[K]) Usage(key K) (work, longestWait float64) {
 	used := q.entries[key]
 	if used == nil {
@@ -174,7 +176,7 @@
 	return used.work, used.longestWait
 }
 
-// HasBudget reports whether work may be done now.
+// HasBudget adds the budget that has accrued and reports whether work may be done now.
 func (q *Queue[K]) HasBudget(now float64) bool {
 	elapsed := max(now-q.budgetUpdatedAt, 0)
 	q.budget = min(q.config.Burst, q.budget+elapsed*q.config.Rate)
--- a/internal/core/fairqueue/fairqueue_test.go
+++ b/internal/core/fairqueue/fairqueue_test.go
@@ -12,10 +12,10 @@
 const (
 	testStart = 1000.0 // clock time in seconds
 	testTick  = 0.005  // seconds
-	noUrgent  = -1
+	noUrgent  = -1     // no key requests urgent turns
 )
 
-// newQueue returns a queue with the keys 0, 1, ... of weight 1.
+// newQueue returns a queue with keys 0, 1, ... of weight 1.
 func newQueue(config Config, keys int) *Queue[int] {
 	queue := New[int](testStart, config)
 	for key := range keys {
@@ -24,8 +24,8 @@
 	return queue
 }
 
-// runAlwaysDue lets keys that are always due share the queue for some seconds. Each turn of a key takes the work of that key. It
-// returns the work that each key did. One of the keys asks for urgent turns, if any.
+// runAlwaysDue simulates keys that are always due for some seconds. turnWork is the work of a turn of each key, and urgent is the key that
+// requests urgent turns, or noUrgent. It returns the total work of each key.
 func runAlwaysDue(queue *Queue[int], turnWork []float64, seconds float64, urgent int) []float64 {
 	for now := testStart; now < testStart+seconds; now += testTick {
 		for key := range turnWork {
@@ -69,18 +69,18 @@
 		}
 		allowed := DefaultConfig.Rate * seconds
 		if total > allowed+DefaultConfig.Burst+maxTurnWork || total < allowed*0.95 {
-			t.Fatalf("%.2f s of work were done in %d s at a rate of %.2f", total, seconds, DefaultConfig.Rate)
+			t.Fatalf("total work is %.2f s in %d s, want close to a rate of %.2f", total, seconds, DefaultConfig.Rate)
 		}
 		for key, done := range work {
 			share := total * weights[key] / allWeights
 			if math.Abs(done-share) > 0.05*share+5e-3 {
-				t.Fatalf("key %d of weight %v has done %.3f of %.3f, its share is %.3f", key, weights[key], done, total, share)
+				t.Fatalf("key %d of weight %v did %.3f s of the total work of %.3f s, want its share of %.3f s", key, weights[key], done, total, share)
 			}
 		}
 	})
 }
 
-// A key with little work has its turn at once, however much work others have.
+// A key with little work gets its turn at once, regardless of the work of others.
 func TestLightKeyDoesNotWait(t *testing.T) {
 	const heavyKeys = 20
 	const light = heavyKeys
@@ -111,18 +111,18 @@
 		}
 	}
 	if longestWait > 0.011 {
-		t.Errorf("it waited %.3f s", longestWait)
+		t.Errorf("longest wait of the light key is %.3f s, want at most 0.011 s", longestWait)
 	}
 }
 
-// Urgent turns go first, but a tenant that orders nothing but drains has no more than its share of them.
+// Urgent turns go first, but a tenant whose turns are all urgent does not exceed its share of urgent work.
 func TestUrgentWorkIsBounded(t *testing.T) {
 	const keys = 10
 	const urgent = 3
 	work := runAlwaysDue(newQueue(DefaultConfig, keys), slices.Repeat([]float64{1e-3}, keys), 20, urgent)
 	limit := 20*DefaultConfig.Rate/keys + 22*DefaultConfig.UrgentRate
 	if work[urgent] > limit {
-		t.Errorf("the urgent key has done %.2f s of work, its share is at most %.2f", work[urgent], limit)
+		t.Errorf("work of the urgent key is %.2f s, want at most %.2f s", work[urgent], limit)
 	}
 }
 
@@ -132,11 +132,11 @@
 	queue.MarkDue(testStart, 1, false)
 	queue.MarkDue(testStart, 2, true)
 	if key, ok := queue.Next(testStart); !ok || key != 2 {
-		t.Errorf("%v %v has the turn, not the urgent key", key, ok)
+		t.Errorf("Next returns key %v, %v; want the urgent key 2, true", key, ok)
 	}
 	queue.Charge(2, 1e-3)
 	if key, ok := queue.Next(testStart); ok {
-		t.Errorf("%v has a turn though the budget is used up", key)
+		t.Errorf("key %v has a turn although the budget is used up", key)
 	}
 }
 
@@ -146,33 +146,33 @@
 	queue.ScheduleAt("a", testStart+0.5)
 	queue.ScheduleAt("unknown", testStart+0.1)
 	if _, ok := queue.Next(testStart + 0.4); ok {
-		t.Error("a key has its turn before it is due")
+		t.Error("a key has a turn before it is due")
 	}
 	if key, ok := queue.Next(testStart + 0.51); !ok || key != "a" {
-		t.Error("the key is not due")
+		t.Error("the key has no turn at its scheduled time")
 	}
 	queue.Charge("a", 0)
 	queue.MarkDue(testStart+1, "a", false)
 	queue.Remove("a")
 	if key, ok := queue.Next(testStart + 2); ok || queue.Len() != 0 {
-		t.Errorf("%q has a turn after it was removed", key)
+		t.Errorf("key %q has a turn, or is still counted, after it was removed", key)
 	}
 }
 
-// fifoComparison runs heavy keys that are always due and light ones that are due 20 ms after their last turn, either by the queue or
-// in the order in which they became due. Time passes by the work of the turns.
+// fifoComparison simulates heavy keys that are always due and light keys that become due 20 ms after their last turn, scheduled either by
+// the queue or in FIFO order. Simulated time advances by the work of the turns.
 type fifoComparison struct {
 	queue *Queue[int]
 	fifo  []int
-	due   map[int]float64 // clock time in seconds at which a light key is or was due
+	due   map[int]float64 // clock time in seconds at which a light key becomes or became due
 }
 
 const (
 	comparedHeavyKeys = 10
 	comparedKeys      = 20
-	heavyWork         = 5e-3 // seconds a turn
-	lightWork         = 1e-4 // seconds a turn
-	lightInterval     = 0.02 // seconds
+	heavyWork         = 5e-3 // seconds per turn
+	lightWork         = 1e-4 // seconds per turn
+	lightInterval     = 0.02 // seconds from a light key's turn until it is due again
 )
 
 func newFIFOComparison() *fifoComparison {
@@ -201,7 +201,8 @@
 	}
 }
 
-// longestLightWait runs ten seconds and returns the longest wait of a light key after the first second.
+// longestLightWait simulates ten seconds and returns the longest wait of a light key after the first second. If fair is false, keys are
+// served in FIFO order.
 func (c *fifoComparison) longestLightWait(fair bool) float64 {
 	longest := 0.0
 	now := testStart
@@ -235,13 +236,13 @@
 func TestLightKeysWaitLessThanInFIFO(t *testing.T) {
 	fifo := newFIFOComparison().longestLightWait(false)
 	fair := newFIFOComparison().longestLightWait(true)
-	t.Logf("waited at most %.1f ms, in FIFO order %.1f ms", fair*1000, fifo*1000)
+	t.Logf("longest wait of a light key: %.1f ms, in FIFO order %.1f ms", fair*1000, fifo*1000)
 	if fair > fifo/3 {
-		t.Errorf("waited %.1f ms, in FIFO order %.1f ms", fair*1000, fifo*1000)
+		t.Errorf("longest wait of a light key is %.1f ms, want at most a third of the %.1f ms in FIFO order", fair*1000, fifo*1000)
 	}
 }
 
-// linearQueue finds the least start tag by a scan of all keys, to compare with.
+// linearQueue finds the least start tag by a linear scan of all keys. It is the baseline of the benchmark.
 type linearQueue struct {
 	due      []bool
 	startTag []float64
--- a/internal/core/fairshare/fairshare.go
+++ b/internal/core/fairshare/fairshare.go
@@ -1,12 +1,13 @@
 // Package fairshare divides a rate limit among tenants by hierarchical weighted fair sharing: tenants have weights within their group,
-// and groups among each other. A tenant that requests more than its share is throttled alone and told when to retry, and what others do
-// not use is lent. A reserve is kept for urgent requests such as drains. It is pure.
+// and groups have weights among each other. Only a tenant that requests more than its share is throttled, and it receives the time after
+// which to retry. Capacity that some tenants do not use is lent to others. A reserve is held for urgent requests such as drains. The
+// package does no I/O and reads no clock.
 //
-// Each tenant has a token bucket that fills at its share of the rate; requests within it are not throttled. Beyond it a tenant borrows
-// what others do not use. Borrowing advances the tenant's virtual time by the cost over its weight. A tenant may borrow unless its
-// virtual time is ahead of that of another that was throttled recently, and that is waited for as long as it takes to request again.
-// A tenant that requests little delays nobody, and one that was idle starts at the common virtual time. A request costs one heap
-// operation for each level of the hierarchy.
+// Each tenant has a token bucket that fills at its share of the rate; requests that its bucket covers are not throttled. Beyond it, a
+// tenant borrows capacity that others do not use, which advances its virtual time by the cost divided by its weight. A tenant may borrow
+// unless its virtual time is ahead of that of a recently throttled tenant. It yields to such a tenant for about as long as that one takes
+// to request again. A tenant that requests little delays no other, and one that was idle starts at the common virtual time. A request
+// costs one heap operation for each level of the hierarchy.
 package fairshare
 
 import (
@@ -23,44 +24,44 @@
 )
 
 var (
-	// ErrTooManyTenants reports that Config.MaxTenants are known already.
+	// ErrTooManyTenants reports that the number of tenants has reached Config.MaxTenants.
 	ErrTooManyTenants = errors.New("too many tenants")
-	// ErrUnknownTenant reports that the tenant was not set.
+	// ErrUnknownTenant reports that the tenant was not added by Set.
 	ErrUnknownTenant = errors.New("no such tenant")
 	// ErrInvalidWeight reports a weight that is not a positive finite number.
-	ErrInvalidWeight = errors.New("a weight is over 0 and finite")
+	ErrInvalidWeight = errors.New("weight is not a positive finite number")
 )
 
 // Config configures an Allocator.
 type Config struct {
 	Rate          float64 // units per second
-	Burst         float64 // units that may be taken at once, by all tenants together
-	BucketSeconds float64 // seconds of its share that a tenant's bucket holds; New limits it to half a burst for all tenants together
-	Reserve       float64 // fraction of rate and burst that only urgent requests take
+	Burst         float64 // units that all tenants together may take at once
+	BucketSeconds float64 // capacity of a tenant's bucket, in seconds of its share; New limits all buckets together to half a burst
+	Reserve       float64 // fraction of rate and burst that is available only to urgent requests
 	MaxTenants    int
-	MaxYield      float64 // seconds for which a throttled tenant is waited for, at most; less than the burst lasts
+	MaxYield      float64 // longest time in seconds for which others yield to a throttled tenant; less than the burst lasts
 }
 
-// DefaultConfig is that of a resource whose settings name nothing else.
+// DefaultConfig is the configuration of a resource without settings of its own.
 var DefaultConfig = Config{Rate: 1000, Burst: 1000, BucketSeconds: 1, Reserve: 0.1, MaxTenants: 20000, MaxYield: 0.1}
 
 const (
-	waitedIntervals   = 16.0 // average intervals of its requests for which a throttled tenant is waited for
-	intervalSmoothing = 0.1  // weight of the latest interval in their average
-	borrowFloor       = 0.5  // fraction of the burst that is not lent, so that requests within a tenant's share succeed
+	yieldIntervals    = 16.0 // number of a throttled tenant's average request intervals for which others yield to it
+	intervalSmoothing = 0.1  // weight of the latest interval in the moving average
+	borrowFloor       = 0.5  // fraction of the burst that is not lent, so that requests within a tenant's share are granted
 )
 
-// tenantState is a tenant's share and requests.
+// tenantState is the state of a tenant: its weight, its bucket and its rate of requests.
 type tenantState struct {
 	flow
 	group           *groupState
 	bucket          float64 // units
 	bucketUpdatedAt float64 // clock time in seconds
-	lastRequestAt   float64 // clock time in seconds; 0: none
-	requestInterval float64 // seconds between two requests, on average
+	lastRequestAt   float64 // clock time in seconds; 0 if there was none
+	requestInterval float64 // moving average of the seconds between two requests
 }
 
-// observeRequest updates the average interval between the tenant's requests.
+// observeRequest updates the average interval between the tenant's requests. Intervals are limited to maxInterval.
 func (t *tenantState) observeRequest(now, maxInterval float64) {
 	if t.lastRequestAt > 0 {
 		interval := min(now-t.lastRequestAt, maxInterval)
@@ -69,28 +70,28 @@
 	t.lastRequestAt = now
 }
 
-// groupState is a group's share and tenants.
+// groupState is the state of a group: its weight and its tenants.
 type groupState struct {
 	flow
-	name    Group
-	members siblings
-	count   int // of members
+	name        Group
+	members     siblings
+	memberCount int
 }
 
-// Allocator divides one rate limit. Use New. All times are clock times in seconds.
+// Allocator divides one rate limit among tenants. Create one with New. All times are clock times in seconds.
 type Allocator struct {
 	config          Config
 	tenants         map[Tenant]*tenantState
 	groups          map[Group]*groupState
 	groupSiblings   siblings
-	tokens          float64 // units for requests that are not urgent
-	reserve         float64 // units for urgent requests
+	tokens          float64 // units available to all requests
+	reserve         float64 // units available to urgent requests only
 	tokensUpdatedAt float64
 }
 
-// New returns an allocator without tenants, with full buckets.
+// New returns an allocator without tenants. Its common bucket and its reserve are full.
 func New(now float64, config Config) *Allocator {
-	// All tenants' buckets together hold no more than what is not lent, so that what they hold can be taken at any time.
+	// All tenants' buckets together hold at most the part of the burst that is not lent, so that their units can be taken at any time.
 	config.BucketSeconds = min(config.BucketSeconds, config.Burst*borrowFloor/config.Rate)
 	return &Allocator{
 		config:          config,
@@ -102,6 +103,7 @@
 	}
 }
 
+// validateWeight returns ErrInvalidWeight unless a weight is positive and finite.
 func validateWeight(weight float64) error {
 	if !(weight > 0) || math.IsInf(weight, 0) {
 		return fmt.Errorf("%w: %v", ErrInvalidWeight, weight)
@@ -109,8 +111,8 @@
 	return nil
 }
 
-// Set adds a tenant to a group with a weight, or changes its weight. A tenant that changes its group starts anew. The error is
-// ErrInvalidWeight or ErrTooManyTenants.
+// Set adds a tenant to a group with a weight, or changes its weight. A tenant whose group changes is removed and added again. The error
+// wraps ErrInvalidWeight or ErrTooManyTenants.
 func (a *Allocator) Set(now float64, name Tenant, group Group, weight float64) error {
 	err := validateWeight(weight)
 	if err != nil {
@@ -127,8 +129,8 @@
 		return fmt.Errorf("%w: %d", ErrTooManyTenants, len(a.tenants))
 	}
 	a.Remove(name)
-	parent := a.groupOf(group)
-	parent.count++
+	parent := a.findOrAddGroup(group)
+	parent.memberCount++
 	parent.members.totalWeight += weight
 	a.tenants[name] = &tenantState{
 		flow:            flow{weight: weight, virtualTime: parent.members.virtualTime},
@@ -138,8 +140,8 @@
 	return nil
 }
 
-// groupOf returns a group, which is created with weight 1 if it is not known.
-func (a *Allocator) groupOf(name Group) *groupState {
+// findOrAddGroup returns a group, which is created with weight 1 if it does not exist.
+func (a *Allocator) findOrAddGroup(name Group) *groupState {
 	group := a.groups[name]
 	if group == nil {
 		group = &groupState{name: name, flow: flow{weight: 1, virtualTime: a.groupSiblings.virtualTime}}
@@ -149,7 +151,7 @@
 	return group
 }
 
-// SetGroupWeight sets the weight of a group, which is 1 until then. A group without tenants is left alone. The error is
+// SetGroupWeight sets the weight of a group, which is initially 1. It has no effect on a group without tenants. The error wraps
 // ErrInvalidWeight.
 func (a *Allocator) SetGroupWeight(name Group, weight float64) error {
 	err := validateWeight(weight)
@@ -164,7 +166,7 @@
 	return nil
 }
 
-// Remove removes a tenant, and its group if that has no other.
+// Remove removes a tenant, and its group if it has no other tenants.
 func (a *Allocator) Remove(name Tenant) {
 	tenant := a.tenants[name]
 	if tenant == nil {
@@ -174,8 +176,8 @@
 	group.members.throttled.Remove(&tenant.flow)
 	delete(a.tenants, name)
 	group.members.totalWeight -= tenant.weight
-	group.count--
-	if group.count > 0 {
+	group.memberCount--
+	if group.memberCount > 0 {
 		return
 	}
 	a.groupSiblings.throttled.Remove(&group.flow)
@@ -196,19 +198,19 @@
 	}
 }
 
-// share returns a tenant's fraction of the resource.
+// share returns a tenant's fraction of the shared rate.
 func (a *Allocator) share(tenant *tenantState) float64 {
 	group := tenant.group
 	return tenant.weight / group.members.totalWeight * group.weight / a.groupSiblings.totalWeight
 }
 
-// sharedRate is the units per second that are not reserved for urgent requests.
+// sharedRate returns the units per second that are not reserved for urgent requests.
 func (a *Allocator) sharedRate() float64 { return a.config.Rate * (1 - a.config.Reserve) }
 
-// sharedBurst is the units of the burst that are not reserved for urgent requests.
+// sharedBurst returns the units of the burst that are not reserved for urgent requests.
 func (a *Allocator) sharedBurst() float64 { return a.config.Burst * (1 - a.config.Reserve) }
 
-// refillTenant adds to a tenant's bucket what has accrued.
+// refillTenant adds the units that have accrued to a tenant's bucket.
 func (a *Allocator) refillTenant(now float64, tenant *tenantState) {
 	rate := a.sharedRate() * a.share(tenant)
 	elapsed := max(now-tenant.bucketUpdatedAt, 0)
@@ -216,7 +218,7 @@
 	tenant.bucketUpdatedAt = max(tenant.bucketUpdatedAt, now)
 }
 
-// refill adds to the common buckets what has accrued.
+// refill adds the units that have accrued to the common bucket and to the reserve.
 func (a *Allocator) refill(now float64) {
 	config := &a.config
 	elapsed := max(now-a.tokensUpdatedAt, 0)
@@ -225,8 +227,8 @@
 	a.reserve = min(config.Burst*config.Reserve, a.reserve+elapsed*config.Rate*config.Reserve)
 }
 
-// Take requests units. If ok is false they are not granted, and retryAfter is the seconds after which to request them again. Urgent
-// requests are granted from the reserve what they do not get otherwise. The error is ErrUnknownTenant.
+// Take requests cost units for a tenant. If ok is false, they are not granted, and retryAfter is the number of seconds after which to
+// retry. An urgent request that would be throttled is granted from the reserve if that suffices. The error wraps ErrUnknownTenant.
 func (a *Allocator) Take(now float64, name Tenant, cost float64, urgent bool) (retryAfter float64, ok bool, err error) {
 	tenant := a.tenants[name]
 	if tenant == nil {
@@ -237,7 +239,7 @@
 	tenant.observeRequest(now, a.config.MaxYield)
 	group := tenant.group
 	lead := max(group.members.lead(now, &tenant.flow), a.groupSiblings.lead(now, &group.flow))
-	if a.takeOwn(tenant, cost) {
+	if a.takeFromBucket(tenant, cost) {
 		return 0, true, nil
 	}
 	if lead <= 0 && a.borrow(tenant, cost) {
@@ -249,8 +251,8 @@
 	return a.throttle(now, tenant, cost), false, nil
 }
 
-// takeOwn grants units of a tenant's bucket.
-func (a *Allocator) takeOwn(tenant *tenantState, cost float64) bool {
+// takeFromBucket takes units from a tenant's bucket. It reports whether the bucket and the common bucket cover them.
+func (a *Allocator) takeFromBucket(tenant *tenantState, cost float64) bool {
 	if a.tokens < cost || tenant.bucket < cost {
 		return false
 	}
@@ -259,7 +261,7 @@
 	return true
 }
 
-// borrow grants units that others do not use.
+// borrow takes units that others do not use and charges them to the tenant and its group. It reports whether there are enough.
 func (a *Allocator) borrow(tenant *tenantState, cost float64) bool {
 	group := tenant.group
 	floor := a.sharedBurst() * borrowFloor
@@ -272,7 +274,7 @@
 	return true
 }
 
-// takeReserve grants units of the reserve.
+// takeReserve takes units from the reserve, or returns the seconds until it has enough.
 func (a *Allocator) takeReserve(cost float64) (retryAfter float64, ok bool, err error) {
 	if a.reserve < cost {
 		return (cost - a.reserve) / (a.config.Rate * a.config.Reserve), false, nil
@@ -281,11 +283,11 @@
 	return 0, true, nil
 }
 
-// throttle makes others that are ahead wait for the tenant, and returns the seconds until its own bucket has filled.
+// throttle makes others that are ahead yield to the tenant. It returns the seconds until its bucket and the common bucket cover the cost.
 func (a *Allocator) throttle(now float64, tenant *tenantState, cost float64) float64 {
-	until := now + min(a.config.MaxYield, waitedIntervals*tenant.requestInterval)
-	tenant.group.members.waitFor(&tenant.flow, until)
-	a.groupSiblings.waitFor(&tenant.group.flow, until)
+	until := now + min(a.config.MaxYield, yieldIntervals*tenant.requestInterval)
+	tenant.group.members.yieldTo(&tenant.flow, until)
+	a.groupSiblings.yieldTo(&tenant.group.flow, until)
 	rate := a.sharedRate()
 	ownRate := rate * a.share(tenant)
 	return max((cost-tenant.bucket)/ownRate, (cost-a.tokens)/rate)
