--- a/internal/coordinator/coordinator.go
+++ b/internal/coordinator/coordinator.go
@@ -143,7 +143,7 @@
 		c.Member.tick(now)
 	}
 	if c.peers != nil {
-		c.Fleet.EvictForeign(now)
+		c.Fleet.EvictUnowned(now)
 		if c.peers.Ready() {
 			c.reconcileWithGroup(now)
 		}
--- a/internal/core/controlplane/controlplane.go
+++ b/internal/core/controlplane/controlplane.go
@@ -114,7 +114,7 @@
 // their own.
 func (s *Site) channelInTableEntries() balancer.Channel {
 	channel := s.Channel
-	if s.DisabledGuards[GuardEntries] || s.DisabledGuards[GuardPacing] {
+	if s.DisabledGuards[GuardEntryCount] || s.DisabledGuards[GuardPacing] {
 		return channel
 	}
 	maxSharing := 1
--- a/internal/core/controlplane/delivery.go
+++ b/internal/core/controlplane/delivery.go
@@ -128,7 +128,7 @@
 			return false
 		}
 		table := f.tables[state.Table]
-		if !table.CanDelta(state.SentVersion) {
+		if !table.HasDeltaSince(state.SentVersion) {
 			return false
 		}
 		if table.urgentVersion > state.SentVersion && !table.HasEntryUpTo(table.urgentVersion) {
--- a/internal/core/controlplane/delta.go
+++ b/internal/core/controlplane/delta.go
@@ -26,7 +26,7 @@
 		return nil, false, false
 	}
 	table := f.tables[state.Table]
-	if state.NeedsFull || !table.CanDelta(state.SentVersion) {
+	if state.NeedsFull || !table.HasDeltaSince(state.SentVersion) {
 		return table.ChangedSince(0), true, true
 	}
 	return table.ChangedBetween(state.SentVersion, f.targetVersion(proxy, state)), false, true
@@ -57,16 +57,16 @@
 	return changed
 }
 
-// MayHoldStale tells whether a proxy may hold entries that no delta removes: they belong to a table that it is no longer
+// MayHoldStaleEntries tells whether a proxy may hold entries that no delta removes: they belong to a table that it is no longer
 // assigned, or were removed so long ago that the removal is forgotten. It must be told that each server without an entry
 // has none.
-func (f *Fleet) MayHoldStale(proxy *Proxy, class balancer.Class) bool {
+func (f *Fleet) MayHoldStaleEntries(proxy *Proxy, class balancer.Class) bool {
 	state := &proxy.Tables[class]
-	return state.Stale || state.Assigned && state.SentVersion > 0 && !f.tables[state.Table].CanDelta(state.SentVersion)
+	return state.Stale || state.Assigned && state.SentVersion > 0 && !f.tables[state.Table].HasDeltaSince(state.SentVersion)
 }
 
-// Notified tells whether a proxy was sent anything of a class since it joined.
-func (f *Fleet) Notified(proxy *Proxy, class balancer.Class) bool {
+// HasSentTable tells whether a proxy was sent anything of a class since it joined.
+func (f *Fleet) HasSentTable(proxy *Proxy, class balancer.Class) bool {
 	return proxy.Tables[class].SentVersion > 0
 }
 
--- a/internal/core/controlplane/disconnect.go
+++ b/internal/core/controlplane/disconnect.go
@@ -40,5 +40,5 @@
 	return "load reports show attempts at " + string(proxy.noncompliantWith) + " after its removal"
 }
 
-// HasUrgent tells whether an urgent change, such as a drain, waits for a proxy.
-func (f *Fleet) HasUrgent(proxy *Proxy) bool { return proxy.urgent }
+// HasUrgentChange tells whether an urgent change, such as a drain, waits for a proxy.
+func (f *Fleet) HasUrgentChange(proxy *Proxy) bool { return proxy.urgent }
--- a/internal/core/controlplane/ownership.go
+++ b/internal/core/controlplane/ownership.go
@@ -29,9 +29,9 @@
 	return f.owner.epoch()
 }
 
-// EvictForeign disconnects joined proxies that this coordinator no longer owns. Their frontends close the connections,
+// EvictUnowned disconnects joined proxies that this coordinator no longer owns. Their frontends close the connections,
 // so that they dial another coordinator.
-func (f *Fleet) EvictForeign(now float64) {
+func (f *Fleet) EvictUnowned(now float64) {
 	if f.owner.owns == nil {
 		return
 	}
--- a/internal/core/controlplane/preview.go
+++ b/internal/core/controlplane/preview.go
@@ -12,7 +12,7 @@
 // must also bear the load once the drained ones are removed. With loseZone, they must do so with any one zone lost.
 func (f *Fleet) Preview(now float64, drain []balancer.Server, loseZone bool) []tablecheck.Finding {
 	findings := f.snapshot(now, drain, balancer.Draining, loseZone).Check()
-	if len(findings) == 0 && len(f.site.Pools) > 0 {
+	if len(findings) == 0 && len(f.site.ServerCapacities) > 0 {
 		findings = f.snapshot(now, drain, balancer.Removed, loseZone).Check()
 	}
 	return findings
@@ -29,7 +29,7 @@
 	snapshot := &tablecheck.Snapshot{
 		Servers:        f.previewServers(now, drain, phase),
 		WarmupFraction: f.site.Guarantees.WarmupStartFraction,
-		LoseZone:       loseZone,
+		CheckZoneLoss:  loseZone,
 	}
 	previews := map[*desiredTable]*tablePreview{} // proxies that share a table share its preview
 	for assigned := range f.assignments() {
@@ -66,7 +66,7 @@
 		if server.Phase == balancer.Ready && slices.Contains(drain, name) {
 			server.Phase = phase
 		}
-		if pool := f.site.Pools[name]; pool.Capacity > 0 {
+		if pool := f.site.ServerCapacities[name]; pool.Capacity > 0 {
 			server.Pool = pool.Pool
 			server.Capacity = pool.Capacity
 		}
--- a/internal/core/controlplane/proxies_test.go
+++ b/internal/core/controlplane/proxies_test.go
@@ -81,7 +81,7 @@
 	owned["r0"] = true
 	join(t, f, 1001, "r0", frontend)
 	owned["r0"] = false
-	f.EvictForeign(1001.1)
+	f.EvictUnowned(1001.1)
 	if frontend.displaced != 2 || f.Joined() != 0 {
 		t.Errorf("%d delivered, %d displaced, %d joined", frontend.delivered, frontend.displaced, f.Joined())
 	}
--- a/internal/core/controlplane/publish.go
+++ b/internal/core/controlplane/publish.go
@@ -54,7 +54,7 @@
 func (f *Fleet) keepLastReadyServers(now float64, table *desiredTable) {
 	removed := table.removedReady
 	table.removedReady = table.removedReady[:0]
-	if len(removed) == 0 || len(table.classesByProxy) == 0 || f.site.DisabledGuards[GuardTable] {
+	if len(removed) == 0 || len(table.classesByProxy) == 0 || f.site.DisabledGuards[GuardLastServers] {
 		return
 	}
 	for entry := range table.ChangedSince(0) {
--- a/internal/core/controlplane/reconfigure.go
+++ b/internal/core/controlplane/reconfigure.go
@@ -15,14 +15,14 @@
 	RestartReason string            // the part of the settings that needs a restart; empty if none does
 	Removed       []balancer.Server // no longer listed
 	Added         []balancer.Server
-	Moved         []balancer.Server // with another zone, weight or other configuration
+	Changed       []balancer.Server // with another zone, weight or other configuration
 	Evicted       []string          // UIDs of proxies no longer listed, or listed with another configuration
-	Admitted      []string          // UIDs of proxies newly listed
+	NewlyListed   []string          // UIDs of proxies newly listed
 }
 
 // Empty tells whether the sites do not differ.
 func (r Revision) Empty() bool {
-	return r.RestartReason == "" && len(r.Removed)+len(r.Added)+len(r.Moved)+len(r.Evicted)+len(r.Admitted) == 0
+	return r.RestartReason == "" && len(r.Removed)+len(r.Added)+len(r.Changed)+len(r.Evicted)+len(r.NewlyListed) == 0
 }
 
 // CompareSites tells what changes from one site to the other. Servers and proxies may change at run time. What the
@@ -35,11 +35,11 @@
 	servers := compareLists(old.Servers, next.Servers, func(c registry.ServerConfig) balancer.Server { return c.Server })
 	proxies := compareLists(old.Proxies, next.Proxies, func(r ProxyConfig) string { return r.UID })
 	return Revision{
-		Removed:  servers.removed,
-		Added:    servers.added,
-		Moved:    servers.changed,
-		Evicted:  slices.Sorted(slices.Values(append(proxies.changed, proxies.removed...))),
-		Admitted: proxies.added,
+		Removed:     servers.removed,
+		Added:       servers.added,
+		Changed:     servers.changed,
+		Evicted:     slices.Sorted(slices.Values(append(proxies.changed, proxies.removed...))),
+		NewlyListed: proxies.added,
 	}
 }
 
@@ -141,7 +141,7 @@
 	f.site.Proxies = next.Proxies
 	f.site.AllowUnlisted = next.AllowUnlisted
 	f.site.UnlistedZone = next.UnlistedZone
-	f.site.Pools = next.Pools
+	f.site.ServerCapacities = next.ServerCapacities
 	return revision, nil
 }
 
--- a/internal/core/controlplane/reconfigure_test.go
+++ b/internal/core/controlplane/reconfigure_test.go
@@ -30,11 +30,11 @@
 	f.FindProxy("r0").frontend = evicted
 	got, err := f.Reconfigure(now, changedSite())
 	want := Revision{
-		Removed:  []balancer.Server{serverName(1)},
-		Added:    []balancer.Server{serverName(9)},
-		Moved:    []balancer.Server{serverName(0)},
-		Evicted:  []string{"r0"},
-		Admitted: []string{"r3"},
+		Removed:     []balancer.Server{serverName(1)},
+		Added:       []balancer.Server{serverName(9)},
+		Changed:     []balancer.Server{serverName(0)},
+		Evicted:     []string{"r0"},
+		NewlyListed: []string{"r3"},
 	}
 	if err != nil || !reflect.DeepEqual(got, want) {
 		t.Fatalf("%+v, %v, want %+v", got, err, want)
--- a/internal/core/controlplane/rounds.go
+++ b/internal/core/controlplane/rounds.go
@@ -100,5 +100,5 @@
 // came to the decision module one by one, each would be taken for a newly started server. The cost is that proxies keep
 // their default tables meanwhile.
 func (f *Fleet) gathering(now float64) bool {
-	return !f.initialListSent && !f.serversKnown && now < f.startedAt+f.site.Limits.StartupGather
+	return !f.initialListSent && !f.serversKnown && now < f.startedAt+f.site.Limits.RegistrationWait
 }
--- a/internal/core/controlplane/rounds_test.go
+++ b/internal/core/controlplane/rounds_test.go
@@ -96,7 +96,7 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			f, now := startFleet(t, 4, 3)
-			f.site.DisabledGuards = map[Guard]bool{GuardTable: test.disabled}
+			f.site.DisabledGuards = map[Guard]bool{GuardLastServers: test.disabled}
 			all := weightedEntries(f)
 			setWeights(f, now, 0, serverName(0))
 			if got := weightedEntries(f); got != all-1 || f.Stats.TablesRejected != 0 {
--- a/internal/core/controlplane/safeguards.go
+++ b/internal/core/controlplane/safeguards.go
@@ -24,10 +24,10 @@
 	GuardVersions Guard = "versions"
 	// GuardJoinRate limits how often one proxy joins (rule 3).
 	GuardJoinRate Guard = "often"
-	// GuardTable publishes no table without an entry of a server that is ready and warmed up (rule 1).
-	GuardTable Guard = "table"
-	// GuardEntries counts the entries that the decision module changes once for each class, as they are sent (rule 5).
-	GuardEntries Guard = "lines"
+	// GuardLastServers publishes no table without an entry of a server that is ready and warmed up (rule 1).
+	GuardLastServers Guard = "table"
+	// GuardEntryCount counts the entries that the decision module changes once for each class, as they are sent (rule 5).
+	GuardEntryCount Guard = "lines"
 	// GuardReports disconnects a proxy whose load reports show that it does not apply a drain (rule 3).
 	GuardReports Guard = "reports"
 )
@@ -43,8 +43,8 @@
 	GuardReports,
 	GuardVersions,
 	GuardJoinRate,
-	GuardTable,
-	GuardEntries,
+	GuardLastServers,
+	GuardEntryCount,
 }
 
 // SafeRetryPolicy limits the retry policy that the settings want for a class to what cannot take effect twice: a request
--- a/internal/core/controlplane/site.go
+++ b/internal/core/controlplane/site.go
@@ -12,31 +12,31 @@
 	ExpectedRate float64 // requests per second
 }
 
-// PoolCapacity is the configured capacity of a server, for previews.
-type PoolCapacity struct {
+// ServerCapacity is the configured capacity of a server, for previews.
+type ServerCapacity struct {
 	Pool     string  // the capacities of a pool's servers are added up
 	Capacity float64 // requests per second when warmed up
 }
 
 // Site is the configuration of a coordinator. Times are in seconds.
 type Site struct {
-	Seed           uint64
-	ClassNames     []string // in the order of Classes
-	Classes        []balancer.RequestClass
-	Zones          []string
-	Proxies        []ProxyConfig
-	AllowUnlisted  bool          // proxies that are not in Relays may join
-	UnlistedZone   balancer.Zone // the zone that such proxies count for
-	Servers        []registry.ServerConfig
-	DataPlane      balancer.DataPlane
-	Channel        balancer.Channel
-	Guarantees     balancer.Guarantees
-	Reporting      balancer.Reporting
-	RetryPolicies  []balancer.RetryPolicy // by class, as configured at the proxies
-	Limits         Limits
-	UIDPrefix      string // of the UIDs of unlisted proxies that may join; empty: any
-	Pools          map[balancer.Server]PoolCapacity
-	DisabledGuards map[Guard]bool // for tests
+	Seed             uint64
+	ClassNames       []string // in the order of Classes
+	Classes          []balancer.RequestClass
+	Zones            []string
+	Proxies          []ProxyConfig
+	AllowUnlisted    bool          // proxies that are not in Relays may join
+	UnlistedZone     balancer.Zone // the zone that such proxies count for
+	Servers          []registry.ServerConfig
+	DataPlane        balancer.DataPlane
+	Channel          balancer.Channel
+	Guarantees       balancer.Guarantees
+	Reporting        balancer.Reporting
+	RetryPolicies    []balancer.RetryPolicy // by class, as configured at the proxies
+	Limits           Limits
+	UIDPrefix        string // of the UIDs of unlisted proxies that may join; empty: any
+	ServerCapacities map[balancer.Server]ServerCapacity
+	DisabledGuards   map[Guard]bool // for tests
 }
 
 // Limits bounds what a coordinator keeps, and how long it waits. Times are in seconds.
@@ -49,7 +49,7 @@
 	StallTimeout     float64 // how long a message may stay unacknowledged before the proxy is disconnected
 	DrainFraction    float64 // part of the drain deadline after which a proxy that has not acknowledged is disconnected
 	ApplyGrace       float64 // how long a proxy may take to apply a message that its host has acknowledged
-	StartupGather    float64 // how long servers may register before the first tables are made
+	RegistrationWait float64 // how long servers may register before the first tables are made
 	MinRoundInterval float64 // least time between two rounds
 	MaxTraces        int     // finished message traces kept until they are taken; further ones are dropped
 }
@@ -64,7 +64,7 @@
 	StallTimeout:     10,    // the longest pause of a proxy that is still alive
 	DrainFraction:    0.6,   // leaves the rest of the deadline for detection and delivery
 	ApplyGrace:       0.25,  // a table of 5,000 entries at 50 microseconds each
-	StartupGather:    1.2,   // a server dials within a second, and reports its uptime soon after
+	RegistrationWait: 1.2,   // a server dials within a second, and reports its uptime soon after
 	MinRoundInterval: 0.05,  // a twentieth of the usual reporting period
 	MaxTraces:        16384, // two for each proxy
 }
--- a/internal/core/longpoll/answers.go
+++ b/internal/core/longpoll/answers.go
@@ -51,7 +51,7 @@
 		return
 	}
 	limit := s.limits.MaxUnacknowledged
-	if s.fleet.HasUrgent(proxy) {
+	if s.fleet.HasUrgentChange(proxy) {
 		limit += s.limits.DrainReserve
 	}
 	if s.unacknowledged >= limit {
@@ -92,7 +92,7 @@
 		return 0
 	}
 	// Removed servers count in a delta, so that it may be longer than the whole table.
-	if full || s.fleet.MayHoldStale(client.proxy, class) || hasMoreThan(changed, s.fleet.TableSize(client.proxy, class)) {
+	if full || s.fleet.MayHoldStaleEntries(client.proxy, class) || hasMoreThan(changed, s.fleet.TableSize(client.proxy, class)) {
 		full = true
 		changed, _ = s.fleet.FullTable(client.proxy, class)
 	}
--- a/internal/core/saspsession/weights.go
+++ b/internal/core/saspsession/weights.go
@@ -122,7 +122,7 @@
 	first := len(message.Rows)
 	s.removedRows = s.removedRows[:0]
 	s.appendEntries(message, lb, group, entries, full)
-	if lb.trustsMembers() && s.fleet.MayHoldStale(lb.proxy, group.class) {
+	if lb.trustsMembers() && s.fleet.MayHoldStaleEntries(lb.proxy, group.class) {
 		s.appendUnregistered(message, lb, group)
 	}
 	if full {
@@ -155,7 +155,7 @@
 		}
 		if full && entry.Weight == 0 {
 			// appendWithoutEntry covers members. Others matter only to a relay that may have learnt of them here.
-			if member != nil || !s.fleet.Notified(lb.proxy, group.class) {
+			if member != nil || !s.fleet.HasSentTable(lb.proxy, group.class) {
 				continue
 			}
 		}
--- a/internal/core/tablecheck/bruteforce_test.go
+++ b/internal/core/tablecheck/bruteforce_test.go
@@ -41,7 +41,7 @@
 // bruteForceZones are the zones to lose: none, and those that have servers.
 func bruteForceZones(s *Snapshot) []balancer.Zone {
 	zones := []balancer.Zone{-1}
-	if !s.LoseZone {
+	if !s.CheckZoneLoss {
 		return zones
 	}
 	for zone := range balancer.Zone(3) {
--- a/internal/core/tablecheck/tablecheck.go
+++ b/internal/core/tablecheck/tablecheck.go
@@ -47,7 +47,7 @@
 	Servers        map[balancer.Server]Server
 	Proxies        []Proxy
 	WarmupFraction float64 // of its capacity, that a server has while it warms up
-	LoseZone       bool    // validate also with each of the zones lost
+	CheckZoneLoss  bool    // validate also with each of the zones lost
 	MaxUtilization float64 // part of a pool's capacity that may be used; 0: all of it
 }
 
@@ -106,7 +106,7 @@
 // lostZones are the zones that are lost in turn, after NoZone.
 func (s *Snapshot) lostZones() []balancer.Zone {
 	lost := []balancer.Zone{NoZone}
-	if !s.LoseZone {
+	if !s.CheckZoneLoss {
 		return lost
 	}
 	zones := map[balancer.Zone]bool{}
--- a/internal/core/tablecheck/tablecheck_test.go
+++ b/internal/core/tablecheck/tablecheck_test.go
@@ -24,7 +24,7 @@
 
 // drawSnapshot generates a site of 2 to 6 servers in three zones, with 1 to 4 proxies of 1 to 3 tables each.
 func drawSnapshot(r *rapid.T) *Snapshot {
-	s := &Snapshot{Servers: map[balancer.Server]Server{}, WarmupFraction: 0.25, LoseZone: rapid.Bool().Draw(r, "lose")}
+	s := &Snapshot{Servers: map[balancer.Server]Server{}, WarmupFraction: 0.25, CheckZoneLoss: rapid.Bool().Draw(r, "lose")}
 	servers := rapid.IntRange(2, 6).Draw(r, "servers")
 	for i := range servers {
 		s.Servers[serverName(i)] = drawServer(r, i)
@@ -120,7 +120,7 @@
 	if findings := s.Check(); len(findings) != 0 {
 		t.Fatalf("%v", findings)
 	}
-	s.LoseZone = true // one server must then take all
+	s.CheckZoneLoss = true // one server must then take all
 	findings = s.Check()
 	if len(findings) != 2 || findings[0].Violation != Overload || findings[0].LostZone != 0 || findings[1].LostZone != 1 {
 		t.Fatalf("%v", findings)
@@ -135,7 +135,7 @@
 func BenchmarkCheck(b *testing.B) {
 	for _, proxies := range []int{10, 100, 460} {
 		b.Run(fmt.Sprint(proxies, "-proxies-300-servers"), func(b *testing.B) {
-			s := &Snapshot{Servers: map[balancer.Server]Server{}, WarmupFraction: 0.2, LoseZone: true}
+			s := &Snapshot{Servers: map[balancer.Server]Server{}, WarmupFraction: 0.2, CheckZoneLoss: true}
 			table := &Table{Weights: map[balancer.Server]float64{}}
 			for i := range 300 {
 				s.Servers[serverName(i)] = Server{Zone: balancer.Zone(i % 3), Pool: fmt.Sprint(i % 5), Capacity: 100}
--- a/internal/core/tables/tables.go
+++ b/internal/core/tables/tables.go
@@ -104,8 +104,8 @@
 // Version is that of the newest change; 0 if there was none yet.
 func (t *Table) Version() Version { return t.version }
 
-// CanDelta tells whether all changes after a version are known, so that its holder can be updated by a delta.
-func (t *Table) CanDelta(version Version) bool {
+// HasDeltaSince tells whether all changes after a version are known, so that its holder can be updated by a delta.
+func (t *Table) HasDeltaSince(version Version) bool {
 	return version >= t.deltaSince && version <= t.version
 }
 
--- a/internal/core/tables/tables_test.go
+++ b/internal/core/tables/tables_test.go
@@ -50,7 +50,7 @@
 			rt.Fatalf("%d entries of %d are kept, %d are live", len(table.entries), len(want), table.Len())
 		}
 		for _, r := range replicas {
-			if !table.CanDelta(r.version) {
+			if !table.HasDeltaSince(r.version) {
 				continue
 			}
 			version := r.version
@@ -59,7 +59,7 @@
 				rt.Fatalf("from version %d: %v, want %v", version, r.weights, want)
 			}
 		}
-		if table.CanDelta(table.Version() + 1) {
+		if table.HasDeltaSince(table.Version() + 1) {
 			rt.Fatal("a version of the future is reached")
 		}
 	})
--- a/internal/settings/host_test.go
+++ b/internal/settings/host_test.go
@@ -34,7 +34,7 @@
 	}
 	s := &m.Config.Site
 	if s.Proxies[0].UID != "first/relay-1" || m.Config.Policy.FleetUID != "first/fleet" || s.UIDPrefix != "first/" || len(m.Networks) != 1 ||
-		s.Pools["127.0.1.1:8080"].Capacity != 50 || m.Requirements.CheckWithin(h.Capacity.Requirements) != nil || !m.Requirements.Valid() || s.Limits.MaxSeries > 1000 {
+		s.ServerCapacities["127.0.1.1:8080"].Capacity != 50 || m.Requirements.CheckWithin(h.Capacity.Requirements) != nil || !m.Requirements.Valid() || s.Limits.MaxSeries > 1000 {
 		t.Errorf("%+v", m)
 	}
 	for _, c := range []struct{ from, to, problem string }{
--- a/internal/settings/site.go
+++ b/internal/settings/site.go
@@ -134,10 +134,10 @@
 	for _, element := range servers.all("server") {
 		server := balancer.Server(d.endpoint(element, "address").String())
 		if capacity := element.number("capacity"); capacity > 0 {
-			if site.Pools == nil {
-				site.Pools = map[balancer.Server]controlplane.PoolCapacity{}
+			if site.ServerCapacities == nil {
+				site.ServerCapacities = map[balancer.Server]controlplane.ServerCapacity{}
 			}
-			site.Pools[server] = controlplane.PoolCapacity{Pool: element.attrs["pool"], Capacity: capacity}
+			site.ServerCapacities[server] = controlplane.ServerCapacity{Pool: element.attrs["pool"], Capacity: capacity}
 		}
 		if line := lines[server]; line > 0 {
 			d.fail(element, "%s is listed already, in line %d", server, line)
