--- a/internal/core/tables/entry.go
+++ b/internal/core/tables/entry.go
@@ -5,15 +5,15 @@
 // Entry is a server's entry in a table.
 type Entry struct {
 	Server    balancer.Server
-	Weight    float64 // 0: the entry was removed
-	Changed   Version // in which it last changed
-	ChangedAt float64 // time of that change, in seconds
+	Weight    float64 // 0 if the entry was removed
+	Changed   Version // version of the last change
+	ChangedAt float64 // time of the last change, in seconds
 
 	older *Entry
 	newer *Entry
 }
 
-// entryList is a linked list of entries in the order of their last change.
+// entryList is a doubly linked list of entries in the order of their last change.
 type entryList struct {
 	newest *Entry
 	oldest *Entry
--- a/internal/core/tables/tables.go
+++ b/internal/core/tables/tables.go
@@ -1,5 +1,5 @@
-// Package tables holds versioned weight tables, whose entries are ordered by their last change, so that the changes since
-// a version are found without looking at other entries. It is pure.
+// Package tables implements versioned weight tables. Their entries are ordered by their last change, so that the changes
+// since a version are found without scanning other entries. The package performs no I/O.
 package tables
 
 import (
@@ -8,32 +8,33 @@
 	"snowquay/balancer"
 )
 
-// maxRemoved is how many removed entries a table remembers beside its live ones. A proxy that holds a version older than
-// the oldest of them gets the full table. 64 covers a rolling restart of all servers.
+// maxRemoved is the maximum number of removed entries that a table stores in addition to its live ones. A proxy that holds
+// a version older than the oldest of them is sent the full table. 64 covers a rolling restart of all servers.
 const maxRemoved = 64
 
-// Version of a table. It grows by one with every change.
+// Version is the version of a table. Every change increments it by one.
 type Version uint64
 
-// Admission is the admission setting of a request class in a table.
+// Admission holds the admission rate and retry policy of a request class in a table.
 type Admission struct {
 	Class   balancer.Class
-	Rate    float64 // admitted fraction of the requests
+	Rate    float64 // fraction of requests that are admitted
 	Retry   balancer.RetryPolicy
-	Changed Version // in which it last changed
+	Changed Version // version of the last change
 }
 
-// Table is one weight table. The zero value is an empty one. It is not safe for concurrent use.
+// Table is a versioned weight table. The zero value is an empty table. It is not safe for concurrent use.
 type Table struct {
 	version    Version
-	deltaSince Version // removals up to it may be forgotten
+	deltaSince Version // deltas since earlier versions are incomplete: removals up to it may be forgotten
 	entries    map[balancer.Server]*Entry
 	byChange   entryList
-	live       int // entries with a weight
+	live       int // number of entries with a weight
 	admissions []Admission
 }
 
-// Set gives a server's entry a weight at a time in seconds; a weight of 0 removes it. It reports whether that is a change.
+// Set sets the weight of a server's entry at a time in seconds; a weight of 0 removes the entry. It reports whether the
+// table has changed.
 func (t *Table) Set(now float64, server balancer.Server, weight float64) bool {
 	if t.Weight(server) == weight {
 		return false
@@ -63,7 +64,7 @@
 	return true
 }
 
-// forgetOldestRemoved keeps a table from growing with every server that ever was.
+// forgetOldestRemoved limits the number of removed entries, so that a table does not grow with every server ever listed.
 func (t *Table) forgetOldestRemoved() {
 	entry := t.byChange.oldest
 	for entry != nil && len(t.entries)-t.live > maxRemoved {
@@ -77,7 +78,7 @@
 	}
 }
 
-// SetAdmission sets the admission rate and retry policy of a class. It reports whether that is a change.
+// SetAdmission sets the admission rate and retry policy of a class. It reports whether the table has changed.
 func (t *Table) SetAdmission(class balancer.Class, rate float64, retry balancer.RetryPolicy) bool {
 	for i := range t.admissions {
 		admission := &t.admissions[i]
@@ -98,19 +99,19 @@
 	return true
 }
 
-// Admissions lists the admission settings, in the order in which classes were first set. The table owns the slice.
+// Admissions returns the admission settings in the order in which the classes were first set. The table owns the slice.
 func (t *Table) Admissions() []Admission { return t.admissions }
 
-// Version is that of the newest change; 0 if there was none yet.
+// Version returns the version of the newest change; 0 if there has been none.
 func (t *Table) Version() Version { return t.version }
 
-// HasDeltaSince tells whether all changes after a version are known, so that its holder can be updated by a delta.
+// HasDeltaSince reports whether all changes after a version are known, so that its holder can be updated by a delta.
 func (t *Table) HasDeltaSince(version Version) bool {
 	return version >= t.deltaSince && version <= t.version
 }
 
-// RemovedAt is the time in seconds when a server's entry was removed. ok is false if the server has an entry, or no
-// removal is remembered.
+// RemovedAt returns the time in seconds at which a server's entry was removed. ok is false if the server has an entry, or
+// if no removal is remembered.
 func (t *Table) RemovedAt(server balancer.Server) (at float64, ok bool) {
 	entry := t.entries[server]
 	if entry == nil || entry.Weight != 0 {
@@ -119,7 +120,7 @@
 	return entry.ChangedAt, true
 }
 
-// Weight of a server's entry; 0 if it has none.
+// Weight returns the weight of a server's entry; 0 if it has none.
 func (t *Table) Weight(server balancer.Server) float64 {
 	entry := t.entries[server]
 	if entry == nil {
@@ -128,14 +129,14 @@
 	return entry.Weight
 }
 
-// Len is the number of entries with a weight.
+// Len returns the number of entries with a weight.
 func (t *Table) Len() int { return t.live }
 
-// TotalLen is the number of entries, remembered removals included.
+// TotalLen returns the number of entries, including remembered removals.
 func (t *Table) TotalLen() int { return len(t.entries) }
 
-// HasEntryUpTo tells whether an entry with a weight last changed at a version or before: the holder of a table that is
-// updated up to that version only has one.
+// HasEntryUpTo reports whether any entry with a weight was last changed at or before a version. If so, a holder that is
+// updated only up to that version has an entry.
 func (t *Table) HasEntryUpTo(version Version) bool {
 	newer := 0
 	for entry := range t.ChangedSince(version) {
@@ -146,8 +147,9 @@
 	return t.live > newer
 }
 
-// ChangedSince yields the entries that changed after a version, newest first, each once. Removed ones have no weight. The
-// cost is that of the entries yielded. The table must not change meanwhile, and owns the entries.
+// ChangedSince yields the entries that changed after a version, newest first, each once. Removed entries have a weight
+// of 0. The cost is proportional to the number of entries yielded. The table owns the entries, and must not be changed
+// during the iteration.
 func (t *Table) ChangedSince(version Version) iter.Seq[*Entry] {
 	return func(yield func(*Entry) bool) {
 		for entry := t.byChange.newest; entry != nil && entry.Changed > version; entry = entry.older {
--- a/internal/core/tables/tables_test.go
+++ b/internal/core/tables/tables_test.go
@@ -13,7 +13,7 @@
 
 func TestMain(m *testing.M) { testseed.Main(m) }
 
-// weights is the content of a table.
+// weights is the content of a table, by server.
 type weights map[balancer.Server]float64
 
 func (w weights) set(server balancer.Server, weight float64) {
@@ -23,13 +23,13 @@
 	}
 }
 
-// replica is a table as a proxy held it at a version.
+// replica is the copy of a table that a proxy holds, at a version.
 type replica struct {
 	version Version
 	weights weights
 }
 
-// Deltas update a replica of any version that they reach to the newest table.
+// A delta updates a replica of any version that HasDeltaSince accepts to the newest table.
 func TestDeltasUpdateReplicas(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		var table Table
@@ -39,7 +39,7 @@
 			server := balancer.Server(fmt.Sprint(rapid.IntRange(0, 120).Draw(rt, "server")))
 			weight := rapid.SampledFrom([]float64{0, 0, 1, 2}).Draw(rt, "weight")
 			if changed := table.Set(1, server, weight); changed != (want[server] != weight) {
-				rt.Fatalf("setting %s from %v to %v is a change: %t", server, want[server], weight, changed)
+				rt.Fatalf("Set of %s from %v to %v returned %t", server, want[server], weight, changed)
 			}
 			want.set(server, weight)
 			if rapid.IntRange(0, 9).Draw(rt, "replica") == 0 {
@@ -47,7 +47,7 @@
 			}
 		}
 		if table.Len() != len(want) || len(table.entries) > table.Len()+maxRemoved {
-			rt.Fatalf("%d entries of %d are kept, %d are live", len(table.entries), len(want), table.Len())
+			rt.Fatalf("table has %d entries, %d live ones are expected, Len is %d", len(table.entries), len(want), table.Len())
 		}
 		for _, r := range replicas {
 			if !table.HasDeltaSince(r.version) {
@@ -56,22 +56,22 @@
 			version := r.version
 			applyDelta(rt, &table, &r)
 			if fmt.Sprint(r.weights) != fmt.Sprint(want) {
-				rt.Fatalf("from version %d: %v, want %v", version, r.weights, want)
+				rt.Fatalf("update from version %d: %v, want %v", version, r.weights, want)
 			}
 		}
 		if table.HasDeltaSince(table.Version() + 1) {
-			rt.Fatal("a version of the future is reached")
+			rt.Fatal("a delta since a future version is accepted")
 		}
 	})
 }
 
-// applyDelta updates a replica, and requires that the delta has each entry once, newest first.
+// applyDelta updates a replica, and checks that the delta contains each entry once, newest first.
 func applyDelta(rt *rapid.T, table *Table, r *replica) {
 	seen := map[balancer.Server]bool{}
 	last := table.Version() + 1
 	for entry := range table.ChangedSince(r.version) {
 		if seen[entry.Server] || entry.Changed >= last {
-			rt.Fatalf("%s twice, or out of order", entry.Server)
+			rt.Fatalf("entry of %s is repeated or out of order", entry.Server)
 		}
 		seen[entry.Server] = true
 		last = entry.Changed
@@ -79,7 +79,7 @@
 	}
 }
 
-// BenchmarkOneChangeOf300 finds the one entry of 300 that changed: by the order of changes, and by a scan of all entries.
+// BenchmarkOneChangeOf300 measures finding the one changed entry of 300: by the order of changes, and by a full scan.
 func BenchmarkOneChangeOf300(b *testing.B) {
 	var table Table
 	for i := range 300 {
