--- a/internal/core/pacing/queue.go
+++ b/internal/core/pacing/queue.go
@@ -1,9 +1,9 @@
-// Package pacing schedules messages to proxies over a channel with a rate limit: it says which proxy is sent its
+// Package pacing schedules messages to proxies over a channel with a rate limit: it determines which proxy is sent a
 // message next, and when.
 //
-// The queue holds no messages, only which proxies wait and for how many table entries. A message is built when its
-// proxy's turn comes, so that a slow proxy gets the newest state instead of a queue of old ones. The package is pure:
-// times are arguments, in seconds.
+// The queue holds no messages, only the waiting proxies and the number of table entries that each waits for. A message is
+// built when its proxy is due, so that a slow proxy receives the newest state instead of a series of outdated messages.
+// The package performs no I/O and reads no clock: times are arguments, in seconds.
 package pacing
 
 import (
@@ -13,40 +13,41 @@
 	"snowquay/internal/core/indexedheap"
 )
 
-// burstSeconds is for how many seconds entries may be sent at once after a pause: about a round, so that a few entries
-// do not wait for the next one.
+// burstSeconds is the size of the token bucket, in seconds at the full rate. It is about the interval between rounds, so
+// that a few entries do not wait for the next round.
 const burstSeconds = 0.05
 
-// Priority of a waiting proxy. A higher one goes first.
+// Priority is the priority of a waiting proxy. Higher priorities are sent first.
 type Priority int
 
-// The priorities, lowest first.
+// The priorities in ascending order.
 const (
-	Normal Priority = iota // weights, joins
-	Urgent                 // drains, servers that are warming up
+	Normal Priority = iota // changes of weights, and joins
+	Urgent                 // drains, and weight reductions of servers that are warming up
 	priorities
 )
 
-// Queue holds the proxies that wait for a message. Use New. It is not safe for concurrent use.
+// Queue holds the proxies that wait for a message. Create it with New. It is not safe for concurrent use.
 type Queue struct {
 	channel  balancer.Channel
 	unpaced  bool
 	waiters  map[balancer.Proxy]*waiter
 	ready    [priorities]waiterList
-	delayed  indexedheap.Heap[*waiter] // by the message limit
-	entries  float64                   // that wait, with the overhead of their messages
-	peak     float64                   // the most entries that ever waited
+	delayed  indexedheap.Heap[*waiter] // waiters held back by the message limit
+	entries  float64                   // queued entries, including the overhead of their messages
+	peak     float64                   // peak of entries
 	tokens   float64                   // entries that may be sent now; below 0 after a large message
-	refillAt float64                   // of the last refill of tokens
+	refillAt float64                   // time of the last refill of tokens
 }
 
-// New makes a queue for a channel. With unpaced, its rate and message limits do not hold, for tests of that safeguard.
+// New creates a queue for a channel. If unpaced is true, the rate and message limits are not enforced; this serves tests
+// of that safeguard.
 func New(channel balancer.Channel, unpaced bool) *Queue {
 	return &Queue{channel: channel, unpaced: unpaced, waiters: map[balancer.Proxy]*waiter{}}
 }
 
-// Add queues some more entries for a proxy. A proxy that waits already keeps its place, unless the priority is higher
-// than what it had.
+// Add queues more entries for a proxy. A proxy that is already waiting keeps its position, unless the priority is higher
+// than its previous one.
 func (q *Queue) Add(now float64, proxy balancer.Proxy, entries float64, priority Priority) {
 	w := q.waiter(proxy)
 	if w.entries == 0 {
@@ -65,7 +66,7 @@
 	q.schedule(now, w)
 }
 
-// Suspend says that a proxy can't be sent a message now. What it waits for is kept until Resume.
+// Suspend stops the scheduling of messages to a proxy until Resume. Its queued entries are retained.
 func (q *Queue) Suspend(proxy balancer.Proxy) {
 	w := q.waiter(proxy)
 	w.suspended = true
@@ -82,7 +83,7 @@
 	}
 }
 
-// Forget removes a proxy and its message history: if it comes back, the message limit starts anew.
+// Forget removes a proxy and its message history. If the proxy is added again, its message limit starts from zero.
 func (q *Queue) Forget(proxy balancer.Proxy) {
 	w := q.waiters[proxy]
 	if w == nil {
@@ -92,16 +93,16 @@
 	delete(q.waiters, proxy)
 }
 
-// Drop says that a proxy needs no message after all. Its earlier ones still count for the message limit.
+// Drop discards the queued entries of a proxy. Messages sent earlier still count towards the message limit.
 func (q *Queue) Drop(proxy balancer.Proxy) {
 	if w := q.waiters[proxy]; w != nil {
 		q.dequeue(w)
 	}
 }
 
-// Next is the proxy whose turn it is: the highest priority first, then the longest waiting. ok is false while the rate
-// allows no message, or no proxy waits. The caller sends the message and calls MarkSent, or calls Suspend, Drop or
-// Forget.
+// Next returns the proxy that is due: the one with the highest priority, and among these the one that has waited longest.
+// ok is false if the rate allows no message or no proxy is waiting. The caller sends the message and calls MarkSent, or
+// calls Suspend, Drop or Forget.
 func (q *Queue) Next(now float64) (proxy balancer.Proxy, ok bool) {
 	for q.delayed.Len() > 0 && q.delayed.First().delayedUntil <= now {
 		w := q.delayed.First()
@@ -120,7 +121,7 @@
 	return 0, false
 }
 
-// MarkSent says that a proxy was sent a message with some entries, whether it waited for one or not.
+// MarkSent records that a message with some entries was sent to a proxy, whether it was waiting for one or not.
 func (q *Queue) MarkSent(now float64, proxy balancer.Proxy, entries float64) {
 	q.refill(now)
 	w := q.waiter(proxy)
@@ -129,7 +130,7 @@
 	w.markSent(now, q.channel.MaxMessages)
 }
 
-// MessagesLeft is how many messages the message limit still allows a proxy in the present window.
+// MessagesLeft returns the number of messages that the message limit still allows a proxy in the current window.
 func (q *Queue) MessagesLeft(proxy balancer.Proxy) int {
 	w := q.waiters[proxy]
 	if w == nil || q.channel.MaxMessages <= 0 {
@@ -144,15 +145,15 @@
 	return q.channel.MaxMessages - sent
 }
 
-// IsUrgent tells whether an urgent message waits for a proxy.
+// IsUrgent reports whether a proxy is waiting with urgent priority.
 func (q *Queue) IsUrgent(proxy balancer.Proxy) bool {
 	return q.IsQueued(proxy) && q.waiters[proxy].priority == Urgent
 }
 
-// IsQueued tells whether a proxy waits for entries.
+// IsQueued reports whether a proxy is waiting for entries.
 func (q *Queue) IsQueued(proxy balancer.Proxy) bool { return q.QueuedEntries(proxy) > 0 }
 
-// QueuedEntries is the number of entries that a proxy waits for, without the overhead of their message.
+// QueuedEntries returns the number of entries that a proxy is waiting for, excluding the message overhead.
 func (q *Queue) QueuedEntries(proxy balancer.Proxy) float64 {
 	w := q.waiters[proxy]
 	if w == nil {
@@ -161,10 +162,10 @@
 	return w.entries
 }
 
-// TotalQueued is the number of entries that wait, with the overhead of their messages, and the most that ever did.
+// TotalQueued returns the number of queued entries, including the overhead of their messages, and its peak.
 func (q *Queue) TotalQueued() (entries, peak float64) { return q.entries, q.peak }
 
-// waiter finds the state of a proxy, and makes it if there is none.
+// waiter returns the state of a proxy, and creates it if there is none.
 func (q *Queue) waiter(proxy balancer.Proxy) *waiter {
 	w := q.waiters[proxy]
 	if w == nil {
@@ -174,7 +175,7 @@
 	return w
 }
 
-// schedule puts a waiter where it belongs, unless it is there already or has nothing to wait for.
+// schedule adds a waiter to the ready list or the delayed heap, unless it is in either or has no queued entries.
 func (q *Queue) schedule(now float64, w *waiter) {
 	if w.suspended || w.ready || w.InHeap() || w.entries <= 0 {
 		return
@@ -187,7 +188,7 @@
 	q.ready[w.priority].push(w)
 }
 
-// limitedUntil is when the message limit allows a proxy one more message.
+// limitedUntil returns the time from which the message limit allows a proxy another message.
 func (q *Queue) limitedUntil(w *waiter) float64 {
 	limit := q.channel.MaxMessages
 	if limit <= 0 || q.unpaced || w.sentCount < limit {
@@ -196,7 +197,7 @@
 	return w.sentAt[w.nextSent] + q.channel.MessageWindow
 }
 
-// dequeue removes a waiter from the queue, and what it waits for.
+// dequeue removes a waiter from the ready list or the delayed heap, and discards its queued entries.
 func (q *Queue) dequeue(w *waiter) {
 	if w.ready {
 		q.ready[w.priority].remove(w)
--- a/internal/core/pacing/queue_test.go
+++ b/internal/core/pacing/queue_test.go
@@ -21,7 +21,7 @@
 	MessageWindow:    10,
 }
 
-// sendAll sends all that is due at a time, each proxy a message of some entries.
+// sendAll sends a message with some entries to every proxy that is due.
 func sendAll(q *Queue, now, entries float64) (sent []balancer.Proxy) {
 	for {
 		proxy, ok := q.Next(now)
@@ -38,16 +38,16 @@
 	q.Add(1, 1, 2, Normal)
 	q.Add(1, 2, 2, Normal)
 	q.Add(1, 3, 2, Urgent)
-	q.Add(1, 2, 2, Urgent) // it moves up
+	q.Add(1, 2, 2, Urgent) // raises the priority of proxy 2
 	var order []balancer.Proxy
 	for now := 1.0; now < 2; now += 0.1 {
 		order = append(order, sendAll(q, now, 2)...)
 	}
 	if !slices.Equal(order, []balancer.Proxy{3, 2, 1}) {
-		t.Errorf("%v", order)
+		t.Errorf("order %v, want [3 2 1]", order)
 	}
 	if entries, peak := q.TotalQueued(); entries != 0 || peak != 2+3+2+3+2+3+2 {
-		t.Errorf("%v entries wait, %v did", entries, peak)
+		t.Errorf("%v entries are queued, want 0; peak %v, want 17", entries, peak)
 	}
 }
 
@@ -56,11 +56,11 @@
 	q.Suspend(1)
 	q.Add(1, 1, 5, Urgent)
 	if got := sendAll(q, 1, 5); len(got) != 0 || !q.IsUrgent(1) {
-		t.Errorf("%v was sent to", got)
+		t.Errorf("proxies %v were sent messages while suspended, or the entries are not urgent", got)
 	}
 	q.Resume(2, 1)
 	if got := sendAll(q, 2, 5); len(got) != 1 {
-		t.Errorf("%v", got)
+		t.Errorf("proxies %v were sent messages after Resume, want one", got)
 	}
 }
 
@@ -74,7 +74,7 @@
 				sentAt = append(sentAt, now)
 			}
 		}
-		worst := 0 // messages in one window
+		worst := 0 // maximum number of messages in one window
 		for i, at := range sentAt {
 			inWindow := 0
 			for _, other := range sentAt[i:] {
@@ -85,7 +85,7 @@
 			worst = max(worst, inWindow)
 		}
 		if unpaced != (worst > testChannel.MaxMessages) || !unpaced && len(sentAt) < 7 {
-			t.Errorf("unpaced %t: %d messages in a window, %d in all", unpaced, worst, len(sentAt))
+			t.Errorf("unpaced %t: up to %d messages in a window, %d in total", unpaced, worst, len(sentAt))
 		}
 	}
 }
@@ -96,7 +96,7 @@
 	entries float64 // with the overhead of the message
 }
 
-// In any order of calls, the rate holds over any period, and the count of waiting entries is right.
+// For any sequence of calls, the rate limit holds over any period, and the count of queued entries is correct.
 func TestRateAndCount(t *testing.T) {
 	channel := testChannel
 	channel.MaxMessages = 0
@@ -128,14 +128,14 @@
 				sum += entries + channel.MessageOverhead
 			}
 			if got, _ := q.TotalQueued(); math.Abs(got-sum) > 1e-6 {
-				rt.Fatalf("%v entries wait, the queue says %v", sum, got)
+				rt.Fatalf("%v entries are queued, TotalQueued returns %v", sum, got)
 			}
 		}
 		checkRate(rt, channel, sent)
 	})
 }
 
-// sendWaiting sends all that is due, each proxy what it waits for.
+// sendWaiting sends to every proxy that is due all entries that it is waiting for.
 func sendWaiting(rt *rapid.T, q *Queue, now float64, waiting map[balancer.Proxy]float64) (sent []sending) {
 	for {
 		proxy, ok := q.Next(now)
@@ -143,7 +143,7 @@
 			return sent
 		}
 		if waiting[proxy] == 0 {
-			rt.Fatalf("proxy %d waits for nothing", proxy)
+			rt.Fatalf("proxy %d is due without queued entries", proxy)
 		}
 		sent = append(sent, sending{at: now, entries: waiting[proxy] + testChannel.MessageOverhead})
 		q.MarkSent(now, proxy, waiting[proxy])
@@ -151,14 +151,14 @@
 	}
 }
 
-// checkRate requires that no period has more messages than the rate allows, after a burst.
+// checkRate checks that in no period more entries are sent than the rate and the burst allow.
 func checkRate(rt *rapid.T, channel balancer.Channel, sent []sending) {
 	burst := max(channel.EntriesPerSecond*burstSeconds, 1)
 	for i, first := range sent {
 		entries := 0.0
 		for _, s := range sent[i:] {
 			if allowed := (s.at-first.at)*channel.EntriesPerSecond + burst; entries > allowed+1e-6 {
-				rt.Fatalf("%v entries were sent within %v s, %v may", entries, s.at-first.at, allowed)
+				rt.Fatalf("%v entries were sent within %v s, at most %v are allowed", entries, s.at-first.at, allowed)
 			}
 			entries += s.entries
 		}
--- a/internal/core/pacing/waiter.go
+++ b/internal/core/pacing/waiter.go
@@ -5,30 +5,30 @@
 	"snowquay/internal/core/indexedheap"
 )
 
-// waiter is the state of one proxy. It is in the ready list of its priority, in the heap of delayed waiters, or in
-// neither.
+// waiter is the scheduling state of one proxy. It is in the ready list of its priority, in the heap of delayed waiters,
+// or in neither.
 type waiter struct {
-	indexedheap.Position // among the delayed waiters
+	indexedheap.Position // in the heap of delayed waiters
 
 	proxy     balancer.Proxy
 	priority  Priority
-	entries   float64 // that it waits for; 0: none
+	entries   float64 // queued entries; 0 if the proxy is not waiting
 	suspended bool
 
-	ready          bool // it is in a ready list
+	ready          bool // whether the waiter is in a ready list
 	previous, next *waiter
 
-	delayedUntil float64
+	delayedUntil float64 // when the message limit allows the next message
 
-	sentAt    []float64 // times of the latest messages, a ring as long as the message limit
-	nextSent  int       // place of the next message in the ring; the oldest one is there now
-	sentCount int       // messages in the ring
+	sentAt    []float64 // ring buffer of the send times of the latest messages, as long as the message limit
+	nextSent  int       // index in sentAt of the next message, which is also that of the oldest one
+	sentCount int       // number of messages in sentAt
 }
 
-// Less orders delayed waiters: the first due first.
+// Less orders the delayed waiters by the time at which they are due.
 func (w *waiter) Less(other *waiter) bool { return w.delayedUntil < other.delayedUntil }
 
-// markSent adds a message to the ring. A limit of 0 is none.
+// markSent records the send time of a message. A limit of 0 means no limit.
 func (w *waiter) markSent(now float64, limit int) {
 	if limit <= 0 {
 		return
@@ -41,7 +41,7 @@
 	w.sentCount = min(w.sentCount+1, limit)
 }
 
-// waiterList is a linked list of the waiters of one priority that may be sent a message now, longest waiting first.
+// waiterList is a linked list of the ready waiters of one priority. Those that have waited longest come first.
 type waiterList struct {
 	head *waiter
 	tail *waiter
