--- a/internal/core/controlplane/controlplane.go
+++ b/internal/core/controlplane/controlplane.go
@@ -1,12 +1,12 @@
-// Package controlplane holds one coordinator's state without its protocols: it passes events to the decision
-// module, keeps the weight tables that the module wants, and tracks for each proxy which of them it holds.
+// Package controlplane implements the protocol-independent state of one coordinator: it passes events to the decision
+// module, stores the weight tables that the module computes, and tracks which version of them each proxy holds.
 //
-// For each proxy and request class, three versions of a table are kept apart: the wanted one (the version of the
-// table itself), the sent one and the acknowledged one (see TableState). At most one message is in flight to a
-// proxy. The next one is built only after that was acknowledged, from the state that is newest by then.
+// For each proxy and request class, it distinguishes three versions of a table: the wanted one (the current version of
+// the table), the sent one and the acknowledged one (see TableState). At most one message is in flight to a proxy. The
+// next message is built after the previous one was acknowledged, from the state that is newest at that time.
 //
-// Frontends ask which proxy is due, send the message, and report what was sent and acknowledged. The package is
-// pure: the time and all facts are arguments, times are seconds on the coordinator's clock.
+// Frontends ask which proxy is due, send the message, and report what was sent and acknowledged. The package performs
+// no I/O of its own and reads no clock: the time is an argument. Times are in seconds on the coordinator's clock.
 package controlplane
 
 import (
@@ -20,26 +20,27 @@
 	"snowquay/internal/core/registry"
 )
 
-const maxClasses = 64 // a balancer.ClassSet has a bit for each
+const maxClasses = 64 // balancer.ClassSet has one bit per class
 
-// RecordStore stores the registry's records, so that they survive a restart.
+// RecordStore persists the registry's records across restarts of the coordinator.
 type RecordStore interface {
-	// Save stores records. They are durable when it returns without an error.
+	// Save stores records. They are durable once it returns nil.
 	Save(records []registry.Record) error
 }
 
-// Fleet is the state of one coordinator. Use New. It is not safe for concurrent use.
+// Fleet is the state of one coordinator: its servers, its proxies and their tables. Create it with New. It is not safe
+// for concurrent use.
 type Fleet struct {
-	// Registry holds the servers and their lifecycle.
+	// Registry holds the servers and their lifecycle states.
 	Registry *registry.Registry
 	// LoadReports aggregates the proxies' load reports until the next round.
 	LoadReports *loadreport.Aggregator
-	// Stats counts what happened since New.
+	// Stats counts events since New.
 	Stats Stats
 
 	site     Site
 	balancer *balancer.Balancer
-	store    RecordStore // nil: nothing is stored
+	store    RecordStore // nil: records are not persisted
 	owner    ownership
 
 	proxies       map[balancer.Proxy]*Proxy
@@ -47,31 +48,31 @@
 	listedProxies map[string]ProxyConfig
 	joinedCount   int
 	nextProxyID   balancer.Proxy
-	freeProxyIDs  []balancer.Proxy // of forgotten proxies, ascending
+	freeProxyIDs  []balancer.Proxy // IDs of forgotten proxies, ascending
 
 	tables        map[balancer.Table]*desiredTable
-	changedTables []*desiredTable // in this round
+	changedTables []*desiredTable // changed in the current round
 	sendQueue     *pacing.Queue
 
 	pendingEvents    balancer.Events // for the next round
 	startedAt        float64
 	lastRoundAt      float64
-	timerAt          float64 // when the decision module asked for a round; 0: it did not
+	timerAt          float64 // when the decision module asked for a round; 0 if it did not
 	reportsFlushedAt float64
-	initialListSent  bool // the decision module has been given its first endpoint list
-	serversKnown     bool // from the settings or from the store, at the start
+	initialListSent  bool // the decision module has received its first endpoint list
+	serversKnown     bool // the settings or the store named servers at startup
 	round            uint64
-	roundTrace       MessageTrace // what messages of the current round start from
+	roundTrace       MessageTrace // initial trace of the messages caused by the current round
 
 	traffic        trafficTotals
-	finishedTraces []MessageTrace // since the last TakeTraces
+	finishedTraces []MessageTrace // finished since the last TakeTraces
 }
 
-// New makes a coordinator. The records are those that an earlier process stored. Without a store, nothing is
-// stored. The error says what is wrong with the site or the records.
+// New creates the state of a coordinator and restores the records that an earlier process stored. If store is nil,
+// records are not persisted. New returns an error if the site or the records are invalid.
 func New(now float64, site Site, records []registry.Record, store RecordStore) (*Fleet, error) {
 	if len(site.Classes) == 0 || len(site.Classes) > maxClasses || len(site.ClassNames) != len(site.Classes) {
-		return nil, fmt.Errorf("%d classes with %d names; 1 to %d are possible",
+		return nil, fmt.Errorf("%d classes with %d names; need 1 to %d classes, each with a name",
 			len(site.Classes), len(site.ClassNames), maxClasses)
 	}
 	fleet := &Fleet{
@@ -108,10 +109,10 @@
 	return fleet, nil
 }
 
-// channelInTableEntries is the channel as the decision module counts it, in table entries. Classes that may use the
-// same zones share a table, and a proxy is sent each of its entries once for every class. Without this, the queue
-// would be several times as long as the module believes. The cost is a slower pace where other classes have tables of
-// their own.
+// channelInTableEntries returns the channel with its limits in table entries, the unit of the decision module. Classes
+// that may use the same zones share a table, and a proxy is sent each of its entries once per class. Without this
+// conversion, the queue would be several times as long as the module assumes. The cost is a slower pace if other classes
+// have tables of their own.
 func (s *Site) channelInTableEntries() balancer.Channel {
 	channel := s.Channel
 	if s.DisabledGuards[GuardEntryCount] || s.DisabledGuards[GuardPacing] {
@@ -133,10 +134,10 @@
 	return channel
 }
 
-// Site is the configuration that the coordinator runs with. It belongs to the Fleet and must not be changed.
+// Site returns the current configuration. It belongs to the Fleet and must not be modified.
 func (f *Fleet) Site() *Site { return &f.site }
 
-// Class finds a request class by its name.
+// Class looks up a request class by name.
 func (f *Fleet) Class(name string) (balancer.Class, bool) {
 	i := slices.Index(f.site.ClassNames, name)
 	return balancer.Class(i), i >= 0
--- a/internal/core/controlplane/controlplane_test.go
+++ b/internal/core/controlplane/controlplane_test.go
@@ -9,7 +9,7 @@
 	"snowquay/internal/core/registry"
 )
 
-// testSite is a site of two classes and three zones, with servers and proxies spread over the zones.
+// testSite returns a site with two classes and three zones, and with servers and proxies spread over the zones.
 func testSite(servers, proxies int) Site {
 	site := Site{
 		Seed:       1,
@@ -60,7 +60,7 @@
 
 func proxyUID(i int) string { return fmt.Sprint("r", i) }
 
-// newFleet makes a fleet at time 1000.
+// newFleet creates a fleet at time 1000.
 func newFleet(t testing.TB, site Site, store RecordStore) *Fleet {
 	t.Helper()
 	f, err := New(1000, site, nil, store)
@@ -70,7 +70,7 @@
 	return f
 }
 
-// join lets a proxy join and fails the test if it may not.
+// join makes a proxy join, and fails the test if it is refused.
 func join(t testing.TB, f *Fleet, now float64, uid string, frontend Frontend) *Proxy {
 	t.Helper()
 	proxy, err := f.Join(now, uid, frontend, true)
@@ -80,7 +80,7 @@
 	return proxy
 }
 
-// startFleet makes a fleet whose proxies are joined and hold its tables. It returns the time by then.
+// startFleet creates a fleet whose proxies have joined and hold its tables. It returns the time at which they do.
 func startFleet(t testing.TB, servers, proxies int) (f *Fleet, now float64) {
 	t.Helper()
 	f = newFleet(t, testSite(servers, proxies), nil)
@@ -93,12 +93,12 @@
 		step(f, now)
 	}
 	if f.UpToDate() != proxies {
-		t.Fatalf("%d of %d proxies hold the tables", f.UpToDate(), proxies)
+		t.Fatalf("%d of %d proxies hold the newest tables", f.UpToDate(), proxies)
 	}
 	return f, now
 }
 
-// step runs a round, then sends all that is due and acknowledges it.
+// step runs a round, then sends and acknowledges all messages that are due.
 func step(f *Fleet, now float64) {
 	f.RunRound(now)
 	for {
@@ -119,7 +119,7 @@
 	}
 }
 
-// countingFrontend counts the calls of a frontend, and sends nothing.
+// countingFrontend is a Frontend that counts its calls and sends nothing.
 type countingFrontend struct {
 	fleet     *Fleet
 	delivered int
@@ -133,8 +133,8 @@
 
 func (c *countingFrontend) Displaced(float64, *Proxy) { c.displaced++ }
 
-// BenchmarkRound measures a round at 300 servers and 460 proxies: without reports, with one and with all. The baseline of
-// all of them is the decision module alone.
+// BenchmarkRound measures a round with 300 servers and 460 proxies: without load reports, with one upstream report, and
+// with 300 of them and demand reports of all proxies. The baseline of all cases is the decision module alone.
 func BenchmarkRound(b *testing.B) {
 	for _, rows := range []int{0, 1, 300} {
 		b.Run(fmt.Sprint(rows, "rows"), func(b *testing.B) {
--- a/internal/core/controlplane/delivery.go
+++ b/internal/core/controlplane/delivery.go
@@ -6,23 +6,25 @@
 	"snowquay/internal/core/tables"
 )
 
-// Frontend speaks a protocol to proxies. The Fleet calls it, and it may call the Fleet meanwhile.
+// Frontend implements a protocol for communication with proxies. The Fleet calls it, and it may call the Fleet during
+// such a call.
 type Frontend interface {
-	// Deliver sends a proxy its newest state and calls MarkSent, or calls SkipUpdate, Suspend or Disconnect.
+	// Deliver sends the newest state to a proxy and calls MarkSent. If it sends nothing, it calls SkipUpdate, Suspend
+	// or Disconnect instead.
 	Deliver(now float64, proxy *Proxy)
-	// Displaced says that the proxy joined by another frontend or connection, or was evicted. The frontend closes
-	// its own connection and calls the Fleet no more for it.
+	// Displaced notifies the frontend that the proxy has joined through another frontend or connection, or was evicted.
+	// The frontend closes its own connection and makes no further calls to the Fleet for it.
 	Displaced(now float64, proxy *Proxy)
 }
 
 const (
-	urgentOnlyBacklogSeconds = 0.25 // of waiting entries, above which urgent changes leave ahead of the others
-	urgentOnlyMinMessages    = 3    // that the message limit must still allow, or all changes go together
+	urgentOnlyBacklogSeconds = 0.25 // backlog of the channel above which urgent changes are sent ahead of the others
+	urgentOnlyMinMessages    = 3    // messages left within the limit below which all changes are sent together
 )
 
-// NextDue is the proxy that gets a message now; ok is false if none does. The caller sends the message and calls
-// MarkSent. A proxy that has not acknowledged its last message is passed over, so that nothing queues behind a slow
-// reader.
+// NextDue returns the proxy that is due for a message; ok is false if there is none. The caller sends the message and
+// calls MarkSent. A proxy that has not acknowledged its last message is skipped, so that no messages queue up behind a
+// slow reader.
 func (f *Fleet) NextDue(now float64) (proxy *Proxy, ok bool) {
 	for {
 		id, ok := f.sendQueue.Next(now)
@@ -42,7 +44,7 @@
 	}
 }
 
-// SendDue lets the frontends send all messages that are due.
+// SendDue has the frontends send all messages that are due.
 func (f *Fleet) SendDue(now float64) {
 	for {
 		proxy, ok := f.NextDue(now)
@@ -57,7 +59,7 @@
 	}
 }
 
-// Suspend says that the proxy that is due can't be sent to now. Its updates wait until Resume.
+// Suspend defers the updates of a proxy that cannot receive a message now, until Resume.
 func (f *Fleet) Suspend(proxy *Proxy) { f.sendQueue.Suspend(proxy.ID) }
 
 // Resume ends a Suspend.
@@ -67,7 +69,7 @@
 	}
 }
 
-// SetPolling says whether a proxy polls for its tables or has them pushed.
+// SetPolling sets whether a proxy polls for its tables or receives them by push.
 func (f *Fleet) SetPolling(now float64, proxy *Proxy, polls bool) {
 	proxy.Polls = polls
 	if polls {
@@ -78,8 +80,8 @@
 	}
 }
 
-// ScheduleFull makes the full table of a class due for a proxy whose state changed by its own doing, such as a
-// registration of members or of a group. The entries are the expected size of the message.
+// ScheduleFull schedules the full table of a class for a proxy that has changed its own state, for example by
+// registering members or a group. The entries are the expected size of the message.
 func (f *Fleet) ScheduleFull(now float64, proxy *Proxy, class balancer.Class, entries float64) {
 	state := &proxy.Tables[class]
 	if f.site.DisabledGuards[GuardRejoin] && state.SentVersion > 0 {
@@ -91,8 +93,8 @@
 	}
 }
 
-// ObserveVersions takes the table versions that a proxy itself says it holds, by class; 0 if it holds no known one.
-// What was sent beyond them is lost, and due again.
+// ObserveVersions records the table versions that a proxy says it holds, by class; 0 stands for no known version.
+// Changes sent after these versions are considered lost and are scheduled again.
 func (f *Fleet) ObserveVersions(now float64, proxy *Proxy, versions []tables.Version) {
 	proxy.inFlight = false
 	for class := range proxy.Tables {
@@ -112,10 +114,10 @@
 	}
 }
 
-// sendsUrgentOnly tells whether a proxy's next message leaves out what changed after the last urgent change. On a busy
-// channel all drains then go first, instead of waiting for the weights in each other's messages. The cost is a second
-// message, so it is not done for a proxy close to its message limit, nor where the table would be left with entries
-// that changed later only.
+// sendsUrgentOnly reports whether a proxy's next message omits the changes after the last urgent one. On a busy channel
+// this sends all drains first, so that they are not delayed by the weights in messages to other proxies. The cost is a
+// second message. Therefore it is not done for a proxy close to its message limit, nor if the only entries with a weight
+// are among the omitted changes.
 func (f *Fleet) sendsUrgentOnly(proxy *Proxy) bool {
 	queued, _ := f.sendQueue.TotalQueued()
 	if !proxy.urgent || queued < f.site.Channel.EntriesPerSecond*urgentOnlyBacklogSeconds ||
@@ -138,7 +140,7 @@
 	return true
 }
 
-// targetVersion is the version to which a proxy's next message brings a class.
+// targetVersion returns the version to which a proxy's next message updates a class.
 func (f *Fleet) targetVersion(proxy *Proxy, state *TableState) tables.Version {
 	if proxy.urgentOnly {
 		return max(f.tables[state.Table].urgentVersion, state.SentVersion)
@@ -146,8 +148,8 @@
 	return f.wantedVersion(state)
 }
 
-// MarkSent says that a message with the newest state of all assigned classes was sent to a proxy. The frontend calls
-// MarkDelivered when the proxy has acknowledged it.
+// MarkSent records that a message with the newest state of all assigned classes was sent to a proxy. The frontend calls
+// MarkDelivered once the proxy has acknowledged it.
 func (f *Fleet) MarkSent(now float64, proxy *Proxy, entries int) {
 	full := false
 	remaining := 0.0
@@ -166,7 +168,7 @@
 	}
 	f.sendQueue.MarkSent(now, proxy.ID, float64(entries))
 	proxy.urgentOnly = false
-	if proxy.trace.DecidedAt == 0 { // the proxy's own doing: it registered members, or polled
+	if proxy.trace.DecidedAt == 0 { // caused by the proxy itself: it registered members, or polled
 		proxy.trace.DecidedAt = now
 	}
 	if remaining > 0 && !proxy.Polls {
@@ -186,7 +188,7 @@
 	proxy.trace.markSent(now, proxy, entries, full)
 }
 
-// SkipUpdate says that the proxy that was due needs no message: it holds the newest state.
+// SkipUpdate records that the proxy that was due needs no message, since it holds the newest state.
 func (f *Fleet) SkipUpdate(now float64, proxy *Proxy) {
 	f.sendQueue.Drop(proxy.ID)
 	for class := range proxy.Tables {
@@ -202,8 +204,8 @@
 	f.MarkDelivered(now, proxy)
 }
 
-// MarkDelivered says that a proxy has acknowledged what was sent to it. The acknowledgements that the decision module
-// asked for are answered by it.
+// MarkDelivered records that a proxy has acknowledged the message in flight. This answers the acknowledgement requests
+// of the decision module that went with the message.
 func (f *Fleet) MarkDelivered(now float64, proxy *Proxy) {
 	if !proxy.Joined {
 		return
@@ -227,6 +229,6 @@
 	proxy.inFlightAcks = proxy.inFlightAcks[:0]
 	proxy.urgent = proxy.urgent && f.sendQueue.IsUrgent(proxy.ID)
 	if proxy.urgent {
-		proxy.urgentSince = max(proxy.urgentSince, proxy.inFlightSince) // it came after that message was sent
+		proxy.urgentSince = max(proxy.urgentSince, proxy.inFlightSince) // the change came after that message was sent
 	}
 }
--- a/internal/core/controlplane/delta.go
+++ b/internal/core/controlplane/delta.go
@@ -7,7 +7,7 @@
 	"snowquay/internal/core/tables"
 )
 
-// NeedsUpdate tells whether a proxy was not yet sent the newest state of a class that it is assigned a table for.
+// NeedsUpdate reports whether a proxy has yet to be sent the newest table of an assigned class.
 func (f *Fleet) NeedsUpdate(proxy *Proxy) bool {
 	for class := range proxy.Tables {
 		state := &proxy.Tables[class]
@@ -18,8 +18,9 @@
 	return false
 }
 
-// Delta is what a proxy's next message says of a class. If full, it is all entries, and those without weight may be
-// left out; else those that changed, the newest first. ok is false if the class is not assigned a table yet.
+// Delta returns the table entries of a class for a proxy's next message. If full is true, these are all entries, and
+// those without weight may be omitted; otherwise they are the changed entries, newest first. ok is false if the class is
+// not assigned a table yet.
 func (f *Fleet) Delta(proxy *Proxy, class balancer.Class) (entries iter.Seq[*tables.Entry], full, ok bool) {
 	state := &proxy.Tables[class]
 	if !state.Assigned {
@@ -32,8 +33,8 @@
 	return table.ChangedBetween(state.SentVersion, f.targetVersion(proxy, state)), false, true
 }
 
-// FullTable is the whole table of a class, as a full Delta, whatever the proxy holds. ok is false if the class is not
-// assigned a table yet.
+// FullTable returns the whole table of a class, like a full Delta, regardless of what the proxy holds. ok is false if
+// the class is not assigned a table yet.
 func (f *Fleet) FullTable(proxy *Proxy, class balancer.Class) (entries iter.Seq[*tables.Entry], ok bool) {
 	state := &proxy.Tables[class]
 	if !state.Assigned {
@@ -42,8 +43,8 @@
 	return f.tables[state.Table].ChangedSince(0), true
 }
 
-// AdmissionsSince are the admission settings of a class that changed after what the proxy was sent; all of them if
-// full.
+// AdmissionsSince returns the admission settings of a class that have changed since the last version sent to the proxy,
+// or all of them if full is true.
 func (f *Fleet) AdmissionsSince(proxy *Proxy, class balancer.Class, full bool) (changed []tables.Admission) {
 	state := &proxy.Tables[class]
 	if !state.Assigned {
@@ -57,20 +58,20 @@
 	return changed
 }
 
-// MayHoldStaleEntries tells whether a proxy may hold entries that no delta removes: they belong to a table that it is no longer
-// assigned, or were removed so long ago that the removal is forgotten. It must be told that each server without an entry
-// has none.
+// MayHoldStaleEntries reports whether a proxy may hold entries that no delta removes: they belong to a table that it
+// is no longer assigned, or were removed so long ago that the removal is forgotten. Such a proxy must be sent an explicit
+// removal for each server without an entry.
 func (f *Fleet) MayHoldStaleEntries(proxy *Proxy, class balancer.Class) bool {
 	state := &proxy.Tables[class]
 	return state.Stale || state.Assigned && state.SentVersion > 0 && !f.tables[state.Table].HasDeltaSince(state.SentVersion)
 }
 
-// HasSentTable tells whether a proxy was sent anything of a class since it joined.
+// HasSentTable reports whether a proxy was sent a table of a class since it joined.
 func (f *Fleet) HasSentTable(proxy *Proxy, class balancer.Class) bool {
 	return proxy.Tables[class].SentVersion > 0
 }
 
-// Weight is the wanted weight of a server for a proxy's class; 0 if the server has no entry.
+// Weight returns the wanted weight of a server for a proxy's class; 0 if the server has no entry.
 func (f *Fleet) Weight(proxy *Proxy, class balancer.Class, server balancer.Server) float64 {
 	state := &proxy.Tables[class]
 	if !state.Assigned {
@@ -79,7 +80,7 @@
 	return f.tables[state.Table].Weight(server)
 }
 
-// TableSize is the number of entries of a class's table.
+// TableSize returns the number of entries in the table of a class.
 func (f *Fleet) TableSize(proxy *Proxy, class balancer.Class) int {
 	state := &proxy.Tables[class]
 	if !state.Assigned {
--- a/internal/core/controlplane/disconnect.go
+++ b/internal/core/controlplane/disconnect.go
@@ -1,9 +1,9 @@
 package controlplane
 
-// DisconnectReason tells why a proxy must be disconnected; empty if it need not be. It has not acknowledged a message in
-// time, a drain has waited for it too long, or its load reports show that it does not apply what it acknowledges. A
-// proxy that reconnects gets the newest table first, so that it does not go on sending to a server that drains. The cost
-// is a reconnection of proxies that are only slow to acknowledge.
+// DisconnectReason returns why a proxy must be disconnected, or "" if it need not be. The reasons are a message that was
+// not acknowledged in time, a drain that has waited too long for the proxy, and load reports that show that the proxy
+// does not apply what it acknowledges. A proxy that reconnects receives the newest table first, and so stops sending
+// to draining servers. The cost is that proxies which are merely slow to acknowledge have to reconnect.
 func (f *Fleet) DisconnectReason(now float64, proxy *Proxy) string {
 	if reason := f.Noncompliance(proxy); reason != "" {
 		return reason
@@ -20,7 +20,8 @@
 	return ""
 }
 
-// DrainOverdue tells why a proxy must be disconnected for a drain that has waited for it too long; empty if none has.
+// DrainOverdue returns why a proxy must be disconnected because of a drain that has waited too long for it, or "" if
+// there is no such drain.
 func (f *Fleet) DrainOverdue(now float64, proxy *Proxy) string {
 	limit := f.site.Limits.DrainFraction * f.site.Guarantees.DrainDeadline
 	if !proxy.Joined || !proxy.urgent || f.site.DisabledGuards[GuardOverdue] || now-proxy.urgentSince <= limit {
@@ -30,8 +31,8 @@
 	return "a drain has waited for most of its deadline"
 }
 
-// Noncompliance tells why a proxy must be disconnected for load reports that show attempts at a server removed from its
-// tables; empty if there are none.
+// Noncompliance returns why a proxy must be disconnected because its load reports show attempts at a server that was
+// removed from its tables, or "" if there are none.
 func (f *Fleet) Noncompliance(proxy *Proxy) string {
 	if !proxy.Joined || proxy.noncompliantWith == "" {
 		return ""
@@ -40,5 +41,5 @@
 	return "load reports show attempts at " + string(proxy.noncompliantWith) + " after its removal"
 }
 
-// HasUrgentChange tells whether an urgent change, such as a drain, waits for a proxy.
+// HasUrgentChange reports whether an urgent change, such as a drain, is pending for a proxy.
 func (f *Fleet) HasUrgentChange(proxy *Proxy) bool { return proxy.urgent }
--- a/internal/core/controlplane/drains.go
+++ b/internal/core/controlplane/drains.go
@@ -5,19 +5,19 @@
 	"snowquay/internal/core/tables"
 )
 
-const maxPendingUIDs = 20 // in one DrainProgress
+const maxPendingUIDs = 20 // listed in one DrainProgress
 
-// DrainProgress tells how far a drain has got.
+// DrainProgress is the progress of a drain among the joined proxies.
 type DrainProgress struct {
 	Phase      balancer.Phase
 	NotifiedAt float64  // when the drain was ordered, in seconds; 0 if the server is ready
-	Joined     int      // proxies that are joined
-	Updated    int      // of these, those known to hold tables without the server
-	Pending    []string // UIDs of the first few of the others
+	Joined     int      // number of joined proxies
+	Updated    int      // number of joined proxies known to hold tables without the server
+	Pending    []string // UIDs of the joined proxies not yet updated, at most maxPendingUIDs
 }
 
-// DrainProgress tells how far the drain of a server has got; ok is false if the server is unknown. When Updated reaches
-// Joined, none of this coordinator's proxies sends to the server any more.
+// DrainProgress returns the progress of a server's drain; ok is false if the server is unknown. Once Updated equals
+// Joined, no proxy of this coordinator sends to the server any more.
 func (f *Fleet) DrainProgress(server balancer.Server) (progress DrainProgress, ok bool) {
 	if _, ok := f.Registry.Find(server); !ok {
 		return DrainProgress{}, false
@@ -40,7 +40,7 @@
 	return progress, true
 }
 
-// holdsNoEntry tells whether a proxy is known to hold no entry of a server for any class.
+// holdsNoEntry reports whether a proxy is known to hold no entry of a server for any class.
 func (f *Fleet) holdsNoEntry(proxy *Proxy, server balancer.Server) bool {
 	for class := range proxy.Tables {
 		state := &proxy.Tables[class]
@@ -55,7 +55,7 @@
 	return true
 }
 
-// lastChange is the version in which a server's entry last changed; 0 if it has none and no removal is remembered.
+// lastChange returns the version in which a server's entry last changed; 0 if it has none and no removal is remembered.
 func (t *desiredTable) lastChange(server balancer.Server) tables.Version {
 	for entry := range t.ChangedSince(0) {
 		if entry.Server == server {
--- a/internal/core/controlplane/metrics.go
+++ b/internal/core/controlplane/metrics.go
@@ -7,24 +7,24 @@
 	"snowquay/internal/core/loadreport"
 )
 
-// Scopes of metrics, the first part of their paths.
+// Scopes of metrics: the first part of their paths.
 const (
 	scopeServers = "servers"
 	scopeClasses = "classes"
 	scopeFleet   = "fleet"
 )
 
-// Metric is one value of a fleet, for monitoring.
+// Metric is a value exported for monitoring.
 type Metric struct {
 	Scope      string // "servers", "classes" or "fleet"
-	Name       string // of the server or class
+	Name       string // name of the server or class; empty for the scope "fleet"
 	Quantity   string
-	Class      string // of a weight
-	Cumulative bool   // a total since the coordinator's start
+	Class      string // request class of a weight; otherwise empty
+	Cumulative bool   // whether Value is a total since the start of the coordinator
 	Value      float64
 }
 
-// Path is the name of the metric, in parts.
+// Path returns the components of the metric's name.
 func (m Metric) Path() []string {
 	parts := []string{m.Scope}
 	if m.Name != "" {
@@ -37,13 +37,13 @@
 	return parts
 }
 
-// trafficTotals is what proxies have reported since the coordinator's start.
+// trafficTotals accumulates the load reports of proxies since the start of the coordinator.
 type trafficTotals struct {
 	servers map[balancer.Server]*loadreport.Totals
-	classes []loadreport.Totals
+	classes []loadreport.Totals // by class
 }
 
-// countTraffic adds the reports of one period to the totals.
+// countTraffic adds the load reports of one reporting period to the totals.
 func (f *Fleet) countTraffic(upstreams []balancer.UpstreamReport, demands []balancer.DemandReport) {
 	if f.traffic.servers == nil {
 		f.traffic = trafficTotals{
@@ -65,8 +65,8 @@
 	}
 }
 
-// serverTotals finds the totals of a server, and makes them if there are none. At the limit, those of servers that are
-// gone are dropped.
+// serverTotals returns the totals of a server, and creates them if there are none. If the limit is reached, the totals of
+// servers that are no longer known are dropped.
 func (f *Fleet) serverTotals(server balancer.Server) *loadreport.Totals {
 	totals := f.traffic.servers[server]
 	if totals != nil {
@@ -84,8 +84,8 @@
 	return totals
 }
 
-// Metrics lists the present values, in an order that is the same in every run. A server's weight for a class is the mean
-// over the joined proxies of the weights in their tables.
+// Metrics returns the current values in a deterministic order. A server's weight for a class is the mean of its weights
+// in the tables of all joined proxies.
 func (f *Fleet) Metrics(now float64) (metrics []Metric) {
 	usage := f.tableUsage()
 	for _, server := range f.Registry.Servers() {
@@ -107,7 +107,7 @@
 	proxies float64
 }
 
-// tableUsage is, for each class, the tables that joined proxies use.
+// tableUsage returns, by class, the tables in use by joined proxies.
 func (f *Fleet) tableUsage() [][]usedTable {
 	usage := make([][]usedTable, len(f.site.Classes))
 	for assigned := range f.assignments() {
@@ -142,7 +142,7 @@
 		Metric{Scope: scopeServers, Name: name, Quantity: "seconds", Value: totals.Seconds, Cumulative: true})
 }
 
-// weightMetrics are a server's mean weights for all classes that have a table in use.
+// weightMetrics returns a server's mean weight for each class that has a table in use.
 func (f *Fleet) weightMetrics(server balancer.Server, usage [][]usedTable) (metrics []Metric) {
 	for class, used := range usage {
 		sum := 0.0
--- a/internal/core/controlplane/metrics_test.go
+++ b/internal/core/controlplane/metrics_test.go
@@ -8,8 +8,8 @@
 	"snowquay/internal/core/loadreport"
 )
 
-// Metrics say of each server whether it serves, and its mean weight over the tables that joined proxies use. Totals grow
-// with reports.
+// Metrics report for each server whether it serves and its mean weight in the tables of joined proxies. Totals accumulate
+// the load reports.
 func TestMetrics(t *testing.T) {
 	f, now := startFleet(t, 3, 2)
 	f.Registry.SetDrain(now, serverName(2), true)
@@ -43,6 +43,6 @@
 		}
 	}
 	if got[reported+" weight search"] <= 0 {
-		t.Error("a server that serves has no weight")
+		t.Error("a ready server has no weight")
 	}
 }
--- a/internal/core/controlplane/preview.go
+++ b/internal/core/controlplane/preview.go
@@ -7,29 +7,30 @@
 	"snowquay/internal/core/tablecheck"
 )
 
-// Preview tells what would be wrong if some servers were drained now; nothing if they may be. It assumes that each proxy
-// holds either its present tables or those without the servers. Where capacities are configured, the remaining servers
-// must also bear the load once the drained ones are removed. With loseZone, they must do so with any one zone lost.
-func (f *Fleet) Preview(now float64, drain []balancer.Server, loseZone bool) []tablecheck.Finding {
-	findings := f.snapshot(now, drain, balancer.Draining, loseZone).Check()
+// Preview returns the rule violations that draining some servers now would cause, or none if they may be drained. It
+// assumes that each proxy holds either its current tables or those without the drained servers. If capacities are
+// configured, the remaining servers must also carry the load once the drained ones are removed. If zoneLoss is true, all
+// of this must also hold with any one zone lost.
+func (f *Fleet) Preview(now float64, drain []balancer.Server, zoneLoss bool) []tablecheck.Finding {
+	findings := f.snapshot(now, drain, balancer.Draining, zoneLoss).Check()
 	if len(findings) == 0 && len(f.site.ServerCapacities) > 0 {
-		findings = f.snapshot(now, drain, balancer.Removed, loseZone).Check()
+		findings = f.snapshot(now, drain, balancer.Removed, zoneLoss).Check()
 	}
 	return findings
 }
 
-// tablePreview is a table in the two states that a proxy may hold.
+// tablePreview holds the two states of a table that a proxy may use during a drain.
 type tablePreview struct {
-	present  *tablecheck.Table
-	proposed *tablecheck.Table // without servers that are not ready
+	current  *tablecheck.Table
+	proposed *tablecheck.Table // without the servers that are not ready
 }
 
-// snapshot is the site with some servers in another phase, for tablecheck.
-func (f *Fleet) snapshot(now float64, drain []balancer.Server, phase balancer.Phase, loseZone bool) *tablecheck.Snapshot {
+// snapshot returns the site for validation by tablecheck, with the servers to drain in the given phase.
+func (f *Fleet) snapshot(now float64, drain []balancer.Server, phase balancer.Phase, zoneLoss bool) *tablecheck.Snapshot {
 	snapshot := &tablecheck.Snapshot{
 		Servers:        f.previewServers(now, drain, phase),
 		WarmupFraction: f.site.Guarantees.WarmupStartFraction,
-		CheckZoneLoss:  loseZone,
+		CheckZoneLoss:  zoneLoss,
 	}
 	previews := map[*desiredTable]*tablePreview{} // proxies that share a table share its preview
 	for assigned := range f.assignments() {
@@ -39,8 +40,8 @@
 			previews[assigned.table] = preview
 		}
 		possible := []*tablecheck.Table{preview.proposed}
-		if phase != balancer.Removed { // by the time of the removal, all proxies have followed
-			possible = append(possible, preview.present)
+		if phase != balancer.Removed { // all proxies have applied the drain by the time of the removal
+			possible = append(possible, preview.current)
 		}
 		snapshot.Proxies = append(snapshot.Proxies, tablecheck.Proxy{
 			UID:    assigned.proxy.UID,
@@ -52,7 +53,7 @@
 	return snapshot
 }
 
-// previewServers are all servers, those that are ready and to be drained in the given phase.
+// previewServers returns all servers. Ready servers that are to be drained are in the given phase.
 func (f *Fleet) previewServers(now float64, drain []balancer.Server,
 	phase balancer.Phase) map[balancer.Server]tablecheck.Server {
 	servers := map[balancer.Server]tablecheck.Server{}
@@ -76,19 +77,19 @@
 }
 
 func previewTable(table *desiredTable, servers map[balancer.Server]tablecheck.Server) *tablePreview {
-	present := map[balancer.Server]float64{}
+	current := map[balancer.Server]float64{}
 	proposed := map[balancer.Server]float64{}
 	for entry := range table.ChangedSince(0) {
 		if entry.Weight == 0 {
 			continue
 		}
-		present[entry.Server] = entry.Weight
+		current[entry.Server] = entry.Weight
 		if servers[entry.Server].Phase == balancer.Ready {
 			proposed[entry.Server] = entry.Weight
 		}
 	}
 	return &tablePreview{
-		present:  &tablecheck.Table{Weights: present},
+		current:  &tablecheck.Table{Weights: current},
 		proposed: &tablecheck.Table{Weights: proposed},
 	}
 }
--- a/internal/core/controlplane/proxies.go
+++ b/internal/core/controlplane/proxies.go
@@ -14,69 +14,69 @@
 )
 
 var (
-	// ErrUnlistedProxy says that the settings do not list a proxy and admit listed ones only.
+	// ErrUnlistedProxy reports that the settings neither list a proxy nor admit it unlisted.
 	ErrUnlistedProxy = errors.New("proxy is not listed in the settings")
-	// ErrTooManyProxies says that as many proxies are known as the limits allow.
+	// ErrTooManyProxies reports that the limit of known proxies is reached.
 	ErrTooManyProxies = errors.New("too many proxies")
-	// ErrJoinRateExceeded says that a proxy joins more often than one that only reconnects after failures.
+	// ErrJoinRateExceeded reports that a proxy joins more often than reconnections after failures explain.
 	ErrJoinRateExceeded = errors.New("proxy joins too often")
 )
 
 const (
-	joinBurst      = 5.0 // joins of one proxy at once
-	joinsPerSecond = 1.0 // of one proxy, which dials at most once a second
+	joinBurst      = 5.0 // joins that one proxy may make in a burst
+	joinsPerSecond = 1.0 // sustained join rate of one proxy, which dials at most once per second
 )
 
-// TableState is what is known of a proxy's copy of the table of one request class. The wanted version is that of the
-// table itself, see Fleet.wantedVersion.
+// TableState is the known state of a proxy's copy of the table of one request class. The wanted version is the version
+// of the table itself, see Fleet.wantedVersion.
 type TableState struct {
 	Table        balancer.Table // the table that the class is assigned
-	Assigned     bool           // the decision module has assigned a table
-	NeedsFull    bool           // the proxy needs the whole table: no version that it holds is known
-	Stale        bool           // the proxy may still hold entries of another table
+	Assigned     bool           // whether the decision module has assigned a table
+	NeedsFull    bool           // the proxy needs the whole table, since it holds no known version
+	Stale        bool           // the proxy may still hold entries of a previously assigned table
 	SentVersion  tables.Version // newest version sent
 	AckedVersion tables.Version // newest version that the proxy is known to hold
 }
 
-// Proxy is a proxy that is joined, or has left so recently that its ID is still reserved.
+// Proxy is the state of a proxy that is joined, or that left so recently that its ID is still reserved.
 type Proxy struct {
 	ID                balancer.Proxy
 	UID               string
 	Zone              balancer.Zone
 	ExpectedRate      float64 // requests per second
 	Joined            bool
-	Polls             bool         // it fetches its tables by long polls; nothing is pushed to it
-	SupportsAdmission bool         // its frontend can send admission rates and retry policies
+	Polls             bool         // the proxy fetches its tables by long polls; nothing is pushed to it
+	SupportsAdmission bool         // the frontend can send admission rates and retry policies
 	Tables            []TableState // by class
 
 	frontend   Frontend
 	leftAt     float64
 	joinTokens tokenBucket
 
-	// The message in flight. An update is built from the wanted state when it is sent, so none is queued here.
+	// The message in flight. A message is built from the wanted state when it is sent, so no messages are queued here.
 	inFlight      bool
 	inFlightSince float64
-	inFlightAcks  []ackRequest // answered when the message is acknowledged
-	queuedAcks    []ackRequest // to go with the next message
-	urgentOnly    bool         // the next message brings it to the last urgent changes only
-	urgent        bool         // an urgent change is in flight or waits
+	inFlightAcks  []ackRequest // answered once the message is acknowledged
+	queuedAcks    []ackRequest // sent with the next message
+	urgentOnly    bool         // the next message contains changes up to the last urgent one only
+	urgent        bool         // an urgent change is pending or in flight
 	urgentSince   float64
 	trace         MessageTrace
-	followUpTrace MessageTrace // of the message that follows one with urgent changes only
+	followUpTrace MessageTrace // trace of the message that follows an urgent-only one
 
-	// Whether the proxy applies what it acknowledges.
-	clockOffset      float64 // least difference seen between our clock and the time of a report
+	// State for checking whether the proxy applies what it acknowledges.
+	clockOffset      float64 // smallest difference seen between our clock and the timestamp of a report
 	deliveries       deliveryLog
-	noncompliantWith balancer.Server // its reports show attempts there after it was told of the removal
+	noncompliantWith balancer.Server // server with reported attempts after its acknowledged removal; empty if none
 }
 
-// tokenBucket limits how often something happens.
+// tokenBucket is a token bucket rate limiter.
 type tokenBucket struct {
 	tokens float64
-	at     float64 // of the last refill; 0: never
+	at     float64 // time of the last refill; 0 if never refilled
 }
 
-// take takes a token if there is one. The bucket starts full.
+// take removes a token and reports whether one was available. The bucket starts full.
 func (b *tokenBucket) take(now, rate, burst float64) bool {
 	if b.at == 0 {
 		b.tokens = burst
@@ -90,22 +90,22 @@
 	return true
 }
 
-// InFlight tells whether a message to the proxy is not yet acknowledged.
+// InFlight reports whether a message to the proxy is awaiting acknowledgement.
 func (p *Proxy) InFlight() bool { return p.inFlight }
 
-// FindProxy finds a proxy that is joined or still known by its UID; nil if there is none.
+// FindProxy looks up a known proxy by its UID, whether joined or not. It returns nil if there is none.
 func (f *Fleet) FindProxy(uid string) *Proxy { return f.proxiesByUID[uid] }
 
-// Listed tells whether the settings allow a proxy to join.
+// Listed reports whether the settings allow a proxy to join.
 func (f *Fleet) Listed(uid string) bool {
 	_, ok := f.listedProxies[uid]
 	return ok || f.site.AllowUnlisted && strings.HasPrefix(uid, f.site.UIDPrefix)
 }
 
-// Join adds a proxy that has connected through a frontend, which delivers its tables from now on. The flag fresh says
-// that the proxy holds its default table only. A proxy that is joined already moves to the new frontend, and the old
-// one is told so by Displaced. The errors are ErrWrongCoordinator, ErrUnlistedProxy, ErrTooManyProxies and
-// ErrJoinRateExceeded.
+// Join adds a proxy that has connected through a frontend, which delivers its tables from now on. The flag fresh
+// indicates that the proxy holds only its default table. If the proxy is already joined, it moves to the new frontend,
+// and Displaced is called on the previous one. The error wraps ErrWrongCoordinator, ErrUnlistedProxy, ErrTooManyProxies
+// or ErrJoinRateExceeded.
 func (f *Fleet) Join(now float64, uid string, frontend Frontend, fresh bool) (*Proxy, error) {
 	if !f.owns(now, uid) {
 		if f.owner.onRedirect != nil && f.Listed(uid) {
@@ -147,7 +147,7 @@
 	return proxy, nil
 }
 
-// addProxy makes the entry of a proxy that is not known yet.
+// addProxy adds a proxy that is not known yet.
 func (f *Fleet) addProxy(now float64, uid string) (*Proxy, error) {
 	if !f.Listed(uid) {
 		return nil, fmt.Errorf("%w: %q", ErrUnlistedProxy, uid)
@@ -174,7 +174,7 @@
 	return proxy, nil
 }
 
-// allocateProxyID reuses IDs, since the decision module wants them dense.
+// allocateProxyID returns a free ID. It reuses IDs, since the decision module requires them to be dense.
 func (f *Fleet) allocateProxyID() balancer.Proxy {
 	if n := len(f.freeProxyIDs); n > 0 {
 		id := f.freeProxyIDs[n-1]
@@ -186,9 +186,9 @@
 	return id
 }
 
-// allowJoin limits how often one proxy joins. Otherwise a proxy whose connection breaks all the time, or two with one
-// UID, would be sent whole tables each time and leave the channel no capacity for the drains of others. A proxy that is
-// refused keeps its tables and dials again.
+// allowJoin limits how often one proxy joins. Otherwise a proxy whose connection breaks repeatedly, or two proxies with
+// the same UID, would be sent whole tables at every join and leave no channel capacity for drains to other proxies. A
+// proxy that is refused keeps its tables and dials again.
 func (f *Fleet) allowJoin(now float64, proxy *Proxy) bool {
 	if f.site.DisabledGuards[GuardJoinRate] {
 		return true
@@ -200,8 +200,9 @@
 	return true
 }
 
-// Disconnect says that a proxy's connection ended. The message in flight is taken as lost, and what the proxy holds as
-// unknown, since it may come back after a restart. The cost is a full table for each reconnection.
+// Disconnect records that a proxy's connection ended. The message in flight is considered lost, and the tables that the
+// proxy holds are considered unknown, since it may have restarted when it returns. The cost is a full table for each
+// reconnection.
 func (f *Fleet) Disconnect(now float64, proxy *Proxy) {
 	if !proxy.Joined {
 		return
@@ -227,7 +228,7 @@
 	f.pendingEvents.ProxyEvents = append(f.pendingEvents.ProxyEvents, balancer.ProxyEvent{Proxy: proxy.ID})
 }
 
-// unassign removes one class of a proxy from the users of its table.
+// unassign removes a class of a proxy from the users of its assigned table.
 func (f *Fleet) unassign(proxy *Proxy, state *TableState) {
 	if !state.Assigned {
 		return
@@ -242,8 +243,8 @@
 	}
 }
 
-// forgetExpired forgets proxies that left long ago and frees their IDs. It waits while the decision module has not yet
-// been told who left.
+// forgetExpired forgets proxies that left longer ago than the retention time, and frees their IDs. It does nothing while
+// proxy events wait for the next round: the decision module may not know yet which proxies have left.
 func (f *Fleet) forgetExpired(now float64) {
 	for id, proxy := range f.proxies {
 		if !proxy.Joined && now-proxy.leftAt > f.site.Limits.ProxyRetention && len(f.pendingEvents.ProxyEvents) == 0 {
@@ -256,14 +257,14 @@
 	slices.Sort(f.freeProxyIDs)
 }
 
-// assignment is a joined proxy's class with the table that it is assigned.
+// assignment is a class of a joined proxy with its assigned table.
 type assignment struct {
 	proxy *Proxy
 	class balancer.Class
 	table *desiredTable
 }
 
-// assignments yields the assigned classes of all joined proxies, in the order of IDs and classes.
+// assignments yields the assigned classes of all joined proxies, ordered by proxy ID and class.
 func (f *Fleet) assignments() iter.Seq[assignment] {
 	return func(yield func(assignment) bool) {
 		for _, proxy := range f.sortedProxies() {
@@ -283,12 +284,12 @@
 	}
 }
 
-// wantedVersion is the version of the assigned table that the decision module wants a proxy to hold.
+// wantedVersion returns the version of the assigned table that the decision module wants a proxy to hold.
 func (f *Fleet) wantedVersion(state *TableState) tables.Version {
 	return f.tables[state.Table].Version()
 }
 
-// sortedProxies are all known proxies by ID.
+// sortedProxies returns all known proxies, ordered by ID.
 func (f *Fleet) sortedProxies() []*Proxy {
 	all := make([]*Proxy, 0, len(f.proxies))
 	for _, proxy := range f.proxies {
--- a/internal/core/controlplane/proxies_test.go
+++ b/internal/core/controlplane/proxies_test.go
@@ -9,7 +9,7 @@
 func TestJoinRejectsUnlistedProxies(t *testing.T) {
 	f := newFleet(t, testSite(3, 2), nil)
 	if _, err := f.Join(1000, "x", nil, true); !errors.Is(err, ErrUnlistedProxy) {
-		t.Errorf("an unlisted proxy: %v", err)
+		t.Errorf("join of an unlisted proxy: %v, want ErrUnlistedProxy", err)
 	}
 }
 
@@ -22,7 +22,7 @@
 	for i := range 4 {
 		proxy, err := f.Join(1000, fmt.Sprint("x", i), nil, true)
 		if (i == 3) != errors.Is(err, ErrTooManyProxies) {
-			t.Errorf("proxy %d: %v", i, err)
+			t.Errorf("join of proxy %d: %v", i, err)
 		}
 		if err == nil {
 			last = proxy
@@ -31,14 +31,14 @@
 	f.Disconnect(1001, last)
 	f.RunRound(1001)
 	if _, err := f.Join(1003, "y", nil, true); !errors.Is(err, ErrTooManyProxies) {
-		t.Errorf("an ID was reused too early: %v", err)
+		t.Errorf("join within the retention time of another proxy: %v, want ErrTooManyProxies", err)
 	}
 	if proxy, err := f.Join(1007, "y", nil, true); err != nil || proxy.ID != last.ID {
-		t.Errorf("%v; IDs stay dense", err)
+		t.Errorf("the ID of a forgotten proxy was not reused; error: %v", err)
 	}
 }
 
-// A proxy that joins again and again is refused after a while; one that does so once a second is not.
+// A proxy that joins in rapid succession is refused after a burst; one that joins once per second is not.
 func TestJoinRateIsLimited(t *testing.T) {
 	f, now := startFleet(t, 4, 2)
 	frontend := &countingFrontend{fleet: f}
@@ -51,29 +51,30 @@
 		}
 	}
 	if refused < 40 || f.Stats.JoinsThrottled != refused {
-		t.Errorf("%d of 50 joins within a second are refused", refused)
+		t.Errorf("%d of 50 joins within a second were refused, want at least 40", refused)
 	}
 	for range 20 {
 		now += 1.01
 		join(t, f, now, "r0", frontend)
 	}
 	if proxy := f.FindProxy("r0"); !proxy.Joined {
-		t.Error("it is not joined")
+		t.Error("the proxy is not joined")
 	}
 }
 
-// With ownership set, a fleet admits, sends to and keeps only the proxies that it owns at the moment that it asks.
+// With ownership set, a fleet admits, sends to and retains only the proxies that it owns at that moment. Otherwise it
+// could send a message after its lease has ended.
 func TestOwnershipIsCheckedBeforeEveryMessage(t *testing.T) {
 	f := newFleet(t, testSite(3, 2), nil)
 	owned := map[string]bool{"r0": true}
 	f.SetOwnership(func(_ float64, uid string) bool { return owned[uid] }, func() uint64 { return 7 }, nil)
 	frontend := &countingFrontend{fleet: f}
 	if _, err := f.Join(1000, "r1", frontend, true); !errors.Is(err, ErrWrongCoordinator) {
-		t.Errorf("another coordinator's proxy: %v", err)
+		t.Errorf("join of another coordinator's proxy: %v, want ErrWrongCoordinator", err)
 	}
 	join(t, f, 1000, "r0", frontend)
 	f.RunRound(1000.1)
-	owned["r0"] = false // the lease ends between the decision and its sending
+	owned["r0"] = false // the lease ends between the decision and the sending of the message
 	f.SendDue(1000.2)
 	if frontend.delivered != 0 || frontend.displaced != 1 || f.Joined() != 0 || f.Stats.Evicted != 1 {
 		t.Errorf("%d delivered, %d displaced, %d joined", frontend.delivered, frontend.displaced, f.Joined())
--- a/internal/core/controlplane/publish.go
+++ b/internal/core/controlplane/publish.go
@@ -9,7 +9,7 @@
 	"snowquay/internal/core/pacing"
 )
 
-// publishChanges queues an update for every proxy whose tables changed in this round.
+// publishChanges queues an update for every proxy whose tables changed in the current round.
 func (f *Fleet) publishChanges(now float64) {
 	slices.SortFunc(f.changedTables, func(a, b *desiredTable) int { return cmp.Compare(a.id, b.id) })
 	for _, table := range f.changedTables {
@@ -30,7 +30,7 @@
 	f.changedTables = f.changedTables[:0]
 }
 
-// publishTo queues a table's changes of this round for one proxy.
+// publishTo queues a table's changes of the current round for one proxy.
 func (f *Fleet) publishTo(now float64, proxy *Proxy, table *desiredTable, priority pacing.Priority) {
 	if proxy.trace.DecidedAt == 0 || !proxy.inFlight {
 		proxy.trace = f.roundTrace
@@ -39,7 +39,7 @@
 		proxy.urgent = true
 		proxy.urgentSince = now
 	}
-	entries := table.changedEntries * float64(table.classesByProxy[proxy.ID]) // once for each class
+	entries := table.changedEntries * float64(table.classesByProxy[proxy.ID]) // each entry is sent once per class
 	if proxy.SupportsAdmission {
 		entries += table.changedAdmissions
 	}
@@ -48,9 +48,9 @@
 	}
 }
 
-// keepLastReadyServers restores the removed entries of a table that would be left without a server that is ready and
-// warmed up, though the removed ones still are. No decision, whatever its reason, may leave proxies without a server.
-// The cost is that a proxy goes on sending to a server that may fail all requests.
+// keepLastReadyServers restores the entries removed from a table if the table would be left without a server that is
+// ready and warmed up, while the removed ones still are. No decision, whatever its reason, may leave proxies without a
+// server. The cost is that proxies continue sending to servers that may fail all requests.
 func (f *Fleet) keepLastReadyServers(now float64, table *desiredTable) {
 	removed := table.removedReady
 	table.removedReady = table.removedReady[:0]
@@ -70,18 +70,18 @@
 	}
 }
 
-// enqueue adds entries to what waits for a proxy.
+// enqueue adds entries to those queued for a proxy.
 func (f *Fleet) enqueue(now float64, proxy *Proxy, entries float64, priority pacing.Priority) {
 	if proxy.inFlight {
 		f.sendQueue.Suspend(proxy.ID)
 	}
-	// An entry that changes several times while its proxy waits is sent once, so it counts once.
+	// An entry that changes several times while the proxy is queued is sent once, so it counts once.
 	capacity := max(f.maxMessageEntries(proxy)-f.sendQueue.QueuedEntries(proxy.ID), 0)
 	f.sendQueue.Add(now, proxy.ID, min(entries, capacity), priority)
 }
 
-// maxMessageEntries is how many entries a message to a proxy can have: those of its tables, those removed from them, and
-// one for the message.
+// maxMessageEntries returns the maximum size of a message to a proxy: the entries of its tables, those removed from
+// them, and one for the message itself.
 func (f *Fleet) maxMessageEntries(proxy *Proxy) float64 {
 	entries := 0.0
 	for class := range proxy.Tables {
--- a/internal/core/controlplane/reconfigure.go
+++ b/internal/core/controlplane/reconfigure.go
@@ -9,24 +9,24 @@
 	"snowquay/internal/core/registry"
 )
 
-// Revision is the difference between two sites: whether a running coordinator can change from one to the other, and which
-// servers and proxies that concerns.
+// Revision is the difference between two sites. It states whether a running coordinator can change from one to the
+// other, and which servers and proxies are affected.
 type Revision struct {
-	RestartReason string            // the part of the settings that needs a restart; empty if none does
-	Removed       []balancer.Server // no longer listed
+	RestartReason string            // part of the settings whose change requires a restart; empty if none does
+	Removed       []balancer.Server // servers no longer listed
 	Added         []balancer.Server
-	Changed       []balancer.Server // with another zone, weight or other configuration
-	Evicted       []string          // UIDs of proxies no longer listed, or listed with another configuration
-	NewlyListed   []string          // UIDs of proxies newly listed
+	Changed       []balancer.Server // servers with a changed zone, weight or other configuration
+	Evicted       []string          // UIDs of proxies no longer listed, or listed with a changed configuration
+	NewlyListed   []string          // UIDs of newly listed proxies
 }
 
-// Empty tells whether the sites do not differ.
+// Empty reports whether the revision contains no difference.
 func (r Revision) Empty() bool {
 	return r.RestartReason == "" && len(r.Removed)+len(r.Added)+len(r.Changed)+len(r.Evicted)+len(r.NewlyListed) == 0
 }
 
-// CompareSites tells what changes from one site to the other. Servers and proxies may change at run time. What the
-// decision module is given at its start needs a restart.
+// CompareSites returns the changes from one site to another. Servers and proxies may change at run time. A change of the
+// settings that the decision module receives at startup requires a restart.
 func CompareSites(old, next *Site) Revision {
 	reason := restartReason(old, next)
 	if reason != "" {
@@ -43,7 +43,7 @@
 	}
 }
 
-// restartReason names the first part of the settings that differs and can't be changed at run time; empty if none does.
+// restartReason names the first changed part of the settings that requires a restart; empty if there is none.
 func restartReason(old, next *Site) string {
 	sameClasses := slices.Equal(old.ClassNames, next.ClassNames) &&
 		slices.EqualFunc(old.Classes, next.Classes, equalClasses) &&
@@ -84,7 +84,7 @@
 		a.Writes == b.Writes
 }
 
-// listChanges is the difference between two lists, by the keys of their elements.
+// listChanges holds the keys of the elements that differ between two lists.
 type listChanges[K cmp.Ordered] struct {
 	added   []K // in the order of the new list
 	changed []K // in the order of the new list
@@ -114,9 +114,9 @@
 	return changes
 }
 
-// Reconfigure changes to another site. If that needs a restart, or has more servers than the limit (registry.ErrFull),
-// nothing changes. Proxies that are no longer listed, or listed with another configuration, are evicted; those that are
-// listed come back.
+// Reconfigure switches to another site. It changes nothing and returns an error if the change requires a restart, or if
+// the servers exceed the limit (registry.ErrFull). Proxies that are no longer listed, or listed with a changed
+// configuration, are evicted; those that are still listed can join again.
 func (f *Fleet) Reconfigure(now float64, next Site) (Revision, error) {
 	revision := CompareSites(&f.site, &next)
 	if revision.RestartReason != "" {
@@ -125,7 +125,7 @@
 	if known := f.Registry.Len(); known+len(revision.Added) > f.site.Limits.MaxServers+len(revision.Removed) {
 		return revision, fmt.Errorf("%w: %d servers are known, %d are added", registry.ErrFull, known, len(revision.Added))
 	}
-	if !f.Registry.HasRoom(now, serversOf(next.Servers)) { // what must be remembered of removed servers takes space too
+	if !f.Registry.HasRoom(now, serversOf(next.Servers)) { // removed servers that must be remembered count too
 		return revision, fmt.Errorf("%w: %d servers are added", registry.ErrFull, len(revision.Added))
 	}
 	for _, server := range revision.Removed {
--- a/internal/core/controlplane/reconfigure_test.go
+++ b/internal/core/controlplane/reconfigure_test.go
@@ -10,8 +10,8 @@
 	"snowquay/internal/core/registry"
 )
 
-// changedSite is a site that differs from that of startFleet(t, 4, 3): a server is added, one removed and one moved, a
-// proxy is added and one removed.
+// changedSite returns a site that differs from that of startFleet(t, 4, 3): one server is added, one is removed and one
+// is in another zone; one proxy is added and one is removed.
 func changedSite() Site {
 	site := testSite(4, 4)
 	site.DataPlane.Proxies = 3
@@ -22,7 +22,7 @@
 	return site
 }
 
-// reconfigure starts a fleet and changes it to changedSite.
+// reconfigure starts a fleet and reconfigures it to changedSite.
 func reconfigure(t *testing.T) (f *Fleet, now float64) {
 	t.Helper()
 	f, now = startFleet(t, 4, 3)
@@ -37,10 +37,10 @@
 		NewlyListed: []string{"r3"},
 	}
 	if err != nil || !reflect.DeepEqual(got, want) {
-		t.Fatalf("%+v, %v, want %+v", got, err, want)
+		t.Fatalf("revision %+v, error %v, want %+v", got, err, want)
 	}
 	if evicted.displaced != 1 || f.Listed("r0") || !f.Listed("r3") || f.Joined() != 2 {
-		t.Error("proxies are not as listed")
+		t.Error("the joined and listed proxies do not match the new site")
 	}
 	for end := now + 6; now < end; now += 0.05 {
 		step(f, now)
@@ -52,15 +52,15 @@
 	f, _ := reconfigure(t)
 	for _, table := range f.tables {
 		if table.Weight(serverName(1)) != 0 || table.Weight(serverName(9)) == 0 {
-			t.Errorf("weights %v and %v", table.Weight(serverName(1)), table.Weight(serverName(9)))
+			t.Errorf("weight %v of the removed server, %v of the added one", table.Weight(serverName(1)), table.Weight(serverName(9)))
 		}
 	}
 	if _, known := f.Registry.Find(serverName(1)); known || !slices.Contains(f.Registry.KnownServers(), serverName(1)) {
-		t.Error("a server that is no longer listed is known, or can't be removed from tables")
+		t.Error("an unlisted server is still found, or is missing in KnownServers")
 	}
 	next := changedSite()
 	if revision := CompareSites(f.Site(), &next); !revision.Empty() {
-		t.Errorf("%+v is left to do", revision)
+		t.Errorf("differences remain after reconfiguration: %+v", revision)
 	}
 }
 
@@ -69,23 +69,24 @@
 	other := changedSite()
 	other.Guarantees.DrainDeadline++
 	if revision, err := f.Reconfigure(now, other); err == nil || revision.RestartReason != "rules" {
-		t.Errorf("%+v, %v", revision, err)
+		t.Errorf("revision %+v, error %v", revision, err)
 	}
 }
 
 func TestReconfigureRejectsTooManyServers(t *testing.T) {
 	f, now := reconfigure(t)
 	f.site.Limits.MaxServers = 6
-	crowded := testSite(12, 4)
-	crowded.DataPlane.Proxies = 3
-	crowded.Limits.MaxServers = 6
-	crowded.Proxies = changedSite().Proxies
-	if _, err := f.Reconfigure(now, crowded); !errors.Is(err, registry.ErrFull) || f.Joined() != 2 {
+	oversized := testSite(12, 4)
+	oversized.DataPlane.Proxies = 3
+	oversized.Limits.MaxServers = 6
+	oversized.Proxies = changedSite().Proxies
+	if _, err := f.Reconfigure(now, oversized); !errors.Is(err, registry.ErrFull) || f.Joined() != 2 {
 		t.Error(err)
 	}
 }
 
-// A server that is removed still takes its place in the registry. Where there is no room for another one nothing is changed, the removal neither.
+// A removed server still occupies an entry in the registry. If the registry has no room for an added server, nothing is
+// changed, not even the removal.
 func TestReconfigureWithoutRoomChangesNothing(t *testing.T) {
 	site := testSite(4, 3)
 	site.Limits.MaxServers = 4
@@ -100,10 +101,10 @@
 	}
 	for i := range 4 {
 		if phase, _ := f.Registry.Phase(serverName(i)); phase != balancer.Ready {
-			t.Errorf("%s is out of service", serverName(i))
+			t.Errorf("%s is not ready", serverName(i))
 		}
 	}
 	if record, _ := f.Registry.Find(serverName(0)); record.Zone != 0 {
-		t.Errorf("%s has moved to zone %d", serverName(0), record.Zone)
+		t.Errorf("the zone of %s has changed to %d", serverName(0), record.Zone)
 	}
 }
--- a/internal/core/controlplane/reports.go
+++ b/internal/core/controlplane/reports.go
@@ -5,19 +5,20 @@
 	"snowquay/internal/core/loadreport"
 )
 
-// maxDeliveries is how many messages to a proxy are remembered: at one per second, longer than any drain deadline.
+// maxDeliveries is the number of messages to a proxy that are remembered. At one message per second, they cover more than
+// any drain deadline.
 const maxDeliveries = 16
 
-// delivery is a message that the proxy's host has acknowledged.
+// delivery records a message that the proxy's host has acknowledged.
 type delivery struct {
-	sentAt  float64 // 0: none
+	sentAt  float64 // 0 if the ring slot is unused
 	ackedAt float64
 }
 
-// deliveryLog holds the latest deliveries to a proxy in a ring.
+// deliveryLog is a ring buffer of the latest deliveries to a proxy.
 type deliveryLog struct {
 	ring [maxDeliveries]delivery
-	next int // where the next delivery goes; the oldest one is there now
+	next int // index of the next delivery to write, which is also the oldest one
 }
 
 func (l *deliveryLog) clear() { l.ring = [maxDeliveries]delivery{} }
@@ -27,7 +28,8 @@
 	l.next = (l.next + 1) % maxDeliveries
 }
 
-// ackedSince is when the first message sent at a time or later was acknowledged; ok is false if none was.
+// ackedSince returns the acknowledgement time of the first delivery that was sent at a given time or later; ok is false
+// if there is none.
 func (l *deliveryLog) ackedSince(sent float64) (ackedAt float64, ok bool) {
 	for i := range l.ring {
 		d := l.ring[(l.next+i)%maxDeliveries]
@@ -38,8 +40,8 @@
 	return 0, false
 }
 
-// ReportUpstream takes a proxy's running totals at a server, which it counted at a time of its own clock. Reports that
-// name an unknown server, or come from a proxy that is not joined, are counted and ignored.
+// ReportUpstream records a proxy's running totals for a server, as of time at on the proxy's own clock. Reports about an
+// unknown server, or from a proxy that is not joined, are counted and ignored.
 func (f *Fleet) ReportUpstream(now, at float64, uid string, server balancer.Server, totals loadreport.Totals) {
 	proxy := f.proxiesByUID[uid]
 	if proxy == nil || !proxy.Joined {
@@ -57,15 +59,16 @@
 	}
 }
 
-// checkCompliance looks at attempts that a proxy reports at a server, counted since a time of its own clock. It notes
-// the proxy as noncompliant if its host had acknowledged, before then, that the server is removed from its tables:
-// an acknowledgement by the host says nothing about a program that does not read its messages. The proxy's clock is
-// compared with ours by the fastest of its reports, so that late reports are not held against it.
+// checkCompliance checks whether attempts at a server that a proxy reports, counted since a given time of its own clock,
+// contradict the tables that it holds. It marks the proxy as noncompliant if its host had acknowledged the removal of the
+// server from these tables before that time. This detects a proxy program that does not read its messages, which the
+// acknowledgements of its host cannot show. The offset of the proxy's clock is taken from the fastest of its reports, so
+// that delayed reports do not make a proxy noncompliant.
 func (f *Fleet) checkCompliance(proxy *Proxy, server balancer.Server, since float64) {
 	if phase, _ := f.Registry.Phase(server); phase == balancer.Ready {
 		return
 	}
-	removedAt := 0.0 // from the last of its tables
+	removedAt := 0.0 // time of the removal from the last of the proxy's tables
 	for class := range proxy.Tables {
 		state := &proxy.Tables[class]
 		if !state.Assigned {
@@ -77,15 +80,15 @@
 		}
 		removedAt = max(removedAt, at)
 	}
-	// The first message sent from then on contains the removal, since urgent changes go first.
+	// The first message sent after the removal contains it, since urgent changes are sent first.
 	ackedAt, ok := proxy.deliveries.ackedSince(removedAt)
 	if ok && !proxy.urgent && since+proxy.clockOffset > ackedAt+f.site.Limits.ApplyGrace {
 		proxy.noncompliantWith = server
 	}
 }
 
-// ReportDemand takes a proxy's running totals of a request class. Reports that name an unknown class, or come from a
-// proxy that is not joined, are counted and ignored.
+// ReportDemand records a proxy's running totals for a request class. Reports about an unknown class, or from a proxy that
+// is not joined, are counted and ignored.
 func (f *Fleet) ReportDemand(now, at float64, uid, className string, totals loadreport.Totals) {
 	proxy := f.proxiesByUID[uid]
 	class, ok := f.Class(className)
@@ -96,7 +99,7 @@
 	f.LoadReports.AddDemand(now, at, proxy.ID, class, totals)
 }
 
-// ObserveUptime takes the seconds since a server's start. An unknown server is counted and ignored.
+// ObserveUptime records the seconds since a server's start. Reports about an unknown server are counted and ignored.
 func (f *Fleet) ObserveUptime(now float64, server balancer.Server, uptime float64) {
 	if _, ok := f.Registry.Find(server); !ok {
 		f.Stats.UnknownServer++
--- a/internal/core/controlplane/rounds.go
+++ b/internal/core/controlplane/rounds.go
@@ -4,12 +4,13 @@
 	"snowquay/balancer"
 )
 
-// RunRound passes all that came in to the decision module, if anything did or its timer fired, and takes its decisions.
-// It reports whether the module was called. Changes of the registry are stored before they are acted on. If that fails,
-// a drain goes out all the same: one that a restart forgets is better than one that never began.
+// RunRound passes the pending events to the decision module and applies its decisions. It reports whether the module was
+// called: it is not called without new events or an expired timer. Registry changes are stored before they are acted on.
+// If storing fails, a drain is published nevertheless: a drain that is lost at a restart is better than one that never
+// began.
 func (f *Fleet) RunRound(now float64) bool {
 	f.Registry.ExpireHolds(now)
-	if now-f.lastRoundAt < f.site.Limits.MinRoundInterval || f.gathering(now) {
+	if now-f.lastRoundAt < f.site.Limits.MinRoundInterval || f.awaitingRegistrations(now) {
 		return false
 	}
 	f.collectEndpoints()
@@ -51,7 +52,7 @@
 	endpoints, whole := f.Registry.TakeChanges()
 	scope := balancer.DeltaList
 	switch {
-	case !f.initialListSent: // from the settings, and what an earlier process stored
+	case !f.initialListSent: // from the settings and the records of an earlier process
 		scope = balancer.CachedList
 	case whole:
 		scope = balancer.FullList
@@ -62,7 +63,7 @@
 	f.initialListSent = true
 }
 
-// collectReports adds the load reports to the pending events, once a reporting period.
+// collectReports adds the load reports to the pending events, once per reporting period.
 func (f *Fleet) collectReports(now float64) {
 	if now-f.reportsFlushedAt < f.site.Reporting.Period || !f.LoadReports.HasPending() {
 		return
@@ -80,8 +81,8 @@
 	}
 }
 
-// Persist stores the registry's changes now instead of with the next round, so that a drain that was confirmed to its
-// caller survives a crash. It reports whether all changes are durable.
+// Persist stores the registry's changes immediately instead of in the next round, so that a drain survives a crash once
+// it was confirmed to the caller. It reports whether all changes are durable.
 func (f *Fleet) Persist() (ok bool) {
 	if f.store == nil || f.site.DisabledGuards[GuardPersistence] || !f.Registry.NeedsPersist() {
 		return true
@@ -96,9 +97,9 @@
 	return true
 }
 
-// gathering tells whether a coordinator that knows no server at its start still waits for servers to register. If they
-// came to the decision module one by one, each would be taken for a newly started server. The cost is that proxies keep
-// their default tables meanwhile.
-func (f *Fleet) gathering(now float64) bool {
+// awaitingRegistrations reports whether a coordinator that knew no servers at startup still waits for servers to register.
+// If they were passed to the decision module one by one, it would treat each as newly started. The cost is that proxies
+// use their default tables during the wait.
+func (f *Fleet) awaitingRegistrations(now float64) bool {
 	return !f.initialListSent && !f.serversKnown && now < f.startedAt+f.site.Limits.RegistrationWait
 }
--- a/internal/core/controlplane/rounds_test.go
+++ b/internal/core/controlplane/rounds_test.go
@@ -8,7 +8,7 @@
 	"snowquay/internal/core/registry"
 )
 
-// failingStore is a store whose disk is full.
+// failingStore is a RecordStore whose disk is full.
 type failingStore struct{ calls int }
 
 func (s *failingStore) Save([]registry.Record) error {
@@ -16,7 +16,7 @@
 	return errors.New("disk full")
 }
 
-// A drain that can't be stored goes out all the same, and the failure is counted.
+// A drain that cannot be stored is published nevertheless, and the failure is counted.
 func TestDrainIsPublishedWhenStoreFails(t *testing.T) {
 	store := &failingStore{}
 	f := newFleet(t, testSite(3, 1), store)
@@ -27,7 +27,7 @@
 	f.Registry.SetDrain(1002, serverName(1), true)
 	step(f, 1002.1)
 	if f.Weight(proxy, 0, serverName(1)) != 0 || f.Stats.SaveFailures < 1 || store.calls < 1 {
-		t.Errorf("weight %v, %+v", f.Weight(proxy, 0, serverName(1)), f.Stats)
+		t.Errorf("weight of the drained server %v, stats %+v", f.Weight(proxy, 0, serverName(1)), f.Stats)
 	}
 }
 
@@ -38,7 +38,7 @@
 		step(f, now+0.06*float64(i+1))
 	}
 	if f.Stats.Rounds-before.Rounds > 6 || f.Stats.Idle == before.Idle {
-		t.Errorf("%d rounds and %d idle ticks in a second without events",
+		t.Errorf("%d rounds and %d idle ticks within a second without events",
 			f.Stats.Rounds-before.Rounds, f.Stats.Idle-before.Idle)
 	}
 }
@@ -50,15 +50,15 @@
 	step(f, now+0.1)
 	traces := f.TakeTraces()
 	if len(traces) != 2 {
-		t.Fatalf("%+v", traces)
+		t.Fatalf("want 2 traces, got %+v", traces)
 	}
 	first := traces[0]
 	if first.Lists != 1 || !first.Urgent || first.Round == 0 || first.DecidedAt != now+0.1 || first.AckedAt == 0 {
-		t.Errorf("%+v", traces)
+		t.Errorf("the first trace is wrong: %+v", traces)
 	}
 }
 
-// setWeights applies a decision that sets the weights of servers in all tables, and publishes it.
+// setWeights applies and publishes a decision that sets the weights of some servers in all tables.
 func setWeights(f *Fleet, now, weight float64, servers ...balancer.Server) {
 	sink := &RoundSink{fleet: f, now: now}
 	for id := range f.tables {
@@ -69,7 +69,7 @@
 	f.publishChanges(now)
 }
 
-// weightedEntries counts the entries with a weight in all tables.
+// weightedEntries returns the number of entries with a weight in all tables.
 func weightedEntries(f *Fleet) int {
 	count := 0
 	for _, table := range f.tables {
@@ -82,16 +82,16 @@
 	return count
 }
 
-// Whatever is decided, a table in use keeps an entry of a server that is ready and warmed up. Servers that drain are
-// removed all the same.
+// Whatever the decision module decides, a table in use keeps an entry of a server that is ready and warmed up. Draining
+// servers are removed nevertheless.
 func TestLastReadyServersAreKept(t *testing.T) {
 	for _, test := range []struct {
-		name        string
-		disabled    bool
-		wantEntries int
-		wantKept    int
+		name         string
+		disabled     bool
+		wantEntries  int
+		wantRejected int
 	}{
-		{name: "enabled", wantEntries: 3, wantKept: 1},
+		{name: "enabled", wantEntries: 3, wantRejected: 1},
 		{name: "disabled", disabled: true},
 	} {
 		t.Run(test.name, func(t *testing.T) {
@@ -100,12 +100,12 @@
 			all := weightedEntries(f)
 			setWeights(f, now, 0, serverName(0))
 			if got := weightedEntries(f); got != all-1 || f.Stats.TablesRejected != 0 {
-				t.Errorf("one of several entries is kept: %d of %d", got, all)
+				t.Errorf("%d of %d entries are left after the removal of one, want one less and no rejected table", got, all)
 			}
 			setWeights(f, now, 0, serverName(1), serverName(2), serverName(3))
-			if got := weightedEntries(f); got != test.wantEntries || f.Stats.TablesRejected != test.wantKept {
+			if got := weightedEntries(f); got != test.wantEntries || f.Stats.TablesRejected != test.wantRejected {
 				t.Errorf("%d entries are left and %d tables were rejected, want %d and %d",
-					got, f.Stats.TablesRejected, test.wantEntries, test.wantKept)
+					got, f.Stats.TablesRejected, test.wantEntries, test.wantRejected)
 			}
 			if test.disabled {
 				return
@@ -113,7 +113,7 @@
 			f.Registry.SetDrain(now, serverName(3), true)
 			setWeights(f, now, 0, serverName(3))
 			if got := weightedEntries(f); got != 2 {
-				t.Errorf("a server that drains has its entry still: %d", got)
+				t.Errorf("%d entries are left after the removal of a draining server, want 2", got)
 			}
 		})
 	}
--- a/internal/core/controlplane/roundsink.go
+++ b/internal/core/controlplane/roundsink.go
@@ -8,44 +8,44 @@
 	"snowquay/internal/core/tables"
 )
 
-// urgentWarmupFraction is a part of an entry's weight. If the weight of a server that is warming up falls below that
-// part of what it was, the change is as urgent as a drain.
+// urgentWarmupFraction is a fraction of an entry's previous weight. If the weight of a server that is warming up drops
+// below it, the change is as urgent as a drain.
 const urgentWarmupFraction = 0.5
 
-// desiredTable is a table as the decision module wants it; its version is the wanted one.
+// desiredTable is a table in the state wanted by the decision module. Its version is the wanted version.
 type desiredTable struct {
 	tables.Table
 	id             balancer.Table
-	classesByProxy map[balancer.Proxy]int // number of classes of each proxy that are assigned the table
-	urgentVersion  tables.Version         // newest version that had an urgent change
+	classesByProxy map[balancer.Proxy]int // number of classes per proxy to which the table is assigned
+	urgentVersion  tables.Version         // newest version with an urgent change
 
 	// Changes of the current round.
 	changed           bool
 	urgent            bool
-	removedReady      []removedEntry // of servers that are ready and warmed up
+	removedReady      []removedEntry // removed entries of servers that are ready and warmed up
 	changedEntries    float64
 	changedAdmissions float64
 }
 
-// removedEntry is a table entry that was removed, with the weight that it had.
+// removedEntry is a removed table entry with its former weight.
 type removedEntry struct {
 	server balancer.Server
 	weight float64
 }
 
-// ackRequest is an acknowledgement that the decision module asked for.
+// ackRequest is an acknowledgement requested by the decision module.
 type ackRequest struct {
 	id          balancer.AckID
 	requestedAt float64
 }
 
-// RoundSink takes the decisions of one round. It is the balancer.CommandSink of a Fleet.
+// RoundSink applies the decisions of one round to a Fleet. It implements balancer.CommandSink.
 type RoundSink struct {
 	fleet *Fleet
 	now   float64
 }
 
-// table finds a table by its ID, and makes it if there is none.
+// table returns a table by its ID, and creates it if it does not exist.
 func (r *RoundSink) table(id balancer.Table) *desiredTable {
 	table := r.fleet.tables[id]
 	if table == nil {
@@ -82,7 +82,8 @@
 	r.markChanged(table)
 }
 
-// AssignTable assigns a table to some classes of a proxy, all if the set is empty. The proxy is due the whole table.
+// AssignTable assigns a table to a set of classes of a proxy, or to all classes if the set is empty. It schedules the
+// whole table for the proxy.
 func (r *RoundSink) AssignTable(proxyID balancer.Proxy, tableID balancer.Table, classes balancer.ClassSet) {
 	table := r.table(tableID)
 	proxy := r.fleet.proxies[proxyID]
@@ -111,7 +112,7 @@
 	}
 }
 
-// SetAdmission sets the admission rate and retry policy of some classes of a table, all if the set is empty.
+// SetAdmission sets the admission rate and retry policy of a set of classes in a table, or of all if the set is empty.
 func (r *RoundSink) SetAdmission(id balancer.Table, classes balancer.ClassSet, rate float64, retry balancer.RetryPolicy) {
 	table := r.table(id)
 	for class := range r.fleet.site.Classes {
@@ -123,7 +124,8 @@
 	}
 }
 
-// RequestAck asks for an acknowledgement by all proxies that this round concerns. It goes with their next messages.
+// RequestAck requests an acknowledgement from all proxies affected by the current round. The request goes with their next
+// messages.
 func (r *RoundSink) RequestAck(id balancer.AckID) {
 	for _, table := range r.fleet.changedTables {
 		for proxyID := range table.classesByProxy {
@@ -141,23 +143,24 @@
 	if n := len(proxy.queuedAcks); n > 0 && proxy.queuedAcks[n-1].id == id {
 		return
 	}
-	// The decision module waits for the newest one only.
+	// The decision module waits only for its newest request.
 	proxy.queuedAcks = append(proxy.queuedAcks[:0], ackRequest{id: id, requestedAt: r.now})
 }
 
-// HealthCheck is never called, since the decision module is told that there are no health checks. It counts all the same.
+// HealthCheck counts requested health checks. It is not expected to be called, since the decision module is configured
+// without health checks.
 func (r *RoundSink) HealthCheck(balancer.Server) { r.fleet.Stats.HealthChecks++ }
 
-// PollDiscovery is never called: the registry reports its changes by itself.
+// PollDiscovery does nothing. It is never called, since the registry reports its changes without polling.
 func (r *RoundSink) PollDiscovery() {}
 
-// SetTimer asks for another round after some seconds.
+// SetTimer schedules another round after some seconds.
 func (r *RoundSink) SetTimer(after float64, _ balancer.Timer) { r.fleet.timerAt = r.now + after }
 
 // Log counts the decision module's log messages.
 func (r *RoundSink) Log(string) { r.fleet.Stats.LogMessages++ }
 
-// includes tells whether a class belongs to a set; the empty set stands for all classes.
+// includes reports whether a class belongs to a set; the empty set stands for all classes.
 func includes(classes balancer.ClassSet, class int) bool {
 	return classes == 0 || classes>>class&1 == 1
 }
--- a/internal/core/controlplane/status.go
+++ b/internal/core/controlplane/status.go
@@ -7,42 +7,42 @@
 	"snowquay/balancer"
 )
 
-// Stats counts what happened since the start.
+// Stats counts events since the start.
 type Stats struct {
 	Rounds int // rounds in which the decision module was called
-	Idle   int // rounds skipped, since nothing had come in
+	Idle   int // rounds skipped because there were no events
 
 	Entries    int // table entries sent
 	Messages   int // messages sent
 	FullTables int // messages sent with a full table
 
 	Disconnected int // proxies disconnected
-	Stalled      int // for a message that was not acknowledged in time
-	Overdue      int // for a drain that was not acknowledged in time
-	Noncompliant int // for load reports against their tables
+	Stalled      int // proxies disconnected for a message not acknowledged in time
+	Overdue      int // proxies disconnected for a drain not acknowledged in time
+	Noncompliant int // proxies disconnected for load reports that contradict their tables
 
 	AdmissionChanges int // admission rates and retry policies set
-	UnknownProxy     int // load reports of unknown or disconnected proxies, or about unknown classes
+	UnknownProxy     int // load reports from unknown or disconnected proxies, or about unknown classes
 	UnknownServer    int // reports about unknown servers
-	SaveFailures     int // records that could not be stored
-	HealthChecks     int // health checks that the decision module asked for
+	SaveFailures     int // failed attempts to store records
+	HealthChecks     int // health checks requested by the decision module
 	LogMessages      int // log messages of the decision module
 	TablesAssigned   int // tables assigned
-	JoinsThrottled   int // joins refused for their rate
-	TablesRejected   int // tables that would have been left without a ready server
-	Evicted          int // proxies that another coordinator owns now
+	JoinsThrottled   int // joins refused by the rate limit
+	TablesRejected   int // tables whose removed entries were restored, since they would have had no ready server
+	Evicted          int // proxies evicted, since they are owned by another coordinator or were reconfigured
 }
 
-// ProxyStatus tells how far a joined proxy is.
+// ProxyStatus is the update status of a joined proxy.
 type ProxyStatus struct {
 	UID      string
 	Zone     balancer.Zone
-	Polls    bool // it fetches its tables by long polls
-	UpToDate bool // it is known to hold the newest tables of all classes
-	Urgent   bool // an urgent change, such as a drain, waits for it or is in flight
+	Polls    bool // fetches its tables by long polls
+	UpToDate bool // known to hold the newest tables of all classes
+	Urgent   bool // an urgent change, such as a drain, is pending or in flight
 }
 
-// ProxyStatuses lists the joined proxies by UID.
+// ProxyStatuses returns the status of all joined proxies, sorted by UID.
 func (f *Fleet) ProxyStatuses() (statuses []ProxyStatus) {
 	for _, proxy := range f.proxies {
 		if !proxy.Joined {
@@ -60,7 +60,7 @@
 	return statuses
 }
 
-// isUpToDate tells whether a proxy has acknowledged the newest tables of all classes.
+// isUpToDate reports whether a proxy has acknowledged the newest tables of all classes.
 func (f *Fleet) isUpToDate(proxy *Proxy) bool {
 	for class := range proxy.Tables {
 		state := &proxy.Tables[class]
@@ -71,7 +71,7 @@
 	return true
 }
 
-// UpToDate counts the joined proxies that are known to hold the newest tables of all classes.
+// UpToDate returns the number of joined proxies that are known to hold the newest tables of all classes.
 func (f *Fleet) UpToDate() int {
 	count := 0
 	for _, proxy := range f.proxies {
@@ -82,9 +82,9 @@
 	return count
 }
 
-// Joined is the number of joined proxies.
+// Joined returns the number of joined proxies.
 func (f *Fleet) Joined() int { return f.joinedCount }
 
-// QueuedEntries is the number of table entries that wait for the channel, message overheads included, and the most that
-// ever waited.
+// QueuedEntries returns the number of table entries that are queued for the channel, including message overhead, and the
+// peak of that number.
 func (f *Fleet) QueuedEntries() (now, peak float64) { return f.sendQueue.TotalQueued() }
--- a/internal/core/controlplane/traces.go
+++ b/internal/core/controlplane/traces.go
@@ -2,11 +2,11 @@
 
 import "snowquay/balancer"
 
-// MessageTrace tells of one message to a proxy where it came from and what became of it.
+// MessageTrace records the cause and the outcome of one message to a proxy.
 type MessageTrace struct {
 	Proxy balancer.Proxy
 	UID   string
-	Round uint64 // of the newest decision in it
+	Round uint64 // round of the newest decision in the message
 
 	// Number of events in that round, by kind.
 	Lists       int
@@ -16,12 +16,12 @@
 
 	Entries int
 	Urgent  bool
-	Full    bool // it had a full table
+	Full    bool // whether the message contained a full table
 
 	// Times in seconds.
 	DecidedAt float64
 	SentAt    float64
-	AckedAt   float64 // 0: it was never acknowledged
+	AckedAt   float64 // 0 if it was never acknowledged
 }
 
 func (t *MessageTrace) markSent(now float64, proxy *Proxy, entries int, full bool) {
@@ -33,7 +33,8 @@
 	t.SentAt = now
 }
 
-// finishTrace closes the trace of the message in flight, if there is one. An acknowledgement at 0 means that none came.
+// finishTrace completes the trace of the message in flight, if there is one. An ackedAt of 0 means that the message was
+// not acknowledged.
 func (f *Fleet) finishTrace(proxy *Proxy, ackedAt float64) {
 	if proxy.trace.SentAt <= 0 {
 		return
@@ -46,7 +47,8 @@
 	proxy.followUpTrace = MessageTrace{}
 }
 
-// TakeTraces hands out the traces of messages that were acknowledged or lost since the last call. The caller owns them.
+// TakeTraces returns the traces of messages that were acknowledged or lost since the last call. The caller owns the
+// returned slice.
 func (f *Fleet) TakeTraces() []MessageTrace {
 	traces := f.finishedTraces
 	f.finishedTraces = nil
