--- a/balancer/account.go
+++ b/balancer/account.go
@@ -6,7 +6,7 @@
 	"slices"
 )
 
-// entries returns the entries of a table, ordered by server position.
+// entries returns the entries of a table in the order of server positions.
 func (b *Balancer) entries(table *weightTable) []tableEntry {
 	entries := make([]tableEntry, 0, len(table.weights))
 	for address, weight := range table.weights {
@@ -18,8 +18,8 @@
 	return entries
 }
 
-// weightOf returns the weight of a server in entries ordered by server position, and 0 if the server is
-// not among them.
+// weightOf returns the weight of a server in entries that are ordered by server position, or 0 if the
+// server has no entry.
 func weightOf(entries []tableEntry, srv *server) float64 {
 	i, found := slices.BinarySearchFunc(entries, srv, func(entry tableEntry, srv *server) int {
 		return cmp.Compare(entry.server.position, srv.position)
@@ -35,13 +35,13 @@
 // whose weight stays the same.
 func (b *Balancer) weightChanges(table *weightTable, wanted []tableEntry) []weightChange {
 	var changes []weightChange
-	for _, held := range b.entries(table) {
-		for len(wanted) > 0 && wanted[0].server.position < held.server.position {
+	for _, existing := range b.entries(table) {
+		for len(wanted) > 0 && wanted[0].server.position < existing.server.position {
 			changes = append(changes, weightChange{server: wanted[0].server, wanted: wanted[0].weight})
 			wanted = wanted[1:]
 		}
-		change := weightChange{server: held.server, current: held.weight}
-		if len(wanted) > 0 && wanted[0].server == held.server {
+		change := weightChange{server: existing.server, current: existing.weight}
+		if len(wanted) > 0 && wanted[0].server == existing.server {
 			change.wanted = wanted[0].weight
 			wanted = wanted[1:]
 		}
@@ -53,8 +53,8 @@
 	return changes
 }
 
-// size is the sort key of changes: the largest are sent first, removals last.
-func (c weightChange) size() float64 {
+// sortKey is the descending sort key of changes: the largest are sent first, removals last.
+func (c weightChange) sortKey() float64 {
 	return math.Abs(c.wanted-c.current) * min(c.wanted, 1)
 }
 
@@ -67,8 +67,8 @@
 	table.weights[change.server.Server] = change.wanted
 }
 
-// requestAck requests an acknowledgement from every proxy that this round has written to. size is the
-// number of entries that the round has put into the channel.
+// requestAck requests an acknowledgement from every proxy that is sent a message in this round. size is
+// the number of entries that the round has put into the channel.
 func (b *Balancer) requestAck(size float64, sink CommandSink) {
 	c := &b.channel
 	c.lastAckID = c.lastAckID%maxAckID + 1
@@ -77,10 +77,10 @@
 	}
 	sink.RequestAck(c.lastAckID)
 	for _, p := range b.proxies {
-		if !p.bound {
+		if !p.assigned {
 			continue
 		}
-		if p.awaitedAck == 0 { // it was bound in this round: its message size is set
+		if p.awaitedAck == 0 { // its tables were assigned in this round, which has set its message size
 			p.awaitedAck = c.lastAckID
 		} else if p.group.messageSize+p.redeliveredSize > 0 {
 			p.awaitedAck = c.lastAckID
@@ -90,9 +90,9 @@
 	}
 }
 
-// acknowledge processes the acknowledgement of a proxy. If it belongs to an older message than the
-// proxy's newest, it only proves that everything sent before that message has left the channel: the
-// size of the older message is no longer known.
+// acknowledge processes the acknowledgement of a proxy. If it is for an older message than the newest
+// one to the proxy, it only proves that everything sent before the acknowledged message has left the
+// channel: the size of the older message is no longer known.
 func (b *Balancer) acknowledge(ack Ack) {
 	entries := 0.0
 	if p := b.proxyByID[ack.Proxy]; p != nil && p.awaitedAck == ack.ID {
@@ -101,7 +101,7 @@
 	b.channel.acknowledge(ack, entries)
 }
 
-// joinSize is the size, in entries, of the message that assigns a proxy the tables of its group.
+// joinSize returns the size, in entries, of the message that assigns a proxy the tables of its group.
 func (b *Balancer) joinSize(p *proxy) float64 {
 	size := b.channel.messageCost()
 	for _, table := range p.group.tables {
@@ -111,21 +111,21 @@
 }
 
 // chargeRedelivered resets the message sizes of all groups for the new round, charges the channel for
-// commands that may be delivered twice, and returns how many entries these take. They are part of the
-// round's message, so that its acknowledgement proves that the second copy has left the channel, too:
-// that of the first copy does not.
+// commands that may be delivered twice, and returns how many entries these commands take. They count as
+// part of the round's message, so that its acknowledgement proves that the second copy has left the
+// channel, too. The acknowledgement of the first copy does not prove that.
 func (b *Balancer) chargeRedelivered(now float64, redelivered Redelivered) (written float64) {
 	before := b.channel.inFlight.Outstanding()
 	for _, group := range b.groups {
 		group.messageSize = 0
 		for _, id := range redelivered.Tables {
-			if group.has(id) {
+			if group.hasTable(id) {
 				b.chargeEntry(now, group)
 			}
 		}
 	}
 	for _, p := range b.proxies {
-		if p.bound && slices.Contains(redelivered.Proxies, p.Proxy) {
+		if p.assigned && slices.Contains(redelivered.Proxies, p.Proxy) {
 			p.redeliveredSize = b.joinSize(p)
 			b.channel.charge(now, p.redeliveredSize)
 		}
@@ -133,8 +133,8 @@
 	return b.channel.inFlight.Outstanding() - before
 }
 
-// has reports whether the group has the given table.
-func (group *proxyGroup) has(id Table) bool {
+// hasTable reports whether the group hasTable the given table.
+func (group *proxyGroup) hasTable(id Table) bool {
 	return slices.ContainsFunc(group.tables, func(table *weightTable) bool { return table.id == id })
 }
 
@@ -144,10 +144,10 @@
 	size := 1.0
 	if group.messageSize == 0 {
 		size += b.channel.messageCost()
-		if group.boundProxies > 0 {
+		if group.assignedProxies > 0 {
 			group.messages.Add(now, b.channel.MessageWindow)
 		}
 	}
 	group.messageSize += size
-	b.channel.charge(now, size*group.boundProxies)
+	b.channel.charge(now, size*group.assignedProxies)
 }
--- a/balancer/admission_settings.go
+++ b/balancer/admission_settings.go
@@ -8,13 +8,13 @@
 
 const (
 	// admissionInterval is the minimum time in seconds between two updates of the admission settings of a
-	// table, so that the effect of one is visible before the next.
+	// table, so that the effect of an update is visible before the next one.
 	admissionInterval = 1.0
-	// minAdmissionRate is the lower bound on admission rates. A class that is rejected completely would
-	// never be seen to recover.
+	// minAdmissionRate is the lower bound on admission rates. If a class were rejected completely, its
+	// recovery would never be detected.
 	minAdmissionRate = 1e-3
-	// unlimitedAdmission is an admission rate that admits everything, whether read as a fraction or as
-	// requests per second.
+	// unlimitedAdmission is an admission rate that admits all requests, whether it is interpreted as a
+	// fraction or as requests per second.
 	unlimitedAdmission = 1e6
 )
 
@@ -52,10 +52,10 @@
 			current = admissionSetting{rate: unlimitedAdmission, retry: wanted.retry}
 		}
 		if b.overloaded {
-			wanted.retry = RetryNever // retries would overload other servers, especially those warming up
+			wanted.retry = RetryNever // retries would overload other servers, especially warming ones
 		}
-		moved := math.Abs(wanted.rate-current.rate) > minRelativeChange*current.rate
-		if !moved && wanted.retry == current.retry {
+		rateChanged := math.Abs(wanted.rate-current.rate) > minRelativeChange*current.rate
+		if !rateChanged && wanted.retry == current.retry {
 			continue
 		}
 		table.admissions[class] = wanted
@@ -65,8 +65,8 @@
 	}
 }
 
-// usualRetry is the retry policy of a class while the fleet is not overloaded. The balancer never
-// orders a retry that could execute a request of a non-idempotent class twice.
+// usualRetry returns the retry policy of a class while the fleet is not overloaded. The balancer never
+// allows a retry that could execute a request of a keyed or non-idempotent class twice.
 func (b *Balancer) usualRetry(class Class) RetryPolicy {
 	retry := b.dataPlane.DefaultRetry
 	if b.classes[class].Idempotency != Idempotent {
--- a/balancer/admission_test.go
+++ b/balancer/admission_test.go
@@ -8,13 +8,13 @@
 // Answers that get lost on the way are no overload: to reject requests would not bring them back.
 func TestLostAnswersDoNotRestrictAdmission(t *testing.T) {
 	h := startSettled(t, defaultSite(), 6)
-	h.playSeconds(20, 100, losing(0.25, 0.25))
+	h.runSeconds(20, 100, partlyFailing(0.25, 0.25))
 	if h.balancer.minAdmitted() < 1 || h.balancer.overloaded {
 		t.Errorf("admitted: %.2f", h.balancer.admitted)
 	}
-	h.playSeconds(30, 100, func(server Server, share, requests float64) UpstreamReport { // then half of them lose some
+	h.runSeconds(30, 100, func(server Server, share, requests float64) UpstreamReport { // then half of them lose some
 		if server[len(server)-4]%2 == 1 {
-			return losing(0.2, 0.25)(server, share, requests)
+			return partlyFailing(0.2, 0.25)(server, share, requests)
 		}
 		return healthy(server, share, requests)
 	})
@@ -34,7 +34,7 @@
 			s := defaultSite()
 			s.dataPlane.Admission = mode
 			h := startSettled(t, s, 6)
-			h.playSeconds(6, 160, overloadedServer)
+			h.runSeconds(6, 160, overloadedServer)
 			low := h.admissions[1][0]
 			high := h.admissions[1][1]
 			if low == 0 || high == 0 || low > 0.2*high {
@@ -43,12 +43,12 @@
 			lowest := &h.balancer.admitted[0]
 			for lowest.wanted < 1 && h.now < 200 { // reports may be late: no leaps
 				before := lowest.wanted
-				h.playSeconds(1, 100, healthy)
+				h.runSeconds(1, 100, healthy)
 				if lowest.wanted > math.Max(before, admissionGrowthBase)*(1+admissionGrowth)+1e-9 {
 					t.Fatalf("the admitted fraction leaps from %.2f to %.2f", before, lowest.wanted)
 				}
 			}
-			h.playSeconds(5, 100, healthy)
+			h.runSeconds(5, 100, healthy)
 			if h.admissions[1][0] != unlimitedAdmission {
 				t.Errorf("after the overload the admission rate is %v", h.admissions[1][0])
 			}
@@ -60,8 +60,8 @@
 func TestRestartDuringOverloadAdmitsSomething(t *testing.T) {
 	h := defaultSite().start()
 	h.listAndJoin(6)
-	h.playSeconds(8, 160, overloadedServer)
-	h.playSeconds(10, 160, func(server Server, _, _ float64) UpstreamReport {
+	h.runSeconds(8, 160, overloadedServer)
+	h.runSeconds(10, 160, func(server Server, _, _ float64) UpstreamReport {
 		return UpstreamReport{Server: server, Attempts: 6, Latency: 2.5}
 	})
 	admitted := 0.0
@@ -76,7 +76,7 @@
 // Servers that fail most attempts were left out, so that a fleet that failed most was left to itself.
 func TestFleetThatFailsMostAttemptsIsOverloaded(t *testing.T) {
 	h := startSettled(t, defaultSite(), 6)
-	h.playSeconds(5, 160, func(server Server, _, _ float64) UpstreamReport {
+	h.runSeconds(5, 160, func(server Server, _, _ float64) UpstreamReport {
 		return UpstreamReport{Server: server, Attempts: 80, Failed: 70, Latency: 1.5}
 	})
 	if got := h.balancer.admitted[0].wanted; got > 0.5 {
@@ -86,17 +86,17 @@
 	if got := admissions[1].retry; got != RetryNever { // retries would pile up on those that still stand
 		t.Errorf("the retry policy is %v", got)
 	}
-	h.playSeconds(20, 100, healthy)
+	h.runSeconds(20, 100, healthy)
 	want := admissionSetting{rate: unlimitedAdmission, retry: RetryIfNotExecuted}
 	if got := admissions[1]; got != want {
 		t.Errorf("once all is well the setting is %v, want %v", got, want)
 	}
 }
 
-// playSteady plays seconds with reports of 100 attempts a second that take a little longer than the latency
+// runAboveTargetLatency plays seconds with reports of 100 attempts a second that take a little longer than the latency
 // objective allows, and of the demand of the first eight proxies.
-func (h *harness) playSteady(requests float64, seconds int) {
-	respond := answering(0.45)
+func (h *harness) runAboveTargetLatency(requests float64, seconds int) {
+	respond := withLatency(0.45)
 	for range seconds {
 		var events Events
 		for i := range 6 {
@@ -122,7 +122,7 @@
 // coordinator have requests whose answers are not reported yet.
 func TestJoiningProxiesDoNotRestrictAdmission(t *testing.T) {
 	h := startSettled(t, defaultSite(), 6)
-	h.playSteady(100, 20)
+	h.runAboveTargetLatency(100, 20)
 	var events Events
 	for i := range 24 {
 		events.ProxyEvents = append(events.ProxyEvents, joined(Proxy(100+i), 12))
@@ -134,7 +134,7 @@
 		t.Errorf("%.2f of the expected demand is of the higher priority, want 0.20 as of the others", mix)
 	}
 	for range 3 {
-		h.playSteady(100, 1)
+		h.runAboveTargetLatency(100, 1)
 		if !h.balancer.overloaded || h.balancer.minAdmitted() < 0.7 {
 			t.Errorf("a second on, admitted: %.2f, overloaded: %v", h.balancer.admitted, h.balancer.overloaded)
 		}
--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -1,19 +1,19 @@
-// Package balancer decides which servers the proxies use, and how much of each.
+// Package balancer decides which servers the proxies use, and how much load each server gets.
 //
-// New makes the Balancer of one coordinator. Its Reconcile is called once a round with all events that came
-// in since the last one, and writes the decisions into a CommandSink. The package does no I/O, reads no
-// clock and starts no goroutine: the same events at the same times give the same commands.
+// New creates the Balancer of one coordinator. Reconcile is called once per round with all events that have
+// arrived since the previous round, and writes its decisions to a CommandSink. The package does no I/O, reads
+// no clock and starts no goroutines: the same events at the same times produce the same commands.
 //
-// interface.go has the types that callers see, state.go what is remembered between rounds. The steps of a
-// round, in their order:
+// interface.go contains the types of the API, and state.go the state that is kept between rounds. The steps
+// of a round, in order:
 //
-//   - endpoints.go applies endpoint lists, proxies.go proxies that join or leave, account.go
-//     acknowledgements, and reports.go load reports.
-//   - At the end of a report period, estimates.go renews the estimates: regulator.go sets the intake that
-//     each server is to get, and admission.go the part of the requests that is admitted.
-//   - publish.go sends what has changed: the entries that weights.go wants of each table, for each group of
-//     proxies (groups.go), within what servers can take (health.go), and the admission settings
-//     (admission_settings.go), as far as the channel allows (pacing.go).
+//   - endpoints.go processes endpoint lists, proxies.go proxies that join or leave, account.go
+//     acknowledgements, and reports.go traffic reports.
+//   - At the end of a report period, estimates.go updates the estimates: regulator.go sets the intake of
+//     each server, and admission.go the fraction of the requests that is admitted.
+//   - publish.go sends all changes that the channel allows (pacing.go). These are the table entries that
+//     weights.go computes for each group of proxies (groups.go) within the safe intake of the servers
+//     (health.go), and the admission settings (admission_settings.go).
 package balancer
 
 import (
@@ -25,18 +25,18 @@
 )
 
 const (
-	// timerInterval is the time in seconds between two timer rounds, which handle whatever is due by time
-	// alone.
+	// timerInterval is the time in seconds between two timer rounds, which perform work that is due at a
+	// certain time rather than after an event.
 	timerInterval = 0.25
 	// minReportPeriod is the lower bound on the configured report period, in seconds.
 	minReportPeriod = 0.05
 	// pollRetriesPerDeadline is the maximum number of failed discovery polls within DiscoveryPollDeadline.
-	// The backoff is jittered up to twice its minimum, so that coordinators do not poll in step.
+	// The backoff is jittered up to twice its minimum, so that coordinators do not poll simultaneously.
 	pollRetriesPerDeadline = 16
 )
 
-// New makes the balancer of one coordinator. The seed determines the jitter and the first AckID. The
-// balancer requests no health checks, because load reports carry more information.
+// New creates the balancer of one coordinator. The seed determines the jitter and the first AckID. The
+// balancer requests no health checks, because load reports contain more information.
 func New(seed uint64, classes []RequestClass, dataPlane DataPlane, limits Channel, guarantees Guarantees,
 	reporting Reporting, _ HealthChecking, discovery Discovery) *Balancer {
 	balancer := &Balancer{
@@ -51,7 +51,7 @@
 			Channel:       limits,
 			drainDeadline: guarantees.DrainDeadline,
 			relativePace:  1,
-			// Different incarnations use different IDs, so that late acknowledgements are not confused.
+			// Each incarnation starts at a different ID, so that late acknowledgements of an earlier one do not match.
 			lastAckID: AckID(seed % maxAckID),
 		},
 	}
@@ -74,7 +74,7 @@
 	return balancer
 }
 
-// eligibilitySetOf returns the eligibility set of a class, and adds it if there is none yet.
+// eligibilitySetOf returns the eligibility set of a class, and creates it if necessary.
 func (b *Balancer) eligibilitySetOf(class RequestClass) *eligibilitySet {
 	for _, set := range b.eligibilitySets {
 		if set.zoneLocal == class.ZoneLocal && slices.Equal(set.zones, class.AllowedZones) {
@@ -86,7 +86,7 @@
 	return set
 }
 
-// width is the number of zones in the set. A set without named zones covers all of them and is the
+// width returns the number of zones of the set. A set without a zone list covers all zones and is the
 // widest.
 func (set *eligibilitySet) width() int {
 	return cmp.Or(len(set.zones), math.MaxInt)
@@ -119,7 +119,7 @@
 	}
 	written := b.chargeRedelivered(now, events.Redelivered)
 	if events.ChannelStalled {
-		b.channel.settledAt = now // nothing that has not reached the channel can leave it
+		b.channel.settledAt = now // assume no deliveries: what has not reached the channel cannot leave it
 	} else {
 		written += b.publish(now, sink)
 	}
--- a/balancer/endpoints.go
+++ b/balancer/endpoints.go
@@ -6,7 +6,7 @@
 	"slices"
 )
 
-// applyEndpointList updates the known servers with a list from discovery.
+// applyEndpointList updates the known servers from an endpoint list.
 func (b *Balancer) applyEndpointList(now float64, list EndpointList) {
 	endpoints := list.Endpoints
 	if list.Scope == FullList {
@@ -43,7 +43,7 @@
 	}
 	if endpoint.Phase == Removed {
 		if b.guarantees.RemovalIsAdvisory && srv.Phase == Ready {
-			srv.delisted = true // the list may be wrong: keep the server while it answers
+			srv.delisted = true // the list may be wrong: keep the server while it responds
 		} else {
 			srv.Phase = Removed
 		}
@@ -51,7 +51,7 @@
 	}
 	restarted := endpoint.Started != srv.Started || srv.Phase != Ready
 	if endpoint.Phase == Ready && restarted {
-		*srv = server{Endpoint: endpoint, discoveredAt: now} // a new process: forget the old one
+		*srv = server{Endpoint: endpoint, discoveredAt: now} // a new process: discard the state of the old one
 		return
 	}
 	srv.Endpoint = endpoint
--- a/balancer/endpoints_test.go
+++ b/balancer/endpoints_test.go
@@ -20,12 +20,12 @@
 	h.reconcile(h.now+1, Events{Lists: deltaList(removed)})
 	h.endpoints[serverName(3)] = removed
 	delete(h.drainingSince, serverName(3))
-	h.playSeconds(10, 100, healthy)
+	h.runSeconds(10, 100, healthy)
 	whileAnswering := h.share(serverName(3))
 	if whileAnswering < 0.2 {
 		t.Errorf("merely delisted, it has a share of %.3f while it answers", whileAnswering)
 	}
-	h.playSeconds(10, 100, exceptServer(serverName(3), failing))
+	h.runSeconds(10, 100, healthyExcept(serverName(3), failing))
 	if h.tables[1][serverName(3)] != 0 {
 		t.Errorf("delisted and failing, it has a share of %.3f", h.share(serverName(3)))
 	}
--- a/balancer/estimates.go
+++ b/balancer/estimates.go
@@ -7,18 +7,18 @@
 )
 
 const (
-	// minRequestRate is the rate in requests per second below which a server or a proxy counts as idle.
+	// minRequestRate is the rate in requests per second below which a server or a proxy is considered idle.
 	minRequestRate = 0.2
-	// forgetProxyAfter is the time in seconds after which a disconnected proxy is assumed to be dead;
-	// outages last 5 to 20 s.
-	forgetProxyAfter = 30.0
+	// disconnectedProxyTimeout is the time in seconds after which a disconnected proxy is assumed to be
+	// dead. Outages last 5 to 20 s.
+	disconnectedProxyTimeout = 30.0
 	// minDemandShare is the lower bound on the demand share of a group, relative to an even share: even a
 	// group with little demand needs a table that can lose a server.
 	minDemandShare = 0.5
 )
 
-// requestRateScale is the scale of completion rate histograms, in requests per second: 16 bins cover
-// rates up to 130, and values of the last half minute to two minutes count.
+// requestRateScale is the scale of completion rate histograms, in requests per second. 16 bins cover
+// rates up to 130, and the histograms reflect the last half minute to two minutes.
 var requestRateScale = histogram.Scale{Min: minRequestRate, Growth: 1.5, Halve: 64}
 
 // endPeriod updates all estimates at the end of a report period, then the intakes and the admitted
@@ -26,8 +26,8 @@
 func (b *Balancer) endPeriod(now float64) {
 	b.periodEndedAt = now
 	b.reportsPending = false
-	newest := b.forgetOldSamples(now)
-	b.forgetRemovedServers()
+	newest := b.dropOldSamples(now)
+	b.dropRemovedServers()
 	b.sampleCycle = max(b.reportPeriod, newest.weightedIntervals/max(newest.attempts, 1))
 	expectedAt := newest.reportTimes/max(newest.samples, 1) - b.sampleCycle/2
 	b.updateDemandShares(now)
@@ -36,17 +36,17 @@
 	b.controlAdmission(now, expectedAt, riccatiGain)
 }
 
-// newestSamples holds sums over the newest sample of each server.
+// newestSamples holds sums over the newest samples of all servers.
 type newestSamples struct {
 	samples           float64 // number of samples
 	attempts          float64
 	weightedIntervals float64 // seconds, weighted by attempts
-	reportTimes       float64
+	reportTimes       float64 // sum of the clock times of the reports
 }
 
-// forgetOldSamples drops samples that are too old for any average, and sums up the newest sample of
-// each server.
-func (b *Balancer) forgetOldSamples(now float64) newestSamples {
+// dropOldSamples drops samples that are too old for any average, and returns sums over the newest sample
+// of each server.
+func (b *Balancer) dropOldSamples(now float64) newestSamples {
 	var sums newestSamples
 	for _, srv := range b.servers {
 		srv.samples = slices.DeleteFunc(srv.samples, func(old sample) bool {
@@ -64,8 +64,8 @@
 	return sums
 }
 
-// forgetRemovedServers drops servers that are removed, in no table and without samples.
-func (b *Balancer) forgetRemovedServers() {
+// dropRemovedServers drops removed servers that are in no table and have no samples.
+func (b *Balancer) dropRemovedServers() {
 	b.servers = slices.DeleteFunc(b.servers, func(srv *server) bool {
 		if srv.Phase != Removed || len(srv.samples) > 0 || b.isInTable(srv) {
 			return false
@@ -86,11 +86,11 @@
 	return false
 }
 
-// updateDemandShares updates the demand share of each group. Disconnected proxies count until they are
-// assumed to be dead, because they keep sending requests.
+// updateDemandShares updates the demand share of each group. Disconnected proxies are included until they
+// are assumed to be dead, because they continue to send requests.
 func (b *Balancer) updateDemandShares(now float64) {
 	b.disconnected = slices.DeleteFunc(b.disconnected, func(p *proxy) bool {
-		return now-p.leftAt > forgetProxyAfter
+		return now-p.leftAt > disconnectedProxyTimeout
 	})
 	proxies := slices.Concat(b.proxies, b.disconnected)
 	groupCount := float64(max(len(b.groups), 1))
--- a/balancer/groups.go
+++ b/balancer/groups.go
@@ -10,22 +10,22 @@
 	// groupConnectionFraction is the fraction of a server's connections that the proxies of one group may
 	// use.
 	groupConnectionFraction = 0.25
-	// tableTransferSeconds is the time in seconds within which the channel must be able to carry a table
+	// tableTransferSeconds is the time in seconds within which the channel must be able to transfer a table
 	// to every proxy.
 	tableTransferSeconds = 1.0
-	// tableWidth is the number of servers in the table of a group. It keeps connections few, while the
-	// loss of a server costs only a twelfth of the table.
+	// tableWidth is the target number of servers in the table of a group. It limits the number of
+	// connections, while the loss of a server affects only a twelfth of the table.
 	tableWidth = 12.0
-	// minGroupProxies is the minimum number of proxies in a group, which keeps the number of tables low.
+	// minGroupProxies is the minimum number of proxies in a group. It limits the number of tables.
 	minGroupProxies = 5.0
-	// minIntakeFraction is the fraction of a server's intake below which it gets no entry in a second
-	// table.
+	// minIntakeFraction is the fraction of a server's intake below which the server gets no entry in a
+	// further table.
 	minIntakeFraction = 0.1
 )
 
 // createGroups divides the proxies into groups if a single table for all of them would use too many
-// connections of the servers or occupy the channel for too long. All coordinators arrive at the same
-// division. Otherwise there is one group, or one per zone if some class is zone-local.
+// connections of the servers or occupy the channel for too long. Otherwise it creates one group, or one
+// per zone if some class is zone-local. All coordinators compute the same division.
 func (b *Balancer) createGroups(firstZone Zone) {
 	zones := b.zones(firstZone)
 	proxies := float64(b.dataPlane.Proxies)
@@ -71,8 +71,7 @@
 	b.groups = append(b.groups, group)
 }
 
-// groupOf returns the group for a joining proxy: one of its own zone, or any group if its zone has
-// none.
+// groupOf returns the group of a joining proxy: one of its own zone, or any group if its zone has none.
 func (b *Balancer) groupOf(event ProxyEvent) *proxyGroup {
 	var candidates []*proxyGroup
 	for _, group := range b.groups {
@@ -87,18 +86,18 @@
 }
 
 // partitionServers assigns each group some of the candidates, with the part of their intake that the
-// group uses. The intakes are laid end to end in server order, and each group gets an interval in
-// proportion to its demand share. As a result most servers are in a single table, and most proxies use
-// servers of their own zone.
+// group uses. The intakes are concatenated in server order into one range, and each group gets an
+// interval of it in proportion to its demand share. As a result most servers are in a single table, and
+// most proxies use servers of their own zone.
 func (b *Balancer) partitionServers(candidates []candidate, totalIntake float64) [][]tableEntry {
 	totalShare := 0.0
 	for _, group := range b.groups {
 		totalShare += group.demandShare
 	}
 	parts := make([][]tableEntry, 0, len(b.groups))
-	first := 0        // first candidate that overlaps the interval of the group
-	firstBegin := 0.0 // position of that candidate
-	end := 0.0        // of the interval of the group
+	first := 0        // index of the first candidate that overlaps the interval of the group
+	firstBegin := 0.0 // begin of the intake of that candidate
+	end := 0.0        // end of the interval of the group
 	for _, group := range b.groups {
 		begin := end
 		end += group.demandShare / totalShare * totalIntake
@@ -112,7 +111,7 @@
 }
 
 // entriesWithin returns the candidates whose intake overlaps the interval from begin to end. firstBegin
-// is the position of the first candidate.
+// is the position at which the intake of the first candidate begins.
 func entriesWithin(candidates []candidate, firstBegin, begin, end float64) []tableEntry {
 	var entries []tableEntry
 	position := firstBegin
--- a/balancer/groups_test.go
+++ b/balancer/groups_test.go
@@ -52,7 +52,7 @@
 	s := defaultSite()
 	s.dataPlane.Proxies = 60
 	h := startSettled(t, s, 40)
-	h.playSeconds(40, 100, func(server Server, share, requests float64) UpstreamReport {
+	h.runSeconds(40, 100, func(server Server, share, requests float64) UpstreamReport {
 		lastDigit := server[len(server)-4] - '0'
 		return UpstreamReport{Server: server, Attempts: share * requests, Latency: 0.1 * float64(1+lastDigit%5)}
 	})
--- a/balancer/harness_test.go
+++ b/balancer/harness_test.go
@@ -87,7 +87,7 @@
 	t.Helper()
 	h := s.start()
 	h.listAndJoin(servers)
-	h.playSeconds(30, 100, healthy)
+	h.runSeconds(30, 100, healthy)
 	if h.violation != "" {
 		t.Fatal(h.violation)
 	}
@@ -136,7 +136,7 @@
 	return arrived
 }
 
-func (h *harness) fail(format string, args ...any) {
+func (h *harness) recordViolation(format string, args ...any) {
 	if h.violation == "" {
 		h.violation = fmt.Sprintf("at %.2f: ", h.now) + fmt.Sprintf(format, args...)
 	}
@@ -144,7 +144,7 @@
 
 func (h *harness) checkFinite(value float64) {
 	if math.IsNaN(value) || value < 0 || math.IsInf(value, 0) {
-		h.fail("wrote the value %v", value)
+		h.recordViolation("wrote the value %v", value)
 	}
 }
 
@@ -198,7 +198,7 @@
 			continue
 		}
 		if class.Idempotency != Idempotent && retry > RetryIfNotExecuted {
-			h.fail("class %d may run twice", i)
+			h.recordViolation("class %d may run twice", i)
 		}
 		if h.admissions[table] == nil {
 			h.admissions[table] = map[Class]float64{}
@@ -228,7 +228,7 @@
 func (h *harness) reconcile(now float64, events Events) {
 	h.now = now
 	for _, list := range events.Lists {
-		h.follow(list)
+		h.applyList(list)
 	}
 	for _, event := range events.ProxyEvents {
 		delete(h.assigned, event.Proxy)
@@ -243,8 +243,8 @@
 	h.checkDrains()
 }
 
-// follow applies an endpoint list.
-func (h *harness) follow(list EndpointList) {
+// applyList applies an endpoint list.
+func (h *harness) applyList(list EndpointList) {
 	listed := map[Server]bool{}
 	for _, endpoint := range list.Endpoints {
 		listed[endpoint.Server] = true
@@ -277,12 +277,12 @@
 		}
 		h.messageTimes[proxy] = times
 		if limits.MaxMessages > 0 && len(times) > limits.MaxMessages {
-			h.fail("%d messages to proxy %d", len(times), proxy)
+			h.recordViolation("%d messages to proxy %d", len(times), proxy)
 		}
 	}
 	clear(h.messageSizes)
 	if h.queued > limits.MaxQueued {
-		h.fail("%.0f entries are queued", h.queued)
+		h.recordViolation("%.0f entries are queued", h.queued)
 	}
 }
 
@@ -311,7 +311,7 @@
 				eligible := len(zones) == 0 || slices.Contains(zones, endpoint.Zone)
 				warm := h.now-endpoint.Started >= h.site.guarantees.WarmupDuration
 				if eligible && warm && endpoint.Phase == Ready && len(h.tables[table]) == 0 {
-					h.fail("proxy %d has no entry for class %d", proxy, class)
+					h.recordViolation("proxy %d has no entry for class %d", proxy, class)
 				}
 			}
 		}
@@ -323,7 +323,7 @@
 	for server, since := range h.drainingSince {
 		for table, weights := range h.tables {
 			if weights[server] > 0 && h.now-since > h.site.guarantees.DrainDeadline/2 {
-				h.fail("%s, which drains, is still in table %d", server, table)
+				h.recordViolation("%s, which drains, is still in table %d", server, table)
 			}
 		}
 	}
@@ -351,8 +351,8 @@
 	h.reconcile(100, events)
 }
 
-// playSeconds plays rounds of a second each, with reports of what the tables bring about.
-func (h *harness) playSeconds(seconds int, requests float64, respond responder) {
+// runSeconds plays rounds of a second each, with reports of what the tables bring about.
+func (h *harness) runSeconds(seconds int, requests float64, respond responder) {
 	for range seconds {
 		var events Events
 		for i := range len(h.endpoints) {
--- a/balancer/health.go
+++ b/balancer/health.go
@@ -3,19 +3,19 @@
 import "snowquay/internal/core/waterfill"
 
 const (
-	// slowStartTime is the duration in seconds of the slow start of a server that is new to this
-	// coordinator.
+	// slowStartTime is the duration in seconds of the slow start of a server that this coordinator has
+	// just discovered.
 	slowStartTime = 5.0
-	// reconnectSettleTime is the time in seconds for which a reconnected proxy may still eject servers; 2
+	// reconnectSettleTime is the time in seconds for which a reconnected proxy may still eject servers. 2
 	// to 8 s are usual.
 	reconnectSettleTime = 8.0
-	// safeIntakeFactor is the multiple of its usual completion rate that a server can safely take: servers
-	// usually run at about 0.6 of their capacity.
+	// safeIntakeFactor is the multiple of its usual completion rate that a server can safely handle:
+	// servers usually run at about 0.6 of their capacity.
 	safeIntakeFactor = 1.6
 )
 
-// warmupFraction is the guaranteed fraction of its capacity that a server has, given the time since its
-// start.
+// warmupFraction returns the fraction of its capacity that a server is guaranteed to have at the given
+// time after its start.
 func (b *Balancer) warmupFraction(now float64, srv *server) float64 {
 	age := max(now-srv.Started, 0)
 	if srv.Started > 0 && age < b.guarantees.WarmupDuration {
@@ -30,21 +30,21 @@
 	return b.warmupFraction(now, srv) >= 1
 }
 
-// slowStartFraction is the fraction of an average intake that a server may get, limited both by its
-// warm-up and by the time since this coordinator discovered it.
+// slowStartFraction returns the fraction of an average intake that a server may get. It is limited by the
+// warm-up and by the time since this coordinator discovered the server.
 func (b *Balancer) slowStartFraction(now float64, srv *server) float64 {
 	ramp := b.guarantees.WarmupStartFraction + (now-srv.discoveredAt)/slowStartTime
 	return min(b.warmupFraction(now, srv), ramp)
 }
 
-// safeIntake is the intake in requests per second that a server can safely take.
+// safeIntake returns the intake in requests per second that a server can safely handle.
 func (b *Balancer) safeIntake(now float64, srv *server) float64 {
-	warm := b.warmupFraction(now, srv)
-	if warm < 1 {
+	fraction := b.warmupFraction(now, srv)
+	if fraction < 1 {
 		if b.mayBeEjecting(now) {
-			return 0 // a proxy that has ejected the others would send everything to this one
+			return 0 // a proxy that has ejected all others would send all requests to this server
 		}
-		return warm * b.completionRates.Mean() * min(safeIntakeFactor, b.guarantees.OverloadFactor/2)
+		return fraction * b.completionRates.Mean() * min(safeIntakeFactor, b.guarantees.OverloadFactor/2)
 	}
 	usual := srv.completionRates.Mean()
 	if srv.onTime || srv.completionRates.Entries() == 0 {
@@ -53,8 +53,8 @@
 	return safeIntakeFactor * usual
 }
 
-// mayBeEjecting reports whether proxies may have ejected servers by their own outlier detection: many
-// attempts fail, or proxies are disconnected or have just reconnected.
+// mayBeEjecting reports whether the outlier detection of proxies may have ejected servers: many attempts
+// fail, or proxies are disconnected or have just reconnected.
 func (b *Balancer) mayBeEjecting(now float64) bool {
 	if b.dataPlane.EjectAfterFailures <= 0 {
 		return false
@@ -62,10 +62,10 @@
 	return b.highFailureRate || len(b.disconnected) > 0 || now-b.reconnectedAt < reconnectSettleTime
 }
 
-// boundIntakes limits the intake of each candidate to what it can safely take, and distributes the
-// excess over the others in proportion to their intakes. If all of them are at their limits, the warm
-// ones share the rest. This prevents the loss of some servers from overloading the others, especially
-// those that are warming up.
+// boundIntakes limits the intake of each candidate to its safe intake, and distributes the excess over the
+// other candidates in proportion to their intakes. If all candidates are at their limits, the warm ones
+// share the rest. This prevents the loss of some servers from overloading the others, especially warming
+// ones.
 func boundIntakes(candidates []candidate, attemptRate float64) {
 	total := 0.0
 	warmTotal := 0.0
--- a/balancer/health_test.go
+++ b/balancer/health_test.go
@@ -4,7 +4,7 @@
 
 func TestRemainingServersAreNotOverloaded(t *testing.T) {
 	h := startSettled(t, defaultSite(), 6)
-	h.playSeconds(20, 100, func(server Server, share, requests float64) UpstreamReport {
+	h.runSeconds(20, 100, func(server Server, share, requests float64) UpstreamReport {
 		if server <= serverName(3) {
 			return failing(server, share, requests)
 		}
@@ -22,7 +22,7 @@
 	started := h.now
 	h.reconcile(h.now+0.1, Events{Lists: deltaList(Endpoint{Server: serverName(0), Weight: 1, Started: started})})
 	for range 10 {
-		h.playSeconds(1, 150, func(server Server, share, requests float64) UpstreamReport {
+		h.runSeconds(1, 150, func(server Server, share, requests float64) UpstreamReport {
 			if server >= serverName(1) && server <= serverName(3) {
 				return failing(server, share, requests)
 			}
@@ -46,7 +46,7 @@
 		Lists:       deltaList(Endpoint{Server: serverName(0), Weight: 1, Started: h.now}),
 		ProxyEvents: []ProxyEvent{{Proxy: 3}, {Proxy: 4}},
 	})
-	for h.playSeconds(2, 100, healthy); h.now < 141; h.playSeconds(1, 100, healthy) {
+	for h.runSeconds(2, 100, healthy); h.now < 141; h.runSeconds(1, 100, healthy) {
 		if len(h.balancer.disconnected) > 0 {
 			h.reconcile(h.now, Events{ProxyEvents: []ProxyEvent{joined(3, 9), joined(4, 9)}})
 		}
@@ -55,7 +55,7 @@
 			t.Fatalf("at %.0f s it has an entry", h.now)
 		}
 	}
-	h.playSeconds(4, 100, healthy)
+	h.runSeconds(4, 100, healthy)
 	if h.tables[1][serverName(0)] == 0 {
 		t.Error("once they have settled it has no entry")
 	}
@@ -66,13 +66,13 @@
 	s := defaultSite()
 	s.dataPlane.EjectAfterFailures = 8
 	h := startSettled(t, s, 6)
-	h.playSeconds(3, 100, losing(0.1, 0.25))
+	h.runSeconds(3, 100, partlyFailing(0.1, 0.25))
 	h.reconcile(h.now, Events{Lists: deltaList(Endpoint{Server: serverName(0), Started: h.now})})
-	h.playSeconds(4, 100, losing(0.1, 0.25))
+	h.runSeconds(4, 100, partlyFailing(0.1, 0.25))
 	if h.tables[1][serverName(0)] != 0 {
 		t.Errorf("a warming server has the share %.3f", h.share(serverName(0)))
 	}
-	h.playSeconds(8, 100, healthy)
+	h.runSeconds(8, 100, healthy)
 	if h.tables[1][serverName(0)] == 0 {
 		t.Error("once all is well it has no entry")
 	}
@@ -83,10 +83,10 @@
 	back := ProxyEvent{Proxy: 40, Zone: 1, ExpectedRate: 50, Joined: true}
 	h.reconcile(h.now, Events{ProxyEvents: []ProxyEvent{back}})
 	h.reconcile(h.now, Events{ProxyEvents: []ProxyEvent{{Proxy: 40, Zone: 1}}})
-	h.playSeconds(12, 50, exceptServer(serverName(1), failing))
+	h.runSeconds(12, 50, healthyExcept(serverName(1), failing))
 	before := h.share(serverName(1))
 	h.reconcile(h.now, Events{ProxyEvents: []ProxyEvent{back}})
-	h.playSeconds(1, 100, exceptServer(serverName(1), failing)) // still a report of the outage
+	h.runSeconds(1, 100, healthyExcept(serverName(1), failing)) // still a report of the outage
 	if got := h.share(serverName(1)); before > 0.03 || got < 2*before || got < 0.06 {
 		t.Errorf("its share went from %.3f to %.3f, want about half of 1/6", before, got)
 	}
--- a/balancer/interface.go
+++ b/balancer/interface.go
@@ -1,121 +1,121 @@
 package balancer
 
-// Identifiers of one kind have a type of their own. They carry no meaning beyond identity.
+// Each kind of identifier has its own type. Values have no meaning beyond identity.
 type (
-	// Server is the address of a server, handed back unaltered.
+	// Server is the address of a server. It is an opaque string that commands repeat unchanged.
 	Server string
-	// Proxy is the number of a proxy.
+	// Proxy is the ID of a proxy.
 	Proxy int
-	// Table is the number of a weight table, chosen by the Balancer.
+	// Table is the ID of a weight table, assigned by the Balancer.
 	Table int
-	// Class is the index of a request class among those handed to New.
+	// Class is the index of a request class in the slice that is passed to New.
 	Class int
-	// ClassSet is a set of request classes: bit k stands for class k. 0 stands for all classes.
+	// ClassSet is a bit set of request classes: bit k represents class k. In commands, 0 means all classes.
 	ClassSet uint64
 	// Zone is the index of a zone in the site's list.
 	Zone int
-	// Kind is the number of a kind of machine.
+	// Kind is the ID of a machine type.
 	Kind int
-	// FailureDomain is the number of a few servers of one zone that fail together and share what they know for
-	// deduplication.
+	// FailureDomain is the ID of a small set of servers in one zone that fail together and share their
+	// deduplication state.
 	FailureDomain int
-	// Coordinator is the number of a coordinator of the site.
+	// Coordinator is the ID of a coordinator of the site.
 	Coordinator int
-	// AckID is the number of an acknowledgement request.
+	// AckID is the ID of an acknowledgement request.
 	AckID int
-	// Timer is the number of a timer.
+	// Timer is the ID of a timer.
 	Timer int
 )
 
-// Idempotency says what a repeated request may do.
+// Idempotency specifies whether a request may be executed more than once.
 type Idempotency int
 
-// The kinds of idempotency.
+// The idempotency levels.
 const (
-	// Idempotent requests may run any number of times.
+	// Idempotent requests may be executed any number of times.
 	Idempotent Idempotency = iota
-	// Keyed requests carry a key by which servers drop repetitions within DedupScope for DedupWindow.
+	// Keyed requests carry a deduplication key: the servers within DedupScope drop duplicates for DedupWindow.
 	Keyed
-	// NonIdempotent requests must never run twice.
+	// NonIdempotent requests must never be executed twice.
 	NonIdempotent
 )
 
-// DedupScope names the servers that drop each other's repetitions of a keyed request.
+// DedupScope specifies which servers recognize each other's duplicates of a keyed request.
 type DedupScope int
 
-// The scopes of deduplication.
+// The deduplication scopes.
 const (
 	EveryServer DedupScope = iota
 	SameZone
 	SameFailureDomain
 )
 
-// RequestClass is what clients expect of one class of requests. Times are in seconds.
+// RequestClass holds the client requirements for one class of requests. Times are in seconds.
 type RequestClass struct {
-	PriorityWeight   float64     // of an answer within the latency objective, against other classes
-	LateWeight       float64     // part of PriorityWeight that a later answer is still worth
-	LatencyObjective float64     // within which an answer has its full worth
-	ObjectiveStretch float64     // multiple of the request's own work that is added to the objective
-	ClientTimeout    float64     // after which the client gives up
-	Idempotency      Idempotency // of its requests
-	DedupScope       DedupScope  // of Keyed requests
-	DedupWindow      float64     // for which repetitions of Keyed requests are dropped
-	AllowedZones     []Zone      // zones of the servers that it may go to; none named: all
-	ZoneLocal        bool        // it may go only to servers of the proxy's zone
-	Writes           bool        // its requests change data
+	PriorityWeight   float64     // value of a response within the latency objective, relative to other classes
+	LateWeight       float64     // fraction of PriorityWeight that a later response is still worth
+	LatencyObjective float64     // maximum latency at which a response has its full value
+	ObjectiveStretch float64     // multiple of the request's own processing time that is added to the objective
+	ClientTimeout    float64     // time after which the client abandons a request
+	Idempotency      Idempotency // idempotency of the requests
+	DedupScope       DedupScope  // deduplication scope of Keyed requests
+	DedupWindow      float64     // time for which duplicates of Keyed requests are dropped
+	AllowedZones     []Zone      // zones whose servers may be used; empty for all
+	ZoneLocal        bool        // only servers in the zone of the proxy may be used
+	Writes           bool        // the requests modify data
 }
 
-// AdmissionMode says how the proxies understand the rate of an admission setting.
+// AdmissionMode specifies how proxies interpret the rate of an admission setting.
 type AdmissionMode int
 
 // The admission modes.
 const (
-	// AdmissionIgnored means that proxies admit everything.
+	// AdmissionIgnored means that proxies ignore the rate and admit all requests.
 	AdmissionIgnored AdmissionMode = iota
-	// AdmissionFraction means the part of a class's requests that is admitted, from 0 to 1.
+	// AdmissionFraction means that the rate is the fraction of the class's requests to admit, from 0 to 1.
 	AdmissionFraction
-	// AdmissionRate means the requests per second that each proxy admits.
+	// AdmissionRate means that the rate is the number of requests per second that each proxy admits.
 	AdmissionRate
 )
 
 // DataPlane describes the proxies.
 type DataPlane struct {
-	Proxies              int           // of all coordinators together
-	Coordinators         int           // how many there are
-	Self                 Coordinator   // this one's number
-	DefaultTableSize     int           // most servers in the table that a proxy starts with
-	EjectAfterFailures   int           // failures in a row after which a proxy ejects a server; 0: never
-	DefaultRetry         RetryPolicy   // of proxies that have no other order
-	MinConnections       float64       // that the smallest servers accept
-	AttemptTimeoutFactor float64       // timeout of an attempt, in latency objectives
-	Admission            AdmissionMode // how proxies understand admission settings
+	Proxies              int           // number of proxies of all coordinators
+	Coordinators         int           // number of coordinators
+	Self                 Coordinator   // ID of this coordinator
+	DefaultTableSize     int           // maximum number of servers in the default table of a proxy
+	EjectAfterFailures   int           // number of consecutive failures after which a proxy ejects a server; 0 for never
+	DefaultRetry         RetryPolicy   // policy of proxies that have received no other one
+	MinConnections       float64       // connection limit of the smallest servers
+	AttemptTimeoutFactor float64       // timeout of an attempt as a multiple of the latency objective
+	Admission            AdmissionMode // interpretation of admission settings by the proxies
 }
 
-// Channel describes the way from the coordinator to its proxies, a first-in first-out queue. An entry is a
-// table entry, an admission setting, an assigned table or an acknowledgement request.
+// Channel describes the channel from the coordinator to its proxies, a first-in first-out queue. An entry is a
+// table entry, an admission setting, a table assignment or an acknowledgement request.
 type Channel struct {
-	EntriesPerSecond float64 // pace at which entries leave it
-	MessageOverhead  float64 // entries charged for each message besides its own
-	MaxQueued        float64 // entries that may wait in it
-	MeanDelay        float64 // seconds from leaving it to the proxy
-	MaxDelay         float64 // seconds
-	MaxMessages      int     // to one proxy within MessageWindow; 0: no limit
+	EntriesPerSecond float64 // rate at which entries leave the queue
+	MessageOverhead  float64 // cost of a message in entries, in addition to the entries in it
+	MaxQueued        float64 // maximum number of queued entries
+	MeanDelay        float64 // mean delay in seconds between leaving the queue and reaching the proxy
+	MaxDelay         float64 // maximum of the same delay, in seconds
+	MaxMessages      int     // maximum number of messages to one proxy within MessageWindow; 0 for no limit
 	MessageWindow    float64 // seconds
 }
 
-// Guarantees are the limits that the decisions keep. Times are in seconds.
+// Guarantees holds the limits that decisions must comply with. Times are in seconds.
 type Guarantees struct {
-	DrainDeadline         float64 // until no proxy sends to a server known to drain
-	EmptyTableDeadline    float64 // that a proxy may be without a table entry
-	WarmupStartFraction   float64 // part of its capacity that a server has at least when it starts
-	WarmupDuration        float64 // after which a server has its whole capacity at the latest
-	OverloadFactor        float64 // multiple of a server's present capacity that overloads it within OverloadWindow
+	DrainDeadline         float64 // time until no proxy sends requests to a server that is known to drain
+	EmptyTableDeadline    float64 // maximum time for which a proxy may have no table entry
+	WarmupStartFraction   float64 // minimum fraction of its capacity that a server has when it starts
+	WarmupDuration        float64 // maximum time until a started server has its full capacity
+	OverloadFactor        float64 // multiple of its current capacity that overloads a server within OverloadWindow
 	OverloadWindow        float64
-	DiscoveryPollDeadline float64 // that discovery may go unpolled
-	RemovalIsAdvisory     bool    // a server that merely left the list may stay in tables
+	DiscoveryPollDeadline float64 // maximum time between two polls of discovery
+	RemovalIsAdvisory     bool    // servers that are missing from a list without having drained may stay in tables
 }
 
-// LoadMetric names a value of a server's load report.
+// LoadMetric identifies a value in the load report of a server.
 type LoadMetric int
 
 // The load metrics.
@@ -129,75 +129,75 @@
 	ErrorRate
 )
 
-// Reporting says which reports of its proxies' traffic the coordinator gets.
+// Reporting describes the traffic reports that the coordinator receives from its proxies.
 type Reporting struct {
-	Period           float64      // seconds between two reports of one kind
-	EntriesPerSecond float64      // pace of the reports
-	Metrics          []LoadMetric // of a load report, in their order
-	Piggybacked      bool         // load reports come with the upstream reports
+	Period           float64      // seconds between two reports of the same kind
+	EntriesPerSecond float64      // maximum rate of the reports
+	Metrics          []LoadMetric // metrics of a load report, in the order of its values
+	Piggybacked      bool         // load reports are part of the upstream reports
 }
 
-// HealthChecking says whether health checks are allowed and what they cost.
+// HealthChecking specifies whether health checks are allowed and what they cost.
 type HealthChecking struct {
 	Allowed bool
-	Price   float64 // points for each check, per request
-	Timeout float64 // seconds that a proxy waits for a connection
+	Price   float64 // cost of a check in points, relative to the number of requests
+	Timeout float64 // connection timeout in seconds
 }
 
-// WeightSource says what the weights in the endpoint list rest on.
+// WeightSource specifies the origin of the weights in the endpoint list.
 type WeightSource int
 
-// The sources of listed weights.
+// The origins of listed weights.
 const (
 	WeightsAbsent WeightSource = iota
 	WeightsNominal
 	WeightsApproximate
-	// WeightsLive change with the load.
+	// WeightsLive means that the weights change with the load.
 	WeightsLive
 )
 
-// Discovery says how endpoint lists come.
+// Discovery specifies how endpoint lists are obtained.
 type Discovery struct {
-	Polled  bool // they come only when PollDiscovery asks for them
+	Polled  bool // a list arrives only in response to PollDiscovery
 	Weights WeightSource
 }
 
-// Phase is the part of its life that a listed server is in.
+// Phase is the lifecycle phase of a listed server.
 type Phase int
 
-// The phases of a server.
+// The lifecycle phases of a server.
 const (
-	// Ready servers take requests.
+	// Ready servers accept requests.
 	Ready Phase = iota
-	// Draining servers finish what they have, and must get no new requests.
+	// Draining servers complete their current requests and must not receive new ones.
 	Draining
 	// Removed servers no longer exist.
 	Removed
 )
 
-// Endpoint is one server of an endpoint list.
+// Endpoint describes one server of an endpoint list.
 type Endpoint struct {
 	Server        Server
 	Zone          Zone
 	Kind          Kind
 	FailureDomain FailureDomain
-	Weight        float64 // relative capacity as listed
+	Weight        float64 // listed relative capacity
 	Phase         Phase
-	Started       float64 // clock time of its last start; 0: long ago
+	Started       float64 // clock time of the last start; 0 if it was long ago
 }
 
-// ListScope says what an endpoint list covers.
+// ListScope specifies which servers an endpoint list covers.
 type ListScope int
 
 // The scopes of an endpoint list.
 const (
-	// CachedList is the list as last known before a restart, possibly out of date.
+	// CachedList is the last list that was known before a restart. It may be outdated.
 	CachedList ListScope = iota
-	// FullList names every server: those absent are removed.
+	// FullList contains every server: servers that are not in it have been removed.
 	FullList
-	// DeltaList names only what has changed.
+	// DeltaList contains only servers that have changed.
 	DeltaList
-	// ListFailed stands for a poll that failed or a watch that broke; it has no endpoints.
+	// ListFailed reports a failed poll or a broken watch. It has no endpoints.
 	ListFailed
 )
 
@@ -207,46 +207,46 @@
 	Endpoints []Endpoint
 }
 
-// ProxyEvent is a proxy that joined or left.
+// ProxyEvent reports that a proxy joined or left.
 type ProxyEvent struct {
 	Proxy        Proxy
-	Joined       bool // otherwise it left
+	Joined       bool // false if the proxy left
 	Zone         Zone
-	ExpectedRate float64 // requests per second that it usually gets
-	DefaultTable bool    // it holds only its default table
+	ExpectedRate float64 // usual number of requests per second
+	DefaultTable bool    // the proxy has only its default table
 }
 
-// UpstreamReport is what the connected proxies of a zone met at one server.
+// UpstreamReport summarizes the attempts of a zone's connected proxies at one server.
 type UpstreamReport struct {
 	Server   Server
-	Zone     Zone      // of the proxies
-	Attempts float64   // within Interval
-	Failed   float64   // attempts without a good answer
-	Latency  float64   // mean of the good ones, seconds
+	Zone     Zone      // zone of the proxies
+	Attempts float64   // number of attempts within Interval
+	Failed   float64   // number of attempts without a successful response
+	Latency  float64   // mean latency of the successful attempts in seconds
 	Interval float64   // seconds
-	Load     []float64 // newest load report, in the order of Reporting.Metrics
+	Load     []float64 // latest load report, in the order of Reporting.Metrics
 }
 
-// DemandReport is what came to one proxy of one class, rejected and retried requests included.
+// DemandReport counts the requests of one class that one proxy received, including rejected and retried requests.
 type DemandReport struct {
 	Proxy    Proxy
 	Class    Class
-	Requests float64 // within Interval
-	Failed   float64 // admitted ones without an answer
+	Requests float64 // number of requests within Interval
+	Failed   float64 // number of admitted requests without a response
 	Interval float64 // seconds
 }
 
-// Ack says that a proxy has applied the message that carried an acknowledgement request.
+// Ack reports that a proxy has applied the message that contained an acknowledgement request.
 type Ack struct {
 	Proxy   Proxy
 	ID      AckID
-	Latency float64 // seconds from the request to its application
+	Latency float64 // seconds from the acknowledgement request to the application of the message
 }
 
-// HealthStatus is how a health check ended.
+// HealthStatus is the outcome of a health check.
 type HealthStatus int
 
-// The results of a health check.
+// The outcomes of a health check.
 const (
 	HealthOK HealthStatus = iota
 	HealthError
@@ -256,7 +256,7 @@
 	HealthInconclusive
 )
 
-// HealthCheckResult is the result of a health check.
+// HealthCheckResult reports the outcome of a health check.
 type HealthCheckResult struct {
 	Server  Server
 	Status  HealthStatus
@@ -264,16 +264,17 @@
 	Load    []float64 // load report, in the order of Reporting.Metrics
 }
 
-// Redelivered names commands that the channel may carry a second time, with a message of their own: they are
-// sent again although they may have been carried out, or not with the rest of their round.
+// Redelivered identifies commands that the channel may carry a second time, in a separate message. They are sent
+// again because they may or may not have been executed the first time, or were not sent with the rest of their
+// round.
 type Redelivered struct {
-	Tables  []Table // one for each weight or admission setting
-	Proxies []Proxy // that are assigned their tables again
+	Tables  []Table // the table of each redelivered weight or admission setting, once per command
+	Proxies []Proxy // proxies whose tables are assigned again
 }
 
-// Events is all that came in for one round, each slice in the order of arrival.
+// Events holds all inputs of one round, each slice in the order of arrival.
 type Events struct {
-	ChannelStalled bool // commands do not reach the channel at present: nothing is published
+	ChannelStalled bool // commands currently cannot reach the channel, so nothing is published
 	Redelivered    Redelivered
 	Lists          []EndpointList
 	ProxyEvents    []ProxyEvent
@@ -284,14 +285,14 @@
 	FiredTimers    []Timer
 }
 
-// RetryPolicy says when a proxy sends a request to another server.
+// RetryPolicy specifies when a proxy retries a request on another server.
 type RetryPolicy int
 
 // The retry policies.
 const (
-	// RetryNever makes one attempt.
+	// RetryNever allows only one attempt.
 	RetryNever RetryPolicy = iota
-	// RetryIfNotExecuted retries once if the first attempt surely did not run.
+	// RetryIfNotExecuted retries once if the first attempt was certainly not executed.
 	RetryIfNotExecuted
 	// RetryOnce retries once after any failure.
 	RetryOnce
@@ -299,23 +300,23 @@
 	RetryTwice
 )
 
-// CommandSink receives the decisions of a round. All commands of a round for a proxy travel in one message.
+// CommandSink receives the commands of a round. All commands of a round for a proxy are sent in one message.
 type CommandSink interface {
-	// SetWeight sets the entry of a server in a table; 0 removes it.
+	// SetWeight sets the weight of a server in a table. A weight of 0 removes the entry.
 	SetWeight(table Table, server Server, weight float64)
-	// AssignTable has a proxy use a table for some classes.
+	// AssignTable assigns a table to a proxy for the given classes.
 	AssignTable(proxy Proxy, table Table, classes ClassSet)
-	// SetAdmission sets what the users of a table admit of some classes, by DataPlane.Admission, and when they
-	// retry.
+	// SetAdmission sets the admission rate and the retry policy of the given classes for the proxies that use a
+	// table. DataPlane.Admission specifies the unit of the rate.
 	SetAdmission(table Table, classes ClassSet, rate float64, retry RetryPolicy)
-	// RequestAck has the round's messages acknowledged when they are applied.
+	// RequestAck asks the proxies to acknowledge the messages of the round when they have applied them.
 	RequestAck(id AckID)
-	// HealthCheck has a server checked; the result comes as a HealthCheckResult.
+	// HealthCheck requests a health check of a server. The result arrives as a HealthCheckResult.
 	HealthCheck(server Server)
-	// PollDiscovery has discovery polled once; the result comes as an EndpointList.
+	// PollDiscovery requests one poll of discovery. The result arrives as an EndpointList.
 	PollDiscovery()
-	// SetTimer schedules a round after some seconds.
+	// SetTimer schedules a round after the given number of seconds.
 	SetTimer(seconds float64, timer Timer)
-	// Log records a message for the operators.
+	// Log writes a message to the operator log.
 	Log(text string)
 }
--- a/balancer/pacing_test.go
+++ b/balancer/pacing_test.go
@@ -146,7 +146,7 @@
 				s.send(slowMessage{entries: entries / proxies, ackID: id, sentAt: now})
 			}
 		}
-		if c.mayJoin(now, joinSize) {
+		if c.mayAssignTables(now, joinSize) {
 			c.charge(now, joinSize)
 			sent += joinSize
 			s.send(slowMessage{entries: joinSize, ackID: id, sentAt: now})
--- a/balancer/proxies.go
+++ b/balancer/proxies.go
@@ -2,7 +2,7 @@
 
 import "slices"
 
-// reportDelay is the delay of reports in seconds in addition to their period; it varies by about half.
+// reportDelay is the mean delay of reports in seconds in addition to their period. It varies by about half.
 const reportDelay = 1.0
 
 // applyProxyEvent processes a proxy that joined or left. If a connected proxy joins again, its old
@@ -35,17 +35,17 @@
 
 func (b *Balancer) disconnect(now float64, p *proxy) {
 	p.leftAt = now
-	if p.bound {
-		p.group.boundProxies--
+	if p.assigned {
+		p.group.assignedProxies--
 	}
 	b.disconnected = append(b.disconnected, p)
 	b.proxies = slices.DeleteFunc(b.proxies, func(other *proxy) bool { return other == p })
 	delete(b.proxyByID, p.Proxy)
 }
 
-// recoverZone ends the outage of a zone when its first proxy reconnects. Reports of failing servers
-// there may still describe the outage: they are ignored for a while, and these servers get at least
-// half of their usual intake.
+// recoverZone marks the end of a zone's outage when its first proxy reconnects. Reports of failing servers
+// in the zone may still describe the outage, so they are ignored for a while, and these servers get at
+// least half of their usual intake.
 func (b *Balancer) recoverZone(now float64, zone Zone) {
 	if slices.ContainsFunc(b.proxies, func(p *proxy) bool { return p.Zone == zone }) {
 		return
@@ -61,18 +61,18 @@
 	}
 }
 
-// expectedDemand splits the expected rate of a joining proxy into classes in proportion to the demand
-// of the connected proxies, or evenly if there is none. It applies until the proxy's own reports
+// expectedDemand splits the expected rate of a joining proxy into classes, in proportion to the demand of
+// the connected proxies or evenly if they have none. The result is used until reports of the proxy itself
 // arrive.
 func (b *Balancer) expectedDemand(rate float64) []float64 {
 	total := offeredRate(b.proxies, nil, allClasses)
 	demand := make([]float64, len(b.classes))
 	for class := range demand {
-		part := 1 / float64(len(b.classes))
+		fraction := 1 / float64(len(b.classes))
 		if total > 0 {
-			part = offeredRate(b.proxies, nil, 1<<class) / total
+			fraction = offeredRate(b.proxies, nil, 1<<class) / total
 		}
-		demand[class] = rate * part
+		demand[class] = rate * fraction
 	}
 	return demand
 }
--- a/balancer/publish.go
+++ b/balancer/publish.go
@@ -11,24 +11,25 @@
 	minRelativeChange = 0.1
 	// weightsInterval is the minimum time in seconds between two weight updates of a table.
 	weightsInterval = 5.0
-	// largeRelativeChange is the relative change of a weight that is too large for drift and indicates a
-	// fault. It is also the fraction of the wanted weights whose absence makes a table urgent.
+	// largeRelativeChange is the relative change of a weight above which the change is too large for drift
+	// and indicates a fault. A table is also urgent if more than this fraction of its wanted weights is
+	// missing.
 	largeRelativeChange = 0.33
-	// largeChangeInterval is the minimum time in seconds between two weight updates if there are such
-	// changes, which leaves time to batch them.
+	// largeChangeInterval is the minimum time in seconds between two weight updates of a table that has such
+	// changes. It leaves time to batch them.
 	largeChangeInterval = 1.0
-	// smallWeight is the lower bound on the weight that a change is compared with.
+	// smallWeight is the lower bound on the divisor when the relative change of a weight is computed.
 	smallWeight = averageWeight / 4
 )
 
-// publish sends all changes, as far as the channel allows, and returns how many entries they take in the
-// channel. The commands of a group are written together, because they travel in one message to each of
-// its proxies.
+// publish sends all changes that the channel allows, and returns how many entries they take in the
+// channel. The commands of a group are written together, because each of its proxies is sent them in one
+// message.
 func (b *Balancer) publish(now float64, sink CommandSink) (written float64) {
-	taken := map[Server]float64{}
+	allocated := map[Server]float64{}
 	wanted := make([][][]tableEntry, len(b.eligibilitySets)) // by eligibility set and group
 	for i := range b.eligibilitySets {
-		wanted[i] = b.wantedEntries(now, i, taken)
+		wanted[i] = b.wantedEntries(now, i, allocated)
 	}
 	before := b.channel.inFlight.Outstanding()
 	for groupIndex, group := range b.groups {
@@ -44,39 +45,38 @@
 	return max(0, b.channel.inFlight.Outstanding()-before)
 }
 
-// assignTables assigns the tables of their groups to proxies that have joined, as far as the channel
-// allows.
+// assignTables assigns proxies that have joined the tables of their groups, as far as the channel allows.
 func (b *Balancer) assignTables(now float64, sink CommandSink) {
 	for _, p := range b.proxies {
-		if p.bound {
+		if p.assigned {
 			continue
 		}
 		size := b.joinSize(p)
-		if !b.channel.mayJoin(now, size) {
+		if !b.channel.mayAssignTables(now, size) {
 			continue
 		}
 		for i, table := range p.group.tables {
 			sink.AssignTable(p.Proxy, table.id, b.eligibilitySets[i].classes)
 		}
-		p.bound = true
+		p.assigned = true
 		p.messageSize = size
-		p.group.boundProxies++
+		p.group.assignedProxies++
 		b.channel.charge(now, size)
 	}
 }
 
 // tableUpdate is the difference between the current and the wanted entries of a table.
 type tableUpdate struct {
-	changes  []weightChange // worth sending, largest first
+	changes  []weightChange // changes that are worth sending, largest first
 	wanted   float64        // sum of the wanted weights
 	missing  float64        // sum of the wanted weights of servers that are not in the table
 	serving  float64        // sum of the current weights of servers that may keep serving
-	interval float64        // minimum seconds between two updates
-	critical bool           // some change is urgent in itself
+	interval float64        // minimum time in seconds between two updates
+	critical bool           // at least one change is critical by itself
 }
 
-// updateWeights sends the changed weights of a table, the largest changes first. Drains and restarts
-// are sent immediately. Changes that exceed the budget remain for a later round.
+// updateWeights sends the changed weights of a table, largest changes first. Drains and restarts are sent
+// immediately. Changes that exceed the budget are sent in a later round.
 func (b *Balancer) updateWeights(now float64, group *proxyGroup, table *weightTable, wanted []tableEntry,
 	sink CommandSink) {
 	update := b.compare(now, table, wanted)
@@ -87,7 +87,7 @@
 	missing := update.missing
 	for i, change := range update.changes {
 		if missing > 0 && change.wanted == 0 && b.isWarmAndReady(now, change.server) {
-			continue // keep it until the missing servers are in the table
+			continue // keep the server until the missing ones are in the table
 		}
 		if i >= budget && b.entryBudget(now, group, b.changeUrgency(now, change)) == 0 {
 			continue
@@ -101,7 +101,8 @@
 	}
 }
 
-// compare returns the changes of a table that are worth sending.
+// compare returns the difference between a table and its wanted entries, with the changes that are worth
+// sending.
 func (b *Balancer) compare(now float64, table *weightTable, wanted []tableEntry) tableUpdate {
 	update := tableUpdate{interval: weightsInterval}
 	for _, change := range b.weightChanges(table, wanted) {
@@ -124,18 +125,18 @@
 		}
 	}
 	slices.SortStableFunc(update.changes, func(left, right weightChange) int {
-		return cmp.Compare(right.size(), left.size())
+		return cmp.Compare(right.sortKey(), left.sortKey())
 	})
 	return update
 }
 
-// changeBudget returns how many changes of a table may be sent now, not counting those that are urgent
-// in themselves.
+// changeBudget returns how many changes of a table may be sent now, not counting changes that are urgent by
+// themselves.
 func (b *Balancer) changeBudget(now float64, group *proxyGroup, table *weightTable, update *tableUpdate) int {
 	tableUrgency := update.urgency()
 	budget := b.entryBudget(now, group, tableUrgency)
 	sendsCritical := update.critical && b.entryBudget(now, group, urgencyCritical) > 0
-	if sendsCritical { // send the other changes with the same message
+	if sendsCritical { // send the other changes in the same message
 		budget = b.channelBudget(now, group, max(tableUrgency, urgencyHigh))
 	}
 	due := now-table.weightsSentAt >= update.interval || tableUrgency > urgencyNormal || sendsCritical
@@ -145,8 +146,8 @@
 	return budget
 }
 
-// urgency is the urgency of the table as a whole: a table that has lost many of its servers does not
-// wait.
+// urgency returns the urgency of the update as a whole: a table that has lost many of its servers is updated
+// without delay.
 func (update *tableUpdate) urgency() urgency {
 	switch {
 	case update.serving == 0:
@@ -158,7 +159,7 @@
 	}
 }
 
-// changeUrgency is the urgency of a single change. Deferred changes are sent with the next update of
+// changeUrgency returns the urgency of a single change. Deferred changes are sent with the next update of
 // the table.
 func (b *Balancer) changeUrgency(now float64, change weightChange) urgency {
 	if change.server.Phase != Ready {
@@ -167,10 +168,10 @@
 	if b.isWarm(now, change.server) {
 		return urgencyDeferred
 	}
-	if change.wanted == 0 { // another table has taken it over
+	if change.wanted == 0 { // the server has moved to another table
 		return urgencyHigh
 	}
-	if change.wanted < change.current/2 { // it has restarted
+	if change.wanted < change.current/2 { // the server has restarted
 		return urgencyCritical
 	}
 	return urgencyDeferred
--- a/balancer/publish_test.go
+++ b/balancer/publish_test.go
@@ -96,9 +96,9 @@
 		t.Errorf("a call that is delivered twice counts as %d messages more, want 1", got)
 	}
 	got := b.channel.inFlight.Outstanding() - before
-	want := group.boundProxies*(2+b.channel.messageCost()) + joinSize
-	if group.boundProxies < 1 || math.Abs(got-want) > 1e-9 {
-		t.Errorf("%.0f entries for two weights to %.0f proxies and a join, want %.0f", got, group.boundProxies, want)
+	want := group.assignedProxies*(2+b.channel.messageCost()) + joinSize
+	if group.assignedProxies < 1 || math.Abs(got-want) > 1e-9 {
+		t.Errorf("%.0f entries for two weights to %.0f proxies and a join, want %.0f", got, group.assignedProxies, want)
 	}
 }
 
--- a/balancer/regulator.go
+++ b/balancer/regulator.go
@@ -3,21 +3,22 @@
 import "math"
 
 const (
-	// gainRatio is the ratio q/r of the regulator: the cost of an error in work in process relative to the
-	// cost of a correction.
+	// gainRatio is the ratio q/r of the regulator: the cost of an error in the work in process relative to
+	// the cost of a correction.
 	gainRatio = 0.2
-	// errorDeadband is the fraction of the target below which an error is not corrected.
+	// errorDeadband is the fraction of the target below which errors are not corrected.
 	errorDeadband = 1.0 / 5.0
 	// maxIntakeGrowth is the maximum ratio of the new intake to the completion rate.
 	maxIntakeGrowth = 2
-	// minIntakeBase divides the mean completion rate of the fleet. The result is the rate that any server
-	// may grow from, so that a server without completions is tried again.
-	minIntakeBase = 4
-	// tiny keeps divisors above zero.
-	tiny = 1e-9
+	// growthBaseDivisor divides the mean completion rate of the fleet. The result is the minimum rate from
+	// which the intake of a server may grow, so that a server without completions is tried again.
+	growthBaseDivisor = 4
+	// epsilon prevents divisions by zero.
+	epsilon = 1e-9
 )
 
-// gain solves the Riccati equation of one server for a ratio q/r, with r = 1:
+// gain returns the regulator gain from the solution S of the Riccati equation of one server for a ratio
+// q/r, with r = 1:
 //
 //	S = (q + sqrt(q^2 + 4qr)) / 2
 //	gain = S / (r + S)
@@ -26,33 +27,34 @@
 	return solution / (1 + solution)
 }
 
-// serverEstimate is the estimate of one server from its samples. A failed attempt counts as in process
-// for the duration of the latency objective. The zero value means that nothing is known.
+// serverEstimate is the estimated state of one server, based on its samples. A failed attempt counts as in
+// process for the duration of the latency objective. The zero value means that nothing is known.
 type serverEstimate struct {
 	completionRate       float64 // requests per second
-	recentCompletionRate float64
+	recentCompletionRate float64 // the same over the last recentSeconds
 	inProcess            float64 // mean number of requests in process
-	recentInProcess      float64
-	successFraction      float64 // fraction of its attempts
+	recentInProcess      float64 // the same over the last recentSeconds
+	successFraction      float64 // fraction of successful attempts
 }
 
-// fleetEstimate is the sum over all servers that are ready and have completed their slow start.
+// fleetEstimate is the sum of the estimates of all servers that are ready and have completed their slow
+// start.
 type fleetEstimate struct {
 	servers        float64
 	completionRate float64
 	inProcess      float64
-	// Totals of those with a low latency: their failures are not the fault of a single server.
-	calmAttempts  float64
-	calmSucceeded float64
+	// Totals of the servers with a low latency. Their failures are not caused by a single server.
+	lowLatencyAttempts  float64
+	lowLatencySucceeded float64
 }
 
-// regulate sets the intake of each server to its completion rate less the gain times its excess work in
-// process, per step. The excess is relative to the mean work in process of the fleet; the step is the
-// time in which the fleet completes that mean.
+// regulate sets the intake of each server to its completion rate minus the gain times its excess work in
+// process per step. The excess is relative to the mean work in process of the fleet, and the step is the
+// time in which a server completes that mean on average.
 func (b *Balancer) regulate(now, expectedAt, gain float64) {
 	estimates, fleet := b.estimateServers(now, expectedAt)
 	target := fleet.inProcess / max(fleet.servers, 1)
-	step := fleet.inProcess / max(fleet.completionRate, tiny)
+	step := fleet.inProcess / max(fleet.completionRate, epsilon)
 	for i, srv := range b.servers {
 		estimate := &estimates[i]
 		unknown := estimate.successFraction == 0 && estimate.inProcess == 0
@@ -61,19 +63,19 @@
 		}
 		srv.observed = true
 		excess := estimate.excess(target)
-		rate := estimate.completionRate * min(fleet.calmAttempts/fleet.calmSucceeded,
-			1/max(estimate.successFraction, tiny))
+		rate := estimate.completionRate * min(fleet.lowLatencyAttempts/fleet.lowLatencySucceeded,
+			1/max(estimate.successFraction, epsilon))
 		if excess < 0 {
-			rate = max(rate, estimate.recentCompletionRate) // its weight has increased since
+			rate = max(rate, estimate.recentCompletionRate) // its weight has increased since the older samples
 		}
-		growthBase := max(rate, fleet.completionRate/fleet.servers/minIntakeBase)
+		growthBase := max(rate, fleet.completionRate/fleet.servers/growthBaseDivisor)
 		srv.intake = min(max(rate-gain*excess/step, 0), maxIntakeGrowth*growthBase)
 	}
 }
 
-// excess is the work in process above the target, negative if below. An error that the recent samples
-// no longer show is not corrected again. Missing work counts in proportion to the success fraction,
-// because a server that fails immediately has little work in process.
+// excess returns the work in process above the target, or a negative value if it is below. An error that
+// the recent samples no longer show is not corrected again. Missing work counts in proportion to the success
+// fraction, because a server whose attempts fail immediately has little work in process.
 func (e *serverEstimate) excess(target float64) float64 {
 	over := max(min(e.inProcess, e.recentInProcess)-target, 0)
 	missing := min(max(e.inProcess, e.recentInProcess)-target, 0)
@@ -84,11 +86,11 @@
 	return excess
 }
 
-// estimateServers returns the estimate of each server, in server order, and that of the fleet. Delisted
-// servers that complete nothing any more are marked as removed.
+// estimateServers returns the estimate of each server, in the order of b.servers, and that of the fleet.
+// Delisted servers that no longer complete any requests are marked as removed.
 func (b *Balancer) estimateServers(now, expectedAt float64) ([]serverEstimate, fleetEstimate) {
 	estimates := make([]serverEstimate, len(b.servers))
-	fleet := fleetEstimate{calmAttempts: tiny, calmSucceeded: tiny}
+	fleet := fleetEstimate{lowLatencyAttempts: epsilon, lowLatencySucceeded: epsilon}
 	for i, srv := range b.servers {
 		average := srv.averageRates(expectedAt)
 		recent := srv.recentRates(expectedAt)
@@ -115,10 +117,10 @@
 		fleet.servers++
 		fleet.completionRate += average.succeeded
 		fleet.inProcess += estimates[i].inProcess
-		calm := average.inProcess < overloadLatencyFraction*b.latencyObjective*average.succeeded
-		if calm && average.failed < average.attempts/2 {
-			fleet.calmAttempts += average.attempts
-			fleet.calmSucceeded += average.succeeded
+		lowLatency := average.inProcess < overloadLatencyFraction*b.latencyObjective*average.succeeded
+		if lowLatency && average.failed < average.attempts/2 {
+			fleet.lowLatencyAttempts += average.attempts
+			fleet.lowLatencySucceeded += average.succeeded
 		}
 	}
 	return estimates, fleet
--- a/balancer/regulator_test.go
+++ b/balancer/regulator_test.go
@@ -17,7 +17,7 @@
 
 func TestSlowServerGetsLess(t *testing.T) {
 	h := startSettled(t, defaultSite(), 6)
-	h.playSeconds(30, 100, exceptServer(serverName(2), answering(0.75)))
+	h.runSeconds(30, 100, healthyExcept(serverName(2), withLatency(0.75)))
 	if got := h.share(serverName(2)); got > 0.08 || got == 0 {
 		t.Errorf("a server three times slower has a share of %.3f, want about 1/16", got)
 	}
@@ -27,17 +27,17 @@
 // answers that are quickly given show little.
 func TestFastErrorsDrawNoTraffic(t *testing.T) {
 	bad := serverName(2)
-	for name, respond := range map[string]responder{"all fail": failing, "most fail": losing(0.8, 0.02)} {
+	for name, respond := range map[string]responder{"all fail": failing, "most fail": partlyFailing(0.8, 0.02)} {
 		t.Run(name, func(t *testing.T) {
 			h := startSettled(t, defaultSite(), 6)
-			h.playSeconds(15, 100, exceptServer(bad, respond))
+			h.runSeconds(15, 100, healthyExcept(bad, respond))
 			for range 20 {
-				h.playSeconds(1, 100, exceptServer(bad, respond))
+				h.runSeconds(1, 100, healthyExcept(bad, respond))
 				if h.share(bad) > 0.02 {
 					t.Fatalf("a server that fails most attempts has a share of %.3f", h.share(bad))
 				}
 			}
-			h.playSeconds(40, 100, healthy)
+			h.runSeconds(40, 100, healthy)
 			if h.share(bad) < 0.1 {
 				t.Errorf("once it has recovered it has a share of %.3f, want about 1/6", h.share(bad))
 			}
@@ -48,8 +48,8 @@
 // Guards against idling a server for as long as its failures are in the averages.
 func TestRecoveredServerIsJudgedByRecentAttempts(t *testing.T) {
 	h := startSettled(t, defaultSite(), 6)
-	h.playSeconds(12, 100, exceptServer(serverName(2), failing))
-	h.playSeconds(12, 100, healthy)
+	h.runSeconds(12, 100, healthyExcept(serverName(2), failing))
+	h.runSeconds(12, 100, healthy)
 	if got := h.share(serverName(2)); got < 0.08 {
 		t.Errorf("12 s after its outage it has a share of %.3f, want over half of 1/6", got)
 	}
@@ -60,13 +60,13 @@
 	s := defaultSite()
 	s.reporting.Period = 2
 	h := startSettled(t, s, 6)
-	h.playSeconds(6, 100, exceptServer(serverName(2), answering(1)))
-	h.playSeconds(2, 100, healthy)
+	h.runSeconds(6, 100, healthyExcept(serverName(2), withLatency(1)))
+	h.runSeconds(2, 100, healthy)
 	before := h.share(serverName(2))
 	for h.now < 150 {
 		if got := h.share(serverName(2)); got < before {
 			t.Fatalf("at %.0f s its share is %.3f, though it has recovered", h.now, got)
 		}
-		h.playSeconds(1, 100, healthy)
+		h.runSeconds(1, 100, healthy)
 	}
 }
--- a/balancer/reports.go
+++ b/balancer/reports.go
@@ -6,17 +6,17 @@
 )
 
 const (
-	// averagingPeriods is the number of samples of each zone that averages cover, and the number of report
+	// averagingPeriods is the number of samples of each zone that are averaged, and the number of report
 	// periods over which demand is averaged.
 	averagingPeriods = 5
-	// recentSeconds is the time that recent rates cover, in seconds: about ten attempts at usual loads.
+	// recentSeconds is the time in seconds that recent rates cover: about ten attempts at usual loads.
 	recentSeconds = 1.5
 	// minAttempts is the number of attempts below which samples are inconclusive, because one failure in
-	// three is common by chance. Half of it is sufficient if nothing failed.
+	// three is common by chance. Half as many are sufficient if none failed.
 	minAttempts = 4.0
 )
 
-// recordUpstreams adds upstream reports to the samples of the servers.
+// recordUpstreams adds samples from upstream reports to the servers.
 func (b *Balancer) recordUpstreams(now float64, reports []UpstreamReport) {
 	for _, report := range reports {
 		srv := b.serverByAddress[report.Server]
@@ -30,8 +30,8 @@
 	}
 }
 
-// newSample converts a report to a sample. If it has more failures than attempts, all attempts count as
-// failed.
+// newSample converts a report to a sample. If the report has more failures than attempts, all attempts
+// count as failed.
 func (b *Balancer) newSample(now float64, report UpstreamReport) sample {
 	succeeded := max(report.Attempts-report.Failed, 0)
 	return sample{
@@ -45,8 +45,8 @@
 	}
 }
 
-// recordDemands updates the demand of each proxy, an exponential moving average weighted by the
-// interval of the reports: a period without requests produces no report.
+// recordDemands updates the demand of each proxy. This is an exponential moving average that is weighted by
+// the interval of the reports, because a period without requests produces no report.
 func (b *Balancer) recordDemands(reports []DemandReport) {
 	for _, report := range reports {
 		p := b.proxyByID[report.Proxy]
@@ -62,7 +62,7 @@
 }
 
 // averageRates returns the rates over the latest samples of each zone. If the samples of a zone end
-// before expectedAt, the missing time counts as silence.
+// before expectedAt, the time in between counts as time without traffic.
 func (s *server) averageRates(expectedAt float64) trafficRates {
 	return s.rates(math.Inf(1), expectedAt)
 }
@@ -72,8 +72,8 @@
 	return s.rates(recentSeconds, expectedAt)
 }
 
-// rates returns the rates over the samples of each zone that cover the given time, at most
-// averagingPeriods of them.
+// rates returns the rates over the latest samples of each zone that cover the given time, at most
+// averagingPeriods per zone.
 func (s *server) rates(seconds, expectedAt float64) trafficRates {
 	var rates trafficRates
 	for newest := range s.samples {
@@ -90,11 +90,12 @@
 	return !slices.ContainsFunc(later, func(other sample) bool { return other.zone == zone })
 }
 
-// sumZone adds up the samples of one zone, from the newest backwards.
+// sumZone returns the sum of the samples of one zone, starting at the given newest sample and going
+// backwards.
 func (s *server) sumZone(newest int, seconds, expectedAt float64) sample {
 	zone := s.samples[newest].zone
-	silence := max(expectedAt-s.samples[newest].reportedAt, 0)
-	total := sample{zone: zone, interval: silence}
+	uncovered := max(expectedAt-s.samples[newest].reportedAt, 0)
+	total := sample{zone: zone, interval: uncovered}
 	count := 0
 	for i := newest; i >= 0 && count < averagingPeriods && total.interval < seconds; i-- {
 		if s.samples[i].zone == zone {
@@ -105,7 +106,7 @@
 	return total
 }
 
-// add adds another sample of the same zone.
+// add adds the counts and the interval of another sample of the same zone.
 func (total *sample) add(other *sample) {
 	total.attempts += other.attempts
 	total.succeeded += other.succeeded
@@ -114,7 +115,7 @@
 	total.interval += other.interval
 }
 
-// add adds the total of one zone.
+// add converts the total of one zone to rates and adds them.
 func (r *trafficRates) add(zone sample) {
 	r.attempts += zone.attempts / zone.interval
 	r.succeeded += zone.succeeded / zone.interval
@@ -123,7 +124,7 @@
 	r.attemptCount += zone.attempts
 }
 
-// conclusive reports whether there are enough attempts to judge a server.
+// conclusive reports whether there are enough attempts to assess a server.
 func (r trafficRates) conclusive() bool {
 	if r.failed == 0 {
 		return r.attemptCount >= minAttempts/2
--- a/balancer/responders_test.go
+++ b/balancer/responders_test.go
@@ -13,23 +13,23 @@
 	return UpstreamReport{Server: server, Attempts: share * requests, Failed: share * requests}
 }
 
-// answering answers everything, in some seconds.
-func answering(latency float64) responder {
+// withLatency answers everything, in some seconds.
+func withLatency(latency float64) responder {
 	return func(server Server, share, requests float64) UpstreamReport {
 		return UpstreamReport{Server: server, Attempts: share * requests, Latency: latency}
 	}
 }
 
-// losing fails a part of the attempts and answers the others in some seconds.
-func losing(part, latency float64) responder {
+// partlyFailing fails a part of the attempts and answers the others in some seconds.
+func partlyFailing(part, latency float64) responder {
 	return func(server Server, share, requests float64) UpstreamReport {
 		attempts := share * requests
 		return UpstreamReport{Server: server, Attempts: attempts, Failed: part * attempts, Latency: latency}
 	}
 }
 
-// exceptServer has all servers healthy but one.
-func exceptServer(other Server, respond responder) responder {
+// healthyExcept has all servers healthy but one.
+func healthyExcept(other Server, respond responder) responder {
 	return func(server Server, share, requests float64) UpstreamReport {
 		if server == other {
 			return respond(server, share, requests)
--- a/balancer/weights.go
+++ b/balancer/weights.go
@@ -2,19 +2,21 @@
 
 import "math"
 
-// Weights are relative capacities. They need not be whole numbers.
+// Weights are relative capacities. They need not be integers.
 const (
-	// minWeight is the minimum weight: 1/16 of the average, enough to detect that a server has recovered.
+	// minWeight is the minimum weight: 1/16 of the average, which is enough traffic to detect that a server
+	// has recovered.
 	minWeight = 8.0
 	// averageWeight is the weight of a server with an average intake. It is about half of the maximum, so
 	// that a weight can double.
 	averageWeight = 128.0
 	// maxWeight is the maximum weight.
 	maxWeight = 255.0
-	// weightSteps is the number of steps per unit of weight that weights are rounded to.
+	// weightSteps is the number of steps per unit of weight to which weights are rounded.
 	weightSteps = 8
-	// unobservedFraction is the fraction of the total intake that is given to all servers that were added
-	// at run time and not observed yet. The list may name servers that do not exist.
+	// unobservedFraction is the fraction of the total intake for all servers together that were added at run
+	// time and have not been observed yet. It is small because the list may contain servers that do not
+	// exist.
 	unobservedFraction = 0.1
 )
 
@@ -23,10 +25,10 @@
 	server     *server
 	warm       bool
 	intake     float64 // requests per second from the classes of the table
-	safeIntake float64 // upper bound on it that the server can safely take
+	safeIntake float64 // upper bound on the intake that the server can safely handle
 }
 
-// intakeSummary is what is known about the candidates for a table as a whole.
+// intakeSummary holds aggregate values of the candidates for a table.
 type intakeSummary struct {
 	mean         float64 // mean intake of the observed servers, or an estimate if there are none
 	observed     float64 // number of observed servers that have completed their slow start
@@ -35,13 +37,13 @@
 }
 
 // wantedEntries returns the wanted entries of each group's table for one eligibility set, scaled to the
-// weights that the table has now. Narrow sets must be computed first: taken accumulates the demand that
-// each server gets from them, which is subtracted from its intake in wider sets.
-func (b *Balancer) wantedEntries(now float64, setIndex int, taken map[Server]float64) [][]tableEntry {
+// current weights of the table. Narrow sets must be computed first: allocated accumulates the demand that they
+// allocate to each server, which is subtracted from the server's intake in wider sets.
+func (b *Balancer) wantedEntries(now float64, setIndex int, allocated map[Server]float64) [][]tableEntry {
 	set := b.eligibilitySets[setIndex]
 	candidates, summary := b.candidates(now, set)
 	for i := range candidates {
-		b.estimateCandidate(now, &candidates[i], len(candidates), &summary, taken)
+		b.estimateCandidate(now, &candidates[i], len(candidates), &summary, allocated)
 	}
 	demand := offeredRate(b.proxies, nil, set.classes)
 	if b.canBoundIntakes(candidates) {
@@ -52,7 +54,7 @@
 		total += c.intake
 	}
 	for _, c := range candidates {
-		taken[c.server.Server] += demand * c.intake / total
+		allocated[c.server.Server] += demand * c.intake / total
 	}
 	var wanted [][]tableEntry
 	if set.zoneLocal {
@@ -66,8 +68,8 @@
 	return wanted
 }
 
-// candidates returns the ready servers in the zones of an eligibility set, without intakes, and their
-// summary.
+// candidates returns the ready servers in the zones of an eligibility set and their summary. The intakes of
+// the candidates are not set yet.
 func (b *Balancer) candidates(now float64, set *eligibilitySet) ([]candidate, intakeSummary) {
 	var candidates []candidate
 	var summary intakeSummary
@@ -92,10 +94,10 @@
 	return candidates, summary
 }
 
-// estimateCandidate sets the intake and the safe intake of a candidate, less what narrower sets have
-// taken.
+// estimateCandidate sets the intake and the safe intake of a candidate, less the demand that narrower sets
+// have allocated to it.
 func (b *Balancer) estimateCandidate(now float64, cand *candidate, count int, summary *intakeSummary,
-	taken map[Server]float64) {
+	allocated map[Server]float64) {
 	srv := cand.server
 	slowStart := b.slowStartFraction(now, srv)
 	intake := slowStart * summary.mean
@@ -110,14 +112,14 @@
 		unobserved := float64(count) - summary.observed
 		intake = min(intake, unobservedFraction*summary.mean*summary.observed/unobserved)
 	}
-	cand.intake = max(intake-taken[srv.Server], minWeight/averageWeight*summary.mean)
-	cand.safeIntake = max(b.safeIntake(now, srv)-taken[srv.Server], 0)
+	cand.intake = max(intake-allocated[srv.Server], minWeight/averageWeight*summary.mean)
+	cand.safeIntake = max(b.safeIntake(now, srv)-allocated[srv.Server], 0)
 	if cand.warm {
-		cand.safeIntake = max(cand.safeIntake, summary.mean/maxWeight) // keep it in the table
+		cand.safeIntake = max(cand.safeIntake, summary.mean/maxWeight) // keep the server in the table
 	}
 }
 
-// canBoundIntakes reports whether enough is known to bound the intakes.
+// canBoundIntakes reports whether enough is known about the servers to apply boundIntakes.
 func (b *Balancer) canBoundIntakes(candidates []candidate) bool {
 	if b.completionRates.Entries() <= 0 || b.attemptRate <= 0 {
 		return false
@@ -145,7 +147,7 @@
 	if current > 0 && wanted > 0 {
 		scale = current / wanted
 	}
-	largest := tiny
+	largest := epsilon
 	for _, entry := range entries {
 		largest = max(largest, entry.weight)
 	}
--- a/balancer/weights_test.go
+++ b/balancer/weights_test.go
@@ -22,7 +22,7 @@
 		added = append(added, Endpoint{Server: serverName(40 + i), Weight: 1})
 	}
 	h.reconcile(h.now+1, Events{Lists: deltaList(added...)})
-	h.playSeconds(8, 100, healthy)
+	h.runSeconds(8, 100, healthy)
 	if got := h.share(serverName(45)); got > 0.01 {
 		t.Errorf("one of 20 servers that answer nothing has a share of %.3f", got)
 	}
