--- a/balancer/balancer_test.go
+++ b/balancer/balancer_test.go
@@ -12,14 +12,14 @@
 	s := defaultSite()
 	s.discovery.Polled = true
 	h := s.start()
-	answered := 0
+	failedPolls := 0
 	for i := range 400 {
-		failed := []EndpointList{{Scope: ListFailed}}[:len(h.polledAt)-answered]
-		answered = len(h.polledAt)
+		failed := []EndpointList{{Scope: ListFailed}}[:len(h.polledAt)-failedPolls]
+		failedPolls = len(h.polledAt)
 		h.reconcile(100+float64(i)/10, Events{Lists: failed})
 	}
 	if polls := len(h.polledAt); polls < 25 || polls > 70 {
-		t.Errorf("%d polls in 40 s, want one in a sixteenth to an eighth of the time allowed", polls)
+		t.Errorf("%d polls in 40 s, want one per sixteenth to eighth of the poll deadline", polls)
 	}
 }
 
@@ -46,30 +46,30 @@
 		})
 	}
 	if h.violation != "" || h.tables[1]["a"] <= 0 {
-		t.Errorf("table %v, %s", h.tables[1], h.violation)
+		t.Errorf("table is %v; %s", h.tables[1], h.violation)
 	}
 }
 
-// Any run keeps the guarantees, and the same run gives the same commands.
+// Random runs keep all guarantees, and the same events produce the same commands.
 func TestRandomRunsKeepGuarantees(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := drawSite(t)
 		h := s.start()
-		twin := s.start()
+		second := s.start()
 		servers := rapid.IntRange(2, 9).Draw(t, "servers")
 		h.listAndJoin(servers)
-		twin.listAndJoin(servers)
+		second.listAndJoin(servers)
 		for range rapid.IntRange(10, 60).Draw(t, "rounds") {
 			pause := rapid.SampledFrom([]float64{0, 0.004, 0.3, 1, 1, 1, 7}).Draw(t, "pause")
 			events := drawEvents(t, h, servers, pause)
 			now := h.now + pause
 			h.reconcile(now, events)
-			twin.reconcile(now, events)
+			second.reconcile(now, events)
 			if h.violation != "" {
 				t.Fatal(h.violation)
 			}
-			if h.log != twin.log {
-				t.Fatal("the same events gave other commands")
+			if h.log != second.log {
+				t.Fatal("the same events produced different commands")
 			}
 			checkWarmingServers(t, h)
 		}
@@ -81,9 +81,10 @@
 	s.dataPlane.Admission = AdmissionMode(rapid.IntRange(0, 2).Draw(t, "admission"))
 	s.dataPlane.DefaultRetry = RetryPolicy(rapid.IntRange(0, 3).Draw(t, "retry"))
 	s.reporting.Period = rapid.SampledFrom([]float64{0.5, 1, 2}).Draw(t, "period")
-	s.dataPlane.MinConnections = rapid.SampledFrom([]float64{0, 12}).Draw(t, "connections") // 12: groups
+	s.dataPlane.MinConnections = rapid.SampledFrom([]float64{0, 12}).Draw(t, "connections") // 12 results in several groups
 	s.channel.MaxMessages = rapid.SampledFrom([]int{0, 12}).Draw(t, "messages")
-	s.channel.MaxQueued = rapid.SampledFrom([]float64{260, 2000}).Draw(t, "entries") // what can't wait, twice
+	// 260 has room for the urgent updates twice.
+	s.channel.MaxQueued = rapid.SampledFrom([]float64{260, 2000}).Draw(t, "entries")
 	s.channel.EntriesPerSecond = s.channel.MaxQueued / 1.5
 	if rapid.Bool().Draw(t, "zones") {
 		s.classes[1].AllowedZones = []Zone{1}
@@ -91,7 +92,7 @@
 	return s
 }
 
-// drawEvents draws what happens in some seconds: an event or none, and reports of how the servers answer.
+// drawEvents draws the events of the given number of seconds: at most one change, and reports of the traffic.
 func drawEvents(t *rapid.T, h *harness, servers int, seconds float64) Events {
 	i := rapid.IntRange(0, servers-1).Draw(t, "server")
 	endpoint := Endpoint{Server: serverName(i), Weight: 1, Zone: Zone(i % 2)}
@@ -114,7 +115,7 @@
 	case 4:
 		events.ProxyEvents = []ProxyEvent{joined(proxy, 12)}
 	case 5:
-		for p := range Proxy(8) { // all connections break at once
+		for p := range Proxy(8) { // all connections are replaced at once
 			events.ProxyEvents = append(events.ProxyEvents, ProxyEvent{Proxy: p}, joined(p, 12))
 		}
 	case 6:
@@ -130,16 +131,16 @@
 
 func drawUpstreams(t *rapid.T, h *harness, servers int, seconds float64) []UpstreamReport {
 	var reports []UpstreamReport
-	worst := rapid.IntRange(0, 3).Draw(t, "fault")
+	severity := rapid.IntRange(0, 3).Draw(t, "fault")
 	for i := range servers {
 		attempts := 15 * seconds * h.share(serverName(i)) * float64(servers)
-		failedPart := rapid.SampledFrom([]float64{0, 0, 0, 1, 0.5}).Draw(t, "failed") * float64(min(worst, 1))
+		failedFraction := rapid.SampledFrom([]float64{0, 0, 0, 1, 0.5}).Draw(t, "failed") * float64(min(severity, 1))
 		reports = append(reports, UpstreamReport{
 			Server:   serverName(i),
 			Attempts: attempts,
-			Failed:   attempts * failedPart,
+			Failed:   attempts * failedFraction,
 			Interval: seconds,
-			Latency:  rapid.Float64Range(0.1, 0.3+float64(worst)).Draw(t, "latency"),
+			Latency:  rapid.Float64Range(0.1, 0.3+float64(severity)).Draw(t, "latency"),
 		})
 	}
 	return reports
@@ -156,8 +157,8 @@
 	return reports
 }
 
-// checkWarmingServers holds the attempts that tables lead to each warming server against what it can take. It
-// looks only where there is one table, some warm server and enough experience.
+// checkWarmingServers checks that the tables send no warming server more attempts than it can handle. It checks
+// only if there is a single table, at least one fraction server and enough data on completion rates.
 func checkWarmingServers(t *rapid.T, h *harness) {
 	b := h.balancer
 	someWarm := slices.ContainsFunc(b.servers, func(s *server) bool { return b.isWarmAndReady(h.now, s) })
@@ -166,15 +167,15 @@
 		return
 	}
 	for _, s := range b.servers {
-		warm := b.warmupFraction(h.now, s)
-		if s.Phase != Ready || warm >= 1 {
+		fraction := b.warmupFraction(h.now, s)
+		if s.Phase != Ready || fraction >= 1 {
 			continue
 		}
 		attempts := h.share(s.Server) * math.Max(b.attemptRate, offeredRate(b.proxies, nil, allClasses))
-		limit := b.guarantees.OverloadFactor * 1.5 * math.Max(warm*b.completionRates.Mean(), 1)
+		limit := b.guarantees.OverloadFactor * 1.5 * math.Max(fraction*b.completionRates.Mean(), 1)
 		if attempts > limit {
-			t.Fatalf("%s has %.2f of its capacity and gets %.1f attempts a second, over %.1f",
-				s.Server, warm, attempts, limit)
+			t.Fatalf("%s has %.2f of its capacity and gets %.1f attempts per second, want at most %.1f",
+				s.Server, fraction, attempts, limit)
 		}
 	}
 }
--- a/balancer/channel_emulator_test.go
+++ b/balancer/channel_emulator_test.go
@@ -7,82 +7,83 @@
 	"snowquay/balancer"
 )
 
-// channelEmulator is the channel between a coordinator and its proxies in virtual time, with the proxies behind it.
-// It carries messages one after the other at its own pace, and checks the limits on the channel: it knows nothing
-// of the balancer's own account.
+// channelEmulator emulates the channel between a coordinator and its proxies, and the proxies themselves, in virtual
+// time. It transmits messages in order at its own pace and checks the limits on the channel, independently of the
+// balancer's own accounting.
 type channelEmulator struct {
 	channel       balancer.Channel
 	classes       int
-	drainDeadline float64                  // seconds until no proxy may use a draining server any more
-	pace          func(at float64) float64 // part of EntriesPerSecond
-	ackLoss       float64                  // part of the acknowledgements that never arrive
+	drainDeadline float64                  // seconds after which no proxy may use a draining server
+	pace          func(at float64) float64 // current rate as a fraction of EntriesPerSecond
+	ackLoss       float64                  // fraction of the acknowledgements that are lost
 	random        *rand.Rand
 	now           float64
 
 	// The channel.
-	credit     float64 // entries that it may carry now
-	queued     float64 // entries in it
+	credit     float64 // entries that may be transmitted now
+	queued     float64 // number of queued entries
 	queue      []*message
-	deliveries []delivery                  // on their way
-	round      map[balancer.Proxy]*message // messages of the round that is being written
-	written    []*message                  // the same in the order of writing
-	ackID      balancer.AckID              // requested in this round; 0: none
+	deliveries []delivery                  // messages and acknowledgements in transit
+	messages   map[balancer.Proxy]*message // messages of the current round
+	written    []*message                  // messages of the current round, in the order of writing
+	ackID      balancer.AckID              // acknowledgement requested in the current round; 0 if none
 
-	// What the coordinator has ordered.
+	// State according to the commands of the coordinator.
 	tables     map[balancer.Table]map[balancer.Server]bool
 	admissions map[balancer.Table]map[balancer.Class]bool
 	users      map[balancer.Table][]*emulatedProxy
 
 	// The proxies.
-	proxies map[balancer.Proxy]*emulatedProxy
-	order   []*emulatedProxy // in the order of joining
+	proxies   map[balancer.Proxy]*emulatedProxy
+	joinOrder []*emulatedProxy // in the order of joining
 
-	// Servers that drain: since when, and for how many seconds a proxy may still use them.
+	// Draining servers: the time since when they drain, and for how many seconds a proxy may still use them.
 	drainingSince map[balancer.Server]float64
 	drainLimit    map[balancer.Server]float64
 
 	// Findings.
 	maxQueued   float64
 	maxMessages int
-	violation   string // the first limit that was not kept
-	lateDrain   string // a drain that was late
+	violation   string // first violation of a limit
+	lateDrain   string // description of a late drain
 }
 
-// emulatedProxy is a proxy.
+// emulatedProxy holds the state of a proxy and of the messages to it.
 type emulatedProxy struct {
 	id          balancer.Proxy
 	joinedAt    float64
-	assigned    map[balancer.Class]balancer.Table // as the coordinator has ordered
-	using       map[balancer.Class]balancer.Table // as the proxy itself does
-	held        map[balancer.Table]map[balancer.Server]bool
-	sentAt      []float64 // when messages were written to it, within the message window
-	lastArrival float64   // when the last of them arrives
+	assigned    map[balancer.Class]balancer.Table           // tables assigned by the coordinator
+	using       map[balancer.Class]balancer.Table           // tables that the proxy currently uses
+	tables      map[balancer.Table]map[balancer.Server]bool // contents that the proxy currently has
+	sentAt      []float64                                   // times of the messages to it within the message window
+	lastArrival float64                                     // time at which the last of them arrives
 }
 
-// change is a table entry that is set or removed, or a entries table that is assigned.
+// change is a table entry that is set or removed, or a table that is assigned. The zero value is an admission
+// setting, which the emulated proxies ignore.
 type change struct {
 	table   balancer.Table
 	server  balancer.Server
 	present bool
 	classes balancer.ClassSet
-	entries []balancer.Server // of an assigned table; nil: no table is assigned
+	entries []balancer.Server // entries of an assigned table; nil if no table is assigned
 }
 
-// message is what a proxy is sent in one round.
+// message contains all changes that a proxy is sent in one round.
 type message struct {
 	to        *emulatedProxy
-	remaining float64 // entries that the channel has not carried yet
+	remaining float64 // number of entries that have not been transmitted yet
 	changes   []change
 	ackID     balancer.AckID
 	issuedAt  float64
 }
 
-// delivery is a message that arrives at a proxy, or an acknowledgement that arrives at the coordinator.
+// delivery is a message in transit to a proxy, or an acknowledgement in transit to the coordinator.
 type delivery struct {
-	at       float64
-	apply    func() // what the message does to the proxy; nil for an acknowledgement
-	ack      balancer.Ack
-	answered bool // the acknowledgement is not lost
+	at         float64
+	apply      func() // applies the message to the proxy; nil for an acknowledgement
+	ack        balancer.Ack
+	ackArrives bool // false if the acknowledgement is lost
 }
 
 func newChannelEmulator(channel balancer.Channel, classes int, drainDeadline float64, seed uint64) *channelEmulator {
@@ -92,7 +93,7 @@
 		drainDeadline: drainDeadline,
 		pace:          func(float64) float64 { return 1 },
 		random:        rand.New(rand.NewPCG(seed, 1)),
-		round:         map[balancer.Proxy]*message{},
+		messages:      map[balancer.Proxy]*message{},
 		tables:        map[balancer.Table]map[balancer.Server]bool{},
 		admissions:    map[balancer.Table]map[balancer.Class]bool{},
 		users:         map[balancer.Table][]*emulatedProxy{},
@@ -102,36 +103,36 @@
 	}
 }
 
-func (e *channelEmulator) fail(format string, args ...any) {
+func (e *channelEmulator) recordViolation(format string, args ...any) {
 	if e.violation == "" {
 		e.violation = fmt.Sprintf("at %.2f s: ", e.now) + fmt.Sprintf(format, args...)
 	}
 }
 
-// join connects a proxy. It goes on using the servers that another coordinator gave it.
+// join connects a proxy. It continues to use the servers that were assigned by another coordinator.
 func (e *channelEmulator) join(id balancer.Proxy, servers []balancer.Server) {
 	p := &emulatedProxy{
 		id:       id,
 		joinedAt: e.now,
 		assigned: map[balancer.Class]balancer.Table{},
 		using:    map[balancer.Class]balancer.Table{},
-		held:     map[balancer.Table]map[balancer.Server]bool{0: {}},
+		tables:   map[balancer.Table]map[balancer.Server]bool{0: {}},
 	}
 	for _, s := range servers {
-		p.held[0][s] = true
+		p.tables[0][s] = true
 	}
 	for c := range e.classes {
 		p.using[balancer.Class(c)] = 0
 	}
 	e.proxies[id] = p
-	e.order = append(e.order, p)
+	e.joinOrder = append(e.joinOrder, p)
 }
 
-// leave disconnects a proxy: what waits for it is lost.
+// leave disconnects a proxy. Messages that are queued for it are lost.
 func (e *channelEmulator) leave(id balancer.Proxy) {
 	p := e.proxies[id]
 	delete(e.proxies, id)
-	e.order = without(e.order, p)
+	e.joinOrder = without(e.joinOrder, p)
 	for t, users := range e.users {
 		e.users[t] = without(users, p)
 	}
@@ -146,19 +147,19 @@
 	return list
 }
 
-// drain notes that the coordinator learns of a draining server. The limit is multiplied by slowdown, for a channel
-// that is slow.
-func (e *channelEmulator) drain(s balancer.Server, slowdown float64) {
+// startDrain records the time at which the coordinator is notified of a draining server. The time limit is
+// multiplied by slowdown to account for a slow channel.
+func (e *channelEmulator) startDrain(s balancer.Server, slowdown float64) {
 	e.drainingSince[s] = e.now
 	e.drainLimit[s] = e.drainDeadline * slowdown
 }
 
-// messageTo is the message of this round to a proxy.
+// messageTo returns the message of the current round to a proxy, and creates it if necessary.
 func (e *channelEmulator) messageTo(p *emulatedProxy) *message {
-	m := e.round[p.id]
+	m := e.messages[p.id]
 	if m == nil {
 		m = &message{to: p, remaining: e.channel.MessageOverhead, issuedAt: e.now}
-		e.round[p.id] = m
+		e.messages[p.id] = m
 		e.written = append(e.written, m)
 	}
 	return m
@@ -172,7 +173,7 @@
 	}
 }
 
-// SetWeight of balancer.CommandSink.
+// SetWeight implements balancer.CommandSink.
 func (e *channelEmulator) SetWeight(t balancer.Table, s balancer.Server, weight float64) {
 	if e.tables[t] == nil {
 		e.tables[t] = map[balancer.Server]bool{}
@@ -184,11 +185,11 @@
 	e.addChange(t, change{table: t, server: s, present: weight > 0})
 }
 
-// AssignTable of balancer.CommandSink.
+// AssignTable implements balancer.CommandSink.
 func (e *channelEmulator) AssignTable(id balancer.Proxy, t balancer.Table, classes balancer.ClassSet) {
 	p := e.proxies[id]
 	if p == nil {
-		e.fail("proxy %d is assigned a table and has not joined", id)
+		e.recordViolation("proxy %d is assigned a table but has not joined", id)
 		return
 	}
 	entries := make([]balancer.Server, 0, len(e.tables[t]))
@@ -206,7 +207,7 @@
 	e.users[t] = append(without(e.users[t], p), p)
 }
 
-// SetAdmission of balancer.CommandSink.
+// SetAdmission implements balancer.CommandSink.
 func (e *channelEmulator) SetAdmission(t balancer.Table, classes balancer.ClassSet, _ float64, _ balancer.RetryPolicy) {
 	for c := range e.classes {
 		if classes == 0 || classes>>c&1 == 1 {
@@ -219,22 +220,22 @@
 	e.addChange(t, change{})
 }
 
-// RequestAck of balancer.CommandSink.
+// RequestAck implements balancer.CommandSink.
 func (e *channelEmulator) RequestAck(id balancer.AckID) { e.ackID = id }
 
-// HealthCheck of balancer.CommandSink.
+// HealthCheck implements balancer.CommandSink.
 func (e *channelEmulator) HealthCheck(balancer.Server) {}
 
-// PollDiscovery of balancer.CommandSink.
+// PollDiscovery implements balancer.CommandSink.
 func (e *channelEmulator) PollDiscovery() {}
 
-// SetTimer of balancer.CommandSink.
+// SetTimer implements balancer.CommandSink.
 func (e *channelEmulator) SetTimer(float64, balancer.Timer) {}
 
-// Log of balancer.CommandSink.
+// Log implements balancer.CommandSink.
 func (e *channelEmulator) Log(string) {}
 
-// sendRound puts the round's messages into the channel and counts both limits.
+// sendRound puts the messages of the current round into the channel and checks both limits of the channel.
 func (e *channelEmulator) sendRound() {
 	for _, message := range e.written {
 		message.ackID = e.ackID
@@ -250,68 +251,69 @@
 		e.maxMessages = max(e.maxMessages, sent)
 		limit := e.channel.MaxMessages
 		if limit > 0 && sent > limit {
-			e.fail("%d messages to proxy %d in a window, %d allowed", sent, message.to.id, limit)
+			e.recordViolation("%d messages to proxy %d in a window, want at most %d", sent, message.to.id, limit)
 		}
 	}
 	e.queue = append(e.queue, e.written...)
 	e.maxQueued = max(e.maxQueued, e.queued)
 	if e.queued > e.channel.MaxQueued {
-		e.fail("%.0f entries queued, %.0f allowed", e.queued, e.channel.MaxQueued)
+		e.recordViolation("%.0f entries queued, want at most %.0f", e.queued, e.channel.MaxQueued)
 	}
 	e.written = nil
 	e.ackID = 0
-	clear(e.round)
+	clear(e.messages)
 }
 
-// advance carries messages until a time, and returns what has been acknowledged by then.
+// advance transmits messages until the given time, and returns the acknowledgements that have arrived by then.
 func (e *channelEmulator) advance(until float64) []balancer.Ack {
 	e.credit += (until - e.now) * e.channel.EntriesPerSecond * e.pace(e.now)
 	e.now = until
 	for len(e.queue) > 0 && e.credit > 0 {
 		m := e.queue[0]
-		part := min(m.remaining, e.credit)
-		if e.proxies[m.to.id] != m.to { // it has left: nothing of it is carried
-			part = 0
+		transmitted := min(m.remaining, e.credit)
+		if e.proxies[m.to.id] != m.to { // the proxy has left, so its message is dropped
+			transmitted = 0
 			e.queued -= m.remaining
 			m.remaining = 0
 		}
-		m.remaining -= part
-		e.credit -= part
-		e.queued -= part
+		m.remaining -= transmitted
+		e.credit -= transmitted
+		e.queued -= transmitted
 		if m.remaining > 0 {
 			break
 		}
 		e.queue = e.queue[1:]
-		e.deliver(m)
+		e.scheduleDelivery(m)
 	}
 	if len(e.queue) == 0 {
 		e.credit = 0
 	}
-	acks := e.arrive()
+	acks := e.processArrivals()
 	e.checkDrains()
 	return acks
 }
 
-// arrive applies the messages that have arrived at proxies, and returns the acknowledgements that have arrived.
-func (e *channelEmulator) arrive() []balancer.Ack {
+// processArrivals applies the messages that have arrived at proxies, and returns the acknowledgements that have
+// arrived at the coordinator.
+func (e *channelEmulator) processArrivals() []balancer.Ack {
 	var acks []balancer.Ack
-	underway := e.deliveries[:0]
+	inTransit := e.deliveries[:0]
 	for _, arriving := range e.deliveries {
 		switch {
 		case arriving.at > e.now:
-			underway = append(underway, arriving)
+			inTransit = append(inTransit, arriving)
 		case arriving.apply != nil:
 			arriving.apply()
-		case arriving.answered:
+		case arriving.ackArrives:
 			acks = append(acks, arriving.ack)
 		}
 	}
-	e.deliveries = underway
+	e.deliveries = inTransit
 	return acks
 }
 
-// deliver takes a message out of the channel: it arrives later, and its acknowledgement later still.
-func (e *channelEmulator) deliver(m *message) {
+// scheduleDelivery schedules the arrival of a message that has left the queue, and of its acknowledgement.
+func (e *channelEmulator) scheduleDelivery(m *message) {
 	if e.proxies[m.to.id] != m.to {
 		return
 	}
@@ -324,33 +326,33 @@
 	e.deliveries = append(e.deliveries, delivery{at: at, apply: func() { m.apply() }})
 	if m.ackID != 0 {
 		e.deliveries = append(e.deliveries, delivery{
-			at:       at + 0.01,
-			answered: e.random.Float64() >= e.ackLoss,
-			ack:      balancer.Ack{Proxy: m.to.id, ID: m.ackID, Latency: at - m.issuedAt},
+			at:         at + 0.01,
+			ackArrives: e.random.Float64() >= e.ackLoss,
+			ack:        balancer.Ack{Proxy: m.to.id, ID: m.ackID, Latency: at - m.issuedAt},
 		})
 	}
 }
 
-// apply has the proxy carry out a message.
+// apply applies a message to its proxy.
 func (m *message) apply() {
 	for _, c := range m.changes {
 		switch {
 		case c.entries != nil:
 			m.to.assign(c)
-		case c.server != "" && m.to.held[c.table] != nil:
-			m.to.held[c.table][c.server] = true
+		case c.server != "" && m.to.tables[c.table] != nil:
+			m.to.tables[c.table][c.server] = true
 			if !c.present {
-				delete(m.to.held[c.table], c.server)
+				delete(m.to.tables[c.table], c.server)
 			}
 		}
 	}
 }
 
-// assign has the proxy use a whole table.
+// assign replaces the contents of a table and makes the proxy use it.
 func (p *emulatedProxy) assign(c change) {
-	p.held[c.table] = map[balancer.Server]bool{}
+	p.tables[c.table] = map[balancer.Server]bool{}
 	for _, server := range c.entries {
-		p.held[c.table][server] = true
+		p.tables[c.table][server] = true
 	}
 	for class := range p.using {
 		if c.classes == 0 || c.classes>>class&1 == 1 {
@@ -359,19 +361,19 @@
 	}
 }
 
-// checkDrains looks for proxies that use a draining server for longer than allowed. It looks at each drain once its
-// time is over, and at late joiners once theirs is.
+// checkDrains checks that no proxy uses a draining server for longer than allowed. The time limit starts when the
+// server starts draining, or when the proxy joins if that is later.
 func (e *channelEmulator) checkDrains() {
 	for server, drainingSince := range e.drainingSince {
 		limit := e.drainLimit[server]
 		if e.now < drainingSince+limit {
 			continue
 		}
-		for _, p := range e.order {
+		for _, p := range e.joinOrder {
 			since := max(drainingSince, p.joinedAt)
 			if e.now >= since+limit && p.uses(server) {
-				e.lateDrain = fmt.Sprintf("at %.2f s: proxy %d (joined at %.2f, assigned %v) uses %s, which drains since %.2f; "+
-					"%.1f s allowed, %.0f entries queued; removal ordered %v", e.now, p.id, p.joinedAt, len(p.assigned) > 0,
+				e.lateDrain = fmt.Sprintf("at %.2f s: proxy %d (joined at %.2f, assigned %v) uses %s, draining since %.2f; "+
+					"%.1f s allowed, %.0f entries queued; removal requested %v", e.now, p.id, p.joinedAt, len(p.assigned) > 0,
 					server, drainingSince, limit, e.queued, !e.tables[p.assigned[0]][server])
 				return
 			}
@@ -384,7 +386,7 @@
 
 func (p *emulatedProxy) uses(s balancer.Server) bool {
 	for _, t := range p.using {
-		if p.held[t][s] {
+		if p.tables[t][s] {
 			return true
 		}
 	}
--- a/balancer/endpoints_test.go
+++ b/balancer/endpoints_test.go
@@ -2,36 +2,36 @@
 
 import "testing"
 
-func TestLastServersDrain(t *testing.T) {
+func TestLastServersAreDrained(t *testing.T) {
 	h := startSettled(t, defaultSite(), 2)
 	h.reconcile(h.now+0.1, Events{Lists: fullList()})
 	if len(h.tables[1]) != 0 || h.violation != "" {
-		t.Errorf("table %v, %s", h.tables[1], h.violation)
+		t.Errorf("table is %v, want no entries; %s", h.tables[1], h.violation)
 	}
 }
 
-// Guards against a list that loses servers which still run.
-func TestAdvisoryRemovalCountsOnceNothingIsAnswered(t *testing.T) {
+// Guards against removing servers that are missing from an incorrect list but are still running.
+func TestAdvisoryRemovalAppliesOnceServerStopsResponding(t *testing.T) {
 	s := defaultSite()
 	s.guarantees.RemovalIsAdvisory = true
 	h := startSettled(t, s, 4)
 	removed := Endpoint{Server: serverName(3), Phase: Removed}
-	delete(h.endpoints, serverName(3)) // the harness then expects no drain
+	delete(h.endpoints, serverName(3)) // so that the harness does not expect a drain
 	h.reconcile(h.now+1, Events{Lists: deltaList(removed)})
 	h.endpoints[serverName(3)] = removed
 	delete(h.drainingSince, serverName(3))
 	h.runSeconds(10, 100, healthy)
-	whileAnswering := h.share(serverName(3))
-	if whileAnswering < 0.2 {
-		t.Errorf("merely delisted, it has a share of %.3f while it answers", whileAnswering)
+	shareWhileResponding := h.share(serverName(3))
+	if shareWhileResponding < 0.2 {
+		t.Errorf("delisted server that still responds has a share of %.3f, want about 1/4", shareWhileResponding)
 	}
 	h.runSeconds(10, 100, healthyExcept(serverName(3), failing))
 	if h.tables[1][serverName(3)] != 0 {
-		t.Errorf("delisted and failing, it has a share of %.3f", h.share(serverName(3)))
+		t.Errorf("delisted server that fails has a share of %.3f, want none", h.share(serverName(3)))
 	}
 }
 
-// Guards against growth: servers are replaced by new ones for as long as the coordinator runs.
+// Guards against unbounded memory growth: servers are continually replaced while the coordinator runs.
 func TestRemovedServersAreForgotten(t *testing.T) {
 	h := startSettled(t, defaultSite(), 6)
 	address := func(i int) Server { return Server(rune('a'+i%26)) + serverName(100+i) }
@@ -47,6 +47,7 @@
 	}
 	known := len(h.balancer.serverByAddress)
 	if known > 12 || len(h.balancer.servers) != known || h.violation != "" {
-		t.Errorf("%d servers are known, %d in order; %s", known, len(h.balancer.servers), h.violation)
+		t.Errorf("%d servers are known and %d are in the ordered list, want the same number, at most 12; %s",
+			known, len(h.balancer.servers), h.violation)
 	}
 }
--- a/balancer/groups_test.go
+++ b/balancer/groups_test.go
@@ -2,8 +2,9 @@
 
 import "testing"
 
-// A connection from every proxy to every server would fill the servers: groups share a part of them each.
-func TestGroupsShareTheServers(t *testing.T) {
+// Connections from every proxy to every server would exceed the connection limits of the servers, so the servers
+// are divided among proxy groups.
+func TestServersAreDividedAmongGroups(t *testing.T) {
 	s := defaultSite()
 	s.dataPlane.MinConnections = 8
 	h := s.start()
@@ -17,7 +18,8 @@
 		}
 	}
 	if len(h.balancer.groups) != 4 || len(used) != 12 || entries > 18 {
-		t.Errorf("%d groups use %d servers of 12 in %d entries", len(h.balancer.groups), len(used), entries)
+		t.Errorf("%d groups use %d of 12 servers in %d entries, want 4 groups, all servers and at most 18 entries",
+			len(h.balancer.groups), len(used), entries)
 	}
 }
 
@@ -25,10 +27,10 @@
 	s := defaultSite()
 	s.classes[1].AllowedZones = []Zone{1}
 	h := startSettled(t, s, 6)
-	all := h.assigned[0][0]
-	ofZone := h.assigned[0][1]
-	if all == ofZone || len(h.tables[all]) != 6 || len(h.tables[ofZone]) != 3 {
-		t.Errorf("tables %v", h.tables)
+	allZones := h.assigned[0][0]
+	oneZone := h.assigned[0][1]
+	if allZones == oneZone || len(h.tables[allZones]) != 6 || len(h.tables[oneZone]) != 3 {
+		t.Errorf("tables are %v, want separate ones with 6 and 3 entries", h.tables)
 	}
 }
 
@@ -37,17 +39,18 @@
 	s.classes[1] = RequestClass{PriorityWeight: 1, LatencyObjective: 1, ZoneLocal: true}
 	h := s.start()
 	h.listAndJoin(4)
-	far := joined(90, 3)
-	far.Zone = 1
-	h.reconcile(101, Events{ProxyEvents: []ProxyEvent{far}})
-	near := h.assigned[0][1]
-	ofFar := h.assigned[90][1]
-	if near == ofFar || h.tables[ofFar][serverName(0)] != 0 || h.tables[ofFar][serverName(1)] == 0 {
-		t.Errorf("tables %v of %v", h.tables, h.assigned)
+	remote := joined(90, 3)
+	remote.Zone = 1
+	h.reconcile(101, Events{ProxyEvents: []ProxyEvent{remote}})
+	localTable := h.assigned[0][1]
+	remoteTable := h.assigned[90][1]
+	if localTable == remoteTable || h.tables[remoteTable][serverName(0)] != 0 || h.tables[remoteTable][serverName(1)] == 0 {
+		t.Errorf("tables are %v, assigned as %v; want only servers of zone 1 in the table of proxy 90",
+			h.tables, h.assigned)
 	}
 }
 
-// A large fleet's table does not fit into the channel: what all proxies are sent goes out in parts.
+// The whole table of a large fleet exceeds what the channel may queue for all proxies, so updates are sent in parts.
 func TestLargeFleetKeepsTheQueueShort(t *testing.T) {
 	s := defaultSite()
 	s.dataPlane.Proxies = 60
@@ -59,6 +62,7 @@
 	fastest := h.share(serverName(30))
 	slowest := h.share(serverName(34))
 	if fastest < 2*slowest || h.violation != "" {
-		t.Errorf("the fastest has a share of %.4f, the slowest of %.4f; %s", fastest, slowest, h.violation)
+		t.Errorf("fastest server has a share of %.4f, slowest one %.4f, want a factor of at least 2; %s",
+			fastest, slowest, h.violation)
 	}
 }
--- a/balancer/harness_test.go
+++ b/balancer/harness_test.go
@@ -10,8 +10,8 @@
 	"snowquay/internal/testseed"
 )
 
-// The random runs always start from the same seed, so that the verdict never varies. Flags given on the command
-// line stand.
+// Random runs always start from the same seed, so that the result never varies. Command-line flags take
+// precedence.
 func TestMain(m *testing.M) {
 	testseed.With(m, map[string]string{
 		"rapid.seed":       "20",
@@ -21,7 +21,7 @@
 	})
 }
 
-// site is the configuration that a test hands to New.
+// site is the configuration that a test passes to New.
 type site struct {
 	classes    []RequestClass
 	dataPlane  DataPlane
@@ -64,7 +64,7 @@
 	}
 }
 
-// start makes a balancer for the site and the harness around it.
+// start creates a balancer for the site and its harness.
 func (s site) start() *harness { return s.startWithSeed(7) }
 
 func (s site) startWithSeed(seed uint64) *harness {
@@ -82,7 +82,7 @@
 	}
 }
 
-// startSettled starts a site with some warm servers and half a minute of ordinary reports.
+// startSettled starts a site with the given number of warm servers and runs half a minute of normal traffic.
 func startSettled(t *testing.T, s site, servers int) *harness {
 	t.Helper()
 	h := s.start()
@@ -94,8 +94,8 @@
 	return h
 }
 
-// harness plays rounds of a balancer. It is the balancer's CommandSink: it keeps every proxy's tables as the
-// commands say, and notes the first violation of a guarantee.
+// harness runs rounds of a balancer. It implements CommandSink: it applies the commands to its model of the tables
+// of all proxies, and records the first violation of a guarantee.
 type harness struct {
 	site          site
 	balancer      *Balancer
@@ -105,25 +105,25 @@
 	tables        map[Table]map[Server]float64
 	admissions    map[Table]map[Class]float64
 	assigned      map[Proxy]map[Class]Table
-	messageSizes  map[Proxy]float64   // of this round, in entries
-	messageTimes  map[Proxy][]float64 // within the message window
+	messageSizes  map[Proxy]float64   // size of this round's message in entries
+	messageTimes  map[Proxy][]float64 // times of the messages within the message window
 	queued        float64             // entries in the channel
 	queuedAt      float64
 	ackIDs        []AckID
-	ackRequested  bool // in this round
+	ackRequested  bool // an acknowledgement has been requested in this round
 	pendingAcks   []pendingAck
 	polledAt      []float64
 	log           string
 	violation     string
 }
 
-// pendingAck is an acknowledgement on its way.
+// pendingAck is an acknowledgement in transit.
 type pendingAck struct {
 	arrivesAt float64
 	ack       Ack
 }
 
-// arrivedAcks returns the acknowledgements that have arrived by a time, once.
+// arrivedAcks removes and returns the acknowledgements that have arrived by the given time.
 func (h *harness) arrivedAcks(now float64) []Ack {
 	var arrived []Ack
 	h.pendingAcks = slices.DeleteFunc(h.pendingAcks, func(pending pendingAck) bool {
@@ -144,11 +144,11 @@
 
 func (h *harness) checkFinite(value float64) {
 	if math.IsNaN(value) || value < 0 || math.IsInf(value, 0) {
-		h.recordViolation("wrote the value %v", value)
+		h.recordViolation("command with invalid value %v", value)
 	}
 }
 
-// users are the proxies that use a table.
+// users returns the proxies that use a table.
 func (h *harness) users(table Table) []Proxy {
 	var users []Proxy
 	for proxy, tables := range h.assigned {
@@ -198,7 +198,7 @@
 			continue
 		}
 		if class.Idempotency != Idempotent && retry > RetryIfNotExecuted {
-			h.recordViolation("class %d may run twice", i)
+			h.recordViolation("requests of class %d may be executed twice", i)
 		}
 		if h.admissions[table] == nil {
 			h.admissions[table] = map[Class]float64{}
@@ -224,7 +224,7 @@
 func (h *harness) SetTimer(seconds float64, _ Timer) { h.checkFinite(seconds) }
 func (h *harness) Log(string)                        {}
 
-// reconcile plays one round and checks the guarantees.
+// reconcile runs one round and checks the guarantees.
 func (h *harness) reconcile(now float64, events Events) {
 	h.now = now
 	for _, list := range events.Lists {
@@ -265,7 +265,7 @@
 	}
 }
 
-// countMessages puts the messages of a round into the channel and checks both of its limits.
+// countMessages adds the messages of a round to the channel and checks both limits of the channel.
 func (h *harness) countMessages() {
 	limits := h.site.channel
 	for proxy, entries := range h.messageSizes {
@@ -277,17 +277,17 @@
 		}
 		h.messageTimes[proxy] = times
 		if limits.MaxMessages > 0 && len(times) > limits.MaxMessages {
-			h.recordViolation("%d messages to proxy %d", len(times), proxy)
+			h.recordViolation("%d messages to proxy %d in a window, more than allowed", len(times), proxy)
 		}
 	}
 	clear(h.messageSizes)
 	if h.queued > limits.MaxQueued {
-		h.recordViolation("%.0f entries are queued", h.queued)
+		h.recordViolation("%.0f entries are queued, more than allowed", h.queued)
 	}
 }
 
-// scheduleAcks has two proxies of three acknowledge the round, once their messages have left the channel and
-// arrived.
+// scheduleAcks schedules acknowledgements of the round from two of three proxies, for the time at which their
+// messages have left the channel and arrived.
 func (h *harness) scheduleAcks() {
 	ahead := h.queued
 	for _, proxy := range slices.Sorted(maps.Keys(h.messageSizes)) {
@@ -302,7 +302,7 @@
 	h.ackRequested = false
 }
 
-// checkEmptyTables looks for a proxy with an empty table while an eligible warm server is listed.
+// checkEmptyTables checks that no proxy has an empty table while an eligible warm server is listed.
 func (h *harness) checkEmptyTables() {
 	for proxy, tables := range h.assigned {
 		for class, table := range tables {
@@ -311,25 +311,25 @@
 				eligible := len(zones) == 0 || slices.Contains(zones, endpoint.Zone)
 				warm := h.now-endpoint.Started >= h.site.guarantees.WarmupDuration
 				if eligible && warm && endpoint.Phase == Ready && len(h.tables[table]) == 0 {
-					h.recordViolation("proxy %d has no entry for class %d", proxy, class)
+					h.recordViolation("proxy %d has no table entry for class %d", proxy, class)
 				}
 			}
 		}
 	}
 }
 
-// checkDrains looks for draining servers in tables, after half of the time allowed.
+// checkDrains checks that draining servers are in no table after half of the drain deadline.
 func (h *harness) checkDrains() {
 	for server, since := range h.drainingSince {
 		for table, weights := range h.tables {
 			if weights[server] > 0 && h.now-since > h.site.guarantees.DrainDeadline/2 {
-				h.recordViolation("%s, which drains, is still in table %d", server, table)
+				h.recordViolation("draining server %s is still in table %d", server, table)
 			}
 		}
 	}
 }
 
-// share is a server's part of the weights of table 1.
+// share returns a server's fraction of the total weight of table 1.
 func (h *harness) share(server Server) float64 {
 	sum := 0.0
 	for _, weight := range h.tables[1] {
@@ -338,7 +338,7 @@
 	return h.tables[1][server] / math.Max(sum, 1e-9)
 }
 
-// listAndJoin lists some warm servers, and joins the site's proxies.
+// listAndJoin runs a round in which the given number of warm servers are listed and all proxies of the site join.
 func (h *harness) listAndJoin(servers int) {
 	var list EndpointList
 	for i := range servers {
@@ -351,7 +351,7 @@
 	h.reconcile(100, events)
 }
 
-// runSeconds plays rounds of a second each, with reports of what the tables bring about.
+// runSeconds runs rounds of one second each, with reports of the traffic that results from the tables.
 func (h *harness) runSeconds(seconds int, requests float64, respond responder) {
 	for range seconds {
 		var events Events
--- a/balancer/health_test.go
+++ b/balancer/health_test.go
@@ -11,11 +11,11 @@
 		return healthy(server, share, requests)
 	})
 	if got := h.share(serverName(5)); got > 0.35 || got < 0.2 {
-		t.Errorf("with four of six failing another has a share of %.3f, want 1.6 times 1/6", got)
+		t.Errorf("with four of six servers failing, another has a share of %.3f, want 1.6 times 1/6", got)
 	}
 }
 
-// Guards against a warming server that inherits the load of failing ones, and against retries.
+// Guards against overloading a warming server with the load of failing servers and with retries.
 func TestWarmingServerIsProtectedWhileOthersFail(t *testing.T) {
 	s := defaultSite()
 	h := startSettled(t, s, 6)
@@ -28,16 +28,18 @@
 			}
 			return healthy(server, share, requests)
 		})
-		warm := h.balancer.warmupFraction(h.now, h.balancer.serverByAddress[serverName(0)])
+		fraction := h.balancer.warmupFraction(h.now, h.balancer.serverByAddress[serverName(0)])
 		got := h.share(serverName(0)) * 150
-		limit := 2.0 / 3 * s.guarantees.OverloadFactor * warm * 100 / 6
+		limit := 2.0 / 3 * s.guarantees.OverloadFactor * fraction * 100 / 6
 		if got > limit {
-			t.Fatalf("after %.0f s it gets %.1f requests a second, over %.1f", h.now-started, got, limit)
+			t.Fatalf("%.0f s after its start the warming server gets %.1f requests per second, want at most %.1f",
+				h.now-started, got, limit)
 		}
 	}
 }
 
-// Proxies that come back from an outage may eject every server but the one they have not met.
+// Reconnected proxies may have ejected every server except a warming one, which has no failures yet and would get
+// all their requests.
 func TestWarmingServerWaitsForReconnectedProxies(t *testing.T) {
 	s := defaultSite()
 	s.dataPlane.EjectAfterFailures = 8
@@ -50,18 +52,18 @@
 		if len(h.balancer.disconnected) > 0 {
 			h.reconcile(h.now, Events{ProxyEvents: []ProxyEvent{joined(3, 9), joined(4, 9)}})
 		}
-		_, held := h.tables[1][serverName(0)]
-		if held && h.now < 132+reconnectSettleTime {
-			t.Fatalf("at %.0f s it has an entry", h.now)
+		_, inTable := h.tables[1][serverName(0)]
+		if inTable && h.now < 132+reconnectSettleTime {
+			t.Fatalf("warming server has an entry at %.0f s, before reconnected proxies have settled", h.now)
 		}
 	}
 	h.runSeconds(4, 100, healthy)
 	if h.tables[1][serverName(0)] == 0 {
-		t.Error("once they have settled it has no entry")
+		t.Error("server has no entry after reconnected proxies have settled")
 	}
 }
 
-// Where many attempts fail proxies eject servers, and the warming one would draw what is left.
+// If many attempts fail, proxies eject servers, and a warming server would get the remaining load.
 func TestWarmingServerHasNoEntryAtHighFailureRate(t *testing.T) {
 	s := defaultSite()
 	s.dataPlane.EjectAfterFailures = 8
@@ -70,24 +72,24 @@
 	h.reconcile(h.now, Events{Lists: deltaList(Endpoint{Server: serverName(0), Started: h.now})})
 	h.runSeconds(4, 100, partlyFailing(0.1, 0.25))
 	if h.tables[1][serverName(0)] != 0 {
-		t.Errorf("a warming server has the share %.3f", h.share(serverName(0)))
+		t.Errorf("warming server has a share of %.3f at a high failure rate, want none", h.share(serverName(0)))
 	}
 	h.runSeconds(8, 100, healthy)
 	if h.tables[1][serverName(0)] == 0 {
-		t.Error("once all is well it has no entry")
+		t.Error("server has no entry after the failures have ended")
 	}
 }
 
 func TestZoneRecoveryRestoresServers(t *testing.T) {
-	h := startSettled(t, defaultSite(), 6) // servers 1, 3, 5 in zone 1
-	back := ProxyEvent{Proxy: 40, Zone: 1, ExpectedRate: 50, Joined: true}
-	h.reconcile(h.now, Events{ProxyEvents: []ProxyEvent{back}})
+	h := startSettled(t, defaultSite(), 6) // servers 1, 3 and 5 are in zone 1
+	rejoined := ProxyEvent{Proxy: 40, Zone: 1, ExpectedRate: 50, Joined: true}
+	h.reconcile(h.now, Events{ProxyEvents: []ProxyEvent{rejoined}})
 	h.reconcile(h.now, Events{ProxyEvents: []ProxyEvent{{Proxy: 40, Zone: 1}}})
 	h.runSeconds(12, 50, healthyExcept(serverName(1), failing))
 	before := h.share(serverName(1))
-	h.reconcile(h.now, Events{ProxyEvents: []ProxyEvent{back}})
-	h.runSeconds(1, 100, healthyExcept(serverName(1), failing)) // still a report of the outage
+	h.reconcile(h.now, Events{ProxyEvents: []ProxyEvent{rejoined}})
+	h.runSeconds(1, 100, healthyExcept(serverName(1), failing)) // the report still describes the outage
 	if got := h.share(serverName(1)); before > 0.03 || got < 2*before || got < 0.06 {
-		t.Errorf("its share went from %.3f to %.3f, want about half of 1/6", before, got)
+		t.Errorf("share of the server changed from %.3f to %.3f, want about half of 1/6", before, got)
 	}
 }
--- a/balancer/limits_test.go
+++ b/balancer/limits_test.go
@@ -9,20 +9,20 @@
 	"snowquay/balancer"
 )
 
-// deployment is a coordinator with its proxies and what happens there: a release in steps, other coordinators that
-// restart, a channel that slows down. Times are in seconds from its start.
+// deployment describes a coordinator with its proxies and a scenario: a rolling release, restarts of other
+// coordinators, and a channel that slows down. Times are in seconds from the start of the scenario.
 type deployment struct {
 	seed          uint64
-	seconds       float64 // how long it is played
+	seconds       float64 // duration of the scenario
 	coordinators  int
-	proxies       int // of this coordinator
+	proxies       int // number of proxies of this coordinator
 	servers       int
 	zones         int
 	channel       balancer.Channel
 	drainDeadline float64
-	ackLoss       float64 // part of the acknowledgements
+	ackLoss       float64 // fraction of the acknowledgements that are lost
 
-	// The channel goes at a part of its promised pace for some time.
+	// The channel runs at a fraction of its configured rate between two times.
 	slowPace  float64
 	slowFrom  float64
 	slowUntil float64
@@ -32,12 +32,12 @@
 	releaseAt    float64
 	stepInterval float64
 
-	// When another coordinator restarts, and how many of its proxies come here for a while.
+	// Times at which another coordinator restarts, and the number of its proxies that join for a while.
 	joinTimes []float64
 	joiners   int
 }
 
-// startTime is the clock time at which a deployment begins.
+// startTime is the clock time at which a scenario starts.
 const startTime = 100.0
 
 func (d deployment) newBalancer() *balancer.Balancer {
@@ -74,20 +74,20 @@
 	return balancer.Endpoint{Server: serverName(i), Zone: balancer.Zone(i % d.zones), Weight: 1}
 }
 
-// deploymentRun is a deployment that is being played.
+// deploymentRun is the state of a running scenario.
 type deploymentRun struct {
 	deployment
 	balancer *balancer.Balancer
 	channel  *channelEmulator
-	events   balancer.Events   // of the next round
-	listed   []balancer.Server // at the start
-	step     int               // of the release, the next one
-	restarts int               // of other coordinators so far
+	events   balancer.Events   // events for the next round
+	listed   []balancer.Server // servers that are listed at the start
+	step     int               // next step of the release
+	restarts int               // number of restarts of other coordinators so far
 	reportAt float64           // clock time of the next reports
-	leaveAt  float64           // clock time when the latest joiners leave; 0: none are here
+	leaveAt  float64           // clock time at which the latest joiners leave; 0 if there are none
 }
 
-// run plays a deployment and returns the channel with its findings.
+// run runs the scenario and returns the channel with its findings.
 func (d deployment) run() *channelEmulator {
 	r := &deploymentRun{
 		deployment: d,
@@ -115,13 +115,13 @@
 		if r.channel.violation != "" || r.channel.lateDrain != "" {
 			break
 		}
-		r.playRound(at)
+		r.runRound(at)
 	}
 	return r.channel
 }
 
-// playRound plays what happens up to a clock time, and a round of the balancer.
-func (r *deploymentRun) playRound(at float64) {
+// runRound generates the events up to a clock time and runs one round of the balancer.
+func (r *deploymentRun) runRound(at float64) {
 	r.events.Acks = r.channel.advance(at)
 	if r.step < r.releaseSteps && at >= startTime+r.releaseAt+float64(r.step)*r.stepInterval {
 		r.release(r.channel, &r.events, r.step, at)
@@ -145,7 +145,7 @@
 	r.events = balancer.Events{}
 }
 
-// join connects some proxies.
+// join connects count proxies, starting at the given ID.
 func (r *deploymentRun) join(first, count int) {
 	for i := first; i < first+count; i++ {
 		r.channel.join(balancer.Proxy(i), r.listed)
@@ -158,7 +158,7 @@
 	}
 }
 
-// leave disconnects some proxies.
+// leave disconnects count proxies, starting at the given ID.
 func (r *deploymentRun) leave(first, count int) {
 	for i := first; i < first+count; i++ {
 		r.channel.leave(balancer.Proxy(i))
@@ -166,28 +166,28 @@
 	}
 }
 
-// release replaces a part of the servers: new ones are listed, old ones drain.
+// release replaces some of the servers: new ones are listed, and old ones drain.
 func (d deployment) release(channel *channelEmulator, events *balancer.Events, step int, at float64) {
-	each := d.servers / (2 * d.releaseSteps)
+	serversPerStep := d.servers / (2 * d.releaseSteps)
 	list := balancer.EndpointList{Scope: balancer.DeltaList}
 	slowdown := 1.0
 	if at < startTime+d.slowUntil {
 		slowdown = 1 / d.slowPace
 	}
-	for i := step * each; i < (step+1)*each; i++ {
+	for i := step * serversPerStep; i < (step+1)*serversPerStep; i++ {
 		e := d.endpoint(d.servers + i)
 		e.Started = at
 		list.Endpoints = append(list.Endpoints, e)
-		e = d.endpoint(i * 7919 % d.servers) // a prime: they stand anywhere among the others
+		e = d.endpoint(i * 7919 % d.servers) // a prime multiplier spreads the draining servers over the list
 		e.Phase = balancer.Draining
 		list.Endpoints = append(list.Endpoints, e)
-		channel.drain(e.Server, slowdown)
+		channel.startDrain(e.Server, slowdown)
 	}
 	events.Lists = append(events.Lists, list)
 }
 
-// report draws what proxies met at a part of the servers, whose answers take different times, and the demand of a
-// part of the proxies.
+// report draws upstream reports with different latencies for some of the servers, and demand reports for some of
+// the proxies.
 func (d deployment) report(channel *channelEmulator, events *balancer.Events) {
 	for range 60 {
 		i := channel.random.IntN(d.servers * 3 / 2)
@@ -199,8 +199,8 @@
 			Interval: 1,
 		})
 	}
-	for range min(60, len(channel.order)) {
-		p := channel.order[channel.random.IntN(len(channel.order))]
+	for range min(60, len(channel.joinOrder)) {
+		p := channel.joinOrder[channel.random.IntN(len(channel.joinOrder))]
 		for c := range 2 {
 			events.Demands = append(events.Demands, balancer.DemandReport{
 				Proxy:    p.id,
@@ -212,8 +212,8 @@
 	}
 }
 
-// customerDeployment has a customer's size and settings: 441 proxies of 2,472 at a coordinator, 200 servers, a
-// channel whose limit is worth half a minute of its pace.
+// customerDeployment has the size and the settings of a customer: 441 of 2,472 proxies at one coordinator, 200
+// servers, and a channel that may queue half a minute of entries at its full rate.
 func customerDeployment() deployment {
 	return deployment{
 		seed:          1,
@@ -241,8 +241,8 @@
 	}
 }
 
-// drawDeployment draws a deployment. What happens in it fits its channel: nobody keeps the limits in a release and
-// restarts whose entries can't be carried in time.
+// drawDeployment draws a deployment whose events do not exceed the capacity of its channel: no balancer could comply
+// with the limits if the entries for a release and for restarts cannot be transmitted in time.
 func drawDeployment(t *rapid.T) deployment {
 	d := customerDeployment()
 	d.seed = rapid.Uint64().Draw(t, "seed")
@@ -257,8 +257,9 @@
 	d.channel.MeanDelay = rapid.Float64Range(0.08, 0.43).Draw(t, "delay")
 	d.channel.MaxDelay = 2.5 * d.channel.MeanDelay
 	d.drainDeadline = d.channel.MaxQueued/d.channel.EntriesPerSecond + rapid.Float64Range(1.2, 2).Draw(t, "drain deadline over queue")
-	fits := 0.4 * d.channel.MaxQueued / (d.channel.MessageOverhead + 4) // proxies that a step of a release can reach at once
-	d.proxies = min(d.proxies, int(fits*4/5))
+	// The number of proxies whose messages for one step of a release fit into the channel at once.
+	maxProxies := 0.4 * d.channel.MaxQueued / (d.channel.MessageOverhead + 4)
+	d.proxies = min(d.proxies, int(maxProxies*4/5))
 	d.joiners = max(d.proxies/4, 1)
 	d.ackLoss = rapid.SampledFrom([]float64{0, 0.2, 0.5}).Draw(t, "lost acknowledgements")
 	d.slowPace = rapid.SampledFrom([]float64{1, 0.5, 0.25, 0.12, 0.05}).Draw(t, "pace")
@@ -268,19 +269,19 @@
 	return d
 }
 
-// fitToChannel has events come at a rate that the channel can carry, at the pace that it has then, with as much again
-// to spare; what would take too long is played at a higher pace.
+// fitToChannel adjusts the times of events so that the channel can transmit the resulting entries at its pace at
+// that time, with the same capacity again in reserve. If that would take too long, it increases the pace.
 func (d deployment) fitToChannel() deployment {
 	const (
-		tableSize      = 20.0 // entries of a whole table, about
-		maxReleaseWait = 60.0 // seconds until the release begins
+		tableSize      = 20.0 // approximate number of entries of a complete table
+		maxReleaseWait = 60.0 // maximum time in seconds until the release starts
 	)
 	joining := float64(d.proxies) * (d.channel.MessageOverhead + tableSize)
 	d.slowPace = max(d.slowPace, 2*joining/d.channel.EntriesPerSecond/maxReleaseWait)
-	each := d.channel.EntriesPerSecond * min(d.slowPace, 1)
-	release := float64(d.proxies+d.joiners) * (d.channel.MessageOverhead + 4) / each
-	joins := float64(d.joiners) * (d.channel.MessageOverhead + tableSize) / each
-	d.releaseAt = 8 + 2*joining/each
+	rate := d.channel.EntriesPerSecond * min(d.slowPace, 1)
+	release := float64(d.proxies+d.joiners) * (d.channel.MessageOverhead + 4) / rate
+	joins := float64(d.joiners) * (d.channel.MessageOverhead + tableSize) / rate
+	d.releaseAt = 8 + 2*joining/rate
 	d.stepInterval = max(2.1, 2*(release+joins))
 	d.joinTimes = nil
 	for i := range 2 {
@@ -290,17 +291,17 @@
 	return d
 }
 
-// hasEnoughMessages reports whether the limit on messages leaves one for each step of a release within its time.
+// hasEnoughMessages reports whether the limit on messages allows one message for each step of a release in time.
 func (d deployment) hasEnoughMessages() bool {
 	needed := 2 + 2 + d.channel.MessageWindow/d.stepInterval
 	return d.channel.MaxMessages == 0 || float64(d.channel.MaxMessages) >= needed
 }
 
-// drawnDeployments is the number of deployments that each test draws.
+// drawnDeployments is the number of deployments that each randomized test draws.
 const drawnDeployments = 16
 
-// Both limits on the channel and the drain deadline are kept in any deployment, also where the channel slows down in
-// the midst of a release while other coordinators restart.
+// Both limits on the channel and the drain deadline are complied with in any deployment, even if the channel slows
+// down during a release while other coordinators restart.
 func TestChannelLimitsAreKept(t *testing.T) {
 	for seed := range drawnDeployments {
 		d := rapid.Custom(drawDeployment).Example(seed).fitToChannel()
@@ -312,7 +313,7 @@
 	}
 }
 
-// The limits hold also where more happens than the channel can carry: then drains may be late.
+// The limits also hold if events exceed the capacity of the channel. Drains may be late in this case.
 func TestLimitsHoldWhenTheChannelCannotKeepUp(t *testing.T) {
 	for seed := range drawnDeployments {
 		d := rapid.Custom(drawDeployment).Example(1000 + seed)
@@ -324,7 +325,8 @@
 	}
 }
 
-// A customer's deployment at full size: the channel of one of five coordinators goes at its promised pace, or slows down.
+// Runs a customer's deployment at full size: the channel of one of five coordinators runs at its configured rate or
+// slows down.
 func TestCustomerDeploymentKeepsLimits(t *testing.T) {
 	for _, pace := range []float64{1, 0.25, 0.12, 0.03} {
 		d := customerDeployment()
--- a/balancer/pacing_test.go
+++ b/balancer/pacing_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// Guards against a channel that is slower than promised, and a queue that grows without notice.
-func TestSlowChannelIsNoticed(t *testing.T) {
+// Guards against a queue that grows undetected because the channel is slower than its configured rate.
+func TestSlowChannelIsDetected(t *testing.T) {
 	h := startSettled(t, defaultSite(), 6)
 	for range 6 {
 		h.reconcile(h.now+1, Events{ProxyEvents: []ProxyEvent{joined(3, 5)}})
@@ -16,26 +16,27 @@
 		}
 	}
 	if got := h.balancer.channel.relativePace; got > 0.5 {
-		t.Errorf("the pace is taken to be %.2f of the promised one", got)
+		t.Errorf("relative pace is estimated as %.2f, want at most 0.5", got)
 	}
 }
 
-// Guards against a channel that becomes slow all at once: nothing shows it but acknowledgements that stay out.
-func TestSlowChannelIsNotFilled(t *testing.T) {
+// Guards against overfilling a channel that slows down suddenly. The only sign is that acknowledgements are
+// missing.
+func TestSuddenlySlowChannelIsNotOverfilled(t *testing.T) {
 	limits := Channel{EntriesPerSecond: 2700, MessageOverhead: 3, MaxQueued: 2700, MeanDelay: 0.4, MaxDelay: 1}
 	for _, pace := range []float64{0.03, 0.04, 0.05} {
 		t.Run(fmt.Sprintf("pace %.2f", pace), func(t *testing.T) { checkNotFilled(t, limits, pace) })
 	}
 }
 
-// checkNotFilled plays a channel that goes at a part of the pace that it promises, without acknowledgements.
+// checkNotFilled simulates a channel that runs at a fraction of its configured rate, without acknowledgements.
 func checkNotFilled(t *testing.T, limits Channel, pace float64) {
 	t.Helper()
 	c := channel{Channel: limits, drainDeadline: 3, relativePace: 1}
 	queued := 0.0
 	lastSent := 0.0
 	for now := 100.0; now < 130; now += 0.5 {
-		entries := min(c.available(now, urgencyNormal), 550) // as on the day on which it was seen
+		entries := min(c.available(now, urgencyNormal), 550) // 550 as in the incident that was observed
 		if entries < 100 {
 			entries = 0
 		}
@@ -47,20 +48,21 @@
 		}
 		queued = max(0, queued-0.5*pace*limits.EntriesPerSecond) + entries
 		if queued > limits.MaxQueued {
-			t.Fatalf("at %.2f %.0f entries are queued", now, queued)
+			t.Fatalf("at %.2f s, %.0f entries are queued, more than allowed", now, queued)
 		}
 	}
 	c.acknowledge(Ack{ID: c.lastAckID, Latency: 0.3}, lastSent)
 	if got := c.available(140, urgencyNormal); got < 0.4*limits.MaxQueued {
-		t.Errorf("once an acknowledgement has come in time %.0f entries are available", got)
+		t.Errorf("%.0f entries are available after a timely acknowledgement, want at least 0.4 of the maximum", got)
 	}
 }
 
-// Guards against a channel that is slow all at once while proxies join: the first acknowledgements of a round
-// come soon and show few of the entries before them, and what is sent behind the round meanwhile waits.
+// Guards against overfilling a channel that is suddenly slow while proxies join. The first acknowledgements of a
+// round arrive early and prove delivery of only a few entries before them, while entries that are sent after the
+// round are still queued.
 func TestSlowChannelIsRecognizedByLaterAcks(t *testing.T) {
-	for _, batch := range []float64{600, 1200, 2400} { // entries to a group of proxies
-		for _, pace := range []float64{0.05, 0.12, 0.2, 0.4, 1} { // 0.12: as on the day on which it was seen
+	for _, batch := range []float64{600, 1200, 2400} { // entries per update of a proxy group
+		for _, pace := range []float64{0.05, 0.12, 0.2, 0.4, 1} { // 0.12 as in the incident that was observed
 			t.Run(fmt.Sprintf("batch %.0f pace %.2f", batch, pace), func(t *testing.T) {
 				checkSlowWhileProxiesJoin(t, batch, pace)
 			})
@@ -68,14 +70,14 @@
 	}
 }
 
-// slowChannel carries messages one after the other, at a part of the pace that the account of it expects.
+// slowChannel transmits messages in order, at a fraction of the rate that the channel accounting expects.
 type slowChannel struct {
 	account  channel
-	pace     float64 // entries a second
-	capacity float64 // entries that it may carry now
+	pace     float64 // entries per second
+	capacity float64 // entries that may be transmitted now
 	queued   float64
-	messages []slowMessage // in the order in which they leave
-	acks     []slowAck     // in the order in which they arrive
+	messages []slowMessage // in the order of transmission
+	acks     []slowAck     // in the order of arrival
 }
 
 type slowMessage struct {
@@ -95,7 +97,8 @@
 	s.queued += message.entries
 }
 
-// advance carries messages for some seconds, and hands the acknowledgements that arrive to the account.
+// advance transmits messages for the given number of seconds, and passes the acknowledgements that arrive to the
+// channel accounting.
 func (s *slowChannel) advance(now, seconds float64) {
 	delay := s.account.MeanDelay
 	s.capacity += seconds * s.pace
@@ -124,7 +127,7 @@
 	const (
 		tick     = 0.05
 		joinSize = 25.0
-		proxies  = 60.0 // of a group
+		proxies  = 60.0 // number of proxies in a group
 	)
 	limits := Channel{EntriesPerSecond: 1500, MessageOverhead: 3, MaxQueued: 4400, MeanDelay: 0.3, MaxDelay: 1}
 	s := &slowChannel{
@@ -158,16 +161,17 @@
 			c.inFlight.MarkBatch(int(id), sent)
 		}
 		if s.queued > limits.MaxQueued {
-			t.Fatalf("after %.2f s %.0f entries are queued", now-100, s.queued)
+			t.Fatalf("after %.2f s, %.0f entries are queued, more than allowed", now-100, s.queued)
 		}
 	}
 	if pace == 1 && batch == 600 && (refusedJoins > 0 || c.relativePace < 0.9) {
-		t.Errorf("a channel that keeps its pace is taken to have %.2f of it; %d joins waited", c.relativePace, refusedJoins)
+		t.Errorf("relative pace of a channel at its full rate is estimated as %.2f; %d joins had to wait, want none",
+			c.relativePace, refusedJoins)
 	}
 }
 
-// A round sent before the channel was out of reach is acknowledged after it: nothing has left meanwhile but what
-// the acknowledgement shows.
+// If a round is sent before a stall and acknowledged after it, the acknowledged entries are the only ones known to
+// have left the channel in the meantime.
 func TestAckAfterStallCountsByItsLatency(t *testing.T) {
 	h := startSettled(t, defaultSite(), 6)
 	h.reconcile(h.now+0.1, Events{ProxyEvents: []ProxyEvent{joined(40, 5), joined(41, 5)}})
@@ -177,17 +181,18 @@
 		h.reconcile(h.now+0.25, Events{ChannelStalled: true})
 	}
 	if got := c.inFlight.Outstanding(); got != before {
-		t.Errorf("%.0f entries are outstanding after the stall, want the %.0f of before it", got, before)
+		t.Errorf("%.0f entries are outstanding after the stall, want %.0f as before it", got, before)
 	}
 	p := h.balancer.proxyByID[40]
 	c.acknowledge(Ack{Proxy: p.Proxy, ID: c.lastAckID, Latency: 5.05}, p.messageSize)
 	if got := c.inFlight.Outstanding(); got != p.messageSize {
-		t.Errorf("%.0f entries are outstanding after one of two acknowledgements, want the %.0f of the other",
+		t.Errorf("%.0f entries are outstanding after one of two acknowledgements, want %.0f for the other",
 			got, p.messageSize)
 	}
 }
 
-// After a restart proxies still acknowledge messages of the incarnation before: these show nothing of this one's.
+// After a restart, proxies still acknowledge messages of the previous incarnation. These acknowledgements prove
+// nothing about messages of the current one.
 func TestAcksOfAnEarlierIncarnationAreIgnored(t *testing.T) {
 	start := func(seed uint64) *harness {
 		h := defaultSite().startWithSeed(seed)
@@ -204,6 +209,6 @@
 	own := c.lastAckID
 	h.reconcile(h.now+0.01, Events{Acks: []Ack{{Proxy: 1, ID: earlier, Latency: 9}}})
 	if c.inFlight.Outstanding() < before-1 || c.relativePace < 1 {
-		t.Errorf("request %d is acknowledged by %d", own, earlier)
+		t.Errorf("acknowledgement request %d is acknowledged by the earlier ID %d", own, earlier)
 	}
 }
--- a/balancer/publish_test.go
+++ b/balancer/publish_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// Guards against tables that lose their servers faster than new ones come, while joins fill the channel.
+// Guards against tables that lose servers faster than they get new ones, because joins fill the channel.
 func TestRollingReleaseKeepsTablesFilled(t *testing.T) {
 	s := defaultSite()
 	s.dataPlane.MinConnections = 8
@@ -19,7 +19,8 @@
 		for proxy, tables := range h.assigned {
 			entries := len(h.tables[tables[0]])
 			if entries < 2 || h.violation != "" {
-				t.Fatalf("after %d drains proxy %d has %d entries; %s", i+1, proxy, entries, h.violation)
+				t.Fatalf("after %d drains, proxy %d has %d entries, want at least 2; %s",
+					i+1, proxy, entries, h.violation)
 			}
 		}
 	}
@@ -30,23 +31,24 @@
 	h.reconcile(h.now+0.1, Events{Lists: fullList(Endpoint{Server: serverName(0), Weight: 1})})
 	h.reconcile(h.now+0.1, Events{Lists: fullList(Endpoint{Server: "new:1", Weight: 1})})
 	if len(h.tables[1]) != 1 || h.tables[1]["new:1"] == 0 || h.violation != "" {
-		t.Errorf("table %v, %s", h.tables[1], h.violation)
+		t.Errorf("table is %v, want only the new server; %s", h.tables[1], h.violation)
 	}
 }
 
-func TestDrainIsSentAtOnceAndNotToLaterJoins(t *testing.T) {
+func TestDrainIsSentImmediatelyAndAppliesToJoiningProxy(t *testing.T) {
 	h := startSettled(t, defaultSite(), 3)
 	h.reconcile(h.now+0.1, Events{
 		Lists:       deltaList(Endpoint{Server: serverName(1), Weight: 1, Phase: Draining}),
 		ProxyEvents: []ProxyEvent{joined(50, 5)},
 	})
 	if h.tables[1][serverName(1)] != 0 || h.assigned[50][0] != 1 {
-		t.Errorf("table %v, late proxy assigned %v", h.tables[1], h.assigned[50])
+		t.Errorf("table is %v, joining proxy is assigned %v, want the drained server removed and table 1",
+			h.tables[1], h.assigned[50])
 	}
 }
 
-// Guards against a channel that is out of reach for seconds: what was sent before and all that is decided
-// meanwhile would come to it at once, while the account holds that it has long left.
+// Guards against overfilling a channel that is unreachable for seconds. Earlier commands and all that are issued
+// in the meantime would reach it at once, while the balancer would assume that they have long left the channel.
 func TestNothingIsPublishedWhileTheChannelIsStalled(t *testing.T) {
 	s := defaultSite()
 	s.dataPlane.Proxies = 40
@@ -59,10 +61,10 @@
 		return events
 	}
 	h.reconcile(h.now+0.1, Events{ProxyEvents: tenJoin(10)})
-	account := &h.balancer.channel.inFlight
-	before := account.Outstanding()
+	window := &h.balancer.channel.inFlight
+	before := window.Outstanding()
 	if before < 50 {
-		t.Fatalf("ten joins take %.0f entries", before)
+		t.Fatalf("ten joins take %.0f entries, want at least 50", before)
 	}
 	h.log = ""
 	for i := range 20 {
@@ -72,12 +74,14 @@
 			ProxyEvents:    tenJoin(20)[:i%10],
 		})
 	}
-	if h.log != "" || account.Outstanding() < before {
-		t.Errorf("%.0f entries outstanding, %.0f before; sent %q", account.Outstanding(), before, h.log)
+	if h.log != "" || window.Outstanding() < before {
+		t.Errorf("%.0f entries outstanding, %.0f before the stall; sent %q during the stall, want nothing",
+			window.Outstanding(), before, h.log)
 	}
 	h.reconcile(h.now+0.01, Events{})
 	if h.tables[1][serverName(1)] > 0 || h.assigned[20] == nil {
-		t.Errorf("then the table is %v, proxy 20 is assigned %v", h.tables[1], h.assigned[20])
+		t.Errorf("after the stall the table is %v and proxy 20 is assigned %v, want no drained server and a table",
+			h.tables[1], h.assigned[20])
 	}
 }
 
@@ -93,17 +97,18 @@
 		Proxies: []Proxy{b.proxies[0].Proxy, 999},
 	})
 	if got := group.messages.Count(h.now, 10) - messagesBefore; got != 1 {
-		t.Errorf("a call that is delivered twice counts as %d messages more, want 1", got)
+		t.Errorf("redelivered call counts as %d additional messages, want 1", got)
 	}
 	got := b.channel.inFlight.Outstanding() - before
 	want := group.assignedProxies*(2+b.channel.messageCost()) + joinSize
 	if group.assignedProxies < 1 || math.Abs(got-want) > 1e-9 {
-		t.Errorf("%.0f entries for two weights to %.0f proxies and a join, want %.0f", got, group.assignedProxies, want)
+		t.Errorf("charged %.0f entries for two weights to %.0f proxies and a join, want %.0f",
+			got, group.assignedProxies, want)
 	}
 }
 
-// What may be delivered twice is acknowledged by a request of its own, also while nothing else may be written: otherwise the account of the channel
-// would stay full.
+// Guards against a channel that is considered full permanently. Commands that may be delivered twice need an
+// acknowledgement request of their own, even while nothing else may be published.
 func TestRedeliveredCommandsAreAcknowledged(t *testing.T) {
 	for _, stalled := range []bool{false, true} {
 		h := startSettled(t, defaultSite(), 6)
@@ -117,7 +122,7 @@
 			Redelivered:    Redelivered{Tables: []Table{1, 1}, Proxies: []Proxy{b.proxies[0].Proxy}},
 		}, sink)
 		if len(sink.acks) != 1 {
-			t.Fatalf("stalled %t: %d acknowledgements are requested", stalled, len(sink.acks))
+			t.Fatalf("stalled %t: %d acknowledgements requested, want 1", stalled, len(sink.acks))
 		}
 		for _, p := range b.proxies {
 			if p.awaitedAck == sink.acks[0] {
@@ -125,12 +130,13 @@
 			}
 		}
 		if outstanding := b.channel.inFlight.Outstanding(); outstanding > 1e-9 {
-			t.Errorf("stalled %t: %.0f entries are taken to wait after all proxies have acknowledged them", stalled, outstanding)
+			t.Errorf("stalled %t: %.0f entries outstanding after all proxies have acknowledged them, want none",
+				stalled, outstanding)
 		}
 	}
 }
 
-// recordingSink keeps the acknowledgements that are requested.
+// recordingSink records the IDs of the requested acknowledgements.
 type recordingSink struct {
 	CommandSink
 	acks []AckID
--- a/balancer/regulator_test.go
+++ b/balancer/regulator_test.go
@@ -10,22 +10,22 @@
 		k := gain(ratio)
 		s := k / (1 - k) // with r = 1
 		if math.Abs(s-(ratio+s-s*s/(1+s))) > 1e-9 {
-			t.Errorf("gain(%v) = %v is no solution", ratio, k)
+			t.Errorf("gain(%v) = %v does not solve the equation", ratio, k)
 		}
 	}
 }
 
-func TestSlowServerGetsLess(t *testing.T) {
+func TestSlowServerGetsSmallerShare(t *testing.T) {
 	h := startSettled(t, defaultSite(), 6)
 	h.runSeconds(30, 100, healthyExcept(serverName(2), withLatency(0.75)))
 	if got := h.share(serverName(2)); got > 0.08 || got == 0 {
-		t.Errorf("a server three times slower has a share of %.3f, want about 1/16", got)
+		t.Errorf("server that is three times slower has a share of %.3f, want about 1/16", got)
 	}
 }
 
-// Guards against the sinkhole: errors come at once, so their server shows no work in process, and few good
-// answers that are quickly given show little.
-func TestFastErrorsDrawNoTraffic(t *testing.T) {
+// Guards against a failing server that attracts traffic: immediate errors cause no work in process, and a few
+// fast successful responses cause little, so the server seems to be idle.
+func TestFastErrorsDoNotAttractTraffic(t *testing.T) {
 	bad := serverName(2)
 	for name, respond := range map[string]responder{"all fail": failing, "most fail": partlyFailing(0.8, 0.02)} {
 		t.Run(name, func(t *testing.T) {
@@ -34,28 +34,29 @@
 			for range 20 {
 				h.runSeconds(1, 100, healthyExcept(bad, respond))
 				if h.share(bad) > 0.02 {
-					t.Fatalf("a server that fails most attempts has a share of %.3f", h.share(bad))
+					t.Fatalf("server that fails most attempts has a share of %.3f, want at most 0.02", h.share(bad))
 				}
 			}
 			h.runSeconds(40, 100, healthy)
 			if h.share(bad) < 0.1 {
-				t.Errorf("once it has recovered it has a share of %.3f, want about 1/6", h.share(bad))
+				t.Errorf("recovered server has a share of %.3f, want about 1/6", h.share(bad))
 			}
 		})
 	}
 }
 
-// Guards against idling a server for as long as its failures are in the averages.
-func TestRecoveredServerIsJudgedByRecentAttempts(t *testing.T) {
+// Guards against leaving a recovered server idle until its failures have left the averages.
+func TestRecoveredServerIsAssessedByRecentAttempts(t *testing.T) {
 	h := startSettled(t, defaultSite(), 6)
 	h.runSeconds(12, 100, healthyExcept(serverName(2), failing))
 	h.runSeconds(12, 100, healthy)
 	if got := h.share(serverName(2)); got < 0.08 {
-		t.Errorf("12 s after its outage it has a share of %.3f, want over half of 1/6", got)
+		t.Errorf("12 s after its outage the server has a share of %.3f, want about half of 1/6 or more", got)
 	}
 }
 
-// The average goes back five periods: work that is gone was corrected again and again.
+// Guards against repeatedly correcting excess work that no longer exists but is still in the average over five
+// periods.
 func TestPastWorkIsNotCorrectedAgain(t *testing.T) {
 	s := defaultSite()
 	s.reporting.Period = 2
@@ -65,7 +66,7 @@
 	before := h.share(serverName(2))
 	for h.now < 150 {
 		if got := h.share(serverName(2)); got < before {
-			t.Fatalf("at %.0f s its share is %.3f, though it has recovered", h.now, got)
+			t.Fatalf("at %.0f s the share is %.3f, lower than right after the recovery", h.now, got)
 		}
 		h.runSeconds(1, 100, healthy)
 	}
--- a/balancer/reports_test.go
+++ b/balancer/reports_test.go
@@ -11,18 +11,18 @@
 	}
 	h.reconcile(h.now+10, events)
 	if got := h.balancer.attemptRate; got < 70 || got > 130 {
-		t.Errorf("100 attempts a second over 10 s are read as %.0f", got)
+		t.Errorf("attempt rate is %.0f for reports of 100 attempts per second over 10 s", got)
 	}
 }
 
 func TestDemandOfARareClassIsNotOverestimated(t *testing.T) {
 	h := startSettled(t, defaultSite(), 6)
 	intervals := []float64{1, 9}
-	for i := range 40 { // one request in ten seconds, reported by the period it came in, and the nine before
+	for i := range 40 { // one request per ten seconds, split between a report of one period and one of the nine before
 		report := DemandReport{Proxy: 3, Class: 1, Requests: 0.5, Interval: intervals[i%2]}
 		h.reconcile(h.now+5, Events{Demands: []DemandReport{report}})
 	}
 	if got := h.balancer.proxyByID[3].demand[1]; got > 0.15 {
-		t.Errorf("a class of 0.10 requests a second counts as %.2f", got)
+		t.Errorf("demand of a class with 0.10 requests per second is estimated as %.2f", got)
 	}
 }
--- a/balancer/state.go
+++ b/balancer/state.go
@@ -109,7 +109,7 @@
 	demandShare     float64               // demand of its proxies relative to an even share
 	tables          []*weightTable        // one per eligibility set
 	assignedProxies float64               // number of proxies that have been assigned its tables
-	messageSize     float64               // size of this round's message in entries, including overhead; 0 if there is none yet
+	messageSize     float64               // entries of this round's message, including overhead; 0 if there is none yet
 	messages        slidingwindow.Counter // messages that were sent to each of its proxies
 }
 
