--- a/balancer/account.go
+++ b/balancer/account.go
@@ -133,7 +133,7 @@
 	return b.channel.inFlight.Outstanding() - before
 }
 
-// hasTable reports whether the group hasTable the given table.
+// hasTable reports whether the group has the given table.
 func (group *proxyGroup) hasTable(id Table) bool {
 	return slices.ContainsFunc(group.tables, func(table *weightTable) bool { return table.id == id })
 }
--- a/balancer/admission.go
+++ b/balancer/admission.go
@@ -90,7 +90,7 @@
 		excess := inProcess - completionRate*maxLatency
 		admissible := max(completionRate, usual) - gain*excess/maxLatency
 		*load = serverLoad{
-			capacity:       max(admissible, usual/2), // a reduction below half of the usual rate would only be temporary
+			capacity:       max(admissible, usual/2), // a reduction below half of the usual rate would be temporary
 			completionRate: completionRate,
 			known:          true,
 		}
--- a/balancer/interface.go
+++ b/balancer/interface.go
@@ -84,15 +84,15 @@
 	Coordinators         int           // number of coordinators
 	Self                 Coordinator   // ID of this coordinator
 	DefaultTableSize     int           // maximum number of servers in the default table of a proxy
-	EjectAfterFailures   int           // number of consecutive failures after which a proxy ejects a server; 0 for never
+	EjectAfterFailures   int           // consecutive failures after which a proxy ejects a server; 0 for never
 	DefaultRetry         RetryPolicy   // policy of proxies that have received no other one
 	MinConnections       float64       // connection limit of the smallest servers
 	AttemptTimeoutFactor float64       // timeout of an attempt as a multiple of the latency objective
 	Admission            AdmissionMode // interpretation of admission settings by the proxies
 }
 
-// Channel describes the channel from the coordinator to its proxies, a first-in first-out queue. An entry is a
-// table entry, an admission setting, a table assignment or an acknowledgement request.
+// Channel describes the channel from the coordinator to its proxies, a first-in first-out queue. An entry is
+// a table entry, an admission setting, a table assignment or an acknowledgement request.
 type Channel struct {
 	EntriesPerSecond float64 // rate at which entries leave the queue
 	MessageOverhead  float64 // cost of a message in entries, in addition to the entries in it
@@ -109,10 +109,10 @@
 	EmptyTableDeadline    float64 // maximum time for which a proxy may have no table entry
 	WarmupStartFraction   float64 // minimum fraction of its capacity that a server has when it starts
 	WarmupDuration        float64 // maximum time until a started server has its full capacity
-	OverloadFactor        float64 // multiple of its current capacity that overloads a server within OverloadWindow
+	OverloadFactor        float64 // multiple of its current capacity that overloads a server in OverloadWindow
 	OverloadWindow        float64
 	DiscoveryPollDeadline float64 // maximum time between two polls of discovery
-	RemovalIsAdvisory     bool    // servers that are missing from a list without having drained may stay in tables
+	RemovalIsAdvisory     bool    // servers missing from a list without having drained may stay in tables
 }
 
 // LoadMetric identifies a value in the load report of a server.
@@ -227,7 +227,8 @@
 	Load     []float64 // latest load report, in the order of Reporting.Metrics
 }
 
-// DemandReport counts the requests of one class that one proxy received, including rejected and retried requests.
+// DemandReport counts the requests of one class that one proxy received, including rejected and retried
+// requests.
 type DemandReport struct {
 	Proxy    Proxy
 	Class    Class
@@ -264,9 +265,9 @@
 	Load    []float64 // load report, in the order of Reporting.Metrics
 }
 
-// Redelivered identifies commands that the channel may carry a second time, in a separate message. They are sent
-// again because they may or may not have been executed the first time, or were not sent with the rest of their
-// round.
+// Redelivered identifies commands that the channel may carry a second time, in a separate message. They are
+// sent again because they may or may not have been executed the first time, or were not sent with the rest of
+// their round.
 type Redelivered struct {
 	Tables  []Table // the table of each redelivered weight or admission setting, once per command
 	Proxies []Proxy // proxies whose tables are assigned again
--- a/balancer/state.go
+++ b/balancer/state.go
@@ -52,7 +52,7 @@
 type server struct {
 	Endpoint
 	position           int                 // index in Balancer.servers
-	discoveredAt       float64             // when this incarnation was first listed; -infinity if it was in the cached list
+	discoveredAt       float64             // when this incarnation was first listed; -infinity if it was cached
 	ignoreReportsUntil float64             // until this time reports may describe a past outage and are ignored
 	delisted           bool                // missing from a list whose removals are advisory
 	observed           bool                // reports have shown the performance of the server
@@ -109,7 +109,7 @@
 	demandShare     float64               // demand of its proxies relative to an even share
 	tables          []*weightTable        // one per eligibility set
 	assignedProxies float64               // number of proxies that have been assigned its tables
-	messageSize     float64               // entries of this round's message, including overhead; 0 if there is none yet
+	messageSize     float64               // entries of this round's message, including overhead; 0 if none yet
 	messages        slidingwindow.Counter // messages that were sent to each of its proxies
 }
 
--- a/balancer/weights.go
+++ b/balancer/weights.go
@@ -37,8 +37,8 @@
 }
 
 // wantedEntries returns the wanted entries of each group's table for one eligibility set, scaled to the
-// current weights of the table. Narrow sets must be computed first: allocated accumulates the demand that they
-// allocate to each server, which is subtracted from the server's intake in wider sets.
+// current weights of the table. Narrow sets must be computed first: allocated accumulates the demand that
+// they allocate to each server, which is subtracted from the server's intake in wider sets.
 func (b *Balancer) wantedEntries(now float64, setIndex int, allocated map[Server]float64) [][]tableEntry {
 	set := b.eligibilitySets[setIndex]
 	candidates, summary := b.candidates(now, set)
