--- a/internal/proxy/clients.go
+++ b/internal/proxy/clients.go
@@ -68,7 +68,7 @@
 
 // sendContinue asks a client that waits for it to send the body of its request.
 func (p *Proxy) sendContinue(c *client) {
-	if c.message.Continue && !c.continueSent {
+	if c.message.ExpectContinue && !c.continueSent {
 		c.continueSent = true
 		p.io.Send(c.id, []byte("HTTP/1.1 100 Continue\r\n\r\n"))
 	}
--- a/internal/wire/http1/head.go
+++ b/internal/wire/http1/head.go
@@ -159,6 +159,6 @@
 	if !strings.EqualFold(value, "100-continue") {
 		return errorf(statusExpectationFailed, "expectation %.40q", value)
 	}
-	m.Continue = true
+	m.ExpectContinue = true
 	return nil
 }
--- a/internal/wire/http1/message.go
+++ b/internal/wire/http1/message.go
@@ -68,15 +68,15 @@
 
 // Message is a request or a response.
 type Message struct {
-	Method       string // of a request
-	Target       string // of a request
-	Status       int    // of a response
-	MinorVersion int    // version: 0 for HTTP/1.0, 1 for HTTP/1.1
-	Fields       []Field
-	Body         []byte // points into the bytes that it was read from, unless it was chunked
-	Close        bool   // the connection ends after the message
-	Continue     bool   // its sender waits for 100 (Continue) before it sends the body
-	UntilClose   bool   // the body goes on until the connection ends
+	Method         string // of a request
+	Target         string // of a request
+	Status         int    // of a response
+	MinorVersion   int    // version: 0 for HTTP/1.0, 1 for HTTP/1.1
+	Fields         []Field
+	Body           []byte // points into the bytes that it was read from, unless it was chunked
+	Close          bool   // the connection ends after the message
+	ExpectContinue bool   // its sender waits for 100 (Continue) before it sends the body
+	UntilClose     bool   // the body goes on until the connection ends
 }
 
 // Get returns the value of the first field of a name; empty if there is none.
--- a/internal/wire/http1/parse.go
+++ b/internal/wire/http1/parse.go
@@ -7,7 +7,7 @@
 )
 
 // ParseRequest reads a request from the beginning of data and returns its length. The length is 0 while the request
-// is incomplete; request.Continue then says whether its sender waits for 100 (Continue). Errors are of type
+// is incomplete; request.ExpectContinue then says whether its sender waits for 100 (Continue). Errors are of type
 // *Error.
 func ParseRequest(data []byte, limits Limits, request *Message) (int, error) {
 	lines, headLength, err := splitHead(data, limits)
