--- a/internal/wire/resp/reader.go
+++ b/internal/wire/resp/reader.go
@@ -1,7 +1,7 @@
 // Package resp reads and writes messages in RESP2 that are arrays of bulk strings.
 //
-// The package is pure: it keeps no connection and no clock. A length that a peer claims allocates nothing
-// before its bytes have come.
+// The package does no I/O and reads no clock. A length that a peer announces allocates no memory until its bytes
+// have been received.
 package resp
 
 import (
@@ -10,16 +10,16 @@
 	"strconv"
 )
 
-// Limits bound a message; a larger one is an error.
+// Limits are the upper limits of a message. Next returns ErrTooLong for a message that exceeds them.
 type Limits struct {
-	Bytes    int // including the framing
-	Elements int
+	Bytes    int // in one message, including its framing
+	Elements int // in one array
 }
 
-// The errors of a Reader are final for the connection.
+// Errors of Reader.Next. After either of them, the connection cannot be read any further.
 var (
-	ErrFraming = errors.New("no array of bulk strings")
-	ErrTooLong = errors.New("a message beyond the limit")
+	ErrFraming = errors.New("message is not a RESP array of bulk strings")
+	ErrTooLong = errors.New("message exceeds the limits or has no elements")
 )
 
 const (
@@ -27,25 +27,25 @@
 	bulkMark  = '$'
 	lineEnd   = "\r\n"
 
-	maxLengthDigits = 10 // of a length: more than any length within a limit has
+	maxLengthDigits = 10 // in an array or string length; lengths within the limits have fewer digits
 	maxLengthLine   = 1 + maxLengthDigits + len(lineEnd)
 )
 
-// Reader finds messages in bytes that come in any pieces. The zero value is ready.
+// Reader splits a byte stream, received in fragments of any size, into messages. The zero value is ready to use.
 type Reader struct {
 	buffer   []byte
-	start    int // of the current message
-	parsed   int // end of what has been parsed
-	inArray  bool
-	left     int       // elements of the current message that are to come
-	elements []section // of the current message
-	err      error
+	start    int // offset of the current message in the buffer
+	parsed   int // offset of the first byte not parsed yet
+	inArray  bool      // the array length of the current message has been parsed
+	left     int       // number of elements of the current message still to be parsed
+	elements []section // parsed elements of the current message
+	err      error     // returned by every further call of Next
 }
 
-// section is a part of the buffer.
+// section is a range of offsets in the buffer; to is exclusive.
 type section struct{ from, to int }
 
-// Feed adds bytes, which are copied. It invalidates the elements that Next has returned.
+// Feed appends a copy of b to the buffer. It invalidates the elements returned by earlier calls of Next.
 func (r *Reader) Feed(b []byte) {
 	if r.err != nil {
 		return
@@ -56,7 +56,7 @@
 	r.buffer = append(r.buffer, b...)
 }
 
-// discardParsed moves the current message to the start of the buffer.
+// discardParsed drops the messages before the current one and moves it to the start of the buffer.
 func (r *Reader) discardParsed() {
 	length := copy(r.buffer, r.buffer[r.start:])
 	r.buffer = r.buffer[:length]
@@ -68,11 +68,11 @@
 	r.start = 0
 }
 
-// Buffered returns the number of bytes of the current message that have come.
+// Buffered returns the number of received bytes of the current message.
 func (r *Reader) Buffered() int { return len(r.buffer) - r.start }
 
 // Next appends the elements of the next message to elements; their bytes are valid until the next Feed. ok is
-// false if more bytes are needed. The error is ErrFraming or ErrTooLong, and final.
+// false if more bytes are needed. The error is ErrFraming or ErrTooLong; all later calls return it again.
 func (r *Reader) Next(elements [][]byte, limits Limits) (_ [][]byte, ok bool, err error) {
 	if r.err != nil {
 		return elements, false, r.err
@@ -85,7 +85,7 @@
 		return elements, false, err
 	}
 	if !complete {
-		if r.Buffered() == 0 { // an idle connection keeps no memory
+		if r.Buffered() == 0 { // do not retain memory for an idle connection
 			r.buffer = nil
 			r.start = 0
 			r.parsed = 0
@@ -101,7 +101,7 @@
 	return elements, true, nil
 }
 
-// parse goes on with the current message and reports whether it is complete.
+// parse resumes parsing the current message and reports whether it is complete.
 func (r *Reader) parse(limits Limits) (bool, error) {
 	if !r.inArray {
 		count, ok, err := r.parseLength(arrayMark)
@@ -124,7 +124,7 @@
 	return true, nil
 }
 
-// parseElement reads a bulk string; ok is false if more bytes are needed.
+// parseElement parses a bulk string. ok is false if more bytes are needed.
 func (r *Reader) parseElement(limits Limits) (ok bool, err error) {
 	start := r.parsed
 	length, ok, err := r.parseLength(bulkMark)
@@ -147,7 +147,7 @@
 	return true, nil
 }
 
-// parseLength reads a line with a mark and a number; ok is false if more bytes are needed.
+// parseLength parses a line that consists of a type mark and a length. ok is false if more bytes are needed.
 func (r *Reader) parseLength(mark byte) (length int, ok bool, err error) {
 	b := r.buffer[r.parsed:]
 	if len(b) == 0 {
@@ -173,7 +173,7 @@
 	return length, true, nil
 }
 
-// checkIncompleteLength returns ErrFraming if no further bytes can make b the line of a length.
+// checkIncompleteLength returns ErrFraming if b cannot be the beginning of a valid length line.
 func checkIncompleteLength(b []byte) error {
 	if len(b) >= maxLengthLine {
 		return ErrFraming
@@ -188,7 +188,7 @@
 
 func isDigit(c byte) bool { return c >= '0' && c <= '9' }
 
-// Append appends a message.
+// Append appends a message, an array of the given bulk strings, to b.
 func Append(b []byte, elements ...string) []byte {
 	b = appendLength(b, arrayMark, len(elements))
 	for _, element := range elements {
--- a/internal/wire/resp/reader_test.go
+++ b/internal/wire/resp/reader_test.go
@@ -10,7 +10,7 @@
 
 var limits = Limits{Bytes: 1 << 20, Elements: 512}
 
-// read returns the messages in b, which comes in pieces of a size.
+// read feeds b to a Reader in fragments of the given size and returns the messages.
 func read(b []byte, size int) (messages [][]string, err error) {
 	var r Reader
 	for len(b) > 0 {
@@ -35,17 +35,17 @@
 	return messages, nil
 }
 
-func TestReadWhatWasAppended(t *testing.T) {
+func TestReadAppendedMessages(t *testing.T) {
 	b := Append(Append(Append(nil, "hb"), "telemetry", "az", ""), "x", "\r\n$1\r\n", strings.Repeat("y", 5000))
 	for size := range 40 {
 		got, err := read(b, size+1)
 		if err != nil || len(got) != 3 || got[1][2] != "" || got[2][1] != "\r\n$1\r\n" || len(got[2][2]) != 5000 {
-			t.Fatalf("in pieces of %d: %d messages, %v", size+1, len(got), err)
+			t.Fatalf("fragments of %d bytes: %d messages, error %v", size+1, len(got), err)
 		}
 	}
 }
 
-func TestOtherInputIsRejectedAtOnce(t *testing.T) {
+func TestMalformedInputIsRejectedImmediately(t *testing.T) {
 	for input, want := range map[string]error{
 		"GET /":              ErrFraming,
 		"{":                  ErrFraming,
@@ -62,12 +62,12 @@
 		"*1\r\n$1048577\r\n": ErrTooLong,
 	} {
 		if _, err := read([]byte(input), 1); !errors.Is(err, want) {
-			t.Errorf("%q: %v, want %v", input, err, want)
+			t.Errorf("%q: error %v, want %v", input, err, want)
 		}
 	}
 }
 
-func TestClaimedLengthAllocatesNothing(t *testing.T) {
+func TestAnnouncedLengthAllocatesNothing(t *testing.T) {
 	var before, after runtime.MemStats
 	runtime.ReadMemStats(&before)
 	for range 1000 {
@@ -77,7 +77,7 @@
 	}
 	runtime.ReadMemStats(&after)
 	if after.TotalAlloc-before.TotalAlloc > 1<<20 {
-		t.Errorf("%d bytes allocated", after.TotalAlloc-before.TotalAlloc)
+		t.Errorf("%d bytes allocated, want at most 1 MiB", after.TotalAlloc-before.TotalAlloc)
 	}
 }
 
@@ -88,14 +88,14 @@
 		whole, err := read(b, len(b)+1)
 		pieces, err2 := read(b, max(size%64, 1))
 		if (err == nil) != (err2 == nil) || len(whole) != len(pieces) {
-			t.Fatalf("%d messages and %v at once, %d and %v in pieces", len(whole), err, len(pieces), err2)
+			t.Fatalf("%d messages, error %v in one fragment; %d messages, error %v in several", len(whole), err, len(pieces), err2)
 		}
 		var back []byte
 		for _, m := range whole {
 			back = Append(back, m...)
 		}
 		if again, err := read(back, 7); err != nil || len(again) != len(whole) || len(back) > 0 && !bytes.HasPrefix(back, []byte("*")) {
-			t.Fatalf("written and read again: %d of %d, %v", len(again), len(whole), err)
+			t.Fatalf("after encoding the messages again, %d of %d were read: error %v", len(again), len(whole), err)
 		}
 	})
 }
