--- a/internal/wire/lines/reader.go
+++ b/internal/wire/lines/reader.go
@@ -1,6 +1,6 @@
-// Package lines splits a stream into lines.
+// Package lines splits a byte stream into lines.
 //
-// The package is pure: it keeps no connection and no clock.
+// The package does no I/O and reads no clock.
 package lines
 
 import (
@@ -8,15 +8,15 @@
 	"errors"
 )
 
-// ErrTooLong reports a line beyond the limit; nothing after it can be read.
-var ErrTooLong = errors.New("a line beyond the limit")
+// ErrTooLong reports a line that exceeds the limit. The rest of the stream cannot be read.
+var ErrTooLong = errors.New("line exceeds the length limit")
 
-// Reader finds lines in bytes that come in any pieces. The zero value is ready.
+// Reader splits a byte stream, received in fragments of any size, into lines. The zero value is ready to use.
 type Reader struct{ partial []byte }
 
-// Read calls take with each complete line, without its end, which may be LF or CRLF. A line is valid until take
-// returns. Read returns ErrTooLong for a line of more than limit bytes.
-func (r *Reader) Read(b []byte, limit int, take func(line []byte)) error {
+// Read calls handle with each complete line, without its LF or CRLF. A line is valid until handle returns. Read
+// returns ErrTooLong for a line of more than limit bytes.
+func (r *Reader) Read(b []byte, limit int, handle func(line []byte)) error {
 	for {
 		end := bytes.IndexByte(b, '\n')
 		if end < 0 {
@@ -34,7 +34,7 @@
 		if len(line) > limit {
 			return ErrTooLong
 		}
-		take(bytes.TrimSuffix(line, []byte("\r")))
+		handle(bytes.TrimSuffix(line, []byte("\r")))
 		b = b[end+1:]
 	}
 }
--- a/internal/wire/lines/reader_test.go
+++ b/internal/wire/lines/reader_test.go
@@ -6,20 +6,20 @@
 	"testing"
 )
 
-func TestReadInAnyPieces(t *testing.T) {
+func TestReadInFragmentsOfAnySize(t *testing.T) {
 	text := []byte("one\ntwo\r\n\n\r\nthree\nrest")
 	want := []string{"one", "two", "", "", "three"}
 	for size := 1; size <= len(text); size++ {
 		var reader Reader
 		var got []string
-		for piece := range slices.Chunk(text, size) {
-			err := reader.Read(piece, 10, func(line []byte) { got = append(got, string(line)) })
+		for fragment := range slices.Chunk(text, size) {
+			err := reader.Read(fragment, 10, func(line []byte) { got = append(got, string(line)) })
 			if err != nil {
-				t.Fatalf("in pieces of %d: %v", size, err)
+				t.Fatalf("fragments of %d bytes: %v", size, err)
 			}
 		}
 		if !slices.Equal(got, want) {
-			t.Errorf("in pieces of %d: %q, want %q", size, got, want)
+			t.Errorf("fragments of %d bytes: read %q, want %q", size, got, want)
 		}
 	}
 }
@@ -29,13 +29,13 @@
 		for _, size := range []int{1, len(text)} {
 			var reader Reader
 			var err error
-			for piece := range slices.Chunk([]byte(text), size) {
+			for fragment := range slices.Chunk([]byte(text), size) {
 				if err == nil {
-					err = reader.Read(piece, 4, func([]byte) {})
+					err = reader.Read(fragment, 4, func([]byte) {})
 				}
 			}
 			if !errors.Is(err, ErrTooLong) {
-				t.Errorf("%q in pieces of %d: %v", text, size, err)
+				t.Errorf("%q in fragments of %d bytes: error %v, want ErrTooLong", text, size, err)
 			}
 		}
 	}
