--- a/internal/wire/discovery/list.go
+++ b/internal/wire/discovery/list.go
@@ -1,7 +1,7 @@
-// Package discovery reads the lists of servers that discovery delivers: JSON objects, one on each line of a
+// Package discovery parses the server lists that the discovery service sends: JSON objects, one per line of a
 // watch.
 //
-// The package is pure: it keeps no connection and no clock.
+// The package does no I/O and reads no clock.
 package discovery
 
 import (
@@ -11,42 +11,43 @@
 	"strconv"
 )
 
-// ErrNotList reports a JSON object without a version or without servers.
-var ErrNotList = errors.New("no list of servers")
+// ErrNotList reports a JSON object that is not a server list: its version or its servers are absent.
+var ErrNotList = errors.New("not a server list: version or servers missing")
 
-// List is the full list of servers, or what has changed of it.
+// List is the full server list or a set of changes to it.
 type List struct {
 	Version   int64    `json:"version"`
-	Full      bool     `json:"full"`
+	Full      bool     `json:"full"` // false for a set of changes
 	Servers   []Server `json:"servers"`
-	Malformed int      `json:"-"` // entries that could not be read and are not among Servers
+	Malformed int      `json:"-"` // number of entries that could not be parsed and were left out of Servers
 }
 
-// Server is an entry of a list.
+// Server is an entry of a server list.
 type Server struct {
 	ID            string  `json:"id"`
-	Address       string  `json:"addr"` // of its health checks
+	Address       string  `json:"addr"` // address and port for health checks
 	Zone          string  `json:"zone"`
-	Kind          string  `json:"kind"` // of machine
+	Kind          string  `json:"kind"` // machine kind
 	FailureDomain int     `json:"cell"`
 	State         State   `json:"state"`
 	Weight        float64 `json:"weight"`
-	StartedMS     float64 `json:"started_ms"` // Unix time in milliseconds; 0 stands for long ago
-	Malformed     bool    `json:"-"`          // a field has another type, and is zero here
+	StartedMS     float64 `json:"started_ms"` // Unix time in milliseconds; 0 means long ago
+	Malformed     bool    `json:"-"`          // a field had the wrong type and was set to zero
 }
 
-// State is the lifecycle state of a server. Discovery may name others than the constants here.
+// State is the lifecycle state of a server. Discovery may send values other than the constants below.
 type State string
 
-// The states of a server.
+// Lifecycle states of a server.
 const (
 	Ready    State = "ready"
 	Draining State = "draining"
 	Removed  State = "gone"
 )
 
-// Parse reads a list. Entries that cannot be read are left out and counted; those with an id stay, as
-// Malformed. It returns ErrNotList for another object, and an error of encoding/json for other text.
+// Parse parses a server list. An entry that cannot be parsed is left out and counted in List.Malformed, but one with
+// an ID is kept and marked as Server.Malformed. Parse returns ErrNotList for any other JSON object, and an error that
+// wraps one of encoding/json for any other text.
 func Parse(line []byte) (*List, error) {
 	var fields struct {
 		Version *int64             `json:"version"`
@@ -54,7 +55,7 @@
 		Servers *[]json.RawMessage `json:"servers"`
 	}
 	if err := json.Unmarshal(line, &fields); err != nil {
-		return nil, fmt.Errorf("list of servers: %w", err)
+		return nil, fmt.Errorf("parse server list: %w", err)
 	}
 	if fields.Version == nil || fields.Servers == nil {
 		return nil, ErrNotList
@@ -75,7 +76,7 @@
 	return list, nil
 }
 
-// parseServer reads an entry. A field of another type is no error if the server is known by its id.
+// parseServer parses an entry. A field of the wrong type is not an error if the entry has a valid ID.
 func parseServer(text json.RawMessage) (Server, error) {
 	var server Server
 	err := json.Unmarshal(text, &server)
@@ -87,10 +88,10 @@
 	return server, err
 }
 
-// ListPath is the path of the full list.
+// ListPath is the URL path of the full list.
 const ListPath = "/registry/instances"
 
-// WatchPath returns the path of a watch of the changes after a version.
+// WatchPath returns the URL path of a watch for the changes after the given version.
 func WatchPath(version int64) string {
 	return ListPath + "?stream=1&index=" + strconv.FormatInt(version, 10)
 }
--- a/internal/wire/discovery/list_test.go
+++ b/internal/wire/discovery/list_test.go
@@ -26,17 +26,17 @@
 	}
 	for _, text := range []string{"", "{}", "[]", `{"version":1}`, `{"servers":[]}`, `{"version":"1","servers":[]}`, `{"version":1,"servers":{}}`} {
 		if _, err := Parse([]byte(text)); err == nil {
-			t.Errorf("%q was read", text)
+			t.Errorf("%q was parsed without an error", text)
 		}
 	}
 	if _, err := Parse([]byte("{}")); !errors.Is(err, ErrNotList) {
-		t.Errorf("an object that is no list: %v", err)
+		t.Errorf("object without version and servers: error %v, want ErrNotList", err)
 	}
 }
 
-// An entry that cannot be read does not spoil the others. One whose server is named counts for what can be read
-// of it.
-func TestParseKeepsReadableEntries(t *testing.T) {
+// An entry that cannot be parsed does not affect the others. An entry with an ID is kept with the fields that can be
+// parsed.
+func TestParseKeepsValidEntries(t *testing.T) {
 	list, err := Parse([]byte(`{"version":1,"servers":[{"id":7},7,null,{"id":"s-1","state":"draining","weight":"1"},{"id":"s-2","state":"ready"}]}`))
 	if err != nil || list.Malformed != 2 || len(list.Servers) != 3 {
 		t.Fatalf("%+v, %v", list, err)
@@ -59,7 +59,7 @@
 		}
 		again, err := Parse(text)
 		if err != nil || again.Version != list.Version || len(again.Servers) != len(list.Servers) {
-			t.Fatalf("%s is read as something else: %v", text, err)
+			t.Fatalf("%s is not parsed as the same list again: error %v", text, err)
 		}
 	})
 }
