--- a/internal/wire/jsonrpc/command.go
+++ b/internal/wire/jsonrpc/command.go
@@ -5,20 +5,20 @@
 	"strconv"
 )
 
-// MaxCallBytes is the largest call that the relay reads, in bytes.
+// MaxCallBytes is the size of the largest call that the relay accepts, in bytes.
 const MaxCallBytes = 60_000
 
-// ClassNames are the names of the request classes by class number, as commands refer to them.
+// ClassNames holds the names of the request classes, indexed by class number. Commands refer to classes by name.
 type ClassNames []string
 
-// AppendWatch appends a call that subscribes to the relay's events.
+// AppendWatch appends a call that subscribes to the events of the relay.
 func AppendWatch(b []byte, id uint64) []byte {
 	b = append(b, `{"jsonrpc":"2.0","id":`...)
 	b = strconv.AppendUint(b, id, 10)
 	return append(b, `,"method":"relay.watch"}`+"\n"...)
 }
 
-// AppendApply appends a call that carries a batch of commands, separated by commas.
+// AppendApply appends a call with a batch of commands. The commands are encoded and separated by commas.
 func AppendApply(b []byte, id uint64, commands []byte) []byte {
 	b = append(b, `{"jsonrpc":"2.0","id":`...)
 	b = strconv.AppendUint(b, id, 10)
@@ -28,7 +28,7 @@
 }
 
 // AppendWeight appends a command that sets the weight of a server in a table; weight 0 removes the server from
-// it.
+// the table.
 func AppendWeight(b []byte, table int, server string, weight float64) []byte {
 	b = appendInt(b, `{"do":"share","group":`, int64(table))
 	b = append(b, `,"host":`...)
@@ -37,8 +37,8 @@
 	return append(b, '}')
 }
 
-// AppendAssignment appends a command that assigns a table to a proxy for a set of classes, bit k for class k; 0
-// stands for all classes.
+// AppendAssignment appends a command that assigns a table to a proxy for a set of classes. Bit k of classes stands
+// for class k; 0 means all classes.
 func (n ClassNames) AppendAssignment(b []byte, proxy, table int, classes uint64) []byte {
 	b = appendInt(b, `{"do":"bind","sidecar":`, int64(proxy))
 	b = appendInt(b, `,"group":`, int64(table))
@@ -47,7 +47,7 @@
 }
 
 // AppendAdmission appends a command that sets the admission fraction or rate and the retry policy of a set of
-// classes, bit k for class k; 0 stands for all classes.
+// classes. Bit k of classes stands for class k; 0 means all classes.
 func (n ClassNames) AppendAdmission(b []byte, table int, classes uint64, admission float64, retryPolicy int) []byte {
 	b = appendInt(b, `{"do":"admit","group":`, int64(table))
 	b = n.appendClasses(b, classes)
@@ -56,8 +56,8 @@
 	return append(b, '}')
 }
 
-// AppendAckRequest appends a command that requests acknowledgements with an id from all proxies, or only from
-// those that the batch concerns.
+// AppendAckRequest appends a command that requests acknowledgements with the given ID: from all proxies, or only
+// from those that the batch affects.
 func AppendAckRequest(b []byte, id int64, all bool) []byte {
 	b = appendInt(b, `{"do":"mark","stamp":`, id)
 	if all {
@@ -66,8 +66,8 @@
 	return append(b, `,"yes":0}`...)
 }
 
-// appendClasses appends the member that limits a command to classes; it is absent where the command holds for
-// all.
+// appendClasses appends the member that restricts a command to a set of classes. It appends nothing if the command
+// applies to all classes.
 func (n ClassNames) appendClasses(b []byte, classes uint64) []byte {
 	if classes == 0 {
 		return b
@@ -88,7 +88,7 @@
 }
 
 func appendString(b []byte, text string) []byte {
-	quoted, _ := json.Marshal(text) // a string always has a JSON form
+	quoted, _ := json.Marshal(text) // encoding a string cannot fail
 	return append(b, quoted...)
 }
 
--- a/internal/wire/jsonrpc/command_golden_test.go
+++ b/internal/wire/jsonrpc/command_golden_test.go
@@ -7,9 +7,9 @@
 	"snowquay/internal/golden"
 )
 
-// The golden file holds the calls of one round: weights, assignments, admission and the request for
+// The golden file holds the encoded calls of one round: weights, assignments, admission and a request for
 // acknowledgements.
-func TestCallsOfARoundOnTheWire(t *testing.T) {
+func TestEncodedCallsOfARound(t *testing.T) {
 	names := ClassNames{"lookup", "order"}
 	first := [][]byte{
 		AppendWeight(nil, 1, "s-5be2a07c", 1.5),
--- a/internal/wire/jsonrpc/command_test.go
+++ b/internal/wire/jsonrpc/command_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-func TestCommandsOnTheWire(t *testing.T) {
+func TestEncodedCommands(t *testing.T) {
 	names := ClassNames{"lookup", `od"d`}
 	for want, got := range map[string][]byte{
 		`{"do":"share","group":4,"host":"s-5be2a07c","share":1.5}`:                         AppendWeight(nil, 4, "s-5be2a07c", 1.5),
--- a/internal/wire/jsonrpc/message.go
+++ b/internal/wire/jsonrpc/message.go
@@ -1,7 +1,7 @@
-// Package jsonrpc reads and writes the relay's protocol: JSON-RPC 2.0, one object on each line.
+// Package jsonrpc parses and encodes the protocol of the relay: JSON-RPC 2.0, one object per line.
 //
-// The package is pure: it keeps no connection and no clock. It maps the relay's field names to the terms of the
-// rest of the program, so that no other package knows them.
+// The package does no I/O and reads no clock. It maps the field names of the protocol to the terms used in the rest
+// of the program, so that no other package depends on them.
 package jsonrpc
 
 import (
@@ -13,22 +13,22 @@
 )
 
 // ErrUnknownLine reports a JSON object that is neither a response nor a notification.
-var ErrUnknownLine = errors.New("neither a response nor a notification")
+var ErrUnknownLine = errors.New("line is neither a response nor a notification")
 
-// Message is a line from the relay: a *Response or an *Event.
+// Message is a parsed line from the relay: a *Response or an *Event.
 type Message interface{ isMessage() }
 
-// Response is the relay's response to a call.
+// Response is the response of the relay to a call.
 type Response struct {
-	ID     uint64       // of the call
+	ID     uint64       // ID of the call
 	Err    *RemoteError // nil if the call succeeded
 	result json.RawMessage
 }
 
-// EventKind says what an Event reports.
+// EventKind is the type of an Event.
 type EventKind int
 
-// The kinds of events.
+// Kinds of events.
 const (
 	UnknownEvent EventKind = iota // a method that this program does not use
 	Heartbeat
@@ -44,16 +44,16 @@
 	"done":   CommandsAcknowledged,
 }
 
-// Event is a notification from the relay's event stream. Fields that its kind does not have are zero.
+// Event is a notification from the event stream of the relay. Fields that do not apply to its kind are zero.
 type Event struct {
 	Kind         EventKind
-	Proxy        int     // -1 if the notification names none
-	Zone         string  // of a proxy that joined
-	ExpectedRate float64 // of a proxy that joined, in requests per second
-	DefaultTable bool    // the proxy that joined holds the default table only
-	AckID        int64   // of an acknowledgement
-	Latency      float64 // of an acknowledgement: seconds from the command to its effect
-	Incomplete   bool    // a field that the kind requires is absent or negative; Proxy and Zone are not checked
+	Proxy        int     // -1 if the notification names no proxy
+	Zone         string  // ProxyJoined: zone of the proxy
+	ExpectedRate float64 // ProxyJoined: expected rate in requests per second
+	DefaultTable bool    // ProxyJoined: the proxy holds only the default table
+	AckID        int64   // CommandsAcknowledged: ID of the request for acknowledgements
+	Latency      float64 // CommandsAcknowledged: seconds from the command to its effect
+	Incomplete   bool    // a required field is absent or negative; Proxy and Zone are not checked
 }
 
 func (*Response) isMessage() {}
@@ -62,16 +62,16 @@
 // RemoteError is an error that the relay returned for a call.
 type RemoteError struct{ Message string }
 
-// malformedCall is the message by which the relay rejects a call that it cannot read.
+// malformedCall is the error message of the relay for a call that it cannot parse.
 const malformedCall = "malformed"
 
-// Error returns the message of the relay.
+// Error returns the error message of the relay.
 func (e *RemoteError) Error() string { return e.Message }
 
-// Malformed reports whether the relay could not read the call.
+// Malformed reports whether the relay could not parse the call.
 func (e *RemoteError) Malformed() bool { return e.Message == malformedCall }
 
-// envelope is any line of the relay.
+// envelope has the members of every line from the relay, whether response or notification.
 type envelope struct {
 	ID     *uint64         `json:"id"`
 	Method string          `json:"method"`
@@ -80,7 +80,7 @@
 	Params json.RawMessage `json:"params"`
 }
 
-// params are the parameters of all notifications. Pointers tell absent fields from zero values.
+// params has the parameters of all kinds of notifications. Pointers distinguish absent fields from zero values.
 type params struct {
 	Proxy        *int     `json:"sidecar"`
 	Zone         string   `json:"az"`
@@ -90,12 +90,12 @@
 	LatencyMS    *float64 `json:"lag_ms"`
 }
 
-// Parse reads one line. It returns ErrUnknownLine for an object of another kind, and an error of encoding/json
-// for other text.
+// Parse parses one line. It returns ErrUnknownLine for an object that is neither a response nor a notification, and
+// an error that wraps one of encoding/json for any other text.
 func Parse(line []byte) (Message, error) {
 	var fields envelope
 	if err := json.Unmarshal(line, &fields); err != nil {
-		return nil, fmt.Errorf("relay line: %w", err)
+		return nil, fmt.Errorf("parse line from relay: %w", err)
 	}
 	switch {
 	case fields.Method != "":
@@ -110,7 +110,7 @@
 	var given params
 	if len(text) > 0 {
 		if err := json.Unmarshal(text, &given); err != nil {
-			return nil, fmt.Errorf("parameters of notification %q: %w", method, err)
+			return nil, fmt.Errorf("parse parameters of notification %q: %w", method, err)
 		}
 	}
 	event := &Event{Kind: eventKinds[method], Proxy: -1}
@@ -148,8 +148,8 @@
 	return &RemoteError{Message: message}
 }
 
-// errorMessage returns the text of an error member, which is a string or an object with a message and optional
-// data.
+// errorMessage returns the message of an error member, which is a string or an object with a message and optional
+// data. An error of any other form is returned as its JSON text.
 func errorMessage(text json.RawMessage) string {
 	var plain string
 	if json.Unmarshal(text, &plain) == nil && plain != "" {
@@ -165,8 +165,8 @@
 	return string(text)
 }
 
-// AcceptedCount returns how many commands of a batch were applied. ok is false if the call failed or the result
-// holds no such count.
+// AcceptedCount returns the number of commands of a batch that the relay applied. ok is false if the call failed or
+// its result has no valid count.
 func (r *Response) AcceptedCount() (count int, ok bool) {
 	var result struct {
 		Accepted *int `json:"accepted"`
--- a/internal/wire/jsonrpc/message_test.go
+++ b/internal/wire/jsonrpc/message_test.go
@@ -21,20 +21,20 @@
 		message, err := Parse([]byte(line))
 		response, ok := message.(*Response)
 		if err != nil || !ok || response.ID != 8 {
-			t.Errorf("%s: %+v, %v", line, message, err)
+			t.Errorf("%s: parsed as %+v, error %v", line, message, err)
 			continue
 		}
 		if want.err == "" && response.Err != nil || want.err != "" && (response.Err == nil || response.Err.Message != want.err) {
 			t.Errorf("%s: error %v, want %q", line, response.Err, want.err)
 		}
 		if count, ok := response.AcceptedCount(); count != want.accepted || ok != want.ok {
-			t.Errorf("%s: %d, %v", line, count, ok)
+			t.Errorf("%s: accepted count %d, ok %v", line, count, ok)
 		}
 	}
 }
 
 func TestParseEvent(t *testing.T) {
-	latencyMS := 310.4 // a variable, so that it is divided as the codec does
+	latencyMS := 310.4 // not a constant, so that the division rounds as in Parse
 	for line, want := range map[string]Event{
 		`{"method":"done","params":{"sidecar":17,"version":905,"lag_ms":310.4,"more":[]}}`: {Kind: CommandsAcknowledged, Proxy: 17, AckID: 905, Latency: latencyMS / 1000},
 		`{"method":"done","params":{"sidecar":17,"version":905}}`:                          {Kind: CommandsAcknowledged, Proxy: 17, Incomplete: true},
@@ -51,7 +51,7 @@
 		message, err := Parse([]byte(line))
 		event, ok := message.(*Event)
 		if err != nil || !ok || *event != want {
-			t.Errorf("%s: %+v, %v", line, message, err)
+			t.Errorf("%s: parsed as %+v, error %v", line, message, err)
 		}
 	}
 }
@@ -59,7 +59,7 @@
 func TestParseRejectsOtherLines(t *testing.T) {
 	for _, line := range []string{"", "{}", "7", `{"id":-1,"result":1}`, `{"id":1}`, `{"method":"done","params":{"sidecar":"x"}}`, `{"method":7}`} {
 		if message, err := Parse([]byte(line)); err == nil || message != nil {
-			t.Errorf("%q was read as %+v", line, message)
+			t.Errorf("%q was parsed as %+v, want an error", line, message)
 		}
 	}
 }
@@ -77,7 +77,7 @@
 			return
 		}
 		if count, ok := response.AcceptedCount(); ok && (count < 0 || response.Err != nil) {
-			t.Fatalf("%d accepted, error %v", count, response.Err)
+			t.Fatalf("accepted count %d with error %v", count, response.Err)
 		}
 	})
 }
