--- a/internal/wire/resp/reader.go
+++ b/internal/wire/resp/reader.go
@@ -34,8 +34,8 @@
 // Reader splits a byte stream, received in fragments of any size, into messages. The zero value is ready to use.
 type Reader struct {
 	buffer   []byte
-	start    int // offset of the current message in the buffer
-	parsed   int // offset of the first byte not parsed yet
+	start    int       // offset of the current message in the buffer
+	parsed   int       // offset of the first byte not parsed yet
 	inArray  bool      // the array length of the current message has been parsed
 	left     int       // number of elements of the current message still to be parsed
 	elements []section // parsed elements of the current message
