--- a/internal/wire/http1/append.go
+++ b/internal/wire/http1/append.go
@@ -5,8 +5,8 @@
 	"strings"
 )
 
-// hopByHop are the fields that concern one connection only (RFC 9110, section 7.6.1), and those that frame a
-// body.
+// hopByHop is the set of fields that are not forwarded: those that apply to a single connection (RFC 9110, section
+// 7.6.1) and those that frame the body.
 var hopByHop = map[string]bool{
 	"connection":        true,
 	"keep-alive":        true,
@@ -19,7 +19,7 @@
 	"expect":            true,
 }
 
-// reasons are the reason phrases of frequent statuses; the others are written without one.
+// reasons maps common status codes to their reason phrases. Other codes are written without a phrase.
 var reasons = map[int]string{
 	statusOK:              "OK",
 	201:                   "Created",
@@ -35,7 +35,7 @@
 	504:                   "Gateway Timeout",
 }
 
-// AppendRequest appends a request as a proxy forwards it, with extra fields.
+// AppendRequest appends a request as a proxy forwards it: without hop-by-hop fields and with extra fields.
 func AppendRequest(b []byte, m *Message, extra ...Field) []byte {
 	b = append(b, m.Method...)
 	b = append(b, ' ')
@@ -48,8 +48,9 @@
 	return m.appendFieldsAndBody(b, writeLength, extra)
 }
 
-// AppendResponse appends a response to a request of the given method as a proxy forwards it, with extra fields.
-// closes says that the connection ends after it. A response to HEAD keeps its length.
+// AppendResponse appends a response to a request with the given method as a proxy forwards it: without hop-by-hop
+// fields and with extra fields. If closes is set, the response announces the end of the connection. The response to a
+// HEAD request keeps its Content-Length.
 func AppendResponse(b []byte, m *Message, requestMethod string, closes bool, extra ...Field) []byte {
 	b = append(b, "HTTP/1.1 "...)
 	b = strconv.AppendInt(b, int64(m.Status), 10)
@@ -93,7 +94,8 @@
 	return append(b, "\r\n"...)
 }
 
-// isHopByHop reports whether a field is not forwarded: by its name, or since the field Connection lists it.
+// isHopByHop reports whether a field is not forwarded, either because of its name or because the Connection field
+// lists it.
 func isHopByHop(name, connectionOptions string) bool {
 	name = strings.ToLower(name)
 	if hopByHop[name] {
--- a/internal/wire/http1/body_reader.go
+++ b/internal/wire/http1/body_reader.go
@@ -2,14 +2,14 @@
 
 import "math"
 
-// BodyReader reads a body that comes in any pieces, as its head has framed it.
+// BodyReader reads a body, received in fragments of any size, by the framing that its head specifies.
 type BodyReader struct {
 	framing framing
-	left    int // bytes to come, if the framing is byLength
+	left    int // bytes still to be received, if the framing is byLength
 	chunks  chunkDecoder
 }
 
-// newBodyReader returns a reader of a body that may have any length.
+// newBodyReader returns a reader for a body of unlimited length.
 func newBodyReader(body framing, limits Limits) BodyReader {
 	return BodyReader{
 		framing: body,
@@ -18,23 +18,24 @@
 	}
 }
 
-// Read calls take with the parts of the body that are in b, which are valid until take returns, and reports
-// whether the body has ended. What follows its end in b is dropped. Errors are of type *Error and final.
-func (r *BodyReader) Read(b []byte, take func([]byte)) (ended bool, err error) {
+// Read calls handle with the parts of the body in b, which are valid until handle returns, and reports whether the
+// body has ended. Bytes in b after its end are discarded. Errors are of type *Error; the body cannot be read any
+// further after one.
+func (r *BodyReader) Read(b []byte, handle func([]byte)) (ended bool, err error) {
 	switch r.framing.kind {
 	case chunked:
-		_, err := r.chunks.decode(b, take)
+		_, err := r.chunks.decode(b, handle)
 		return err == nil && r.chunks.state == chunksEnded, err
 	case byLength:
 		count := min(len(b), r.left)
 		if count > 0 {
-			take(b[:count])
+			handle(b[:count])
 		}
 		r.left -= count
 		return r.left == 0, nil
 	}
 	if len(b) > 0 {
-		take(b)
+		handle(b)
 	}
 	return false, nil
 }
--- a/internal/wire/http1/body_reader_test.go
+++ b/internal/wire/http1/body_reader_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-func TestBodyReaderInAnyPieces(t *testing.T) {
+func TestBodyReaderWithFragmentsOfAnySize(t *testing.T) {
 	whole := "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + "5\r\nab\ncd\r\n" + "1;x=y\r\n\n\r\n" + "A\r\n0123456789\r\n"
 	for size := 1; size < len(whole); size++ {
 		var m Message
@@ -22,21 +22,21 @@
 				body = &reader
 				b = head[n:]
 			}
-			if over, err := body.Read(b, func(p []byte) { got = append(got, p...) }); over || err != nil {
-				t.Fatalf("in pieces of %d: over %v, %v", size, over, err)
+			if ended, err := body.Read(b, func(p []byte) { got = append(got, p...) }); ended || err != nil {
+				t.Fatalf("fragments of %d bytes: ended %v, error %v", size, ended, err)
 			}
 		}
 		if string(got) != "ab\ncd\n0123456789" || m.Status != 200 {
-			t.Fatalf("in pieces of %d: %q", size, got)
+			t.Fatalf("fragments of %d bytes: wrong status, or wrong body %q", size, got)
 		}
-		if over, err := body.Read([]byte("0\r\n\r\n"), nil); !over || err != nil {
-			t.Fatalf("the last chunk: over %v, %v", over, err)
+		if ended, err := body.Read([]byte("0\r\n\r\n"), nil); !ended || err != nil {
+			t.Fatalf("after the last chunk: ended %v, error %v", ended, err)
 		}
 	}
 	for _, bad := range []string{"x\r\n", "5\n", "1\r\nab\r\n", "123456789\r\n"} {
 		body := newBodyReader(framing{kind: chunked}, DefaultLimits)
 		if _, err := body.Read([]byte(bad), func([]byte) {}); err == nil {
-			t.Errorf("%q was read", bad)
+			t.Errorf("%q was read without an error", bad)
 		}
 	}
 }
--- a/internal/wire/http1/chunked.go
+++ b/internal/wire/http1/chunked.go
@@ -7,11 +7,11 @@
 )
 
 const (
-	maxChunkLine       = 256 // bytes of a chunk's size and extensions, without the end of the line
-	maxChunkSizeDigits = 8
+	maxChunkLine       = 256 // bytes of a chunk-size line with its extensions, without the line ending
+	maxChunkSizeDigits = 8   // hexadecimal digits of a chunk size
 )
 
-// chunkState is the part of a chunked body (RFC 9112, section 7.1) that comes next.
+// chunkState is the part of a chunked body (RFC 9112, section 7.1) that the decoder expects next.
 type chunkState int
 
 const (
@@ -22,21 +22,21 @@
 	chunksEnded
 )
 
-// chunkDecoder decodes a chunked body that comes in any pieces. Trailers are skipped.
+// chunkDecoder decodes a chunked body that is received in fragments of any size. Trailers are discarded.
 type chunkDecoder struct {
-	maxBody     int // bytes of data
-	maxTrailers int // bytes
+	maxBody     int // limit of the data in bytes
+	maxTrailers int // limit of the trailers in bytes
 
 	state    chunkState
-	left     int    // bytes of the chunk's data to come
-	total    int    // bytes of all chunks so far, as their sizes say
-	line     []byte // of the size, chunk end or trailers, while it is incomplete
-	trailers int    // bytes so far
+	left     int    // bytes of the current chunk still to be received
+	total    int    // sum of the announced sizes of all chunks so far, in bytes
+	line     []byte // incomplete line of a chunk size, chunk end or trailer
+	trailers int    // bytes of trailers so far
 }
 
-// decode calls take with the parts of the chunks' data, and returns how many bytes belong to the body: all
-// until it has ended.
-func (d *chunkDecoder) decode(data []byte, take func([]byte)) (int, error) {
+// decode calls handle with each part of the chunk data, and returns the number of bytes in data that belong to the
+// body: all of them unless the body ends in data.
+func (d *chunkDecoder) decode(data []byte, handle func([]byte)) (int, error) {
 	rest := data
 	for len(rest) > 0 && d.state != chunksEnded {
 		var count int
@@ -46,7 +46,7 @@
 			count, err = d.readSize(rest)
 		case atChunkData:
 			count = min(len(rest), d.left)
-			take(rest[:count])
+			handle(rest[:count])
 			d.left -= count
 			if d.left == 0 {
 				d.state = atChunkEnd
@@ -64,7 +64,7 @@
 	return len(data) - len(rest), nil
 }
 
-// readSize reads the line with a chunk's size.
+// readSize reads a chunk-size line.
 func (d *chunkDecoder) readSize(b []byte) (int, error) {
 	count, ended := d.extendLine(b)
 	text, terminated := bytes.CutSuffix(d.line, []byte("\r\n"))
@@ -73,18 +73,18 @@
 	}
 	switch {
 	case len(text) > maxChunkLine:
-		return 0, errorf(statusBadRequest, "a chunk's line of over %d bytes", maxChunkLine)
+		return 0, errorf(statusBadRequest, "chunk-size line exceeds %d bytes", maxChunkLine)
 	case !ended:
 		return count, nil
 	case !terminated:
-		return 0, errorf(statusBadRequest, "a bare LF between chunks")
+		return 0, errorf(statusBadRequest, "bare LF after a chunk size")
 	}
 	size, err := parseChunkSize(string(text))
 	if err != nil {
 		return 0, err
 	}
 	if size > d.maxBody-d.total {
-		return 0, errorf(statusContentTooLarge, "a body of over %d bytes", d.maxBody)
+		return 0, errorf(statusContentTooLarge, "body exceeds %d bytes", d.maxBody)
 	}
 	d.total += size
 	d.left = size
@@ -104,14 +104,14 @@
 		return count, nil
 	}
 	if string(d.line) != "\r\n" {
-		return 0, errorf(statusBadRequest, "a chunk that does not end where it says")
+		return 0, errorf(statusBadRequest, "chunk data is not followed by CRLF")
 	}
 	d.line = d.line[:0]
 	d.state = atChunkSize
 	return count, nil
 }
 
-// readTrailer reads a line of the trailers. An empty one ends the body.
+// readTrailer reads a line of the trailer section. An empty line ends the body.
 func (d *chunkDecoder) readTrailer(b []byte) (int, error) {
 	count, _ := d.extendLine(b)
 	d.trailers += count
@@ -122,7 +122,7 @@
 		length -= len("\r\n")
 	}
 	if length > d.maxTrailers {
-		return 0, errorf(statusHeadTooLarge, "trailers of over %d bytes", d.maxTrailers)
+		return 0, errorf(statusHeadTooLarge, "trailers exceed %d bytes", d.maxTrailers)
 	}
 	if !terminated {
 		return count, nil
@@ -134,7 +134,8 @@
 	return count, nil
 }
 
-// extendLine appends b up to its first LF to the line, and reports whether there was one.
+// extendLine appends the bytes of b up to and including its first LF to the line, or all of b if it has none, and
+// reports whether the line has ended.
 func (d *chunkDecoder) extendLine(b []byte) (count int, ended bool) {
 	end := bytes.IndexByte(b, '\n')
 	if end < 0 {
@@ -145,15 +146,15 @@
 	return end + 1, true
 }
 
-// parseChunkSize reads a chunk's size from its line, without the end of the line. Extensions are ignored.
+// parseChunkSize parses a chunk-size line without its line ending. Chunk extensions are ignored.
 func parseChunkSize(line string) (int, error) {
 	digits, _, _ := strings.Cut(line, ";")
 	if digits == "" || len(digits) > maxChunkSizeDigits || strings.Trim(digits, "0123456789abcdefABCDEF") != "" {
-		return 0, errorf(statusBadRequest, "no chunk: %.20q", digits)
+		return 0, errorf(statusBadRequest, "invalid chunk size %.20q", digits)
 	}
 	size, err := strconv.ParseUint(digits, 16, 32)
 	if err != nil {
-		return 0, errorf(statusBadRequest, "no chunk: %.20q", digits)
+		return 0, errorf(statusBadRequest, "invalid chunk size %.20q", digits)
 	}
 	return int(size), nil
 }
--- a/internal/wire/http1/head.go
+++ b/internal/wire/http1/head.go
@@ -6,48 +6,48 @@
 	"strings"
 )
 
-// headEnd ends the head of a message.
+// headEnd is the byte sequence that terminates the head of a message.
 const headEnd = "\r\n\r\n"
 
-// maxLengthDigits of a content length: more than any that a limit allows.
+// maxLengthDigits is the maximum number of digits in a Content-Length; a length within the limits has fewer.
 const maxLengthDigits = 10
 
-// framingKind says how the end of a body is found.
+// framingKind is the method that determines where a body ends.
 type framingKind int
 
 const (
-	unframed framingKind = iota // the head does not say
+	unframed framingKind = iota // neither a length nor an encoding is given
 	byLength
 	chunked
 )
 
-// framing is what a head says of its body.
+// framing is the framing of a body as its head specifies it.
 type framing struct {
 	kind   framingKind
-	length int // bytes, if byLength
+	length int // body length in bytes, if kind is byLength
 }
 
-// splitHead returns the lines of a head and its length in bytes; the length is 0 while the head is incomplete.
+// splitHead returns the lines of the head and its length in bytes. The length is 0 while the head is incomplete.
 func splitHead(b []byte, limits Limits) (lines []string, length int, err error) {
 	end := bytes.Index(b, []byte(headEnd))
 	if end < 0 || end+len(headEnd) > limits.Head {
 		if len(b) > limits.Head {
-			return nil, 0, errorf(statusHeadTooLarge, "the head has over %d bytes", limits.Head)
+			return nil, 0, errorf(statusHeadTooLarge, "head exceeds %d bytes", limits.Head)
 		}
 		return nil, 0, nil
 	}
 	text := string(b[:end])
 	if strings.ContainsFunc(text, isForbiddenControl) {
-		return nil, 0, errorf(statusBadRequest, "a control character in the head")
+		return nil, 0, errorf(statusBadRequest, "control character in the head")
 	}
 	lines = strings.Split(text, "\r\n")
 	for _, line := range lines {
 		if strings.ContainsAny(line, "\r\n") {
-			return nil, 0, errorf(statusBadRequest, "a bare CR or LF in the head")
+			return nil, 0, errorf(statusBadRequest, "bare CR or LF in the head")
 		}
 	}
 	if len(lines)-1 > limits.Fields {
-		return nil, 0, errorf(statusHeadTooLarge, "over %d fields", limits.Fields)
+		return nil, 0, errorf(statusHeadTooLarge, "more than %d header fields", limits.Fields)
 	}
 	return lines, end + len(headEnd), nil
 }
@@ -56,7 +56,7 @@
 	return r < ' ' && r != '\t' && r != '\r' && r != '\n' || r == 0x7f
 }
 
-// isToken reports whether text is a token (RFC 9110, section 5.6.2).
+// isToken reports whether text is a valid token (RFC 9110, section 5.6.2).
 func isToken(text string) bool {
 	for i := range len(text) {
 		c := text[i]
@@ -67,7 +67,7 @@
 	return text != ""
 }
 
-// parseVersion returns the minor version of HTTP/1.
+// parseVersion returns the minor version of HTTP/1.x. ok is false for any other version.
 func parseVersion(text string) (minor int, ok bool) {
 	switch text {
 	case "HTTP/1.1":
@@ -78,7 +78,7 @@
 	return 0, false
 }
 
-// parseFields reads the fields of a head, and from them the framing of the body.
+// parseFields parses the header fields and determines the framing of the body from them.
 func (m *Message) parseFields(lines []string, limits Limits) (framing, error) {
 	body := framing{kind: unframed}
 	hosts := 0
@@ -86,7 +86,7 @@
 	for _, line := range lines {
 		name, value, ok := strings.Cut(line, ":")
 		if !ok || !isToken(name) {
-			return framing{}, errorf(statusBadRequest, "no field: %.40q", line)
+			return framing{}, errorf(statusBadRequest, "invalid header field %.40q", line)
 		}
 		value = strings.Trim(value, " \t")
 		m.Fields = append(m.Fields, Field{Name: name, Value: value})
@@ -108,24 +108,24 @@
 		}
 	}
 	if m.Method != "" && (hosts > 1 || hosts == 0 && m.MinorVersion > 0) {
-		return framing{}, errorf(statusBadRequest, "%d fields Host", hosts)
+		return framing{}, errorf(statusBadRequest, "%d Host fields, want one", hosts)
 	}
 	return body, nil
 }
 
 func (f *framing) setLength(value string, limits Limits) error {
 	if f.kind != unframed {
-		return errorf(statusBadRequest, "the length is said twice, or beside an encoding")
+		return errorf(statusBadRequest, "Content-Length is repeated or combined with Transfer-Encoding")
 	}
 	if value == "" || len(value) > maxLengthDigits || strings.Trim(value, "0123456789") != "" {
-		return errorf(statusBadRequest, "no length: %.40q", value)
+		return errorf(statusBadRequest, "invalid Content-Length %.40q", value)
 	}
 	length, err := strconv.Atoi(value)
 	if err != nil {
-		return errorf(statusBadRequest, "no length: %.40q", value)
+		return errorf(statusBadRequest, "invalid Content-Length %.40q", value)
 	}
 	if length > limits.Body {
-		return errorf(statusContentTooLarge, "a body of %d bytes; %d at most", length, limits.Body)
+		return errorf(statusContentTooLarge, "body of %d bytes exceeds the limit of %d", length, limits.Body)
 	}
 	f.kind = byLength
 	f.length = length
@@ -134,10 +134,10 @@
 
 func (f *framing) setEncoding(value string, minorVersion int) error {
 	if f.kind != unframed {
-		return errorf(statusBadRequest, "an encoding beside a length, or twice")
+		return errorf(statusBadRequest, "Transfer-Encoding is repeated or combined with Content-Length")
 	}
 	if minorVersion == 0 || !strings.EqualFold(value, "chunked") {
-		return errorf(statusNotImplemented, "encoding %.40q is not spoken", value)
+		return errorf(statusNotImplemented, "unsupported transfer encoding %.40q", value)
 	}
 	f.kind = chunked
 	return nil
@@ -157,7 +157,7 @@
 
 func (m *Message) parseExpect(value string) error {
 	if !strings.EqualFold(value, "100-continue") {
-		return errorf(statusExpectationFailed, "expectation %.40q", value)
+		return errorf(statusExpectationFailed, "unsupported expectation %.40q", value)
 	}
 	m.ExpectContinue = true
 	return nil
--- a/internal/wire/http1/message.go
+++ b/internal/wire/http1/message.go
@@ -1,9 +1,10 @@
-// Package http1 frames HTTP/1.1 messages (RFC 9112) for a proxy: it finds whole messages in bytes that come in
-// any pieces, and writes them.
+// Package http1 parses and encodes HTTP/1.1 messages (RFC 9112) for a proxy. It finds complete messages in data that
+// is received in fragments of any size.
 //
-// It is strict, since what two programs frame differently can be smuggled past one of them: a message with both
-// a length and an encoding, with two lengths, a field name with spaces, a bare CR or a folded line is rejected,
-// where section 11.2 leaves room for guessing. The package is pure: it keeps no connection and no clock.
+// It is stricter than the RFC to prevent request smuggling (section 11.2), which exploits that two programs frame a
+// message differently. It rejects a message with both a length and an encoding, with two lengths, with spaces in a
+// field name, with a bare CR or with a folded line, where section 11.2 leaves room for interpretation. The package
+// does no I/O and reads no clock.
 package http1
 
 import (
@@ -12,18 +13,18 @@
 	"strings"
 )
 
-// Limits bound a message; a larger one is rejected.
+// Limits are the upper limits of a message. A message that exceeds them is rejected.
 type Limits struct {
-	Head   int // bytes, including the first line
-	Body   int // bytes
-	Fields int // header fields
+	Head   int // size of the head in bytes, including the first line
+	Body   int // size of the body in bytes
+	Fields int // number of header fields
 }
 
-// DefaultLimits are those of a proxy whose settings name none.
+// DefaultLimits are the limits of a proxy whose settings contain none.
 var DefaultLimits = Limits{Head: 16 << 10, Body: 1 << 20, Fields: 100}
 
-// The status codes that have a meaning for framing or errors here. The package does not import net/http, to
-// stay pure.
+// Status codes that affect the framing or are used in errors. The package does not import net/http, because it does
+// no I/O.
 const (
 	statusOK                  = 200
 	statusNoContent           = 204
@@ -37,23 +38,23 @@
 	statusVersionNotSupported = 505
 )
 
-// The methods that have a meaning for framing.
+// Methods that affect the framing.
 const (
 	methodConnect = "CONNECT"
 	methodGet     = "GET"
 	methodHead    = "HEAD"
 )
 
-// ErrUnexpectedEnd reports that the peer closed the connection within a message.
-var ErrUnexpectedEnd = errors.New("the message ends in the middle")
+// ErrUnexpectedEnd reports that the peer closed the connection before the end of a message.
+var ErrUnexpectedEnd = errors.New("connection closed before the end of the message")
 
-// Error reports a message that cannot be used. It is final for the connection.
+// Error reports an invalid or unsupported message. The connection cannot be used any further.
 type Error struct {
-	Status int // with which a server answers the message
+	Status int // status code for the response to the message
 	Reason string
 }
 
-// Error returns why the message cannot be used.
+// Error returns the reason.
 func (e *Error) Error() string { return e.Reason }
 
 func errorf(status int, format string, args ...any) error {
@@ -66,20 +67,20 @@
 	Value string
 }
 
-// Message is a request or a response.
+// Message is an HTTP request or response.
 type Message struct {
-	Method         string // of a request
-	Target         string // of a request
-	Status         int    // of a response
-	MinorVersion   int    // version: 0 for HTTP/1.0, 1 for HTTP/1.1
+	Method         string // method of a request
+	Target         string // request target
+	Status         int    // status code of a response
+	MinorVersion   int    // 0 for HTTP/1.0, 1 for HTTP/1.1
 	Fields         []Field
-	Body           []byte // points into the bytes that it was read from, unless it was chunked
-	Close          bool   // the connection ends after the message
-	ExpectContinue bool   // its sender waits for 100 (Continue) before it sends the body
-	UntilClose     bool   // the body goes on until the connection ends
+	Body           []byte // aliases the parsed data, unless the body was chunked
+	Close          bool   // the connection is closed after the message
+	ExpectContinue bool   // the client waits for a 100 (Continue) response before it sends the body
+	UntilClose     bool   // the body extends to the end of the connection
 }
 
-// Get returns the value of the first field of a name; empty if there is none.
+// Get returns the value of the first field with the given name, or an empty string if there is none.
 func (m *Message) Get(name string) string {
 	for _, field := range m.Fields {
 		if strings.EqualFold(field.Name, name) {
@@ -89,7 +90,7 @@
 	return ""
 }
 
-// bodyless reports whether a response has no body, whatever its fields say.
+// bodyless reports whether a response has no body regardless of its fields.
 func (m *Message) bodyless(requestMethod string) bool {
 	return requestMethod == methodHead || m.Status < statusOK || m.Status == statusNoContent || m.Status == statusNotModified
 }
--- a/internal/wire/http1/parse.go
+++ b/internal/wire/http1/parse.go
@@ -6,8 +6,8 @@
 	"strings"
 )
 
-// ParseRequest reads a request from the beginning of data and returns its length. The length is 0 while the request
-// is incomplete; request.ExpectContinue then says whether its sender waits for 100 (Continue). Errors are of type
+// ParseRequest parses a request at the beginning of data and returns its length. The length is 0 while the request is
+// incomplete; request.ExpectContinue is then set if the client waits for a 100 (Continue) response. Errors are of type
 // *Error.
 func ParseRequest(data []byte, limits Limits, request *Message) (int, error) {
 	lines, headLength, err := splitHead(data, limits)
@@ -17,18 +17,18 @@
 	*request = Message{Fields: request.Fields[:0]}
 	parts := strings.Split(lines[0], " ")
 	if len(parts) != 3 || !isToken(parts[0]) || parts[1] == "" {
-		return 0, errorf(statusBadRequest, "no request: %.40q", lines[0])
+		return 0, errorf(statusBadRequest, "invalid request line %.40q", lines[0])
 	}
 	minor, ok := parseVersion(parts[2])
 	if !ok {
-		return 0, errorf(statusVersionNotSupported, "version %.20q", parts[2])
+		return 0, errorf(statusVersionNotSupported, "unsupported HTTP version %.20q", parts[2])
 	}
 	request.Method = parts[0]
 	request.Target = parts[1]
 	request.MinorVersion = minor
 	request.Close = minor == 0
 	if request.Method == methodConnect || request.Target[0] != '/' && request.Target != "*" {
-		return 0, errorf(statusBadRequest, "target %.40q is not a path", request.Target)
+		return 0, errorf(statusBadRequest, "request target %.40q is not a path", request.Target)
 	}
 	body, err := request.parseFields(lines[1:], limits)
 	if err != nil {
@@ -37,10 +37,10 @@
 	return request.parseBody(data, headLength, body, limits)
 }
 
-// ParseResponse reads a response to a request with the given method from the beginning of data and returns its
-// length. The length is 0 while the response is incomplete; if response.UntilClose is set it ends with the
-// connection, and CompleteResponseAtEOF then completes it. Errors are of type *Error with status 502, except those of
-// the head's form.
+// ParseResponse parses a response to a request with the given method at the beginning of data and returns its length.
+// The length is 0 while the response is incomplete. If response.UntilClose is set, the body extends to the end of the
+// connection and CompleteResponseAtEOF has to be called then. Errors are of type *Error. Their status is
+// 502, unless the head exceeds a limit or contains forbidden characters.
 func ParseResponse(data []byte, requestMethod string, limits Limits, response *Message) (int, error) {
 	lines, headLength, err := splitHead(data, limits)
 	if headLength == 0 || err != nil {
@@ -57,7 +57,7 @@
 		response.UntilClose = true
 		response.Close = true
 		if len(data)-headLength > limits.Body {
-			return 0, errorf(statusBadGateway, "a body of over %d bytes", limits.Body)
+			return 0, errorf(statusBadGateway, "body exceeds %d bytes", limits.Body)
 		}
 		return 0, nil
 	}
@@ -68,8 +68,8 @@
 	return length, nil
 }
 
-// CompleteResponseAtEOF completes a response that Response has read from data, and whose body went on until the
-// connection ended. It returns ErrUnexpectedEnd for any other response.
+// CompleteResponseAtEOF completes a response that ParseResponse has parsed from data and whose body extended to the
+// end of the connection. It returns ErrUnexpectedEnd for any other response.
 func CompleteResponseAtEOF(data []byte, response *Message) error {
 	if !response.UntilClose {
 		return ErrUnexpectedEnd
@@ -78,8 +78,8 @@
 	return nil
 }
 
-// ParseResponseHead reads the head of a response whose body may never end. It returns the length of the head, 0
-// while that is incomplete, and a reader for the body that follows. Errors are of type *Error.
+// ParseResponseHead parses the head of a response whose body may never end. It returns the length of the head, 0 while
+// the head is incomplete, and a reader for the body that follows it. Errors are of type *Error.
 func ParseResponseHead(data []byte, limits Limits, response *Message) (int, BodyReader, error) {
 	lines, headLength, err := splitHead(data, limits)
 	if headLength == 0 || err != nil {
@@ -95,13 +95,13 @@
 	code, _, _ := strings.Cut(rest, " ")
 	minor, ok := parseVersion(version)
 	if !ok {
-		return framing{}, errorf(statusBadGateway, "version %.20q", version)
+		return framing{}, errorf(statusBadGateway, "unsupported HTTP version %.20q", version)
 	}
 	m.MinorVersion = minor
 	status, err := strconv.Atoi(code)
 	m.Status = status
 	if err != nil || len(code) != 3 || status < 100 {
-		return framing{}, errorf(statusBadGateway, "no response: %.40q", lines[0])
+		return framing{}, errorf(statusBadGateway, "invalid status line %.40q", lines[0])
 	}
 	m.Close = minor == 0
 	body, err := m.parseFields(lines[1:], limits)
@@ -111,8 +111,8 @@
 	return body, nil
 }
 
-// parseBody reads the body after a head of the given length, and returns the length of both; 0 while the body
-// is incomplete.
+// parseBody parses the body that follows a head of the given length. It returns the length of head and body together,
+// or 0 while the body is incomplete.
 func (m *Message) parseBody(data []byte, headLength int, body framing, limits Limits) (int, error) {
 	switch body.kind {
 	case chunked:
--- a/internal/wire/http1/parse_test.go
+++ b/internal/wire/http1/parse_test.go
@@ -10,7 +10,7 @@
 	"testing"
 )
 
-func TestRequestInAnyPieces(t *testing.T) {
+func TestRequestInFragmentsOfAnySize(t *testing.T) {
 	for name, c := range map[string]struct{ text, body string }{
 		"no body": {"GET /a?b=c HTTP/1.1\r\nHost: x\r\nAccept: *\r\n\r\n", ""},
 		"length":  {"POST /a HTTP/1.1\r\nHost: x\r\nContent-Length: 5\r\n\r\nhello", "hello"},
@@ -19,24 +19,24 @@
 		var m Message
 		for i := range c.text {
 			if n, err := ParseRequest([]byte(c.text[:i]), DefaultLimits, &m); n != 0 || err != nil {
-				t.Fatalf("%s: %d of %d bytes give %d, %v", name, i, len(c.text), n, err)
+				t.Fatalf("%s: with %d of %d bytes: length %d, error %v", name, i, len(c.text), n, err)
 			}
 		}
 		n, err := ParseRequest([]byte(c.text+"GET"), DefaultLimits, &m)
 		if n != len(c.text) || err != nil || string(m.Body) != c.body || m.Close {
-			t.Fatalf("%s: %d, %v, %+v", name, n, err, m)
+			t.Fatalf("%s: length %d, error %v, message %+v", name, n, err, m)
 		}
 		r, err := http.ReadRequest(bufio.NewReader(bytes.NewReader(AppendRequest(nil, &m, Field{Name: "Via", Value: "1.1 x"}))))
 		if err != nil || r.URL.Path != "/a" || r.Header.Get("Via") != "1.1 x" || r.Header.Get("Transfer-Encoding") != "" {
-			t.Fatalf("%s: forwarded as %+v, %v", name, r, err)
+			t.Fatalf("%s: forwarded as %+v, error %v", name, r, err)
 		}
 		if b, _ := io.ReadAll(r.Body); string(b) != c.body {
-			t.Errorf("%s: body %q is forwarded", name, b)
+			t.Errorf("%s: forwarded body is %q", name, b)
 		}
 	}
 }
 
-// What another program might frame in another way is rejected.
+// Requests that another program might frame differently are rejected, to prevent request smuggling.
 func TestAmbiguousRequestsAreRejected(t *testing.T) {
 	long := strings.Repeat("x", 20000)
 	for text, status := range map[string]int{
@@ -70,7 +70,7 @@
 		n, err := ParseRequest([]byte(text), DefaultLimits, &m)
 		var e *Error
 		if !errors.As(err, &e) || e.Status != status || n != 0 {
-			t.Errorf("%.90q: %d, %v, want %d", text, n, err, status)
+			t.Errorf("%.90q: length %d, error %v, want status %d", text, n, err, status)
 		}
 	}
 }
@@ -83,36 +83,36 @@
 		t.Fatal(n, err, m)
 	}
 	if b := string(AppendResponse(nil, &m, "GET", true)); b != "HTTP/1.1 200 OK\r\nX-B: end\r\nConnection: close\r\nContent-Length: 2\r\n\r\nok" {
-		t.Errorf("%q", b)
+		t.Errorf("forwarded as %q", b)
 	}
 	text = "HTTP/1.0 200 OK\r\n\r\nuntil the end"
 	if n, err := ParseResponse([]byte(text), "GET", DefaultLimits, &m); n != 0 || err != nil || !m.UntilClose {
 		t.Fatal(n, err)
 	}
 	if err := CompleteResponseAtEOF([]byte(text), &m); err != nil || string(m.Body) != "until the end" || !m.Close {
-		t.Errorf("%v, %+v", err, m)
+		t.Errorf("completed at the end of the connection: error %v, message %+v", err, m)
 	}
 	for _, c := range []string{"HTTP/1.1 204 No Content\r\n\r\n", "HTTP/1.1 304 Not Modified\r\nContent-Length: 7\r\n\r\n"} {
 		if n, err := ParseResponse([]byte(c+"rest"), "GET", DefaultLimits, &m); n != len(c) || err != nil {
-			t.Errorf("%q: %d, %v", c, n, err)
+			t.Errorf("%q: length %d, error %v", c, n, err)
 		}
 	}
 	head := "HTTP/1.1 200 OK\r\nContent-Length: 70\r\n\r\n"
 	if n, err := ParseResponse([]byte(head), "HEAD", DefaultLimits, &m); n != len(head) || err != nil ||
 		!strings.Contains(string(AppendResponse(nil, &m, "HEAD", false)), "Content-Length: 70") {
-		t.Errorf("%d, %v", n, err)
+		t.Errorf("response to HEAD: length %d, error %v, or Content-Length not forwarded", n, err)
 	}
 	for _, bad := range []string{"HTTP/1.1 2000 OK\r\n\r\n", "hello\r\n\r\n", "HTTP/1.1 200 OK\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\n"} {
 		if _, err := ParseResponse([]byte(bad), "GET", DefaultLimits, &m); err == nil {
-			t.Errorf("%q was accepted", bad)
+			t.Errorf("%q was parsed without an error", bad)
 		}
 	}
 	if CompleteResponseAtEOF([]byte("x"), &Message{}) == nil {
-		t.Error("a response that ended too early was accepted")
+		t.Error("a response that ended too early was completed without an error")
 	}
 }
 
-// What is accepted here is framed by the standard library in the same way, where that accepts it too.
+// Any request that both this package and net/http accept is framed identically by both.
 func FuzzRequest(f *testing.F) {
 	f.Add([]byte("POST /a HTTP/1.1\r\nHost: x\r\nContent-Length: 5\r\n\r\nhelloGET / HTTP/1.1\r\nHost: x\r\n\r\n"))
 	f.Add([]byte("POST /a HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nhel\r\n0\r\n\r\nrest"))
@@ -133,10 +133,10 @@
 			return
 		}
 		if !bytes.Equal(body, m.Body) {
-			t.Errorf("body %q, the library reads %q", m.Body, body)
+			t.Errorf("body is %q, net/http reads %q", m.Body, body)
 		}
 		if rest := in.Len() + buf.Buffered(); len(m.Body) > 0 && len(b)-n != rest {
-			t.Errorf("%d bytes are left, the library leaves %d", len(b)-n, rest)
+			t.Errorf("%d bytes follow the request, with net/http %d", len(b)-n, rest)
 		}
 	})
 }
