--- a/internal/wire/collector/collector.go
+++ b/internal/wire/collector/collector.go
@@ -1,8 +1,8 @@
-// Package collector reads and writes the messages between the platform's collectors and a coordinator.
+// Package collector parses and encodes the messages between the collectors of the platform and a coordinator.
 //
-// A collector relays what the proxies of a zone report. Each message is an array of strings as package resp
-// frames it: a kind, then pairs of a field's name and its value. The package is pure and maps the platform's
-// names to the terms of the rest of the program.
+// A collector forwards the reports of the proxies in a zone. Each message is an array of strings in the encoding of
+// package resp: a kind, followed by pairs of a field name and a value. The package does no I/O and reads no clock. It
+// maps the names of the protocol to the terms used in the rest of the program.
 package collector
 
 import (
@@ -14,20 +14,20 @@
 	"snowquay/internal/wire/resp"
 )
 
-// Upper limits of a report's figures; a report beyond them is malformed.
+// Upper limits of the values in a report. A report that exceeds one of them is malformed.
 const (
-	maxRequests   = 1e6  // in one report
-	maxIntervalMS = 60e3 // milliseconds that a report covers
-	maxLatencyMS  = 60e3 // milliseconds
+	maxRequests   = 1e6  // requests or attempts in one report
+	maxIntervalMS = 60e3 // length of the reporting interval in milliseconds
+	maxLatencyMS  = 60e3 // mean latency in milliseconds
 )
 
-// ErrMalformed reports a message that lacks a field, or holds one that cannot be used.
+// ErrMalformed reports a message with a missing or invalid field.
 var ErrMalformed = errors.New("malformed collector message")
 
-// Kind says what a Message is.
+// Kind is the type of a Message.
 type Kind int
 
-// The kinds of messages.
+// Kinds of messages.
 const (
 	UnknownKind Kind = iota
 	ReadinessCheckKind
@@ -43,51 +43,51 @@
 	"client_stats":   DemandReportKind,
 }
 
-// Message is a message whose fields have not been read yet. It is valid as long as the elements that it was
-// made of.
+// Message is a message whose kind is known and whose fields have not been parsed yet. It refers to the elements given
+// to Parse and is valid only as long as they are.
 type Message struct {
 	Kind   Kind
 	fields [][]byte
 }
 
-// Parse returns the message of at least one element.
+// Parse determines the kind of a message. There must be at least one element.
 func Parse(elements [][]byte) Message {
 	return Message{Kind: kinds[string(elements[0])], fields: elements[1:]}
 }
 
-// Hello is the first message of a collector. It names the zone of its proxies; empty if the field is absent.
+// Hello is the first message of a collector. Zone is the zone of its proxies; it is empty if the field is absent.
 type Hello struct{ Zone string }
 
-// UpstreamReport is what the proxies of a zone observed at one server.
+// UpstreamReport contains the results of the attempts that the proxies of a zone made at one server.
 type UpstreamReport struct {
 	Zone     string
 	Server   string
 	Attempts float64
-	Failed   float64    // of the attempts
-	Latency  float64    // mean of the successful attempts, in seconds
-	Interval float64    // covered by the report, in seconds
-	Load     LoadReport // of the server; nil if there was none
+	Failed   float64    // number of failed attempts
+	Latency  float64    // mean latency of the successful attempts in seconds
+	Interval float64    // length of the reporting interval in seconds
+	Load     LoadReport // load reported by the server; nil if absent
 }
 
-// DemandReport is what one proxy received of one class.
+// DemandReport counts the requests of one class that one proxy received.
 type DemandReport struct {
 	Proxy    int
 	Class    string
 	Requests float64
-	Failed   float64 // of the requests
-	Interval float64 // covered by the report, in seconds
+	Failed   float64 // number of failed requests
+	Interval float64 // length of the reporting interval in seconds
 }
 
-// Hello reads the fields of a collector's first message.
+// Hello parses the fields of the first message of a collector.
 func (m Message) Hello() (Hello, error) {
 	if len(m.fields)%2 != 0 {
-		return Hello{}, fmt.Errorf("%w: a field without a value", ErrMalformed)
+		return Hello{}, fmt.Errorf("%w: field name without a value", ErrMalformed)
 	}
 	zone, _ := m.find("az")
 	return Hello{Zone: string(zone)}, nil
 }
 
-// UpstreamReport reads the fields of an upstream report.
+// UpstreamReport parses the fields of an upstream report.
 func (m Message) UpstreamReport() (UpstreamReport, error) {
 	fields := newFieldReader(m)
 	report := UpstreamReport{
@@ -97,7 +97,7 @@
 		Failed:   fields.number("bad", maxRequests),
 		Interval: fields.number("window", maxIntervalMS) / 1000,
 	}
-	// A report without successful attempts need not have a mean of them.
+	// The mean latency may be absent if no attempt succeeded.
 	if _, ok := m.find("avg"); ok || report.Failed < report.Attempts {
 		report.Latency = fields.number("avg", maxLatencyMS) / 1000
 	}
@@ -110,7 +110,7 @@
 	return report, fields.err
 }
 
-// DemandReport reads the fields of a demand report.
+// DemandReport parses the fields of a demand report.
 func (m Message) DemandReport() (DemandReport, error) {
 	fields := newFieldReader(m)
 	proxy, err := strconv.Atoi(fields.text("sidecar"))
@@ -126,7 +126,7 @@
 	return report, fields.err
 }
 
-// find returns the value of the first field of a name.
+// find returns the value of the first field with the given name.
 func (m Message) find(name string) ([]byte, bool) {
 	for i := 0; i+1 < len(m.fields); i += 2 {
 		if string(m.fields[i]) == name {
@@ -136,7 +136,7 @@
 	return nil, false
 }
 
-// fieldReader reads the fields of a message and keeps the first error.
+// fieldReader parses the fields of a message and stores the first error.
 type fieldReader struct {
 	message Message
 	err     error
@@ -145,51 +145,51 @@
 func newFieldReader(m Message) *fieldReader {
 	reader := &fieldReader{message: m}
 	if len(m.fields)%2 != 0 {
-		reader.err = fmt.Errorf("%w: a field without a value", ErrMalformed)
+		reader.err = fmt.Errorf("%w: field name without a value", ErrMalformed)
 	}
 	return reader
 }
 
-// fail notes that the message is malformed, unless err is nil.
+// fail records that the message is malformed, unless err is nil.
 func (r *fieldReader) fail(err error) {
 	if err != nil && r.err == nil {
 		r.err = fmt.Errorf("%w: %w", ErrMalformed, err)
 	}
 }
 
-// check notes that the message is malformed if its figures contradict each other.
+// check records that the message is malformed if its values are not consistent.
 func (r *fieldReader) check(consistent bool) {
 	if !consistent && r.err == nil {
-		r.err = fmt.Errorf("%w: contradictory figures", ErrMalformed)
+		r.err = fmt.Errorf("%w: inconsistent values", ErrMalformed)
 	}
 }
 
-// text returns the value of a field that has to be there.
+// text returns the value of a required field.
 func (r *fieldReader) text(name string) string {
 	value, ok := r.message.find(name)
 	if !ok && r.err == nil {
-		r.err = fmt.Errorf("%w: no field %q", ErrMalformed, name)
+		r.err = fmt.Errorf("%w: field %q is missing", ErrMalformed, name)
 	}
 	return string(value)
 }
 
-// number returns the value of a field that has to be there and to lie between 0 and a limit.
+// number returns the value of a required field, which must be a number from 0 to limit.
 func (r *fieldReader) number(name string, limit float64) float64 {
 	value, ok := parseNumber(r.text(name))
 	if (!ok || value > limit) && r.err == nil {
-		r.err = fmt.Errorf("%w: field %q is no number from 0 to %g", ErrMalformed, name, limit)
+		r.err = fmt.Errorf("%w: field %q is not a number from 0 to %g", ErrMalformed, name, limit)
 	}
 	return value
 }
 
-// parseNumber reads a finite number that is not negative.
+// parseNumber parses a finite, non-negative number.
 func parseNumber(text string) (float64, bool) {
 	value, err := strconv.ParseFloat(text, 64)
 	return value, err == nil && value >= 0 && !math.IsInf(value, 0)
 }
 
-// AppendReady appends the answer to a readiness check.
+// AppendReady appends the response to a readiness check.
 func AppendReady(b []byte) []byte { return resp.Append(b, "hb_ok") }
 
-// AppendRejection appends the message that goes to a client before its connection is closed.
+// AppendRejection appends the message that a client is sent before the coordinator closes its connection.
 func AppendRejection(b []byte) []byte { return resp.Append(b, "reject") }
--- a/internal/wire/collector/collector_test.go
+++ b/internal/wire/collector/collector_test.go
@@ -20,10 +20,10 @@
 func TestHello(t *testing.T) {
 	hello, err := message("telemetry", "az", "a", "more", "1").Hello()
 	if err != nil || hello.Zone != "a" {
-		t.Errorf("%+v, %v", hello, err)
+		t.Errorf("parsed as %+v, error %v", hello, err)
 	}
 	if _, err := message("telemetry", "az").Hello(); !errors.Is(err, ErrMalformed) {
-		t.Errorf("a field without a value: %v", err)
+		t.Errorf("field name without a value: error %v, want ErrMalformed", err)
 	}
 }
 
@@ -31,7 +31,7 @@
 	for name, want := range map[string]Kind{"hb": ReadinessCheckKind, "telemetry": HelloKind, "upstream_stats": UpstreamReportKind,
 		"client_stats": DemandReportKind, "attach": UnknownKind, "": UnknownKind} {
 		if got := message(name).Kind; got != want {
-			t.Errorf("%q is of kind %d, want %d", name, got, want)
+			t.Errorf("%q has kind %d, want %d", name, got, want)
 		}
 	}
 }
@@ -42,24 +42,24 @@
 	want := UpstreamReport{Zone: "a", Server: "s-1", Attempts: 12, Failed: 3, Latency: 0.25, Interval: 1,
 		Load: LoadReport{"queue": 7, "util": 0.5, "other": 2}}
 	if err != nil || !reflect.DeepEqual(report, want) {
-		t.Errorf("%+v, %v, want %+v", report, err, want)
+		t.Errorf("parsed as %+v, error %v, want %+v", report, err, want)
 	}
 	if _, err := message("upstream_stats", "az", "a", "host", "s-1", "n", "3", "bad", "3", "window", "1").UpstreamReport(); err != nil {
-		t.Errorf("no mean where no attempt succeeded: %v", err)
+		t.Errorf("no mean latency and no successful attempt: error %v", err)
 	}
 	for name, fields := range map[string][]string{
-		"no zone":              {"host", "s", "n", "1", "bad", "0", "avg", "1", "window", "1"},
-		"no mean":              {"az", "a", "host", "s", "n", "1", "bad", "0", "window", "1"},
-		"more failed than all": {"az", "a", "host", "s", "n", "1", "bad", "2", "avg", "1", "window", "1"},
-		"no interval":          {"az", "a", "host", "s", "n", "1", "bad", "0", "avg", "1", "window", "0"},
-		"interval too long":    {"az", "a", "host", "s", "n", "1", "bad", "0", "avg", "1", "window", "60001"},
-		"not a number":         {"az", "a", "host", "s", "n", "nan", "bad", "0", "avg", "1", "window", "1"},
-		"negative":             {"az", "a", "host", "s", "n", "1", "bad", "-1", "avg", "1", "window", "1"},
-		"a value too few":      {"az", "a", "host", "s", "n", "1", "bad", "0", "avg", "1", "window", "1", "x"},
-		"an unreadable load":   {"az", "a", "host", "s", "n", "1", "bad", "0", "avg", "1", "window", "1", "report", "queue"},
+		"no zone":                {"host", "s", "n", "1", "bad", "0", "avg", "1", "window", "1"},
+		"no mean latency":        {"az", "a", "host", "s", "n", "1", "bad", "0", "window", "1"},
+		"more failed than made":  {"az", "a", "host", "s", "n", "1", "bad", "2", "avg", "1", "window", "1"},
+		"no interval":            {"az", "a", "host", "s", "n", "1", "bad", "0", "avg", "1", "window", "0"},
+		"interval too long":      {"az", "a", "host", "s", "n", "1", "bad", "0", "avg", "1", "window", "60001"},
+		"not a number":           {"az", "a", "host", "s", "n", "nan", "bad", "0", "avg", "1", "window", "1"},
+		"negative":               {"az", "a", "host", "s", "n", "1", "bad", "-1", "avg", "1", "window", "1"},
+		"a name without a value": {"az", "a", "host", "s", "n", "1", "bad", "0", "avg", "1", "window", "1", "x"},
+		"an invalid load report": {"az", "a", "host", "s", "n", "1", "bad", "0", "avg", "1", "window", "1", "report", "queue"},
 	} {
 		if _, err := message(append([]string{"upstream_stats"}, fields...)...).UpstreamReport(); !errors.Is(err, ErrMalformed) {
-			t.Errorf("%s: %v", name, err)
+			t.Errorf("%s: error %v, want ErrMalformed", name, err)
 		}
 	}
 }
@@ -67,16 +67,16 @@
 func TestDemandReport(t *testing.T) {
 	report, err := message("client_stats", "sidecar", "4", "kind", "lookup", "n", "19", "bad", "1", "window", "500").DemandReport()
 	if want := (DemandReport{Proxy: 4, Class: "lookup", Requests: 19, Failed: 1, Interval: 0.5}); err != nil || report != want {
-		t.Errorf("%+v, %v, want %+v", report, err, want)
+		t.Errorf("parsed as %+v, error %v, want %+v", report, err, want)
 	}
 	for name, fields := range map[string][]string{
-		"no proxy":             {"kind", "lookup", "n", "1", "bad", "0", "window", "1"},
-		"proxy by name":        {"sidecar", "x", "kind", "lookup", "n", "1", "bad", "0", "window", "1"},
-		"more failed than all": {"sidecar", "4", "kind", "lookup", "n", "1", "bad", "2", "window", "1"},
-		"infinite":             {"sidecar", "4", "kind", "lookup", "n", "inf", "bad", "0", "window", "1"},
+		"no proxy":                  {"kind", "lookup", "n", "1", "bad", "0", "window", "1"},
+		"proxy is not a number":     {"sidecar", "x", "kind", "lookup", "n", "1", "bad", "0", "window", "1"},
+		"more failed than received": {"sidecar", "4", "kind", "lookup", "n", "1", "bad", "2", "window", "1"},
+		"infinite":                  {"sidecar", "4", "kind", "lookup", "n", "inf", "bad", "0", "window", "1"},
 	} {
 		if _, err := message(append([]string{"client_stats"}, fields...)...).DemandReport(); !errors.Is(err, ErrMalformed) {
-			t.Errorf("%s: %v", name, err)
+			t.Errorf("%s: error %v, want ErrMalformed", name, err)
 		}
 	}
 }
@@ -87,23 +87,23 @@
 		t.Fatal(err)
 	}
 	if got := report.Values([]balancer.LoadMetric{balancer.QueueLength, balancer.Utilization}); !slices.Equal(got, []float64{7, 0.5}) {
-		t.Errorf("%v", got)
+		t.Errorf("values %v, want [7 0.5]", got)
 	}
 	if got := report.Values([]balancer.LoadMetric{balancer.QueueLength, balancer.InProgress}); got != nil {
-		t.Errorf("values of a report that lacks a metric: %v", got)
+		t.Errorf("values of a report that lacks a metric: %v, want nil", got)
 	}
 	for _, text := range []string{"", "queue", "queue=", "queue=-1", "queue=1,", "queue:1"} {
 		if report, err := ParseLoadReport([]byte(text), '='); !errors.Is(err, ErrMalformed) || report != nil {
-			t.Errorf("%q was read as %v, %v", text, report, err)
+			t.Errorf("%q was parsed as %v, error %v, want ErrMalformed", text, report, err)
 		}
 	}
 }
 
-func TestAnswersOnTheWire(t *testing.T) {
+func TestEncodedResponses(t *testing.T) {
 	if got := string(AppendReady(nil)); got != "*1\r\n$5\r\nhb_ok\r\n" {
-		t.Errorf("%q", got)
+		t.Errorf("response to a readiness check is %q", got)
 	}
 	if got := string(AppendRejection(nil)); got != "*1\r\n$6\r\nreject\r\n" {
-		t.Errorf("%q", got)
+		t.Errorf("rejection is %q", got)
 	}
 }
--- a/internal/wire/collector/load_report.go
+++ b/internal/wire/collector/load_report.go
@@ -8,7 +8,7 @@
 	"snowquay/balancer"
 )
 
-// metricNames are the platform's names of the metrics of a load report.
+// metricNames maps the metrics of a load report to their names in the protocol.
 var metricNames = map[balancer.LoadMetric]string{
 	balancer.InProgress:     "inflight",
 	balancer.QueueLength:    "queue",
@@ -18,24 +18,24 @@
 	balancer.ErrorRate:      "eps",
 }
 
-// LoadReport holds the metrics that a server reports of itself, by the platform's names.
+// LoadReport holds the load metrics that a server reports, keyed by their names in the protocol.
 type LoadReport map[string]float64
 
-// ParseLoadReport reads a list of metrics, separated by commas, each a name, the separator and a number.
+// ParseLoadReport parses a comma-separated list of metrics. Each consists of a name, the separator and a number.
 func ParseLoadReport(text []byte, separator byte) (LoadReport, error) {
 	report := LoadReport{}
 	for part := range bytes.SplitSeq(text, []byte{','}) {
 		name, value, found := strings.Cut(string(part), string(separator))
 		number, ok := parseNumber(value)
 		if !found || !ok {
-			return nil, fmt.Errorf("%w: metric %.40q", ErrMalformed, part)
+			return nil, fmt.Errorf("%w: invalid metric %.40q", ErrMalformed, part)
 		}
 		report[name] = number
 	}
 	return report, nil
 }
 
-// Values returns the given metrics in their order; nil if the report lacks one of them.
+// Values returns the values of the given metrics in the given order, or nil if the report lacks one of them.
 func (r LoadReport) Values(metrics []balancer.LoadMetric) []float64 {
 	var values []float64
 	for _, metric := range metrics {
