--- a/internal/deployment/balancer.go
+++ b/internal/deployment/balancer.go
@@ -2,7 +2,7 @@
 
 import "snowquay/balancer"
 
-// NewBalancer returns the balancer of the coordinator that the settings were given to.
+// NewBalancer returns a balancer for the coordinator that these settings configure.
 func (d *Deployment) NewBalancer(seed uint64) *balancer.Balancer {
 	return balancer.New(seed, d.requestClasses(), d.dataPlane(), d.channel(), d.guarantees(), d.reporting(),
 		balancer.HealthChecking{
@@ -28,8 +28,8 @@
 			Idempotency:      idempotencies[settings.Idempotency],
 			DedupScope:       dedupScopes[settings.DedupScope],
 			DedupWindow:      settings.DedupWindow,
-			ZoneLocal:        flag(d.DataPlane.ZoneLocalClasses, number),
-			Writes:           flag(d.DataPlane.WriteClasses, number),
+			ZoneLocal:        flagOf(d.DataPlane.ZoneLocalClasses, number),
+			Writes:           flagOf(d.DataPlane.WriteClasses, number),
 		}
 		for _, zone := range settings.AllowedZones {
 			class.AllowedZones = append(class.AllowedZones, balancer.Zone(zone))
@@ -39,8 +39,8 @@
 	return classes
 }
 
-// flag returns an element of a list that may be shorter than the list of classes.
-func flag(flags []bool, class int) bool { return class < len(flags) && flags[class] }
+// flagOf returns the flag of a class, or false if the list is too short to contain it.
+func flagOf(flags []bool, class int) bool { return class < len(flags) && flags[class] }
 
 func (d *Deployment) dataPlane() balancer.DataPlane {
 	return balancer.DataPlane{
--- a/internal/deployment/deployment.go
+++ b/internal/deployment/deployment.go
@@ -1,8 +1,8 @@
-// Package deployment reads the settings object that describes the deployment of a coordinator, the same on the
-// simulator and on the platform, and makes the balancer that it asks for.
+// Package deployment parses the settings object of a coordinator, which has the same form on the simulator and on the
+// platform, and creates a balancer from it.
 //
-// The settings name things in the platform's words; the fields here have the terms of the rest of the program.
-// Times are in seconds.
+// The JSON keys are the terms of the platform; the Go fields use the terms of the rest of the program. Times are in
+// seconds.
 package deployment
 
 import (
@@ -13,10 +13,10 @@
 	"snowquay/balancer"
 )
 
-// ErrNoClasses reports settings without any request class.
-var ErrNoClasses = errors.New("grades: no class is named")
+// ErrNoClasses reports settings without a request class.
+var ErrNoClasses = errors.New("grades: no request class is configured")
 
-// Deployment is the settings object. Keys without a field decide nothing.
+// Deployment is the settings object. Keys without a field here are ignored.
 type Deployment struct {
 	Coordinators   int            `json:"balancers"`
 	DiscoveryMode  string         `json:"discovery"`
@@ -24,7 +24,7 @@
 	Classes        []Class        `json:"grades"`
 	Guarantees     Guarantees     `json:"guarantees"`
 	MachineKinds   []string       `json:"host-types"`
-	Ordinal        int            `json:"ordinal"` // of this coordinator
+	Ordinal        int            `json:"ordinal"` // number of this coordinator
 	HealthChecking HealthChecking `json:"policy-limits"`
 	Prices         Prices         `json:"prices"`
 	LoadReport     LoadReport     `json:"report"`
@@ -32,31 +32,31 @@
 	Zones          []string       `json:"zones"`
 }
 
-// DataPlane describes the proxies, the channel to them and their reports.
+// DataPlane contains the settings of the proxies, of the channel to them and of their reports.
 type DataPlane struct {
-	ZoneLocalClasses       []bool  `json:"class-own-zone"` // by class: requests stay in the zone of the proxy
-	WriteClasses           []bool  `json:"class-writes"`   // by class
+	ZoneLocalClasses       []bool  `json:"class-own-zone"` // by class: requests are sent only to servers in the zone of the proxy
+	WriteClasses           []bool  `json:"class-writes"`   // by class: requests are writes
 	Proxies                int     `json:"data-plane-size"`
-	DefaultRetry           int     `json:"default-retry"` // a balancer.RetryPolicy
+	DefaultRetry           int     `json:"default-retry"` // value of a balancer.RetryPolicy
 	EntriesPerSecond       float64 `json:"egress-per-s"`
 	DefaultTableSize       int     `json:"initial-set"`
 	MaxDelay               float64 `json:"late-most"`
 	AdmissionMode          string  `json:"level-kind"`
 	EjectAfterFailures     int     `json:"outlier-after"`
 	MaxQueuedEntries       float64 `json:"pending-max"`
-	MessageOverhead        float64 `json:"per-message"` // in entries
+	MessageOverhead        float64 `json:"per-message"` // cost of a message in entries, in addition to its own
 	ReportPeriod           float64 `json:"period"`
 	MeanDelay              float64 `json:"propagation"`
-	MaxMessages            int     `json:"reloads-max"` // to a proxy within MessageWindow; 0 stands for no limit
+	MaxMessages            int     `json:"reloads-max"` // per proxy within MessageWindow; 0 means no limit
 	ReportEntriesPerSecond float64 `json:"reports-per-s"`
-	Slices                 int     `json:"slices"` // decides nothing, but has to be an integer
+	Slices                 int     `json:"slices"` // not used, but must be an integer
 	MinConnections         float64 `json:"smallest-conn-table"`
-	AttemptTimeoutFactor   float64 `json:"try-aims"` // of the latency objective
+	AttemptTimeoutFactor   float64 `json:"try-aims"` // timeout of an attempt as a multiple of the latency objective
 	EmptyTableDeadline     float64 `json:"unserved-max"`
 	MessageWindow          float64 `json:"update-window"`
 }
 
-// Class describes a request class.
+// Class contains the settings of a request class.
 type Class struct {
 	LatencyObjective float64 `json:"aim"`
 	ObjectiveStretch float64 `json:"aim-stretch"`
@@ -70,7 +70,7 @@
 	Name             string  `json:"name"`
 }
 
-// Guarantees are the figures of the rules that the coordinator keeps.
+// Guarantees contains the parameters of the rules that the coordinator has to follow.
 type Guarantees struct {
 	DiscoveryPollDeadline float64 `json:"ask-within"`
 	WarmupDuration        float64 `json:"cold"`
@@ -81,31 +81,31 @@
 	RemovalIsAdvisory     bool    `json:"gone-is-advice"`
 }
 
-// HealthChecking says whether the coordinator may check the health of servers.
+// HealthChecking specifies whether the coordinator may check the health of servers.
 type HealthChecking struct {
 	ConnectTimeout float64 `json:"connect-timeout"`
 	Allowed        bool    `json:"may-probe"`
 }
 
-// Prices are the costs of what the coordinator does, in points.
+// Prices contains the costs of actions of the coordinator, in points.
 type Prices struct {
 	HealthCheck float64 `json:"probe"`
 }
 
-// LoadReport says how servers report their load.
+// LoadReport specifies how servers report their load.
 type LoadReport struct {
 	Delivery string   `json:"how"`
 	Metrics  []string `json:"names"`
 }
 
-// Values of the settings with a special meaning.
+// Values of Deployment.DiscoveryMode and LoadReport.Delivery that affect the balancer.
 const (
 	polledDiscovery    = "on_request"
 	piggybackedReports = "piggyback"
 )
 
-// The names of enumerations in the settings. Unknown names count as the zero value, except those of
-// Class.Idempotency.
+// Enumeration values by their names in the settings. An unknown name is treated as the zero value, except in
+// Class.Idempotency, where it is an error.
 var (
 	idempotencies = map[string]balancer.Idempotency{
 		"free":        balancer.Idempotent,
@@ -138,8 +138,8 @@
 	}
 )
 
-// Read reads a settings object. It returns ErrNoClasses, a *RangeError or an error of encoding/json for
-// settings by which no decisions can be made.
+// Read parses and validates a settings object. For settings that cannot be used it returns ErrNoClasses, a *RangeError,
+// an error of encoding/json or an error that names an unknown value of Class.Idempotency.
 func Read(text []byte) (*Deployment, error) {
 	d := &Deployment{}
 	if err := json.Unmarshal(text, d); err != nil {
@@ -150,7 +150,7 @@
 	}
 	for number, class := range d.Classes {
 		if _, ok := idempotencies[class.Idempotency]; !ok {
-			return nil, fmt.Errorf("grades: class %d has the unknown effect %q", number, class.Idempotency)
+			return nil, fmt.Errorf("grades: class %d has unknown effect %q", number, class.Idempotency)
 		}
 	}
 	if err := d.checkRanges(); err != nil {
@@ -159,7 +159,7 @@
 	return d, nil
 }
 
-// LoadMetrics returns the metrics of a load report in its order.
+// LoadMetrics returns the metrics of a load report in the order in which it contains them.
 func (d *Deployment) LoadMetrics() []balancer.LoadMetric {
 	var metrics []balancer.LoadMetric
 	for _, name := range d.LoadReport.Metrics {
--- a/internal/deployment/deployment_test.go
+++ b/internal/deployment/deployment_test.go
@@ -12,11 +12,11 @@
 	"snowquay/balancer"
 )
 
-// dataPlaneState is a balancer.CommandSink that keeps what the proxies hold.
+// dataPlaneState is a balancer.CommandSink that records the tables and retry policies of the proxies.
 type dataPlaneState struct {
 	tables  map[balancer.Table]map[balancer.Server]float64
 	tableOf map[balancer.Proxy]map[balancer.Class]balancer.Table
-	retries []balancer.RetryPolicy // by class, the most that was ever set
+	retries []balancer.RetryPolicy // by class: the highest policy that was ever set
 }
 
 func newDataPlaneState(classes int) *dataPlaneState {
@@ -63,7 +63,7 @@
 func (s *dataPlaneState) SetTimer(float64, balancer.Timer) {}
 func (s *dataPlaneState) Log(string)                       {}
 
-// readSite returns the settings of a site, and the text of its description.
+// readSite returns the settings of a site and the text of its TOML description.
 func readSite(t *testing.T, name string) (*Deployment, string) {
 	t.Helper()
 	text, err := os.ReadFile(filepath.Join("testdata", name+".json"))
@@ -81,16 +81,16 @@
 	return d, string(page)
 }
 
-// wantedSite is what the settings of a site have to say.
+// wantedSite contains the expected settings of a site.
 type wantedSite struct {
 	name          string
 	idempotencies []balancer.Idempotency // by class
 	zoneLocal     []bool                 // by class
-	drainDeadline float64                // seconds, at least 0.2 above the site's figure
+	drainDeadline float64                // seconds; at least 0.2 above the deadline in the site's description
 }
 
-// Deployments with other names, classes, limits and rules are read from their settings alone, and their rules
-// are kept.
+// The balancer of a deployment with other names, classes, limits and rules is configured by the settings alone and
+// follows these rules.
 func TestOtherDeployments(t *testing.T) {
 	for _, want := range []wantedSite{
 		{"harbour-tides", []balancer.Idempotency{balancer.Idempotent, balancer.NonIdempotent}, []bool{false, false}, 2.5},
@@ -105,7 +105,7 @@
 	}
 }
 
-// checkNames checks that the site's description has all names of the settings.
+// checkNames checks that the description of the site contains all names of the settings.
 func checkNames(t *testing.T, d *Deployment, page string) {
 	t.Helper()
 	var classes []string
@@ -114,7 +114,7 @@
 	}
 	for _, name := range slices.Concat(classes, d.Zones, d.MachineKinds) {
 		if !strings.Contains(page, fmt.Sprintf("%q", name)) {
-			t.Errorf("the site does not name %q", name)
+			t.Errorf("the site description does not contain %q", name)
 		}
 	}
 }
@@ -124,28 +124,28 @@
 	plane := d.DataPlane
 	for number, class := range d.Classes {
 		if idempotencies[class.Idempotency] != want.idempotencies[number] || plane.ZoneLocalClasses[number] != want.zoneLocal[number] {
-			t.Errorf("class %+v, zone local: %v", class, plane.ZoneLocalClasses[number])
+			t.Errorf("class %+v, zone local %v: unexpected idempotency or zone", class, plane.ZoneLocalClasses[number])
 		}
 		if class.LatencyObjective <= 0 || class.LatencyObjective >= class.ClientTimeout || class.PriorityWeight <= 0 {
-			t.Errorf("class %+v", class)
+			t.Errorf("class %+v: invalid times or priority weight", class)
 		}
 	}
 	if deadline := d.Guarantees.DrainDeadline; deadline < want.drainDeadline || deadline > want.drainDeadline+2 {
-		t.Errorf("drain deadline %g, want %g or up to 2 more", deadline, want.drainDeadline)
+		t.Errorf("drain deadline is %g, want %g or up to 2 more", deadline, want.drainDeadline)
 	}
 	if plane.EntriesPerSecond < 1000 || plane.MaxQueuedEntries < plane.EntriesPerSecond || plane.MaxMessages < 20 || plane.MessageWindow != 10 {
-		t.Errorf("channel: %+v", plane)
+		t.Errorf("unexpected channel settings: %+v", plane)
 	}
 	if plane.ReportPeriod != 0.5 || plane.Proxies < 100 || d.Coordinators != 5 {
-		t.Errorf("%d coordinators, %+v", d.Coordinators, plane)
+		t.Errorf("unexpected number of coordinators (%d) or reporting settings: %+v", d.Coordinators, plane)
 	}
 }
 
-// checkDecisions runs a balancer through failures of most attempts and a recovery, and checks that every class
-// of every proxy has a table by the rules.
+// checkDecisions runs a balancer while most attempts fail and then recover, and checks that every class of every proxy
+// has a table that follows the rules.
 func checkDecisions(t *testing.T, d *Deployment, zoneLocal []bool) {
 	t.Helper()
-	d.DataPlane.DefaultRetry = int(balancer.RetryTwice) // so that fewer retries have to be set
+	d.DataPlane.DefaultRetry = int(balancer.RetryTwice) // so that the balancer has to reduce the retries
 	b := d.NewBalancer(7)
 	state := newDataPlaneState(len(d.Classes))
 	zoneOf := map[balancer.Server]balancer.Zone{}
@@ -153,7 +153,7 @@
 	var joins []balancer.ProxyEvent
 	for number := range d.Zones {
 		zone := balancer.Zone(number)
-		for i := range []int{40, 10, 10}[number] { // an even part of all servers is not what a zone has
+		for i := range []int{40, 10, 10}[number] { // the zones do not have equal shares of the servers
 			server := balancer.Server(fmt.Sprintf("s-%d-%d", number, i))
 			zoneOf[server] = zone
 			list.Endpoints = append(list.Endpoints, balancer.Endpoint{Server: server, Zone: zone, Weight: 1})
@@ -161,7 +161,7 @@
 		joins = append(joins, balancer.ProxyEvent{Proxy: balancer.Proxy(number), Joined: true, Zone: zone, ExpectedRate: 5})
 	}
 	b.Reconcile(100, balancer.Events{Lists: []balancer.EndpointList{list}, ProxyEvents: joins}, state)
-	for i := range 400 { // most attempts fail at first, then none: retries are turned off, and on again
+	for i := range 400 { // most attempts fail at first, then none: retries are disabled and enabled again
 		var reports []balancer.UpstreamReport
 		if i%4 == 0 {
 			reports = reportsOf(zoneOf, []float64{6, 0}[i/200])
@@ -176,8 +176,7 @@
 	checkRetries(t, d, state)
 }
 
-// reportsOf returns a report of eight attempts at each server, of which some failed, in the order of the
-// servers' names.
+// reportsOf returns a report for each server, sorted by server, with eight attempts of which the given number failed.
 func reportsOf(zoneOf map[balancer.Server]balancer.Zone, failed float64) []balancer.UpstreamReport {
 	var reports []balancer.UpstreamReport
 	for server, zone := range zoneOf {
@@ -187,7 +186,8 @@
 	return reports
 }
 
-// checkTable checks that a class of a proxy has a table with servers, of its own zone if it is zone local.
+// checkTable checks that a class of a proxy has a table with servers, all of them in the proxy's zone if the class is
+// zone local.
 func checkTable(t *testing.T, state *dataPlaneState, proxy balancer.ProxyEvent, class balancer.Class, zoneLocal bool,
 	zoneOf map[balancer.Server]balancer.Zone) {
 	t.Helper()
@@ -199,7 +199,7 @@
 		}
 		usable++
 		if zoneLocal && zoneOf[server] != proxy.Zone {
-			t.Errorf("class %d at a proxy of zone %d goes to %s", class, proxy.Zone, server)
+			t.Errorf("class %d of a proxy in zone %d is sent to %s, which is in another zone", class, proxy.Zone, server)
 		}
 	}
 	if !assigned || usable == 0 {
@@ -210,16 +210,16 @@
 func checkRetries(t *testing.T, d *Deployment, state *dataPlaneState) {
 	t.Helper()
 	if state.retries[0] != balancer.RetryTwice {
-		t.Errorf("at most policy %d was set for the idempotent class", state.retries[0])
+		t.Errorf("highest retry policy of the idempotent class is %d, want RetryTwice", state.retries[0])
 	}
 	for class, policy := range state.retries {
 		if idempotencies[d.Classes[class].Idempotency] != balancer.Idempotent && policy > balancer.RetryIfNotExecuted {
-			t.Errorf("class %d may run twice: policy %d", class, policy)
+			t.Errorf("class %d may be executed twice: retry policy %d", class, policy)
 		}
 	}
 }
 
-func TestUnreadableSettings(t *testing.T) {
+func TestInvalidSettings(t *testing.T) {
 	for text, want := range map[string]string{
 		"":                                "unexpected end",
 		"[]":                              "cannot unmarshal",
@@ -227,15 +227,15 @@
 		`{"grades":[{"effect":"often"}]}`: "often",
 	} {
 		if _, err := Read([]byte(text)); err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("%q: %v, want %q", text, err, want)
+			t.Errorf("%q: error %v, want one that contains %q", text, err, want)
 		}
 	}
 	if _, err := Read([]byte("{}")); !errors.Is(err, ErrNoClasses) {
-		t.Errorf("without classes: %v", err)
+		t.Errorf("without classes: error %v, want ErrNoClasses", err)
 	}
 }
 
-// settingsWith returns settings with the given members of the data plane, and more members.
+// settingsWith returns a settings object with additional members of the data plane object and of the settings object.
 func settingsWith(dataPlane, more string) string {
 	return `{"zones":["a"],"grades":[{"effect":"free","aim":1}],"family-info":{"data-plane-size":9,` + dataPlane + `}` + more + `}`
 }
@@ -251,15 +251,15 @@
 		_, err := Read([]byte(text))
 		var outOfRange *RangeError
 		if !errors.As(err, &outOfRange) || !strings.Contains(err.Error(), want) {
-			t.Errorf("%s: %v, want %q", text, err, want)
+			t.Errorf("%s: error %v, want a *RangeError that contains %q", text, err, want)
 		}
 	}
 	if _, err := Read([]byte(settingsWith(`"reloads-max":"x"`, ""))); err == nil || !strings.Contains(err.Error(), "reloads-max") {
-		t.Errorf("a value of a wrong type: %v", err)
+		t.Errorf("value of the wrong type: error %v, want one that contains the key", err)
 	}
 }
 
-// Settings under which rules cannot be kept are named, and do not break any decision.
+// Settings with which not every guarantee can be kept cause a warning, and the balancer runs with them.
 func TestWarnings(t *testing.T) {
 	for text, want := range map[string]string{
 		settingsWith(`"egress-per-s":0,"pending-max":100,"per-message":3`, ""):                    "egress-per-s",
@@ -279,7 +279,7 @@
 	}
 }
 
-// runRounds runs a balancer with one server and two proxies for some rounds.
+// runRounds runs a balancer with one server and two proxies for 30 rounds.
 func runRounds(d *Deployment) {
 	b := d.NewBalancer(1)
 	state := newDataPlaneState(1)
--- a/internal/deployment/limits.go
+++ b/internal/deployment/limits.go
@@ -3,69 +3,70 @@
 import "fmt"
 
 const (
-	maxFigure    = 1e12 // of any figure in the settings
-	maxInstances = 1e6  // proxies or coordinators
+	maxValue     = 1e12 // upper limit of any numeric setting
+	maxInstances = 1e6  // upper limit of the number of proxies or coordinators
 
-	// minMessages within a window: one assigns a table to a proxy, one may be sent twice, and one is left for
-	// drains.
+	// minMessages is the minimum number of messages per window that lets the coordinator keep its guarantees: one
+	// assigns a table to a proxy, one may be sent twice, and one remains for drains.
 	minMessages = 3
 )
 
-// RangeError reports a figure of the settings by which no decisions can be made.
+// RangeError reports a numeric setting outside the range from 0 to Max.
 type RangeError struct {
 	Key   string
 	Value float64
 	Max   float64
 }
 
-// Error names the key, the value and the range.
+// Error returns a message with the key, the value and the range.
 func (e *RangeError) Error() string {
 	return fmt.Sprintf("%s: %v is not between 0 and %v", e.Key, e.Value, e.Max)
 }
 
-// figure is a number of the settings, by its key, and its upper limit.
-type figure struct {
+// boundedValue is a numeric setting with its key and its upper limit.
+type boundedValue struct {
 	key   string
 	value float64
 	limit float64
 }
 
-func (d *Deployment) figures() []figure {
+// boundedValues returns the numeric settings whose range is checked.
+func (d *Deployment) boundedValues() []boundedValue {
 	plane := d.DataPlane
 	guarantees := d.Guarantees
-	figures := []figure{
+	boundedValues := []boundedValue{
 		{"balancers", float64(d.Coordinators), maxInstances},
 		{"family-info.data-plane-size", float64(plane.Proxies), maxInstances},
-		{"family-info.egress-per-s", plane.EntriesPerSecond, maxFigure},
-		{"family-info.late-most", plane.MaxDelay, maxFigure},
-		{"family-info.pending-max", plane.MaxQueuedEntries, maxFigure},
-		{"family-info.per-message", plane.MessageOverhead, maxFigure},
-		{"family-info.period", plane.ReportPeriod, maxFigure},
-		{"family-info.propagation", plane.MeanDelay, maxFigure},
-		{"family-info.reloads-max", float64(plane.MaxMessages), maxFigure},
-		{"family-info.reports-per-s", plane.ReportEntriesPerSecond, maxFigure},
-		{"family-info.smallest-conn-table", plane.MinConnections, maxFigure},
-		{"family-info.unserved-max", plane.EmptyTableDeadline, maxFigure},
-		{"family-info.update-window", plane.MessageWindow, maxFigure},
-		{"guarantees.cold", guarantees.WarmupDuration, maxFigure},
-		{"guarantees.cold-from", guarantees.WarmupStartFraction, maxFigure},
-		{"guarantees.fall", guarantees.OverloadWindow, maxFigure},
-		{"guarantees.fall-multiple", guarantees.OverloadFactor, maxFigure},
-		{"guarantees.stop-sending-within", guarantees.DrainDeadline, maxFigure},
+		{"family-info.egress-per-s", plane.EntriesPerSecond, maxValue},
+		{"family-info.late-most", plane.MaxDelay, maxValue},
+		{"family-info.pending-max", plane.MaxQueuedEntries, maxValue},
+		{"family-info.per-message", plane.MessageOverhead, maxValue},
+		{"family-info.period", plane.ReportPeriod, maxValue},
+		{"family-info.propagation", plane.MeanDelay, maxValue},
+		{"family-info.reloads-max", float64(plane.MaxMessages), maxValue},
+		{"family-info.reports-per-s", plane.ReportEntriesPerSecond, maxValue},
+		{"family-info.smallest-conn-table", plane.MinConnections, maxValue},
+		{"family-info.unserved-max", plane.EmptyTableDeadline, maxValue},
+		{"family-info.update-window", plane.MessageWindow, maxValue},
+		{"guarantees.cold", guarantees.WarmupDuration, maxValue},
+		{"guarantees.cold-from", guarantees.WarmupStartFraction, maxValue},
+		{"guarantees.fall", guarantees.OverloadWindow, maxValue},
+		{"guarantees.fall-multiple", guarantees.OverloadFactor, maxValue},
+		{"guarantees.stop-sending-within", guarantees.DrainDeadline, maxValue},
 	}
 	for number, class := range d.Classes {
 		prefix := fmt.Sprintf("grades[%d].", number)
-		figures = append(figures,
-			figure{prefix + "aim", class.LatencyObjective, maxFigure},
-			figure{prefix + "deadline", class.ClientTimeout, maxFigure},
-			figure{prefix + "points", class.PriorityWeight, maxFigure})
+		boundedValues = append(boundedValues,
+			boundedValue{prefix + "aim", class.LatencyObjective, maxValue},
+			boundedValue{prefix + "deadline", class.ClientTimeout, maxValue},
+			boundedValue{prefix + "points", class.PriorityWeight, maxValue})
 	}
-	return figures
+	return boundedValues
 }
 
-// checkRanges returns a *RangeError for the first figure that is out of range.
+// checkRanges returns a *RangeError for the first numeric setting that is out of range.
 func (d *Deployment) checkRanges() error {
-	for _, f := range d.figures() {
+	for _, f := range d.boundedValues() {
 		if f.value < 0 || f.value > f.limit {
 			return &RangeError{Key: f.key, Value: f.value, Max: f.limit}
 		}
@@ -73,19 +74,20 @@
 	return nil
 }
 
-// Warnings describes the settings, each by its key, under which a coordinator runs but cannot keep every rule.
+// Warnings returns a message for each setting with which a coordinator runs but cannot keep every guarantee. A message
+// starts with the key of the setting.
 func (d *Deployment) Warnings() []string {
 	var warnings []string
 	plane := d.DataPlane
 	if plane.EntriesPerSecond == 0 {
-		warnings = append(warnings, "family-info.egress-per-s: the channel has no rate: only acknowledgements make room for more entries")
+		warnings = append(warnings, "family-info.egress-per-s: the channel has no rate, so only acknowledgements free capacity for more entries")
 	}
 	if plane.MaxQueuedEntries <= plane.MessageOverhead+1 {
-		warnings = append(warnings, "family-info.pending-max: no message fits the channel")
+		warnings = append(warnings, "family-info.pending-max: the limit is too low for any message")
 	}
 	if plane.MaxMessages > 0 && plane.MaxMessages < minMessages {
 		warnings = append(warnings, fmt.Sprintf(
-			"family-info.reloads-max: of %d messages none is left for drains once a proxy has joined", plane.MaxMessages))
+			"family-info.reloads-max: with %d messages per window, none remains for drains after a proxy has joined", plane.MaxMessages))
 	}
 	return warnings
 }
