--- a/internal/deployment/deployment.go
+++ b/internal/deployment/deployment.go
@@ -44,7 +44,7 @@
 	AdmissionMode          string  `json:"level-kind"`
 	EjectAfterFailures     int     `json:"outlier-after"`
 	MaxQueuedEntries       float64 `json:"pending-max"`
-	MessageOverhead        float64 `json:"per-message"` // cost of a message in entries, in addition to its own
+	MessageOverhead        float64 `json:"per-message"` // cost of a message in entries, in addition to the entries that it carries
 	ReportPeriod           float64 `json:"period"`
 	MeanDelay              float64 `json:"propagation"`
 	MaxMessages            int     `json:"reloads-max"` // per proxy within MessageWindow; 0 means no limit
