--- a/internal/platform/config.go
+++ b/internal/platform/config.go
@@ -13,12 +13,12 @@
 	"snowquay/internal/wire/discovery"
 )
 
-// configVariable is the environment variable that names the configuration file.
+// configVariable is the environment variable with the path of the configuration file.
 const configVariable = "PROXY_CONFIG"
 
-var errLimits = errors.New("limits: memory_mb and sockets have to be above 0")
+var errLimits = errors.New("limits: memory_mb and sockets must be greater than 0")
 
-// configFile is the form of the configuration file.
+// configFile is the JSON object in the configuration file.
 type configFile struct {
 	Listen     string          `json:"listen"`
 	Discovery  string          `json:"discovery"`
@@ -34,14 +34,14 @@
 	} `json:"limits"`
 }
 
-// config is what the configuration file says.
+// config is the parsed configuration file.
 type config struct {
 	listen   netip.AddrPort
 	memoryMB float64
 	program  frontend.Config
 }
 
-// readConfig reads the configuration file. Its errors name the file and the key.
+// readConfig reads and parses the configuration file. Its errors contain the path, and the key if a value is invalid.
 func readConfig(path string) (*config, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -93,7 +93,7 @@
 			Deployment:     settings,
 		},
 	}
-	if len(file.CachedList) > 0 { // it may be out of date anyway, so that an unreadable one is no error: discovery delivers the list
+	if len(file.CachedList) > 0 { // a malformed list is not an error: the cached list may be outdated anyway, and discovery sends the current one
 		c.program.CachedList, c.program.CachedListErr = discovery.Parse(file.CachedList)
 	}
 	return c, nil
@@ -102,7 +102,7 @@
 func parseAddress(key, text string) (netip.AddrPort, error) {
 	address, err := netip.ParseAddrPort(text)
 	if err != nil {
-		return netip.AddrPort{}, fmt.Errorf("%s: no address and port: %q", key, text)
+		return netip.AddrPort{}, fmt.Errorf("%s: invalid address and port %q", key, text)
 	}
 	return address, nil
 }
--- a/internal/platform/config_test.go
+++ b/internal/platform/config_test.go
@@ -24,7 +24,7 @@
 	for text, want := range map[string]string{
 		"":                    "unexpected end",
 		"[]":                  "cannot unmarshal",
-		"{}":                  "no address and port",
+		"{}":                  "invalid address and port",
 		`{` + addresses + `}`: "limits",
 		`{"listen":"x","discovery":"127.0.0.1:1","hub":{"address":"127.0.0.1:1"}}`: "listen",
 		`{` + addresses + `,` + limits + `}`:                                       "seed",
@@ -33,12 +33,12 @@
 		path := filepath.Join(t.TempDir(), "config.json")
 		writeConfig(t, path, text)
 		if _, err := readConfig(path); err == nil || !strings.Contains(err.Error(), want) || !strings.Contains(err.Error(), path) {
-			t.Errorf("%.60q: %v, want %q and the file", text, err, want)
+			t.Errorf("%.60q: error %v, want one that contains %q and the path", text, err, want)
 		}
 	}
 }
 
-// A cached list that cannot be read is no error, since discovery delivers the list.
+// A malformed cached list is not an error, because discovery sends the current list.
 func TestUnreadableCachedListIsNotUsed(t *testing.T) {
 	for _, cached := range []string{`null`, `{}`, `7`, `{"version":1,"servers":{}}`} {
 		path := filepath.Join(t.TempDir(), "config.json")
@@ -49,7 +49,7 @@
 			t.Fatalf("%s: %v", cached, err)
 		}
 		if c.program.CachedList != nil || c.program.CachedListErr == nil {
-			t.Errorf("%s: %+v, error %v", cached, c.program.CachedList, c.program.CachedListErr)
+			t.Errorf("%s: cached list %+v, error %v, want only an error", cached, c.program.CachedList, c.program.CachedListErr)
 		}
 	}
 }
--- a/internal/platform/peers_test.go
+++ b/internal/platform/peers_test.go
@@ -11,29 +11,30 @@
 	"testing"
 )
 
-// serverList is what the fake discovery delivers.
+// serverList is the list that the fake discovery sends.
 const serverList = `{"version":1,"full":true,"servers":[{"id":"s-1","addr":"127.0.0.1:9","zone":"a","kind":"m","state":"ready","weight":1}]}`
 
-// assignment is the command that assigns the table of the only proxy.
+// assignment is the part of a command that assigns a table to the only proxy.
 const assignment = `"do":"bind","sidecar":1`
 
-// fakePeer is a relay or discovery on a loopback socket. It answers lines, and keeps what it has received.
+// fakePeer is a fake relay or discovery on a loopback socket. It responds to each line and records the lines that it
+// receives.
 type fakePeer struct {
 	listener net.Listener
-	answer   func(line string) string
+	respond  func(line string) string
 
 	mu       sync.Mutex
 	received string
 }
 
-// serve starts a peer that ends with the test.
-func serve(t *testing.T, answer func(line string) string) *fakePeer {
+// serve starts a peer that runs until the end of the test.
+func serve(t *testing.T, respond func(line string) string) *fakePeer {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	peer := &fakePeer{listener: listener, answer: answer}
+	peer := &fakePeer{listener: listener, respond: respond}
 	t.Cleanup(func() { _ = listener.Close() })
 	go func() {
 		for {
@@ -57,25 +58,25 @@
 		p.mu.Lock()
 		p.received += line
 		p.mu.Unlock()
-		_, _ = io.WriteString(conn, p.answer(line))
+		_, _ = io.WriteString(conn, p.respond(line))
 	}
 }
 
-// hasReceived reports whether a text was among the lines.
+// hasReceived reports whether the received lines contain text.
 func (p *fakePeer) hasReceived(text string) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return strings.Contains(p.received, text)
 }
 
-// forget drops what has been received.
-func (p *fakePeer) forget() {
+// clearReceived discards the received lines.
+func (p *fakePeer) clearReceived() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.received = ""
 }
 
-// serveRelay starts a relay with one proxy that applies every command.
+// serveRelay starts a fake relay that has one proxy and accepts every command.
 func serveRelay(t *testing.T) *fakePeer {
 	t.Helper()
 	return serve(t, func(line string) string {
@@ -94,8 +95,8 @@
 	})
 }
 
-// serveDeafRelay starts a relay with one proxy that responds to no call.
-func serveDeafRelay(t *testing.T) *fakePeer {
+// serveUnresponsiveRelay starts a fake relay that has one proxy and responds only to subscriptions.
+func serveUnresponsiveRelay(t *testing.T) *fakePeer {
 	t.Helper()
 	return serve(t, func(line string) string {
 		if !strings.Contains(line, "relay.watch") {
@@ -105,15 +106,15 @@
 	})
 }
 
-// subscription is the response to a subscription, followed by the event that a proxy has joined.
+// subscription returns the response to a subscription, followed by the event that a proxy has joined.
 func subscription(id int) string {
 	return fmt.Sprintf(`{"id":%d,"result":true}`+"\n"+`{"method":"attach","params":{"sidecar":1,"az":"a","share":2,"standing":true}}`+"\n", id)
 }
 
-// serveDiscovery starts a discovery with one server.
+// serveDiscovery starts a fake discovery with one server.
 func serveDiscovery(t *testing.T) *fakePeer {
 	t.Helper()
-	var fullList bool // the request that is being read is for the full list; one connection at a time
+	var fullList bool // whether the current request is for the full list; there is one connection at a time
 	return serve(t, func(line string) string {
 		if strings.HasPrefix(line, "GET ") {
 			fullList = !strings.Contains(line, "stream=1")
--- a/internal/platform/process_test.go
+++ b/internal/platform/process_test.go
@@ -24,7 +24,7 @@
 	readyAnswer    = string(resp.Append(nil, "hb_ok"))
 )
 
-// process is the built program as it runs.
+// process is a running process of the built program.
 type process struct {
 	*exec.Cmd
 	address string
@@ -46,7 +46,7 @@
 	return binary
 }
 
-// startProcess builds and starts the program with a limit of descriptors, and waits until it is ready.
+// startProcess builds the program, starts it with a limit on file descriptors and waits until it is ready.
 func startProcess(t *testing.T, descriptors int, discovery, relay *fakePeer) *process {
 	t.Helper()
 	free, err := net.Listen("tcp", "127.0.0.1:0")
@@ -80,7 +80,7 @@
 	return p
 }
 
-// configure writes the file that the program reads at its start and at SIGHUP.
+// configure writes the configuration file, which the program reads at startup and on SIGHUP.
 func (p *process) configure(t *testing.T, discovery, relay *fakePeer) {
 	t.Helper()
 	writeConfig(t, p.config, fmt.Sprintf(`{"name":"n0","listen":%q,"discovery":%q,"hub":{"address":%q},"seed":"8c1f30d27a5be964",
@@ -88,21 +88,21 @@
 		serverList, settings))
 }
 
-// Write keeps what the program logs.
+// Write records the log output of the program.
 func (p *process) Write(b []byte) (int, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.output.Write(b)
 }
 
-// logged returns what the program has logged.
+// logged returns the log output of the program so far.
 func (p *process) logged() string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.output.String()
 }
 
-// isReady reports whether the program answers a readiness check within a second.
+// isReady reports whether the program responds to a readiness check within a second.
 func (p *process) isReady() bool {
 	conn, err := net.Dial("tcp", p.address)
 	if err != nil {
@@ -116,8 +116,8 @@
 	return string(answer[:count]) == readyAnswer
 }
 
-// flood makes clients connect that send nothing, while the program is stopped, so that it finds all of them at
-// once.
+// flood connects clients that send nothing. The program is stopped meanwhile, so that it finds all connections at once
+// when it continues.
 func (p *process) flood(t *testing.T, clients int) {
 	t.Helper()
 	to := netip.MustParseAddrPort(p.address)
@@ -136,21 +136,21 @@
 	_ = p.Process.Signal(syscall.SIGCONT)
 }
 
-// awaitEnd waits for the end of the program, and fails the test if that takes longer than allowed since a time
-// or is an error.
-func (p *process) awaitEnd(t *testing.T, since time.Time, allowed time.Duration) {
+// awaitExit waits until the program exits. It fails the test if the program exits with an error or later than allowed
+// after since.
+func (p *process) awaitExit(t *testing.T, since time.Time, allowed time.Duration) {
 	t.Helper()
 	select {
 	case err := <-p.ended:
 		if took := time.Since(since); err != nil || took > allowed {
-			t.Errorf("it ended after %v: %v, %s", took, err, p.logged())
+			t.Errorf("the program exited after %v with error %v, log: %s", took, err, p.logged())
 		}
 	case <-time.After(5 * time.Second):
-		t.Fatal("it does not end")
+		t.Fatal("the program did not exit within 5 s")
 	}
 }
 
-// eventually waits until a condition holds, and fails the test with a text otherwise.
+// eventually waits until a condition holds and fails the test with the given message if it does not hold within 10 s.
 func eventually(t *testing.T, failure string, holds func() bool) {
 	t.Helper()
 	end := time.Now().Add(10 * time.Second)
@@ -163,8 +163,8 @@
 	t.Fatal(failure)
 }
 
-// drain reads a connection to its end.
-func drain(conn net.Conn) error {
+// readToEOF reads from a connection until EOF.
+func readToEOF(conn net.Conn) error {
 	_ = conn.SetDeadline(time.Now().Add(time.Second))
 	_, err := io.Copy(io.Discard, conn)
 	return err
--- a/internal/platform/run.go
+++ b/internal/platform/run.go
@@ -1,5 +1,5 @@
-// Package platform runs a coordinator as a process on the platform: its configuration file, its signals and its
-// limits.
+// Package platform runs a coordinator as a process on the platform. It handles the configuration file, signals and
+// resource limits.
 package platform
 
 import (
@@ -22,10 +22,10 @@
 )
 
 const (
-	memoryLimitFraction = 0.6 // of the process's limit that the garbage collector keeps to: the rest is code and stacks
-	gcPercent           = 60  // heap growth before a collection: the heap has a few MB
+	memoryLimitFraction = 0.6 // part of the process's memory limit that the garbage collector may use; the rest is for code and stacks
+	gcPercent           = 60  // heap growth in percent that triggers a collection; the heap has only a few MB
 
-	shutdownTimeout = 400 * time.Millisecond // SIGKILL may follow 0.7 s after SIGTERM
+	shutdownTimeout = 400 * time.Millisecond // the platform may send SIGKILL 0.7 s after SIGTERM
 )
 
 var (
@@ -33,9 +33,9 @@
 	errDescriptors = errors.New("no descriptor was left for a client")
 )
 
-// Run runs a coordinator until SIGTERM or SIGINT. On SIGHUP it reads its configuration again and moves to the
-// new addresses of discovery and relay. The error is that of the start, or of an event loop that has ended by
-// itself.
+// Run runs a coordinator until SIGTERM or SIGINT. On SIGHUP it reads the configuration file again and switches to the
+// new addresses of discovery and relay. Run returns an error if the coordinator cannot start or if its event loop ends
+// unexpectedly.
 func Run(log *slog.Logger) error {
 	signals := make(chan os.Signal, 8)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT, syscall.SIGHUP)
@@ -65,8 +65,8 @@
 		"descriptors", cfg.program.MaxDescriptors)
 	for {
 		select {
-		case err := <-server.Ended(): // a coordinator that accepts no connection is of no use: it is to be restarted
-			return fmt.Errorf("the event loop has ended by itself: %w", cmp.Or(err, errDescriptors))
+		case err := <-server.Ended(): // exit so that the process is restarted, because it accepts no connections any more
+			return fmt.Errorf("event loop ended unexpectedly: %w", cmp.Or(err, errDescriptors))
 		case received := <-signals:
 			if received != syscall.SIGHUP {
 				log.Info("coordinator stopping", "signal", received.String())
@@ -78,7 +78,7 @@
 	}
 }
 
-// reload reads the configuration again. One that cannot be read changes nothing.
+// reload reads the configuration file again and applies its addresses. An invalid file is logged and changes nothing.
 func reload(path string, log *slog.Logger, server *eventloop.Server, program *frontend.Program) {
 	c, err := readConfig(path)
 	if err != nil {
@@ -89,8 +89,8 @@
 	server.Do(func(now float64) { program.SetAddresses(now, c.program.Discovery, c.program.Relay) })
 }
 
-// shutDown calls closeAll, and waits for its end for a limited time: what it does not close ends with the
-// process.
+// shutDown calls closeAll and waits at most shutdownTimeout for it to return. Connections that are still open then are
+// closed by the exit of the process.
 func shutDown(closeAll func()) {
 	done := make(chan struct{})
 	go func() {
@@ -103,15 +103,15 @@
 	}
 }
 
-// limitRuntime confines the Go runtime to one processor and to a part of the process's memory.
+// limitRuntime limits the Go runtime to one processor and to a part of the process's memory.
 func limitRuntime(memoryMB float64) {
 	runtime.GOMAXPROCS(1)
 	debug.SetGCPercent(gcPercent)
 	debug.SetMemoryLimit(int64(memoryMB * memoryLimitFraction * (1 << 20)))
 }
 
-// availableDescriptors returns how many descriptors the process may hold: the configured number, or its own
-// limit if that is lower.
+// availableDescriptors returns the number of descriptors that the process may use: the configured number or the
+// resource limit of the process, whichever is lower.
 func availableDescriptors(configured int) int {
 	var limit unix.Rlimit
 	if unix.Getrlimit(unix.RLIMIT_NOFILE, &limit) == nil && limit.Cur < uint64(configured) {
--- a/internal/platform/run_test.go
+++ b/internal/platform/run_test.go
@@ -14,15 +14,15 @@
 	"snowquay/internal/wire/resp"
 )
 
-// The built program runs with a configuration, an unreadable one by SIGHUP, a new one by SIGHUP, and ends by
-// SIGTERM.
+// The built program starts, receives SIGHUP with a malformed configuration file, then SIGHUP with new addresses, and
+// exits on SIGTERM.
 func TestRunFromStartToEnd(t *testing.T) {
 	discovery := serveDiscovery(t)
 	relay := serveRelay(t)
 	newDiscovery := serveDiscovery(t)
 	newRelay := serveRelay(t)
 	p := startProcess(t, 256, discovery, relay)
-	eventually(t, "no proxy was assigned a table", func() bool { return relay.hasReceived(assignment) })
+	eventually(t, "the proxy was not assigned a table", func() bool { return relay.hasReceived(assignment) })
 	eventually(t, "discovery is not watched", func() bool { return discovery.hasReceived("stream=1&index=1") })
 	writeConfig(t, p.config, `{"listen":7`)
 	_ = p.Process.Signal(syscall.SIGHUP)
@@ -34,52 +34,53 @@
 	})
 	stoppedAt := time.Now()
 	_ = p.Process.Signal(syscall.SIGTERM)
-	p.awaitEnd(t, stoppedAt, 500*time.Millisecond)
+	p.awaitExit(t, stoppedAt, 500*time.Millisecond)
 	if count := strings.Count(p.logged(), "configuration not reloaded"); count != 1 {
-		t.Errorf("an unreadable configuration was logged %d times: %s", count, p.logged())
+		t.Errorf("the malformed configuration was logged %d times, want once; log: %s", count, p.logged())
 	}
 }
 
-// More clients wait at once than there are descriptors: the oldest silent ones make room for others.
+// If more clients connect at once than there are descriptors, the oldest silent connections are closed to accept new
+// ones.
 func TestFloodBeyondTheDescriptorsIsSurvived(t *testing.T) {
 	p := startProcess(t, 256, serveDiscovery(t), serveRelay(t))
 	p.flood(t, 1000)
-	eventually(t, "no client is answered after the flood", p.isReady)
+	eventually(t, "the program does not respond to readiness checks after the flood", p.isReady)
 	select {
 	case err := <-p.ended:
-		t.Errorf("it has ended: %v, %s", err, p.logged())
+		t.Errorf("the program exited with error %v, log: %s", err, p.logged())
 	default:
 	}
 }
 
-// With too few descriptors the program ends and says why, so that it is started anew, rather than go on without
-// a listener.
+// A program with too few descriptors to accept connections logs the reason and exits, so that it is restarted instead
+// of running without a listener.
 func TestProgramThatCannotAcceptEnds(t *testing.T) {
 	p := startProcess(t, 24, serveDiscovery(t), serveRelay(t))
 	p.flood(t, 100)
 	select {
 	case err := <-p.ended:
 		if err == nil || !strings.Contains(p.logged(), "no descriptor was left") {
-			t.Errorf("it ended with %v: %s", err, p.logged())
+			t.Errorf("the program exited with error %v, log: %s", err, p.logged())
 		}
 	case <-time.After(10 * time.Second):
 		if !p.isReady() {
-			t.Error("it runs, and no client is answered")
+			t.Error("the program is running but does not respond to readiness checks")
 		}
 	}
 }
 
-// Two SIGTERM come with a call in flight, half a message read, silent clients, and others that connect in the
-// last moments: the program ends without an error and in time, and no client is left on an open connection.
+// The program receives SIGTERM twice while a call is in flight, a message is partially received, silent clients are
+// connected and other clients keep connecting. It exits without an error and in time, and leaves no connection open.
 func TestShutdownDuringActivity(t *testing.T) {
-	relay := serveDeafRelay(t)
+	relay := serveUnresponsiveRelay(t)
 	p := startProcess(t, 256, serveDiscovery(t), relay)
 	eventually(t, "no call is in flight", func() bool { return relay.hasReceived("relay.apply") })
-	half, err := net.Dial("tcp", p.address)
+	partial, err := net.Dial("tcp", p.address)
 	if err != nil {
 		t.Fatal(err)
 	}
-	_, _ = io.WriteString(half, "*3\r\n$9\r\ntele")
+	_, _ = io.WriteString(partial, "*3\r\n$9\r\ntele")
 	p.flood(t, 50)
 	stop := make(chan struct{})
 	late := make(chan error)
@@ -87,18 +88,18 @@
 	stoppedAt := time.Now()
 	_ = p.Process.Signal(syscall.SIGTERM)
 	_ = p.Process.Signal(syscall.SIGTERM)
-	p.awaitEnd(t, stoppedAt, 700*time.Millisecond)
+	p.awaitExit(t, stoppedAt, 700*time.Millisecond)
 	close(stop)
 	if err := <-late; err != nil {
-		t.Errorf("a late client waits for nothing: %v", err)
+		t.Errorf("a client that connected during the shutdown got neither a response nor the end of its connection: %v", err)
 	}
-	if err := drain(half); err != nil && !errors.Is(err, syscall.ECONNRESET) {
-		t.Errorf("the client that had sent half a message: %v", err)
+	if err := readToEOF(partial); err != nil && !errors.Is(err, syscall.ECONNRESET) {
+		t.Errorf("client that had sent a partial message: %v", err)
 	}
 }
 
-// connectUntil makes readiness checks, each on a new connection, until stop is closed. It returns an error if
-// one of them gets neither an answer nor the end of its connection.
+// connectUntil sends readiness checks, each on a new connection, until stop is closed. It returns an error if one of
+// them gets neither a response nor the end of its connection.
 func connectUntil(address string, stop <-chan struct{}) error {
 	for {
 		select {
@@ -108,7 +109,7 @@
 		}
 		conn, err := net.DialTimeout("tcp", address, time.Second)
 		if err != nil {
-			continue // refused: the program has ended
+			continue // connection refused: the program has exited
 		}
 		_ = conn.SetDeadline(time.Now().Add(3 * time.Second))
 		_, _ = conn.Write(readinessCheck)
@@ -121,47 +122,47 @@
 	}
 }
 
-// After SIGKILL with clients connected and a call in flight, the program starts at the same address: it is
-// ready at once, and sends everything that the relay may not have.
+// After SIGKILL with clients connected and a call in flight, the program is restarted at the same address. It is ready
+// within 5 s and sends all state that the relay may lack.
 func TestRestartAfterKill(t *testing.T) {
 	discovery := serveDiscovery(t)
 	relay := serveRelay(t)
 	p := startProcess(t, 256, discovery, relay)
-	eventually(t, "no proxy was assigned a table", func() bool { return relay.hasReceived(assignment) })
+	eventually(t, "the proxy was not assigned a table", func() bool { return relay.hasReceived(assignment) })
 	p.flood(t, 50)
 	_ = p.Process.Kill()
 	if err := <-p.ended; err == nil {
-		t.Error("a killed process ended without an error")
+		t.Error("a killed process exited without an error")
 	}
-	relay.forget()
+	relay.clearReceived()
 	startedAt := time.Now()
 	startBinary(t, p.binary, p.address, 256, discovery, relay)
 	if took := time.Since(startedAt); took > 5*time.Second {
-		t.Errorf("ready after %v", took)
+		t.Errorf("the program was ready only after %v, want 5 s at most", took)
 	}
-	eventually(t, "the proxy is not assigned a table again", func() bool {
+	eventually(t, "the proxy was not assigned a table with weights again", func() bool {
 		return relay.hasReceived(assignment) && relay.hasReceived(`"do":"share"`)
 	})
 }
 
-// An event loop that is held up does not keep the process from ending in time.
+// A blocked event loop does not delay the exit of the process beyond the shutdown timeout.
 func TestShutDownDoesNotWaitForABlockedLoop(t *testing.T) {
 	blocked := make(chan struct{})
 	defer close(blocked)
 	startedAt := time.Now()
 	shutDown(func() { <-blocked })
 	if took := time.Since(startedAt); took > 650*time.Millisecond {
-		t.Errorf("it returned after %v", took)
+		t.Errorf("shutDown returned after %v, want 650 ms at most", took)
 	}
 }
 
-// A collector that requests readiness checks for ever and reads no answers is cut off, so that unread answers
-// do not fill the memory, and others are served.
+// A collector that sends readiness checks without end and reads no responses is disconnected, so that unread responses
+// do not fill the memory, and other clients are served.
 func TestCollectorThatReadsNothingIsCutOff(t *testing.T) {
 	p := startProcess(t, 256, serveDiscovery(t), serveRelay(t))
 	written, err := writeWithoutReading(t, p.address)
 	if err == nil || errors.Is(err, os.ErrDeadlineExceeded) {
-		t.Errorf("after %d bytes of requests whose answers are not read: %v", written, err)
+		t.Errorf("after %d bytes of requests without reading a response: error %v, want a closed connection", written, err)
 	}
 	other, err := net.Dial("tcp", p.address)
 	if err != nil {
@@ -174,12 +175,12 @@
 		_, err = io.ReadFull(other, answer)
 	}
 	if err != nil || string(answer) != readyAnswer {
-		t.Errorf("another client is answered %q, %v", answer, err)
+		t.Errorf("response to another client is %q, error %v", answer, err)
 	}
 }
 
-// writeWithoutReading writes 60 MB of readiness checks, which have 75 MB of answers, as a collector. It returns
-// how many bytes were written, and the error that ended that.
+// writeWithoutReading writes 60 MB of readiness checks, which have 75 MB of responses, as a collector. It returns the
+// number of bytes written and the first error.
 func writeWithoutReading(t *testing.T, address string) (written int, err error) {
 	t.Helper()
 	dialer := net.Dialer{Control: limitReceiveBuffer}
@@ -205,9 +206,9 @@
 	return written, nil
 }
 
-// limitReceiveBuffer gives a socket a receive buffer of 4 KiB before it connects. Done afterwards, it would shrink
-// a window that the peer may have filled already: the kernel then drops the peer's acknowledgements with its
-// data, and the connection only retransmits.
+// limitReceiveBuffer sets the receive buffer of a socket to 4 KiB before it connects. Setting it afterwards would shrink
+// a receive window that the peer may have filled already: the kernel would then drop the peer's acknowledgements
+// together with its data, and the connection would only retransmit.
 func limitReceiveBuffer(_, _ string, socket syscall.RawConn) error {
 	var setErr error
 	err := socket.Control(func(descriptor uintptr) {
--- a/internal/platform/soak_clients_test.go
+++ b/internal/platform/soak_clients_test.go
@@ -17,15 +17,15 @@
 )
 
 const (
-	resetWait     = 50 * time.Millisecond // for a reset that follows an end of the connection
+	resetWait     = 50 * time.Millisecond // wait for a reset after the end of a connection
 	answerTimeout = 5 * time.Second
-	crowdLasts    = 3 * time.Second
+	floodDuration = 3 * time.Second
 )
 
-// rejection is what a client is told that is not accepted.
+// rejection is the message that a rejected client receives.
 var rejection = string(resp.Append(nil, "reject"))
 
-// soakClients are collectors and others that use a coordinator's address all the time.
+// soakClients are collectors and other clients that connect to a coordinator's address during the whole run.
 type soakClients struct {
 	address string
 	stop    chan struct{}
@@ -34,8 +34,8 @@
 
 	mu         sync.Mutex
 	violations []clientViolation
-	kills      []interval // from SIGKILL to the end of the process
-	crowds     []interval
+	kills      []interval // from SIGKILL to the exit of the process
+	floods     []interval // times with more clients than descriptors
 }
 
 type interval struct{ from, to time.Time }
@@ -44,26 +44,26 @@
 	return !i.to.Before(other.from) && !other.to.Before(i.from)
 }
 
-// clientViolation is what a client has seen, between two times.
+// clientViolation is a violation that a client has observed during an interval.
 type clientViolation struct {
 	interval
 	text     string
-	rejected bool
+	rejected bool // the client received a rejection
 }
 
 func startClients(address string) *soakClients {
 	c := &soakClients{address: address, stop: make(chan struct{})}
 	for range 4 {
-		c.run(c.collect)
+		c.run(c.runCollector)
 	}
 	for range 2 {
 		c.run(c.checkOnce)
 	}
-	c.run(c.sendHalf)
+	c.run(c.sendPartialMessage)
 	return c
 }
 
-// run repeats a client's work until the end.
+// run repeats the work of a client until the clients are stopped.
 func (c *soakClients) run(work func()) {
 	c.done.Go(func() {
 		for !c.stopped() {
@@ -81,50 +81,51 @@
 	}
 }
 
-// end ends the clients and returns what they have seen that they should not have. A process that is being killed may read and answer
-// no more. In a crowd beyond the descriptors the oldest client that has not been read is rejected.
-func (c *soakClients) end() (texts []string) {
+// finish stops the clients and returns the violations that they have observed. It excludes those that are allowed: a process that
+// is being killed need not read or respond any more, and in a flood of more clients than descriptors the oldest client whose data
+// has not been read is rejected.
+func (c *soakClients) finish() (texts []string) {
 	close(c.stop)
 	c.done.Wait()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for _, seen := range c.violations {
-		allowed := slices.ContainsFunc(c.kills, seen.overlaps) || seen.rejected && slices.ContainsFunc(c.crowds, seen.overlaps)
+	for _, violation := range c.violations {
+		allowed := slices.ContainsFunc(c.kills, violation.overlaps) || violation.rejected && slices.ContainsFunc(c.floods, violation.overlaps)
 		if !allowed {
-			texts = append(texts, fmt.Sprintf("%s at %s", seen.text, seen.to.Format("05.000")))
+			texts = append(texts, fmt.Sprintf("%s at %s", violation.text, violation.to.Format("05.000")))
 		}
 	}
 	return texts
 }
 
-// killed notes that a process was killed, from SIGKILL until now.
-func (c *soakClients) killed(from time.Time) {
+// recordKill records the interval in which a process was killed, from SIGKILL until now.
+func (c *soakClients) recordKill(from time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.kills = append(c.kills, interval{from: from, to: time.Now()})
 }
 
-func (c *soakClients) violation(from time.Time, format string, arguments ...any) {
+func (c *soakClients) addViolation(from time.Time, format string, arguments ...any) {
 	c.record(clientViolation{interval: interval{from: from, to: time.Now()}, text: fmt.Sprintf(format, arguments...)})
 }
 
-func (c *soakClients) record(seen clientViolation) {
+func (c *soakClients) record(violation clientViolation) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.violations = append(c.violations, seen)
+	c.violations = append(c.violations, violation)
 }
 
 func (c *soakClients) dial() (net.Conn, bool) {
 	conn, err := net.DialTimeout("tcp", c.address, time.Second)
 	if err != nil {
-		time.Sleep(5 * time.Millisecond) // it is down
+		time.Sleep(5 * time.Millisecond) // the process is not running
 		return nil, false
 	}
 	return conn, true
 }
 
-// collect is a collector that uses its connection until that ends.
-func (c *soakClients) collect() {
+// runCollector is a collector that uses one connection until it ends.
+func (c *soakClients) runCollector() {
 	conn, ok := c.dial()
 	if !ok {
 		return
@@ -140,26 +141,26 @@
 				return
 			}
 		}
-		if !c.check(conn) {
+		if !c.checkReadiness(conn) {
 			return
 		}
 		time.Sleep(time.Duration(count%3) * time.Millisecond)
 	}
 }
 
-// checkOnce makes one readiness check on a connection of its own.
+// checkOnce sends one readiness check on a new connection.
 func (c *soakClients) checkOnce() {
 	conn, ok := c.dial()
 	if !ok {
 		return
 	}
-	c.check(conn)
+	c.checkReadiness(conn)
 	_ = conn.Close()
 	time.Sleep(3 * time.Millisecond)
 }
 
-// sendHalf sends half a message and waits for the end of its connection.
-func (c *soakClients) sendHalf() {
+// sendPartialMessage sends half a message and waits for the end of the connection.
+func (c *soakClients) sendPartialMessage() {
 	conn, ok := c.dial()
 	if !ok {
 		return
@@ -169,14 +170,15 @@
 	_ = conn.SetReadDeadline(time.Now().Add(answerTimeout))
 	_, err := io.Copy(io.Discard, conn)
 	if errors.Is(err, os.ErrDeadlineExceeded) {
-		c.violation(from, "half a message was kept for over %v", answerTimeout)
+		c.addViolation(from, "the connection of a partial message was not closed within %v", answerTimeout)
 	}
 	_ = conn.Close()
 }
 
-// check makes a readiness check and reports whether the connection goes on. A check that the coordinator has read is to be
-// answered. It has not been read where the connection ends by a reset, which the kernel sends for bytes that nobody read.
-func (c *soakClients) check(conn net.Conn) bool {
+// checkReadiness sends a readiness check and reports whether the connection can still be used. The coordinator has to respond to a
+// check that it has read. If the connection ends with a reset, the check was not read: the kernel sends a reset if a socket is
+// closed with unread data.
+func (c *soakClients) checkReadiness(conn net.Conn) bool {
 	from := time.Now()
 	if _, err := conn.Write(readinessCheck); err != nil {
 		return false
@@ -191,30 +193,31 @@
 	case err == nil:
 		c.record(clientViolation{
 			interval: interval{from: from, to: time.Now()},
-			text:     fmt.Sprintf("a readiness check was answered %q", answer),
+			text:     fmt.Sprintf("the response to a readiness check was %q", answer),
 			rejected: strings.HasPrefix(rejection, string(answer)),
 		})
 	case errors.Is(err, os.ErrDeadlineExceeded):
-		c.violation(from, "a readiness check was not answered within %v, and its connection stands", answerTimeout)
+		c.addViolation(from, "a readiness check got no response within %v, and its connection is still open", answerTimeout)
 	case count > 0:
-		c.violation(from, "a readiness check was answered in part: %q, %v", answer[:count], err)
+		c.addViolation(from, "a readiness check got a partial response %q and error %v", answer[:count], err)
 	case errors.Is(err, io.EOF) && !wasReset(conn):
-		c.violation(from, "a readiness check was read and not answered")
+		c.addViolation(from, "a readiness check was read but got no response")
 	}
 	return false
 }
 
-// wasReset reports whether a reset follows the end of a connection.
+// wasReset reports whether the end of a connection was followed by a reset.
 func wasReset(conn net.Conn) bool {
 	time.Sleep(resetWait)
 	_, err := conn.Write([]byte("\r\n"))
 	return errors.Is(err, syscall.EPIPE) || errors.Is(err, syscall.ECONNRESET)
 }
 
-// crowd makes silent clients connect that stay until their connections end, or the end of the clients.
-func (c *soakClients) crowd(clients int) {
+// flood connects clients that send nothing. They stay connected until the coordinator closes their connections, and at most for
+// floodDuration.
+func (c *soakClients) flood(clients int) {
 	c.mu.Lock()
-	c.crowds = append(c.crowds, interval{from: time.Now(), to: time.Now().Add(crowdLasts)})
+	c.floods = append(c.floods, interval{from: time.Now(), to: time.Now().Add(floodDuration)})
 	c.mu.Unlock()
 	for range clients {
 		c.done.Go(func() {
@@ -223,7 +226,7 @@
 				return
 			}
 			defer func() { _ = conn.Close() }()
-			_ = conn.SetReadDeadline(time.Now().Add(crowdLasts))
+			_ = conn.SetReadDeadline(time.Now().Add(floodDuration))
 			_, _ = io.Copy(io.Discard, conn)
 		})
 	}
--- a/internal/platform/soak_discovery_test.go
+++ b/internal/platform/soak_discovery_test.go
@@ -15,12 +15,12 @@
 	"snowquay/internal/wire/discovery"
 )
 
-// serverSet is the servers that exist, whichever address of discovery tells of them.
+// serverSet is the set of existing servers, shared by the discovery instances at both addresses.
 type serverSet struct {
 	mu       sync.Mutex
 	version  int64
 	servers  map[string]discovery.Server
-	lastName int
+	lastName int // number in the name of the server added last
 }
 
 func newServerSet(servers int) *serverSet {
@@ -39,7 +39,7 @@
 	return s.servers[id]
 }
 
-// names returns the servers of a state, sorted.
+// names returns the sorted IDs of the servers in the given state.
 func (s *serverSet) names(state discovery.State) (names []string) {
 	for id, server := range s.servers {
 		if server.State == state {
@@ -50,7 +50,7 @@
 	return names
 }
 
-// ready returns the servers that may be in tables.
+// ready returns the set of ready servers, which may be in tables.
 func (s *serverSet) ready() map[string]bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -61,7 +61,7 @@
 	return ready
 }
 
-// change changes the set, and returns the line that tells of it.
+// change applies a change to the set and returns the encoded list of the changed servers.
 func (s *serverSet) change(change func() []discovery.Server) string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -81,17 +81,17 @@
 }
 
 func encodeServers(version int64, full bool, servers []discovery.Server) string {
-	text, _ := json.Marshal(discovery.List{Version: version, Full: full, Servers: servers}) // a list always has a JSON form
+	text, _ := json.Marshal(discovery.List{Version: version, Full: full, Servers: servers}) // encoding a list cannot fail
 	return string(text)
 }
 
-// soakDiscovery is discovery at one address.
+// soakDiscovery is a fake discovery at one address.
 type soakDiscovery struct {
 	set      *serverSet
 	listener net.Listener
 
 	mu       sync.Mutex
-	mode     linkMode
+	mode     faultMode
 	conns    map[net.Conn]bool
 	watchers map[net.Conn]bool
 }
@@ -108,22 +108,22 @@
 
 func (d *soakDiscovery) address() string { return d.listener.Addr().String() }
 
-// setMode changes how it treats its connections. When it speaks again after a silence, its connections are reset.
-func (d *soakDiscovery) setMode(mode linkMode) {
+// setMode sets the fault mode. When the silent mode ends, all connections are reset.
+func (d *soakDiscovery) setMode(mode faultMode) {
 	d.mu.Lock()
 	wasSilent := d.mode.silent
 	d.mode = mode
 	d.mu.Unlock()
 	if wasSilent && !mode.silent {
-		d.breakAll()
+		d.resetConnections()
 	}
 }
 
-func (d *soakDiscovery) breakAll() {
+func (d *soakDiscovery) resetConnections() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for conn := range d.conns {
-		reset(conn)
+		resetConnection(conn)
 	}
 }
 
@@ -162,16 +162,16 @@
 	}
 	list := d.set.fullList()
 	if !strings.Contains(request, "stream=1") {
-		writeText(conn, fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(list), list), d.mode.inParts)
+		writeText(conn, fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(list), list), d.mode.fragmented)
 		return
 	}
 	d.watchers[conn] = true
-	writeText(conn, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"+chunk(list+"\n"), d.mode.inParts)
+	writeText(conn, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"+chunk(list+"\n"), d.mode.fragmented)
 }
 
 func chunk(text string) string { return fmt.Sprintf("%x\r\n%s\r\n", len(text), text) }
 
-// send writes text to all who watch, in two chunks.
+// send writes text to all watchers, in two chunks.
 func (d *soakDiscovery) send(text string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -181,13 +181,13 @@
 	for conn := range d.watchers {
 		half := len(text) / 2
 		if half > 0 {
-			writeText(conn, chunk(text[:half]), d.mode.inParts)
+			writeText(conn, chunk(text[:half]), d.mode.fragmented)
 		}
-		writeText(conn, chunk(text[half:]), d.mode.inParts)
+		writeText(conn, chunk(text[half:]), d.mode.fragmented)
 	}
 }
 
-// sendHalfLine writes the first half of a line to all who watch, and nothing more until they connect anew.
+// sendHalfLine writes the first half of a line to all watchers, which receive nothing more until they connect again.
 func (d *soakDiscovery) sendHalfLine(line string) {
 	d.send(line[:len(line)/2])
 	d.mu.Lock()
--- a/internal/platform/soak_events_test.go
+++ b/internal/platform/soak_events_test.go
@@ -9,69 +9,70 @@
 	"snowquay/internal/wire/discovery"
 )
 
-// soakEvent is a fault of a run, or a signal.
+// soakEvent is a fault or a signal of a run.
 type soakEvent struct {
-	at   time.Duration // since the start of the faults
-	kind string
-	pick int           // what the event chooses by
-	last time.Duration // how long it lasts
+	at       time.Duration // since the start of the faults
+	kind     string
+	choice   int           // random number that selects the target or variant of the event
+	duration time.Duration // how long the fault lasts
 }
 
-// soakKinds are drawn alike. Signals come in series: a run has several of them within a second.
-var soakKinds = []string{
-	"hup", "hup malformed", "hup moved", "hup series", "hup series", "hup series", "drain", "drain", "replace", "back in one line",
-	"relay silent", "relay mute", "relay late", "relay in parts", "relay breaks", "discovery silent", "discovery breaks",
-	"discovery in parts", "half a line", "full list", "crowd", "proxies join", "proxies leave", "term", "term after hup", "term twice", "term at start",
+// soakEventKinds are drawn with equal probability. Signals also come in series, so that a run has several of them within a
+// second.
+var soakEventKinds = []string{
+	"hup", "hup malformed", "hup moved", "hup series", "hup series", "hup series", "drain", "drain", "replace", "restart in one line",
+	"relay silent", "relay without responses", "relay delayed", "relay fragmented", "relay reset", "discovery silent", "discovery reset",
+	"discovery fragmented", "partial line", "full list", "client flood", "proxies join", "proxies leave", "term", "term after hup", "term twice", "term at start",
 	"hup at start", "kill",
 }
 
-// drawSoak draws the faults of a run from its seed.
-func drawSoak(random *rand.Rand) (events []soakEvent) {
+// drawEvents draws the events of a run from its random source.
+func drawEvents(random *rand.Rand) (events []soakEvent) {
 	for at := 0.3; at < soakSeconds; at += 0.05 + 0.45*random.Float64() {
 		events = append(events, soakEvent{
-			at:   time.Duration(at * float64(time.Second)),
-			kind: soakKinds[random.IntN(len(soakKinds))],
-			pick: random.IntN(1 << 20),
-			last: time.Duration((0.2 + 1.3*random.Float64()) * float64(time.Second)),
+			at:       time.Duration(at * float64(time.Second)),
+			kind:     soakEventKinds[random.IntN(len(soakEventKinds))],
+			choice:   random.IntN(1 << 20),
+			duration: time.Duration((0.2 + 1.3*random.Float64()) * float64(time.Second)),
 		})
 	}
 	return events
 }
 
-// inject does what an event says.
+// inject executes an event.
 func (n *soakNode) inject(event soakEvent) {
-	n.note("%s (%d, %.2f s)", event.kind, event.pick, event.last.Seconds())
-	relay := n.relays[n.used]
-	source := n.discovery[n.used]
+	n.logf("%s (%d, %.2f s)", event.kind, event.choice, event.duration.Seconds())
+	relay := n.relays[n.active]
+	source := n.discovery[n.active]
 	switch event.kind {
 	case "hup", "hup malformed", "hup moved":
-		n.reload(event.kind, event.pick)
+		n.reload(event.kind, event.choice)
 	case "hup series":
-		n.reloadInSeries(event.pick)
+		n.reloadInSeries(event.choice)
 	case "relay silent":
-		n.setRelayMode(relay, linkMode{silent: true}, event.last)
-	case "relay mute":
-		n.setRelayMode(relay, linkMode{mute: true}, event.last)
-	case "relay late":
-		n.setRelayMode(relay, linkMode{late: 45 * time.Millisecond}, event.last)
-	case "relay in parts":
-		n.setRelayMode(relay, linkMode{inParts: true}, event.last)
-	case "relay breaks":
-		relay.breakAll()
+		n.setRelayMode(relay, faultMode{silent: true}, event.duration)
+	case "relay without responses":
+		n.setRelayMode(relay, faultMode{noResponses: true}, event.duration)
+	case "relay delayed":
+		n.setRelayMode(relay, faultMode{delay: 45 * time.Millisecond}, event.duration)
+	case "relay fragmented":
+		n.setRelayMode(relay, faultMode{fragmented: true}, event.duration)
+	case "relay reset":
+		relay.resetConnections()
 	case "discovery silent":
-		source.setMode(linkMode{silent: true})
-		n.forATime(event.last, func() { source.setMode(linkMode{}) })
-	case "discovery in parts":
-		source.setMode(linkMode{inParts: true})
-		n.forATime(event.last, func() { source.setMode(linkMode{}) })
-	case "discovery breaks":
-		source.breakAll()
-	case "crowd":
-		n.clients.crowd(200 + event.pick%200)
+		source.setMode(faultMode{silent: true})
+		n.runAfter(event.duration, func() { source.setMode(faultMode{}) })
+	case "discovery fragmented":
+		source.setMode(faultMode{fragmented: true})
+		n.runAfter(event.duration, func() { source.setMode(faultMode{}) })
+	case "discovery reset":
+		source.resetConnections()
+	case "client flood":
+		n.clients.flood(200 + event.choice%200)
 	case "proxies join":
-		relay.join(soakProxies, soakProxies+event.pick%soakCrowdProxies)
+		relay.join(soakProxies, soakProxies+event.choice%soakExtraProxies)
 	case "proxies leave":
-		relay.leave(soakProxies/2, soakProxies+event.pick%soakCrowdProxies)
+		relay.leave(soakProxies/2, soakProxies+event.choice%soakExtraProxies)
 	case "term":
 		n.terminate(syscall.SIGTERM)
 	case "term after hup":
@@ -80,12 +81,12 @@
 		n.terminate(syscall.SIGTERM, syscall.SIGTERM)
 	case "hup at start":
 		n.kill()
-		n.launchAndSignal(syscall.SIGHUP, event.pick)
+		n.launchAndSignal(syscall.SIGHUP, event.choice)
 		n.awaitReady()
 	case "term at start":
 		n.kill()
-		n.launchAndSignal(syscall.SIGTERM, event.pick)
-		n.awaitEndAtStart()
+		n.launchAndSignal(syscall.SIGTERM, event.choice)
+		n.awaitExitAtStart()
 		n.start()
 	case "kill":
 		n.kill()
@@ -96,69 +97,69 @@
 	}
 }
 
-// reload sends SIGHUP with the same configuration, a malformed one, or one with the other addresses.
-func (n *soakNode) reload(kind string, pick int) {
+// reload sends SIGHUP after writing the same configuration, a malformed one or one with the other addresses.
+func (n *soakNode) reload(kind string, choice int) {
 	switch kind {
 	case "hup malformed":
 		text, _ := os.ReadFile(n.config)
-		writeConfig(n.t, n.config, string(text[:pick%len(text)]))
+		writeConfig(n.t, n.config, string(text[:choice%len(text)]))
 		n.signal(syscall.SIGHUP)
-		time.Sleep(20 * time.Millisecond) // it reads the file meanwhile, or the next one
-		n.configure(n.used)
+		time.Sleep(20 * time.Millisecond) // the program reads this file meanwhile, or the next one
+		n.configure(n.active)
 		return
 	case "hup moved":
-		n.configure(1 - n.used)
+		n.configure(1 - n.active)
 	}
 	n.signal(syscall.SIGHUP)
 }
 
-// reloadInSeries sends two to five SIGHUP within a second.
-func (n *soakNode) reloadInSeries(pick int) {
+// reloadInSeries sends SIGHUP two to five times within a second.
+func (n *soakNode) reloadInSeries(choice int) {
 	kinds := []string{"hup", "hup moved", "hup malformed", "hup moved"}
-	for i := range 2 + pick%4 {
-		digit := pick >> (3 * i)
-		n.note("series: %s", kinds[digit%len(kinds)])
-		n.reload(kinds[digit%len(kinds)], pick)
+	for i := range 2 + choice%4 {
+		digit := choice >> (3 * i)
+		n.logf("series: %s", kinds[digit%len(kinds)])
+		n.reload(kinds[digit%len(kinds)], choice)
 		time.Sleep(time.Duration(digit%8) * 25 * time.Millisecond)
 	}
 }
 
-func (n *soakNode) setRelayMode(relay *soakRelay, mode linkMode, last time.Duration) {
+func (n *soakNode) setRelayMode(relay *soakRelay, mode faultMode, duration time.Duration) {
 	relay.setMode(mode)
-	n.forATime(last, func() {
-		relay.setMode(linkMode{})
+	n.runAfter(duration, func() {
+		relay.setMode(faultMode{})
 		if mode.silent {
-			relay.breakAll() // the network resets what was open when it is back
+			relay.resetConnections() // connections are reset when the network recovers
 		}
 	})
 }
 
-// changeServers plays the events of discovery's list.
+// changeServers executes the events that change the server list of discovery.
 func (n *soakNode) changeServers(event soakEvent, source *soakDiscovery) {
 	switch event.kind {
 	case "drain":
-		source.send(n.servers.change(func() []discovery.Server { return n.setState(event.pick, discovery.Draining) }) + "\n")
+		source.send(n.servers.change(func() []discovery.Server { return n.setState(event.choice, discovery.Draining) }) + "\n")
 	case "replace":
 		source.send(n.servers.change(func() []discovery.Server {
-			return append(n.setState(event.pick, discovery.Removed), n.servers.add())
+			return append(n.setState(event.choice, discovery.Removed), n.servers.add())
 		}) + "\n")
-	case "back in one line":
-		source.send(n.servers.change(func() []discovery.Server { return n.goneAndBack(event.pick) }) + "\n")
-	case "half a line":
-		source.sendHalfLine(n.servers.change(func() []discovery.Server { return n.setState(event.pick, discovery.Draining) }))
-		n.forATime(event.last, source.breakAll)
+	case "restart in one line":
+		source.send(n.servers.change(func() []discovery.Server { return n.restartServer(event.choice) }) + "\n")
+	case "partial line":
+		source.sendHalfLine(n.servers.change(func() []discovery.Server { return n.setState(event.choice, discovery.Draining) }))
+		n.runAfter(event.duration, source.resetConnections)
 	case "full list":
 		source.send(n.servers.fullList() + "\n")
 	}
 }
 
-// setState gives one of the ready servers another state, unless few are left.
-func (n *soakNode) setState(pick int, state discovery.State) []discovery.Server {
+// setState changes the state of one of the ready servers. If only three or fewer are left, it adds a server instead.
+func (n *soakNode) setState(choice int, state discovery.State) []discovery.Server {
 	ready := n.servers.names(discovery.Ready)
 	if len(ready) <= 3 {
 		return []discovery.Server{n.servers.add()}
 	}
-	server := n.servers.servers[ready[pick%len(ready)]]
+	server := n.servers.servers[ready[choice%len(ready)]]
 	server.State = state
 	n.servers.servers[server.ID] = server
 	if state == discovery.Removed {
@@ -167,13 +168,13 @@
 	return []discovery.Server{server}
 }
 
-// goneAndBack names one of the ready servers as gone and as started again.
-func (n *soakNode) goneAndBack(pick int) []discovery.Server {
+// restartServer returns two entries for one of the ready servers: that it was removed, and that it has started again.
+func (n *soakNode) restartServer(choice int) []discovery.Server {
 	ready := n.servers.names(discovery.Ready)
-	back := n.servers.servers[ready[pick%len(ready)]]
-	gone := back
-	gone.State = discovery.Removed
-	back.StartedMS = float64(time.Now().UnixMilli())
-	n.servers.servers[back.ID] = back
-	return []discovery.Server{gone, back}
+	restarted := n.servers.servers[ready[choice%len(ready)]]
+	removed := restarted
+	removed.State = discovery.Removed
+	restarted.StartedMS = float64(time.Now().UnixMilli())
+	n.servers.servers[restarted.ID] = restarted
+	return []discovery.Server{removed, restarted}
 }
--- a/internal/platform/soak_relay_test.go
+++ b/internal/platform/soak_relay_test.go
@@ -13,7 +13,7 @@
 	"time"
 )
 
-// relayState is what the proxies of a coordinator were told, whichever address of the relay the calls came to.
+// relayState is the state of the proxies of a coordinator. The relays at both addresses share it.
 type relayState struct {
 	mu        sync.Mutex
 	joined    map[int]bool
@@ -32,7 +32,7 @@
 	return s
 }
 
-// reset forgets what the proxies were told: the coordinator that told them has ended, and they join the next one anew.
+// reset discards all tables, assignments and withdrawals. It is called when the coordinator has exited and the proxies join the next one.
 func (s *relayState) reset() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -41,14 +41,14 @@
 	s.withdrawn = map[string]bool{}
 }
 
-// soakCommand is an order of a call, in the protocol's words.
+// soakCommand is a command of a call.
 type soakCommand struct {
-	Do      string  `json:"do"`
-	Group   *int    `json:"group"`
-	Host    string  `json:"host"`
-	Share   float64 `json:"share"`
-	Sidecar *int    `json:"sidecar"`
-	Stamp   int64   `json:"stamp"`
+	Action string  `json:"do"`
+	Table  *int    `json:"group"`
+	Server string  `json:"host"`
+	Weight float64 `json:"share"`
+	Proxy  *int    `json:"sidecar"`
+	AckID  int64   `json:"stamp"`
 }
 
 type soakCall struct {
@@ -59,68 +59,70 @@
 	} `json:"params"`
 }
 
-// apply carries a call out up to the first order about a proxy that has not joined, and returns the number of those carried out.
-func (s *relayState) apply(call *soakCall) (accepted int, stamp int64) {
+// apply executes the commands of a call up to the first one for a proxy that has not joined. It returns the number of executed
+// commands and the ID of the last request for acknowledgements, 0 if there was none.
+func (s *relayState) apply(call *soakCall) (accepted int, ackID int64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.calls++
 	for _, command := range call.Params.Changes {
-		if command.Sidecar != nil && !s.joined[*command.Sidecar] {
-			return accepted, stamp
+		if command.Proxy != nil && !s.joined[*command.Proxy] {
+			return accepted, ackID
 		}
-		switch command.Do {
+		switch command.Action {
 		case "share":
 			s.setEntry(command)
 		case "clear":
 			s.clear(command)
 		case "bind":
-			s.tableOf[*command.Sidecar] = *command.Group
+			s.tableOf[*command.Proxy] = *command.Table
 		case "withdraw":
-			s.withdrawn[command.Host] = true
+			s.withdrawn[command.Server] = true
 		case "restore":
-			delete(s.withdrawn, command.Host)
+			delete(s.withdrawn, command.Server)
 		case "mark":
-			stamp = command.Stamp
+			ackID = command.AckID
 		}
 		accepted++
 	}
-	return accepted, stamp
+	return accepted, ackID
 }
 
 func (s *relayState) setEntry(command soakCommand) {
-	table := s.tables[*command.Group]
+	table := s.tables[*command.Table]
 	if table == nil {
 		table = map[string]bool{}
-		s.tables[*command.Group] = table
+		s.tables[*command.Table] = table
 	}
-	if command.Share > 0 {
-		table[command.Host] = true
+	if command.Weight > 0 {
+		table[command.Server] = true
 	} else {
-		delete(table, command.Host)
+		delete(table, command.Server)
 	}
 }
 
 func (s *relayState) clear(command soakCommand) {
-	if command.Group == nil {
+	if command.Table == nil {
 		clear(s.tables)
 		return
 	}
-	delete(s.tables, *command.Group)
+	delete(s.tables, *command.Table)
 }
 
-// fault says what is wrong with the table of some joined proxy; empty if every table has servers, and only ready ones.
-func (s *relayState) fault(ready map[string]bool) string {
+// tableFault describes the fault in the table of a joined proxy. It returns an empty string if every table has servers and all of
+// them are ready.
+func (s *relayState) tableFault(ready map[string]bool) string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, proxy := range slices.Sorted(maps.Keys(s.joined)) {
-		number, bound := s.tableOf[proxy]
-		if !bound {
+		number, assigned := s.tableOf[proxy]
+		if !assigned {
 			return fmt.Sprintf("proxy %d has no table", proxy)
 		}
 		usable := 0
 		for server := range s.tables[number] {
 			if !ready[server] && !s.withdrawn[server] {
-				return fmt.Sprintf("proxy %d has %s in its table, which is not ready", proxy, server)
+				return fmt.Sprintf("table of proxy %d contains %s, which is not ready", proxy, server)
 			}
 			if ready[server] && !s.withdrawn[server] {
 				usable++
@@ -139,28 +141,28 @@
 	return slices.Sorted(maps.Keys(s.joined))
 }
 
-// linkMode is how a stand-in treats its connections.
-type linkMode struct {
-	silent  bool          // it reads, and carries out and says nothing
-	mute    bool          // it carries calls out, and does not answer them; its proxies acknowledge as ever
-	late    time.Duration // before each answer
-	inParts bool          // it writes a few bytes at a time
+// faultMode specifies the faults that a fake relay or discovery applies to its connections.
+type faultMode struct {
+	silent      bool          // ignores everything that it reads, and sends nothing
+	noResponses bool          // executes calls without a response; the proxies acknowledge as usual
+	delay       time.Duration // before each response
+	fragmented  bool          // writes a few bytes at a time
 }
 
-// soakRelay is a relay at one address.
+// soakRelay is a fake relay at one address.
 type soakRelay struct {
 	state    *relayState
 	listener net.Listener
 
-	mu    sync.Mutex
-	mode  linkMode
-	conns map[net.Conn]*sync.Mutex // with the lock of their writes
-	watch map[net.Conn]bool
+	mu          sync.Mutex
+	mode        faultMode
+	conns       map[net.Conn]*sync.Mutex // value: lock for writes to the connection
+	subscribers map[net.Conn]bool
 }
 
 func startSoakRelay(t *testing.T, state *relayState) *soakRelay {
 	t.Helper()
-	r := &soakRelay{state: state, listener: listenOnLoopback(t), conns: map[net.Conn]*sync.Mutex{}, watch: map[net.Conn]bool{}}
+	r := &soakRelay{state: state, listener: listenOnLoopback(t), conns: map[net.Conn]*sync.Mutex{}, subscribers: map[net.Conn]bool{}}
 	go acceptAll(r.listener, r.handle)
 	stop := make(chan struct{})
 	t.Cleanup(func() { close(stop) })
@@ -170,24 +172,24 @@
 
 func (r *soakRelay) address() string { return r.listener.Addr().String() }
 
-func (r *soakRelay) setMode(mode linkMode) {
+func (r *soakRelay) setMode(mode faultMode) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.mode = mode
 }
 
-func (r *soakRelay) currentMode() linkMode {
+func (r *soakRelay) currentMode() faultMode {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.mode
 }
 
-// breakAll resets all connections.
-func (r *soakRelay) breakAll() {
+// resetConnections resets all connections.
+func (r *soakRelay) resetConnections() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for conn := range r.conns {
-		reset(conn)
+		resetConnection(conn)
 	}
 }
 
@@ -198,7 +200,7 @@
 	defer func() {
 		r.mu.Lock()
 		delete(r.conns, conn)
-		delete(r.watch, conn)
+		delete(r.subscribers, conn)
 		r.mu.Unlock()
 		_ = conn.Close()
 	}()
@@ -212,11 +214,11 @@
 		if json.Unmarshal(line, &call) != nil {
 			return
 		}
-		r.answer(conn, &call)
+		r.respond(conn, &call)
 	}
 }
 
-func (r *soakRelay) answer(conn net.Conn, call *soakCall) {
+func (r *soakRelay) respond(conn net.Conn, call *soakCall) {
 	mode := r.currentMode()
 	if mode.silent {
 		return
@@ -225,14 +227,14 @@
 		r.subscribe(conn, call.ID)
 		return
 	}
-	accepted, stamp := r.state.apply(call)
-	time.Sleep(mode.late)
-	if !mode.mute {
+	accepted, ackID := r.state.apply(call)
+	time.Sleep(mode.delay)
+	if !mode.noResponses {
 		r.write(conn, fmt.Sprintf(`{"jsonrpc":"2.0","id":%d,"result":{"accepted":%d}}`+"\n", call.ID, accepted))
 	}
-	if stamp > 0 {
+	if ackID > 0 {
 		for _, proxy := range r.state.proxies() {
-			r.notify(fmt.Sprintf(`{"jsonrpc":"2.0","method":"done","params":{"sidecar":%d,"version":%d,"lag_ms":20}}`+"\n", proxy, stamp))
+			r.notify(fmt.Sprintf(`{"jsonrpc":"2.0","method":"done","params":{"sidecar":%d,"version":%d,"lag_ms":20}}`+"\n", proxy, ackID))
 		}
 	}
 }
@@ -240,33 +242,33 @@
 func (r *soakRelay) subscribe(conn net.Conn, id uint64) {
 	text := fmt.Sprintf(`{"jsonrpc":"2.0","id":%d,"result":true}`+"\n", id)
 	for _, proxy := range r.state.proxies() {
-		text += joinNotice(proxy)
+		text += joinEvent(proxy)
 	}
 	r.mu.Lock()
-	r.watch[conn] = true
+	r.subscribers[conn] = true
 	r.mu.Unlock()
 	r.write(conn, text)
 }
 
-func joinNotice(proxy int) string {
+func joinEvent(proxy int) string {
 	return fmt.Sprintf(`{"jsonrpc":"2.0","method":"attach","params":{"sidecar":%d,"az":"a","share":2,"standing":true}}`+"\n", proxy)
 }
 
-// join makes proxies join that have not.
+// join lets the proxies in [from, to) join, except those that have already joined.
 func (r *soakRelay) join(from, to int) {
 	text := ""
 	r.state.mu.Lock()
 	for proxy := from; proxy < to; proxy++ {
 		if !r.state.joined[proxy] {
 			r.state.joined[proxy] = true
-			text += joinNotice(proxy)
+			text += joinEvent(proxy)
 		}
 	}
 	r.state.mu.Unlock()
 	r.notify(text)
 }
 
-// leave makes proxies leave that have joined.
+// leave lets those proxies in [from, to) leave that have joined.
 func (r *soakRelay) leave(from, to int) {
 	text := ""
 	r.state.mu.Lock()
@@ -281,10 +283,10 @@
 	r.notify(text)
 }
 
-// notify writes to all who watch.
+// notify writes text to all subscribers.
 func (r *soakRelay) notify(text string) {
 	r.mu.Lock()
-	watchers := slices.Collect(maps.Keys(r.watch))
+	watchers := slices.Collect(maps.Keys(r.subscribers))
 	silent := r.mode.silent
 	r.mu.Unlock()
 	if silent || text == "" {
@@ -309,21 +311,21 @@
 func (r *soakRelay) write(conn net.Conn, text string) {
 	r.mu.Lock()
 	lock := r.conns[conn]
-	inParts := r.mode.inParts
+	fragmented := r.mode.fragmented
 	r.mu.Unlock()
 	if lock == nil {
 		return
 	}
 	lock.Lock()
 	defer lock.Unlock()
-	writeText(conn, text, inParts)
+	writeText(conn, text, fragmented)
 }
 
-// writeText writes a text whole or, of its first bytes, a few at a time.
-func writeText(conn net.Conn, text string, inParts bool) {
+// writeText writes a text at once or, if fragmented is set, its beginning in parts of a few bytes.
+func writeText(conn net.Conn, text string, fragmented bool) {
 	const partBytes = 7
 	const maxParts = 40
-	for part := 0; inParts && part < maxParts && len(text) > partBytes; part++ {
+	for part := 0; fragmented && part < maxParts && len(text) > partBytes; part++ {
 		if _, err := io.WriteString(conn, text[:partBytes]); err != nil {
 			return
 		}
@@ -353,8 +355,8 @@
 	}
 }
 
-// reset ends a connection by a reset.
-func reset(conn net.Conn) {
+// resetConnection closes a connection with a TCP reset.
+func resetConnection(conn net.Conn) {
 	_ = conn.(*net.TCPConn).SetLinger(0)
 	_ = conn.Close()
 }
--- a/internal/platform/soak_test.go
+++ b/internal/platform/soak_test.go
@@ -19,104 +19,104 @@
 )
 
 var (
-	soakSeeds = flag.Int("soak-seeds", 12, "runs of the soak")
-	soakFirst = flag.Uint64("soak-first", 1, "first seed of the soak")
-	soakSide  = flag.Int("soak-parallel", 4, "runs of the soak at once")
+	soakSeeds     = flag.Int("soak-seeds", 12, "number of soak test runs")
+	soakFirstSeed = flag.Uint64("soak-first", 1, "seed of the first soak test run")
+	soakParallel  = flag.Int("soak-parallel", 4, "number of soak test runs in parallel")
 )
 
 const (
-	soakSeconds      = 9.0 // of faults
+	soakSeconds      = 9.0 // length of the fault phase
 	soakProxies      = 20
-	soakCrowdProxies = 300
+	soakExtraProxies = 300
 	soakDescriptors  = 384
 	soakMemoryMB     = 64
 
-	endAfterTERM    = 500 * time.Millisecond
-	killAfterTERM   = 700 * time.Millisecond // the earliest that the protocol allows
-	readyAfterStart = 10 * time.Second
-	settledWithin   = 12 * time.Second // after the last fault; the drain deadline is 3 s, a list counts as told after 6 s
+	exitAfterTERM      = 500 * time.Millisecond
+	killAfterTERM      = 700 * time.Millisecond // the platform sends SIGKILL at this time at the earliest
+	readyTimeout       = 10 * time.Second
+	convergenceTimeout = 12 * time.Second // after the last fault; the drain deadline is 3 s, and a list counts as delivered after 6 s
 )
 
 const soakSettings = `{"balancers":2,"zones":["a"],"host-types":["m"],"family-info":{"data-plane-size":400,"egress-per-s":4000,"pending-max":4000,
 "per-message":3,"period":0.5,"propagation":0.02,"late-most":0.3,"unserved-max":3},"grades":[{"name":"lookup","aim":1.5,"deadline":5,"effect":"free",
 "points":3}],"guarantees":{"cold":5,"stop-sending-within":3},"report":{}}`
 
-// soakNode is one coordinator with its stand-ins, each at two addresses.
+// soakNode is a coordinator with its fake relays and discoveries, each at two addresses.
 type soakNode struct {
-	t         *testing.T
-	run       string // the command line, by the shell
-	address   string
-	config    string // path of the configuration file
-	state     *relayState
-	servers   *serverSet
-	relays    [2]*soakRelay
-	discovery [2]*soakDiscovery
-	clients   *soakClients
-	startedAt time.Time
-
-	mu         sync.Mutex
-	log        strings.Builder
-	violations []string
-	used       int // which of the two addresses the configuration names
-	process    *soakProcess
-	restarts   int
-	mayRestore sync.WaitGroup // faults that have not ended
+	t           *testing.T
+	commandLine string // shell command that starts the program
+	address     string
+	config      string // path of the configuration file
+	state       *relayState
+	servers     *serverSet
+	relays      [2]*soakRelay
+	discovery   [2]*soakDiscovery
+	clients     *soakClients
+	startedAt   time.Time
+
+	mu           sync.Mutex
+	log          strings.Builder
+	violations   []string
+	active       int // index of the addresses in the current configuration
+	process      *soakProcess
+	restarts     int
+	activeFaults sync.WaitGroup // faults that have not ended yet
 }
 
-// soakProcess is one process of a coordinator.
+// soakProcess is a coordinator process.
 type soakProcess struct {
 	*exec.Cmd
 	ended    chan struct{}
-	err      error // once ended is closed
-	signaled bool  // SIGTERM or SIGKILL was sent
+	err      error // result of Wait, valid once ended is closed
+	signaled bool  // whether SIGTERM or SIGKILL was sent
 	output   strings.Builder
 }
 
-func newSoakNode(t *testing.T, run string) *soakNode {
+func newSoakNode(t *testing.T, commandLine string) *soakNode {
 	t.Helper()
-	n := &soakNode{t: t, run: run, state: newRelayState(soakProxies), servers: newServerSet(8), startedAt: time.Now()}
+	n := &soakNode{t: t, commandLine: commandLine, state: newRelayState(soakProxies), servers: newServerSet(8), startedAt: time.Now()}
 	for i := range n.relays {
 		n.relays[i] = startSoakRelay(t, n.state)
 		n.discovery[i] = startSoakDiscovery(t, n.servers)
 	}
-	n.address = ownAddress()
+	n.address = uniqueAddress()
 	n.config = filepath.Join(t.TempDir(), "config.json")
 	n.configure(0)
 	return n
 }
 
-// soakAddresses counts the addresses that were given to coordinators.
+// soakAddresses is the number of addresses assigned to coordinators.
 var soakAddresses atomic.Uint32
 
-// ownAddress returns a loopback address that nothing else in this process dials from or listens on, so that a coordinator that
-// starts anew finds its port free. Another run of the tests has other addresses.
-func ownAddress() string {
+// uniqueAddress returns a loopback address that nothing else in this process dials from or listens on, so that a restarted coordinator
+// finds its port free. Other test processes use other addresses, unless their process IDs are equal modulo 128.
+func uniqueAddress() string {
 	number := soakAddresses.Add(1)
 	address := netip.AddrFrom4([4]byte{127, byte(64 + os.Getpid()%128), byte(number / 250), byte(1 + number%250)})
 	return netip.AddrPortFrom(address, 8000).String()
 }
 
-// note writes an event with its time to the log of the run.
-func (n *soakNode) note(format string, arguments ...any) {
+// logf adds a line with the current time to the log of the run.
+func (n *soakNode) logf(format string, arguments ...any) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	now := time.Now()
 	fmt.Fprintf(&n.log, "%7.3f %s %s\n", now.Sub(n.startedAt).Seconds(), now.Format("05.000"), fmt.Sprintf(format, arguments...))
 }
 
-func (n *soakNode) violation(format string, arguments ...any) {
+func (n *soakNode) addViolation(format string, arguments ...any) {
 	text := fmt.Sprintf(format, arguments...)
-	n.note("VIOLATION: %s", text)
+	n.logf("VIOLATION: %s", text)
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.violations = append(n.violations, text)
 }
 
-// configure writes a configuration that names one of the two addresses of relay and discovery.
-func (n *soakNode) configure(used int) {
-	n.used = used
+// configure writes a configuration with the relay and discovery addresses of the given index.
+func (n *soakNode) configure(active int) {
+	n.active = active
 	writeConfig(n.t, n.config, fmt.Sprintf(`{"name":"n0","listen":%q,"discovery":%q,"hub":{"address":%q},"seed":"8c1f30d27a5be964",
-"limits":{"cores":0.5,"memory_mb":%d,"sockets":%d},"known":%s,"settings":%s}`, n.address, n.discovery[used].address(), n.relays[used].address(),
+"limits":{"cores":0.5,"memory_mb":%d,"sockets":%d},"known":%s,"settings":%s}`, n.address, n.discovery[active].address(), n.relays[active].address(),
 		soakMemoryMB, soakDescriptors, n.servers.fullList(), soakSettings))
 }
 
@@ -126,11 +126,11 @@
 	n.awaitReady()
 }
 
-// launch starts a process as the deploy file does.
+// launch starts a process with the command of the deploy file.
 func (n *soakNode) launch() {
 	n.state.reset()
 	p := &soakProcess{ended: make(chan struct{})}
-	p.Cmd = exec.Command("/bin/sh", "-c", n.run)
+	p.Cmd = exec.Command("/bin/sh", "-c", n.commandLine)
 	p.Env = append(os.Environ(), configVariable+"="+n.config)
 	p.Stdout = &p.output
 	p.Stderr = &p.output
@@ -139,50 +139,50 @@
 		return
 	}
 	n.process = p
-	n.note("started process %d", p.Process.Pid)
-	go n.awaitEnd(p)
+	n.logf("started process %d", p.Process.Pid)
+	go n.awaitExit(p)
 }
 
-// launchAndSignal starts a process, and sends it a signal a few milliseconds after the shell has become the program.
-func (n *soakNode) launchAndSignal(signal syscall.Signal, pick int) {
+// launchAndSignal starts a process and sends it a signal a few milliseconds after the shell has executed the program.
+func (n *soakNode) launchAndSignal(signal syscall.Signal, choice int) {
 	n.launch()
 	comm := fmt.Sprintf("/proc/%d/comm", n.process.Process.Pid)
 	for name := ""; name != "snowquay\n"; {
 		text, err := os.ReadFile(comm)
 		if err != nil {
-			return // it has ended
+			return // the process has exited
 		}
 		name = string(text)
 	}
-	time.Sleep(time.Duration(pick%12) * time.Millisecond)
+	time.Sleep(time.Duration(choice%12) * time.Millisecond)
 	n.signal(signal)
 }
 
 func (n *soakNode) awaitReady() {
 	startedAt := time.Now()
 	for !isReadyAt(n.address) {
-		if time.Since(startedAt) > readyAfterStart {
-			n.violation("not ready within %v", readyAfterStart)
+		if time.Since(startedAt) > readyTimeout {
+			n.addViolation("not ready within %v", readyTimeout)
 			return
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
-	n.note("ready after %.3f s", time.Since(startedAt).Seconds())
+	n.logf("ready after %.3f s", time.Since(startedAt).Seconds())
 }
 
-// awaitEnd notices the end of a process that nobody has ended.
-func (n *soakNode) awaitEnd(p *soakProcess) {
+// awaitExit waits until a process exits, and adds a violation if neither SIGTERM nor SIGKILL was sent to it.
+func (n *soakNode) awaitExit(p *soakProcess) {
 	p.err = p.Wait()
 	n.mu.Lock()
 	signaled := p.signaled
 	n.mu.Unlock()
 	close(p.ended)
 	if !signaled {
-		n.violation("it ended by itself: %v\n%s", p.err, p.output.String())
+		n.addViolation("the process exited without a signal: %v\n%s", p.err, p.output.String())
 	}
 }
 
-// isReadyAt reports whether a readiness check is answered within a second.
+// isReadyAt reports whether a readiness check at an address gets a response within a second.
 func isReadyAt(address string) bool {
 	conn, err := net.Dial("tcp", address)
 	if err != nil {
@@ -196,7 +196,7 @@
 	return string(answer[:count]) == readyAnswer
 }
 
-// signal sends a signal, unless the process has ended.
+// signal sends a signal to the process. It has no effect if the process has exited.
 func (n *soakNode) signal(signal syscall.Signal) {
 	n.mu.Lock()
 	n.process.signaled = n.process.signaled || signal != syscall.SIGHUP
@@ -204,7 +204,8 @@
 	_ = n.process.Process.Signal(signal)
 }
 
-// terminate sends signals that end the process, SIGKILL at the earliest, and starts it at the same address at once.
+// terminate sends the given signals, then SIGKILL if the process has not exited at the earliest time that the platform allows. It
+// restarts the process at the same address immediately.
 func (n *soakNode) terminate(signals ...syscall.Signal) {
 	p := n.process
 	sentAt := time.Now()
@@ -214,25 +215,26 @@
 	select {
 	case <-p.ended:
 		took := time.Since(sentAt)
-		n.note("ended after %.3f s: %v", took.Seconds(), p.err)
-		if p.err != nil || took > endAfterTERM {
-			n.violation("after SIGTERM it ended after %v: %v\n%s", took, p.err, p.output.String())
+		n.logf("exited after %.3f s: %v", took.Seconds(), p.err)
+		if p.err != nil || took > exitAfterTERM {
+			n.addViolation("the process exited %v after SIGTERM: %v\n%s", took, p.err, p.output.String())
 		}
 	case <-time.After(killAfterTERM):
-		n.violation("it runs %v after SIGTERM", killAfterTERM)
+		n.addViolation("the process is still running %v after SIGTERM", killAfterTERM)
 		n.kill()
 	}
 	n.restarts++
 	n.start()
 }
 
-// awaitEndAtStart waits for the end of a process that was told to end before it may have listened. The signal itself may have ended it.
-func (n *soakNode) awaitEndAtStart() {
+// awaitExitAtStart waits until a process exits that received SIGTERM possibly before it was listening. It may have been terminated by
+// the signal itself, before it handled signals.
+func (n *soakNode) awaitExitAtStart() {
 	select {
 	case <-n.process.ended:
-		n.note("ended at its start: %v", n.process.err)
-	case <-time.After(endAfterTERM):
-		n.violation("it runs %v after a SIGTERM at its start", endAfterTERM)
+		n.logf("exited at its start: %v", n.process.err)
+	case <-time.After(exitAfterTERM):
+		n.addViolation("the process is still running %v after a SIGTERM at its start", exitAfterTERM)
 		n.kill()
 	}
 }
@@ -241,57 +243,58 @@
 	from := time.Now()
 	n.signal(syscall.SIGKILL)
 	<-n.process.ended
-	n.clients.killed(from)
+	n.clients.recordKill(from)
 }
 
-// for a time lets a fault last.
-func (n *soakNode) forATime(last time.Duration, end func()) {
-	n.mayRestore.Go(func() {
-		time.Sleep(last)
+// runAfter runs a function that ends a fault after the given duration.
+func (n *soakNode) runAfter(duration time.Duration, end func()) {
+	n.activeFaults.Go(func() {
+		time.Sleep(duration)
 		end()
 	})
 }
 
-// resources are what a process holds.
+// resources contains the resource usage of a process.
 type resources struct{ descriptors, threads, residentKB int }
 
 func (n *soakNode) resources() resources {
 	folder := fmt.Sprintf("/proc/%d/", n.process.Process.Pid)
 	descriptors, _ := os.ReadDir(folder + "fd")
 	status, _ := os.ReadFile(folder + "status")
-	return resources{descriptors: len(descriptors), threads: statusFigure(string(status), "Threads:"), residentKB: statusFigure(string(status), "VmRSS:")}
+	return resources{descriptors: len(descriptors), threads: statusValue(string(status), "Threads:"), residentKB: statusValue(string(status), "VmRSS:")}
 }
 
-func statusFigure(status, key string) int {
+func statusValue(status, key string) int {
 	_, rest, _ := strings.Cut(status, key)
 	fields := strings.Fields(rest)
 	if len(fields) == 0 {
 		return 0
 	}
-	figure, _ := strconv.Atoi(fields[0])
-	return figure
+	value, _ := strconv.Atoi(fields[0])
+	return value
 }
 
-// settle waits until the proxies have the tables that they are to have, and reports what is wrong if that takes too long.
-func (n *soakNode) settle() {
-	n.mayRestore.Wait()
-	end := time.Now().Add(settledWithin)
-	fault := n.state.fault(n.servers.ready())
-	for fault != "" && time.Now().Before(end) {
+// awaitConvergence waits until all faults have ended and all proxies have correct tables. It adds a violation if that takes longer
+// than convergenceTimeout.
+func (n *soakNode) awaitConvergence() {
+	n.activeFaults.Wait()
+	end := time.Now().Add(convergenceTimeout)
+	tableFault := n.state.tableFault(n.servers.ready())
+	for tableFault != "" && time.Now().Before(end) {
 		time.Sleep(20 * time.Millisecond)
-		fault = n.state.fault(n.servers.ready())
+		tableFault = n.state.tableFault(n.servers.ready())
 	}
-	if fault != "" {
-		n.violation("%v after the last fault: %s\n%s", settledWithin, fault, n.process.output.String())
+	if tableFault != "" {
+		n.addViolation("%v after the last fault: %s\n%s", convergenceTimeout, tableFault, n.process.output.String())
 		return
 	}
-	n.note("settled")
+	n.logf("tables have converged")
 }
 
-// play plays a whole run of one coordinator.
-func (n *soakNode) play(events []soakEvent) {
+// run executes a whole run of one coordinator.
+func (n *soakNode) run(events []soakEvent) {
 	n.start()
-	n.settle()
+	n.awaitConvergence()
 	before := n.resources()
 	n.clients = startClients(n.address)
 	faultsAt := time.Now()
@@ -299,55 +302,56 @@
 		time.Sleep(time.Until(faultsAt.Add(event.at)))
 		n.inject(event)
 	}
-	n.settle()
-	for _, text := range n.clients.end() {
-		n.violation("%s", text)
+	n.awaitConvergence()
+	for _, text := range n.clients.finish() {
+		n.addViolation("%s", text)
 	}
-	n.note("%d readiness checks answered, %d restarts", n.clients.answers.Load(), n.restarts)
-	time.Sleep(1500 * time.Millisecond) // what clients have left behind is closed
+	n.logf("%d responses to readiness checks, %d restarts", n.clients.answers.Load(), n.restarts)
+	time.Sleep(1500 * time.Millisecond) // the coordinator closes the connections that the clients have left open
 	after := n.resources()
-	n.note("held %+v before the faults, %+v after", before, after)
+	n.logf("resources: %+v before the faults, %+v after", before, after)
 	if after.descriptors > before.descriptors+2 || after.threads > before.threads+4 || after.residentKB > soakMemoryMB<<10 {
-		n.violation("it held %+v before the faults, and holds %+v", before, after)
+		n.addViolation("resource usage was %+v before the faults and is %+v after", before, after)
 	}
 	n.signal(syscall.SIGTERM)
 	select {
 	case <-n.process.ended:
 	case <-time.After(killAfterTERM):
-		n.violation("it runs %v after the last SIGTERM", killAfterTERM)
+		n.addViolation("the process is still running %v after the last SIGTERM", killAfterTERM)
 		n.kill()
 	}
 }
 
-// The built program, several coordinators at once, through signals in series and faults of everybody around them, judged from
-// outside: it ends only when it is told to, and then in time; checks that it has read are answered; afterwards all proxies have
-// tables of ready servers, and the process holds no more than before.
+// TestSoak runs several coordinators of the built program at once through series of signals and through faults of relays, discovery
+// and clients, and observes them from outside. A process must exit only on a signal, and then in time. It must respond to every
+// readiness check that it has read. Afterwards all proxies must have tables of ready servers, and the process must not use more
+// resources than before.
 func TestSoak(t *testing.T) {
 	if testing.Short() {
-		t.Skip("real time")
+		t.Skip("runs in real time")
 	}
-	run := deployed(t)
-	limit := make(chan struct{}, *soakSide)
+	commandLine := deployCommand(t)
+	limit := make(chan struct{}, *soakParallel)
 	for i := range *soakSeeds {
-		seed := *soakFirst + uint64(i)
+		seed := *soakFirstSeed + uint64(i)
 		t.Run(strconv.FormatUint(seed, 10), func(t *testing.T) {
 			t.Parallel()
 			limit <- struct{}{}
 			defer func() { <-limit }()
-			soak(t, run, seed)
+			runSoak(t, commandLine, seed)
 		})
 	}
 }
 
-func soak(t *testing.T, run string, seed uint64) {
+func runSoak(t *testing.T, commandLine string, seed uint64) {
 	random := rand.New(rand.NewPCG(seed, 0x50a))
 	var nodes []*soakNode
 	var runs sync.WaitGroup
 	for range 2 {
-		node := newSoakNode(t, run)
+		node := newSoakNode(t, commandLine)
 		nodes = append(nodes, node)
-		events := drawSoak(random)
-		runs.Go(func() { node.play(events) })
+		events := drawEvents(random)
+		runs.Go(func() { node.run(events) })
 	}
 	runs.Wait()
 	for i, node := range nodes {
@@ -359,8 +363,9 @@
 	}
 }
 
-// deployed builds the program as the deploy file does, and returns the file's command line for what was built.
-func deployed(t *testing.T) string {
+// deployCommand builds the program as for a deployment, and returns the run command of the deploy file with the path of the built
+// program.
+func deployCommand(t *testing.T) string {
 	t.Helper()
 	binary := filepath.Join(t.TempDir(), "snowquay")
 	command := exec.Command("go", "build", "-ldflags=-linkmode=external", "-o", binary, "snowquay/cmd/snowquay")
@@ -373,9 +378,9 @@
 		t.Fatal(err)
 	}
 	_, rest, _ := strings.Cut(string(file), "\nrun = \"")
-	run, _, found := strings.Cut(rest, "\"")
-	if !found || !strings.Contains(run, "bin/snowquay") {
-		t.Fatalf("the deploy file runs %q", run)
+	commandLine, _, found := strings.Cut(rest, "\"")
+	if !found || !strings.Contains(commandLine, "bin/snowquay") {
+		t.Fatalf("the run command of the deploy file is %q, want one with bin/snowquay", commandLine)
 	}
-	return strings.Replace(run, "bin/snowquay", binary, 1)
+	return strings.Replace(commandLine, "bin/snowquay", binary, 1)
 }
