--- a/internal/core/longpoll/answers.go
+++ b/internal/core/longpoll/answers.go
@@ -104,7 +104,7 @@
 	}
 	switch {
 	case full:
-		s.Stats.Full++
+		s.Stats.FullTables++
 	case len(added.Entries) == 0 && !added.HasAdmission:
 		s.answer.Classes = s.answer.Classes[:len(s.answer.Classes)-1]
 		return 0
--- a/internal/core/longpoll/polls.go
+++ b/internal/core/longpoll/polls.go
@@ -131,7 +131,7 @@
 			return
 		}
 	}
-	s.Stats.Empty++
+	s.Stats.EmptyAnswers++
 	s.answer.Classes = s.answer.Classes[:0]
 	s.answer.Base = 0
 	s.reply(now, client)
--- a/internal/core/longpoll/server.go
+++ b/internal/core/longpoll/server.go
@@ -64,7 +64,7 @@
 
 // Stats counts events since the start, for metrics.
 type Stats struct {
-	Polls, Answers, Empty, Deltas, Full, Rejected, Lost, Joins, Left, Unknown int
+	Polls, Answers, EmptyAnswers, Deltas, FullTables, Rejected, LostAnswers, Joins, Left, UnknownVersions int
 }
 
 // Server serves the long polls of one coordinator. Use New.
--- a/internal/core/longpoll/server_test.go
+++ b/internal/core/longpoll/server_test.go
@@ -66,7 +66,7 @@
 	}
 	full := s.proxies["a"].full
 	s.advance(0.2, "a")
-	if s.expectCurrent("a"); s.proxies["a"].full != full || s.server.Stats.Lost != 1 {
+	if s.expectCurrent("a"); s.proxies["a"].full != full || s.server.Stats.LostAnswers != 1 {
 		t.Errorf("%d full answers for a lost delta, %+v", s.proxies["a"].full-full, s.server.Stats)
 	}
 }
@@ -126,8 +126,8 @@
 	for _, uid := range all {
 		s.expectCurrent(uid)
 	}
-	if s.fleet.UpToDate() != 200 || s.server.Stats.Unknown != 200 {
-		t.Errorf("%d hold the tables, %d named an unknown version", s.fleet.UpToDate(), s.server.Stats.Unknown)
+	if s.fleet.UpToDate() != 200 || s.server.Stats.UnknownVersions != 200 {
+		t.Errorf("%d hold the tables, %d named an unknown version", s.fleet.UpToDate(), s.server.Stats.UnknownVersions)
 	}
 }
 
--- a/internal/core/longpoll/versions.go
+++ b/internal/core/longpoll/versions.go
@@ -53,7 +53,7 @@
 	state := client.sentState(poll.Version)
 	if poll.Epoch != s.epoch || state == nil {
 		if client.version > 0 || poll.Epoch != 0 {
-			s.Stats.Unknown++
+			s.Stats.UnknownVersions++
 		}
 		s.observe(now, client, nil)
 		return
@@ -63,7 +63,7 @@
 		s.fleet.MarkDelivered(now, client.proxy)
 		return
 	}
-	s.Stats.Lost++
+	s.Stats.LostAnswers++
 	s.observe(now, client, state.classes)
 }
 
--- a/internal/frontend/admin/hosted.go
+++ b/internal/frontend/admin/hosted.go
@@ -16,11 +16,11 @@
 	TenantRow(name tenancy.Name) (row TenantRow, ok bool)
 	// Settings returns the settings of a tenant without their keys. The error is tenancy.ErrUnknown.
 	Settings(name tenancy.Name) ([]byte, error)
-	// Merge returns settings with those keys of the tenant that they leave out.
-	Merge(name tenancy.Name, settings []byte) ([]byte, error)
-	// Edit returns the settings of a tenant after a change of one server. The error is tenancy.ErrUnknown or says what is wrong
+	// MergeKeys returns settings with those keys of the tenant that they leave out.
+	MergeKeys(name tenancy.Name, settings []byte) ([]byte, error)
+	// EditServer returns the settings of a tenant after a change of one server. The error is tenancy.ErrUnknown or says what is wrong
 	// with the change.
-	Edit(name tenancy.Name, edit []byte) ([]byte, error)
+	EditServer(name tenancy.Name, edit []byte) ([]byte, error)
 	// PreviewSettings checks the settings of a tenant and returns what would follow from them. It changes nothing.
 	PreviewSettings(now float64, tenant tenancy.Tenant) (SettingsPreview, error)
 	// ChangeTenant changes the directory. done is called once, when the change is durable and in force, or rejected.
--- a/internal/frontend/admin/tenant_changes.go
+++ b/internal/frontend/admin/tenant_changes.go
@@ -69,12 +69,12 @@
 
 // putTenant creates a tenant, or replaces its settings.
 func (a *API) putTenant(w http.ResponseWriter, r *http.Request, c call) {
-	a.changeSettings(w, r, c, a.hosted.Merge)
+	a.changeSettings(w, r, c, a.hosted.MergeKeys)
 }
 
 // editServer changes one server in the settings of a tenant.
 func (a *API) editServer(w http.ResponseWriter, r *http.Request, c call) {
-	a.changeSettings(w, r, c, a.hosted.Edit)
+	a.changeSettings(w, r, c, a.hosted.EditServer)
 }
 
 // settingsBuilder makes the new settings of a tenant from the body of a request. It is called within Program.Do.
--- a/internal/frontend/longpollhttp/requests.go
+++ b/internal/frontend/longpollhttp/requests.go
@@ -85,7 +85,7 @@
 }
 
 func (f *Frontend) route(conn *connection, request *http.Request) {
-	conn.mediaType, _ = delta.Accepts(request.Header.Get("Accept"))
+	conn.mediaType, _ = delta.NegotiateMediaType(request.Header.Get("Accept"))
 	path := request.URL.EscapedPath()
 	switch {
 	case path == "/openapi.json" && request.Method == http.MethodGet:
--- a/internal/scenario/coordinators.go
+++ b/internal/scenario/coordinators.go
@@ -205,12 +205,12 @@
 func addLongPollStats(sum *longpoll.Stats, stats longpoll.Stats) {
 	sum.Polls += stats.Polls
 	sum.Answers += stats.Answers
-	sum.Empty += stats.Empty
+	sum.EmptyAnswers += stats.EmptyAnswers
 	sum.Deltas += stats.Deltas
-	sum.Full += stats.Full
+	sum.FullTables += stats.FullTables
 	sum.Rejected += stats.Rejected
-	sum.Lost += stats.Lost
-	sum.Unknown += stats.Unknown
+	sum.LostAnswers += stats.LostAnswers
+	sum.UnknownVersions += stats.UnknownVersions
 }
 
 // startAgent starts an agent that orders a server's drain, or its end.
--- a/internal/scenario/result.go
+++ b/internal/scenario/result.go
@@ -131,7 +131,7 @@
 		return
 	}
 	fmt.Fprintf(text, "%d polls: %d classes as deltas, %d in full, %d waits ended empty, %d refused, %d answers lost; %d bytes, %d with whole tables\n", stats.Polls,
-		stats.Deltas, stats.Full, stats.Empty, stats.Rejected, stats.Lost, r.Bytes, r.FullTableBytes)
+		stats.Deltas, stats.FullTables, stats.EmptyAnswers, stats.Rejected, stats.LostAnswers, r.Bytes, r.FullTableBytes)
 }
 
 // quantile of values in any order; 0 if there are none.
--- a/internal/service/administered_host.go
+++ b/internal/service/administered_host.go
@@ -121,14 +121,14 @@
 	return settings.MaskKeys(tenant.Settings)
 }
 
-// Merge implements admin.TenantHost.
-func (h *administeredHost) Merge(name tenancy.Name, text []byte) ([]byte, error) {
+// MergeKeys implements admin.TenantHost.
+func (h *administeredHost) MergeKeys(name tenancy.Name, text []byte) ([]byte, error) {
 	tenant, _ := h.program.Directory.Get(name) // a new tenant has no keys yet
 	return settings.MergeKeys(text, tenant.Settings)
 }
 
-// Edit implements admin.TenantHost.
-func (h *administeredHost) Edit(name tenancy.Name, text []byte) ([]byte, error) {
+// EditServer implements admin.TenantHost.
+func (h *administeredHost) EditServer(name tenancy.Name, text []byte) ([]byte, error) {
 	tenant, ok := h.program.Directory.Get(name)
 	if !ok {
 		return nil, tenancy.ErrUnknown
--- a/internal/service/metrics_coordinator.go
+++ b/internal/service/metrics_coordinator.go
@@ -91,8 +91,8 @@
 	w.counter("polls", "Polls.", stats.Polls)
 	w.counter("polls_refused", "Polls that were refused.", stats.Rejected)
 	w.counter("poll_deltas", "Classes answered with what changed.", stats.Deltas)
-	w.counter("poll_fulls", "Classes answered in full.", stats.Full)
-	w.counter("poll_answers_lost", "Answers that did not arrive.", stats.Lost)
+	w.counter("poll_fulls", "Classes answered in full.", stats.FullTables)
+	w.counter("poll_answers_lost", "Answers that did not arrive.", stats.LostAnswers)
 }
 
 func (w metricWriter) writeLoadReports(program *coordinator.Coordinator) {
--- a/internal/wire/delta/mediatypes.go
+++ b/internal/wire/delta/mediatypes.go
@@ -9,8 +9,8 @@
 	ProblemMediaType = "application/problem+json" // of problem documents
 )
 
-// Accepts picks the media type of tables for an Accept header; ok is false if the header allows none.
-func Accepts(header string) (mediaType string, ok bool) {
+// NegotiateMediaType picks the media type of tables for an Accept header; ok is false if the header allows none.
+func NegotiateMediaType(header string) (mediaType string, ok bool) {
 	if strings.TrimSpace(header) == "" {
 		return JSON, true
 	}
