--- a/internal/frontend/admin/hosted.go
+++ b/internal/frontend/admin/hosted.go
@@ -16,8 +16,8 @@
 	TenantRow(name tenancy.Name) (row TenantRow, ok bool)
 	// Settings returns the settings of a tenant without their keys. The error is tenancy.ErrUnknown.
 	Settings(name tenancy.Name) ([]byte, error)
-	// MergeKeys returns settings with those keys of the tenant that they leave out.
-	MergeKeys(name tenancy.Name, settings []byte) ([]byte, error)
+	// RestoreKeys returns settings with those keys of the tenant that they leave out.
+	RestoreKeys(name tenancy.Name, settings []byte) ([]byte, error)
 	// EditServer returns the settings of a tenant after a change of one server. The error is tenancy.ErrUnknown or says what is wrong
 	// with the change.
 	EditServer(name tenancy.Name, edit []byte) ([]byte, error)
--- a/internal/frontend/admin/tenant_changes.go
+++ b/internal/frontend/admin/tenant_changes.go
@@ -69,7 +69,7 @@
 
 // putTenant creates a tenant, or replaces its settings.
 func (a *API) putTenant(w http.ResponseWriter, r *http.Request, c call) {
-	a.changeSettings(w, r, c, a.hosted.MergeKeys)
+	a.changeSettings(w, r, c, a.hosted.RestoreKeys)
 }
 
 // editServer changes one server in the settings of a tenant.
--- a/internal/service/administered_host.go
+++ b/internal/service/administered_host.go
@@ -121,8 +121,8 @@
 	return settings.MaskKeys(tenant.Settings)
 }
 
-// MergeKeys implements admin.TenantHost.
-func (h *administeredHost) MergeKeys(name tenancy.Name, text []byte) ([]byte, error) {
+// RestoreKeys implements admin.TenantHost.
+func (h *administeredHost) RestoreKeys(name tenancy.Name, text []byte) ([]byte, error) {
 	tenant, _ := h.program.Directory.Get(name) // a new tenant has no keys yet
 	return settings.MergeKeys(text, tenant.Settings)
 }
