--- a/internal/core/longpoll/answers.go
+++ b/internal/core/longpoll/answers.go
@@ -10,40 +10,41 @@
 )
 
 const (
-	pollWithinFraction  = 0.5 // of the poll gap, within which a proxy must poll again
-	admissionRetryAfter = 2.0 // seconds after which a rejected client may retry; by then load reports show the last one
+	pollWithinFraction  = 0.5 // fraction of the poll gap within which a proxy must poll again
+	admissionRetryAfter = 2.0 // seconds after which a rejected client may retry; by then load reports include the rejected request
 )
 
-// Entry is a server's entry in an answer. A weight of 0 removes the server.
+// Entry is a table entry in an answer. A weight of 0 removes the server.
 type Entry struct {
 	Server   balancer.Server
 	Weight   float64
-	Draining bool // it is removed because it drains
+	Draining bool // the server is removed because it is draining
 }
 
 // Class is the part of an answer for one request class.
 type Class struct {
 	Class        balancer.Class
-	Full         bool // the entries are the whole table: the proxy drops all others
+	Full         bool // Entries is the whole table: the proxy removes all other entries
 	Entries      []Entry
 	HasAdmission bool // Admission, Retry and RetryAfter are set
 	Admission    float64
 	Retry        balancer.RetryPolicy
-	RetryAfter   float64 // seconds after which a rejected client may retry; 0: none was rejected
+	RetryAfter   float64 // seconds after which a rejected client may retry; 0: all requests are admitted
 }
 
-// Answer answers a poll. If it has no classes, nothing is newer than the version that the poll named, and the proxy keeps
-// what it holds.
+// Answer is the answer to a poll. Without classes, it means that nothing is newer than the version that the poll named,
+// and that the proxy keeps its tables.
 type Answer struct {
 	Epoch          uint64
 	Version        uint64
-	Base           uint64 // version that the proxy must hold, or a later one, to apply the answer; 0: any
+	Base           uint64 // lowest version to which the proxy may apply the answer; 0: any state
 	Classes        []Class
-	PollWithin     float64 // seconds within which the proxy must poll again
-	OwnershipEpoch uint64  // epoch of proxy ownership; the proxy drops the answer if it has followed a newer one
+	PollWithin     float64 // the proxy must poll again within this number of seconds
+	OwnershipEpoch uint64  // epoch of the proxy's ownership; a proxy that has followed a newer one discards the answer
 }
 
-// Deliver answers the parked poll of a proxy whose turn has come. It implements controlplane.Frontend.
+// Deliver answers the parked poll of a proxy that the channel's pacing now allows to be updated. It implements
+// controlplane.Frontend.
 func (s *Server) Deliver(now float64, proxy *controlplane.Proxy) {
 	client := s.byProxy[proxy.ID]
 	if client == nil || client.poll == 0 {
@@ -66,8 +67,7 @@
 	s.sendUpdate(now, client)
 }
 
-// sendUpdate answers a parked poll with the newest state. If nothing differs from what the proxy holds, the poll stays
-// parked.
+// sendUpdate answers a parked poll with the newest state. The poll stays parked if the proxy already holds that state.
 func (s *Server) sendUpdate(now float64, client *clientState) {
 	s.answer.Base = 0
 	s.answer.Classes = s.answer.Classes[:0]
@@ -84,15 +84,15 @@
 	s.reply(now, client)
 }
 
-// appendClass appends a class to the answer, unless nothing of it changed, and returns the number of its entries, in which
-// admission settings count as one.
+// appendClass appends a class to the answer, unless it is unchanged. It returns the number of entries that were added;
+// admission settings count as one entry.
 func (s *Server) appendClass(client *clientState, class balancer.Class) int {
 	changed, full, ok := s.fleet.Delta(client.proxy, class)
 	if !ok {
 		return 0
 	}
-	// Removed servers count in a delta, so that it may be longer than the whole table.
-	if full || s.fleet.MayHoldStale(client.proxy, class) || hasMoreThan(changed, s.fleet.TableSize(client.proxy, class)) {
+	// A delta also lists removed servers, so it may be longer than the whole table.
+	if full || s.fleet.MayHoldStale(client.proxy, class) || exceedsCount(changed, s.fleet.TableSize(client.proxy, class)) {
 		full = true
 		changed, _ = s.fleet.FullTable(client.proxy, class)
 	}
@@ -114,7 +114,8 @@
 	return len(added.Entries) + boolToInt(added.HasAdmission)
 }
 
-// addClass extends the answer by a class, with the memory for entries that an earlier answer used in its place.
+// addClass appends a class without entries to the answer. It reuses the memory of the entries that an earlier answer
+// had in this position.
 func (s *Server) addClass(class balancer.Class, full bool) *Class {
 	count := len(s.answer.Classes)
 	s.answer.Classes = slices.Grow(s.answer.Classes, 1)[:count+1]
@@ -123,8 +124,8 @@
 	return added
 }
 
-// appendEntries appends table entries. Those with a weight come before those without, for proxies that apply them one by
-// one.
+// appendEntries appends table entries. Entries with a weight precede removals, so that a proxy which applies them one
+// by one does not run out of servers in between.
 func (s *Server) appendEntries(added *Class, changed iter.Seq[*tables.Entry]) {
 	for entry := range changed {
 		removed := entry.Weight == 0
@@ -153,7 +154,7 @@
 	}
 }
 
-// reply ends a parked poll with the answer.
+// reply sends the answer to a client's parked poll.
 func (s *Server) reply(now float64, client *clientState) {
 	id := client.poll
 	s.clearPoll(client)
@@ -166,8 +167,8 @@
 	s.handler.Answer(id, &s.answer)
 }
 
-// hasMoreThan reports whether there are more than limit entries, without counting them all.
-func hasMoreThan(entries iter.Seq[*tables.Entry], limit int) bool {
+// exceedsCount reports whether there are more than limit entries. It stops counting at the limit.
+func exceedsCount(entries iter.Seq[*tables.Entry], limit int) bool {
 	count := 0
 	for range entries {
 		count++
--- a/internal/core/longpoll/fixture_test.go
+++ b/internal/core/longpoll/fixture_test.go
@@ -13,7 +13,7 @@
 
 func TestMain(m *testing.M) { testseed.Main(m) }
 
-// fixture is a Server with its proxies, which apply answers as the API describes.
+// fixture runs a Server together with proxies that apply answers as the API prescribes.
 type fixture struct {
 	t           testing.TB
 	now         float64
@@ -21,83 +21,83 @@
 	server      *Server
 	lastPoll    PollID
 	uids        map[PollID]string
-	pollers     map[PollID]*testProxy // the proxy process that sent it
+	pollers     map[PollID]*testProxy // the run of a proxy that sent the poll
 	proxies     map[string]*testProxy
 	rejected    map[string][]RejectReason
 	retryDelays []float64
 	dropped     []string
 	latestPoll  map[string]PollID
 	retryAt     map[string]float64
-	loseAnswer  map[string]bool // the next answer to it is lost
+	loseAnswer  map[string]bool // by UID: the next answer to the proxy is lost
 }
 
 type testProxy struct {
 	epoch, version uint64
-	weights        map[string]float64 // class and server
+	weights        map[string]float64 // by class and server
 	admissions     map[balancer.Class]float64
 	polling        bool
 	answers, full  int
 	latest         *Answer
 }
 
-func (f *fixture) Answer(w PollID, a *Answer) {
-	uid := f.uids[w]
-	proxy := f.pollers[w]
+func (f *fixture) Answer(id PollID, answer *Answer) {
+	uid := f.uids[id]
+	proxy := f.pollers[id]
 	proxy.polling = false
 	if f.loseAnswer[uid] {
 		delete(f.loseAnswer, uid)
 		return
 	}
-	f.apply(proxy, a)
+	f.apply(proxy, answer)
 }
 
-func (f *fixture) apply(proxy *testProxy, a *Answer) {
-	if len(a.Classes) == 0 || a.Base > 0 && (a.Epoch != proxy.epoch || a.Base > proxy.version) {
-		return // nothing is newer than what the poll named, or the delta does not apply
+func (f *fixture) apply(proxy *testProxy, answer *Answer) {
+	if len(answer.Classes) == 0 || answer.Base > 0 && (answer.Epoch != proxy.epoch || answer.Base > proxy.version) {
+		return // nothing is newer than the version that the poll named, or the delta does not apply
 	}
 	proxy.answers++
-	proxy.epoch = a.Epoch
-	proxy.version = a.Version
-	kept := &Answer{Epoch: a.Epoch, Version: a.Version, OwnershipEpoch: a.OwnershipEpoch}
-	for _, c := range a.Classes {
-		if c.Full {
+	proxy.epoch = answer.Epoch
+	proxy.version = answer.Version
+	copied := &Answer{Epoch: answer.Epoch, Version: answer.Version, OwnershipEpoch: answer.OwnershipEpoch}
+	for _, class := range answer.Classes {
+		if class.Full {
 			proxy.full++
-			for k := range proxy.weights {
-				if k[:1] == fmt.Sprint(c.Class) {
-					delete(proxy.weights, k)
+			for key := range proxy.weights {
+				if key[:1] == fmt.Sprint(class.Class) {
+					delete(proxy.weights, key)
 				}
 			}
 		}
-		for _, l := range c.Entries {
-			k := fmt.Sprint(c.Class, " ", l.Server)
-			proxy.weights[k] = l.Weight
-			if l.Weight == 0 {
-				delete(proxy.weights, k)
+		for _, entry := range class.Entries {
+			key := fmt.Sprint(class.Class, " ", entry.Server)
+			proxy.weights[key] = entry.Weight
+			if entry.Weight == 0 {
+				delete(proxy.weights, key)
 			}
 		}
-		if c.HasAdmission {
-			proxy.admissions[c.Class] = c.Admission
+		if class.HasAdmission {
+			proxy.admissions[class.Class] = class.Admission
 		}
-		c.Entries = slices.Clone(c.Entries)
-		kept.Classes = append(kept.Classes, c)
+		class.Entries = slices.Clone(class.Entries)
+		copied.Classes = append(copied.Classes, class)
 	}
-	proxy.latest = kept
+	proxy.latest = copied
 }
 
-func (f *fixture) Reject(w PollID, why RejectReason, after float64) {
-	uid := f.uids[w]
-	f.rejected[uid] = append(f.rejected[uid], why)
+func (f *fixture) Reject(id PollID, reason RejectReason, after float64) {
+	uid := f.uids[id]
+	f.rejected[uid] = append(f.rejected[uid], reason)
 	f.retryAt[uid] = f.now + after
 	f.retryDelays = append(f.retryDelays, after)
-	if f.latestPoll[uid] == w {
-		f.pollers[w].polling = false
+	if f.latestPoll[uid] == id {
+		f.pollers[id].polling = false
 	}
 }
 
 func (f *fixture) Dropped(uid string) { f.dropped = append(f.dropped, uid) }
 func (f *fixture) Log(string, ...any) {}
 
-func testSite(proxies int, without ...controlplane.Guard) controlplane.Site {
+func testSite(proxies int, disabled ...controlplane.Guard) controlplane.Site {
 	site := controlplane.Site{Seed: 3, ClassNames: []string{"search", "introduce"}, Zones: []string{"a"}, AllowUnlisted: true,
 		Classes: []balancer.RequestClass{{PriorityWeight: 1, LatencyObjective: 1, ClientTimeout: 3},
 			{PriorityWeight: 3, LatencyObjective: 1, ClientTimeout: 3, Idempotency: balancer.NonIdempotent}},
@@ -107,7 +107,7 @@
 		Guarantees: balancer.Guarantees{DrainDeadline: 3, EmptyTableDeadline: 2, WarmupStartFraction: 0.2, WarmupDuration: 10, OverloadFactor: 3,
 			OverloadWindow: 2}, Reporting: balancer.Reporting{Period: 0.5}, Limits: controlplane.DefaultLimits,
 		DisabledGuards: map[controlplane.Guard]bool{}}
-	for _, g := range without {
+	for _, g := range disabled {
 		site.DisabledGuards[g] = true
 	}
 	for i := range 6 {
@@ -126,7 +126,7 @@
 	return f
 }
 
-// startCoordinator starts a coordinator, or a new run of it: all connections break.
+// startCoordinator starts a coordinator, or restarts it, which breaks all connections.
 func (f *fixture) startCoordinator(site controlplane.Site, limits Limits) {
 	fleet, err := controlplane.New(f.now, site, nil, nil)
 	if err != nil {
@@ -163,7 +163,7 @@
 	f.fleet.SendDue(f.now)
 }
 
-// advance runs the virtual clock; the named proxies poll again as soon as they are answered.
+// advance advances the virtual clock; the proxies in polling poll again as soon as they are answered.
 func (f *fixture) advance(seconds float64, polling ...string) {
 	for end := f.now + seconds; f.now < end; f.step(0.02) {
 		for _, uid := range polling {
@@ -176,29 +176,30 @@
 
 func (f *fixture) drain(i int, on bool) { f.fleet.Registry.SetDrain(f.now, serverName(i), on) }
 
-// check compares what a proxy holds with its tables; it returns what is wrong.
+// check compares the entries that a proxy holds with its assigned tables. It returns a description of the first
+// difference, empty if there is none.
 func (f *fixture) check(uid string) string {
 	proxy := f.proxies[uid]
-	p := f.fleet.FindProxy(uid)
-	n := 0
-	for c := range balancer.Class(2) {
+	fleetProxy := f.fleet.FindProxy(uid)
+	entries := 0
+	for class := range balancer.Class(2) {
 		for i := range 6 {
-			want := f.fleet.Weight(p, c, serverName(i))
-			if got := proxy.weights[fmt.Sprint(c, " ", serverName(i))]; got != want {
-				return fmt.Sprintf("%s: weight %v for %s of class %d, want %v", uid, got, serverName(i), c, want)
+			want := f.fleet.Weight(fleetProxy, class, serverName(i))
+			if got := proxy.weights[fmt.Sprint(class, " ", serverName(i))]; got != want {
+				return fmt.Sprintf("%s: weight %v for %s of class %d, want %v", uid, got, serverName(i), class, want)
 			}
-			n += boolToInt(want > 0)
+			entries += boolToInt(want > 0)
 		}
 	}
-	if len(proxy.weights) != n {
-		return fmt.Sprintf("%s holds %d entries, want %d", uid, len(proxy.weights), n)
+	if len(proxy.weights) != entries {
+		return fmt.Sprintf("%s holds %d entries, want %d", uid, len(proxy.weights), entries)
 	}
 	return ""
 }
 
 func (f *fixture) expectCurrent(uid string) {
 	f.t.Helper()
-	if wrong := f.check(uid); wrong != "" {
-		f.t.Error(wrong)
+	if difference := f.check(uid); difference != "" {
+		f.t.Error(difference)
 	}
 }
--- a/internal/core/longpoll/joins.go
+++ b/internal/core/longpoll/joins.go
@@ -6,10 +6,10 @@
 	"snowquay/internal/core/controlplane"
 )
 
-// join makes the sender of a poll a joined proxy; it returns nil after it has rejected the poll. Polls of joined proxies
-// are served without it, so that a crowd of joining ones takes no capacity from them.
+// join makes the sender of a poll a joined proxy. It returns nil if it has rejected the poll. Polls of proxies that
+// have already joined bypass it, so that many proxies that join at once take no capacity from them.
 func (s *Server) join(now float64, id PollID, poll Poll) *clientState {
-	if !s.fleet.Listed(poll.UID) { // checked first, so that proxies which may never join take no token
+	if !s.fleet.Listed(poll.UID) { // checked first, so that proxies that may not join consume no token
 		s.handler.Log("proxy refused", "uid", poll.UID, "error", controlplane.ErrUnlistedProxy)
 		s.reject(id, NotListed, 0)
 		return nil
@@ -48,23 +48,24 @@
 	}
 }
 
-// retryAfter returns a random time in seconds, so that proxies that are rejected together do not come back together.
+// retryAfter returns a random delay in seconds, so that proxies that are rejected at the same time do not retry at the
+// same time.
 func (s *Server) retryAfter() float64 {
 	return s.limits.RetryAfter * (1 + s.random.Float24())
 }
 
-// ProxyLeft takes a proxy's own message that it leaves, and reports whether it was joined.
+// ProxyLeft deregisters a proxy at its own request. It reports whether the proxy was joined.
 func (s *Server) ProxyLeft(now float64, uid string) bool {
 	client := s.clients[uid]
 	if client == nil {
 		return false
 	}
-	s.drop(now, client, "deregistered by itself")
+	s.drop(now, client, "deregistered by the proxy")
 	return true
 }
 
-// leaveReason returns why a proxy counts as gone, empty if it does not. A proxy without a parked poll cannot be notified of
-// a drain. It must not stay joined then, and gets full tables when it comes back.
+// leaveReason returns the reason why a proxy is no longer considered joined; empty if it still is. A proxy without a
+// parked poll cannot be notified of a drain, so it must not stay joined; it gets full tables when it joins again.
 func (s *Server) leaveReason(now float64, client *clientState) string {
 	if client.poll != 0 {
 		return s.fleet.Noncompliance(client.proxy)
@@ -79,16 +80,16 @@
 	s.Stats.Left++
 	s.handler.Log("proxy left", "uid", client.uid, "reason", reason)
 	if client.poll != 0 {
-		superseded := client.poll
+		parked := client.poll
 		s.unpark(client)
-		s.reject(superseded, Superseded, 0)
+		s.reject(parked, Superseded, 0)
 	}
-	s.forget(client)
+	s.removeClient(client)
 	s.fleet.Disconnect(now, client.proxy)
 	s.handler.Dropped(client.uid)
 }
 
-func (s *Server) forget(client *clientState) {
+func (s *Server) removeClient(client *clientState) {
 	if client.unacknowledged {
 		s.unacknowledged--
 	}
@@ -96,7 +97,8 @@
 	delete(s.byProxy, client.proxy.ID)
 }
 
-// Displaced drops a proxy that has joined by another frontend. It implements controlplane.Frontend.
+// Displaced removes a proxy that has joined through another frontend, and rejects its parked poll. It implements
+// controlplane.Frontend.
 func (s *Server) Displaced(_ float64, proxy *controlplane.Proxy) {
 	client := s.byProxy[proxy.ID]
 	if client == nil {
@@ -107,5 +109,5 @@
 		s.clearPoll(client)
 		s.reject(displaced, JoinedElsewhere, 0)
 	}
-	s.forget(client)
+	s.removeClient(client)
 }
--- a/internal/core/longpoll/limits_test.go
+++ b/internal/core/longpoll/limits_test.go
@@ -8,85 +8,85 @@
 	"snowquay/internal/core/controlplane"
 )
 
-// 5,000 proxies poll at once after their connections broke: the rejected ones come back spread out, all are served, and
-// joins and channel alone determine how long it takes.
+// 5,000 proxies poll at once after their connections have broken. The retries of the rejected ones are spread over
+// time, all proxies are served, and only the join rate and the channel determine how long it takes.
 func TestReconnectingProxiesAreSpread(t *testing.T) {
 	const n = 5000
 	limits := DefaultLimits
-	x := testSite(n)
-	x.Channel.EntriesPerSecond = 20000
-	x.Channel.MaxQueued = 30000
-	s := newFixture(t, x, limits)
+	site := testSite(n)
+	site.Channel.EntriesPerSecond = 20000
+	site.Channel.MaxQueued = 30000
+	f := newFixture(t, site, limits)
 	var all []string
 	for i := range n {
 		all = append(all, fmt.Sprint("p", i))
-		s.poll(all[i], 55)
+		f.poll(all[i], 55)
 	}
-	away := n - int(limits.JoinBurst)
-	if len(s.retryDelays) != away {
-		t.Fatalf("%d were rejected", len(s.retryDelays))
+	rejected := n - int(limits.JoinBurst)
+	if len(f.retryDelays) != rejected {
+		t.Fatalf("%d polls were rejected", len(f.retryDelays))
 	}
-	slices.Sort(s.retryDelays)
-	if s.retryDelays[0] < limits.RetryAfter || s.retryDelays[away-1] > 2*limits.RetryAfter {
-		t.Errorf("they come back after %v to %v s", s.retryDelays[0], s.retryDelays[away-1])
+	slices.Sort(f.retryDelays)
+	if f.retryDelays[0] < limits.RetryAfter || f.retryDelays[rejected-1] > 2*limits.RetryAfter {
+		t.Errorf("rejected proxies retry after %v to %v s", f.retryDelays[0], f.retryDelays[rejected-1])
 	}
-	for i := range 10 { // about 450 in each tenth of the time
-		k := 0
-		for _, v := range s.retryDelays {
-			if from := limits.RetryAfter * (1 + float64(i)/10); v >= from && v < from+limits.RetryAfter/10 {
-				k++
+	for i := range 10 { // about 450 in each tenth of the interval
+		count := 0
+		for _, delay := range f.retryDelays {
+			if from := limits.RetryAfter * (1 + float64(i)/10); delay >= from && delay < from+limits.RetryAfter/10 {
+				count++
 			}
 		}
-		if k < 350 || k > 550 {
-			t.Errorf("%d of %d come back in one tenth of the time", k, away)
+		if count < 350 || count > 550 {
+			t.Errorf("%d of %d rejected proxies retry in one tenth of the interval", count, rejected)
 		}
 	}
-	begun := s.now
-	lines := 0
-	for s.fleet.UpToDate() < n && s.now < begun+60 {
+	start := f.now
+	entries := 0
+	for f.fleet.UpToDate() < n && f.now < start+60 {
 		for _, uid := range all {
-			if h := s.proxies[uid]; !h.polling && s.now >= s.retryAt[uid] {
-				s.poll(uid, 55)
+			if proxy := f.proxies[uid]; !proxy.polling && f.now >= f.retryAt[uid] {
+				f.poll(uid, 55)
 			}
 		}
-		s.step(0.02)
+		f.step(0.02)
 	}
 	for _, uid := range all {
-		lines += len(s.proxies[uid].weights) + 3
+		entries += len(f.proxies[uid].weights) + 3
 	}
-	took := s.now - begun
-	least := max(float64(lines)/x.Channel.EntriesPerSecond, float64(away)/limits.JoinRate)
-	if s.fleet.UpToDate() != n || took > 1.5*least+2*limits.RetryAfter {
-		t.Errorf("%d hold the tables after %.1f s; joins and channel need %.1f s", s.fleet.UpToDate(), took, least)
+	elapsed := f.now - start
+	minimum := max(float64(entries)/site.Channel.EntriesPerSecond, float64(rejected)/limits.JoinRate)
+	if f.fleet.UpToDate() != n || elapsed > 1.5*minimum+2*limits.RetryAfter {
+		t.Errorf("%d proxies are up to date after %.1f s; join rate and channel allow %.1f s", f.fleet.UpToDate(), elapsed, minimum)
 	}
-	t.Logf("%d proxies hold the tables after %.1f s; joins and channel need %.1f s", n, took, least)
+	t.Logf("all %d proxies are up to date after %.1f s; join rate and channel allow %.1f s", n, elapsed, minimum)
 }
 
-// Half of the proxies are between two polls when a drain comes, and do not poll for three seconds.
+// Half of the proxies have no parked poll when a drain starts, and do not poll for three seconds.
 func TestDrainBetweenPolls(t *testing.T) {
-	s := newFixture(t, testSite(4), DefaultLimits)
-	s.advance(1, "a", "b", "c", "d")
+	f := newFixture(t, testSite(4), DefaultLimits)
+	f.advance(1, "a", "b", "c", "d")
 	for _, uid := range []string{"a", "b"} { // their connections break
-		for w, of := range s.uids {
-			if of == uid {
-				s.server.PollClosed(s.now, w)
+		for id, sender := range f.uids {
+			if sender == uid {
+				f.server.PollClosed(f.now, id)
 			}
 		}
-		s.proxies[uid].polling = false
+		f.proxies[uid].polling = false
 	}
-	s.drain(1, true)
-	s.advance(0.2, "c", "d")
-	s.expectCurrent("c")
-	drained := s.now
-	for s.now < drained+2.5 {
-		s.advance(0.1, "c", "d")
+	f.drain(1, true)
+	f.advance(0.2, "c", "d")
+	f.expectCurrent("c")
+	drained := f.now
+	for f.now < drained+2.5 {
+		f.advance(0.1, "c", "d")
 	}
-	if s.fleet.Joined() != 2 || len(s.dropped) != 2 {
-		t.Errorf("%d are joined 2.7 s after the drain: the two that cannot be notified must not be", s.fleet.Joined())
+	if f.fleet.Joined() != 2 || len(f.dropped) != 2 {
+		t.Errorf("%d proxies are joined 2.7 s after the start of the drain; the two that cannot be notified must not be", f.fleet.Joined())
 	}
-	s.advance(1, "a", "b", "c", "d")
+	f.advance(1, "a", "b", "c", "d")
 	for _, uid := range []string{"a", "b", "c", "d"} {
-		s.expectCurrent(uid)
+		f.expectCurrent(uid)
 	}
 }
 
@@ -96,70 +96,70 @@
 	fleet     *controlplane.Fleet
 }
 
-func (p *otherFrontend) Deliver(now float64, x *controlplane.Proxy) {
-	p.sent++
-	p.fleet.MarkSent(now, x, 1)
-	p.fleet.MarkDelivered(now, x)
+func (f *otherFrontend) Deliver(now float64, proxy *controlplane.Proxy) {
+	f.sent++
+	f.fleet.MarkSent(now, proxy, 1)
+	f.fleet.MarkDelivered(now, proxy)
 }
-func (p *otherFrontend) Displaced(float64, *controlplane.Proxy) { p.displaced++ }
+func (f *otherFrontend) Displaced(float64, *controlplane.Proxy) { f.displaced++ }
 
 func TestProxyMovesBetweenFrontends(t *testing.T) {
-	s := newFixture(t, testSite(1), DefaultLimits)
-	other := &otherFrontend{fleet: s.fleet}
-	if _, err := s.fleet.Join(s.now, "a", other, true); err != nil {
+	f := newFixture(t, testSite(1), DefaultLimits)
+	other := &otherFrontend{fleet: f.fleet}
+	if _, err := f.fleet.Join(f.now, "a", other, true); err != nil {
 		t.Fatal(err)
 	}
-	s.advance(0.5)
-	s.drain(1, true)
-	s.step(0.01)
-	s.advance(0.5, "a") // during the drain
-	if s.expectCurrent("a"); other.displaced != 1 || s.fleet.Joined() != 1 {
-		t.Errorf("%d displaced, %d joined", other.displaced, s.fleet.Joined())
+	f.advance(0.5)
+	f.drain(1, true)
+	f.step(0.01)
+	f.advance(0.5, "a") // the drain is in progress
+	if f.expectCurrent("a"); other.displaced != 1 || f.fleet.Joined() != 1 {
+		t.Errorf("%d proxies displaced, %d joined", other.displaced, f.fleet.Joined())
 	}
-	if _, err := s.fleet.Join(s.now, "a", other, true); err != nil {
+	if _, err := f.fleet.Join(f.now, "a", other, true); err != nil {
 		t.Fatal(err)
 	}
-	if got := s.rejected["a"]; len(got) != 1 || got[0] != JoinedElsewhere {
-		t.Errorf("its poll ended with %v", got)
+	if got := f.rejected["a"]; len(got) != 1 || got[0] != JoinedElsewhere {
+		t.Errorf("its poll was rejected with %v, want JoinedElsewhere", got)
 	}
 	sent := other.sent
-	s.advance(0.5)
-	if other.sent == sent || s.fleet.Joined() != 1 {
-		t.Errorf("%d messages by the other frontend, %d joined", other.sent-sent, s.fleet.Joined())
+	f.advance(0.5)
+	if other.sent == sent || f.fleet.Joined() != 1 {
+		t.Errorf("the other frontend sent %d messages, %d proxies are joined", other.sent-sent, f.fleet.Joined())
 	}
 }
 
-// Drains are sent beyond the limit of unacknowledged answers.
-func TestDrainsHaveAReserve(t *testing.T) {
+// Drains are sent even when the limit on unacknowledged answers is reached, up to the reserve.
+func TestDrainReserve(t *testing.T) {
 	limits := DefaultLimits
 	limits.MaxUnacknowledged = 3
 	limits.DrainReserve = 100
-	s := newFixture(t, testSite(20), limits)
+	f := newFixture(t, testSite(20), limits)
 	var all []string
 	for i := range 20 {
 		all = append(all, fmt.Sprint("p", i))
-		s.poll(all[i], 30)
+		f.poll(all[i], 30)
 	}
-	s.advance(0.5)
-	if _, under := s.server.Parked(); under != 3 {
-		t.Fatalf("%d answers are unacknowledged", under)
+	f.advance(0.5)
+	if _, unacknowledged := f.server.Parked(); unacknowledged != 3 {
+		t.Fatalf("%d answers are unacknowledged, want 3", unacknowledged)
 	}
-	s.advance(3, all...)
+	f.advance(3, all...)
 	for _, uid := range all {
-		s.expectCurrent(uid)
+		f.expectCurrent(uid)
 	}
-	s.drain(1, true)
-	s.step(0.06) // nobody polls again, and the drain is sent to all of them
-	if _, under := s.server.Parked(); under != 20 {
-		t.Errorf("the drain was sent to %d", under)
+	f.drain(1, true)
+	f.step(0.06) // no proxy polls again; the drain is sent to all of them
+	if _, unacknowledged := f.server.Parked(); unacknowledged != 20 {
+		t.Errorf("the drain was sent to %d proxies, want 20", unacknowledged)
 	}
-	if s.poll("x", 1); s.server.Stats.Joins != 21 {
+	if f.poll("x", 1); f.server.Stats.Joins != 21 {
 		t.Error("a new proxy could not join")
 	}
 	for range 40 {
-		s.poll("x", 1)
+		f.poll("x", 1)
 	}
-	if !slices.Contains(s.rejected["x"], PollRateExceeded) {
-		t.Error("a proxy that polls all the time is not rejected")
+	if !slices.Contains(f.rejected["x"], PollRateExceeded) {
+		t.Error("a proxy that polls without pause is not rejected")
 	}
 }
--- a/internal/core/longpoll/polls.go
+++ b/internal/core/longpoll/polls.go
@@ -5,54 +5,55 @@
 	"snowquay/internal/core/timingwheel"
 )
 
-// PollID identifies a poll. The frontend assigns the numbers and uses each of them once; 0 is no poll.
+// PollID identifies a poll. The frontend assigns the IDs and uses each of them once; 0 means no poll.
 type PollID uint64
 
-// Poll is a request of a proxy for what is newer than a version.
+// Poll is a proxy's request for changes since a version.
 type Poll struct {
 	UID            string
-	Epoch          uint64  // of the version that the proxy holds; 0: it holds none
+	Epoch          uint64  // epoch of the version that the proxy holds; 0: it holds none
 	Version        uint64  // number of the version that the proxy holds
-	Wait           float64 // seconds that the proxy will wait
-	OwnershipEpoch uint64  // the newest epoch of proxy ownership that the proxy has followed; 0: none
+	Wait           float64 // seconds for which the poll may be parked
+	OwnershipEpoch uint64  // newest ownership epoch that the proxy has followed; 0: none
 }
 
-// RejectReason says why a poll is rejected.
+// RejectReason is the reason why a poll is rejected.
 type RejectReason int
 
-// The reasons to reject a poll.
+// Reasons to reject a poll.
 const (
 	NotListed        RejectReason = iota // the settings list no such proxy
-	TooManyPolls                         // there are too many polls or proxies
+	TooManyPolls                         // too many proxies join at once, or too many are joined
 	PollRateExceeded                     // the proxy polls too often
 	Superseded                           // the proxy has sent another poll, or has left
 	WrongCoordinator                     // another coordinator owns the proxy
-	JoinedElsewhere                      // the proxy has joined by another frontend
-	EpochOutdated                        // the proxy has followed a newer epoch than this coordinator knows
+	JoinedElsewhere                      // the proxy has joined through another frontend
+	EpochOutdated                        // the proxy has followed a newer ownership epoch than this coordinator knows
 )
 
-// clientState is a joined proxy.
+// clientState is the state of a joined proxy.
 type clientState struct {
 	uid             string
 	proxy           *controlplane.Proxy
 	poll            PollID // the parked poll; 0: none
 	waitTimer       timingwheel.Timer[*clientState]
-	version         uint64 // of the latest answer; 0: none
-	baseVersion     uint64 // version that the proxy is known to hold; 0: none
-	sent            [sentStatesKept]sentState
+	version         uint64 // version of the latest answer; 0: none
+	baseVersion     uint64 // version that the proxy has acknowledged; 0: none
+	sent            [maxSentStates]sentState
 	nextSent        int  // index of the next state in sent
 	unacknowledged  bool // the latest answer is not yet acknowledged
 	tokens          float64
 	tokensUpdatedAt float64
-	answeredAt      float64 // when its latest poll ended
-	heldBack        bool    // an answer is due, and the limit of unacknowledged answers holds it back
+	answeredAt      float64 // time at which its latest poll ended
+	heldBack        bool    // an answer is due but delayed by the limit on unacknowledged answers
 }
 
-// HandlePoll takes a poll. It is answered or rejected through the handler, now or later.
+// HandlePoll handles a poll. The handler is called, at once or later, to answer or reject it.
 func (s *Server) HandlePoll(now float64, id PollID, poll Poll) {
 	s.Stats.Polls++
-	// Guards against a coordinator that has not heard that the proxy changed hands, and owns it by an epoch that is over. It
-	// does harm where a coordinator is far behind: its proxies wait until it has caught up or its lease has ended.
+	// This coordinator has not yet learned that the ownership of the proxy has changed, and still considers itself the
+	// owner by an epoch that has ended. The drawback of the check: the proxies of a coordinator that is far behind are
+	// not served until it has caught up or its lease has ended.
 	if poll.OwnershipEpoch > s.fleet.OwnershipEpoch() {
 		s.reject(id, EpochOutdated, 0)
 		return
@@ -68,7 +69,7 @@
 		s.reject(id, PollRateExceeded, s.retryAfter())
 		return
 	}
-	if client.poll != 0 { // its connection may be broken without notice, so that the newest poll counts
+	if client.poll != 0 { // the connection of the older poll may be broken without notice, so the newest poll is served
 		superseded := client.poll
 		s.unpark(client)
 		s.reject(superseded, Superseded, 0)
@@ -80,8 +81,8 @@
 	s.fleet.Resume(now, client.proxy)
 }
 
-// takePollToken limits the poll rate of a proxy by a token bucket. A poll that acknowledges an answer is free, since its
-// rate is that of the answers.
+// takePollToken limits the poll rate of a proxy by a token bucket, and reports whether the poll is within the limit. A
+// poll that acknowledges an answer takes no token, since the rate of answers limits the rate of such polls.
 func (s *Server) takePollToken(now float64, client *clientState, poll Poll) bool {
 	client.tokens = min(s.limits.PollBurst, client.tokens+(now-client.tokensUpdatedAt)*s.limits.PollRate)
 	client.tokensUpdatedAt = now
@@ -97,7 +98,7 @@
 	s.handler.Reject(id, reason, after)
 }
 
-// unpark forgets a client's parked poll, and suspends its updates until the next one.
+// unpark removes a client's parked poll, and suspends the client's updates until its next poll.
 func (s *Server) unpark(client *clientState) {
 	if client.poll == 0 {
 		return
@@ -112,7 +113,7 @@
 	client.poll = 0
 }
 
-// PollClosed reports that the connection of a poll has ended.
+// PollClosed handles the end of the connection of a parked poll.
 func (s *Server) PollClosed(now float64, id PollID) {
 	client := s.byPoll[id]
 	if client == nil {
@@ -122,9 +123,9 @@
 	client.answeredAt = now
 }
 
-// waitOver answers a poll whose wait is over. A change at that very moment is sent, ahead of the proxy's turn: an answer
-// that says that nothing changed would be wrong.
-func (s *Server) waitOver(now float64, client *clientState) {
+// waitExpired answers a poll whose wait has expired. A change that is pending at that moment is sent regardless of the
+// channel's pacing, since an answer without changes would be wrong.
+func (s *Server) waitExpired(now float64, client *clientState) {
 	if s.fleet.NeedsUpdate(client.proxy) && !client.proxy.InFlight() && s.unacknowledged < s.limits.MaxUnacknowledged {
 		s.sendUpdate(now, client)
 		if client.poll == 0 {
--- a/internal/core/longpoll/protocol_model_test.go
+++ b/internal/core/longpoll/protocol_model_test.go
@@ -2,43 +2,44 @@
 
 import "testing"
 
-// The protocol of versions, deltas and acknowledgements as a model, explored exhaustively at a small size: a coordinator
-// of up to two epochs with states 0 to 3, a proxy that may restart, up to two answers in flight that may be lost,
-// duplicated and reordered, and polls that may be lost. A delta is right for one base only.
+// A model of the protocol of versions, deltas and acknowledgements, which the test explores exhaustively at a small
+// size: a coordinator with up to two epochs and the states 0 to 3, a proxy that may restart, up to two answers in
+// flight that may be lost, duplicated and reordered, and polls that may be lost. A delta is valid for one base only.
 
 const (
 	maxState   = 3
-	maxAnswers = 4 // answers numbered
+	maxAnswers = 4 // number of answers of an epoch
 )
 
-type flight struct { // an answer in flight
+type answerInFlight struct { // sent by the coordinator and not yet received by the proxy
 	epoch, number int8
-	from          int8 // number of the answer that it is a delta to; 0: full
+	from          int8 // number of the answer to which it is a delta; 0: full
 	base, state   int8 // base -1: full
 	present       bool
 }
 
 type modelState struct {
-	epoch, state  int8    // of the coordinator
+	epoch, state  int8    // epoch and state of the coordinator
 	lastNumber    int8    // number of its newest answer
-	sent          [2]int8 // states of its two latest answers, by number%2; -1: none
-	known         int8    // state that the coordinator takes the proxy to hold; -1: nothing known
-	heldEpoch     int8    // what the proxy names
-	heldNumber    int8    // 0: nothing
-	held          int8    // state that the proxy holds; -1: nothing; -2: corrupt
-	heldFromEpoch int8    // epoch of that state
-	inFlight      [2]flight
+	sent          [2]int8 // states of the coordinator's two latest answers, by number%2; -1: none
+	known         int8    // state that the coordinator assumes the proxy to hold; -1: unknown
+	heldEpoch     int8    // epoch that the proxy names in polls
+	heldNumber    int8    // number that the proxy names in polls; 0: none
+	held          int8    // state that the proxy holds; -1: none; -2: corrupt
+	heldFromEpoch int8    // epoch in which the proxy got that state
+	inFlight      [2]answerInFlight
 }
 
-// steps returns all states that may follow. believe disables the guard: any named version counts as the newest.
-func (w modelState) steps(believe bool) (all []modelState) {
+// steps returns all possible next states. trustVersions disables the guard under test: any version that a poll names
+// counts as the latest one.
+func (w modelState) steps(trustVersions bool) (all []modelState) {
 	add := func(x modelState) { all = append(all, x) }
-	if w.state < maxState { // a decision
+	if w.state < maxState { // the coordinator decides on a new state
 		x := w
 		x.state++
 		add(x)
 	}
-	if w.epoch == 0 { // a restart: the same tables, numbered from the start
+	if w.epoch == 0 { // the coordinator restarts with the same tables, and numbers answers from the start
 		x := w
 		x.epoch = 1
 		x.lastNumber = 0
@@ -53,11 +54,11 @@
 		x.held = -1
 		add(x)
 	}
-	if w.lastNumber < maxAnswers { // a poll that arrives and is answered, if anything is newer
+	if w.lastNumber < maxAnswers { // a poll arrives, and is answered if anything is newer
 		x := w
 		from := int8(0)
 		switch {
-		case believe:
+		case trustVersions:
 			if x.lastNumber > 0 {
 				x.known = x.sent[x.lastNumber%2]
 			}
@@ -75,7 +76,7 @@
 				y := x
 				y.lastNumber++
 				y.sent[y.lastNumber%2] = y.state
-				y.inFlight[i] = flight{y.epoch, y.lastNumber, from, y.known, y.state, true}
+				y.inFlight[i] = answerInFlight{y.epoch, y.lastNumber, from, y.known, y.state, true}
 				add(y)
 				break
 			}
@@ -87,11 +88,11 @@
 		if !n.present {
 			continue
 		}
-		x := w // it arrives, and may arrive again
+		x := w // the answer arrives, and may arrive again
 		switch {
 		case n.base == -1:
 			x.held = n.state
-		case x.held < n.base || x.heldFromEpoch != n.epoch: // entries carry their newest weights, so that a later state will do
+		case x.held < n.base || x.heldFromEpoch != n.epoch: // the entries of a delta have their latest weights, so it also applies to later states
 			x.held = -2
 		default:
 			x.held = n.state
@@ -99,20 +100,20 @@
 		x.heldEpoch = n.epoch
 		x.heldNumber = n.number
 		x.heldFromEpoch = n.epoch
-		if !believe && n.base != -1 && (w.heldEpoch != n.epoch || w.heldNumber < n.from || w.heldNumber >= n.number) {
+		if !trustVersions && n.base != -1 && (w.heldEpoch != n.epoch || w.heldNumber < n.from || w.heldNumber >= n.number) {
 			x = w // the proxy drops a delta that does not apply
 		}
 		add(x)
-		x.inFlight[i] = flight{}
+		x.inFlight[i] = answerInFlight{}
 		add(x)
 		lost := w
-		lost.inFlight[i] = flight{}
+		lost.inFlight[i] = answerInFlight{}
 		add(lost)
 	}
 	return all
 }
 
-func explore(believe bool) (states int, corrupt, claimed bool) {
+func explore(trustVersions bool) (states int, corrupt, wrongVersion bool) {
 	start := modelState{sent: [2]int8{-1, -1}, known: -1, held: -1}
 	seen := map[modelState]bool{start: true}
 	queue := []modelState{start}
@@ -120,29 +121,29 @@
 		w := queue[0]
 		queue = queue[1:]
 		corrupt = corrupt || w.held == -2
-		// What the proxy names is what it holds: the state that was sent under that number, if it is remembered.
+		// The proxy must hold the state of the version that it names, if the coordinator still stores that version.
 		if w.heldNumber > 0 && w.heldEpoch == w.epoch && w.heldNumber > w.lastNumber-2 && w.sent[w.heldNumber%2] != w.held {
-			claimed = true
+			wrongVersion = true
 		}
-		for _, x := range w.steps(believe) {
+		for _, x := range w.steps(trustVersions) {
 			if !seen[x] {
 				seen[x] = true
 				queue = append(queue, x)
 			}
 		}
 	}
-	return len(seen), corrupt, claimed
+	return len(seen), corrupt, wrongVersion
 }
 
 func TestProtocolModel(t *testing.T) {
-	states, corrupt, claimed := explore(false)
-	if corrupt || claimed {
-		t.Errorf("of %d states some are wrong: corrupt %t, a false claim %t", states, corrupt, claimed)
+	states, corrupt, wrongVersion := explore(false)
+	if corrupt || wrongVersion {
+		t.Errorf("some of %d states are invalid: corrupt table %t, wrong version named %t", states, corrupt, wrongVersion)
 	}
 	if states < 10_000 {
-		t.Errorf("only %d states were explored", states)
+		t.Errorf("%d states were explored, want at least 10,000", states)
 	}
-	if _, corrupt, claimed = explore(true); !corrupt && !claimed {
-		t.Error("no fault was found in a coordinator that believes any version")
+	if _, corrupt, wrongVersion = explore(true); !corrupt && !wrongVersion {
+		t.Error("no invalid state was found for a coordinator that trusts any version")
 	}
 }
--- a/internal/core/longpoll/server.go
+++ b/internal/core/longpoll/server.go
@@ -1,11 +1,13 @@
 // Package longpoll serves proxies by long polling: a poll names the version of the tables that its proxy holds, and is
-// answered when there is a newer one or when its wait is over.
+// answered when there is a newer version or when its wait has expired.
 //
-// It is pure: polls, times and broken connections come in as arguments, answers go out through an interface.
+// The package does no I/O and reads no clock: polls, times and closed connections are passed in as arguments, and
+// answers are passed to an interface.
 //
-// A version consists of an epoch, which stands for one run of a coordinator, and a number that grows with every answer.
-// The versions of the latest answers are remembered with the tables that they stand for. A poll that names one of them
-// gets what changed since, any other poll the full state. What a proxy names it holds: that is the acknowledgement.
+// A version consists of an epoch, which identifies one run of a coordinator, and a number that increases with every
+// answer. For each proxy, the versions of the latest answers are stored together with the states of the tables that
+// they stand for. A poll that names a stored version is answered with the changes since, any other poll with the full
+// state. A proxy names the version that it holds, so a poll also acknowledges the answer with that version.
 package longpoll
 
 import (
@@ -17,52 +19,54 @@
 	"snowquay/internal/core/timingwheel"
 )
 
-// Handler carries out what a Server decides.
+// Handler sends the answers and rejections of a Server.
 type Handler interface {
-	// Answer answers a poll. It must use the answer before it returns, since the Server reuses it.
+	// Answer answers a poll. It must not retain the answer, which the Server reuses.
 	Answer(id PollID, answer *Answer)
-	// Reject tells a poll's proxy to come back after some seconds; 0: not to come back.
+	// Reject rejects a poll. The proxy may poll again after some seconds; 0: it is not to poll again.
 	Reject(id PollID, reason RejectReason, after float64)
-	// Dropped reports that a proxy is no longer joined, so that its idle connections are closed and it notices.
+	// Dropped reports that a proxy is no longer joined. Its idle connections must be closed, so that it notices.
 	Dropped(uid string)
 	// Log logs an event with pairs of keys and values.
 	Log(event string, pairs ...any)
 }
 
-// Limits bound the resources that a Server uses. A poll beyond one is rejected.
+// Limits bound the resources that a Server uses. A poll that would exceed a limit is rejected.
 type Limits struct {
 	MaxParked         int     // joined proxies, each with at most one parked poll
 	JoinRate          float64 // joins per second, on average
 	JoinBurst         float64 // joins at once
 	PollRate          float64 // polls of one proxy per second, on average
 	PollBurst         float64 // polls of one proxy at once
-	MaxWait           float64 // seconds that a poll may wait; a longer wait is shortened to it
-	PollGap           float64 // seconds between two polls of a proxy, after which it has left
-	MaxUnacknowledged int     // unacknowledged answers, beyond which only drains are sent
-	DrainReserve      int     // further unacknowledged answers, for drains alone
-	RetryAfter        float64 // seconds after which rejected proxies come back at the earliest; they are spread over as much again
+	MaxWait           float64 // seconds for which a poll may be parked; longer waits are shortened
+	PollGap           float64 // seconds without a poll after which a proxy is considered to have left
+	MaxUnacknowledged int     // unacknowledged answers beyond which only drains are sent
+	DrainReserve      int     // further unacknowledged answers, for drains only
+	RetryAfter        float64 // shortest delay in seconds before a rejected proxy may retry; the longest delay is twice that
 }
 
-// DefaultLimits are the limits that the settings start from.
+// DefaultLimits are the limits that apply unless the settings override them.
 var DefaultLimits = Limits{
 	MaxParked:         16384, // three for each of 5,000 proxies
-	JoinRate:          500,   // 5,000 are back within ten seconds
+	JoinRate:          500,   // 5,000 proxies can rejoin within ten seconds
 	JoinBurst:         500,
-	PollRate:          4, // a change a second, and as much again for lost answers
+	PollRate:          4, // one change per second, and as much again for lost answers
 	PollBurst:         20,
-	MaxWait:           55, // below the minute after which middleboxes forget a connection
+	MaxWait:           55, // middleboxes drop idle connections after a minute
 	PollGap:           2.5,
-	MaxUnacknowledged: 2048, // with a table of 300 entries each, 30 MB
+	MaxUnacknowledged: 2048, // 30 MB with a table of 300 entries each
 	DrainReserve:      8192,
 	RetryAfter:        1,
 }
 
 const (
-	wheelTick          = 0.02 // seconds of the timing wheel; the coordinator ticks as often
+	wheelTick          = 0.02 // resolution of the timing wheel in seconds; the coordinator calls Tick as often
 	expiryScanInterval = 0.1  // seconds between two scans for proxies that have left or can be resumed
 )
 
-// Stats counts events since the start, for metrics.
+// Stats counts events since the start, for metrics. EmptyAnswers have no classes; Deltas and FullTables count classes
+// in answers; LostAnswers were not acknowledged by the next poll; UnknownVersions counts polls, other than first ones,
+// by which the state of the proxy is not known.
 type Stats struct {
 	Polls, Answers, EmptyAnswers, Deltas, FullTables, Rejected, LostAnswers, Joins, Left, UnknownVersions int
 }
@@ -73,25 +77,25 @@
 	handler        Handler
 	limits         Limits
 	epoch          uint64
-	lastVersion    uint64 // the newest that any proxy was given
+	lastVersion    uint64 // latest version number that was sent to any proxy
 	clients        map[string]*clientState
 	byProxy        map[balancer.Proxy]*clientState
 	byPoll         map[PollID]*clientState
 	wheel          *timingwheel.Wheel[*clientState]
-	unacknowledged int // answers that are not yet acknowledged
+	unacknowledged int // number of answers that are not yet acknowledged
 	joinTokens     float64
 	joinsUpdatedAt float64
 	lastScan       float64
 	random         random.LCG
 	answer         Answer // reused for every answer
-	trustsVersions bool   // any named version counts as the newest (the guard is disabled)
+	trustsVersions bool   // GuardVersions is disabled: any version that a poll names counts as the latest
 
 	// Stats counts events since the start.
 	Stats Stats
 }
 
-// New makes a Server for a run of the coordinator that began at a time in seconds. The epoch must differ from those of
-// earlier runs and must not be 0.
+// New returns a Server for a run of the coordinator that starts at the clock time now in seconds. The epoch must not be
+// 0 and must differ from the epochs of earlier runs.
 func New(now float64, epoch uint64, fleet *controlplane.Fleet, handler Handler, limits Limits) *Server {
 	return &Server{
 		fleet:          fleet,
@@ -109,20 +113,20 @@
 	}
 }
 
-// Parked reports the number of parked polls, and that of unacknowledged answers.
+// Parked returns the number of parked polls and the number of unacknowledged answers.
 func (s *Server) Parked() (parked, unacknowledged int) { return len(s.byPoll), s.unacknowledged }
 
-// Tick does what is due by time: it answers polls whose wait is over, drops proxies that have left, and resumes proxies
-// that the limit of unacknowledged answers held back.
+// Tick does what is due by time: it answers polls whose wait has expired, removes proxies that have left, and resumes
+// proxies whose answers were delayed by the limit on unacknowledged answers.
 func (s *Server) Tick(now float64) {
-	s.wheel.Advance(now, func(client *clientState) { s.waitOver(now, client) })
+	s.wheel.Advance(now, func(client *clientState) { s.waitExpired(now, client) })
 	if now-s.lastScan < expiryScanInterval {
 		return
 	}
 	s.lastScan = now
 	type dueClient struct {
 		*clientState
-		leaveReason string // empty: it is to be resumed
+		leaveReason string // empty: the proxy is to be resumed
 	}
 	var due []dueClient
 	for _, client := range s.clients {
--- a/internal/core/longpoll/versions.go
+++ b/internal/core/longpoll/versions.go
@@ -5,29 +5,31 @@
 	"snowquay/internal/core/tables"
 )
 
-// sentStatesKept is the number of latest answers to a proxy whose versions it may name: one that it holds, one in flight,
-// and two spare.
-const sentStatesKept = 4
+// maxSentStates is the number of states that are stored for each proxy, those of the latest answers: one that the proxy
+// holds, one in flight, and two spare.
+const maxSentStates = 4
 
-// sentState is the state of the tables that an answer brought a proxy to.
+// sentState is the state of a proxy's tables after it has applied an answer.
 type sentState struct {
 	version uint64
 	classes []sentTable // by class
 }
 
-// sentTable is the table that a class was assigned when an answer was sent, and the version of it that was sent.
+// sentTable is the table that a class had been assigned when an answer was sent, and the version of the table that was
+// sent.
 type sentTable struct {
 	table   balancer.Table
 	version tables.Version
 }
 
-// recordSent gives an answer a new version and remembers the state that it stands for. The numbers are shared by all
-// proxies, so that a proxy which leaves and comes back never finds its old versions given to other states.
+// recordSent assigns a new version to an answer and stores the state that the version stands for. Version numbers are
+// unique among all proxies, so that a version that a proxy held before it left and joined again never stands for
+// another state.
 func (s *Server) recordSent(client *clientState) {
 	s.lastVersion++
 	client.version = s.lastVersion
 	state := &client.sent[client.nextSent]
-	client.nextSent = (client.nextSent + 1) % sentStatesKept
+	client.nextSent = (client.nextSent + 1) % maxSentStates
 	state.version = client.version
 	state.classes = state.classes[:0]
 	for _, assigned := range client.proxy.Tables {
@@ -37,9 +39,10 @@
 	s.unacknowledged++
 }
 
-// acknowledge takes the version that a poll names. It is believed only if it was sent to this proxy in this epoch;
-// otherwise nothing is known of what the proxy holds. It guards against deltas to a state that is not there: after a
-// restart, after lost answers, or from a proxy that was never sent what it names. The cost is a full table.
+// acknowledge handles the version that a poll names. The version is accepted only if it was sent to this proxy in this
+// epoch and is still stored; otherwise the state of the proxy counts as unknown, and the proxy is sent full tables.
+// Without the check, a proxy could be sent a delta to a state that it does not hold: after a restart, after lost
+// answers, or if the version was never sent to it. The cost of the check is a full table.
 func (s *Server) acknowledge(now float64, client *clientState, poll Poll) {
 	if client.unacknowledged {
 		client.unacknowledged = false
@@ -55,7 +58,7 @@
 		if client.version > 0 || poll.Epoch != 0 {
 			s.Stats.UnknownVersions++
 		}
-		s.observe(now, client, nil)
+		s.reportHeldVersions(now, client, nil)
 		return
 	}
 	client.baseVersion = poll.Version
@@ -64,10 +67,10 @@
 		return
 	}
 	s.Stats.LostAnswers++
-	s.observe(now, client, state.classes)
+	s.reportHeldVersions(now, client, state.classes)
 }
 
-// sentState returns the remembered state of a version, nil if there is none.
+// sentState returns the stored state of a version; nil if there is none.
 func (c *clientState) sentState(version uint64) *sentState {
 	if version == 0 {
 		return nil
@@ -80,8 +83,9 @@
 	return nil
 }
 
-// observe reports to the fleet what a proxy holds of its assigned tables; without classes it holds nothing.
-func (s *Server) observe(now float64, client *clientState, classes []sentTable) {
+// reportHeldVersions reports to the fleet which versions of its assigned tables a proxy holds. If classes is empty, it
+// holds none.
+func (s *Server) reportHeldVersions(now float64, client *clientState, classes []sentTable) {
 	versions := make([]tables.Version, len(client.proxy.Tables))
 	for i, sent := range classes {
 		assigned := &client.proxy.Tables[i]
--- a/internal/wire/delta/golden_test.go
+++ b/internal/wire/delta/golden_test.go
@@ -7,11 +7,11 @@
 	"snowquay/internal/golden"
 )
 
-func TestTablesOnTheWire(t *testing.T) {
-	level := 0.75
-	comeBack := 1.5
+func TestTablesEncoding(t *testing.T) {
+	admission := 0.75
+	retryAfter := 1.5
 	tables := Tables{Epoch: "00000000000000a1", Version: 12, Base: 11, PollWithin: 30, OwnershipEpoch: 4, Classes: []Class{{Class: "search", Full: true,
-		Entries: []Entry{{Server: "127.0.1.2:8080", Weight: 1.5, Draining: true}}, Admission: &level, Retry: "proof", RetryAfter: &comeBack}}}
+		Entries: []Entry{{Server: "127.0.1.2:8080", Weight: 1.5, Draining: true}}, Admission: &admission, Retry: "proof", RetryAfter: &retryAfter}}}
 	golden.JSON(t, "tables.json", tables)
 	for name, media := range map[string]string{"tables.json": JSON, "tables.cbor": CBOR} {
 		b, err := Append(nil, media, &tables)
@@ -21,11 +21,11 @@
 		golden.Bytes(t, name, b)
 		var decoded Tables
 		if err := Decode(golden.Read(t, name), media, &decoded); err != nil || !reflect.DeepEqual(decoded, tables) {
-			t.Errorf("%s: %+v, %v", name, decoded, err)
+			t.Errorf("%s: decoded %+v, error %v", name, decoded, err)
 		}
 	}
 }
 
-func TestProblemOnTheWire(t *testing.T) {
+func TestProblemEncoding(t *testing.T) {
 	golden.JSON(t, "problem.json", Problem{Type: "urn:x", Title: "Conflict", Status: 409, Detail: "why", RetryAfter: 2.5})
 }
--- a/internal/wire/delta/mediatypes.go
+++ b/internal/wire/delta/mediatypes.go
@@ -2,14 +2,15 @@
 
 import "strings"
 
-// The media types of answers.
+// Media types of responses.
 const (
 	JSON             = "application/json"
 	CBOR             = "application/cbor"
-	ProblemMediaType = "application/problem+json" // of problem documents
+	ProblemMediaType = "application/problem+json" // problem documents
 )
 
-// NegotiateMediaType picks the media type of tables for an Accept header; ok is false if the header allows none.
+// NegotiateMediaType returns the media type in which to send tables, by the Accept header of the request; ok is false
+// if the header accepts neither JSON nor CBOR.
 func NegotiateMediaType(header string) (mediaType string, ok bool) {
 	if strings.TrimSpace(header) == "" {
 		return JSON, true
--- a/internal/wire/delta/tables.go
+++ b/internal/wire/delta/tables.go
@@ -1,7 +1,7 @@
-// Package delta encodes and decodes the answers of the long-poll API: tables and what changed in them, as JSON or as CBOR
+// Package delta encodes and decodes the responses of the long-poll API: full weight tables and deltas, as JSON or CBOR
 // (RFC 8949), and problem documents (RFC 9457).
 //
-// It is pure: bytes in, structures out, and back. internal/frontend/longpollhttp/openapi.json describes the API.
+// The package does no I/O. The API is described in internal/frontend/longpollhttp/openapi.json.
 package delta
 
 import (
@@ -13,37 +13,37 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// Tables is an answer to a poll.
+// Tables is the body of a response to a poll.
 type Tables struct {
-	Epoch          string  `json:"epoch"`          // of this run of the coordinator, in hexadecimal digits
-	Version        uint64  `json:"version"`        // to be named in the next poll
-	Base           uint64  `json:"from"`           // version of this epoch that the proxy must hold, or a later one, to apply the answer; 0: any
-	PollWithin     float64 `json:"ask-within"`     // seconds within which the proxy must poll again
-	OwnershipEpoch uint64  `json:"lead,omitempty"` // epoch of proxy ownership, where coordinators share the fleet
+	Epoch          string  `json:"epoch"`          // identifies the run of the coordinator; hexadecimal digits
+	Version        uint64  `json:"version"`        // the proxy sends it in its next poll
+	Base           uint64  `json:"from"`           // lowest version of this epoch to which the proxy may apply the tables; 0: any state
+	PollWithin     float64 `json:"ask-within"`     // the proxy must poll again within this number of seconds
+	OwnershipEpoch uint64  `json:"lead,omitempty"` // epoch of the proxy's ownership, where several coordinators share the fleet
 	Classes        []Class `json:"classes"`
 }
 
-// Class is what changed for one request class, or all of it.
+// Class holds the changes to one request class, or its whole state.
 type Class struct {
 	Class      string   `json:"class"`
-	Full       bool     `json:"full"` // the entries are the whole table: the proxy drops all others
+	Full       bool     `json:"full"` // Entries is the whole table: the proxy removes all other entries
 	Entries    []Entry  `json:"lines"`
-	Admission  *float64 `json:"level,omitempty"`     // admitted share or rate; absent: as before
-	Retry      string   `json:"again,omitempty"`     // none, proof, failure or twice; absent: as before
+	Admission  *float64 `json:"level,omitempty"`     // admitted fraction or rate; absent: unchanged
+	Retry      string   `json:"again,omitempty"`     // none, proof, failure or twice; absent: unchanged
 	RetryAfter *float64 `json:"come-back,omitempty"` // seconds after which a rejected client may retry
 }
 
-// Entry is the weight of a server. A weight of 0 removes the server.
+// Entry is a table entry: the weight of a server. A weight of 0 removes the server.
 type Entry struct {
 	Server   string  `json:"server"`
 	Weight   float64 `json:"weight"`
-	Draining bool    `json:"drains,omitempty"` // the server is removed because it drains
+	Draining bool    `json:"drains,omitempty"` // the server is removed because it is draining
 }
 
-// ErrInvalidTables reports an answer that is malformed; nothing of it may be applied.
+// ErrInvalidTables is returned for a malformed response, of which nothing may be applied.
 var ErrInvalidTables = errors.New("invalid tables")
 
-const maxNestedLevels = 8 // of CBOR data
+const maxNestedLevels = 8 // limit for CBOR data
 
 var decoder = newDecoder()
 
@@ -51,12 +51,13 @@
 	options := cbor.DecOptions{DupMapKey: cbor.DupMapKeyEnforcedAPF, MaxNestedLevels: maxNestedLevels}
 	mode, err := options.DecMode()
 	if err != nil {
-		panic(err) // the options are constant
+		panic(err) // the options are constants, which are valid
 	}
 	return mode
 }
 
-// Append appends tables to data, encoded in a media type: CBOR, or else JSON. JSON fails on numbers that are not finite.
+// Append appends the encoded tables to data: as CBOR if mediaType is CBOR, otherwise as JSON. JSON encoding fails for
+// numbers that are not finite.
 func Append(data []byte, mediaType string, tables *Tables) ([]byte, error) {
 	var encoded []byte
 	var err error
@@ -68,8 +69,8 @@
 	return append(data, encoded...), err
 }
 
-// Decode decodes tables from a media type, CBOR or else JSON, and validates them: weights and admission levels are finite
-// and not below 0, and no class names a server twice. The error wraps ErrInvalidTables.
+// Decode decodes tables, from CBOR if mediaType is CBOR and otherwise from JSON, and validates them: weights and
+// admission levels must be finite and at least 0, and no class may name a server twice. Errors wrap ErrInvalidTables.
 func Decode(data []byte, mediaType string, tables *Tables) error {
 	var err error
 	if mediaType == CBOR {
@@ -106,14 +107,14 @@
 	return value >= 0 && !math.IsInf(value, 0)
 }
 
-// AppliesTo reports whether a proxy that holds a version of an epoch may apply the tables. If not, the proxy drops them and
-// polls again: an answer that comes late, or that was meant for an earlier run of the proxy, would otherwise be applied to
-// a state that it does not fit.
+// AppliesTo reports whether a proxy that holds the given version of the given epoch may apply the tables. Otherwise the
+// proxy must discard them and poll again: a response that is late, or that was meant for an earlier run of the proxy,
+// would be applied to a state that it is not based on.
 func (t *Tables) AppliesTo(epoch string, version uint64) bool {
 	return t.Base == 0 || t.Epoch == epoch && t.Base <= version
 }
 
-// Stale reports whether the tables come from a coordinator that no longer owns the proxy: the proxy has followed a newer
-// ownership epoch, and must drop them. It guards against a coordinator that was paused between checking its lease and
-// answering; the proxy then polls another coordinator.
-func (t *Tables) Stale(followed uint64) bool { return t.OwnershipEpoch < followed }
+// Stale reports whether the tables come from a coordinator that no longer owns the proxy, which has already followed a
+// newer ownership epoch. The proxy must discard stale tables and poll another coordinator. The check covers a
+// coordinator that was paused between checking its lease and answering.
+func (t *Tables) Stale(followedEpoch uint64) bool { return t.OwnershipEpoch < followedEpoch }
