--- a/internal/frontend/longpollhttp/answers.go
+++ b/internal/frontend/longpollhttp/answers.go
@@ -11,7 +11,7 @@
 	"snowquay/internal/wire/delta"
 )
 
-// retryNames are the retry policies as the API names them.
+// retryNames are the names of the retry policies in the API.
 var retryNames = map[balancer.RetryPolicy]string{
 	balancer.RetryNever:         "none",
 	balancer.RetryIfNotExecuted: "proof",
@@ -19,7 +19,7 @@
 	balancer.RetryTwice:         "twice",
 }
 
-// Answer responds to a parked poll. It implements longpoll.Handler.
+// Answer sends the response to a parked poll. It implements longpoll.Handler.
 func (f *Frontend) Answer(id longpoll.PollID, answer *longpoll.Answer) {
 	conn := f.takePoll(id)
 	if conn == nil {
@@ -33,7 +33,7 @@
 	f.setTables(answer)
 	var err error
 	f.body, err = delta.Append(f.body[:0], conn.mediaType, &f.tables)
-	if err != nil { // excluded, since all numbers are finite
+	if err != nil { // not expected, since all numbers are finite
 		f.respondProblem(conn, http.StatusInternalServerError, "internal", 0, "%v", err)
 		return
 	}
@@ -46,7 +46,7 @@
 	f.handleRequests(conn)
 }
 
-// setTables converts an answer into the tables that are sent.
+// setTables sets the tables that are sent from an answer.
 func (f *Frontend) setTables(answer *longpoll.Answer) {
 	f.tables.Epoch = strconv.FormatUint(answer.Epoch, 16)
 	f.tables.Version = answer.Version
@@ -59,7 +59,8 @@
 	}
 }
 
-// appendClass appends a class to the tables, in the memory for entries that an earlier answer used in its place.
+// appendClass appends a class to the tables. It reuses the memory of the entries that an earlier answer had in this
+// position.
 func (f *Frontend) appendClass(class longpoll.Class) {
 	count := len(f.tables.Classes)
 	f.tables.Classes = slices.Grow(f.tables.Classes, 1)[:count+1]
--- a/internal/frontend/longpollhttp/connections.go
+++ b/internal/frontend/longpollhttp/connections.go
@@ -6,26 +6,28 @@
 	"snowquay/internal/core/longpoll"
 )
 
-const expiryCheckInterval = 0.25 // seconds between two searches for connections that have to be closed
+const expiryCheckInterval = 0.25 // seconds between two scans for connections that have to be closed
 
-// Conn identifies a connection. The driver assigns the numbers and uses each of them once.
+// Conn identifies a connection. The driver assigns the IDs and uses each of them once.
 type Conn uint64
 
+// connection is the state of an open connection.
 type connection struct {
 	id             Conn
 	from           netip.Addr
-	uid            string // of its latest poll
-	buffer         []byte // bytes that are not yet handled
-	mediaType      string // of responses; empty if the client accepts none
+	uid            string // UID that the latest poll names
+	buffer         []byte // received bytes that are not yet handled
+	mediaType      string // media type of tables in responses; empty if the client accepts none
 	poll           longpoll.PollID
-	idleSince      float64 // when the latest request began or the latest poll ended
+	idleSince      float64 // time at which the latest request was received or the latest poll ended
 	sentBytes      uint64
 	deliveredBytes uint64
-	undeliveredAt  float64 // since when sent bytes have been undelivered
-	closing        bool    // it is closed once everything sent is received
+	undeliveredAt  float64 // time since which there have been undelivered bytes
+	closing        bool    // to be closed once the peer's host has received all that was sent
 }
 
-// isExpired reports whether a connection without a poll is idle for too long, or its peer does not receive what is sent.
+// isExpired reports whether a connection without a parked poll has been idle for too long, or its peer has not received
+// a response in time.
 func (f *Frontend) isExpired(conn *connection) bool {
 	idle := conn.poll == 0 && f.now-conn.idleSince > f.limits.IdleTimeout
 	stalled := conn.sentBytes > conn.deliveredBytes && f.now-conn.undeliveredAt > f.limits.DeliveryTimeout
@@ -35,12 +37,12 @@
 func (f *Frontend) close(conn *connection, reason string) {
 	f.Stats.Closed++
 	f.handler.Log("connection closed", "reason", reason, "from", conn.from, "frontend", "longpoll")
-	f.forget(conn)
+	f.removeConnection(conn)
 	f.handler.ClosePoll(conn.id)
 }
 
-// forget drops a connection, and its parked poll.
-func (f *Frontend) forget(conn *connection) {
+// removeConnection removes a connection and its parked poll.
+func (f *Frontend) removeConnection(conn *connection) {
 	delete(f.conns, conn.id)
 	if f.byUID[conn.uid] == conn {
 		delete(f.byUID, conn.uid)
@@ -54,7 +56,7 @@
 	f.Polls.PollClosed(f.now, id)
 }
 
-// takePoll ends a parked poll and returns its connection, nil if it has none.
+// takePoll ends a parked poll and returns its connection; nil if the connection is closed.
 func (f *Frontend) takePoll(id longpoll.PollID) *connection {
 	conn := f.byPoll[id]
 	if conn == nil {
@@ -70,7 +72,7 @@
 func (f *Frontend) Dropped(uid string) {
 	conn := f.byUID[uid]
 	if conn != nil && conn.poll == 0 && !conn.closing {
-		f.close(conn, "its proxy left")
+		f.close(conn, "proxy left")
 	}
 }
 
--- a/internal/frontend/longpollhttp/frontend.go
+++ b/internal/frontend/longpollhttp/frontend.go
@@ -1,8 +1,8 @@
-// Package longpollhttp serves the long-poll API over HTTP/1.1 (RFC 9112): requests become polls of a longpoll.Server, and
-// its answers become responses.
+// Package longpollhttp serves the long-poll API over HTTP/1.1 (RFC 9112): requests become polls of a longpoll.Server,
+// and its answers become responses.
 //
-// Requests are parsed by net/http, but the package does no I/O of its own, so that it runs on an event loop and in virtual
-// time. A parked poll costs the few fields of its connection and no goroutine.
+// The package parses requests with net/http but does no I/O itself, so it can run on an event loop and in virtual time.
+// A parked poll uses no goroutine, only a few fields of its connection.
 package longpollhttp
 
 import (
@@ -14,14 +14,14 @@
 	"snowquay/internal/wire/delta"
 )
 
-// OpenAPI is the OpenAPI document of the API, in JSON.
+// OpenAPI is the OpenAPI description of the API, in JSON.
 //
 //go:embed openapi.json
 var OpenAPI []byte
 
-// Handler carries out what a Frontend decides.
+// Handler does the I/O of a Frontend.
 type Handler interface {
-	// SendPoll sends bytes on a connection. It must copy them before it returns, since the Frontend reuses them.
+	// SendPoll sends data on a connection. It must not retain data, which the Frontend reuses.
 	SendPoll(conn Conn, data []byte)
 	// ClosePoll closes a connection.
 	ClosePoll(conn Conn)
@@ -29,22 +29,23 @@
 	Log(event string, pairs ...any)
 }
 
-// Limits bound what connections may use. One that exceeds a limit is closed, after a response where one can be given.
+// Limits bound the resources that connections may use. A connection that exceeds a limit is closed, if possible after
+// an error response.
 type Limits struct {
 	MaxConnections  int
-	MaxHeadBytes    int     // bytes of a request's head
-	MaxUnread       int     // bytes sent on a connection that its peer has not received
-	IdleTimeout     float64 // seconds until a request's head must be complete, and until the next request must begin
-	DeliveryTimeout float64 // seconds until the peer must have received a response
+	MaxHeadBytes    int     // size of the head of a request
+	MaxUnread       int     // bytes sent on a connection that the peer has not received
+	IdleTimeout     float64 // seconds within which the head of a request must be complete, and the next request must begin
+	DeliveryTimeout float64 // seconds within which the peer must have received a response
 }
 
-// DefaultLimits are the limits that the settings start from.
+// DefaultLimits are the limits that apply unless the settings override them.
 var DefaultLimits = Limits{
 	MaxConnections:  16384,   // three for each of 5,000 proxies
 	MaxHeadBytes:    8 << 10, // the usual limit of web servers
-	MaxUnread:       4 << 20, // a table of 1,000 servers for 20 classes
-	IdleTimeout:     15,      // a proxy polls again at once
-	DeliveryTimeout: 10,      // the longest pause of a proxy that is still alive
+	MaxUnread:       4 << 20, // enough for tables of 1,000 servers for 20 classes
+	IdleTimeout:     15,      // proxies poll again at once
+	DeliveryTimeout: 10,      // longest pause of a proxy that is still alive
 }
 
 // Stats counts events since the start, for metrics.
@@ -52,7 +53,7 @@
 
 // Frontend serves the API of one coordinator. Use New.
 type Frontend struct {
-	// Polls serves the polls. It must be set before the first connection; the Frontend is its Handler.
+	// Polls serves the polls and has the Frontend as its Handler. It must be set before the first connection is opened.
 	Polls *longpoll.Server
 	// Stats counts events since the start.
 	Stats Stats
@@ -62,7 +63,7 @@
 	classNames []string
 	conns      map[Conn]*connection
 	byPoll     map[longpoll.PollID]*connection
-	byUID      map[string]*connection // the connection of each proxy's latest poll
+	byUID      map[string]*connection // by UID of the proxy: the connection of its latest poll
 	lastPoll   longpoll.PollID
 	now        float64
 	lastCheck  float64
@@ -71,7 +72,7 @@
 	sendBuffer []byte       // reused for every response
 }
 
-// New makes a Frontend for request classes of these names. Its LongPoll must be set before it is used.
+// New returns a Frontend for request classes with these names. Its field Polls must be set before it is used.
 func New(handler Handler, limits Limits, classNames []string) *Frontend {
 	return &Frontend{
 		handler:    handler,
@@ -83,11 +84,11 @@
 	}
 }
 
-// Connections reports the number of open connections.
+// Connections returns the number of open connections.
 func (f *Frontend) Connections() int { return len(f.conns) }
 
-// Tick does what is due by time: it closes connections that are idle or do not receive their responses. Those of a client
-// that reads a byte a second are among them, so that its proxy then leaves.
+// Tick does what is due by time: it closes connections that are idle or whose peers do not receive their responses in
+// time, such as a client that reads one byte per second. The proxy of such a client then counts as having left.
 func (f *Frontend) Tick(now float64) {
 	f.now = now
 	f.Polls.Tick(now)
@@ -107,7 +108,7 @@
 	}
 }
 
-// Opened accepts a connection from an address.
+// Opened registers a connection that a peer has opened from an address.
 func (f *Frontend) Opened(now float64, id Conn, from netip.Addr) {
 	f.now = now
 	conn := &connection{id: id, from: from, idleSince: now}
@@ -117,16 +118,17 @@
 	}
 }
 
-// Closed reports that a connection has ended.
+// Closed handles the end of a connection.
 func (f *Frontend) Closed(now float64, id Conn) {
 	f.now = now
 	conn := f.conns[id]
 	if conn != nil {
-		f.forget(conn)
+		f.removeConnection(conn)
 	}
 }
 
-// Delivered reports how many of the bytes sent on a connection the peer's host has received, as the kernel sees it.
+// Delivered updates the number of bytes sent on a connection that the peer's host has received, according to the
+// kernel.
 func (f *Frontend) Delivered(now float64, id Conn, total uint64) {
 	f.now = now
 	conn := f.conns[id]
@@ -135,13 +137,13 @@
 	}
 	conn.deliveredBytes = max(conn.deliveredBytes, total)
 	if conn.closing && conn.deliveredBytes >= conn.sentBytes {
-		f.forget(conn)
+		f.removeConnection(conn)
 		f.handler.ClosePoll(id)
 	}
 }
 
-// Receive takes bytes of a connection, split in any way. One request is served at a time; further ones wait in the
-// connection's buffer, up to its limit.
+// Receive handles data received on a connection, in pieces of any size. One request is served at a time; further
+// requests wait in the connection's buffer, up to its limit.
 func (f *Frontend) Receive(now float64, id Conn, data []byte) {
 	f.now = now
 	conn := f.conns[id]
--- a/internal/frontend/longpollhttp/frontend_test.go
+++ b/internal/frontend/longpollhttp/frontend_test.go
@@ -24,44 +24,44 @@
 	if err := doc.Validate(context.Background()); err != nil {
 		t.Fatal(err)
 	}
-	set := testConfig(5, 2, 14880)
-	set.Site.AllowUnlisted = false
-	set.Site.Proxies = []controlplane.ProxyConfig{{UID: "r1", ExpectedRate: 5}, {UID: "r 2/x"}, {UID: "r3"}}
-	set.LongPollLimits.PollBurst = 15
-	program, s, base := listen(t, set)
+	config := testConfig(5, 2, 14880)
+	config.Site.AllowUnlisted = false
+	config.Site.Proxies = []controlplane.ProxyConfig{{UID: "r1", ExpectedRate: 5}, {UID: "r 2/x"}, {UID: "r3"}}
+	config.LongPollLimits.PollBurst = 15
+	program, s, base := listen(t, config)
 	doc.Servers = openapi3.Servers{{URL: base}}
 	router, err := legacy.NewRouter(doc)
 	if err != nil {
 		t.Fatal(err)
 	}
-	c := apiClient{t, router, base}
-	resp, body := c.do("GET", "/v1/proxies/r1/tables?wait=5", "")
+	client := apiClient{t, router, base}
+	resp, body := client.do("GET", "/v1/proxies/r1/tables?wait=5", "")
 	var first delta.Tables
 	if err := delta.Decode(body, delta.JSON, &first); err != nil || resp.StatusCode != 200 || len(first.Classes) != 1 ||
 		!first.Classes[0].Full || len(first.Classes[0].Entries) != 5 || first.Base != 0 {
 		t.Fatalf("%d %s, %v", resp.StatusCode, body, err)
 	}
-	at := fmt.Sprintf("epoch=%s&version=%d", first.Epoch, first.Version)
-	if resp, body = c.do("GET", "/v1/proxies/r1/tables?wait=0.1&"+at, ""); resp.StatusCode != 204 || len(body) > 0 {
-		t.Errorf("a poll without a change: %d %s", resp.StatusCode, body)
+	position := fmt.Sprintf("epoch=%s&version=%d", first.Epoch, first.Version)
+	if resp, body = client.do("GET", "/v1/proxies/r1/tables?wait=0.1&"+position, ""); resp.StatusCode != 204 || len(body) > 0 {
+		t.Errorf("response to a poll without a change: %d %s, want 204 and no body", resp.StatusCode, body)
 	}
 	s.Do(func(now float64) {
 		if program.Fleet.UpToDate() != 1 {
-			t.Errorf("%d are up to date", program.Fleet.UpToDate())
+			t.Errorf("%d proxies are up to date, want 1", program.Fleet.UpToDate())
 		}
 		program.Fleet.Registry.SetDrain(now, serverName(2), true)
 	})
-	resp, body = c.do("GET", "/v1/proxies/r1/tables?wait=5&"+at, delta.CBOR)
+	resp, body = client.do("GET", "/v1/proxies/r1/tables?wait=5&"+position, delta.CBOR)
 	if resp.StatusCode != 200 {
-		t.Errorf("the drain is answered with %d", resp.StatusCode)
+		t.Errorf("response to the poll after the drain: status %d, want 200", resp.StatusCode)
 	}
 	var second delta.Tables
 	if err := delta.Decode(body, delta.CBOR, &second); err != nil || second.Classes[0].Full || second.Base != first.Version ||
 		len(second.Classes[0].Entries) != 1 || !second.Classes[0].Entries[0].Draining || !second.AppliesTo(first.Epoch, first.Version) ||
 		second.AppliesTo("1", first.Version) {
-		t.Errorf("the drain: %+v, %v", second, err)
+		t.Errorf("tables with the drain: %+v, error %v", second, err)
 	}
-	for _, x := range []struct {
+	for _, test := range []struct {
 		method, path, accept string
 		status               int
 	}{
@@ -73,91 +73,91 @@
 		{"GET", "/v2", "", 404}, {"GET", "/openapi.json", "", 200}, {"GET", "/v1/proxies/r1", "", 404},
 		{"DELETE", "/v1/proxies/r1", "", 204}, {"DELETE", "/v1/proxies/r1", "", 404},
 	} {
-		resp, body := c.do(x.method, x.path, x.accept)
-		if resp.StatusCode != x.status {
-			t.Errorf("%s %.60s: %d %s, want %d", x.method, x.path, resp.StatusCode, body, x.status)
+		resp, body := client.do(test.method, test.path, test.accept)
+		if resp.StatusCode != test.status {
+			t.Errorf("%s %.60s: %d %s, want %d", test.method, test.path, resp.StatusCode, body, test.status)
 		}
-		if x.status >= 400 && resp.Header.Get("Content-Type") != delta.ProblemMediaType {
-			t.Errorf("%s %.60s: no problem document: %s", x.method, x.path, body)
+		if test.status >= 400 && resp.Header.Get("Content-Type") != delta.ProblemMediaType {
+			t.Errorf("%s %.60s: the response is not a problem document: %s", test.method, test.path, body)
 		}
 	}
 	for i := range 20 {
-		resp, _ := c.do("GET", "/v1/proxies/r3/tables?epoch=1&version=1&wait=0", "")
-		if late := i >= 16; late && (resp.StatusCode != 429 || resp.Header.Get("Retry-After") == "") {
-			t.Errorf("poll %d of a proxy that polls all the time: %d", i, resp.StatusCode)
+		resp, _ := client.do("GET", "/v1/proxies/r3/tables?epoch=1&version=1&wait=0", "")
+		if exceeded := i >= 16; exceeded && (resp.StatusCode != 429 || resp.Header.Get("Retry-After") == "") {
+			t.Errorf("poll %d of a proxy that polls without pause: status %d, want 429 and a Retry-After header", i, resp.StatusCode)
 		}
 	}
 }
 
 func TestHostileRequests(t *testing.T) {
-	set := testConfig(3, 2, 14881)
-	set.LongPollHTTPLimits.IdleTimeout = 0.6
-	set.LongPollHTTPLimits.MaxConnections = 50
-	program, s, base := listen(t, set)
+	config := testConfig(3, 2, 14881)
+	config.LongPollHTTPLimits.IdleTimeout = 0.6
+	config.LongPollHTTPLimits.MaxConnections = 50
+	program, s, base := listen(t, config)
 	const get = "GET /openapi.json HTTP/1.1\r\nHost: x\r\n"
 	for name, c := range map[string]struct {
 		send   string
 		status string
 	}{
-		"a body":                     {get + "Content-Length: 5\r\n\r\nabcde", "413"},
-		"chunks":                     {get + "Transfer-Encoding: chunked\r\n\r\n0\r\n\r\n", "413"},
-		"length and chunks":          {get + "Content-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\nGET /v1", "413"},
-		"two lengths that disagree":  {get + "Content-Length: 0\r\nContent-Length: 9\r\n\r\n", "400"},
-		"a length that is no number": {get + "Content-Length: +0x\r\n\r\n", "400"},
-		"odd chunking":               {get + "Transfer-Encoding: xchunked\r\n\r\n", "400"},
-		"no request":                 {"\x16\x03\x01\x02\x00\x01\x00\x01\xfc\r\n\r\n", "400"},
-		"HTTP/1.0":                   {"GET / HTTP/1.0\r\n\r\n", "505"},
-		"a head without end":         {get + "X: " + strings.Repeat("y", 9000), "431"},
-		"a large head":               {get + "X: " + strings.Repeat("y", 9000) + "\r\n\r\n", "431"},
+		"a body":                        {get + "Content-Length: 5\r\n\r\nabcde", "413"},
+		"chunked body":                  {get + "Transfer-Encoding: chunked\r\n\r\n0\r\n\r\n", "413"},
+		"length and chunked body":       {get + "Content-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\nGET /v1", "413"},
+		"conflicting lengths":           {get + "Content-Length: 0\r\nContent-Length: 9\r\n\r\n", "400"},
+		"a length that is not a number": {get + "Content-Length: +0x\r\n\r\n", "400"},
+		"unknown transfer encoding":     {get + "Transfer-Encoding: xchunked\r\n\r\n", "400"},
+		"not HTTP":                      {"\x16\x03\x01\x02\x00\x01\x00\x01\xfc\r\n\r\n", "400"},
+		"HTTP/1.0":                      {"GET / HTTP/1.0\r\n\r\n", "505"},
+		"an unterminated head":          {get + "X: " + strings.Repeat("y", 9000), "431"},
+		"an oversized head":             {get + "X: " + strings.Repeat("y", 9000) + "\r\n\r\n", "431"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			got := exchangeRaw(t, base, c.send)
 			if !strings.HasPrefix(got, "HTTP/1.1 "+c.status) || strings.Count(got, "HTTP/1.1") != 1 || !strings.Contains(got, "Connection: close") {
-				t.Errorf("%.200q, want %s once and a close", got, c.status)
+				t.Errorf("response %.200q, want status %s once and Connection: close", got, c.status)
 			}
 		})
 	}
 	pieces := strings.Split(get+"\r\n"+get+"\r\n", "")
 	if got := exchangeRaw(t, base, pieces...); strings.Count(got, "HTTP/1.1 200") != 2 {
-		t.Errorf("two requests a byte at a time: %.300q", got)
+		t.Errorf("responses to two requests sent byte by byte: %.300q", got)
 	}
 	if got := exchangeRaw(t, base, "GET /v1/proxies/r1/tables?wait=30 HTTP/1.1\r\nHost: x\r\n\r\n", strings.Repeat(get+"\r\n", 400)); strings.Count(got, "HTTP/1.1 200") > 320 {
 		t.Errorf("%d requests behind a parked poll were served", strings.Count(got, "HTTP/1.1 200"))
 	}
-	for range 100 { // silent connections
+	for range 100 { // idle connections
 		if c, err := net.Dial("tcp", strings.TrimPrefix(base, "http://")); err == nil {
 			defer func() { _ = c.Close() }()
 		}
 	}
 	time.Sleep(100 * time.Millisecond)
-	n := 0
-	s.Do(func(float64) { n = program.LongPoll.Connections() })
-	if n > 50 {
-		t.Errorf("%d connections are open", n)
+	connections := 0
+	s.Do(func(float64) { connections = program.LongPoll.Connections() })
+	if connections > 50 {
+		t.Errorf("%d connections are open, want at most 50", connections)
 	}
-	for end := time.Now().Add(10 * time.Second); n > 0; time.Sleep(20 * time.Millisecond) {
-		s.Do(func(float64) { n = program.LongPoll.Connections() })
+	for end := time.Now().Add(10 * time.Second); connections > 0; time.Sleep(20 * time.Millisecond) {
+		s.Do(func(float64) { connections = program.LongPoll.Connections() })
 		if time.Now().After(end) {
-			t.Fatalf("%d silent connections are still open", n)
+			t.Fatalf("%d idle connections are still open", connections)
 		}
 	}
 }
 
-// A client that does not read a large answer is disconnected, and its proxy leaves.
+// A client that does not read a large response is disconnected, and its proxy is removed from the fleet.
 func TestSlowReaderIsDisconnected(t *testing.T) {
-	set := testConfig(3000, 1, 14882)
-	set.LongPollHTTPLimits.DeliveryTimeout = 0.4
-	set.LongPollLimits.PollGap = 0.8
-	program, s, base := listen(t, set)
-	c, err := net.Dial("tcp", strings.TrimPrefix(base, "http://"))
+	config := testConfig(3000, 1, 14882)
+	config.LongPollHTTPLimits.DeliveryTimeout = 0.4
+	config.LongPollLimits.PollGap = 0.8
+	program, s, base := listen(t, config)
+	conn, err := net.Dial("tcp", strings.TrimPrefix(base, "http://"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer func() { _ = c.Close() }()
-	if err := c.(*net.TCPConn).SetReadBuffer(1024); err != nil {
+	defer func() { _ = conn.Close() }()
+	if err := conn.(*net.TCPConn).SetReadBuffer(1024); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := c.Write([]byte("GET /v1/proxies/r1/tables?wait=30 HTTP/1.1\r\nHost: x\r\n\r\n")); err != nil {
+	if _, err := conn.Write([]byte("GET /v1/proxies/r1/tables?wait=30 HTTP/1.1\r\nHost: x\r\n\r\n")); err != nil {
 		t.Fatal(err)
 	}
 	joined := 1
@@ -168,7 +168,7 @@
 			conns = program.LongPoll.Connections()
 		})
 		if time.Now().After(end) {
-			t.Fatalf("%d joined, %d connections", joined, conns)
+			t.Fatalf("%d proxies are joined and %d connections open, want none", joined, conns)
 		}
 	}
 }
--- a/internal/frontend/longpollhttp/identity.go
+++ b/internal/frontend/longpollhttp/identity.go
@@ -7,13 +7,13 @@
 	"strings"
 )
 
-const proxiesPath = "/v1/proxies/" // followed by a proxy's UID
+const proxiesPath = "/v1/proxies/" // prefix of paths, which continue with the UID of a proxy
 
-// ErrNotPoll reports that the first bytes of a connection are not a poll of any proxy.
-var ErrNotPoll = errors.New("the first request is no poll")
+// ErrNotPoll is returned if the first request of a connection is not a request of a proxy.
+var ErrNotPoll = errors.New("the first request is not a poll")
 
-// ParseIdentity returns the UID that the first request of a connection names. need says that more bytes are needed to
-// tell. The error is ErrNotPoll.
+// ParseIdentity returns the UID that the first request of a connection names; data is what has been received so far. If
+// need is true, more bytes are needed. The error is ErrNotPoll.
 func ParseIdentity(data []byte) (uid string, need bool, err error) {
 	line, _, complete := bytes.Cut(data, []byte("\r\n"))
 	if !complete {
--- a/internal/frontend/longpollhttp/requests.go
+++ b/internal/frontend/longpollhttp/requests.go
@@ -18,7 +18,7 @@
 	maxUIDBytes = 255
 )
 
-// The query parameters of a poll.
+// Query parameters of a poll.
 const (
 	paramEpoch          = "epoch"
 	paramVersion        = "version"
@@ -26,7 +26,7 @@
 	paramOwnershipEpoch = "lead"
 )
 
-// handleRequests serves the complete requests in a connection's buffer until one of them parks a poll.
+// handleRequests serves the complete requests in a connection's buffer, until a poll is parked.
 func (f *Frontend) handleRequests(conn *connection) {
 	for f.conns[conn.id] == conn && !conn.closing && conn.poll == 0 {
 		head, ok := f.nextHead(conn)
@@ -42,13 +42,14 @@
 	}
 }
 
-// nextHead takes the head of the next request from a connection's buffer; ok is false if it is incomplete or too large.
+// nextHead removes the head of the next request from a connection's buffer; ok is false if it is incomplete or too
+// large.
 func (f *Frontend) nextHead(conn *connection) (head []byte, ok bool) {
 	end := bytes.Index(conn.buffer, []byte(headEnd))
 	size := end + len(headEnd)
 	if end < 0 || size > f.limits.MaxHeadBytes {
 		if len(conn.buffer) > f.limits.MaxHeadBytes {
-			f.fail(conn, http.StatusRequestHeaderFieldsTooLarge, "head-too-large", "the head has over %d bytes",
+			f.failConnection(conn, http.StatusRequestHeaderFieldsTooLarge, "head-too-large", "the head has over %d bytes",
 				f.limits.MaxHeadBytes)
 		}
 		return nil, false
@@ -64,18 +65,18 @@
 func (f *Frontend) handleRequest(conn *connection, head []byte) {
 	request, err := http.ReadRequest(bufio.NewReader(bytes.NewReader(head)))
 	if err != nil {
-		f.fail(conn, http.StatusBadRequest, "malformed", "%v", err)
+		f.failConnection(conn, http.StatusBadRequest, "malformed", "%v", err)
 		return
 	}
-	// A request that announces a body is refused: none is ever needed, and a peer that disagrees on where the body ends could
-	// hide a request in it.
+	// Requests with a body are refused. No request needs one, and if a peer disagrees on where the body ends, a request
+	// could be smuggled in it.
 	hasEncoding := len(request.TransferEncoding) > 0 || request.Header.Get("Transfer-Encoding") != ""
 	if request.ContentLength != 0 || hasEncoding {
-		f.fail(conn, http.StatusRequestEntityTooLarge, "body", "requests have no body here")
+		f.failConnection(conn, http.StatusRequestEntityTooLarge, "body", "requests have no body here")
 		return
 	}
 	if request.ProtoMajor != 1 || request.ProtoMinor != 1 {
-		f.fail(conn, http.StatusHTTPVersionNotSupported, "version", "%s is not spoken", request.Proto)
+		f.failConnection(conn, http.StatusHTTPVersionNotSupported, "version", "%s is not spoken", request.Proto)
 		return
 	}
 	f.route(conn, request)
@@ -97,7 +98,7 @@
 	}
 }
 
-// routeProxy serves a request below the path of the proxies; rest is the escaped path after it.
+// routeProxy serves a request whose path starts with proxiesPath; rest is the escaped path after it.
 func (f *Frontend) routeProxy(conn *connection, request *http.Request, rest string) {
 	name, resource, hasResource := strings.Cut(rest, "/")
 	uid, err := url.PathUnescape(name)
@@ -144,7 +145,7 @@
 	f.Polls.HandlePoll(f.now, conn.poll, poll)
 }
 
-// parsePoll reads the query parameters of a poll. invalid is the parameter that the response names as the wrong one, empty
+// parsePoll parses the query parameters of a poll. invalid is the parameter that the response names as invalid; empty
 // if all are valid.
 func parsePoll(query url.Values) (poll longpoll.Poll, invalid string) {
 	var parameters [4]struct {
@@ -160,7 +161,7 @@
 	parameters[3].name = paramOwnershipEpoch
 	poll.OwnershipEpoch, parameters[3].err = parseUint(query.Get(paramOwnershipEpoch), 10)
 	if !(poll.Wait >= 0) || math.IsInf(poll.Wait, 0) {
-		return poll, paramEpoch // responses to a wait out of range name the first parameter
+		return poll, paramEpoch // for a wait out of range, responses name the first parameter
 	}
 	for _, parameter := range parameters {
 		if parameter.err != nil || len(query[parameter.name]) > 1 {
@@ -170,7 +171,7 @@
 	return poll, ""
 }
 
-// parseUint parses a number; an absent one is 0.
+// parseUint parses an unsigned integer; an empty text is 0.
 func parseUint(text string, base int) (uint64, error) {
 	if text == "" {
 		return 0, nil
@@ -178,7 +179,7 @@
 	return strconv.ParseUint(text, base, 64)
 }
 
-// parseSeconds parses a time in seconds; an absent one is 0.
+// parseSeconds parses a number of seconds; an empty text is 0.
 func parseSeconds(text string) (float64, error) {
 	if text == "" {
 		return 0, nil
--- a/internal/frontend/longpollhttp/responses.go
+++ b/internal/frontend/longpollhttp/responses.go
@@ -12,15 +12,15 @@
 
 const problemTypePrefix = "https://snowquay.example/problems/"
 
-// response is a response without the headers that follow from its connection.
+// response is a response without the headers that depend on its connection.
 type response struct {
 	status       int
-	mediaType    string // of the body
+	mediaType    string // media type of the body
 	extraHeaders string // complete header lines
 	body         []byte
 }
 
-// rejection is the problem that a poll is rejected with.
+// rejection is the content of the problem document with which a poll is rejected.
 type rejection struct {
 	status int
 	kind   string
@@ -37,7 +37,7 @@
 	longpoll.JoinedElsewhere:  {http.StatusConflict, "moved", "this proxy has joined by another front"},
 }
 
-// Reject rejects a parked poll. It implements longpoll.Handler.
+// Reject responds to a poll with a problem document. It implements longpoll.Handler.
 func (f *Frontend) Reject(id longpoll.PollID, reason longpoll.RejectReason, after float64) {
 	conn := f.takePoll(id)
 	if conn == nil {
@@ -48,8 +48,8 @@
 	f.handleRequests(conn)
 }
 
-// RejectResponse returns a whole response with a problem document, for a connection that is closed after it. after is the
-// number of seconds after which the client may come back; 0: it need not come back.
+// RejectResponse returns a complete response with a problem document, for a connection that is closed after it. after
+// is the number of seconds after which the client may retry; 0: the response names no time.
 func RejectResponse(status int, kind, detail string, after float64) []byte {
 	body := problemBody(status, kind, detail, after)
 	data := fmt.Appendf(nil, "HTTP/1.1 %d %s\r\nContent-Type: %s\r\nContent-Length: %d\r\nConnection: close\r\n", status,
@@ -59,8 +59,9 @@
 	return append(data, body...)
 }
 
-// fail responds with a problem after which the requests of a connection cannot be told apart, so that it is closed.
-func (f *Frontend) fail(conn *connection, status int, kind, format string, args ...any) {
+// failConnection responds with a problem document to a request after which the boundaries of further requests are not
+// known, and marks the connection to be closed.
+func (f *Frontend) failConnection(conn *connection, status int, kind, format string, args ...any) {
 	f.Stats.Malformed++
 	conn.closing = true
 	f.respondProblem(conn, status, kind, 0, format, args...)
@@ -75,14 +76,15 @@
 	})
 }
 
-// problemBody encodes a problem document; it is empty if that fails, which finite numbers exclude.
+// problemBody encodes a problem document. It returns nil on failure, which is not expected, since all numbers are
+// finite.
 func problemBody(status int, kind, detail string, after float64) []byte {
 	body, err := json.Marshal(delta.Problem{
 		Type:       problemTypePrefix + kind,
 		Title:      http.StatusText(status),
 		Status:     status,
 		Detail:     detail,
-		RetryAfter: math.Round(after*1000) / 1000, // to the millisecond
+		RetryAfter: math.Round(after*1000) / 1000, // in whole milliseconds
 	})
 	if err != nil {
 		return nil
