--- a/internal/frontend/admin/admin.go
+++ b/internal/frontend/admin/admin.go
@@ -1,7 +1,7 @@
-// Package admin serves the administration API of a coordinator or of a host of many tenants: look at servers, proxies and message
-// traces, preview a drain, order it, and follow it. Calls are conditional (If-Match), idempotent by key (Idempotency-Key),
-// authorized by the caller's role, shared fairly between callers with a reserve for drains, and audited. The API is described by
-// openapi.json.
+// Package admin serves the HTTP API for the administration of a coordinator or of a host of many tenants: it lists servers, proxies
+// and message traces, and previews, orders and follows drains. Calls may be conditional (If-Match) and idempotent by key
+// (Idempotency-Key). They are authorized by the caller's role, rate limited with fair shares for callers and a reserve for drains,
+// and audited. The API is described in openapi.json.
 package admin
 
 import (
@@ -25,30 +25,30 @@
 //go:embed openapi.json
 var OpenAPI []byte
 
-// Program is what is administered: a coordinator, whose only tenant has the empty name, or a host of many tenants.
+// Program is the administered program: a coordinator, whose only tenant has an empty name, or a host of many tenants.
 type Program interface {
-	// Do calls f between two events of the program and returns when it has run. All other methods but MessageTraces are called
-	// from within f.
+	// Do calls f between two events of the program and returns when f has returned. All other methods except MessageTraces are
+	// called only from within f.
 	Do(f func(now float64))
-	// Fleet returns the fleet of a tenant; ok is false if there is no such tenant or it does not run.
+	// Fleet returns the fleet of a tenant; ok is false if the tenant does not exist or is not running.
 	Fleet(name tenancy.Name) (fleet *controlplane.Fleet, ok bool)
-	// Drain orders a drain of a server or, if on is false, its end. done is called once, when the order is agreed on and durable,
-	// or rejected.
+	// Drain orders the drain of a server or, if on is false, the end of its drain. done is called once, when the order has been
+	// agreed on and is durable, or has been rejected.
 	Drain(now float64, name tenancy.Name, server balancer.Server, on bool, done func(ok bool))
-	// MessageTraces returns the latest message traces of a tenant, the newest first; only those to one proxy if its UID is not
-	// empty. It may be called at any time.
+	// MessageTraces returns the latest message traces of a tenant, newest first; if proxyUID is not empty, only those of messages
+	// to that proxy. It may be called at any time.
 	MessageTraces(name tenancy.Name, proxyUID string) []MessageTrace
 	authz.Authenticator
 }
 
 const (
-	maxBodyBytes     = 1 << 20 // of a request
+	maxBodyBytes     = 1 << 20 // limit for the body of a request
 	agreementTimeout = 15 * time.Second
-	// unknownCredentialRate is the number of credentials per second that are looked up although they were not known lately.
+	// unknownCredentialRate is the number of credentials that are looked up per second although they have not been known recently.
 	unknownCredentialRate = 50.0
 )
 
-// Costs of calls in units of the limits below.
+// Costs of calls, in the units of the limits below.
 const (
 	readCost         = 1.0
 	previewCost      = 20.0
@@ -57,7 +57,7 @@
 	changeTenantCost = 10.0
 )
 
-// callLimits divides the calls between the callers of a coordinator: a hundred cheap ones a second, or five previews.
+// callLimits limits the calls to a coordinator, with fair shares for its callers: 100 reads or five previews per second.
 var callLimits = fairshare.Config{
 	Rate:          100,
 	Burst:         200,
@@ -67,7 +67,7 @@
 	RecentWindow:  0.1,
 }
 
-// hostCallLimits divides the calls between the callers of a host of many tenants.
+// hostCallLimits limits the calls to a host of many tenants, with fair shares for its callers.
 var hostCallLimits = fairshare.Config{
 	Rate:          500,
 	Burst:         1000,
@@ -81,25 +81,25 @@
 type API struct {
 	mux     http.ServeMux
 	program Program
-	hosted  TenantHost // nil for a coordinator, which has one tenant without a name
+	hosted  TenantHost // nil for a coordinator, which has a single tenant with an empty name
 	logger  *slog.Logger
 
-	// shares and histories are used only within Program.Do.
+	// shares and histories may only be used within Program.Do.
 	shares    *fairshare.Allocator
 	histories map[tenancy.Name]*history
 
 	startedAt time.Time
 	mu        sync.Mutex          // protects lookups
-	lookups   authz.LookupLimiter // limits the lookups of unknown credentials before they take the program's time
+	lookups   authz.LookupLimiter // limits the lookups of unknown credentials, which take time of the program
 }
 
-// history is what is remembered of the calls about one tenant.
+// history holds the stored responses and the audit log of the calls about one tenant.
 type history struct {
 	responses idempotency.Cache
 	changes   audit.Log
 }
 
-// New returns the API of a coordinator. now is the program's clock time in seconds. Changes are logged by logger.
+// New returns the API of a coordinator. now is the program's clock time in seconds. Changes are logged to logger.
 func New(now float64, program Program, logger *slog.Logger) *API {
 	a := newAPI(now, program, callLimits, logger)
 	a.routeFleet("/v1")
@@ -126,7 +126,7 @@
 	writeBody(w, http.StatusOK, contentJSON, OpenAPI)
 }
 
-// routeFleet routes the calls about one tenant's fleet below a path.
+// routeFleet registers the handlers of the calls about one tenant's fleet, below a path.
 func (a *API) routeFleet(path string) {
 	read := access{role: authz.RoleViewer, cost: readCost}
 	audited := access{role: authz.RoleStaff, cost: readCost}
@@ -141,7 +141,7 @@
 	a.mux.HandleFunc("POST "+path+"/drains", a.authorized(drain, a.drain))
 }
 
-// history returns the history of a tenant, which it creates if there is none.
+// history returns the history of a tenant, creating it if there is none.
 func (a *API) history(name tenancy.Name) *history {
 	h := a.histories[name]
 	if h == nil {
@@ -151,7 +151,8 @@
 	return h
 }
 
-// withFleet calls f with the fleet that a call is about, within Program.Do. If there is none, it answers so and returns false.
+// withFleet calls f within Program.Do with the fleet to which a call applies. If there is none, it responds with 404 and returns
+// false.
 func (a *API) withFleet(w http.ResponseWriter, c call, f func(now float64, fleet *controlplane.Fleet)) bool {
 	running := false
 	a.program.Do(func(now float64) {
@@ -162,7 +163,7 @@
 		}
 	})
 	if !running {
-		writeProblem(w, http.StatusNotFound, "there is no tenant %q that runs", c.tenant)
+		writeProblem(w, http.StatusNotFound, "tenant %q does not exist or is not running", c.tenant)
 	}
 	return running
 }
--- a/internal/frontend/admin/admin_test.go
+++ b/internal/frontend/admin/admin_test.go
@@ -9,8 +9,8 @@
 	"github.com/getkin/kin-openapi/openapi3"
 )
 
-// Every call that is served is described, and what is described is served.
-func TestWhatIsServedIsDescribed(t *testing.T) {
+// The OpenAPI description contains exactly the calls that are served.
+func TestRoutesMatchOpenAPI(t *testing.T) {
 	doc, err := openapi3.NewLoader().LoadFromData(OpenAPI)
 	if err != nil {
 		t.Fatal(err)
@@ -32,7 +32,7 @@
 		}
 	}
 	if len(served) < 20 {
-		t.Fatalf("only %d calls were found", len(served))
+		t.Fatalf("found %d calls in the source, want at least 20", len(served))
 	}
 	described := map[string]bool{}
 	for path, item := range doc.Paths.Map() {
@@ -42,12 +42,12 @@
 	}
 	for call := range served {
 		if !described[call] {
-			t.Errorf("%s is served and not described", call)
+			t.Errorf("%s is served but not described", call)
 		}
 	}
 	for call := range described {
 		if !served[call] && !strings.Contains(call, "openapi") {
-			t.Errorf("%s is described and not served", call)
+			t.Errorf("%s is described but not served", call)
 		}
 	}
 }
--- a/internal/frontend/admin/drains.go
+++ b/internal/frontend/admin/drains.go
@@ -18,49 +18,49 @@
 
 const (
 	maxFollowWait      = 30 * time.Second
-	drainCheckInterval = 50 * time.Millisecond // between two checks of a drain that is followed
+	drainCheckInterval = 50 * time.Millisecond // interval between checks of a drain that a call follows
 )
 
-// errAgreementTimeout reports that a change was not agreed on within agreementTimeout.
-var errAgreementTimeout = errors.New("it was not agreed on in time; it may still come true: call again with the same key")
+// errAgreementTimeout is returned if a change was not agreed on within agreementTimeout.
+var errAgreementTimeout = errors.New("the change was not agreed on in time and may still take effect: repeat the call with the same idempotency key")
 
-// drainRow is the progress of a drain in an answer.
+// drainRow is the progress of a drain in a response.
 type drainRow struct {
 	Server     balancer.Server `json:"server"`
 	Phase      string          `json:"phase"`
-	NotifiedAt float64         `json:"told,omitempty"` // clock time in seconds; 0: no drain is ordered
+	NotifiedAt float64         `json:"told,omitempty"` // clock time in seconds at which the drain was ordered; 0: no drain is ordered
 	Joined     int             `json:"proxies"`
-	Updated    int             `json:"proxies-without"` // of the joined proxies, those known to hold tables without the server
+	Updated    int             `json:"proxies-without"` // number of joined proxies that are known to hold tables without the server
 	Pending    []string        `json:"waiting,omitempty"`
-	Done       bool            `json:"done"` // none of this coordinator's proxies sends to the server any more
+	Done       bool            `json:"done"` // no proxy of this coordinator sends requests to the server any more
 }
 
-// drainRequest is the body of the order of a drain.
+// drainRequest is the body of a call that orders a drain.
 type drainRequest struct {
 	Server   balancer.Server `json:"server"`
-	On       bool            `json:"on"`    // false: the drain is to end
-	Force    bool            `json:"force"` // also if it would do harm
+	On       bool            `json:"on"`    // false: end the drain
+	Force    bool            `json:"force"` // drain the server even if that would do harm
 	LoseZone bool            `json:"lose-zone"`
 }
 
-// drainCall is the order of a drain with what it needs besides its body.
+// drainCall is a call that orders a drain: its body, caller, tenant and headers.
 type drainCall struct {
 	call
 	drainRequest
 	key         string // idempotency key; empty: none
-	fingerprint uint64 // of the body
+	fingerprint uint64 // hash of the body
 	ifMatch     string
 }
 
-// drainAttempt is the result of the checks of the order of a drain.
+// drainAttempt is the result of the checks of a call that orders a drain.
 type drainAttempt struct {
-	repeated bool                 // the call was made before,
-	response idempotency.Response // and had this response
-	status   int                  // of the answer if err is not nil
+	repeated bool                 // the call repeats an earlier one
+	response idempotency.Response // response to the earlier call if repeated
+	status   int                  // HTTP status of the response if err is not nil
 	err      error
 }
 
-// drainProgress returns how far the drain of a server has got; ok is false if the server is not known.
+// drainProgress returns the progress of the drain of a server; ok is false if the server is not known.
 func (a *API) drainProgress(name tenancy.Name, server balancer.Server) (row drainRow, ok bool) {
 	a.program.Do(func(float64) {
 		fleet, running := a.program.Fleet(name)
@@ -85,12 +85,12 @@
 	return row, ok
 }
 
-// followDrain says how far a drain has got. With ?wait=SECONDS it answers when the drain is done or that time is over.
+// followDrain responds with the progress of a drain. With ?wait=SECONDS it responds when the drain is done or that time has passed.
 func (a *API) followDrain(w http.ResponseWriter, r *http.Request, c call) {
 	waitText := r.URL.Query().Get("wait")
 	wait, ok := followWait(waitText)
 	if !ok {
-		writeProblem(w, http.StatusBadRequest, "wait=%.40q is no time", waitText)
+		writeProblem(w, http.StatusBadRequest, "wait=%.40q is not a valid number of seconds", waitText)
 		return
 	}
 	server := balancer.Server(r.PathValue("server"))
@@ -98,7 +98,7 @@
 	for {
 		row, ok := a.drainProgress(c.tenant, server)
 		if !ok {
-			writeProblem(w, http.StatusNotFound, "no server %q is known", server)
+			writeProblem(w, http.StatusNotFound, "unknown server %q", server)
 			return
 		}
 		if row.Done || row.NotifiedAt == 0 || time.Now().After(deadline) || r.Context().Err() != nil {
@@ -109,7 +109,7 @@
 	}
 }
 
-// followWait returns how long a call may wait, by its parameter; ok is false if that is no time.
+// followWait parses the time that a call may wait, which is limited to maxFollowWait; ok is false if text is not a valid time.
 func followWait(text string) (wait time.Duration, ok bool) {
 	if text == "" {
 		return 0, true
@@ -121,18 +121,19 @@
 	return time.Duration(min(seconds, maxFollowWait.Seconds()) * float64(time.Second)), true
 }
 
-// drain orders a drain, or its end. It answers when the order is agreed on and durable; followDrain says what comes of it.
+// drain orders a drain or the end of one. It responds when the order has been agreed on and is durable; followDrain shows the
+// progress.
 func (a *API) drain(w http.ResponseWriter, r *http.Request, c call) {
-	order := drainCall{call: c, key: r.Header.Get("Idempotency-Key"), ifMatch: r.Header.Get("If-Match")}
-	body, ok := decodeBody(w, r, &order.drainRequest)
+	request := drainCall{call: c, key: r.Header.Get("Idempotency-Key"), ifMatch: r.Header.Get("If-Match")}
+	body, ok := decodeBody(w, r, &request.drainRequest)
 	if !ok {
 		return
 	}
-	order.fingerprint = xxhash.Sum64(body)
-	agreed := make(chan bool, 1) // the send must not block if nobody waits any more
+	request.fingerprint = xxhash.Sum64(body)
+	agreed := make(chan bool, 1) // buffered, so that the send does not block after a timeout
 	var attempt drainAttempt
 	ok = a.withFleet(w, c, func(now float64, fleet *controlplane.Fleet) {
-		attempt = a.beginDrain(now, fleet, order, agreed)
+		attempt = a.beginDrain(now, fleet, request, agreed)
 	})
 	switch {
 	case !ok:
@@ -141,15 +142,15 @@
 	case attempt.err != nil:
 		writeProblem(w, attempt.status, "%v", attempt.err)
 	default:
-		a.finishDrain(w, order, agreed)
+		a.finishDrain(w, request, agreed)
 	}
 }
 
-// beginDrain checks the order of a drain and, if nothing speaks against it, gives it to the program, which reports on agreed. It
-// is called within Program.Do.
-func (a *API) beginDrain(now float64, fleet *controlplane.Fleet, order drainCall, agreed chan<- bool) drainAttempt {
-	responses := &a.history(order.tenant).responses
-	response, repeated, err := responses.Begin(now, order.caller.Name, order.key, order.fingerprint)
+// beginDrain checks a call that orders a drain and, if it passes, gives the order to the program, which reports the outcome on
+// agreed. It must be called within Program.Do.
+func (a *API) beginDrain(now float64, fleet *controlplane.Fleet, request drainCall, agreed chan<- bool) drainAttempt {
+	responses := &a.history(request.tenant).responses
+	response, repeated, err := responses.Begin(now, request.caller.Name, request.key, request.fingerprint)
 	if repeated {
 		return drainAttempt{repeated: true, response: response}
 	}
@@ -159,38 +160,38 @@
 	if err != nil {
 		return drainAttempt{status: http.StatusUnprocessableEntity, err: err}
 	}
-	status, err := checkDrain(now, fleet, order)
+	status, err := checkDrain(now, fleet, request)
 	if err != nil {
-		responses.End(order.caller.Name, order.key, idempotency.Response{}, false)
-		a.recordDrain(now, order, "refused: "+err.Error())
+		responses.End(request.caller.Name, request.key, idempotency.Response{}, false)
+		a.recordDrain(now, request, "refused: "+err.Error())
 		return drainAttempt{status: status, err: err}
 	}
-	a.program.Drain(now, order.tenant, order.Server, order.On, func(ok bool) { agreed <- ok })
+	a.program.Drain(now, request.tenant, request.Server, request.On, func(ok bool) { agreed <- ok })
 	return drainAttempt{}
 }
 
-// checkDrain returns why the order of a drain is rejected, and the status of the answer.
-func checkDrain(now float64, fleet *controlplane.Fleet, order drainCall) (status int, err error) {
-	_, known := fleet.Registry.Find(order.Server)
+// checkDrain returns an error and the HTTP status of the response if a call that orders a drain is rejected.
+func checkDrain(now float64, fleet *controlplane.Fleet, request drainCall) (status int, err error) {
+	_, known := fleet.Registry.Find(request.Server)
 	if !known {
-		return http.StatusNotFound, fmt.Errorf("no server %q is known", order.Server)
+		return http.StatusNotFound, fmt.Errorf("unknown server %q", request.Server)
 	}
-	err = idempotency.CheckVersion(order.ifMatch, registryTag(fleet))
+	err = idempotency.CheckVersion(request.ifMatch, registryTag(fleet))
 	if err != nil {
 		return http.StatusPreconditionFailed, err
 	}
-	if !order.On || order.Force {
+	if !request.On || request.Force {
 		return 0, nil
 	}
-	findings := fleet.Preview(now, []balancer.Server{order.Server}, order.LoseZone)
+	findings := fleet.Preview(now, []balancer.Server{request.Server}, request.LoseZone)
 	if len(findings) > 0 {
 		return http.StatusConflict, &harmError{reasons: findingTexts(findings)}
 	}
 	return 0, nil
 }
 
-// finishDrain waits for agreement on the order of a drain, and answers.
-func (a *API) finishDrain(w http.ResponseWriter, order drainCall, agreed <-chan bool) {
+// finishDrain waits until the order of a drain is agreed on, and responds.
+func (a *API) finishDrain(w http.ResponseWriter, request drainCall, agreed <-chan bool) {
 	ok := false
 	select {
 	case ok = <-agreed:
@@ -199,14 +200,14 @@
 	var row drainRow
 	result := "not agreed in time"
 	if ok {
-		row, _ = a.drainProgress(order.tenant, order.Server)
+		row, _ = a.drainProgress(request.tenant, request.Server)
 		result = "agreed"
 	}
 	body, _ := json.Marshal(row) // all numbers are finite
 	a.program.Do(func(now float64) {
 		response := idempotency.Response{Status: http.StatusAccepted, Body: body}
-		a.history(order.tenant).responses.End(order.caller.Name, order.key, response, ok)
-		a.recordDrain(now, order, result)
+		a.history(request.tenant).responses.End(request.caller.Name, request.key, response, ok)
+		a.recordDrain(now, request, result)
 	})
 	if !ok {
 		w.Header().Set("Retry-After", "1")
@@ -216,19 +217,19 @@
 	writeBody(w, http.StatusAccepted, contentJSON, body)
 }
 
-func (a *API) recordDrain(now float64, order drainCall, result string) {
+func (a *API) recordDrain(now float64, request drainCall, result string) {
 	action := "drain"
-	if !order.On {
+	if !request.On {
 		action = "end of a drain"
 	}
-	if order.Force {
+	if request.Force {
 		action += " by force"
 	}
 	a.recordChange(now, change{
-		caller: order.caller,
-		tenant: order.tenant,
+		caller: request.caller,
+		tenant: request.tenant,
 		action: action,
-		object: string(order.Server),
+		object: string(request.Server),
 		result: result,
 	})
 }
--- a/internal/frontend/admin/fleet.go
+++ b/internal/frontend/admin/fleet.go
@@ -16,7 +16,7 @@
 	balancer.Removed:  "gone",
 }
 
-// serverRow is a server in an answer.
+// serverRow is a server in a response.
 type serverRow struct {
 	Server        balancer.Server        `json:"server"`
 	Phase         string                 `json:"phase"`
@@ -26,22 +26,22 @@
 	WarmingUp     bool                   `json:"cold"`
 }
 
-// proxyRow is a proxy in an answer.
+// proxyRow is a proxy in a response.
 type proxyRow struct {
 	UID      string `json:"uid"`
 	Zone     string `json:"zone"`
-	UpToDate bool   `json:"newest"`           // it is known to hold the newest tables
-	Polls    bool   `json:"asks"`             // it fetches its tables by long polls
-	Urgent   bool   `json:"urgent,omitempty"` // a drain is on its way to it
+	UpToDate bool   `json:"newest"`           // the proxy is known to hold the newest tables
+	Polls    bool   `json:"asks"`             // the proxy gets its tables by long polling
+	Urgent   bool   `json:"urgent,omitempty"` // an urgent change, such as a drain, waits for the proxy or is in flight to it
 }
 
-// previewRequest is the body of a preview.
+// previewRequest is the body of a call that previews a drain.
 type previewRequest struct {
 	Drain    []balancer.Server `json:"drain"`
 	LoseZone bool              `json:"lose-zone"`
 }
 
-// previewResponse says whether a drain would do harm, and why.
+// previewResponse is the result of the preview of a drain: whether it would do harm, and why.
 type previewResponse struct {
 	Harmless bool     `json:"harmless"`
 	Reasons  []string `json:"reasons"`
@@ -52,7 +52,7 @@
 	return strconv.Quote(strconv.Itoa(fleet.Registry.Version()))
 }
 
-// zoneName returns the name of a zone; empty if the fleet does not know it.
+// zoneName returns the name of a zone; empty if the fleet has no such zone.
 func zoneName(fleet *controlplane.Fleet, zone balancer.Zone) string {
 	zones := fleet.Site().Zones
 	if int(zone) < 0 || int(zone) >= len(zones) {
@@ -63,7 +63,7 @@
 
 // servers lists the servers of a fleet.
 func (a *API) servers(w http.ResponseWriter, _ *http.Request, c call) {
-	rows := []serverRow{} // not nil: no servers are [] in JSON
+	rows := []serverRow{} // not nil, so that no servers are [] in JSON
 	tag := ""
 	ok := a.withFleet(w, c, func(now float64, fleet *controlplane.Fleet) {
 		tag = registryTag(fleet)
@@ -89,7 +89,7 @@
 
 // proxies lists the joined proxies.
 func (a *API) proxies(w http.ResponseWriter, _ *http.Request, c call) {
-	rows := []proxyRow{} // not nil: no proxies are [] in JSON
+	rows := []proxyRow{} // not nil, so that no proxies are [] in JSON
 	ok := a.withFleet(w, c, func(_ float64, fleet *controlplane.Fleet) {
 		for _, status := range fleet.ProxyStatuses() {
 			rows = append(rows, proxyRow{
@@ -106,12 +106,12 @@
 	}
 }
 
-// messageTraces lists the latest message traces, only those to one proxy if ?relay= names it.
+// messageTraces lists the latest message traces; with ?relay=UID only those of messages to that proxy.
 func (a *API) messageTraces(w http.ResponseWriter, r *http.Request, c call) {
 	writeJSON(w, http.StatusOK, a.program.MessageTraces(c.tenant, r.URL.Query().Get("relay")))
 }
 
-// preview says what would speak against a drain.
+// preview responds with the harm that the drain of some servers would do.
 func (a *API) preview(w http.ResponseWriter, r *http.Request, c call) {
 	var request previewRequest
 	_, ok := decodeBody(w, r, &request)
--- a/internal/frontend/admin/golden_test.go
+++ b/internal/frontend/admin/golden_test.go
@@ -9,7 +9,7 @@
 	"snowquay/internal/golden"
 )
 
-func TestAnswersOnTheWire(t *testing.T) {
+func TestResponsesMatchGoldenFiles(t *testing.T) {
 	golden.JSON(t, "server.json", serverRow{Server: "127.0.1.2:8080", Phase: "drains", Zone: "a", FailureDomain: 3, StartedAt: 1000.5, WarmingUp: true})
 	golden.JSON(t, "drain.json", drainRow{Server: "127.0.1.2:8080", Phase: "drains", NotifiedAt: 1000.5, Joined: 4, Updated: 3, Pending: []string{"relay-1"}, Done: true})
 	golden.JSON(t, "relay.json", proxyRow{UID: "relay-1", Zone: "a", UpToDate: true, Polls: true, Urgent: true})
@@ -22,13 +22,13 @@
 		Reasons: []string{"no open, warm server"}})
 }
 
-func TestProblemOnTheWire(t *testing.T) {
+func TestProblemEncoding(t *testing.T) {
 	w := httptest.NewRecorder()
 	writeProblem(w, 409, "it would do harm: %s", "why")
 	golden.Bytes(t, "problem.json", w.Body.Bytes())
 }
 
-// These answers have fixed keys in alphabetical order.
+// The keys of these responses are in alphabetical order.
 func TestResponsesInJSON(t *testing.T) {
 	for _, test := range []struct {
 		name     string
@@ -43,7 +43,7 @@
 			w := httptest.NewRecorder()
 			writeJSON(w, 200, test.response)
 			if got := w.Body.String(); got != test.want {
-				t.Errorf("%s, want %s", got, test.want)
+				t.Errorf("response %s, want %s", got, test.want)
 			}
 		})
 	}
--- a/internal/frontend/admin/hosted.go
+++ b/internal/frontend/admin/hosted.go
@@ -7,7 +7,8 @@
 	"snowquay/internal/core/tenancy"
 )
 
-// TenantHost is a host of many tenants, as the API sees it. All its methods but MessageTraces are called within Program.Do.
+// TenantHost is the administered program if it is a host of many tenants. All its methods except Do and MessageTraces are called
+// only within Program.Do.
 type TenantHost interface {
 	Program
 	// TenantRows returns all tenants, ordered by name.
@@ -16,18 +17,18 @@
 	TenantRow(name tenancy.Name) (row TenantRow, ok bool)
 	// Settings returns the settings of a tenant without their keys. The error is tenancy.ErrUnknown.
 	Settings(name tenancy.Name) ([]byte, error)
-	// RestoreKeys returns settings with those keys of the tenant that they leave out.
+	// RestoreKeys returns settings, with those keys filled in from the tenant's present settings that they leave out.
 	RestoreKeys(name tenancy.Name, settings []byte) ([]byte, error)
-	// EditServer returns the settings of a tenant after a change of one server. The error is tenancy.ErrUnknown or says what is wrong
-	// with the change.
+	// EditServer returns the settings of a tenant after a change of one server. The error is tenancy.ErrUnknown or describes why
+	// the change is invalid.
 	EditServer(name tenancy.Name, edit []byte) ([]byte, error)
-	// PreviewSettings checks the settings of a tenant and returns what would follow from them. It changes nothing.
+	// PreviewSettings validates settings of a tenant and returns the effects that they would have. It changes nothing.
 	PreviewSettings(now float64, tenant tenancy.Tenant) (SettingsPreview, error)
-	// ChangeTenant changes the directory. done is called once, when the change is durable and in force, or rejected.
+	// ChangeTenant changes the directory of tenants. done is called once, when the change is durable and in effect, or rejected.
 	ChangeTenant(now float64, command tenancy.Command, done func(tenancy.Outcome, error))
 }
 
-// TenantRow is a tenant in an answer.
+// TenantRow is a tenant in a response.
 type TenantRow struct {
 	Name          tenancy.Name         `json:"name"`
 	Incarnation   tenancy.Incarnation  `json:"incarnation"`
@@ -35,27 +36,27 @@
 	Weight        float64              `json:"weight"`
 	Requirements  tenancy.Requirements `json:"needs"`
 	Running       bool                 `json:"runs"`
-	Error         string               `json:"wrong,omitempty"` // why it does not run, or still runs with its former settings
+	Error         string               `json:"wrong,omitempty"` // reason why the tenant is not running, or is still running with its former settings
 	Servers       int                  `json:"servers"`
 	Relays        int                  `json:"relays"`  // joined proxies
-	UpToDate      int                  `json:"newest"`  // of these, those known to hold the newest tables
-	CPUSeconds    float64              `json:"work"`    // charged to the tenant
-	LongestWait   float64              `json:"longest"` // seconds for which it was due and waited for its turn, at most
+	UpToDate      int                  `json:"newest"`  // number of joined proxies that are known to hold the newest tables
+	CPUSeconds    float64              `json:"work"`    // CPU time charged to the tenant
+	LongestWait   float64              `json:"longest"` // longest time in seconds from when the tenant was due to run until it ran
 	QueuedEntries float64              `json:"waiting"` // table entries in its channel
 }
 
-// SettingsPreview is what would follow from settings of a tenant.
+// SettingsPreview describes the effects that settings of a tenant would have.
 type SettingsPreview struct {
 	Weight        float64              `json:"weight"`
 	Requirements  tenancy.Requirements `json:"needs"`
-	RestartReason string               `json:"starts-anew-for,omitempty"` // what can't be changed while the tenant runs
+	RestartReason string               `json:"starts-anew-for,omitempty"` // changes that require a restart of the tenant
 	Added         int                  `json:"servers-added"`
 	Removed       []string             `json:"servers-removed,omitempty"`
 	RelaysEvicted int                  `json:"relays-sent-away"`
-	Reasons       []string             `json:"reasons,omitempty"` // why it would do harm
+	Reasons       []string             `json:"reasons,omitempty"` // harm that the settings would do
 }
 
-// NewHosted returns the API of a host of many tenants. now is the host's clock time in seconds. Changes are logged by logger.
+// NewHosted returns the API of a host of many tenants. now is the host's clock time in seconds. Changes are logged to logger.
 func NewHosted(now float64, hosted TenantHost, logger *slog.Logger) *API {
 	a := newAPI(now, hosted, hostCallLimits, logger)
 	a.hosted = hosted
--- a/internal/frontend/admin/responses.go
+++ b/internal/frontend/admin/responses.go
@@ -17,7 +17,7 @@
 	contentProblem = "application/problem+json"
 )
 
-// maxFindings limits the reasons in one answer.
+// maxFindings limits the reasons in a response.
 const maxFindings = 500
 
 // problem is a problem document (RFC 9457). Its fields are in the order of their JSON keys.
@@ -28,7 +28,7 @@
 	Type   string `json:"type"`
 }
 
-// writeProblem answers with a problem document.
+// writeProblem responds with a problem document.
 func writeProblem(w http.ResponseWriter, status int, format string, args ...any) {
 	w.Header().Set("Content-Type", contentProblem)
 	w.WriteHeader(status)
@@ -38,13 +38,13 @@
 		Title:  http.StatusText(status),
 		Type:   "about:blank",
 	}
-	_ = json.NewEncoder(w).Encode(document) // a client that has gone away needs no answer
+	_ = json.NewEncoder(w).Encode(document) // a client that has disconnected needs no response
 }
 
-// writeJSON answers with a value in JSON.
+// writeJSON responds with a value in JSON.
 func writeJSON(w http.ResponseWriter, status int, value any) {
 	body, err := json.Marshal(value)
-	if err != nil { // all numbers are finite, so this is not expected
+	if err != nil { // not expected, since all numbers are finite
 		writeProblem(w, http.StatusInternalServerError, "%v", err)
 		return
 	}
@@ -54,15 +54,16 @@
 func writeBody(w http.ResponseWriter, status int, contentType string, body []byte) {
 	w.Header().Set("Content-Type", contentType)
 	w.WriteHeader(status)
-	_, _ = w.Write(body) // a client that has gone away needs no answer
+	_, _ = w.Write(body) // a client that has disconnected needs no response
 }
 
-// decodeBody decodes a request's body, which it returns. If that is not possible, it answers so and ok is false.
+// decodeBody reads the body of a request, decodes it into value and returns it. If that fails, it responds with the error and ok
+// is false.
 func decodeBody(w http.ResponseWriter, r *http.Request, value any) (body []byte, ok bool) {
 	body, err := io.ReadAll(r.Body)
 	var tooLarge *http.MaxBytesError
 	if errors.As(err, &tooLarge) {
-		writeProblem(w, http.StatusRequestEntityTooLarge, "over %d bytes", maxBodyBytes)
+		writeProblem(w, http.StatusRequestEntityTooLarge, "the body exceeds %d bytes", maxBodyBytes)
 		return nil, false
 	}
 	if err == nil {
@@ -75,7 +76,7 @@
 	return body, true
 }
 
-// decodeStrictly decodes a body that must hold one JSON value without unknown fields.
+// decodeStrictly decodes a body that must consist of one JSON value without unknown fields.
 func decodeStrictly(body []byte, value any) error {
 	decoder := json.NewDecoder(strings.NewReader(string(body)))
 	decoder.DisallowUnknownFields()
@@ -84,23 +85,25 @@
 		return err
 	}
 	if decoder.More() {
-		return errors.New("more follows")
+		return errors.New("unexpected data after the JSON value")
 	}
 	return nil
 }
 
 // findingTexts returns the texts of the first maxFindings reasons.
 func findingTexts(findings []tablecheck.Finding) []string {
-	texts := []string{} // not nil: no reasons are [] in JSON
+	texts := []string{} // not nil, so that no reasons are [] in JSON
 	for _, finding := range findings[:min(len(findings), maxFindings)] {
 		texts = append(texts, finding.String())
 	}
 	return texts
 }
 
-// harmError reports that a change would do harm, and why.
+// harmError is returned for a change that would do harm. It lists the reasons.
 type harmError struct {
 	reasons []string
 }
 
-func (e *harmError) Error() string { return "it would do harm: " + strings.Join(e.reasons, "; ") }
+func (e *harmError) Error() string {
+	return "the change would do harm: " + strings.Join(e.reasons, "; ")
+}
--- a/internal/frontend/admin/tenant_changes.go
+++ b/internal/frontend/admin/tenant_changes.go
@@ -17,27 +17,28 @@
 	conditions  preconditions
 	commandID   uint64
 	fingerprint uint64
-	force       bool // also if it would do harm
-	dryRun      bool // only a preview is wanted
+	force       bool // carry out the change even if it would do harm
+	dryRun      bool // only return a preview
 }
 
-// changeResult is how the change of a tenant has ended.
+// changeResult is the result of a request that changes or removes a tenant.
 type changeResult struct {
-	status  int // of the answer
+	status  int // HTTP status of the response
 	err     error
 	preview SettingsPreview
 	outcome tenancy.Outcome
-	created bool // the change was to create the tenant
+	created bool // the change creates the tenant
 }
 
-// changeResponse is the answer to a change that was made. Its fields are in the order of their JSON keys.
+// changeResponse is the response to a successful change. Its fields are in the order of their JSON keys.
 type changeResponse struct {
 	Incarnation tenancy.Incarnation `json:"incarnation"`
 	Tenant      tenancy.Name        `json:"tenant"`
 	Version     tenancy.Version     `json:"version"`
 }
 
-// parseChange reads a change from the headers and the query of a request. If that is not possible, it answers so and ok is false.
+// parseChange parses the headers and the query of a request for a change. If they are invalid, it responds with the error and ok is
+// false.
 func parseChange(w http.ResponseWriter, r *http.Request, c call, body []byte) (change tenantChange, ok bool) {
 	conditions, err := parsePreconditions(r)
 	if err != nil {
@@ -77,10 +78,10 @@
 	a.changeSettings(w, r, c, a.hosted.EditServer)
 }
 
-// settingsBuilder makes the new settings of a tenant from the body of a request. It is called within Program.Do.
+// settingsBuilder returns the new settings of a tenant for the body of a request. It is called within Program.Do.
 type settingsBuilder func(name tenancy.Name, body []byte) ([]byte, error)
 
-// changeSettings gives a tenant new settings if they are valid and do no harm.
+// changeSettings changes the settings of a tenant if the new ones are valid and do no harm. With dry-run it only returns a preview.
 func (a *API) changeSettings(w http.ResponseWriter, r *http.Request, c call, build settingsBuilder) {
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
@@ -107,10 +108,11 @@
 	if result.created {
 		action = "new tenant"
 	}
-	a.answerChange(w, c, action, result)
+	a.respondToChange(w, c, action, result)
 }
 
-// prepareSettings checks new settings and makes the command that puts them in force. If they are rejected, the result has an error.
+// prepareSettings checks new settings and returns the command that puts them into effect. If they are rejected, the result has an
+// error.
 func (a *API) prepareSettings(now float64, change tenantChange, body []byte, build settingsBuilder) (tenancy.Command, changeResult) {
 	row, exists := a.hosted.TenantRow(change.tenant)
 	kind, status, err := commandKind(change, exists)
@@ -147,12 +149,13 @@
 	return command, result
 }
 
-// commandKind returns whether new settings create a tenant or change it; or why neither is possible, and the status of the answer.
+// commandKind returns whether new settings create a tenant or change it. If neither is possible, it returns an error and the HTTP
+// status of the response.
 func commandKind(change tenantChange, exists bool) (kind tenancy.CommandKind, status int, err error) {
 	mustCreate := change.conditions.mustCreate
 	switch {
 	case !exists && authz.Authorize(change.caller, authz.Action{Role: authz.RoleHost}) != nil:
-		return 0, http.StatusForbidden, errors.New("only the host may make tenants")
+		return 0, http.StatusForbidden, errors.New("only the host may create tenants")
 	case !exists && change.conditions.version != 0:
 		return 0, http.StatusPreconditionFailed, tenancy.ErrUnknown
 	case !exists:
@@ -160,14 +163,14 @@
 	case mustCreate && change.commandID == 0:
 		return 0, http.StatusPreconditionFailed, tenancy.ErrExists
 	case mustCreate:
-		return tenancy.Create, 0, nil // the request may be the repetition of one whose answer was lost
+		return tenancy.Create, 0, nil // the request may be a repetition of one whose response was lost
 	default:
 		return tenancy.Change, 0, nil
 	}
 }
 
-// checkRequirements returns an error if the staff of a tenant asks for more resources than the tenant has. Only the host may raise
-// them.
+// checkRequirements returns an error if a caller of the tenant's staff requests more resources than the tenant has. Only the host
+// may raise them.
 func checkRequirements(caller authz.Principal, command tenancy.Command, row TenantRow) error {
 	if caller.Role >= authz.RoleHost {
 		return nil
@@ -175,15 +178,16 @@
 	err := command.Requirements.CheckWithin(row.Requirements)
 	switch {
 	case err != nil:
-		return fmt.Errorf("only the host may raise what a tenant takes: weight %g to %g; %w", row.Weight, command.Weight, err)
+		return fmt.Errorf("only the host may raise the resources of a tenant: weight %g to %g; %w", row.Weight, command.Weight, err)
 	case command.Weight > row.Weight:
-		return fmt.Errorf("only the host may raise what a tenant takes: weight %g to %g", row.Weight, command.Weight)
+		return fmt.Errorf("only the host may raise the resources of a tenant: weight %g to %g", row.Weight, command.Weight)
 	default:
 		return nil
 	}
 }
 
-// removeTenant removes a tenant. Its proxies keep the tables that they hold, so it is rejected while some are joined.
+// removeTenant removes a tenant. Joined proxies would continue with the tables that they hold, so without force the removal is
+// rejected while any are joined.
 func (a *API) removeTenant(w http.ResponseWriter, r *http.Request, c call) {
 	change, ok := parseChange(w, r, c, nil)
 	if !ok {
@@ -192,23 +196,23 @@
 	result := a.awaitChange(func(now float64, done func(changeResult)) {
 		row, exists := a.hosted.TenantRow(c.tenant)
 		if exists && row.Relays > 0 && !change.force {
-			err := fmt.Errorf("%d relays are joined, and would go on by the tables that they hold: force=true", row.Relays)
+			err := fmt.Errorf("%d relays are joined and would continue with the tables that they hold; force=true removes the tenant nevertheless", row.Relays)
 			done(changeResult{status: http.StatusConflict, err: err})
 			return
 		}
 		a.submit(now, change.command(now, tenancy.Remove), changeResult{}, func(result changeResult) {
 			if result.err == nil {
-				a.forgetTenant(c.tenant)
+				a.removeTenantState(c.tenant)
 			}
 			done(result)
 		})
 	})
-	a.answerChange(w, c, "end of the tenant", result)
+	a.respondToChange(w, c, "end of the tenant", result)
 }
 
-// awaitChange calls f within Program.Do and waits until f calls done, for agreementTimeout at most.
+// awaitChange calls f within Program.Do and waits until done is called, for at most agreementTimeout.
 func (a *API) awaitChange(f func(now float64, done func(changeResult))) changeResult {
-	results := make(chan changeResult, 1) // the send must not block if nobody waits any more
+	results := make(chan changeResult, 1) // buffered, so that the send does not block after a timeout
 	a.program.Do(func(now float64) {
 		f(now, func(result changeResult) { results <- result })
 	})
@@ -220,14 +224,14 @@
 	}
 }
 
-// submit gives a command to the host. done is called with result, completed by what came of the command.
+// submit gives a command to the host. It calls done with result, to which it adds the outcome of the command.
 func (a *API) submit(now float64, command tenancy.Command, result changeResult, done func(changeResult)) {
 	a.hosted.ChangeTenant(now, command, func(outcome tenancy.Outcome, err error) {
 		result.outcome = outcome
 		result.err = errors.Join(err, outcome.Err())
 		switch {
 		case result.err != nil:
-			result.status = statusOf(result.err)
+			result.status = commandStatus(result.err)
 		case command.Kind == tenancy.Create:
 			result.status = http.StatusCreated
 		default:
@@ -237,8 +241,8 @@
 	})
 }
 
-// statusOf returns the HTTP status for the error of a command.
-func statusOf(err error) int {
+// commandStatus returns the HTTP status of the response for an error of a command.
+func commandStatus(err error) int {
 	switch {
 	case errors.Is(err, tenancy.ErrInvalidCommand):
 		return http.StatusBadRequest
@@ -257,8 +261,8 @@
 	}
 }
 
-// answerChange answers a change and records it in the audit log of the host, which outlives the tenant.
-func (a *API) answerChange(w http.ResponseWriter, c call, action string, result changeResult) {
+// respondToChange responds to a change and records it in the audit log of the host, which still exists after the tenant is removed.
+func (a *API) respondToChange(w http.ResponseWriter, c call, action string, result changeResult) {
 	text := "done"
 	if result.err != nil {
 		text = "refused: " + result.err.Error()
--- a/internal/frontend/admin/tenants.go
+++ b/internal/frontend/admin/tenants.go
@@ -20,7 +20,7 @@
 	writeJSON(w, http.StatusOK, rows)
 }
 
-// tenant shows one tenant.
+// tenant responds with one tenant.
 func (a *API) tenant(w http.ResponseWriter, _ *http.Request, c call) {
 	var row TenantRow
 	exists := false
@@ -33,7 +33,7 @@
 	writeJSON(w, http.StatusOK, row)
 }
 
-// tenantSettings shows the settings of a tenant, without their keys.
+// tenantSettings responds with the settings of a tenant, without their keys.
 func (a *API) tenantSettings(w http.ResponseWriter, _ *http.Request, c call) {
 	var row TenantRow
 	var settings []byte
@@ -54,11 +54,11 @@
 }
 
 func writeNoTenant(w http.ResponseWriter, name tenancy.Name) {
-	writeProblem(w, http.StatusNotFound, "there is no tenant %q", name)
+	writeProblem(w, http.StatusNotFound, "tenant %q does not exist", name)
 }
 
-// forgetTenant deletes the history of a tenant and the shares of its callers. It is called within Program.Do.
-func (a *API) forgetTenant(name tenancy.Name) {
+// removeTenantState deletes the history of a tenant and the shares of its callers. It must be called within Program.Do.
+func (a *API) removeTenantState(name tenancy.Name) {
 	delete(a.histories, name)
 	a.shares.RemoveGroup(fairshare.Group(name))
 }
--- a/internal/frontend/admin/wait_test.go
+++ b/internal/frontend/admin/wait_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// A wait of any length is shortened to the longest one; what is no time is rejected.
+// Waits longer than maxFollowWait are shortened to it, and texts that are not a valid time are rejected.
 func TestFollowWait(t *testing.T) {
 	for text, want := range map[string]time.Duration{
 		"":      0,
@@ -16,12 +16,12 @@
 		"Inf":   maxFollowWait,
 	} {
 		if got, ok := followWait(text); !ok || got != want {
-			t.Errorf("wait=%s is %v (%t), want %v", text, got, ok, want)
+			t.Errorf("wait=%s: got %v (valid: %t), want %v", text, got, ok, want)
 		}
 	}
 	for _, text := range []string{"-1", "NaN", "-Inf", "soon"} {
 		if got, ok := followWait(text); ok {
-			t.Errorf("wait=%s is %v", text, got)
+			t.Errorf("wait=%s: got %v, want it rejected", text, got)
 		}
 	}
 }
