--- a/internal/frontend/eventloop/benchmark_test.go
+++ b/internal/frontend/eventloop/benchmark_test.go
@@ -11,16 +11,16 @@
 	"snowquay/internal/wire/sasp"
 )
 
-// dialMany dials as n proxies, which read and count the bytes that they are sent.
-func dialMany(b testing.TB, at string, n int) (conns []net.Conn, bytes *atomic.Int64) {
+// dialMany connects n proxies, which read all data and count the bytes.
+func dialMany(b testing.TB, address string, n int) (conns []net.Conn, bytes *atomic.Int64) {
 	bytes = &atomic.Int64{}
 	for i := range n {
-		c := dial(b, at, fmt.Sprintf("r%d", i))
-		conns = append(conns, c)
+		conn := dial(b, address, fmt.Sprintf("r%d", i))
+		conns = append(conns, conn)
 		go func() {
-			buf := make([]byte, 4096)
+			buffer := make([]byte, 4096)
 			for {
-				n, err := c.Read(buf)
+				n, err := conn.Read(buffer)
 				bytes.Add(int64(n))
 				if err != nil {
 					return
@@ -31,30 +31,30 @@
 	return conns, bytes
 }
 
-// BenchmarkDecisionToLastRelay measures the time from the decision of a drain until the last proxy has read it; and, for comparison,
-// that of writing the same bytes to as many sockets by one goroutine.
+// BenchmarkDecisionToLastRelay measures the time from the decision on a drain until the last proxy has read it. For comparison, it
+// also measures the time in which one goroutine writes the same bytes to as many sockets.
 func BenchmarkDecisionToLastRelay(b *testing.B) {
 	for _, n := range []int{460, 5000} {
 		servers := 200
-		least := func() int64 {
+		minBytes := func() int64 {
 			m := sasp.Message{Kind: sasp.SendWeights, Groups: []sasp.Group{{UID: []byte("r1"), Name: []byte("search"), To: 1}},
 				Rows: make([]sasp.Row, 1)}
 			return int64(n) * int64(len(sasp.Append(nil, &m)))
 		}()
 		b.Run(fmt.Sprintf("coordinator/%d", n), func(b *testing.B) {
-			set := setup(servers, n)
-			set.Site.Limits.MinRoundInterval = 0
-			program, s, at := listen(b, set, 14862)
-			conns, bytes := dialMany(b, at, n)
+			config := testConfig(servers, n)
+			config.Site.Limits.MinRoundInterval = 0
+			program, s, address := listen(b, config, 14862)
+			conns, bytes := dialMany(b, address, n)
 			defer closeAll(conns)
-			holding := func() (h int) { s.Do(func(float64) { h = program.Fleet.UpToDate() }); return h }
-			until(b, "all joined", func() bool { return holding() == n })
+			upToDate := func() (count int) { s.Do(func(float64) { count = program.Fleet.UpToDate() }); return count }
+			waitFor(b, "all proxies to join", func() bool { return upToDate() == n })
 			next := 0
 			for b.Loop() {
 				b.StopTimer()
-				until(b, "all hold the tables", func() bool { return holding() == n })
+				waitFor(b, "all proxies to be up to date", func() bool { return upToDate() == n })
 				if next++; next >= servers-1 {
-					b.Fatal("no server is left to drain")
+					b.Fatal("there is no further server to drain")
 				}
 				before := bytes.Load()
 				b.StartTimer()
@@ -62,43 +62,43 @@
 					program.Fleet.Registry.SetDrain(now, program.Fleet.Registry.Servers()[next], true)
 					program.TimerFired(now, 0)
 				})
-				for bytes.Load() < before+least {
+				for bytes.Load() < before+minBytes {
 					time.Sleep(50 * time.Microsecond)
 				}
 			}
 		})
 		b.Run(fmt.Sprintf("raw/%d", n), func(b *testing.B) {
-			l, err := net.Listen("tcp", "127.0.0.1:14863")
+			listener, err := net.Listen("tcp", "127.0.0.1:14863")
 			if err != nil {
 				b.Fatal(err)
 			}
-			defer func() { _ = l.Close() }()
+			defer func() { _ = listener.Close() }()
 			accepted := make(chan net.Conn, n)
 			go func() {
 				for {
-					c, err := l.Accept()
+					c, err := listener.Accept()
 					if err != nil {
 						return
 					}
 					accepted <- c
 				}
 			}()
-			conns, bytes := dialMany(b, l.Addr().String(), n)
+			conns, bytes := dialMany(b, listener.Addr().String(), n)
 			defer closeAll(conns)
 			var ends []net.Conn
 			for range n {
 				ends = append(ends, <-accepted)
 			}
 			defer closeAll(ends)
-			part := make([]byte, least/int64(n))
+			message := make([]byte, minBytes/int64(n))
 			for b.Loop() {
 				before := bytes.Load()
 				for _, c := range ends {
-					if _, err := c.Write(part); err != nil {
+					if _, err := c.Write(message); err != nil {
 						b.Fatal(err)
 					}
 				}
-				for bytes.Load() < before+least {
+				for bytes.Load() < before+minBytes {
 					time.Sleep(50 * time.Microsecond)
 				}
 			}
@@ -112,19 +112,19 @@
 	}
 }
 
-// BenchmarkIdleRelayMemory measures the memory of an idle proxy at the coordinator, without that of the kernel.
+// BenchmarkIdleRelayMemory measures the memory that an idle proxy takes in the coordinator's process, without kernel memory.
 func BenchmarkIdleRelayMemory(b *testing.B) {
 	const n = 2000
-	program, s, at := listen(b, setup(300, n), 14864)
+	program, s, address := listen(b, testConfig(300, n), 14864)
 	var before, after runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&before)
 	conns := make([]net.Conn, n)
 	for i := range conns {
-		conns[i] = dial(b, at, fmt.Sprintf("r%d", i)) // it reads nothing: tables of 300 lines fit into its host's buffer
+		conns[i] = dial(b, address, fmt.Sprintf("r%d", i)) // the proxy reads nothing: tables of 300 entries fit into the receive buffer of its host
 	}
 	defer closeAll(conns)
-	until(b, "all hold the tables", func() bool { h := 0; s.Do(func(float64) { h = program.Fleet.UpToDate() }); return h == n })
+	waitFor(b, "all proxies to be up to date", func() bool { count := 0; s.Do(func(float64) { count = program.Fleet.UpToDate() }); return count == n })
 	for b.Loop() {
 	}
 	runtime.GC()
--- a/internal/frontend/eventloop/dial_test.go
+++ b/internal/frontend/eventloop/dial_test.go
@@ -10,7 +10,7 @@
 	"snowquay/internal/env"
 )
 
-// dialer is a program that dials addresses at its start and counts the results.
+// dialer is a program that dials addresses when it starts and counts the results.
 type dialer struct {
 	addresses         []netip.AddrPort
 	connected, failed atomic.Int32
@@ -63,13 +63,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	until(t, "the result of each dial", func() bool { return program.connected.Load() == 2 && program.failed.Load() == 1 })
+	waitFor(t, "the result of each dial", func() bool { return program.connected.Load() == 2 && program.failed.Load() == 1 })
 	if err := s.Stop(); err != nil {
 		t.Error(err)
 	}
 }
 
-// The program gets no results of dials after Stop, which does not hang on them.
+// Stop cancels pending dials instead of waiting for their results, and the program gets no results of dials after Stop.
 func TestNoDialResultAfterStop(t *testing.T) {
 	open, closed := listenerAndClosedPort(t)
 	unanswered := netip.MustParseAddrPort("192.0.2.1:9") // reserved for documentation (RFC 5737)
@@ -84,6 +84,6 @@
 	results := program.connected.Load() + program.failed.Load()
 	time.Sleep(2 * dialTimeout)
 	if later := program.connected.Load() + program.failed.Load(); later != results {
-		t.Errorf("%d results after Stop, %d before", later-results, results)
+		t.Errorf("%d results of dials were reported after Stop, %d before", later-results, results)
 	}
 }
--- a/internal/frontend/eventloop/events.go
+++ b/internal/frontend/eventloop/events.go
@@ -86,7 +86,7 @@
 
 // OnClose implements gnet.EventHandler.
 func (s *Server) OnClose(c gnet.Conn, _ error) gnet.Action {
-	if s.writing.Load() {
+	if s.inWrite.Load() {
 		s.closedDuringWrite(c)
 		return gnet.None
 	}
@@ -101,15 +101,15 @@
 	return gnet.None
 }
 
-// closedDuringWrite handles the end of a connection whose peer has reset it while the program writes to it, on this goroutine,
-// which holds mu already. The program learns of it after its present callback.
+// closedDuringWrite handles the end of a connection that its peer has reset while the program is writing to it. It runs on the
+// goroutine of the write, which already holds mu, and reports the end to the program after the program's present callback.
 func (s *Server) closedDuringWrite(c gnet.Conn) {
 	closed, ok := c.Context().(*conn)
 	if !ok || s.conns[closed.id] != closed {
 		return
 	}
 	s.remove(closed)
-	_ = s.execute(s.loop, func() { s.reportClosed(closed.id) }) // if the loop has ended, the program has too
+	_ = s.execute(s.loop, func() { s.reportClosed(closed.id) }) // an error means that the loop has ended, and the program with it
 }
 
 func (s *Server) reportClosed(id env.Conn) {
--- a/internal/frontend/eventloop/io.go
+++ b/internal/frontend/eventloop/io.go
@@ -13,17 +13,17 @@
 
 const dialTimeout = time.Second
 
-// outgoingConn is the context of an outgoing connection until it is open.
+// outgoingConn is the gnet context of an outgoing connection until OnOpen.
 type outgoingConn struct{ id env.Conn }
 
-// Dial implements env.IO. It dials beside the loop, which then owns the connection.
+// Dial implements env.IO. It dials on a goroutine of its own and then hands the connection over to the loop.
 func (s *Server) Dial(to netip.AddrPort) env.Conn {
 	id := s.nextConn()
 	engine := s.engine
 	s.dials.Go(func() {
 		err := s.connect(engine, &outgoingConn{id: id}, to)
 		if err == nil {
-			return // OnOpen has reported it
+			return // OnOpen has reported the connection
 		}
 		s.mu.Lock()
 		defer s.mu.Unlock()
@@ -34,8 +34,8 @@
 	return id
 }
 
-// connect opens an outgoing connection and hands it to the engine. It returns when OnOpen has run, or early with an error when
-// the server stops.
+// connect opens an outgoing connection and registers it with the engine. It returns when OnOpen has run; if the server stops
+// before, it returns an error.
 func (s *Server) connect(engine gnet.Engine, outgoing *outgoingConn, to netip.AddrPort) error {
 	ctx, cancel := context.WithTimeout(s.dialCtx, dialTimeout)
 	defer cancel()
@@ -45,22 +45,22 @@
 		return err
 	}
 	select {
-	case <-s.ticking: // an earlier connection would be lost, because the engine does not know its loops yet
+	case <-s.ticking: // before this, the connection would be lost, because the engine does not know its loops yet
 	case <-s.dialCtx.Done():
-		_ = c.Close() // it was not used
+		_ = c.Close() // the error is irrelevant: the connection was not used
 		return s.dialCtx.Err()
 	}
 	s.registerMu.Lock()
 	result, err := engine.Register(gnet.NewContext(gnet.NewNetConnContext(context.Background(), c), outgoing))
 	s.registerMu.Unlock()
 	if err != nil {
-		_ = c.Close() // it was not used
+		_ = c.Close() // the error is irrelevant: the connection was not used
 		return err
 	}
 	select {
 	case registered := <-result:
 		return registered.Err
-	case <-s.dialCtx.Done(): // the engine, which owns the connection, may have ended without a result
+	case <-s.dialCtx.Done(): // the engine owns the connection now, and may have ended without a result
 		return s.dialCtx.Err()
 	}
 }
@@ -83,15 +83,15 @@
 	if c == nil {
 		return
 	}
-	c.sent += uint64(len(data))
+	c.sentBytes += uint64(len(data))
 	if !s.ignoresDelivery {
 		s.undelivered[id] = c
 	}
-	s.writing.Store(true)
-	defer s.writing.Store(false)
-	_, _ = c.gnet.Write(data) // an error closes the connection: OnClose reports it from within this call
+	s.inWrite.Store(true)
+	defer s.inWrite.Store(false)
+	_, _ = c.gnet.Write(data) // an error closes the connection; OnClose reports it within this call
 	if s.maxUnread > 0 && s.conns[id] == c && c.gnet.OutboundBuffered() > s.maxUnread {
-		_ = c.gnet.Close() // OnClose reports it like an error
+		_ = c.gnet.Close() // OnClose reports this like a write error
 	}
 }
 
--- a/internal/frontend/eventloop/reset_test.go
+++ b/internal/frontend/eventloop/reset_test.go
@@ -11,7 +11,7 @@
 	"snowquay/internal/env"
 )
 
-// slowEcho replies to data late and twice, so that it writes to a peer whose reset it does not know of yet.
+// slowEcho replies to data twice and after a delay, so that it writes to a peer that has already reset the connection.
 type slowEcho struct {
 	io     env.IO
 	closed atomic.Int32
@@ -26,57 +26,57 @@
 func (e *slowEcho) TimerFired(float64, int)                      {}
 func (e *slowEcho) Receive(_ float64, c env.Conn, b []byte) {
 	if b[0] == 'x' {
-		time.Sleep(50 * time.Millisecond) // until the reset has arrived; otherwise the test tests nothing
+		time.Sleep(50 * time.Millisecond) // until the reset has arrived, without which the test checks nothing
 	}
 	e.io.Send(c, []byte("a"))
 	e.io.Send(c, []byte("b"))
 }
 
-// A peer that resets its connection during a write to it ends that connection and nothing else. Without closedDuringWrite the
-// loop would wait for its own lock.
+// A peer that resets its connection while the program writes to it ends only that connection. Without closedDuringWrite, the loop
+// would deadlock on mu.
 func TestResetDuringWrite(t *testing.T) {
 	program := &slowEcho{}
-	at := netip.MustParseAddrPort("127.0.0.1:14893")
-	s, err := Listen(program, []netip.AddrPort{at}, netip.AddrPort{}, Clock())
+	address := netip.MustParseAddrPort("127.0.0.1:14893")
+	server, err := Listen(program, []netip.AddrPort{address}, netip.AddrPort{}, Clock())
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer func() {
-		if err := s.Stop(); err != nil {
+		if err := server.Stop(); err != nil {
 			t.Error(err)
 		}
 	}()
 	for range 3 {
-		c, err := net.Dial("tcp", at.String())
+		conn, err := net.Dial("tcp", address.String())
 		if err != nil {
 			t.Fatal(err)
 		}
-		if _, err := c.Write([]byte("x")); err != nil {
+		if _, err := conn.Write([]byte("x")); err != nil {
 			t.Fatal(err)
 		}
-		if err := c.(*net.TCPConn).SetLinger(0); err != nil {
+		if err := conn.(*net.TCPConn).SetLinger(0); err != nil {
 			t.Fatal(err)
 		}
 		time.Sleep(5 * time.Millisecond) // so that the byte is read before the reset
-		_ = c.Close()
+		_ = conn.Close()
 	}
-	c, err := net.Dial("tcp", at.String())
+	conn, err := net.Dial("tcp", address.String())
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer func() { _ = c.Close() }()
-	if err := c.SetDeadline(time.Now().Add(5 * time.Second)); err != nil {
+	defer func() { _ = conn.Close() }()
+	if err := conn.SetDeadline(time.Now().Add(5 * time.Second)); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := c.Write([]byte("y")); err != nil {
+	if _, err := conn.Write([]byte("y")); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := io.ReadFull(c, make([]byte, 2)); err != nil {
-		t.Fatalf("the program hangs: %v", err)
+	if _, err := io.ReadFull(conn, make([]byte, 2)); err != nil {
+		t.Fatalf("no reply on another connection: %v", err)
 	}
 	for end := time.Now().Add(5 * time.Second); program.closed.Load() < 3; time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("%d of 3 closed connections were reported", program.closed.Load())
+			t.Fatalf("%d of 3 closed connections were reported to the program", program.closed.Load())
 		}
 	}
 }
--- a/internal/frontend/eventloop/server.go
+++ b/internal/frontend/eventloop/server.go
@@ -1,6 +1,6 @@
-// Package eventloop runs an env.Program on real sockets with gnet's event loop: TCP listeners for proxies and other peers, and a
-// UDP listener for measurements. One loop owns all connections, so the program needs no locks, messages leave in the order in
-// which they were decided, and the writes of a round are system calls and nothing else.
+// Package eventloop runs an env.Program on real sockets, with the event loop of gnet: TCP listeners for proxies and other peers,
+// and a UDP listener for measurements. A single loop owns all connections. The program therefore needs no locks, messages are sent
+// in the order in which they were decided, and the writes of a round cost only their system calls.
 package eventloop
 
 import (
@@ -20,71 +20,71 @@
 )
 
 const (
-	loopTimeout       = 5 * time.Second  // for the loop to start, to end, or to run a function
-	keepAliveInterval = 15 * time.Second // so that a peer that has vanished is noticed within half a minute
-	readBufferBytes   = 16 << 10         // read at once from one connection
-	writeBufferBytes  = 4 << 10          // kept in one piece for a slow connection; more is chained
+	loopTimeout       = 5 * time.Second  // limit for the loop to start, to end, or to run a function
+	keepAliveInterval = 15 * time.Second // detects within half a minute that a peer is unreachable
+	readBufferBytes   = 16 << 10         // limit for one read from a connection
+	writeBufferBytes  = 4 << 10          // size of the first output buffer of a slow connection; further data is stored in linked buffers
 )
 
-// errStartTimeout reports a loop that did not start within loopTimeout.
+// errStartTimeout is returned if the loop did not start within loopTimeout.
 var errStartTimeout = errors.New("the event loop did not start in time")
 
-// Server runs a program on sockets. Use Listen. The caller ends it by Stop.
+// Server runs a program on sockets. Listen starts it and Stop ends it.
 type Server struct {
 	gnet.BuiltinEventEngine
 	program         env.Program
 	clock           func() float64
-	ignoresDelivery bool // the program is a DeliveryIgnorer: it is woken by timer, not by gnet's ticker
-	maxUnread       int  // bytes that a peer may leave unread in this process; 0: any number
+	ignoresDelivery bool // the program is a DeliveryIgnorer; its timer is timer instead of gnet's ticker
+	maxUnread       int  // limit for the bytes that this process buffers for a peer; 0: none
 
 	started     chan struct{} // closed when the program has started
-	ticking     chan struct{} // closed when the engine takes outgoing connections: gnet ticks first then
+	ticking     chan struct{} // closed at gnet's first tick, from which on the engine accepts outgoing connections
 	tickingOnce sync.Once
-	ended       chan error // receives the result of the loop
+	ended       chan error // receives the result of the loop when it has ended
 
 	dials      sync.WaitGroup // goroutines of Dial
 	dialCtx    context.Context
 	stopDials  context.CancelFunc // cancels dialCtx
-	registerMu sync.Mutex         // gnet's engine takes one connection at a time
+	registerMu sync.Mutex         // held while a connection is registered, which gnet's engine does not support concurrently
 
-	mu          sync.Mutex // protects what follows: the loop and the ticker of an engine without connections take turns
+	mu          sync.Mutex // protects the fields below, which are used by the loop and, while there are no connections, by the ticker
 	engine      gnet.Engine
 	loop        gnet.EventLoop // nil before the first connection
 	conns       map[env.Conn]*conn
-	undelivered map[env.Conn]*conn // those with bytes that have not reached the peer's host yet
+	undelivered map[env.Conn]*conn // connections with bytes that have not reached the peer's host yet
 	lastConn    env.Conn
-	wakeAt      float64 // clock time of the program's timer in seconds; 0: none is set
+	wakeAt      float64 // clock time in seconds at which the program's timer expires; 0: no timer is set
 	timerKey    int
 	timer       *time.Timer // fires at wakeAt if ignoresDelivery
 	stopped     bool
-	udp         *net.UDPConn // for the datagrams of the program; nil before the first one
+	udp         *net.UDPConn // socket for datagrams that the program sends; nil before the first one
 
-	writing atomic.Bool // the loop's goroutine is in a write, and holds mu
+	inWrite atomic.Bool // the loop's goroutine is in a write and holds mu
 }
 
 // conn is an open connection.
 type conn struct {
-	id   env.Conn
-	gnet gnet.Conn
-	sent uint64 // bytes that the program has sent
+	id        env.Conn
+	gnet      gnet.Conn
+	sentBytes uint64 // number of bytes that the program has sent
 }
 
-// DeliveryIgnorer is a program whose Delivered does nothing: the kernel is not asked what it has delivered.
+// DeliveryIgnorer is implemented by programs that ignore Delivered. For them, the kernel is not queried for delivered bytes.
 type DeliveryIgnorer interface{ IgnoreDelivery() }
 
-// UnreadLimiter is a program that limits the bytes that a peer may leave unread, besides what the kernel holds. The connection of
-// a peer that leaves more is reset.
+// UnreadLimiter is implemented by programs that limit the number of bytes that a peer may leave unread, in addition to those that
+// the kernel buffers. The connection of a peer that exceeds the limit is reset.
 type UnreadLimiter interface{ MaxUnread() int }
 
-// Clock returns a clock that starts at the wall time and never jumps. It gives seconds since 1970.
+// Clock returns a monotonic clock that is set to the wall-clock time at the call. It returns seconds since 1970.
 func Clock() func() float64 {
 	start := time.Now()
 	base := float64(start.UnixNano()) / 1e9
 	return func() float64 { return base + time.Since(start).Seconds() }
 }
 
-// Listen starts a program and returns when it can be reached on the TCP addresses and on the UDP address for measurements, unless
-// that is not valid. clock gives the program's time in seconds.
+// Listen starts a program and returns when it can be reached on the TCP addresses and, if measurements is valid, on that UDP
+// address. clock returns the program's time in seconds.
 func Listen(program env.Program, tcp []netip.AddrPort, measurements netip.AddrPort, clock func() float64) (*Server, error) {
 	addresses, err := listenAddresses(tcp, measurements)
 	if err != nil {
@@ -123,8 +123,8 @@
 	return s
 }
 
-// listenAddresses returns the addresses in the form that gnet takes. It tries each TCP address, because gnet does not report that
-// a port is in use before it runs.
+// listenAddresses returns the addresses in gnet's format. It tries to listen on each TCP address, because gnet reports a port that
+// is in use only when it is already running.
 func listenAddresses(tcp []netip.AddrPort, measurements netip.AddrPort) ([]string, error) {
 	var addresses []string
 	if measurements.IsValid() {
@@ -150,9 +150,9 @@
 		gnet.WithTicker(true),
 		gnet.WithReuseAddr(true),
 		gnet.WithTCPKeepAlive(keepAliveInterval),
-		// With this option the loop accepts connections itself, one at a time, so that the program can close some before it runs
-		// out of descriptors. gnet's acceptor, which runs beside the loop otherwise, accepts all that wait at once, and ends the
-		// engine when it can't.
+		// With this option the loop itself accepts connections, one at a time, so that the program can close some before it runs
+		// out of file descriptors. Otherwise gnet runs an acceptor beside the loop, which accepts all waiting connections at once
+		// and stops the engine if that fails.
 		gnet.WithReusePort(true),
 		gnet.WithReadBufferCap(readBufferBytes),
 		gnet.WithWriteBufferCap(writeBufferBytes),
@@ -161,7 +161,8 @@
 	}
 }
 
-// discardLogger keeps gnet from writing to standard output: the program and the returned errors report what matters to operators.
+// discardLogger discards gnet's log messages, which would go to standard output. What operators need to know is reported by the
+// program and by returned errors.
 type discardLogger struct{}
 
 func (discardLogger) Debugf(string, ...any) {}
@@ -170,11 +171,11 @@
 func (discardLogger) Errorf(string, ...any) {}
 func (discardLogger) Fatalf(string, ...any) {}
 
-// Ended returns a channel that receives the result of a loop that has ended by itself, after which nothing is served any more. A
-// caller that has received it must not call Stop.
+// Ended returns a channel that receives the result of a loop that has ended without Stop. The server then serves no connections,
+// and a caller that has received the result must not call Stop.
 func (s *Server) Ended() <-chan error { return s.ended }
 
-// Stop ends the program at once: all connections are closed. It returns when the loop and all dials have ended.
+// Stop ends the program at once and closes all connections. It returns when the loop and all dials have ended.
 func (s *Server) Stop() error {
 	s.mu.Lock()
 	s.stopped = true
@@ -195,7 +196,8 @@
 	return err
 }
 
-// Do calls f between two callbacks of the program, and returns when it has run. If the loop has ended, f is not called.
+// Do calls f between two callbacks of the program, and returns when f has returned, or after loopTimeout. If the loop has ended, f
+// is not called.
 func (s *Server) Do(f func(now float64)) {
 	s.mu.Lock()
 	if len(s.conns) == 0 || s.stopped {
@@ -219,7 +221,7 @@
 	}
 }
 
-// execute runs f soon on a loop's goroutine, with mu held. The error says that the loop has ended.
+// execute schedules f on a loop's goroutine, where it runs with mu held. It returns an error if the loop has ended.
 func (s *Server) execute(loop gnet.EventLoop, f func()) error {
 	return loop.Execute(context.Background(), gnet.RunnableFunc(func(context.Context) error {
 		s.mu.Lock()
--- a/internal/frontend/eventloop/timers.go
+++ b/internal/frontend/eventloop/timers.go
@@ -8,15 +8,16 @@
 )
 
 const (
-	deliveryCheckInterval = 5 * time.Millisecond // while bytes are on their way to a peer's host
+	deliveryCheckInterval = 5 * time.Millisecond // interval of checks while bytes are undelivered
 	minTickInterval       = time.Millisecond
-	// timerMargin is added to the time until a timer, so that rounding does not make it expire too early.
+	// timerMargin is added to the duration of a timer, so that the timer does not expire early because of rounding.
 	timerMargin = time.Microsecond
-	// noTick is the interval of the ticker if it is not needed.
+	// noTick is the interval of gnet's ticker when it is not needed.
 	noTick = 1000 * time.Hour
 )
 
-// OnTick implements gnet.EventHandler. gnet calls it beside its loops; what is due runs on the loop that owns the connections.
+// OnTick implements gnet.EventHandler. gnet calls it on a goroutine beside its loops; what is due runs on the loop, which owns the
+// connections.
 func (s *Server) OnTick() (time.Duration, gnet.Action) {
 	s.tickingOnce.Do(func() { close(s.ticking) })
 	if s.ignoresDelivery {
@@ -35,12 +36,12 @@
 	return max(wait, minTickInterval), gnet.None
 }
 
-// untilTimer returns the time until the program's timer expires; it is negative if that time has passed or no timer is set.
+// untilTimer returns the duration until the program's timer expires; it is negative if the timer is overdue or not set.
 func (s *Server) untilTimer() time.Duration {
 	return time.Duration((s.wakeAt - s.clock()) * float64(time.Second))
 }
 
-// timerExpired is called by the timer of a program that ignores delivery.
+// timerExpired is called when timer expires, which is used for a DeliveryIgnorer.
 func (s *Server) timerExpired() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -49,16 +50,17 @@
 	}
 }
 
-// scheduleDue runs what is due on the loop; at once if there is no connection, and so perhaps no loop.
+// scheduleDue runs runDue on the loop. If there is no connection, the loop may not be known yet, and scheduleDue calls runDue
+// itself.
 func (s *Server) scheduleDue() {
 	if len(s.conns) == 0 || s.loop == nil {
 		s.runDue()
 		return
 	}
-	_ = s.execute(s.loop, s.runDue) // if the loop has ended, the program has too
+	_ = s.execute(s.loop, s.runDue) // an error means that the loop has ended, and the program with it
 }
 
-// runDue reports deliveries and the timer to the program.
+// runDue reports deliveries to the program, and the expiry of its timer.
 func (s *Server) runDue() {
 	if s.stopped {
 		return
@@ -73,13 +75,13 @@
 		s.program.TimerFired(now, s.timerKey)
 		return
 	}
-	if s.ignoresDelivery { // the timer has expired early
+	if s.ignoresDelivery { // the timer expired early
 		s.SetTimer(s.wakeAt, s.timerKey)
 	}
 }
 
-// reportDeliveries reports to the program how much the peers' hosts have received: all that was sent, except for what waits in
-// this process and what the kernel has not seen acknowledged (SIOCOUTQ, tcp(7)).
+// reportDeliveries reports to the program how many bytes the peers' hosts have received: all bytes sent, except those that are
+// buffered in this process and those that are not yet acknowledged according to the kernel (SIOCOUTQ, tcp(7)).
 func (s *Server) reportDeliveries() {
 	now := s.clock()
 	for id, c := range s.undelivered {
@@ -92,13 +94,13 @@
 		if outstanding == 0 {
 			delete(s.undelivered, id)
 		}
-		if uint64(outstanding) <= c.sent {
-			s.program.Delivered(now, id, c.sent-uint64(outstanding))
+		if uint64(outstanding) <= c.sentBytes {
+			s.program.Delivered(now, id, c.sentBytes-uint64(outstanding))
 		}
 	}
 }
 
-// SetTimer implements env.IO. Only the latest timer is kept.
+// SetTimer implements env.IO. A new timer replaces the one that is set.
 func (s *Server) SetTimer(at float64, key int) {
 	s.wakeAt = at
 	s.timerKey = key
