--- a/internal/core/longpoll/polls.go
+++ b/internal/core/longpoll/polls.go
@@ -51,9 +51,9 @@
 // HandlePoll handles a poll. The handler is called, at once or later, to answer or reject it.
 func (s *Server) HandlePoll(now float64, id PollID, poll Poll) {
 	s.Stats.Polls++
-	// This coordinator has not yet learned that the ownership of the proxy has changed, and still considers itself the
-	// owner by an epoch that has ended. The drawback of the check: the proxies of a coordinator that is far behind are
-	// not served until it has caught up or its lease has ended.
+	// If the proxy has followed a newer epoch, this coordinator has not yet learned that the ownership has changed, and
+	// considers itself the owner by an epoch that has ended. The drawback of the check: the proxies of a coordinator that
+	// is far behind are not served until it has caught up or its lease has ended.
 	if poll.OwnershipEpoch > s.fleet.OwnershipEpoch() {
 		s.reject(id, EpochOutdated, 0)
 		return
--- a/internal/core/longpoll/server.go
+++ b/internal/core/longpoll/server.go
@@ -52,7 +52,7 @@
 	JoinBurst:         500,
 	PollRate:          4, // one change per second, and as much again for lost answers
 	PollBurst:         20,
-	MaxWait:           55, // middleboxes drop idle connections after a minute
+	MaxWait:           55, // less than the minute after which middleboxes drop idle connections
 	PollGap:           2.5,
 	MaxUnacknowledged: 2048, // 30 MB with a table of 300 entries each
 	DrainReserve:      8192,
@@ -65,8 +65,8 @@
 )
 
 // Stats counts events since the start, for metrics. EmptyAnswers have no classes; Deltas and FullTables count classes
-// in answers; LostAnswers were not acknowledged by the next poll; UnknownVersions counts polls, other than first ones,
-// by which the state of the proxy is not known.
+// in answers; LostAnswers were not acknowledged by the next poll; UnknownVersions counts polls that named no stored
+// version although the proxy had been sent a version or named one.
 type Stats struct {
 	Polls, Answers, EmptyAnswers, Deltas, FullTables, Rejected, LostAnswers, Joins, Left, UnknownVersions int
 }
