--- a/internal/wire/delta/mediatypes.go
+++ b/internal/wire/delta/mediatypes.go
@@ -2,15 +2,16 @@
 
 import "strings"
 
-// The media types of answers.
+// Media types of responses.
 const (
 	JSON             = "application/json"
 	CBOR             = "application/cbor"
-	ProblemMediaType = "application/problem+json" // of problem documents
+	ProblemMediaType = "application/problem+json" // problem documents
 )
 
-// Accepts picks the media type of tables for an Accept header; ok is false if the header allows none.
-func Accepts(header string) (mediaType string, ok bool) {
+// NegotiateMediaType returns the media type in which to send tables, by the Accept header of the request; ok is false
+// if the header accepts neither JSON nor CBOR.
+func NegotiateMediaType(header string) (mediaType string, ok bool) {
 	if strings.TrimSpace(header) == "" {
 		return JSON, true
 	}
