--- a/internal/core/saspsession/authorization.go
+++ b/internal/core/saspsession/authorization.go
@@ -44,7 +44,7 @@
 	if string(named.UID) != s.policy.FleetUID || s.policy.FleetUID == "" {
 		lb := s.balancers[string(named.UID)]
 		if lb == nil {
-			return sasp.BalancerNotArrived
+			return sasp.BalancerNotConnected
 		}
 		if !lb.trustsMembers() {
 			return sasp.NotAccepted
--- a/internal/core/saspsession/session_test.go
+++ b/internal/core/saspsession/session_test.go
@@ -56,7 +56,7 @@
 		{c, &sasp.Message{Kind: sasp.SetBalancer, UID: []byte("r2")}, sasp.NotAccepted},
 		{other, message(sasp.GetWeights, 0, "r1/search"), sasp.UnknownBalancer},
 		{other, &sasp.Message{Kind: sasp.SetBalancer, UID: []byte("fleet")}, sasp.NotAccepted},
-		{m, message(sasp.Registration, 0, "r9/search", 4), sasp.BalancerNotArrived},
+		{m, message(sasp.Registration, 0, "r9/search", 4), sasp.BalancerNotConnected},
 		{m, message(sasp.Registration, 0, "r2/search", 4), sasp.NotAccepted}, // it does not trust members
 		{m, message(sasp.Registration, 0, "r1/search", 5), sasp.NotAccepted}, // of another host
 		{m, message(sasp.Registration, 0, "r1/search", 4), sasp.OK},
--- a/internal/wire/sasp/message.go
+++ b/internal/wire/sasp/message.go
@@ -70,7 +70,7 @@
 	DuplicateGroup     Code = 0x46
 	InvalidGroupName   Code = 0x50 // it is empty
 	InvalidBalancer    Code = 0x51 // its UID is empty
-	BalancerNotArrived Code = 0x61 // a member names a balancer that is not yet connected
+	BalancerNotConnected Code = 0x61 // a member names a balancer that is not yet connected
 )
 
 var codeNames = map[Code]string{
@@ -86,7 +86,7 @@
 	DuplicateGroup:     "duplicate group in one message",
 	InvalidGroupName:   "empty group name",
 	InvalidBalancer:    "empty balancer UID",
-	BalancerNotArrived: "balancer not yet connected",
+	BalancerNotConnected: "balancer not yet connected",
 }
 
 // String returns the meaning of a code.
