--- a/internal/core/authz/authz.go
+++ b/internal/core/authz/authz.go
@@ -1,6 +1,7 @@
-// Package authz decides what callers of a hosted service may do: the host's operators, and each tenant's staff and viewers.
+// Package authz authenticates and authorizes the callers of a hosted service: the host's operators, and each tenant's staff and viewers.
 //
-// An Authenticator finds out who a caller is, by keys today; Authorize decides what a caller may do. The package is pure.
+// An Authenticator identifies a caller by its credential, which at present is a key. Authorize decides whether the caller may perform an
+// action. The package is pure: it does no I/O, and times are passed in as arguments.
 package authz
 
 import (
@@ -10,30 +11,31 @@
 	"snowquay/internal/core/tenancy"
 )
 
-// Principal is a caller whose credential was accepted.
+// Principal is an authenticated caller.
 type Principal struct {
 	Name   string
 	Role   Role
-	Tenant tenancy.Name // that the caller belongs to; empty: the host
+	Tenant tenancy.Name // tenant that the caller belongs to; empty for a caller of the host
 }
 
-// Authenticator finds out who has a credential.
+// Authenticator identifies callers by their credentials.
 type Authenticator interface {
+	// Identify returns the principal that a credential belongs to, and false if the credential is unknown.
 	Identify(credential string) (Principal, bool)
 }
 
-// Action is what a caller wants to do.
+// Action describes what a caller wants to do by the rights that it requires.
 type Action struct {
-	Role   Role         // that it needs
-	Tenant tenancy.Name // whose it is; empty: the host's
+	Role   Role         // lowest role that may perform the action
+	Tenant tenancy.Name // tenant that the action concerns; empty for the host
 }
 
-// ErrWrongTenant says that a caller asks for what is another tenant's. A caller that does not belong to a tenant is not told whether a
-// tenant of that name exists.
+// ErrWrongTenant reports that a tenant's caller requested an action outside of its own tenant. The error is the same whether or not a
+// tenant of the requested name exists, so that callers cannot discover the names of other tenants.
 var ErrWrongTenant = errors.New("no tenant of this caller")
 
-// Authorize tells whether a caller may do something; the error wraps ErrWrongTenant or ErrForbidden. The host's callers may do what their
-// role allows. A tenant's callers may do nothing outside of it, and never have more than RoleStaff there.
+// Authorize returns nil if a caller may perform an action, or an error that wraps ErrWrongTenant or ErrForbidden. Callers of the host may
+// do what their role allows, for every tenant. Callers of a tenant may act only within it, with the rights of RoleStaff at most.
 func Authorize(caller Principal, action Action) error {
 	if caller.Tenant == "" {
 		return RequireRole(caller.Role, action.Role)
--- a/internal/core/authz/credentials.go
+++ b/internal/core/authz/credentials.go
@@ -8,28 +8,30 @@
 	"snowquay/internal/core/tenancy"
 )
 
-// ErrDuplicateKey says that two callers have the same key.
+// ErrDuplicateKey reports that two callers have the same key.
 var ErrDuplicateKey = errors.New("another caller has this key")
 
-// digest of a secret.
+// digest is the SHA-256 digest of a secret.
 type digest [sha256.Size]byte
 
 func digestOf(secret string) digest { return sha256.Sum256([]byte(secret)) }
 
-// Credential is a caller with its key.
+// Credential is a caller and the secret key that authenticates it.
 type Credential struct {
 	Principal
 	Secret string
 }
 
-// Credentials is an Authenticator by keys. It keeps only digests of keys, so a lookup takes the same time whatever part of a key is right.
-// The zero value accepts nobody. It is not safe for concurrent use.
+// Credentials is an Authenticator that identifies callers by their keys. It stores only digests of the keys, so the duration of a lookup
+// does not reveal how much of a guessed key is correct. The zero value has no callers and accepts no key. It is not safe for concurrent
+// use.
 type Credentials struct {
 	principals map[digest]Principal
 	byTenant   map[tenancy.Name][]digest
 }
 
-// Set replaces the callers of a tenant, or of the host. An error wraps ErrDuplicateKey; then nothing is changed.
+// Set replaces the callers of a tenant, or of the host if the tenant is empty. The callers' own Tenant fields are ignored. If a key
+// occurs twice or belongs to a caller of another tenant, Set changes nothing and returns an error that wraps ErrDuplicateKey.
 func (c *Credentials) Set(tenant tenancy.Name, callers []Credential) error {
 	digests := make([]digest, 0, len(callers))
 	seen := map[digest]bool{}
@@ -58,7 +60,7 @@
 	return nil
 }
 
-// Remove forgets the callers of a tenant, or of the host.
+// Remove removes the callers of a tenant, or of the host if the tenant is empty.
 func (c *Credentials) Remove(tenant tenancy.Name) {
 	for _, key := range c.byTenant[tenant] {
 		delete(c.principals, key)
--- a/internal/core/authz/credentials_test.go
+++ b/internal/core/authz/credentials_test.go
@@ -21,24 +21,24 @@
 	set("", Principal{Name: "host", Role: RoleHost, Tenant: "forged"}, "key-host")
 	set("a", Principal{Name: "ann"}, "key-ann")
 	if principal, ok := c.Identify("key-ann"); !ok || principal.Tenant != "a" {
-		t.Errorf("%+v", principal)
+		t.Errorf("ann's key belongs to %+v", principal)
 	}
 	if principal, ok := c.Identify("key-host"); !ok || principal.Tenant != "" {
-		t.Errorf("%+v: what the credential itself says of its tenant is believed", principal)
+		t.Errorf("%+v: the tenant that the credential itself names was not ignored", principal)
 	}
-	// A key that is another's, or there twice, is rejected, and nothing changes.
+	// A key that belongs to another tenant's caller is rejected, and the call changes nothing.
 	err := c.Set("b", []Credential{{Principal{Name: "bob"}, "key-bob"}, {Principal{Name: "eve"}, "key-ann"}})
 	if !errors.Is(err, ErrDuplicateKey) {
 		t.Error(err)
 	}
 	if _, ok := c.Identify("key-bob"); ok {
-		t.Error("half of them are accepted")
+		t.Error("a key of the rejected call is accepted")
 	}
 	set("a", Principal{Name: "new"}, "key-new")
 	if _, ok := c.Identify("key-ann"); ok {
-		t.Error("a former key is accepted")
+		t.Error("a replaced key is still accepted")
 	}
 	if c.Remove("a"); len(c.principals) != 1 {
-		t.Error("keys of a tenant that is gone are kept")
+		t.Error("keys of a removed tenant are kept")
 	}
 }
--- a/internal/core/authz/lookup_limiter.go
+++ b/internal/core/authz/lookup_limiter.go
@@ -1,24 +1,25 @@
 package authz
 
 const (
-	maxKnownCredentials = 8192 // when there are more, all are looked up anew
-	minRate             = 1e-3 // lookups a second, for the wait until the next one
+	maxKnownCredentials = 8192 // cached credentials; when the cache is full it is cleared, and all are looked up again
+	minRate             = 1e-3 // lookups per second; lower bound of the rate from which the retry delay is computed
 )
 
-// LookupLimiter is a token bucket for credentials that are not known yet: looking one up takes a turn of the event loop that all tenants
-// share. Credentials that were known lately always pass. Guards against a flood of calls with unknown keys; it does harm to callers who
-// come for the first time during such a flood, and have to retry. The zero value lets only known credentials pass. It is not safe for
-// concurrent use.
+// LookupLimiter limits the rate of lookups of unknown credentials by a token bucket, since each lookup takes a turn of the event loop
+// that all tenants share. Credentials that were recently found to be known always pass. The limiter protects the loop from a flood of
+// calls with unknown keys. The cost is that callers who make their first call during such a flood are rejected and have to retry. The
+// zero value lets only known credentials pass. It is not safe for concurrent use.
 type LookupLimiter struct {
-	Rate  float64 // unknown credentials a second
-	Burst float64 // unknown credentials at once
+	Rate  float64 // lookups of unknown credentials per second, on average
+	Burst float64 // lookups of unknown credentials that may come at once
 
 	known     map[digest]bool
 	tokens    float64
-	updatedAt float64 // seconds; 0: never
+	updatedAt float64 // time of the last token refill, in seconds; 0 if there was none
 }
 
-// Allow tells whether a credential may be looked up at now, in seconds and above 0. If not, retryAfter is the number of seconds to wait.
+// Allow reports whether a credential may be looked up at the time now, which is in seconds and above 0. If not, retryAfter is the number
+// of seconds to wait.
 func (l *LookupLimiter) Allow(now float64, credential string) (retryAfter float64, ok bool) {
 	if l.known[digestOf(credential)] {
 		return 0, true
@@ -36,7 +37,7 @@
 	return 0, true
 }
 
-// Observe takes the result of a lookup.
+// Observe records the result of a lookup: whether the credential is known.
 func (l *LookupLimiter) Observe(credential string, known bool) {
 	key := digestOf(credential)
 	if !known {
--- a/internal/core/authz/lookup_limiter_test.go
+++ b/internal/core/authz/lookup_limiter_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// A flood of unknown keys is slowed; callers who are known are not.
+// Lookups of unknown keys are limited to the rate; known callers are not limited.
 func TestLookupLimiter(t *testing.T) {
 	limiter := LookupLimiter{Rate: 10, Burst: 20}
 	limiter.Observe("good", true)
@@ -20,13 +20,13 @@
 		}
 	}
 	if passed < 110 || passed > 125 || rejected == 0 {
-		t.Errorf("%d unknown keys passed in 10 s at 10 a second", passed)
+		t.Errorf("%d lookups of unknown keys passed in 10 s, want about 120 at 10 per second after a burst of 20", passed)
 	}
-	limiter.Observe("good", false) // its key was revoked
+	limiter.Observe("good", false) // the key was revoked
 	for ok := true; ok; _, ok = limiter.Allow(1010, "bad") {
 	}
 	retryAfter, ok := limiter.Allow(1010, "good")
 	if ok || retryAfter <= 0 {
-		t.Errorf("%v %v", retryAfter, ok)
+		t.Errorf("a revoked key: retry after %v, allowed %v", retryAfter, ok)
 	}
 }
