--- a/internal/core/saspsession/connections_test.go
+++ b/internal/core/saspsession/connections_test.go
@@ -176,7 +176,7 @@
 	lying := frame(message(sasp.Registration, 1, "r2/search", 0))
 	lying[5] = 0x7f
 	lying[6] = 0xff
-	bad("over the limit", lying)
+	bad("exceeds the size limit", lying)
 	bad("not a SASP message", []byte("GET / HTTP/1.1\r\n"))
 	bad("as a manager", frame(&sasp.Message{Kind: sasp.SendWeights}))
 	unknown := frame(&sasp.Message{Kind: sasp.SetMemberReply})
--- a/internal/wire/sasp/components.go
+++ b/internal/wire/sasp/components.go
@@ -1,6 +1,6 @@
 package sasp
 
-// The components other than message components.
+// Types of the components other than message components.
 const (
 	header       = 0x2010
 	memberData   = 0x3010
@@ -12,18 +12,18 @@
 	memberStates = 0x4012
 )
 
-// Sizes of components in bytes, with their headers and without their texts.
+// Sizes of components in bytes, including their headers but not the contents of their texts.
 const (
-	componentHeaderSize = 4 // type and length, which start every component
+	componentHeaderSize = 4 // type and length, at the start of every component
 	memberDataSize      = 24
 	groupDataSize       = 6
 	weightEntrySize     = 8
 	memberStateSize     = 6
-	groupCountSize      = 6 // of the components that count the members of a group
+	groupCountSize      = 6 // size of the components that hold the number of members of a group
 )
 
-// groupComponent returns the component that starts every group of a kind of message; 0 if the kind has no groups. A group
-// that starts with groupData has no members.
+// groupComponent returns the type of the component that starts every group in a kind of message, or 0 if the kind has no
+// groups. A group that starts with groupData has no members.
 func groupComponent(kind Kind) uint16 {
 	switch kind {
 	case Registration, Deregistration:
--- a/internal/wire/sasp/decode.go
+++ b/internal/wire/sasp/decode.go
@@ -5,43 +5,43 @@
 	"fmt"
 )
 
-// Decode decodes a framed message into a Message. The error is ErrBody, with the byte and the reason; the Message is then
-// incomplete and must not be used.
+// Decode decodes a framed message into a Message. The error wraps ErrBody and names the position and the reason; the
+// Message is then incomplete and must not be used.
 func Decode(frame []byte, message *Message) error {
 	kind, id := Head(frame)
 	*message = Message{Kind: kind, ID: id, Groups: message.Groups[:0], Rows: message.Rows[:0]}
 	body := reader{data: frame, position: HeaderSize}
 	opened := body.open(uint16(kind))
 	body.fields(message)
-	grouping := groupComponent(kind)
+	groupType := groupComponent(kind)
 	groups := 0
-	if grouping != 0 {
+	if groupType != 0 {
 		groups = int(body.uint16())
 	}
 	body.close(opened)
 	for range groups {
-		if body.err != nil { // a count without its groups ends at the first missing byte
+		if body.err != nil { // a count larger than the groups that follow stops at the first missing byte
 			break
 		}
-		body.group(message, grouping)
+		body.group(message, groupType)
 	}
 	if body.err == nil && body.position != len(frame) {
-		body.fail("%d bytes too many", len(frame)-body.position)
+		body.fail("%d trailing bytes", len(frame)-body.position)
 	}
 	return body.err
 }
 
-// reader reads a message. After the first error it returns zeros.
+// reader reads the fields of a message. After the first error it returns zero values.
 type reader struct {
 	data     []byte
 	position int
 	err      error
 }
 
-// component is a component whose fields are being read.
+// component records where a component starts and its declared size, while its fields are being read.
 type component struct {
 	start int
-	size  int // as its header has it
+	size  int // size in the component's header
 }
 
 func (r *reader) fail(format string, args ...any) {
@@ -56,7 +56,7 @@
 	}
 	left := len(r.data) - r.position
 	if left < n {
-		r.fail("%d bytes are missing", n-left)
+		r.fail("truncated: %d bytes are missing", n-left)
 		return nil
 	}
 	r.position += n
@@ -81,26 +81,26 @@
 
 func (r *reader) text() []byte { return r.bytes(int(r.uint8())) }
 
-// open starts a component of a type. close must follow after its fields.
+// open reads the header of a component, whose type must be the wanted one. The caller must call close after its fields.
 func (r *reader) open(want uint16) component {
 	opened := component{start: r.position}
 	kind := r.uint16()
 	if r.err == nil && kind != want {
-		r.fail("component %#04x where %#04x belongs", kind, want)
+		r.fail("unexpected component %#04x, want %#04x", kind, want)
 	}
 	opened.size = int(r.uint16())
 	return opened
 }
 
-// close checks that the fields of a component took as many bytes as its header says.
+// close checks that the component with its fields took as many bytes as its header declares.
 func (r *reader) close(opened component) {
 	size := r.position - opened.start
 	if r.err == nil && size != opened.size {
-		r.fail("a component of %d bytes says that it has %d", size, opened.size)
+		r.fail("component of %d bytes declares a length of %d", size, opened.size)
 	}
 }
 
-// fields reads the fields of a message component, up to the count of groups.
+// fields reads the fields of a message component that come before the number of groups.
 func (r *reader) fields(message *Message) {
 	switch message.Kind {
 	case Registration, SetMember:
@@ -110,7 +110,7 @@
 		message.Reason = r.uint8()
 	case RegistrationReply, DeregistrationReply, SetBalancerReply, SetMemberReply:
 		message.Code = Code(r.uint8())
-	case GetWeights, SendWeights: // only groups
+	case GetWeights, SendWeights: // these have only groups
 	case GetWeightsReply:
 		message.Code = Code(r.uint8())
 		message.Interval = r.uint16()
@@ -123,10 +123,10 @@
 	}
 }
 
-func (r *reader) group(message *Message, grouping uint16) {
+func (r *reader) group(message *Message, groupType uint16) {
 	members := 0
-	if grouping != groupData {
-		opened := r.open(grouping)
+	if groupType != groupData {
+		opened := r.open(groupType)
 		members = int(r.uint16())
 		r.close(opened)
 	}
@@ -140,7 +140,7 @@
 			return
 		}
 		message.Rows = append(message.Rows, Row{})
-		r.row(&message.Rows[len(message.Rows)-1], grouping)
+		r.row(&message.Rows[len(message.Rows)-1], groupType)
 	}
 	group.To = len(message.Rows)
 	if r.err == nil {
@@ -148,14 +148,14 @@
 	}
 }
 
-func (r *reader) row(row *Row, grouping uint16) {
+func (r *reader) row(row *Row, groupType uint16) {
 	opened := r.open(memberData)
 	row.Protocol = r.uint8()
 	row.Port = r.uint16()
 	copy(row.IP[:], r.bytes(len(row.IP)))
 	row.Label = r.text()
 	r.close(opened)
-	switch grouping {
+	switch groupType {
 	case weightGroup:
 		opened = r.open(weightEntry)
 		row.Opaque = r.uint8()
@@ -167,7 +167,7 @@
 		row.Opaque = r.uint8()
 		quiesced := r.uint8()
 		if quiesced > 1 {
-			r.fail("a quiesce flag of %d", quiesced)
+			r.fail("invalid quiesce flag %d", quiesced)
 		}
 		row.Flags = quiesced * Quiesce
 		r.close(opened)
--- a/internal/wire/sasp/frame.go
+++ b/internal/wire/sasp/frame.go
@@ -8,17 +8,17 @@
 
 // Errors of framing and decoding.
 var (
-	// ErrFrame reports bytes that are not SASP. It is final for the stream.
+	// ErrFrame reports bytes that are not SASP. The rest of the stream cannot be read.
 	ErrFrame = errors.New("not a SASP message")
-	// ErrTooLarge reports a message over the limit. It is final for the stream.
-	ErrTooLarge = errors.New("SASP message over the limit")
-	// ErrBody reports a malformed message; the next message of the stream can still be read.
-	ErrBody = errors.New("SASP message not understood")
+	// ErrTooLarge reports a message that exceeds the size limit. The rest of the stream cannot be read.
+	ErrTooLarge = errors.New("SASP message exceeds the size limit")
+	// ErrBody reports a malformed message. The next message of the stream can still be read.
+	ErrBody = errors.New("malformed SASP message")
 )
 
-const version = 1 // of the protocol
+const version = 1 // protocol version
 
-// Offsets in the header.
+// Offsets of the fields in the header.
 const (
 	headerSizeOffset    = 2
 	headerVersionOffset = 4
@@ -26,28 +26,28 @@
 	headerIDOffset      = 9
 )
 
-// Frame returns the length of the first message in data, or 0 if more bytes are needed to tell or to hold it. An error
-// (ErrFrame, ErrTooLarge) is final for the stream. It guards against false lengths: a message over maxBytes is refused by
-// its header, before anything is buffered for it.
+// Frame returns the length of the first message in data, or 0 if data does not yet contain the whole message. After an
+// error, which wraps ErrFrame or ErrTooLarge, the rest of the stream cannot be read. As a protection against false
+// lengths, a message over maxBytes is rejected as soon as its header has arrived, before its body is buffered.
 func Frame(data []byte, maxBytes int) (int, error) {
 	if len(data) >= headerSizeOffset && binary.BigEndian.Uint16(data) != header {
-		return 0, fmt.Errorf("%w: it starts with component %#04x", ErrFrame, binary.BigEndian.Uint16(data))
+		return 0, fmt.Errorf("%w: the first component is %#04x", ErrFrame, binary.BigEndian.Uint16(data))
 	}
 	if len(data) >= headerVersionOffset && binary.BigEndian.Uint16(data[headerSizeOffset:]) != HeaderSize {
-		return 0, fmt.Errorf("%w: a header of %d bytes", ErrFrame, binary.BigEndian.Uint16(data[headerSizeOffset:]))
+		return 0, fmt.Errorf("%w: invalid header length of %d bytes", ErrFrame, binary.BigEndian.Uint16(data[headerSizeOffset:]))
 	}
 	if len(data) >= headerLengthOffset && data[headerVersionOffset] != version {
-		return 0, fmt.Errorf("%w: version %d", ErrFrame, data[headerVersionOffset])
+		return 0, fmt.Errorf("%w: unsupported version %d", ErrFrame, data[headerVersionOffset])
 	}
 	if len(data) < HeaderSize {
 		return 0, nil
 	}
 	length := binary.BigEndian.Uint32(data[headerLengthOffset:])
 	if length < HeaderSize+componentHeaderSize {
-		return 0, fmt.Errorf("%w: a message of %d bytes", ErrFrame, length)
+		return 0, fmt.Errorf("%w: message length of %d bytes is too short", ErrFrame, length)
 	}
 	if uint64(length) > uint64(maxBytes) {
-		return 0, fmt.Errorf("%w: %d bytes, at most %d", ErrTooLarge, length, maxBytes)
+		return 0, fmt.Errorf("%w: %d bytes, the limit is %d", ErrTooLarge, length, maxBytes)
 	}
 	if uint64(len(data)) < uint64(length) {
 		return 0, nil
@@ -55,13 +55,14 @@
 	return int(length), nil
 }
 
-// Head returns kind and ID of a framed message, also of one that cannot be decoded.
+// Head returns the kind and the ID of a framed message. The message need not be well-formed.
 func Head(frame []byte) (Kind, uint32) {
 	return Kind(binary.BigEndian.Uint16(frame[HeaderSize:])), binary.BigEndian.Uint32(frame[headerIDOffset:])
 }
 
-// ParseIdentity returns the UID that the first message of a connection names: the balancer's own, or that of the first
-// group in it. need says that more bytes are needed. An error says that the message is malformed or names no balancer.
+// ParseIdentity returns the UID in the first message of a connection: the UID of the balancer that sends it, or that of
+// the first group in it. need reports that data does not yet contain the whole message. An error means that the message
+// is malformed or names no balancer.
 func ParseIdentity(data []byte, maxBytes int) (uid string, need bool, err error) {
 	size, err := Frame(data, maxBytes)
 	if err != nil || size == 0 {
--- a/internal/wire/sasp/golden_test.go
+++ b/internal/wire/sasp/golden_test.go
@@ -8,7 +8,7 @@
 	"snowquay/internal/golden"
 )
 
-func TestPushOnTheWire(t *testing.T) {
+func TestEncodedPushMatchesGoldenFile(t *testing.T) {
 	push := Message{Kind: SendWeights, ID: 7,
 		Groups: []Group{{UID: []byte("relay-1"), Name: []byte("search"), From: 0, To: 2}, {UID: []byte("relay-1"), Name: []byte("book"), From: 2, To: 3}},
 		Rows: []Row{
@@ -21,7 +21,7 @@
 		t.Fatal(err)
 	}
 	if decoded.Kind != push.Kind || decoded.ID != push.ID || !reflect.DeepEqual(decoded.Groups, push.Groups) || len(decoded.Rows) != len(push.Rows) {
-		t.Errorf("decoded %+v", decoded)
+		t.Errorf("decoded %+v, want the pushed message", decoded)
 	}
 	golden.Bytes(t, "push.bin", Append(nil, &decoded))
 }
--- a/internal/wire/sasp/sasp_test.go
+++ b/internal/wire/sasp/sasp_test.go
@@ -25,7 +25,7 @@
 	return m
 }
 
-// The bytes were put together by hand from the figures in docs/sasp.md.
+// The expected bytes were assembled by hand from the layouts in docs/sasp.md, not by this encoder.
 func TestEncodingMatchesKnownBytes(t *testing.T) {
 	for text, m := range map[string]*Message{
 		"2010000d010000001700000009" + "1050000a" + "03" + "6c6231" + "7f" + "e0": {Kind: SetBalancer, ID: 9,
@@ -71,14 +71,14 @@
 		}
 		m.ID = 77
 		b := Append([]byte("before"), m)[6:]
-		for i := range b { // a byte at a time
+		for i := range b { // every incomplete prefix of the message
 			if n, err := Frame(b[:i], MaxMessageBytes); n != 0 || err != nil {
-				t.Fatalf("kind %#x: %d of %d bytes framed: %d, %v", m.Kind, i, len(b), n, err)
+				t.Fatalf("kind %#x: Frame of the first %d of %d bytes returns %d, %v", m.Kind, i, len(b), n, err)
 			}
 		}
 		n, err := Frame(append(b, b...), MaxMessageBytes)
 		if n != len(b) || err != nil {
-			t.Fatalf("framed %d of %d: %v", n, len(b), err)
+			t.Fatalf("Frame returns %d for a message of %d bytes: %v", n, len(b), err)
 		}
 		var got Message
 		if err := Decode(b, &got); err != nil {
@@ -88,44 +88,44 @@
 			got.Groups = nil
 		}
 		if fmt.Sprint(got) != fmt.Sprint(*m) {
-			t.Errorf("kind %#x came back as %v, want %v", m.Kind, got, *m)
+			t.Errorf("kind %#x was decoded as %v, want %v", m.Kind, got, *m)
 		}
 	}
 }
 
 func TestMalformedMessagesAreRejected(t *testing.T) {
 	good := Append(nil, pushMessage(2))
-	change := func(at int, v ...byte) []byte { b := bytes.Clone(good); copy(b[at:], v); return b }
+	change := func(offset int, v ...byte) []byte { b := bytes.Clone(good); copy(b[offset:], v); return b }
 	for name, c := range map[string]struct {
 		b    []byte
 		want error
-		says string
+		text string // part of the error text
 	}{
-		"other protocol":  {[]byte("GET / HTTP/1.1"), ErrFrame, "0x4745"},
-		"version":         {change(4, 2), ErrFrame, "version 2"},
-		"header length":   {change(3, 14), ErrFrame, "14 bytes"},
-		"tiny message":    {change(5, 0, 0, 0, 3), ErrFrame, "3 bytes"},
-		"huge message":    {change(5, 255, 255, 255, 255), ErrTooLarge, "4294967295"},
-		"unknown message": {change(13, 0x77), ErrBody, "0x7740"},
-		"lying component": {change(16, 9), ErrBody, "says that it has 9"},
-		"65,535 groups":   {change(17, 255, 255), ErrBody, "missing"},
-		"65,535 members":  {change(23, 255, 255), ErrBody, "missing"},
-		"wrong component": {change(19, 0x30), ErrBody, "0x3011 where 0x4011"},
-		"long name":       {change(29, 255), ErrBody, "missing"},
+		"other protocol":   {[]byte("GET / HTTP/1.1"), ErrFrame, "0x4745"},
+		"version":          {change(4, 2), ErrFrame, "version 2"},
+		"header length":    {change(3, 14), ErrFrame, "14 bytes"},
+		"short message":    {change(5, 0, 0, 0, 3), ErrFrame, "3 bytes"},
+		"large message":    {change(5, 255, 255, 255, 255), ErrTooLarge, "4294967295"},
+		"unknown message":  {change(13, 0x77), ErrBody, "0x7740"},
+		"component length": {change(16, 9), ErrBody, "declares a length of 9"},
+		"65,535 groups":    {change(17, 255, 255), ErrBody, "missing"},
+		"65,535 members":   {change(23, 255, 255), ErrBody, "missing"},
+		"wrong component":  {change(19, 0x30), ErrBody, "0x3011, want 0x4011"},
+		"long name":        {change(29, 255), ErrBody, "missing"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			n, err := Frame(c.b, MaxMessageBytes)
 			if err == nil && n > 0 {
 				err = Decode(c.b[:n], &Message{})
 			}
-			if !errors.Is(err, c.want) || !strings.Contains(fmt.Sprint(err), c.says) {
-				t.Errorf("%v, want %v with %q", err, c.want, c.says)
+			if !errors.Is(err, c.want) || !strings.Contains(fmt.Sprint(err), c.text) {
+				t.Errorf("error %v, want %v with %q", err, c.want, c.text)
 			}
 		})
 	}
 }
 
-func TestReuseAllocatesNothing(t *testing.T) {
+func TestReusedBuffersAllocateNothing(t *testing.T) {
 	m := pushMessage(300)
 	into := &Message{}
 	b := []byte(nil)
@@ -137,11 +137,12 @@
 	}
 	run()
 	if n := testing.AllocsPerRun(20, run); n != 0 {
-		t.Errorf("%v allocations", n)
+		t.Errorf("%v allocations, want 0", n)
 	}
 }
 
-// FuzzDecode: what decodes is written back as the same bytes; nothing panics.
+// FuzzDecode checks that no input makes Frame or Decode panic, and that a message that decodes is encoded as the same
+// bytes again.
 func FuzzDecode(f *testing.F) {
 	f.Add(Append(nil, pushMessage(2)))
 	f.Add(Append(nil, &Message{Kind: SetBalancer, UID: []byte("x"), Flags: Push}))
@@ -154,9 +155,9 @@
 		}
 		var again Message
 		if out := Append(nil, &m); !bytes.Equal(out, b[:n]) {
-			t.Errorf("%x was written as %x", b[:n], out)
+			t.Errorf("%x was encoded as %x", b[:n], out)
 		} else if Decode(out, &again) != nil || !reflect.DeepEqual(m, again) {
-			t.Errorf("%v came back as %v", m, again)
+			t.Errorf("%v was decoded as %v after encoding", m, again)
 		}
 	})
 }
@@ -183,7 +184,7 @@
 	}
 }
 
-// The baseline of the two above: the same bytes copied.
+// BenchmarkCopy300 copies the same bytes, as a baseline for BenchmarkAppend300 and BenchmarkDecode300.
 func BenchmarkCopy300(b *testing.B) {
 	in := Append(nil, pushMessage(300))
 	out := make([]byte, len(in))
