--- a/internal/core/saspsession/addresses.go
+++ b/internal/core/saspsession/addresses.go
@@ -10,8 +10,8 @@
 
 const protocolTCP = 6 // protocol number assigned by IANA
 
-// ServerID returns the name of the server with an address: its address and port, preceded by the protocol number if that
-// is not TCP.
+// ServerID returns the name of the server with an address: its IP address and port, preceded by the protocol number if
+// the protocol is not TCP.
 func ServerID(address sasp.Address) balancer.Server {
 	if address.Protocol == protocolTCP {
 		return balancer.Server(address.AddrPort().String())
@@ -19,7 +19,7 @@
 	return balancer.Server(fmt.Sprintf("%d/%s", address.Protocol, address.AddrPort()))
 }
 
-// serverAt returns the name of the server with an address. Names of servers in the registry are cached.
+// serverAt returns the name of the server with an address. The names of servers in the registry are cached.
 func (s *Server) serverAt(address sasp.Address) balancer.Server {
 	if server, ok := s.addressNames[address]; ok {
 		return server
@@ -32,8 +32,8 @@
 	return server
 }
 
-// addressOf returns the address of a server in the registry. ok is false if the settings give the server a name that SASP
-// cannot express.
+// addressOf returns the address of a server in the registry. ok is false if the settings give the server a name that is
+// not an IP address with a port, which SASP cannot represent.
 func (s *Server) addressOf(server balancer.Server) (address sasp.Address, ok bool) {
 	if address, ok := s.serverAddresses[server]; ok {
 		return address, true
--- a/internal/core/saspsession/authorization.go
+++ b/internal/core/saspsession/authorization.go
@@ -6,8 +6,8 @@
 	"snowquay/internal/wire/sasp"
 )
 
-// authorize checks that the sender of a message may change the groups that it names. It returns the balancer whose groups
-// they are, or nil if a member sends the message about itself.
+// authorize checks that the sender of a message may change the groups in it. It returns the balancer that owns the
+// groups, or nil if a member or its agent sends the message.
 func (s *Server) authorize(now float64, conn *connection, message *sasp.Message) (*loadBalancer, sasp.Code) {
 	fromBalancer := message.LB == sasp.FromBalancer
 	if len(message.Groups) == 0 && fromBalancer && conn.role == roleBalancer {
@@ -20,18 +20,18 @@
 		return nil, code
 	}
 	if fromBalancer {
-		for _, named := range message.Groups[1:] {
-			if !bytes.Equal(named.UID, message.Groups[0].UID) {
+		for _, msgGroup := range message.Groups[1:] {
+			if !bytes.Equal(msgGroup.UID, message.Groups[0].UID) {
 				return nil, sasp.NotAccepted
 			}
 		}
-		return s.claim(now, conn, message.Groups[0].UID)
+		return s.claimUID(now, conn, message.Groups[0].UID)
 	}
 	if conn.role == roleBalancer {
 		return nil, sasp.NotAccepted
 	}
-	for _, named := range message.Groups {
-		if code := s.authorizeMember(conn, message, named); code != sasp.OK {
+	for _, msgGroup := range message.Groups {
+		if code := s.authorizeMember(conn, message, msgGroup); code != sasp.OK {
 			return nil, code
 		}
 	}
@@ -39,10 +39,10 @@
 	return nil, sasp.OK
 }
 
-// authorizeMember checks one group of a message that a member or its agent sends.
-func (s *Server) authorizeMember(conn *connection, message *sasp.Message, named sasp.Group) sasp.Code {
-	if string(named.UID) != s.policy.FleetUID || s.policy.FleetUID == "" {
-		lb := s.balancers[string(named.UID)]
+// authorizeMember checks that a member or its agent may send a message with the given group.
+func (s *Server) authorizeMember(conn *connection, message *sasp.Message, msgGroup sasp.Group) sasp.Code {
+	if string(msgGroup.UID) != s.policy.FleetUID || s.policy.FleetUID == "" {
+		lb := s.balancers[string(msgGroup.UID)]
 		if lb == nil {
 			return sasp.BalancerNotConnected
 		}
@@ -50,9 +50,9 @@
 			return sasp.NotAccepted
 		}
 	}
-	for _, row := range message.Rows[named.From:named.To] {
+	for _, row := range message.Rows[msgGroup.From:msgGroup.To] {
 		if !s.policy.AnyAgent && row.AddrPort().Addr() != conn.from {
-			return sasp.NotAccepted // it speaks for another host
+			return sasp.NotAccepted // the message is about a member on another host
 		}
 		record, found := s.fleet.Registry.Find(s.serverAt(row.Address))
 		listed := found && record.Server != ""
@@ -63,7 +63,7 @@
 	return sasp.OK
 }
 
-// checkDuplicates rejects a message that names a group twice, or a member twice in one group.
+// checkDuplicates rejects a message that contains a group twice, or a member twice in one group.
 func checkDuplicates(message *sasp.Message) sasp.Code {
 	type memberKey struct {
 		group   int
@@ -71,16 +71,16 @@
 	}
 	groups := make(map[string]bool, len(message.Groups))
 	members := make(map[memberKey]bool, len(message.Rows))
-	for i, named := range message.Groups {
-		if len(named.UID) == 0 {
+	for i, msgGroup := range message.Groups {
+		if len(msgGroup.UID) == 0 {
 			return sasp.InvalidBalancer
 		}
-		group := string(named.UID) + "\x00" + string(named.Name)
+		group := string(msgGroup.UID) + "\x00" + string(msgGroup.Name)
 		if groups[group] {
 			return sasp.DuplicateGroup
 		}
 		groups[group] = true
-		for _, row := range message.Rows[named.From:named.To] {
+		for _, row := range message.Rows[msgGroup.From:msgGroup.To] {
 			member := memberKey{group: i, address: row.Address}
 			if members[member] {
 				return sasp.DuplicateMember
--- a/internal/core/saspsession/connections.go
+++ b/internal/core/saspsession/connections.go
@@ -8,30 +8,32 @@
 	"snowquay/internal/wire/sasp"
 )
 
-const expiryCheckInterval = 0.25 // seconds between two searches for connections that have to be closed
+const expiryCheckInterval = 0.25 // seconds between two searches for connections that must be closed
 
+// role is the role in which the peer of a connection has identified itself.
 type role int
 
 const (
 	roleUnknown role = iota
 	roleBalancer
-	roleMember
+	roleMember // a member or its agent
 )
 
+// connection is the state of one open connection.
 type connection struct {
 	id              Conn
 	from            netip.Addr
 	openedAt        float64
 	role            role
-	uid             string // of its balancer
-	buffer          []byte // an incomplete message
+	uid             string // UID of its balancer; empty if it has none
+	buffer          []byte // bytes of an incomplete message
 	sentBytes       uint64
-	deliveredBytes  uint64 // bytes that the peer's host has received
-	updateEnd       uint64 // position in the sent bytes at which the update in flight ends
-	tokens          float64
+	deliveredBytes  uint64  // bytes that the peer's host has received
+	updateEnd       uint64  // position in the sent bytes at which the update in flight ends
+	tokens          float64 // messages that may still be received at tokensUpdatedAt
 	tokensUpdatedAt float64
-	servers         map[balancer.Server]bool // that registered themselves on it
-	closeAfterReply string                   // why it is closed when the present message is answered; empty: it is not
+	servers         map[balancer.Server]bool // servers that registered themselves on the connection
+	closeAfterReply string                   // reason for closing it after the current reply; empty if it stays open
 }
 
 func (c *connection) addServer(server balancer.Server) {
@@ -41,10 +43,11 @@
 	c.servers[server] = true
 }
 
-// Connections reports the number of open connections, and the bytes of incomplete messages that are kept for them.
+// Connections returns the number of open connections and the total size of the incomplete messages that are buffered
+// for them.
 func (s *Server) Connections() (count, bufferedBytes int) { return len(s.conns), s.bufferedBytes }
 
-// Opened accepts a connection from an address.
+// Opened handles a new connection from an address. It closes a connection beyond Limits.MaxConnections.
 func (s *Server) Opened(now float64, id Conn, from netip.Addr) {
 	conn := &connection{id: id, from: from.Unmap(), openedAt: now, tokens: s.limits.MessageBurst, tokensUpdatedAt: now}
 	s.conns[id] = conn
@@ -53,25 +56,26 @@
 	}
 }
 
-// Closed reports that a connection has ended, on either side.
+// Closed handles the end of a connection, whichever side closed it.
 func (s *Server) Closed(now float64, id Conn) {
 	conn := s.conns[id]
 	if conn != nil {
-		s.forget(now, conn)
+		s.removeConnection(now, conn)
 	}
 }
 
+// close closes a connection, logs the reason, and removes its state.
 func (s *Server) close(now float64, conn *connection, reason string) {
 	s.Stats.Closed++
 	s.handler.Log("connection closed", "reason", reason, "from", conn.from, "uid", conn.uid, "sent", conn.sentBytes,
 		"delivered", conn.deliveredBytes)
-	s.forget(now, conn)
+	s.removeConnection(now, conn)
 	s.handler.Close(conn.id)
 }
 
-// forget drops a connection and its state. What a balancer registered ends with its connection; what members registered
-// stays until the registry's hold time is over.
-func (s *Server) forget(now float64, conn *connection) {
+// removeConnection removes a connection and its state. A balancer's registrations end with its connection; those of
+// members stay until the registry's hold time has passed.
+func (s *Server) removeConnection(now float64, conn *connection) {
 	delete(s.conns, conn.id)
 	s.bufferedBytes -= len(conn.buffer)
 	s.memberConnectionEnded(now, conn)
@@ -87,7 +91,8 @@
 	delete(s.balancers, conn.uid)
 }
 
-// Delivered reports how many of the bytes sent on a connection the peer's host has received, as the kernel sees it.
+// Delivered handles a report of the kernel on how many of the bytes sent on a connection the peer's host has received
+// in total.
 func (s *Server) Delivered(now float64, id Conn, total uint64) {
 	conn := s.conns[id]
 	if conn == nil || total <= conn.deliveredBytes {
@@ -104,14 +109,14 @@
 	}
 }
 
-// HasUndelivered reports whether sent bytes have not yet reached the peer of a connection, so that the driver has to keep
-// asking the kernel.
+// HasUndelivered reports whether some of the bytes sent on a connection have not yet reached the peer's host, so that
+// the driver must continue to query the kernel.
 func (s *Server) HasUndelivered(id Conn) bool {
 	conn := s.conns[id]
 	return conn != nil && conn.deliveredBytes < conn.sentBytes
 }
 
-// Receive takes bytes of a connection, split in any way.
+// Receive handles bytes received on a connection. They need not be split at message boundaries.
 func (s *Server) Receive(now float64, id Conn, data []byte) {
 	conn := s.conns[id]
 	if conn == nil {
@@ -129,15 +134,15 @@
 	s.bufferedBytes += len(rest) - len(conn.buffer)
 	conn.buffer = append(conn.buffer[:0], rest...)
 	if len(rest) == 0 {
-		conn.buffer = nil // an idle connection must not hold memory
+		conn.buffer = nil // an idle connection must not retain a buffer
 	}
 	if s.bufferedBytes > s.limits.MaxBuffered {
 		s.close(now, conn, "too many buffered bytes over all connections")
 	}
 }
 
-// receiveMessages handles the complete messages at the start of data and returns the bytes after them. It stops when the
-// connection is closed.
+// receiveMessages handles the complete messages at the start of data and returns the bytes that follow them. It stops
+// if the connection is closed meanwhile.
 func (s *Server) receiveMessages(now float64, conn *connection, data []byte) (rest []byte) {
 	for s.conns[conn.id] == conn {
 		size, err := sasp.Frame(data, s.limits.MaxMessageBytes)
@@ -150,7 +155,7 @@
 			return data
 		}
 		if !s.takeToken(now, conn) {
-			s.close(now, conn, "it floods")
+			s.close(now, conn, "message rate limit exceeded")
 			return nil
 		}
 		s.Stats.Received++
@@ -160,24 +165,25 @@
 	return nil
 }
 
-// takeToken limits the message rate of a connection by a token bucket.
+// takeToken limits the message rate of a connection by a token bucket. It reports whether a message is within the
+// limit.
 func (s *Server) takeToken(now float64, conn *connection) bool {
 	conn.tokens = min(s.limits.MessageBurst, conn.tokens+(now-conn.tokensUpdatedAt)*s.limits.MessageRate) - 1
 	conn.tokensUpdatedAt = now
 	return conn.tokens >= 0
 }
 
-// closeExpired closes connections whose peer has not identified itself in time, and those of relays that the fleet wants
-// disconnected.
+// closeExpired closes the connections whose peer has not identified itself in time, and those of relays that the fleet
+// requires to be disconnected.
 func (s *Server) closeExpired(now float64) {
-	var silent []*connection
+	var unidentified []*connection
 	for _, conn := range s.conns {
 		if conn.role == roleUnknown && now-conn.openedAt > s.limits.IdentifyTimeout {
-			silent = append(silent, conn)
+			unidentified = append(unidentified, conn)
 		}
 	}
-	slices.SortFunc(silent, func(a, b *connection) int { return int(a.id) - int(b.id) })
-	for _, conn := range silent {
+	slices.SortFunc(unidentified, func(a, b *connection) int { return int(a.id) - int(b.id) })
+	for _, conn := range unidentified {
 		s.close(now, conn, "not identified in time")
 	}
 	for _, lb := range s.joinedBalancers() {
--- a/internal/core/saspsession/connections_test.go
+++ b/internal/core/saspsession/connections_test.go
@@ -16,22 +16,22 @@
 	first := p.relay("r1", allFlags, 0)
 	second := p.dial("10.9.0.2")
 	if code := p.request(second, &sasp.Message{Kind: sasp.SetBalancer, UID: []byte("r1")}); code != sasp.NotAccepted || p.closed[first] {
-		t.Errorf("at once: %s, the first is closed: %t", code, p.closed[first])
+		t.Errorf("an immediate second claim is answered with %s, the first connection is closed: %t", code, p.closed[first])
 	}
 	p.advance(1.5)
-	p.stalled[first] = true // it breaks during an update, unnoticed
+	p.stalled[first] = true // the connection breaks during an update, and the server does not notice
 	p.server.fleet.Registry.SetDrain(p.now, balancer.Server(address(1).String()), true)
 	p.advance(0.2)
 	third := p.relay("r1", allFlags, 0, 1, 2)
 	p.advance(1)
 	if !p.closed[first] || p.closed[third] || p.fleet.Joined() != 1 {
-		t.Errorf("the first is closed: %t, the newest: %t, %d joined", p.closed[first], p.closed[third], p.fleet.Joined())
+		t.Errorf("first connection closed: %t, newest closed: %t, %d relays joined, want true, false, 1", p.closed[first], p.closed[third], p.fleet.Joined())
 	}
 	if w, ok := p.weights[third]["search 10.0.0.1:80"]; !ok || w != 0 {
-		t.Errorf("the drain was not sent again: %v", p.weights[third])
+		t.Errorf("the drain was not sent again on the newest connection: %v", p.weights[third])
 	}
 	if p.countWeights(third, "search") != 3 {
-		t.Errorf("its weights are %v", p.weights[third])
+		t.Errorf("the relay has the weights %v, want 3 positive ones", p.weights[third])
 	}
 }
 
@@ -40,11 +40,11 @@
 	c := p.dial("10.9.0.1")
 	b := sasp.Append(nil, message(sasp.Registration, 1, "r1/search", 0, 1, 2))
 	p.server.Receive(p.now, c, sasp.Append(nil, &sasp.Message{Kind: sasp.SetBalancer, UID: []byte("r1"), Flags: allFlags}))
-	for i := range b[:len(b)/2] { // one byte at a time, and only half of them
+	for i := range b[:len(b)/2] { // the first half of the message, one byte at a time
 		p.server.Receive(p.now, c, b[i:i+1])
 	}
 	if _, buffered := p.server.Connections(); buffered != len(b)/2 {
-		t.Errorf("%d bytes are buffered of %d", buffered, len(b)/2)
+		t.Errorf("%d bytes are buffered, want %d", buffered, len(b)/2)
 	}
 	p.server.Closed(p.now, c)
 	p.advance(0.2)
@@ -54,7 +54,7 @@
 	}
 }
 
-// stallRelay runs a relay that receives nothing for ten seconds while drains and weights change.
+// stallRelay runs a relay that receives nothing for ten seconds while drains start and end and weights change.
 func stallRelay(t *testing.T, without ...controlplane.Guard) (p *peers, c Conn) {
 	site := testSite(without...)
 	site.Limits.StallTimeout = 30
@@ -70,7 +70,7 @@
 		p.advance(0.1)
 	}
 	if p.pushes-before > 1 || p.sentBytes[c]-sent > 600 {
-		t.Errorf("%d messages of %d bytes wait for a stalled relay", p.pushes-before, p.sentBytes[c]-sent)
+		t.Errorf("%d messages with %d bytes were queued for a stalled relay", p.pushes-before, p.sentBytes[c]-sent)
 	}
 	return p, c
 }
@@ -78,24 +78,24 @@
 func TestSlowReaderGetsNewestState(t *testing.T) {
 	p, c := stallRelay(t, controlplane.GuardOverdue)
 	if p.closed[c] {
-		t.Fatalf("it was disconnected: %q", p.log)
+		t.Fatalf("the relay was disconnected: %q", p.log)
 	}
 	p.stalled[c] = false
 	pushes := p.pushes
 	p.fleet.Registry.SetDrain(p.now, balancer.Server(address(2).String()), true)
 	p.advance(0.5)
 	if p.pushes-pushes > 3 {
-		t.Errorf("%d messages to catch up", p.pushes-pushes)
+		t.Errorf("%d messages after the relay receives again, want at most 3", p.pushes-pushes)
 	}
 	if p.weights[c]["search 10.0.0.2:80"] != 0 || p.countWeights(c, "search") == 0 {
-		t.Errorf("its weights are %v", p.weights[c])
+		t.Errorf("the relay has the weights %v, want no weight for the drained server", p.weights[c])
 	}
 }
 
 func TestRelayThatDoesNotReceiveDrainIsDisconnected(t *testing.T) {
 	p, c := stallRelay(t)
 	if !p.closed[c] || p.fleet.Stats.Overdue != 1 || !strings.Contains(strings.Join(p.log, "\n"), "a drain has waited") {
-		t.Errorf("disconnected: %t, %+v, %q", p.closed[c], p.fleet.Stats, p.log)
+		t.Errorf("relay disconnected: %t, stats %+v, log %q", p.closed[c], p.fleet.Stats, p.log)
 	}
 }
 
@@ -105,15 +105,16 @@
 	p.stalled[c] = true
 	p.advance(DefaultLimits.IdentifyTimeout)
 	if p.closed[c] {
-		t.Fatalf("too early: %q", p.log)
+		t.Fatalf("the relay was disconnected too early: %q", p.log)
 	}
 	p.advance(1.5)
 	if !p.closed[c] || p.fleet.Stats.Stalled != 1 {
-		t.Errorf("disconnected: %t, %q", p.closed[c], p.log)
+		t.Errorf("relay disconnected: %t, log %q", p.closed[c], p.log)
 	}
 }
 
-// Updates of relays that connect at once are paced by the channel, and a drain does not wait for them.
+// The channel paces the updates of relays that connect at the same time, and a drain does not wait behind these
+// updates.
 func TestJoiningRelaysArePaced(t *testing.T) {
 	for _, without := range [][]controlplane.Guard{nil, {controlplane.GuardPacing}} {
 		site := testSite(without...)
@@ -139,16 +140,16 @@
 		}
 		if without != nil {
 			if most < 1000 {
-				t.Errorf("without the guard only %v rows were sent at once", most)
+				t.Errorf("without GuardPacing at most %v rows were sent in one step, want at least 1000", most)
 			}
 			continue
 		}
 		if p.fleet.UpToDate() != 460 || most > 400 {
-			t.Errorf("%d have the newest tables after 5 s; up to %v rows at once", p.fleet.UpToDate(), most)
+			t.Errorf("%d relays have the newest tables after 5 s, want 460; up to %v rows in one step, want at most 400", p.fleet.UpToDate(), most)
 		}
 		for _, c := range conns {
 			if p.weights[c]["search 10.0.0.1:80"] != 0 {
-				t.Fatalf("relay %d sends to a draining server", c)
+				t.Fatalf("the relay on connection %d still has a weight for the draining server", c)
 			}
 		}
 	}
@@ -162,31 +163,31 @@
 	limits.MaxGroups = 2
 	p := start(t, testSite(), limits, Policy{FleetUID: "fleet"})
 	good := p.relay("r1", allFlags, 0)
-	bad := func(why string, bytes ...[]byte) {
+	expectClosed := func(reason string, bytes ...[]byte) {
 		t.Helper()
 		c := p.dial("10.6.6.6")
 		for _, b := range bytes {
 			p.server.Receive(p.now, c, b)
 		}
-		if !p.closed[c] || !strings.Contains(p.log[len(p.log)-1], why) {
-			t.Errorf("closed: %t; the log says %q, wanted %q", p.closed[c], p.log[len(p.log)-1], why)
+		if !p.closed[c] || !strings.Contains(p.log[len(p.log)-1], reason) {
+			t.Errorf("connection closed: %t, last log entry %q, want reason %q", p.closed[c], p.log[len(p.log)-1], reason)
 		}
 	}
 	frame := func(m *sasp.Message) []byte { return sasp.Append(nil, m) }
-	lying := frame(message(sasp.Registration, 1, "r2/search", 0))
-	lying[5] = 0x7f
-	lying[6] = 0xff
-	bad("exceeds the size limit", lying)
-	bad("not a SASP message", []byte("GET / HTTP/1.1\r\n"))
-	bad("as a manager", frame(&sasp.Message{Kind: sasp.SendWeights}))
+	oversized := frame(message(sasp.Registration, 1, "r2/search", 0))
+	oversized[5] = 0x7f
+	oversized[6] = 0xff
+	expectClosed("exceeds the size limit", oversized)
+	expectClosed("not a SASP message", []byte("GET / HTTP/1.1\r\n"))
+	expectClosed("only the manager sends", frame(&sasp.Message{Kind: sasp.SendWeights}))
 	unknown := frame(&sasp.Message{Kind: sasp.SetMemberReply})
 	unknown[13] = 0x77
-	bad("unknown message", unknown)
+	expectClosed("unknown message", unknown)
 	var flood []byte
 	for range 500 {
 		flood = append(flood, frame(&sasp.Message{Kind: sasp.GetWeights})...)
 	}
-	bad("floods", flood)
+	expectClosed("message rate limit exceeded", flood)
 	half := make([]byte, 60<<10)
 	copy(half, frame(message(sasp.Registration, 1, "r2/search", 0)))
 	half[7] = 0xff
@@ -195,32 +196,33 @@
 		p.server.Receive(p.now, p.dial("10.6.6.6"), half)
 	}
 	if n, buffered := p.server.Connections(); buffered > limits.MaxBuffered {
-		t.Errorf("%d bytes are buffered for %d connections", buffered, n)
+		t.Errorf("%d bytes are buffered for %d connections, over the limit", buffered, n)
 	}
-	for range 10000 { // silent connections
+	for range 10000 { // connections that send nothing
 		p.dial("10.6.6.6")
 	}
 	if n, _ := p.server.Connections(); n != limits.MaxConnections {
-		t.Errorf("%d connections are open", n)
+		t.Errorf("%d connections are open, want the maximum", n)
 	}
 	p.advance(DefaultLimits.IdentifyTimeout + 1)
 	if n, _ := p.server.Connections(); n != 1 || p.closed[good] || p.fleet.UpToDate() != 1 {
-		t.Errorf("%d connections are left; the good one is closed: %t", n, p.closed[good])
+		t.Errorf("%d connections are left, want 1; the well-behaved relay was disconnected: %t", n, p.closed[good])
 	}
-	odd := frame(message(sasp.Registration, 1, "r1/search", 2))
-	odd[16] = 99 // a component's length
+	malformed := frame(message(sasp.Registration, 1, "r1/search", 2))
+	malformed[16] = 99 // the length of a component
 	before := p.server.Stats.Replied
-	p.server.Receive(p.now, good, odd)
+	p.server.Receive(p.now, good, malformed)
 	if p.server.Stats.Replied != before+1 ||
 		p.received[good][len(p.received[good])-1].Code != sasp.NotUnderstood || p.closed[good] {
-		t.Errorf("a malformed body: %v", p.received[good][len(p.received[good])-1])
+		t.Errorf("a malformed body is answered with %v", p.received[good][len(p.received[good])-1])
 	}
 	if code := p.request(good, message(sasp.Registration, 1, "r1/search", 2)); code != sasp.OK {
-		t.Errorf("the next message is not understood: %s", code)
+		t.Errorf("the message after the malformed one is answered with %s", code)
 	}
 }
 
-// Measurements alone do not disconnect a relay: not those of unknown senders, nor those that come late.
+// A relay whose current load reports show requests to a drained server is disconnected. Reports of unknown senders and
+// late reports do not disconnect a relay.
 func TestOnlyNoncompliantRelayIsDisconnected(t *testing.T) {
 	for _, late := range []float64{0, 4} {
 		p := startDefault(t)
@@ -236,7 +238,7 @@
 		}
 		for range 6 {
 			p.advance(0.5)
-			report(p.now - 500) // its clock differs
+			report(p.now - 500) // the relay's clock differs from the coordinator's
 		}
 		p.fleet.Registry.SetDrain(p.now, s, true)
 		drained := p.now
@@ -247,30 +249,31 @@
 			}
 		}
 		if p.closed[c] != (late == 0) {
-			t.Errorf("reports %v s late: disconnected %t, %q", late, p.closed[c], p.log)
+			t.Errorf("reports %v s late: relay disconnected: %t, log %q", late, p.closed[c], p.log)
 		}
 		if p.fleet.Stats.UnknownProxy == 0 || p.fleet.Stats.UnknownServer == 0 {
-			t.Errorf("unknown senders were not counted: %+v", p.fleet.Stats)
+			t.Errorf("reports of unknown proxies or for unknown servers were not counted: %+v", p.fleet.Stats)
 		}
 	}
 }
 
-// A relay whose UID another connection claimed just before is told so and disconnected, so that it dials again and is served.
-func TestRelayThatClaimsTooSoonIsDisconnected(t *testing.T) {
+// A relay that claims a UID soon after another connection did gets a negative reply and is disconnected. Otherwise it
+// would stay connected without getting weights, instead of dialling again.
+func TestRelayThatClaimsUIDTooSoonIsDisconnected(t *testing.T) {
 	p := startDefault(t)
-	p.relay("r1", allFlags, 0) // its process ended, and the connection is not known to be broken
+	p.relay("r1", allFlags, 0) // the relay's process ends, and the connection is not known to be broken
 	p.advance(0.1)
 	second := p.dial("10.9.0.1")
 	if code := p.request(second, &sasp.Message{Kind: sasp.SetBalancer, UID: []byte("r1"), Flags: allFlags}); code != sasp.NotAccepted {
-		t.Errorf("answered with %s", code)
+		t.Errorf("the second claim is answered with %s", code)
 	}
 	if !p.closed[second] {
-		t.Error("it is left connected, and waits for weights that never come")
+		t.Error("the second connection stays open, without ever getting weights")
 	}
 	p.advance(DefaultLimits.TakeoverInterval)
 	third := p.relay("r1", allFlags, 0)
 	p.advance(1)
 	if p.closed[third] || p.countWeights(third, "search") == 0 {
-		t.Errorf("after it has dialled again: closed %t, weights %v", p.closed[third], p.weights[third])
+		t.Errorf("after the relay dialled again: connection closed: %t, weights %v", p.closed[third], p.weights[third])
 	}
 }
--- a/internal/core/saspsession/deregistration.go
+++ b/internal/core/saspsession/deregistration.go
@@ -5,8 +5,9 @@
 	"snowquay/internal/wire/sasp"
 )
 
-// deregister removes members of a balancer's groups, whole groups (if no members are named) or all groups (if none is
-// named), or members that deregister themselves.
+// deregister handles a deregistration. From a balancer it removes the listed members of its groups, a whole group if no
+// members of it are listed, or all groups if the message lists none. From a member or its agent it removes the listed
+// members from the fleet.
 func (s *Server) deregister(now float64, conn *connection, message *sasp.Message) sasp.Code {
 	lb, code := s.authorize(now, conn, message)
 	if code != sasp.OK {
@@ -25,14 +26,14 @@
 		lb.groups = map[string]*group{}
 		lb.groupOrder = nil
 	}
-	for _, named := range message.Groups {
-		registered := lb.groups[string(named.Name)]
-		if named.From == named.To {
+	for _, msgGroup := range message.Groups {
+		registered := lb.groups[string(msgGroup.Name)]
+		if msgGroup.From == msgGroup.To {
 			s.withdrawGroup(now, lb, registered)
 			lb.removeGroup(registered)
 			continue
 		}
-		s.removeMembers(now, lb, registered, message.Rows[named.From:named.To])
+		s.removeMembers(now, lb, registered, message.Rows[msgGroup.From:msgGroup.To])
 	}
 	if len(lb.groupOrder) == 0 {
 		s.disconnect(now, lb)
@@ -40,14 +41,14 @@
 	return sasp.OK
 }
 
-// checkDeregistration checks that a balancer has registered all groups and members that a message names.
+// checkDeregistration checks that a balancer has registered all groups and members in a message.
 func (s *Server) checkDeregistration(lb *loadBalancer, message *sasp.Message) sasp.Code {
-	for _, named := range message.Groups {
-		registered := lb.groups[string(named.Name)]
+	for _, msgGroup := range message.Groups {
+		registered := lb.groups[string(msgGroup.Name)]
 		if registered == nil {
 			return sasp.UnknownGroup
 		}
-		for _, row := range message.Rows[named.From:named.To] {
+		for _, row := range message.Rows[msgGroup.From:msgGroup.To] {
 			member := registered.members[s.serverAt(row.Address)]
 			if member == nil || !member.byBalancer {
 				return sasp.NotRegistered
@@ -57,7 +58,8 @@
 	return sasp.OK
 }
 
-// removeMembers removes a balancer's registrations of members; those that also registered themselves stay in the group.
+// removeMembers removes a balancer's registrations of members. Members that also registered themselves stay in the
+// group.
 func (s *Server) removeMembers(now float64, lb *loadBalancer, registered *group, rows []sasp.Row) {
 	for _, row := range rows {
 		server := s.serverAt(row.Address)
@@ -71,18 +73,18 @@
 	s.scheduleGroup(now, lb, registered, len(registered.memberOrder)+1)
 }
 
-// deregisterMembers removes servers from the fleet on their own request.
+// deregisterMembers removes servers from the fleet at their own request.
 func (s *Server) deregisterMembers(now float64, message *sasp.Message) sasp.Code {
 	if !s.allPresent(message) {
 		return sasp.NotRegistered
 	}
 	for _, row := range message.Rows {
 		server := s.serverAt(row.Address)
-		s.forgetMember(now, server)
+		s.removeSelfRegistration(now, server)
 		record, _ := s.fleet.Registry.Find(server)
 		if record.DrainOrdered {
-			// The end of the drain is ordered for all coordinators. If it cannot be ordered now, the coordinator that next
-			// finds the server removed orders it.
+			// The end of the drain is ordered for all coordinators. If the order is not accepted now, the coordinator
+			// that next finds the server removed will order it.
 			_, _ = s.handler.OrderDrain(now, server, false)
 		}
 		s.fleet.Registry.Deregister(now, server)
@@ -90,7 +92,7 @@
 	return sasp.OK
 }
 
-// allPresent reports whether all members of a message are in the registry and not removed.
+// allPresent reports whether all members in a message are in the registry and not in the phase Removed.
 func (s *Server) allPresent(message *sasp.Message) bool {
 	for _, row := range message.Rows {
 		record, found := s.fleet.Registry.Find(s.serverAt(row.Address))
--- a/internal/core/saspsession/drains.go
+++ b/internal/core/saspsession/drains.go
@@ -5,12 +5,12 @@
 	"snowquay/internal/wire/sasp"
 )
 
-// drainRequest is a message with drain orders whose answer waits until the outcome of all of them is known.
+// drainRequest is a message with drain orders. It is answered when the outcome of all of them is known.
 type drainRequest struct {
-	conn    Conn
-	id      uint32
-	pending int  // orders without an outcome
-	refused bool // at least one order was refused
+	conn    Conn   // connection of the sender
+	id      uint32 // message ID, which the reply repeats
+	pending int    // orders whose outcome is not known yet
+	refused bool   // at least one order was refused
 }
 
 func (r *drainRequest) code() sasp.Code {
@@ -20,8 +20,8 @@
 	return sasp.OK
 }
 
-// setMember takes member states: a member (or its agent) drains itself for the whole fleet, a balancer quiesces a member
-// for itself alone. pending says that OrderCompleted will answer.
+// setMember handles a message with member states. A member or its agent drains the member for the whole fleet, while a
+// balancer quiesces a member only for itself. pending reports that the reply is sent later, by OrderCompleted.
 func (s *Server) setMember(now float64, conn *connection, message *sasp.Message) (code sasp.Code, pending bool) {
 	lb, code := s.authorize(now, conn, message)
 	if code != sasp.OK {
@@ -33,8 +33,9 @@
 	return s.quiesceMembers(now, lb, message), false
 }
 
-// drainMembers starts or ends drains for the whole fleet. Where coordinators share the fleet, the answer waits until they
-// have agreed on every order of the message. If part of it cannot be taken, the message is rejected and may be sent again.
+// drainMembers starts or ends drains for the whole fleet. If several coordinators share the fleet, the reply is sent
+// after they have agreed on every order in the message. If one of the orders is refused, the message is rejected,
+// although the others may have been applied; the sender may send the message again.
 func (s *Server) drainMembers(now float64, conn *connection, message *sasp.Message) (code sasp.Code, pending bool) {
 	if !s.allPresentOrDraining(message) {
 		return sasp.NotRegistered, false
@@ -55,15 +56,15 @@
 		}
 		s.handler.Log("member state", "server", server, "quiesced", quiesced, "from", conn.from, "accepted", accepted)
 	}
-	s.fleet.Persist() // before the answer; a drain is in force even if the disk fails
+	s.fleet.Persist() // before the reply; the drain is in force even if the write fails
 	if request.pending > 0 {
 		return sasp.OK, true
 	}
 	return request.code(), false
 }
 
-// allPresentOrDraining reports whether all members of a message are in the registry, and either not removed or still under
-// a drain that outlives their absence.
+// allPresentOrDraining reports whether all members in a message are in the registry, and either not in the phase
+// Removed or under a drain order, which stays in force while the server is absent.
 func (s *Server) allPresentOrDraining(message *sasp.Message) bool {
 	for _, row := range message.Rows {
 		record, found := s.fleet.Registry.Find(s.serverAt(row.Address))
@@ -74,8 +75,8 @@
 	return true
 }
 
-// OrderCompleted reports the outcome of a drain order that was given a ticket: accepted says whether the coordinators
-// agreed on it.
+// OrderCompleted handles the outcome of a drain order that was given a ticket. accepted reports whether the
+// coordinators agreed on the order.
 func (s *Server) OrderCompleted(now float64, ticket uint64, accepted bool) {
 	request := s.pendingDrains[ticket]
 	if request == nil {
@@ -90,33 +91,33 @@
 	}
 	if request.refused {
 		s.Stats.Rejected++
-		s.handler.Log("message rejected", "kind", sasp.SetMember, "reason", "the coordinators could not agree in time",
+		s.handler.Log("message rejected", "kind", sasp.SetMember, "reason", "coordinators did not agree in time",
 			"from", conn.from)
 	}
 	s.reply(now, conn, sasp.ReplyTo(sasp.SetMember), request.id, request.code())
 }
 
-// quiesceMembers takes a balancer's states of its members.
+// quiesceMembers stores the states that a balancer sets for members of its groups.
 func (s *Server) quiesceMembers(now float64, lb *loadBalancer, message *sasp.Message) sasp.Code {
-	for _, named := range message.Groups {
-		registered := lb.groups[string(named.Name)]
+	for _, msgGroup := range message.Groups {
+		registered := lb.groups[string(msgGroup.Name)]
 		if registered == nil {
 			return sasp.UnknownGroup
 		}
-		for _, row := range message.Rows[named.From:named.To] {
+		for _, row := range message.Rows[msgGroup.From:msgGroup.To] {
 			if registered.members[s.serverAt(row.Address)] == nil {
 				return sasp.NotRegistered
 			}
 		}
 	}
-	for _, named := range message.Groups {
-		registered := lb.groups[string(named.Name)]
-		for _, row := range message.Rows[named.From:named.To] {
+	for _, msgGroup := range message.Groups {
+		registered := lb.groups[string(msgGroup.Name)]
+		for _, row := range message.Rows[msgGroup.From:msgGroup.To] {
 			member := registered.members[s.serverAt(row.Address)]
 			member.quiesced = row.Flags&sasp.Quiesce != 0
 			member.opaque = row.Opaque
 		}
-		s.scheduleGroup(now, lb, registered, named.To-named.From)
+		s.scheduleGroup(now, lb, registered, msgGroup.To-msgGroup.From)
 	}
 	return sasp.OK
 }
--- a/internal/core/saspsession/fixture_test.go
+++ b/internal/core/saspsession/fixture_test.go
@@ -16,7 +16,8 @@
 
 func TestMain(m *testing.M) { testseed.Main(m) }
 
-// peers are the other ends of all connections. They keep the messages that came and the weights of each relay.
+// peers simulates the other ends of all connections. It records the messages that the server sends and the resulting
+// weights of each relay.
 type peers struct {
 	t         testing.TB
 	now       float64
@@ -24,14 +25,14 @@
 	server    *Server
 	lastConn  Conn
 	lastID    uint32
-	received  map[Conn][]sasp.Message // without groups and rows
+	received  map[Conn][]sasp.Message // messages without their groups and rows
 	weights   map[Conn]map[string]uint16
 	sentBytes map[Conn]uint64
 	closed    map[Conn]bool
 	log       []string
-	rows      float64
-	stalled   map[Conn]bool // receives nothing
-	pushes    int
+	rows      float64       // rows with weights that the server sent
+	stalled   map[Conn]bool // connections whose peer receives nothing
+	pushes    int           // messages with weights that the server sent
 }
 
 func (p *peers) Send(c Conn, b []byte) {
@@ -50,7 +51,7 @@
 		positive := true
 		for _, r := range m.Rows[g.From:g.To] {
 			if r.Weight > 0 && !positive {
-				p.t.Errorf("a row with a weight comes after one without")
+				p.t.Errorf("a row with a positive weight comes after one with weight 0")
 			}
 			positive = r.Weight > 0
 			p.weights[c][string(g.Name)+" "+string(ServerID(r.Address))] = r.Weight
@@ -68,6 +69,7 @@
 
 const serverCount = 6
 
+// testSite returns the settings of a fleet in which the given guards are disabled.
 func testSite(without ...controlplane.Guard) controlplane.Site {
 	s := controlplane.Site{Seed: 1, ClassNames: []string{"search", "introduce"}, Zones: []string{"a", "b"}, AllowUnlisted: true,
 		Classes: []balancer.RequestClass{{PriorityWeight: 1, LatencyObjective: 1, ClientTimeout: 3},
@@ -90,9 +92,10 @@
 	return s
 }
 
+// address returns the address of a server by its number.
 func address(i int) netip.AddrPort {
 	if i == 3 {
-		return netip.MustParseAddrPort("[2001:db8::3]:80") // both address families occur
+		return netip.MustParseAddrPort("[2001:db8::3]:80") // so that both address families occur
 	}
 	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, byte(i >> 8), byte(i)}), 80)
 }
@@ -121,6 +124,7 @@
 	return p.lastConn
 }
 
+// request sends a message and returns the code of the reply, or 255 if there is none.
 func (p *peers) request(c Conn, m *sasp.Message) sasp.Code {
 	p.lastID++
 	m.ID = p.lastID
@@ -133,7 +137,7 @@
 	return 255
 }
 
-// message makes a message that names groups as "uid/group", each followed by the numbers of its members.
+// message returns a message with groups, each given as "uid/group" and followed by the numbers of its members.
 func message(kind sasp.Kind, lb uint8, groups ...any) *sasp.Message {
 	m := &sasp.Message{Kind: kind, LB: lb}
 	for _, g := range groups {
@@ -149,23 +153,25 @@
 	return m
 }
 
+// allFlags are the flags of a relay that wants pushed weights, trusts members and accepts omitted rows.
 const allFlags = sasp.Push | sasp.Trust | sasp.NoChange
 
+// relay connects a relay that registers the members in both groups.
 func (p *peers) relay(uid string, flags uint8, members ...any) Conn {
 	p.t.Helper()
 	c := p.dial("10.9.0.1")
 	if code := p.request(c, &sasp.Message{Kind: sasp.SetBalancer, UID: []byte(uid), Flags: flags}); code != sasp.OK {
-		p.t.Fatalf("%s: %s", uid, code)
+		p.t.Fatalf("set balancer state of %s: %s", uid, code)
 	}
 	groups := append([]any{uid + "/search"}, members...)
 	groups = append(append(groups, uid+"/introduce"), members...)
 	if code := p.request(c, message(sasp.Registration, 1, groups...)); code != sasp.OK {
-		p.t.Fatalf("%s: %s", uid, code)
+		p.t.Fatalf("registration of %s: %s", uid, code)
 	}
 	return c
 }
 
-// advance runs the virtual clock. All peers but the stalled receive what was sent.
+// advance advances the virtual clock in steps. All peers except the stalled ones receive what was sent.
 func (p *peers) advance(seconds float64) {
 	for end := p.now + seconds; p.now < end; p.now += 0.04 {
 		for c := Conn(1); c <= p.lastConn; c++ {
@@ -179,6 +185,7 @@
 	}
 }
 
+// countWeights returns the number of servers with a positive weight in a relay's group.
 func (p *peers) countWeights(c Conn, group string) (n int) {
 	for name, w := range p.weights[c] {
 		if w > 0 && strings.HasPrefix(name, group+" ") {
--- a/internal/core/saspsession/groups.go
+++ b/internal/core/saspsession/groups.go
@@ -8,26 +8,26 @@
 	"snowquay/internal/wire/sasp"
 )
 
-// group is a group of members that a balancer has registered; it stands for a request class.
+// group is a group of members of one balancer. It corresponds to the request class of the same name.
 type group struct {
 	name        string
 	nameBytes   []byte
 	class       balancer.Class
 	members     map[balancer.Server]*registration
-	memberOrder []balancer.Server // in the order of their registration, so that messages are the same in every run
+	memberOrder []balancer.Server // in order of registration, so that messages are the same in every run
 }
 
-// registration is a member of a group.
+// registration is the registration of a member in a group.
 type registration struct {
-	label      []byte
-	opaque     uint8
-	byBalancer bool // the balancer registered it
-	byMember   bool // the member registered itself
-	quiesced   bool // the balancer quiesced it for itself alone
+	label      []byte // as sent in the last registration
+	opaque     uint8  // opaque state that the balancer set, which is sent back to it
+	byBalancer bool   // the balancer registered it
+	byMember   bool   // the member registered itself
+	quiesced   bool   // the balancer quiesced it, only for itself
 }
 
-// addGroup returns the group of a name, which is added if the balancer has none.
-func (lb *loadBalancer) addGroup(name string, class balancer.Class) *group {
+// ensureGroup returns the balancer's group of the given name and adds it if it does not exist.
+func (lb *loadBalancer) ensureGroup(name string, class balancer.Class) *group {
 	existing := lb.groups[name]
 	if existing != nil {
 		return existing
@@ -48,8 +48,8 @@
 	lb.groupOrder = remove(lb.groupOrder, removed)
 }
 
-// addMember returns the registration of a member, which is added if there is none, with the label of the row.
-func (g *group) addMember(server balancer.Server, row sasp.Row) *registration {
+// ensureMember returns the registration of a member and adds it if there is none. It sets the label to that of the row.
+func (g *group) ensureMember(server balancer.Server, row sasp.Row) *registration {
 	member := g.members[server]
 	if member == nil {
 		member = &registration{}
@@ -65,14 +65,16 @@
 	g.memberOrder = remove(g.memberOrder, server)
 }
 
-// withdrawGroup takes back a balancer's vouchers for the members of a group, which is being removed.
+// withdrawGroup withdraws a balancer's vouchers for the members of a group that is being removed, and removes the group
+// from the states of servers that registered themselves in it.
 func (s *Server) withdrawGroup(now float64, lb *loadBalancer, group *group) {
-	s.forgetGroup(group)
+	s.detachGroup(group)
 	for _, server := range group.memberOrder {
 		s.withdrawVoucher(now, lb, group.members[server], server)
 	}
 }
 
+// withdrawVoucher reports to the registry that a balancer no longer lists a server in one of its groups.
 func (s *Server) withdrawVoucher(now float64, lb *loadBalancer, member *registration, server balancer.Server) {
 	if member.byBalancer && s.policy.BalancersRegister {
 		_ = s.fleet.Registry.AdjustVouchers(now, server, s.zoneOf(lb), -1) // fails only for a new server in a full registry
--- a/internal/core/saspsession/members.go
+++ b/internal/core/saspsession/members.go
@@ -7,21 +7,21 @@
 	"snowquay/internal/wire/sasp"
 )
 
-// memberState is a server that has registered itself, or was registered by its agent. It is kept until the server
-// deregisters, or the registry no longer holds it after its last connection has ended.
+// memberState is the state of a server that registered itself or was registered by its agent. It is kept until the
+// server deregisters, or until the registry ends its registration some time after its last connection has ended.
 type memberState struct {
-	conns  map[*connection]bool // open connections on which it is registered
-	groups []ownedGroup         // in the order of its registrations, so that messages are the same in every run
+	conns  map[*connection]bool // open connections on which the server is registered
+	groups []ownedGroup         // groups in order of registration, so that messages are the same in every run
 }
 
-// ownedGroup is a group with the balancer that has it.
+// ownedGroup is a group and the balancer that it belongs to.
 type ownedGroup struct {
 	*group
 	owner *loadBalancer
 }
 
-// memberAt returns the state of a server, which is added if there is none.
-func (s *Server) memberAt(server balancer.Server) *memberState {
+// ensureMemberState returns the state of a server and adds it if there is none.
+func (s *Server) ensureMemberState(server balancer.Server) *memberState {
 	member := s.members[server]
 	if member == nil {
 		member = &memberState{conns: map[*connection]bool{}}
@@ -30,7 +30,8 @@
 	return member
 }
 
-// memberConnectionEnded reports to the registry the servers that are registered on no connection any more.
+// memberConnectionEnded removes a connection from the states of its servers. It reports to the registry the servers
+// that are not registered on any other connection.
 func (s *Server) memberConnectionEnded(now float64, conn *connection) {
 	for server := range conn.servers {
 		member := s.members[server]
@@ -41,8 +42,8 @@
 	}
 }
 
-// forgetMember takes a server's own registration out of all connections and groups.
-func (s *Server) forgetMember(now float64, server balancer.Server) {
+// removeSelfRegistration removes a server's own registration from all connections and groups.
+func (s *Server) removeSelfRegistration(now float64, server balancer.Server) {
 	member := s.members[server]
 	if member == nil {
 		return
@@ -51,17 +52,17 @@
 	for conn := range member.conns {
 		delete(conn.servers, server)
 	}
-	for _, left := range member.groups {
-		left.members[server].byMember = false
-		if !left.members[server].byBalancer {
-			left.removeMember(server)
+	for _, owned := range member.groups {
+		owned.members[server].byMember = false
+		if !owned.members[server].byBalancer {
+			owned.removeMember(server)
 		}
-		s.scheduleGroup(now, left.owner, left.group, 1)
+		s.scheduleGroup(now, owned.owner, owned.group, 1)
 	}
 }
 
-// forgetGroup forgets that servers have registered themselves in a group, which is being removed.
-func (s *Server) forgetGroup(removed *group) {
+// detachGroup removes a group that is being removed from the states of the servers that registered themselves in it.
+func (s *Server) detachGroup(removed *group) {
 	for _, server := range removed.memberOrder {
 		if removed.members[server].byMember {
 			member := s.members[server]
@@ -70,36 +71,37 @@
 	}
 }
 
-// forgetEndedMembers forgets the servers whose own registration the registry does not hold any more.
-func (s *Server) forgetEndedMembers(now float64) {
+// removeEndedSelfRegistrations removes the servers' own registrations that the registry has ended.
+func (s *Server) removeEndedSelfRegistrations(now float64) {
 	var ended []balancer.Server
 	for server := range s.members {
 		if !s.fleet.Registry.HoldsRegistration(server) {
 			ended = append(ended, server)
 		}
 	}
-	slices.Sort(ended) // messages are the same in every run
+	slices.Sort(ended) // so that messages are the same in every run
 	for _, server := range ended {
-		s.forgetMember(now, server)
+		s.removeSelfRegistration(now, server)
 	}
 }
 
-// registerMember registers a server on its own request, with the fleet and, if the group is one of a balancer's, with it.
-func (s *Server) registerMember(now float64, conn *connection, named sasp.Group, row sasp.Row) {
+// registerMember registers a server at its own request with the fleet, and also with the balancer that the group
+// belongs to, if there is one.
+func (s *Server) registerMember(now float64, conn *connection, msgGroup sasp.Group, row sasp.Row) {
 	server := s.serverAt(row.Address)
-	member := s.memberAt(server)
+	member := s.ensureMemberState(server)
 	if !member.conns[conn] || !s.fleet.Registry.HoldsRegistration(server) {
-		s.logRefused(server, s.fleet.Registry.Register(now, server, s.fleet.Site().UnlistedZone))
+		s.logRegistryError(server, s.fleet.Registry.Register(now, server, s.fleet.Site().UnlistedZone))
 		member.conns[conn] = true
 		conn.addServer(server)
 	}
-	lb := s.balancers[string(named.UID)]
+	lb := s.balancers[string(msgGroup.UID)]
 	if lb == nil {
 		return
 	}
-	class, _ := s.fleet.Class(string(named.Name))
-	group := lb.addGroup(string(named.Name), class)
-	registered := group.addMember(server, row)
+	class, _ := s.fleet.Class(string(msgGroup.Name))
+	group := lb.ensureGroup(string(msgGroup.Name), class)
+	registered := group.ensureMember(server, row)
 	if !registered.byMember {
 		registered.byMember = true
 		member.groups = append(member.groups, ownedGroup{group: group, owner: lb})
--- a/internal/core/saspsession/members_test.go
+++ b/internal/core/saspsession/members_test.go
@@ -7,16 +7,17 @@
 	"snowquay/internal/wire/sasp"
 )
 
-// returningMember is the server that registers itself in these tests.
+// returningMember is the number of the server that registers itself in these tests.
 const returningMember = 4
 
-// inService reports whether the fleet uses the returning member.
+// inService reports whether returningMember is in the phase Ready.
 func (p *peers) inService() bool {
 	phase, _ := p.fleet.Registry.Phase(balancer.Server(address(returningMember).String()))
 	return phase == balancer.Ready
 }
 
-// A server that has dialled again and registered stays in service when its earlier connection is found to be broken.
+// A server that has registered on a second connection stays in service when its first connection is found to be broken.
+// The end of the older connection must not be taken for the end of the server.
 func TestMemberOnNewerConnectionStaysInService(t *testing.T) {
 	p := startDefault(t)
 	older := p.dial(address(returningMember).Addr().String())
@@ -30,16 +31,17 @@
 	p.server.Closed(p.now, older)
 	p.advance(30)
 	if !p.inService() {
-		t.Error("it is out of service, though its newer connection stands")
+		t.Error("the server is out of service, though its newer connection is open")
 	}
 	p.server.Closed(p.now, newer)
 	p.advance(30)
 	if p.inService() {
-		t.Error("it is in service without a connection")
+		t.Error("the server is in service without a connection")
 	}
 }
 
-// A server that deregistered on one connection and registers again on another one that it had registered on is in service.
+// A server that registered on one connection and deregistered on another one is in service again after it registers on
+// the first connection. The server must not be taken for one that is still registered there.
 func TestMemberRegistersAgainAfterDeregisteringElsewhere(t *testing.T) {
 	p := startDefault(t)
 	first := p.dial(address(returningMember).Addr().String())
@@ -50,12 +52,12 @@
 		t.Fatal(code)
 	}
 	if p.advance(1); !p.inService() {
-		t.Error("it is out of service though its registration was accepted")
+		t.Error("the server is out of service, though its registration was accepted")
 	}
 }
 
-// A server that has deregistered, or whose connection has ended for good, may register with its balancer's group again, and
-// is no member of the group until then.
+// A server that has deregistered, or whose connection ended and was not replaced, is removed from its balancer's group
+// and can register in the group again.
 func TestMemberRegistersWithItsBalancerAgain(t *testing.T) {
 	for _, leave := range []func(p *peers, member Conn){
 		func(p *peers, member Conn) {
@@ -73,14 +75,14 @@
 		leave(p, member)
 		p.advance(30)
 		if p.server.balancers["r1"].groups["search"].members[balancer.Server(address(returningMember).String())] != nil {
-			t.Error("it is a member of the group after it has left")
+			t.Error("the server is still a member of the group after it has left")
 		}
 		again := p.dial(address(returningMember).Addr().String())
 		if code := p.request(again, message(sasp.Registration, 0, "r1/search", returningMember)); code != sasp.OK {
-			t.Errorf("its next registration is answered with %s", code)
+			t.Errorf("the next registration of the server is answered with %s", code)
 		}
 		if p.advance(1); !p.inService() {
-			t.Error("it is out of service")
+			t.Error("the server is out of service after its next registration")
 		}
 	}
 }
--- a/internal/core/saspsession/messages.go
+++ b/internal/core/saspsession/messages.go
@@ -4,8 +4,8 @@
 	"snowquay/internal/wire/sasp"
 )
 
-// handleMessage answers one framed message. A message is applied whole or not at all: everything in it is checked before
-// anything is changed.
+// handleMessage applies and answers one framed message. A message is applied as a whole or not at all: all of it is
+// checked before anything is changed.
 func (s *Server) handleMessage(now float64, conn *connection, frame []byte) {
 	kind, id := sasp.Head(frame)
 	if err := sasp.Decode(frame, &s.incoming); err != nil {
@@ -28,10 +28,10 @@
 		var pending bool
 		code, pending = s.setMember(now, conn, message)
 		if pending {
-			return // OrderCompleted answers
+			return // OrderCompleted sends the reply
 		}
-	default: // replies and weights are sent by the manager, which is this side
-		s.close(now, conn, "it speaks as a manager does")
+	default: // only the manager, which is this server, sends replies and weights
+		s.close(now, conn, "peer sent a message that only the manager sends")
 		return
 	}
 	if code != sasp.OK {
@@ -59,7 +59,7 @@
 	s.handler.Log("message rejected", "kind", kind, "code", code.String(), "from", conn.from, "uid", conn.uid)
 }
 
-// reply sends a response code, unless the connection was closed since its message came.
+// reply sends a response code, unless the connection was closed after its message was received.
 func (s *Server) reply(now float64, conn *connection, kind sasp.Kind, id uint32, code sasp.Code) {
 	if s.conns[conn.id] != conn {
 		return
@@ -70,7 +70,7 @@
 	s.send(now, conn, message)
 }
 
-// newMessage returns the message for sending, emptied; the next call reuses it.
+// newMessage returns an empty message for sending. The next call reuses the same message.
 func (s *Server) newMessage(kind sasp.Kind, id uint32) *sasp.Message {
 	message := &s.outgoing
 	*message = sasp.Message{Kind: kind, ID: id, Groups: message.Groups[:0], Rows: message.Rows[:0]}
--- a/internal/core/saspsession/model_test.go
+++ b/internal/core/saspsession/model_test.go
@@ -10,8 +10,8 @@
 	"snowquay/internal/wire/sasp"
 )
 
-// After any sequence of events, relays that receive their messages have the weights of their tables, and the state of
-// members and relays that left is gone.
+// After any sequence of events, relays that receive their messages have the weights of their tables, and no state is
+// left of members and relays that have left.
 func TestRelaysConvergeToTables(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		p := startDefault(t)
@@ -29,7 +29,7 @@
 			i := rapid.IntRange(0, 3).Draw(rt, "relay")
 			s := rapid.IntRange(0, 5).Draw(rt, "server")
 			uid := fmt.Sprintf("r%d", i)
-			switch rapid.IntRange(0, 8).Draw(rt, "what") {
+			switch rapid.IntRange(0, 8).Draw(rt, "event") {
 			case 0:
 				leave(i)
 				p.advance(1.1)
@@ -43,7 +43,7 @@
 				}
 			case 3:
 				if c, ok := alive(i); ok {
-					if p.request(c, message(sasp.Deregistration, 1, uid+"/search", s)) == sasp.OK { // it has dropped the member
+					if p.request(c, message(sasp.Deregistration, 1, uid+"/search", s)) == sasp.OK { // the relay drops the member
 						delete(p.weights[c], "search "+string(ServerID(sasp.AddressOf(address(s)))))
 					}
 				}
@@ -70,25 +70,25 @@
 			}
 			b := p.server.balancers[fmt.Sprintf("r%d", i)]
 			for _, g := range b.groupOrder {
-				has := false
+				hasWeight := false
 				for s := range serverCount {
 					server := balancer.Server(address(s).String())
 					want := p.server.row(server, sasp.AddressOf(address(s)), g.members[server], p.fleet.Weight(b.membership.proxy, g.class, server))
 					_, knows := g.members[server]
 					trusts := flags[i]&sasp.Trust != 0
 					got := p.weights[c][g.name+" "+string(server)]
-					has = has || got > 0
+					hasWeight = hasWeight || got > 0
 					if !trusts && !knows {
 						want.Weight = 0
 					}
 					if got != want.Weight && (trusts || want.Weight > 0) {
-						rt.Errorf("r%d (flags %#x): weight %d for %s of %s, want %d", i, flags[i], got, server, g.name, want.Weight)
+						rt.Errorf("r%d (flags %#x) has weight %d for server %s in group %s, want %d", i, flags[i], got, server, g.name, want.Weight)
 					}
 				}
 			}
 		}
 		if p.fleet.Joined() != len(p.server.byProxy) || len(p.server.balancers) < p.fleet.Joined() {
-			rt.Errorf("%d joined, %d by proxy", p.fleet.Joined(), len(p.server.byProxy))
+			rt.Errorf("%d relays joined, %d are listed by proxy", p.fleet.Joined(), len(p.server.byProxy))
 		}
 	})
 }
--- a/internal/core/saspsession/registration.go
+++ b/internal/core/saspsession/registration.go
@@ -6,7 +6,7 @@
 	"snowquay/internal/wire/sasp"
 )
 
-// register adds members to groups of a balancer, or members that register themselves.
+// register handles a registration, in which a balancer adds members to its groups, or members register themselves.
 func (s *Server) register(now float64, conn *connection, message *sasp.Message) sasp.Code {
 	lb, code := s.authorize(now, conn, message)
 	if code != sasp.OK {
@@ -24,51 +24,51 @@
 	if code := s.join(now, lb); code != sasp.OK {
 		return code
 	}
-	for _, named := range message.Groups {
-		s.addMembers(now, lb, message, named)
+	for _, msgGroup := range message.Groups {
+		s.addMembers(now, lb, message, msgGroup)
 	}
 	return sasp.OK
 }
 
-// checkRegistration checks the groups of a registration. sender is nil if members register themselves.
+// checkRegistration checks the groups in a registration. sender is nil if members register themselves.
 func (s *Server) checkRegistration(conn *connection, sender *loadBalancer, message *sasp.Message) sasp.Code {
-	added := map[*loadBalancer]int{} // groups
-	for _, named := range message.Groups {
-		if len(named.Name) == 0 {
+	added := map[*loadBalancer]int{} // number of new groups of each balancer
+	for _, msgGroup := range message.Groups {
+		if len(msgGroup.Name) == 0 {
 			return sasp.InvalidGroupName
 		}
-		if _, ok := s.fleet.Class(string(named.Name)); !ok {
+		if _, ok := s.fleet.Class(string(msgGroup.Name)); !ok {
 			return sasp.InvalidGroup
 		}
 		owner := sender
 		if sender == nil {
-			owner = s.balancers[string(named.UID)]
+			owner = s.balancers[string(msgGroup.UID)]
 		}
-		if owner == nil { // members register with the fleet alone
+		if owner == nil { // the members register only with the fleet
 			continue
 		}
-		if owner.groups[string(named.Name)] == nil {
+		if owner.groups[string(msgGroup.Name)] == nil {
 			added[owner]++
 		}
 		if len(owner.groupOrder)+added[owner] > s.limits.MaxGroups {
 			return sasp.InvalidGroup
 		}
-		if code := s.checkMembers(conn, owner, sender != nil, message, named); code != sasp.OK {
+		if code := s.checkMembers(conn, owner, sender != nil, message, msgGroup); code != sasp.OK {
 			return code
 		}
 	}
 	return sasp.OK
 }
 
-// checkMembers checks the members that a registration adds to a group of a balancer. A server that registers on another
-// connection than before is not registered twice: its earlier connection may be broken without being known to be.
-func (s *Server) checkMembers(conn *connection, owner *loadBalancer, byBalancer bool, message *sasp.Message, named sasp.Group) sasp.Code {
-	existing := owner.groups[string(named.Name)]
+// checkMembers checks the members that a registration adds to a group of a balancer. A server that registers again on a
+// different connection is not a duplicate, since its earlier connection may be broken without this being known.
+func (s *Server) checkMembers(conn *connection, owner *loadBalancer, byBalancer bool, message *sasp.Message, msgGroup sasp.Group) sasp.Code {
+	existing := owner.groups[string(msgGroup.Name)]
 	members := 0
 	if existing != nil {
 		members = len(existing.memberOrder)
 	}
-	for _, row := range message.Rows[named.From:named.To] {
+	for _, row := range message.Rows[msgGroup.From:msgGroup.To] {
 		server := s.serverAt(row.Address)
 		var member *registration
 		if existing != nil {
@@ -87,7 +87,7 @@
 	return sasp.OK
 }
 
-// hasRoomFor reports whether the registry can take all servers of a registration.
+// hasRoomFor reports whether the registry has room for all servers in a registration, and logs if it has not.
 func (s *Server) hasRoomFor(now float64, message *sasp.Message) bool {
 	servers := make([]balancer.Server, 0, len(message.Rows))
 	for _, row := range message.Rows {
@@ -100,16 +100,17 @@
 	return false
 }
 
-// addMembers registers the members of one group for a balancer, after checkRegistration and hasRoomFor.
-func (s *Server) addMembers(now float64, lb *loadBalancer, message *sasp.Message, named sasp.Group) {
-	class, _ := s.fleet.Class(string(named.Name))
-	group := lb.addGroup(string(named.Name), class)
-	for _, row := range message.Rows[named.From:named.To] {
+// addMembers registers the members of one group for a balancer. The caller has checked the message with
+// checkRegistration and, if balancers put servers into service, hasRoomFor.
+func (s *Server) addMembers(now float64, lb *loadBalancer, message *sasp.Message, msgGroup sasp.Group) {
+	class, _ := s.fleet.Class(string(msgGroup.Name))
+	group := lb.ensureGroup(string(msgGroup.Name), class)
+	for _, row := range message.Rows[msgGroup.From:msgGroup.To] {
 		server := s.serverAt(row.Address)
 		if s.policy.BalancersRegister {
-			s.logRefused(server, s.fleet.Registry.AdjustVouchers(now, server, s.zoneOf(lb), 1))
+			s.logRegistryError(server, s.fleet.Registry.AdjustVouchers(now, server, s.zoneOf(lb), 1))
 		}
-		group.addMember(server, row).byBalancer = true
+		group.ensureMember(server, row).byBalancer = true
 	}
 	s.scheduleGroup(now, lb, group, len(group.memberOrder)+1)
 }
@@ -118,16 +119,17 @@
 	if !s.hasRoomFor(now, message) {
 		return sasp.NotAccepted
 	}
-	for _, named := range message.Groups {
-		for _, row := range message.Rows[named.From:named.To] {
-			s.registerMember(now, conn, named, row)
+	for _, msgGroup := range message.Groups {
+		for _, row := range message.Rows[msgGroup.From:msgGroup.To] {
+			s.registerMember(now, conn, msgGroup, row)
 		}
 	}
 	return sasp.OK
 }
 
-// logRefused logs an error of the registry, which hasRoomFor has ruled out.
-func (s *Server) logRefused(server balancer.Server, err error) {
+// logRegistryError logs an error of the registry, if there is one. None is expected, since hasRoomFor was called
+// before.
+func (s *Server) logRegistryError(server balancer.Server, err error) {
 	if err != nil {
 		s.handler.Log("server refused", "server", server, "error", err)
 	}
--- a/internal/core/saspsession/sequences_test.go
+++ b/internal/core/saspsession/sequences_test.go
@@ -14,35 +14,35 @@
 )
 
 const (
-	sequenceBalancers = 2 // r0, r1
-	sequenceServers   = 3 // that may register; one more fills the registry
-	sequenceConns     = 5
-	sequenceHold      = 4.0 // seconds for which a server stays when its connection ends
+	sequenceBalancers = 2   // r0, r1
+	sequenceServers   = 3   // servers that may register; the registry has room for at most one more
+	sequenceConns     = 5   // connections that are open at a time, at most
+	sequenceHold      = 4.0 // seconds for which a server stays in service after its last connection has ended
 )
 
 var sequenceGroups = []string{"search", "introduce"}
 
-// sequenceModel is what peers were promised: by the replies that they got, and by nothing else.
+// sequenceModel is the expected state of the server. It is derived only from the replies that the peers received.
 type sequenceModel struct {
-	vouched    map[string]map[string]map[int]bool // by balancer and group: servers that it registered
-	joined     map[string]bool
-	holder     map[string]Conn // connection of each balancer
-	registered map[int]map[Conn]bool
-	lostAt     map[int]float64 // when a server's last connection ended
+	vouched    map[string]map[string]map[int]bool // servers that each balancer registered, by balancer and group
+	joined     map[string]bool                    // balancers that have joined the fleet
+	holder     map[string]Conn                    // connection of each balancer
+	registered map[int]map[Conn]bool              // connections on which each server registered itself
+	lostAt     map[int]float64                    // time at which the last connection of a server ended
 }
 
-// balancerGone forgets a balancer whose connection has ended.
-func (m *sequenceModel) balancerGone(uid string) {
+// removeBalancer removes a balancer whose connection has ended.
+func (m *sequenceModel) removeBalancer(uid string) {
 	delete(m.vouched, uid)
 	delete(m.joined, uid)
 	delete(m.holder, uid)
 }
 
-// connClosed forgets a connection.
+// connClosed removes a connection that has ended.
 func (m *sequenceModel) connClosed(now float64, conn Conn) {
 	for uid, holder := range m.holder {
 		if holder == conn {
-			m.balancerGone(uid)
+			m.removeBalancer(uid)
 		}
 	}
 	for server, conns := range m.registered {
@@ -56,7 +56,7 @@
 	}
 }
 
-// vouchers counts the balancers' groups that list a server.
+// vouchers returns the number of balancers' groups that list a server.
 func (m *sequenceModel) vouchers(server int) (count int) {
 	for _, groups := range m.vouched {
 		for _, servers := range groups {
@@ -68,8 +68,8 @@
 	return count
 }
 
-// acceptedFromMember takes a message that was answered with OK on a connection.
-func (m *sequenceModel) acceptedFromMember(conn Conn, sent *sasp.Message, servers []int) {
+// applyMemberMessage applies a message of a member that was answered with OK on a connection.
+func (m *sequenceModel) applyMemberMessage(conn Conn, sent *sasp.Message, servers []int) {
 	for _, server := range servers {
 		switch sent.Kind {
 		case sasp.Registration:
@@ -85,8 +85,8 @@
 	}
 }
 
-// acceptedFromBalancer takes a message that the balancer with a UID was answered with OK.
-func (m *sequenceModel) acceptedFromBalancer(uid string, sent *sasp.Message, servers []int) {
+// applyBalancerMessage applies a message of a balancer that was answered with OK.
+func (m *sequenceModel) applyBalancerMessage(uid string, sent *sasp.Message, servers []int) {
 	switch sent.Kind {
 	case sasp.Registration:
 		m.joined[uid] = true
@@ -116,15 +116,15 @@
 	}
 }
 
-// sequence is a server under test with the connections of some peers.
+// sequence is a run of a server under test with the connections of some peers and the model of the server's state.
 type sequence struct {
 	*peers
-	rt     *rapid.T
-	policy Policy
-	limits Limits
-	model  sequenceModel
-	conns  []Conn
-	known  map[Conn]bool // the model has not seen it end
+	rt          *rapid.T
+	policy      Policy
+	limits      Limits
+	model       sequenceModel
+	conns       []Conn
+	openInModel map[Conn]bool // connections whose end was not yet reported to the model
 }
 
 func startSequence(t *testing.T, rt *rapid.T) *sequence {
@@ -138,11 +138,11 @@
 	site.Limits.ServerHold = sequenceHold
 	site.Limits.MaxServers = rapid.IntRange(1, sequenceServers+1).Draw(rt, "servers")
 	return &sequence{
-		peers:  start(t, site, limits, policy),
-		rt:     rt,
-		policy: policy,
-		limits: limits,
-		known:  map[Conn]bool{},
+		peers:       start(t, site, limits, policy),
+		rt:          rt,
+		policy:      policy,
+		limits:      limits,
+		openInModel: map[Conn]bool{},
 		model: sequenceModel{
 			vouched:    map[string]map[string]map[int]bool{},
 			joined:     map[string]bool{},
@@ -153,41 +153,42 @@
 	}
 }
 
-// conn draws an open connection, or opens one.
+// conn draws one of the open connections, after it may have opened another one.
 func (s *sequence) conn() Conn {
 	s.conns = slices.DeleteFunc(s.conns, func(conn Conn) bool { return s.closed[conn] })
 	if len(s.conns) < sequenceConns && (len(s.conns) == 0 || rapid.IntRange(0, 4).Draw(s.rt, "dial") == 0) {
 		conn := s.dial(fmt.Sprintf("10.9.0.%d", s.lastConn%200+1))
 		s.conns = append(s.conns, conn)
-		s.known[conn] = true
+		s.openInModel[conn] = true
 	}
 	return rapid.SampledFrom(s.conns).Draw(s.rt, "connection")
 }
 
-// noticeClosed tells the model of the connections that the server has closed.
-func (s *sequence) noticeClosed() {
+// recordClosed reports the closed connections to the model.
+func (s *sequence) recordClosed() {
 	for conn := range s.closed {
-		if s.known[conn] {
-			delete(s.known, conn)
+		if s.openInModel[conn] {
+			delete(s.openInModel, conn)
 			s.model.connClosed(s.now, conn)
 		}
 	}
 }
 
-// accepted tells the model of a message that was answered with OK.
-func (s *sequence) accepted(conn Conn, sent *sasp.Message, servers []int) {
+// recordAccepted applies a message that was answered with OK to the model.
+func (s *sequence) recordAccepted(conn Conn, sent *sasp.Message, servers []int) {
 	if sent.Kind != sasp.SetBalancer && sent.LB != sasp.FromBalancer {
-		s.model.acceptedFromMember(conn, sent, servers)
+		s.model.applyMemberMessage(conn, sent, servers)
 		return
 	}
 	uid := s.server.conns[conn].uid
 	s.model.holder[uid] = conn
-	s.model.acceptedFromBalancer(uid, sent, servers)
-	s.noticeDeparted()
+	s.model.applyBalancerMessage(uid, sent, servers)
+	s.recordDeparted()
 }
 
-// noticeDeparted tells the model of balancers that have deregistered their last group. Groups that only members registered in count.
-func (s *sequence) noticeDeparted() {
+// recordDeparted reports to the model the balancers that have deregistered their last group. A balancer with a group
+// in which only members registered themselves is not one of them.
+func (s *sequence) recordDeparted() {
 	for uid, lb := range s.server.balancers {
 		if _, joined := lb.joined(); !joined && len(lb.groupOrder) == 0 {
 			delete(s.model.joined, uid)
@@ -195,7 +196,8 @@
 	}
 }
 
-// state describes all that a rejected message must leave alone. Who speaks for a balancer is not part of it.
+// state returns a description of all state that a rejected message must not change. The connections of the balancers
+// are not part of it.
 func (s *sequence) state() string {
 	var text strings.Builder
 	for _, uid := range slices.Sorted(maps.Keys(s.server.balancers)) {
@@ -222,8 +224,8 @@
 	return text.String()
 }
 
-// draw makes a well-formed message and lists the numbers of its servers.
-func (s *sequence) draw() (sent *sasp.Message, servers []int) {
+// drawMessage draws a well-formed message and returns it with the numbers of its servers, one for each row.
+func (s *sequence) drawMessage() (sent *sasp.Message, servers []int) {
 	kind := rapid.SampledFrom([]sasp.Kind{sasp.SetBalancer, sasp.Registration, sasp.Registration, sasp.Deregistration, sasp.SetMember,
 		sasp.GetWeights}).Draw(s.rt, "kind")
 	uid := fmt.Sprintf("r%d", rapid.IntRange(0, sequenceBalancers-1).Draw(s.rt, "uid"))
@@ -255,17 +257,17 @@
 	return sent, servers
 }
 
-// exchange sends one message and judges its answer.
+// exchange sends one message and checks the reply and its effects.
 func (s *sequence) exchange() {
 	conn := s.conn()
-	sent, servers := s.draw()
+	sent, servers := s.drawMessage()
 	if sent.Kind == sasp.SetMember && sent.LB != sasp.FromBalancer {
-		s.advance(0.04) // a drain may follow a change of the registry at once
+		s.advance(0.04) // run a round first, since the drain may directly follow a change of the registry
 	}
 	before := s.state()
 	answers := len(s.received[conn])
 	code := s.request(conn, sent)
-	s.noticeClosed()
+	s.recordClosed()
 	if s.closed[conn] {
 		return
 	}
@@ -276,19 +278,20 @@
 		}
 	}
 	if answered != 1 {
-		s.rt.Fatalf("%d answers to kind %#x", answered, uint16(sent.Kind))
+		s.rt.Fatalf("%d replies to kind %#x, want 1", answered, uint16(sent.Kind))
 	}
 	if code == sasp.OK {
-		s.accepted(conn, sent, servers)
+		s.recordAccepted(conn, sent, servers)
 		return
 	}
 	if after := s.state(); after != before && !s.replacedBalancer(conn, sent) {
-		s.rt.Fatalf("kind %#x from balancer %d, groups %q, servers %v rejected with %q changed\n%s\nto\n%s", uint16(sent.Kind), sent.LB,
+		s.rt.Fatalf("kind %#x with LB flag %d, groups %q, servers %v was rejected with %q, but changed the state\n%s\nto\n%s", uint16(sent.Kind), sent.LB,
 			groupNames(sent), servers, code, before, after)
 	}
 }
 
-// replacedBalancer reports whether a message made its connection that of a balancer that had another one, which ended.
+// replacedBalancer reports whether a message claimed a balancer's UID for its connection, which ends an earlier
+// connection of the balancer and thereby changes state.
 func (s *sequence) replacedBalancer(conn Conn, sent *sasp.Message) bool {
 	if sent.LB != sasp.FromBalancer && sent.Kind != sasp.SetBalancer {
 		return false
@@ -304,17 +307,17 @@
 	return names
 }
 
-// check compares the server with what its peers were promised.
+// check compares the state of the server with the model, and its groups with the limits.
 func (s *sequence) check() {
 	if s.fleet.Joined() != len(s.model.joined) {
-		s.rt.Fatalf("%d proxies are joined, promised was %v", s.fleet.Joined(), s.model.joined)
+		s.rt.Fatalf("%d proxies are joined, want %v", s.fleet.Joined(), s.model.joined)
 	}
 	for server := range sequenceServers {
 		s.checkServer(server)
 	}
 	for uid, lb := range s.server.balancers {
 		if len(lb.groupOrder) > s.limits.MaxGroups || len(lb.groupOrder) != len(lb.groups) {
-			s.rt.Fatalf("%s has %d groups, %d by name; the limit is %d", uid, len(lb.groupOrder), len(lb.groups), s.limits.MaxGroups)
+			s.rt.Fatalf("%s has %d groups in order, %d by name; the limit is %d", uid, len(lb.groupOrder), len(lb.groups), s.limits.MaxGroups)
 		}
 		for _, group := range lb.groupOrder {
 			s.checkGroup(uid, group)
@@ -333,33 +336,34 @@
 	}
 	want := held || s.policy.BalancersRegister && s.model.vouchers(number) > 0
 	if got := phase != balancer.Removed; got != want {
-		s.rt.Fatalf("server %d: in service %t, promised %t; registered on %v, %d vouchers", number, got, want, s.model.registered[number],
+		s.rt.Fatalf("server %d is in service: %t, want %t; registered on connections %v, %d vouchers", number, got, want, s.model.registered[number],
 			s.model.vouchers(number))
 	}
 }
 
 func (s *sequence) checkGroup(uid string, group *group) {
 	if len(group.memberOrder) > s.limits.MaxMembers || len(group.memberOrder) != len(group.members) {
-		s.rt.Fatalf("%s has %d members in %s, %d by name; the limit is %d", uid, len(group.memberOrder), group.name, len(group.members),
+		s.rt.Fatalf("%s has %d members in group %s in order, %d by name; the limit is %d", uid, len(group.memberOrder), group.name, len(group.members),
 			s.limits.MaxMembers)
 	}
 	for number := range sequenceServers {
 		member := group.members[balancer.Server(address(number).String())]
 		vouched := s.model.vouched[uid][group.name][number]
 		if (member != nil && member.byBalancer) != vouched {
-			s.rt.Fatalf("%s: server %d of %s registered by its balancer %t, promised %t", uid, number, group.name, member != nil && member.byBalancer,
+			s.rt.Fatalf("%s: server %d of group %s is registered by the balancer: %t, want %t", uid, number, group.name, member != nil && member.byBalancer,
 				vouched)
 		}
 		lostAt, lost := s.model.lostAt[number]
 		held := lost && s.now-lostAt < sequenceHold+0.5
 		if member != nil && member.byMember && len(s.model.registered[number]) == 0 && !held {
-			s.rt.Fatalf("%s: server %d is in %s by its own registration, which is gone", uid, number, group.name)
+			s.rt.Fatalf("%s: server %d is in group %s by its own registration, which has ended", uid, number, group.name)
 		}
 	}
 }
 
-// Whatever well-formed messages balancers and members send, in whatever order, and whoever leaves: nothing panics, each
-// message is answered once, a rejected one changes nothing, and what was registered stays as long as its owner, and no longer.
+// Sends random sequences of well-formed messages from balancers and members, some of which disconnect. No message may
+// cause a panic, each is answered exactly once, a rejected one changes nothing, and a registration lasts exactly as
+// long as its owner.
 func TestMessageSequences(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		s := startSequence(t, rt)
@@ -377,7 +381,7 @@
 			default:
 				s.exchange()
 			}
-			s.noticeClosed()
+			s.recordClosed()
 			s.check()
 		}
 	})
--- a/internal/core/saspsession/trust_test.go
+++ b/internal/core/saspsession/trust_test.go
@@ -6,7 +6,8 @@
 	"snowquay/internal/wire/sasp"
 )
 
-// A trusting balancer that has registered nothing itself sets the state of a member that registered by itself.
+// A balancer that trusts members but has registered nothing itself sets the state of a member that registered itself.
+// The balancer is not a proxy of the fleet then, which must not cause a panic.
 func TestStateOfMemberBeforeItsBalancerRegisters(t *testing.T) {
 	p := startDefault(t)
 	balancer := p.dial("10.9.0.1")
@@ -19,10 +20,10 @@
 	}
 	defer func() {
 		if cause := recover(); cause != nil {
-			t.Errorf("the coordinator panics: %v", cause)
+			t.Errorf("the server panics: %v", cause)
 		}
 	}()
 	if code := p.request(balancer, message(sasp.SetMember, sasp.FromBalancer, "r1/search", 0)); code != sasp.OK {
-		t.Errorf("the balancer's word is answered with %s", code)
+		t.Errorf("the balancer's member state is answered with %s", code)
 	}
 }
--- a/internal/core/saspsession/unjoined_test.go
+++ b/internal/core/saspsession/unjoined_test.go
@@ -6,8 +6,8 @@
 	"snowquay/internal/wire/sasp"
 )
 
-// A balancer that has deregistered its last group is connected, but no proxy of the fleet; a member may register with it
-// all the same, and its state may be set.
+// A balancer that has deregistered its last group stays connected, but is no longer a proxy of the fleet. A member may
+// still register with it, the balancer may set the member's state, and it joins again with its next registration.
 func TestStateOfMemberAfterItsBalancerDeregistered(t *testing.T) {
 	p := startDefault(t)
 	balancer := p.relay("r1", allFlags, 1)
@@ -19,16 +19,16 @@
 		t.Fatal(code)
 	}
 	if code := p.request(balancer, message(sasp.SetMember, sasp.FromBalancer, "r1/search", 0)); code != sasp.OK {
-		t.Errorf("the balancer's set member state is answered with %s", code)
+		t.Errorf("the balancer's member state is answered with %s", code)
 	}
 	if joined := p.fleet.Joined(); joined != 0 {
-		t.Errorf("%d proxies are joined", joined)
+		t.Errorf("%d proxies are joined, want 0", joined)
 	}
 	if code := p.request(balancer, message(sasp.Registration, sasp.FromBalancer, "r1/search", 1)); code != sasp.OK {
-		t.Errorf("it is not registered again: %s", code)
+		t.Errorf("the balancer's next registration is answered with %s", code)
 	}
 	p.advance(1)
 	if joined := p.fleet.Joined(); joined != 1 || p.countWeights(balancer, "search") == 0 {
-		t.Errorf("after its registration %d proxies are joined, its weights are %v", joined, p.weights[balancer])
+		t.Errorf("after the next registration %d proxies are joined, the balancer has the weights %v", joined, p.weights[balancer])
 	}
 }
--- a/internal/core/saspsession/weights.go
+++ b/internal/core/saspsession/weights.go
@@ -11,9 +11,9 @@
 )
 
 const (
-	weightScale    = 257 // 16-bit weight of an entry with weight 1, so that proportions stay within 1 in 514
-	fallbackWeight = 8.0 // of a member that is sent to a relay whose own members have no entry
-	pollFraction   = 0.5 // of the time in which a drain must be delivered, between two polls of a polling relay
+	weightScale    = 257 // 16-bit weight of an entry with weight 1; rounding then changes proportions by at most 1 in 514
+	fallbackWeight = 8.0 // table weight of a member that is sent to a relay none of whose own members has an entry
+	pollFraction   = 0.5 // poll interval of a polling relay, as a fraction of the time in which a drain must be delivered
 )
 
 // Deliver pushes the newest weights to a proxy. It implements controlplane.Frontend.
@@ -40,8 +40,8 @@
 	}
 }
 
-// getWeights answers with the newest weights of the requested groups, of all if none is named. It counts as an update of
-// the proxy if it covers every group.
+// getWeights replies with the newest weights of the requested groups, or of all groups if the request lists none. A
+// reply that covers every group counts as an update of the proxy.
 func (s *Server) getWeights(now float64, conn *connection, message *sasp.Message) {
 	reply := s.newMessage(sasp.GetWeightsReply, message.ID)
 	lb, code := s.checkGetWeights(conn, message)
@@ -69,13 +69,13 @@
 	}
 }
 
-// checkGetWeights checks a request for weights and returns the proxy of the fleet that it comes from.
+// checkGetWeights checks a request for weights and returns the balancer that sent it, which must have joined the fleet.
 func (s *Server) checkGetWeights(conn *connection, message *sasp.Message) (*joinedBalancer, sasp.Code) {
 	if code := checkDuplicates(message); code != sasp.OK {
 		return nil, code
 	}
-	for _, named := range message.Groups {
-		if conn.role == roleBalancer && string(named.UID) != conn.uid {
+	for _, msgGroup := range message.Groups {
+		if conn.role == roleBalancer && string(msgGroup.UID) != conn.uid {
 			return nil, sasp.NotAccepted
 		}
 	}
@@ -83,8 +83,8 @@
 	if lb == nil {
 		return nil, sasp.UnknownBalancer
 	}
-	for _, named := range message.Groups {
-		if lb.groups[string(named.Name)] == nil {
+	for _, msgGroup := range message.Groups {
+		if lb.groups[string(msgGroup.Name)] == nil {
 			return nil, sasp.UnknownGroup
 		}
 	}
@@ -95,18 +95,20 @@
 	return joined, sasp.OK
 }
 
+// namesGroup reports whether a message contains a group of the given name.
 func namesGroup(message *sasp.Message, name string) bool {
-	for _, named := range message.Groups {
-		if string(named.Name) == name {
+	for _, msgGroup := range message.Groups {
+		if string(msgGroup.Name) == name {
 			return true
 		}
 	}
 	return false
 }
 
-// appendGroup appends a group to a message and returns the number of its rows. Rows with a weight come before those
-// without, so that a relay that applies them one by one never lacks an entry on the way. A relay that wants unchanged
-// members left out gets what changed, unless a complete group is asked for; other relays get the whole group.
+// appendGroup appends a group to a message and returns the number of its rows. Rows with a positive weight come before
+// those with weight 0, so that a relay that applies the rows one by one always has an entry in between. A relay that
+// wants unchanged members to be omitted gets only the changes, unless complete is set; other relays get the whole
+// group.
 func (s *Server) appendGroup(message *sasp.Message, lb *joinedBalancer, group *group, complete bool) int {
 	entries, full, ok := s.fleet.Delta(lb.proxy, group.class)
 	if !ok {
@@ -146,7 +148,7 @@
 	return true
 }
 
-// appendEntries appends the rows of table entries; full says that they are the whole table.
+// appendEntries appends the rows of table entries. full means that the entries are the whole table.
 func (s *Server) appendEntries(message *sasp.Message, lb *joinedBalancer, group *group, entries iter.Seq[*tables.Entry], full bool) {
 	for entry := range entries {
 		member := group.members[entry.Server]
@@ -154,7 +156,8 @@
 			continue
 		}
 		if full && entry.Weight == 0 {
-			// appendWithoutEntry covers members. Others matter only to a relay that may have learnt of them here.
+			// appendWithoutEntry covers the members. The others concern only a relay that may hold them from an
+			// earlier message.
 			if member != nil || !s.fleet.Notified(lb.proxy, group.class) {
 				continue
 			}
@@ -163,7 +166,8 @@
 	}
 }
 
-// appendUnregistered appends the servers without an entry that the balancer has not registered, but may still hold.
+// appendUnregistered appends the servers that have no entry and are not in the group, but for which the relay may still
+// hold a weight.
 func (s *Server) appendUnregistered(message *sasp.Message, lb *joinedBalancer, group *group) {
 	for _, server := range s.fleet.Registry.KnownServers() {
 		if group.members[server] == nil && s.fleet.Weight(lb.proxy, group.class, server) == 0 {
@@ -181,9 +185,10 @@
 	}
 }
 
-// appendFallback gives a relay that does not trust members, and none of whose own members has an entry, all of those that
-// are ready, with equal weights. It guards against a relay without any entry because its table names servers that it does
-// not accept; it does harm where its few members are the ones that are meant to rest.
+// appendFallback is for a relay that does not trust members and none of whose own members has an entry in the table. It
+// gives all of these members that are ready equal weights, so that the relay is not left without any entry because its
+// table consists of servers that it does not accept. The disadvantage is that the few members of the relay may be just
+// those that are meant to get no requests.
 func (s *Server) appendFallback(message *sasp.Message) {
 	removed := s.removedRows[:0]
 	for _, row := range s.removedRows {
@@ -199,7 +204,7 @@
 }
 
 // appendRow appends the row of a server to the message, or to the removed rows if its weight is 0. member is nil if the
-// balancer has not registered the server.
+// server is not in the balancer's group.
 func (s *Server) appendRow(message *sasp.Message, server balancer.Server, member *registration, weight float64) {
 	address, ok := s.addressOf(server)
 	if !ok {
@@ -213,8 +218,9 @@
 	}
 }
 
-// row converts a weight of the table into a row. The weight is the table's also where the registry has changed since: a
-// weight that no version of the table stands for would not be corrected when the registry changes back.
+// row converts a weight of the table into a row. It uses the weight of the table even if the registry has changed
+// since the table was computed: a weight that belongs to no version of the table would not be corrected when the
+// registry changes back.
 func (s *Server) row(server balancer.Server, address sasp.Address, member *registration, weight float64) sasp.Row {
 	row := sasp.Row{Address: address, Weight: uint16(min(math.Round(weight*weightScale), math.MaxUint16))}
 	if weight > 0 {
