--- a/internal/core/audit/audit.go
+++ b/internal/core/audit/audit.go
@@ -8,9 +8,9 @@
 // Entry is one change, or attempt of a change.
 type Entry struct {
 	At     float64 `json:"at"`     // clock time in seconds
-	Who    string  `json:"who"`    // the caller's name
-	What   string  `json:"what"`   // the action
-	Of     string  `json:"of"`     // what was changed
+	Caller string  `json:"who"`    // the caller's name
+	Action string  `json:"what"`   // the action
+	Target string  `json:"of"`     // what was changed
 	Result string  `json:"result"` // what came of it
 }
 
--- a/internal/core/audit/golden_test.go
+++ b/internal/core/audit/golden_test.go
@@ -7,5 +7,5 @@
 )
 
 func TestEntryOnTheWire(t *testing.T) {
-	golden.JSON(t, "entry.json", Entry{At: 1000.5, Who: "anna", What: "drain", Of: "127.0.1.2:8080", Result: "agreed"})
+	golden.JSON(t, "entry.json", Entry{At: 1000.5, Caller: "anna", Action: "drain", Target: "127.0.1.2:8080", Result: "agreed"})
 }
--- a/internal/frontend/admin/audit.go
+++ b/internal/frontend/admin/audit.go
@@ -24,9 +24,9 @@
 func (a *API) recordChange(now float64, c change) {
 	a.history(c.tenant).changes.Record(audit.Entry{
 		At:     now,
-		Who:    c.caller.Name,
-		What:   c.action,
-		Of:     c.object,
+		Caller: c.caller.Name,
+		Action: c.action,
+		Target: c.object,
 		Result: c.result,
 	})
 	a.logger.Info("administration call",
--- a/internal/service/administered_coordinator_test.go
+++ b/internal/service/administered_coordinator_test.go
@@ -160,7 +160,7 @@
 		return err == nil
 	})
 	var entries []audit.Entry
-	if err != nil || json.Unmarshal(body, &entries) != nil || len(entries) < 5 || entries[0].Who != "ann" || entries[0].What != "drain by force" {
+	if err != nil || json.Unmarshal(body, &entries) != nil || len(entries) < 5 || entries[0].Caller != "ann" || entries[0].Action != "drain by force" {
 		t.Errorf("audit %s, %v", body, err)
 	}
 }
--- a/internal/service/host_test.go
+++ b/internal/service/host_test.go
@@ -299,7 +299,7 @@
 	}
 	text, _ := h.want(200, "", hostKey, "GET", "/v1/audit", "")
 	var entries []audit.Entry
-	if err := json.Unmarshal([]byte(text), &entries); err != nil || len(entries) < 3 || entries[0].Of != "one" {
+	if err := json.Unmarshal([]byte(text), &entries); err != nil || len(entries) < 3 || entries[0].Target != "one" {
 		h.t.Errorf("%v %s", err, text)
 	}
 }
