--- a/internal/core/idempotency/idempotency.go
+++ b/internal/core/idempotency/idempotency.go
@@ -1,5 +1,5 @@
-// Package idempotency makes calls of an API safe to repeat: it remembers the responses of calls that carry an idempotency key, and checks
-// the versions of conditional calls. It is pure.
+// Package idempotency makes API calls safe to repeat: it stores the responses to calls that carry an idempotency key, and checks the
+// versions of conditional calls. It performs no I/O.
 package idempotency
 
 import (
@@ -8,26 +8,26 @@
 )
 
 var (
-	// ErrVersionMismatch says that what was to be changed has changed since the caller read it.
-	ErrVersionMismatch = errors.New("it has changed since")
-	// ErrKeyReused says that a key was used for another call.
-	ErrKeyReused = errors.New("the key was used for another call")
-	// ErrInProgress says that a call with this key is still running.
-	ErrInProgress = errors.New("a call with this key is under way")
+	// ErrVersionMismatch reports that the resource has changed since the caller read it.
+	ErrVersionMismatch = errors.New("the resource has changed since it was read")
+	// ErrKeyReused reports that the caller has used the key for a different call.
+	ErrKeyReused = errors.New("the idempotency key was already used for a different call")
+	// ErrInProgress reports that a call with this key is still running.
+	ErrInProgress = errors.New("a call with this idempotency key is in progress")
 )
 
 const (
-	maxCalls  = 4096    // that are remembered; the oldest are forgotten first
-	retention = 86400.0 // seconds for which a call is remembered
+	maxCalls  = 4096    // stored calls; the oldest are evicted first
+	retention = 86400.0 // seconds for which a call is stored
 )
 
 // Response is the response to a call.
 type Response struct {
-	Status int // of HTTP
+	Status int // HTTP status code
 	Body   []byte
 }
 
-// callID identifies a call; callers may use the same keys.
+// callID identifies a call. Keys are scoped to a caller: different callers may use the same key.
 type callID struct {
 	caller string
 	key    string
@@ -35,41 +35,41 @@
 
 type call struct {
 	fingerprint uint64
-	begunAt     float64
+	startedAt   float64
 	finished    bool
 	response    Response
 }
 
-// Cache remembers calls with idempotency keys. The zero value is an empty cache. It is not safe for concurrent use.
+// Cache stores calls that carry idempotency keys. The zero value is an empty cache. It is not safe for concurrent use.
 type Cache struct {
 	calls map[callID]*call
 	order []callID // oldest first
 }
 
-// Begin takes a call. fingerprint is a hash of the request. known says that the call was made before and had the returned response;
-// otherwise the caller runs it and then calls End. Guards against a call that is repeated since its response was lost; without a key every
-// call is run. The error is ErrKeyReused or ErrInProgress.
+// Begin registers a call before it is run. fingerprint is a hash of the request. If known is true, the call has already been run and its
+// response is returned; otherwise the program runs the call and then calls End. This prevents a second run of a call that the client
+// repeats because the response was lost. A call without a key is always run. The error is ErrKeyReused or ErrInProgress.
 func (c *Cache) Begin(now float64, caller, key string, fingerprint uint64) (response Response, known bool, err error) {
 	if key == "" {
 		return Response{}, false, nil
 	}
 	id := callID{caller: caller, key: key}
-	former := c.calls[id]
-	if former == nil || now-former.begunAt >= retention {
-		c.add(id, &call{fingerprint: fingerprint, begunAt: now})
+	previous := c.calls[id]
+	if previous == nil || now-previous.startedAt >= retention {
+		c.add(id, &call{fingerprint: fingerprint, startedAt: now})
 		return Response{}, false, nil
 	}
-	if former.fingerprint != fingerprint {
+	if previous.fingerprint != fingerprint {
 		return Response{}, false, ErrKeyReused
 	}
-	if !former.finished {
+	if !previous.finished {
 		return Response{}, false, ErrInProgress
 	}
-	return former.response, true, nil
+	return previous.response, true, nil
 }
 
-// End ends a call that Begin has taken. With keep its response is remembered; otherwise, where the call changed nothing, it may be made
-// again under the same key.
+// End completes a call that Begin registered. If keep is true, the response is stored for repeated calls. Otherwise the call is removed,
+// because it changed nothing, and may be made again with the same key.
 func (c *Cache) End(caller, key string, response Response, keep bool) {
 	id := callID{caller: caller, key: key}
 	current := c.calls[id]
@@ -103,8 +103,8 @@
 	}
 }
 
-// CheckVersion checks the condition of a call, as If-Match states it, against the present version of what it changes. An empty condition
-// and "*" hold for any version. Guards against two callers who change one thing at once, each by what it has read.
+// CheckVersion compares the condition of a call, as given in If-Match, with the current version of the resource. An empty condition and
+// "*" match any version. This prevents lost updates when two callers change the same resource at once, each based on what it has read.
 func CheckVersion(condition, version string) error {
 	if condition == "" || condition == "*" || condition == version {
 		return nil
--- a/internal/core/idempotency/idempotency_test.go
+++ b/internal/core/idempotency/idempotency_test.go
@@ -12,24 +12,24 @@
 		t.Fatal(known, err)
 	}
 	if _, _, err := c.Begin(100, "a", "k", 1); !errors.Is(err, ErrInProgress) {
-		t.Errorf("while it is running: %v", err)
+		t.Errorf("repeated while the call is running: %v", err)
 	}
 	c.End("a", "k", Response{Status: 202, Body: []byte("x")}, true)
 	if response, known, err := c.Begin(101, "a", "k", 1); !known || err != nil || response.Status != 202 {
-		t.Errorf("%+v %t %v", response, known, err)
+		t.Errorf("repeated after the call: response %+v, known %t, %v", response, known, err)
 	}
 	if _, _, err := c.Begin(101, "a", "k", 2); !errors.Is(err, ErrKeyReused) {
-		t.Errorf("another call: %v", err)
+		t.Errorf("a different call with the same key: %v", err)
 	}
 	if _, known, err := c.Begin(101, "b", "k", 2); known || err != nil {
-		t.Errorf("somebody else's key: %v", err)
+		t.Errorf("the same key of another caller: %v", err)
 	}
 	c.End("b", "k", Response{Status: 409}, false)
 	if _, known, err := c.Begin(102, "b", "k", 3); known || err != nil {
-		t.Errorf("a rejected call can't be made again: %v", err)
+		t.Errorf("a rejected call cannot be made again: %v", err)
 	}
 	if _, known, _ := c.Begin(100+retention+1, "a", "k", 7); known {
-		t.Error("it is remembered for ever")
+		t.Error("the call is still stored after the retention time")
 	}
 }
 
@@ -41,7 +41,7 @@
 		}
 	}
 	if len(c.calls) > maxCalls || len(c.order) > maxCalls {
-		t.Errorf("%d calls", len(c.calls))
+		t.Errorf("the cache holds %d calls, more than the maximum", len(c.calls))
 	}
 }
 
@@ -57,7 +57,7 @@
 		{"4", "5", ErrVersionMismatch},
 	} {
 		if err := CheckVersion(c.condition, c.version); !errors.Is(err, c.want) {
-			t.Errorf("%q of %q: %v", c.condition, c.version, err)
+			t.Errorf("condition %q, version %q: %v", c.condition, c.version, err)
 		}
 	}
 }
