--- a/internal/wire/peer/frame.go
+++ b/internal/wire/peer/frame.go
@@ -1,10 +1,10 @@
-// Package peer encodes the frames that coordinators of one group exchange, with the sender, the receiver, and a code that authenticates
-// them by the group's key (HMAC-SHA-256, RFC 2104).
+// Package peer encodes the frames that coordinators of one group exchange. A frame carries its sender and receiver, and an authentication
+// code computed with the group's key (HMAC-SHA-256, RFC 2104).
 //
-// It is pure. A frame that is received twice does no harm: its content is a message of consensus, which may be lost and duplicated. The
-// numbers are big-endian; the lengths are bytes:
+// The package performs no I/O. Receiving a frame twice is harmless: its content is a consensus message, which may be lost and duplicated.
+// Integers are big-endian; the sizes in parentheses are in bytes:
 //
-//	magic (4) | length of all (4) | from (8) | data directory ID (8) | commit index (8) | to (8) | kind (1) | message | code (32)
+//	magic (4) | frame length (4) | from (8) | data directory ID (8) | commit index (8) | to (8) | kind (1) | message | authentication code (32)
 package peer
 
 import (
@@ -15,7 +15,7 @@
 	"fmt"
 )
 
-// Offsets and lengths of the parts of a frame, in bytes.
+// Offsets and lengths of a frame's fields, in bytes.
 const (
 	lengthOffset    = 4
 	fromOffset      = 8
@@ -25,38 +25,38 @@
 	kindOffset      = 40
 	messageOffset   = 41
 	codeBytes       = sha256.Size
-	maxFrameBytes   = 8 << 20 // a snapshot of 16,000 servers takes half of that
+	maxFrameBytes   = 8 << 20 // twice the size of a snapshot of 16,000 servers
 )
 
-// magic starts every frame. Another version of the format has another one.
+// magic starts every frame. Each version of the format has a different value.
 const magic = 0x53515032 // "SQP2"
 
 var (
-	// ErrFrame says that a stream is not one of frames, or is of another version.
-	ErrFrame = errors.New("not a peer's frame")
-	// ErrAuthentication says that the sender does not have the group's key.
-	ErrAuthentication = errors.New("a peer's frame with a wrong code")
+	// ErrFrame reports that a stream does not consist of peer frames, or uses another version of the format.
+	ErrFrame = errors.New("invalid peer frame")
+	// ErrAuthentication reports that the sender does not have the group's key.
+	ErrAuthentication = errors.New("peer frame with an invalid authentication code")
 )
 
-// Kind is the kind of a frame's message. Frames carry these numbers.
+// Kind is the type of a frame's message. Its values are part of the wire format.
 type Kind uint8
 
-// Kinds of messages.
+// Message types.
 const (
 	Consensus      Kind = iota + 1 // a message of the raft library
-	Command                        // a membership command to be proposed: a registration, or an operator's order
+	Command                        // a membership command to propose: a registration, or an operator's order
 	StatusRequest                  // a request for the group's status
-	StatusResponse                 // the answer to it
-	Rejection                      // why the sender rejects the receiver's frames, as text
-	Hello                          // nothing but who the sender is
+	StatusResponse                 // the response to a StatusRequest
+	Rejection                      // the reason why the sender rejects the receiver's frames, as text
+	Hello                          // identifies the sender; carries no message
 )
 
 // Frame is one message with its sender and receiver.
 type Frame struct {
-	From      uint64 // number of the sending coordinator; 0: an operator's tool
-	To        uint64 // number of the receiving coordinator; 0: any
+	From      uint64 // number of the sending coordinator; 0 is an operator's tool
+	To        uint64 // number of the receiving coordinator; 0 is any
 	DataDirID uint64 // ID of the sender's data directory
-	Commit    uint64 // index up to which the sender knows, durably, that log entries are committed
+	Commit    uint64 // index up to which the sender durably knows that log entries are committed
 	Kind      Kind
 	Message   []byte
 }
@@ -75,8 +75,8 @@
 	return append(b, authenticationCode(key, b[start:])...)
 }
 
-// Next decodes the first frame in b and returns its length, which is 0 where more bytes are needed. The frame's Message points into b. An
-// error wraps ErrFrame or ErrAuthentication and is final for the stream: nothing of the frame may be used.
+// Next decodes the first frame in b and returns its length, or 0 if more bytes are needed. The frame's Message is a slice of b. An error
+// wraps ErrFrame or ErrAuthentication and is final for the stream: no part of the frame may be used.
 func Next(b, key []byte) (frame Frame, length int, err error) {
 	length, err = frameLength(b)
 	if err != nil || length == 0 || len(b) < length {
@@ -95,16 +95,16 @@
 		Message:   b[messageOffset:end],
 	}
 	if frame.Kind < Consensus || frame.Kind > Hello {
-		return Frame{}, 0, fmt.Errorf("%w: of kind %d", ErrFrame, frame.Kind)
+		return Frame{}, 0, fmt.Errorf("%w: unknown kind %d", ErrFrame, frame.Kind)
 	}
 	return frame, length, nil
 }
 
-// frameLength returns the length of the frame that b starts with, or 0 where more bytes are needed to know it.
+// frameLength returns the length of the frame that b starts with, or 0 if b is too short to contain the length field.
 func frameLength(b []byte) (int, error) {
 	if len(b) >= lengthOffset {
 		if start := binary.BigEndian.Uint32(b); start != magic {
-			return 0, fmt.Errorf("%w: it starts with %#08x, this version's with %#08x", ErrFrame, start, uint32(magic))
+			return 0, fmt.Errorf("%w: magic number %#08x, want %#08x", ErrFrame, start, uint32(magic))
 		}
 	}
 	if len(b) < fromOffset {
@@ -112,13 +112,13 @@
 	}
 	length := binary.BigEndian.Uint32(b[lengthOffset:])
 	if length < messageOffset+codeBytes || length > maxFrameBytes {
-		return 0, fmt.Errorf("%w: of %d bytes", ErrFrame, length)
+		return 0, fmt.Errorf("%w: invalid length of %d bytes", ErrFrame, length)
 	}
 	return int(length), nil
 }
 
 func authenticationCode(key, frame []byte) []byte {
 	mac := hmac.New(sha256.New, key)
-	_, _ = mac.Write(frame) // a Hash's writes never fail
+	_, _ = mac.Write(frame) // hash.Hash.Write never returns an error
 	return mac.Sum(nil)
 }
--- a/internal/wire/peer/golden_test.go
+++ b/internal/wire/peer/golden_test.go
@@ -15,15 +15,15 @@
 	text := golden.Read(t, "frame.bin")
 	got, n, err := Next(text, key)
 	if err != nil || n != len(text) || !reflect.DeepEqual(got, frame) {
-		t.Errorf("%+v, %d bytes, %v", got, n, err)
+		t.Errorf("decoded %+v, %d bytes, %v", got, n, err)
 	}
 }
 
-// Frames carry these numbers.
+// The values of Kind are part of the wire format.
 func TestKindsOnTheWire(t *testing.T) {
 	for i, kind := range []Kind{Consensus, Command, StatusRequest, StatusResponse, Rejection, Hello} {
 		if kind != Kind(i+1) {
-			t.Errorf("kind %d has the number %d", i+1, kind)
+			t.Errorf("want kind %d, got %d", i+1, kind)
 		}
 	}
 }
