--- a/internal/store/golden_test.go
+++ b/internal/store/golden_test.go
@@ -21,8 +21,8 @@
 	}
 }
 
-// copied is a copy of a golden file that a test may write to; where the file is missing it is made by fill.
-func copied(t *testing.T, name string, fill func(path string)) string {
+// copyGolden copies a golden file to a path that a test may write to. If the golden file does not exist, fill creates it.
+func copyGolden(t *testing.T, name string, fill func(path string)) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), name)
 	if _, err := os.Stat(filepath.Join("testdata", "golden", name)); err != nil {
@@ -52,14 +52,14 @@
 			t.Fatal(err)
 		}
 	}
-	path := copied(t, "servers.db", fill)
+	path := copyGolden(t, "servers.db", fill)
 	s, err := Open(path)
 	if err != nil {
 		t.Fatal(err)
 	}
 	records, err := s.Load()
 	if err != nil || !reflect.DeepEqual(records, goldenRecords()) {
-		t.Errorf("%+v, %v", records, err)
+		t.Errorf("loaded records %+v, %v", records, err)
 	}
 	if err := s.Close(); err != nil {
 		t.Fatal(err)
@@ -74,7 +74,7 @@
 		Requirements: tenancy.Requirements{Memory: 1 << 20, EntriesPerSecond: 250.5, Connections: 40, CPU: 0.125}, Time: 1500.5, ID: 13 + uint64(version), Fingerprint: 14}
 }
 
-// goldenTenants makes a file and returns the encoded directory that it holds.
+// goldenTenants creates a file with tenants and returns the encoded directory that it contains.
 func goldenTenants(t *testing.T, path string) []byte {
 	t.Helper()
 	s, err := OpenTenantStore(path)
@@ -118,7 +118,7 @@
 	fresh := filepath.Join(t.TempDir(), "fresh.db")
 	golden.Bytes(t, "tenants-directory.json", goldenTenants(t, fresh))
 	golden.Bytes(t, "tenants.txt", golden.DumpStore(t, fresh, "%s"))
-	path := copied(t, "tenants.db", func(path string) { goldenTenants(t, path) })
+	path := copyGolden(t, "tenants.db", func(path string) { goldenTenants(t, path) })
 	s, err := OpenTenantStore(path)
 	if err != nil {
 		t.Fatal(err)
@@ -139,6 +139,6 @@
 	golden.Bytes(t, "tenants-directory.json", encoded)
 	records, err := s.ServerStore(directory.Tenants["one"].Incarnation).Load()
 	if err != nil || !reflect.DeepEqual(records, goldenRecords()) {
-		t.Errorf("%+v, %v", records, err)
+		t.Errorf("loaded records %+v, %v", records, err)
 	}
 }
--- a/internal/store/memory_store.go
+++ b/internal/store/memory_store.go
@@ -6,10 +6,10 @@
 	"snowquay/internal/core/tenancy"
 )
 
-// MemoryStore keeps the server records of one coordinator in memory: they outlive the coordinator but not the process. The zero value is an
-// empty store.
+// MemoryStore stores the server records of one coordinator in memory. They outlive the coordinator but not the process. The zero value is
+// an empty store.
 type MemoryStore struct {
-	SaveError error // that Save returns instead of saving
+	SaveError error // if not nil, Save returns it and stores nothing
 
 	records map[string]registry.Record // by server
 }
@@ -28,7 +28,7 @@
 	return nil
 }
 
-// Load implements coordinator.Store. The records have no order.
+// Load implements coordinator.Store. The order of the records is not defined.
 func (m *MemoryStore) Load() (records []registry.Record, err error) {
 	for _, record := range m.records {
 		records = append(records, record)
@@ -36,13 +36,13 @@
 	return records, nil
 }
 
-// MemoryTenantStore keeps the directory and the server records of a host of many tenants in memory. It implements coordinator.HostStore.
+// MemoryTenantStore stores the directory and the server records of a host of many tenants in memory. It implements coordinator.HostStore.
 // The zero value is an empty store.
 type MemoryTenantStore struct {
-	SaveError error // that Save returns instead of saving
-	Saves     int   // calls of Save that SaveError did not stop
+	SaveError error // if not nil, Save returns it and stores nothing
+	Saves     int   // calls of Save that did not return SaveError
 
-	directory []byte // a snapshot; nil: none was saved
+	directory []byte // a snapshot; nil if none was saved
 	servers   map[tenancy.Incarnation]*MemoryStore
 }
 
@@ -76,5 +76,5 @@
 	return m.servers[incarnation]
 }
 
-// Flush implements coordinator.HostStore; nothing waits for it.
+// Flush implements coordinator.HostStore. It does nothing, because records are not buffered.
 func (m *MemoryTenantStore) Flush() error { return nil }
--- a/internal/store/server_store.go
+++ b/internal/store/server_store.go
@@ -11,13 +11,13 @@
 
 var serversBucket = []byte("servers") // records by server
 
-// FileStore keeps the server records of one coordinator in a file. Use Open.
+// FileStore stores the server records of one coordinator in a file. Use Open.
 type FileStore struct {
 	db *bolt.DB
 }
 
-// Open opens or creates the file. It fails where another process has it open, or with an error that wraps ErrUnknownFormat. The caller
-// closes the store.
+// Open opens or creates the file. It fails if another process has the file open. An error wraps ErrUnknownFormat if the file has another
+// format version. The caller closes the store.
 func Open(path string) (*FileStore, error) {
 	db, err := openFile(path, serversBucket)
 	if err != nil {
--- a/internal/store/server_store_test.go
+++ b/internal/store/server_store_test.go
@@ -24,7 +24,7 @@
 			t.Fatal(err)
 		}
 		if _, err := Open(path); err == nil {
-			t.Error("two processes have it open")
+			t.Error("the file was opened twice")
 		}
 		got, err := s.Load()
 		if err != nil || len(got) != min(incarnation, 1) || incarnation > 0 && got[0] != drainingRecord("a", float64(incarnation-1)) {
@@ -44,7 +44,7 @@
 		t.Fatal(err)
 	}
 	if _, err := Open(garbage); err == nil {
-		t.Error("garbage was opened")
+		t.Error("a file without a store was opened")
 	}
 	path := filepath.Join(dir, "servers.db")
 	s, err := Open(path)
@@ -58,12 +58,12 @@
 		t.Fatal(err)
 	}
 	if _, err := s.Load(); err == nil {
-		t.Error("a truncated record was read")
+		t.Error("a truncated record was loaded")
 	}
 	if err := s.Close(); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := Open(path); !errors.Is(err, ErrUnknownFormat) {
-		t.Errorf("another format: %v", err)
+		t.Errorf("a file of another format version: %v", err)
 	}
 }
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -1,5 +1,5 @@
-// Package store is a coordinator's durable storage in bbolt files, so that drains and other facts about servers survive a restart, and
-// for a host of many tenants the directory of tenants, too. Its memory stores stand in for the files in tests and simulations.
+// Package store provides a coordinator's durable storage in bbolt files. Drains and other server records survive a restart, and so does
+// the tenant directory of a host of many tenants. The in-memory stores replace the files in tests and simulations.
 package store
 
 import (
@@ -11,20 +11,20 @@
 )
 
 const (
-	fileLockTimeout = time.Second // for another process that has the file open
-	formatVersion   = "1"         // of the records; files of another version are rejected
+	fileLockTimeout = time.Second // how long to wait for another process that has the file open
+	formatVersion   = "1"         // version of the record format; files of another version are rejected
 )
 
-// Buckets and keys that all files have.
+// Buckets and keys present in every file.
 var (
 	metadataBucket = []byte("about")
 	formatKey      = []byte("format")
 )
 
-// ErrUnknownFormat says that a file was written by another version.
-var ErrUnknownFormat = errors.New("the store has another format")
+// ErrUnknownFormat reports that a file was written in another format version.
+var ErrUnknownFormat = errors.New("unknown store format")
 
-// openFile opens or creates a file with buckets. The caller closes it.
+// openFile opens a file, or creates it, and creates missing buckets. The caller closes it.
 func openFile(path string, buckets ...[]byte) (*bolt.DB, error) {
 	db, err := bolt.Open(path, 0o600, &bolt.Options{Timeout: fileLockTimeout})
 	if err != nil {
@@ -37,14 +37,14 @@
 	return db, nil
 }
 
-// initialize checks the format of a file, and creates what is missing.
+// initialize checks a file's format version, and creates missing buckets and metadata.
 func initialize(tx *bolt.Tx, buckets [][]byte) error {
 	metadata, err := tx.CreateBucketIfNotExists(metadataBucket)
 	if err != nil {
 		return err
 	}
 	if version := metadata.Get(formatKey); version != nil && string(version) != formatVersion {
-		return fmt.Errorf("%w: %q, wanted %q", ErrUnknownFormat, version, formatVersion)
+		return fmt.Errorf("%w: version %q, want %q", ErrUnknownFormat, version, formatVersion)
 	}
 	for _, name := range buckets {
 		if _, err := tx.CreateBucketIfNotExists(name); err != nil {
--- a/internal/store/tenant_servers.go
+++ b/internal/store/tenant_servers.go
@@ -10,19 +10,20 @@
 	"snowquay/internal/core/tenancy"
 )
 
-const maxPendingRecords = 65536 // that wait for a flush; when there are more they are flushed at once
+const maxPendingRecords = 65536 // records buffered for the next flush; more than this are flushed at once
 
-// tenantServers keeps the server records of one incarnation of a tenant. It implements coordinator.Store.
+// tenantServers stores the server records of one incarnation of a tenant. It implements coordinator.Store.
 type tenantServers struct {
 	store       *TenantStore
 	incarnation tenancy.Incarnation
 }
 
-// Save takes records. A drain, and the end of one, are durable when it returns. All else, such as starts and registrations, waits for the
-// next flush, so that a thousand tenants that start at once do not write a thousand times; what is lost of it is reported again.
+// Save stores records. The start and the end of a drain are durable when it returns. Other changes, such as server starts and
+// registrations, are buffered until the next flush, so that a thousand tenants that start at once do not cause a thousand writes. Buffered
+// changes that a crash loses are reported again.
 func (t *tenantServers) Save(records []registry.Record) error {
-	pending := mapIn(t.store.pending, t.incarnation)
-	draining := mapIn(t.store.draining, t.incarnation)
+	pending := getOrCreate(t.store.pending, t.incarnation)
+	draining := getOrCreate(t.store.draining, t.incarnation)
 	drainChanged := false
 	for _, record := range records {
 		data, err := json.Marshal(record)
@@ -49,7 +50,7 @@
 	return nil
 }
 
-// Load flushes, and returns all records sorted by server.
+// Load flushes buffered records and returns all records, sorted by server.
 func (t *tenantServers) Load() (records []registry.Record, err error) {
 	if err := t.store.Flush(); err != nil {
 		return nil, err
@@ -86,8 +87,8 @@
 	return nil
 }
 
-// mapIn returns the map of an incarnation, which it adds if there is none.
-func mapIn[V any](maps map[tenancy.Incarnation]map[string]V, incarnation tenancy.Incarnation) map[string]V {
+// getOrCreate returns the map of an incarnation, and creates it if there is none.
+func getOrCreate[V any](maps map[tenancy.Incarnation]map[string]V, incarnation tenancy.Incarnation) map[string]V {
 	if maps[incarnation] == nil {
 		maps[incarnation] = map[string]V{}
 	}
--- a/internal/store/tenant_store.go
+++ b/internal/store/tenant_store.go
@@ -14,33 +14,33 @@
 	"snowquay/internal/core/tenancy"
 )
 
-// Buckets and keys of a host's file, besides those of all files.
+// Buckets and keys of a host's file, in addition to those of every file.
 var (
 	tenantsBucket       = []byte("tenants")   // tenants by name
-	outcomesBucket      = []byte("outcomes")  // outcomes of calls by sequence number
-	tenantServersBucket = []byte("rolls")     // a bucket of server records for each incarnation of a tenant
+	outcomesBucket      = []byte("outcomes")  // outcomes of tenant changes by sequence number
+	tenantServersBucket = []byte("rolls")     // one bucket of server records per incarnation of a tenant
 	directoryKey        = []byte("directory") // the directory's header, in metadataBucket
 )
 
-// directoryHeader is what a directory has besides tenants and outcomes.
+// directoryHeader holds the fields of a directory other than its tenants and outcomes.
 type directoryHeader struct {
 	Version         tenancy.Version          `json:"Version"`
 	LastIncarnation tenancy.Incarnation      `json:"Given"`
 	Quarantined     map[tenancy.Name]float64 `json:"Resting"`
 }
 
-// TenantStore keeps the directory of a host of many tenants, and the server records of each, in one file. It implements
+// TenantStore stores the directory of a host of many tenants, and the server records of each tenant, in one file. It implements
 // coordinator.HostStore. Use OpenTenantStore. It is not safe for concurrent use.
 type TenantStore struct {
 	db           *bolt.DB
-	pending      map[tenancy.Incarnation]map[string][]byte // encoded records by server that wait for a flush
-	pendingCount int                                       // of all tenants
-	draining     map[tenancy.Incarnation]map[string]bool   // servers whose latest record has a drain
+	pending      map[tenancy.Incarnation]map[string][]byte // encoded records by server, buffered for the next flush
+	pendingCount int                                       // number of buffered records of all tenants
+	draining     map[tenancy.Incarnation]map[string]bool   // servers whose latest record has an ordered drain
 	lastOutcome  uint64                                    // sequence number of the newest outcome in the file
 }
 
-// OpenTenantStore opens or creates the file. It fails where another process has it open, or with an error that wraps ErrUnknownFormat. The
-// caller closes the store.
+// OpenTenantStore opens or creates the file. It fails if another process has the file open. An error wraps ErrUnknownFormat if the file has
+// another format version. The caller closes the store.
 func OpenTenantStore(path string) (*TenantStore, error) {
 	db, err := openFile(path, tenantsBucket, outcomesBucket, tenantServersBucket)
 	if err != nil {
@@ -53,8 +53,8 @@
 	}, nil
 }
 
-// Directory returns the stored directory, an empty one at first. It deletes the server records of tenants that are not in it, which a crash
-// may have left.
+// Directory returns the stored directory, which is empty in a new file. It deletes server records of tenants that are not in the directory;
+// a crash may have left them behind.
 func (s *TenantStore) Directory() (directory tenancy.Directory, err error) {
 	err = s.db.Update(func(tx *bolt.Tx) error {
 		if err := loadHeader(tx, &directory); err != nil {
@@ -77,7 +77,7 @@
 	var header directoryHeader
 	if data := tx.Bucket(metadataBucket).Get(directoryKey); data != nil {
 		if err := json.Unmarshal(data, &header); err != nil {
-			return fmt.Errorf("directory of tenants: %w", err)
+			return fmt.Errorf("tenant directory: %w", err)
 		}
 	}
 	directory.Version = header.Version
@@ -135,8 +135,8 @@
 	return nil
 }
 
-// Save stores what the latest change of one tenant made of the directory, and returns when it is durable. removed is the incarnation of a
-// tenant that the change removed, whose server records are deleted; 0 is none.
+// Save stores the directory after a change of one tenant, and returns when it is durable. removed is the incarnation of a tenant that the
+// change removed, or 0; its server records are deleted.
 func (s *TenantStore) Save(directory *tenancy.Directory, changed tenancy.Name, removed tenancy.Incarnation) error {
 	var lastOutcome uint64
 	err := s.db.Update(func(tx *bolt.Tx) error {
@@ -190,8 +190,8 @@
 	return bucket.Put([]byte(name), data)
 }
 
-// saveOutcome stores the outcome of the latest change, if it is new, and deletes the one that the directory has forgotten for it. last is
-// the sequence number of the newest stored outcome; the function returns the new one.
+// saveOutcome stores the outcome of the latest change, if the directory recorded one, and deletes the outcome that the directory evicted for
+// it. last is the sequence number of the newest stored outcome; the function returns the new one.
 func saveOutcome(tx *bolt.Tx, directory *tenancy.Directory, last uint64) (uint64, error) {
 	count := len(directory.Outcomes)
 	if count == 0 || directory.Outcomes[count-1].Version != directory.Version {
@@ -223,12 +223,12 @@
 	return err
 }
 
-// ServerStore returns the store of the server records of one incarnation of a tenant.
+// ServerStore returns the store for the server records of one incarnation of a tenant.
 func (s *TenantStore) ServerStore(incarnation tenancy.Incarnation) coordinator.Store {
 	return &tenantServers{store: s, incarnation: incarnation}
 }
 
-// Flush returns when all records that were saved are durable.
+// Flush writes all buffered records, and returns when they are durable.
 func (s *TenantStore) Flush() error {
 	if s.pendingCount == 0 {
 		return nil
@@ -249,8 +249,8 @@
 	return nil
 }
 
-// Close flushes and closes the file.
+// Close flushes buffered records and closes the file.
 func (s *TenantStore) Close() error { return errors.Join(s.Flush(), s.db.Close()) }
 
-// encodeUint64 encodes numbers so that they sort as keys.
+// encodeUint64 encodes a number as a key. Keys sort in numeric order.
 func encodeUint64(number uint64) []byte { return binary.BigEndian.AppendUint64(nil, number) }
