--- a/internal/consensus/committed.go
+++ b/internal/consensus/committed.go
@@ -13,12 +13,12 @@
 // Send implements Handler.
 func (g *Group) Send(to ID, message []byte) { g.messenger.Send(to, message) }
 
-// Committed implements Handler: it applies a command to the state and tells those who wait for it.
+// Committed implements Handler. It applies a command to the state and notifies the messenger and pending orders.
 func (g *Group) Committed(now float64, _ uint64, data []byte) {
 	g.Stats.Applied++
 	command, err := membership.Decode(data)
 	if err != nil {
-		g.Stats.Invalid++ // on all coordinators alike
+		g.Stats.Invalid++ // the same on all coordinators
 		return
 	}
 	ordersBefore := g.State.OrderCount
@@ -40,7 +40,8 @@
 	}
 }
 
-// notify tells those who wait for a command. newOrder is false for an order that was applied before, whose effect a later one may have undone.
+// notify reports a committed command to the messenger and to pending orders. newOrder is false if the order was applied before; a later order
+// may have undone its effect.
 func (g *Group) notify(now float64, command membership.Command, newOrder bool) {
 	switch command.Kind {
 	case membership.StoreRecords:
@@ -64,10 +65,10 @@
 	}
 }
 
-// notifyDrains tells the drains that stand after a snapshot, and those that have ended inside it.
+// notifyDrains reports the drains that are active after a snapshot, and the ends of those that the snapshot no longer contains.
 func (g *Group) notifyDrains(now float64, before map[balancer.Server]float64) {
 	for _, server := range slices.Sorted(maps.Keys(before)) {
-		if _, stands := g.State.Drains[server]; !stands {
+		if _, active := g.State.Drains[server]; !active {
 			g.messenger.DrainCommitted(now, membership.Command{Kind: membership.DrainServer, Server: server})
 		}
 	}
@@ -77,10 +78,10 @@
 	}
 }
 
-// notifyRecords tells the records that have changed inside a snapshot.
+// notifyRecords reports the server records that a snapshot has changed.
 func (g *Group) notifyRecords(now float64, before map[balancer.Server]registry.Record) {
 	if g.Lease == nil {
-		return // the coordinator is starting, and reads all records
+		return // the coordinator is starting and will read all records
 	}
 	var changed []registry.Record
 	for _, record := range g.State.ServerRecords() {
@@ -93,11 +94,12 @@
 	}
 }
 
-// Restored implements Handler: it replaces the state by a snapshot, after which anything may have changed.
+// Restored implements Handler. It replaces the state with a snapshot and reports the changes; any drain, record, tenant or owner may have
+// changed.
 func (g *Group) Restored(now float64, _ uint64, snapshot []byte) {
 	drainsBefore := g.State.Drains
 	recordsBefore := g.State.Records
-	if err := g.State.Restore(snapshot); err != nil { // it leaves alone what is configured locally
+	if err := g.State.Restore(snapshot); err != nil { // the local configuration is not replaced
 		g.Stats.Invalid++
 		return
 	}
--- a/internal/consensus/file_storage.go
+++ b/internal/consensus/file_storage.go
@@ -16,15 +16,15 @@
 )
 
 const (
-	fileLockTimeout = time.Second // for another process that has the file open
-	checksumBytes   = 4           // before each record
+	fileLockTimeout = time.Second // how long to wait for another process that has the file open
+	checksumBytes   = 4           // length of the checksum before each record
 )
 
 // Buckets and keys of the file.
 var (
 	logBucket          = []byte("log")  // entries by index
-	singletonBucket    = []byte("one")  // records of which there is one
-	peerDataDirsBucket = []byte("pins") // data directory IDs of other nodes, by number
+	singletonBucket    = []byte("one")  // records that exist once
+	peerDataDirsBucket = []byte("pins") // data directory IDs of other nodes, by node ID
 
 	hardStateKey = []byte("hard")
 	snapshotKey  = []byte("snapshot")
@@ -33,19 +33,21 @@
 )
 
 var (
-	// ErrCorrupt says that a record is not what was written. The node must be replaced: what it has acknowledged is not known.
-	ErrCorrupt = errors.New("consensus: a record is damaged")
-	// ErrWrongOwner says that the data directory belongs to another node.
-	ErrWrongOwner = errors.New("consensus: the folder belongs to another node")
+	// ErrCorrupt reports that a record differs from what was written. The node must be replaced, because it is unknown what it has
+	// acknowledged.
+	ErrCorrupt = errors.New("consensus: corrupt record")
+	// ErrWrongOwner reports that the data directory belongs to another node.
+	ErrWrongOwner = errors.New("consensus: the data directory belongs to another node")
 )
 
-// FileStorage is a Storage in a bbolt file. Every record has a checksum of its own besides those of the store.
+// FileStorage is a Storage in a bbolt file. Every record has its own checksum in addition to those of bbolt.
 type FileStorage struct {
 	db        *bolt.DB
 	dataDirID uint64
 }
 
-// OpenFileStorage opens or creates a node's file. An error wraps ErrCorrupt, ErrWrongOwner or the store's. The caller closes the storage.
+// OpenFileStorage opens or creates a node's file. An error wraps ErrCorrupt, ErrWrongOwner or an error of bbolt. The caller closes the
+// storage.
 func OpenFileStorage(path string, id ID) (*FileStorage, error) {
 	if err := checkNotTruncated(path); err != nil {
 		return nil, err
@@ -61,7 +63,7 @@
 	return f, nil
 }
 
-// initialize creates what is missing in the file, and checks that it belongs to this node.
+// initialize creates missing buckets and records, and checks that the file belongs to this node.
 func (f *FileStorage) initialize(tx *bolt.Tx, id ID) error {
 	for _, name := range [][]byte{logBucket, singletonBucket, peerDataDirsBucket} {
 		if _, err := tx.CreateBucketIfNotExists(name); err != nil {
@@ -71,7 +73,7 @@
 	singletons := tx.Bucket(singletonBucket)
 	owner := encodeUint64(uint64(id))
 	if stored := singletons.Get(ownerKey); stored != nil && !bytes.Equal(stored, owner) {
-		return fmt.Errorf("%w: %x, not %d", ErrWrongOwner, stored, id)
+		return fmt.Errorf("%w: stored owner %x (hex), opened by node %d", ErrWrongOwner, stored, id)
 	}
 	if err := singletons.Put(ownerKey, owner); err != nil {
 		return err
@@ -84,8 +86,8 @@
 	return singletons.Put(dataDirIDKey, encodeUint64(f.dataDirID))
 }
 
-// checkNotTruncated checks that a file that exists has all the pages that its header lists. Guards against a torn file, at whose missing
-// pages the store would fault.
+// checkNotTruncated checks that an existing file contains all the pages that its header lists. Accessing the missing pages of a truncated
+// file would cause a memory fault in bbolt.
 func checkNotTruncated(path string) error {
 	info, err := os.Stat(path)
 	if errors.Is(err, os.ErrNotExist) {
@@ -103,7 +105,7 @@
 	}
 	err = db.View(func(tx *bolt.Tx) error {
 		if tx.Size() > info.Size() {
-			return fmt.Errorf("%w: %s has %d bytes of %d", ErrCorrupt, path, info.Size(), tx.Size())
+			return fmt.Errorf("%w: %s has %d bytes, its header lists %d", ErrCorrupt, path, info.Size(), tx.Size())
 		}
 		return nil
 	})
@@ -126,7 +128,7 @@
 // PeerDataDirs implements Storage.
 func (f *FileStorage) PeerDataDirs() map[ID]uint64 {
 	dirs := map[ID]uint64{}
-	_ = f.db.View(func(tx *bolt.Tx) error { // it fails only after Close
+	_ = f.db.View(func(tx *bolt.Tx) error { // View fails only after Close
 		return tx.Bucket(peerDataDirsBucket).ForEach(func(key, value []byte) error {
 			if len(key) == 8 && len(value) == 8 {
 				dirs[ID(binary.BigEndian.Uint64(key))] = binary.BigEndian.Uint64(value)
@@ -137,7 +139,7 @@
 	return dirs
 }
 
-// Save implements Storage, in one transaction.
+// Save implements Storage. It writes in one transaction.
 func (f *FileStorage) Save(state PersistentState) error {
 	return f.db.Update(func(tx *bolt.Tx) error {
 		log := tx.Bucket(logBucket)
@@ -167,7 +169,7 @@
 	})
 }
 
-// deleteEntries deletes the entries from index first to index last.
+// deleteEntries deletes the entries with indexes from first to last, inclusive.
 func deleteEntries(log *bolt.Bucket, first, last uint64) error {
 	cursor := log.Cursor()
 	for key, _ := cursor.Seek(encodeUint64(first)); key != nil && binary.BigEndian.Uint64(key) <= last; key, _ = cursor.Next() {
@@ -178,7 +180,7 @@
 	return nil
 }
 
-// Load implements Storage. A damaged record, or a log with a gap, is an error that wraps ErrCorrupt.
+// Load implements Storage. If a record is corrupt or the log has a gap, the error wraps ErrCorrupt.
 func (f *FileStorage) Load() (state PersistentState, err error) {
 	err = f.db.View(func(tx *bolt.Tx) error {
 		singletons := tx.Bucket(singletonBucket)
@@ -201,7 +203,7 @@
 	return state, err
 }
 
-// loadEntries reads the log after the entry with index last.
+// loadEntries reads the log entries that follow index last.
 func loadEntries(log *bolt.Bucket, last uint64) (entries []*raftpb.Entry, err error) {
 	err = log.ForEach(func(key, data []byte) error {
 		entry := &raftpb.Entry{}
@@ -209,7 +211,7 @@
 			return err
 		}
 		if entry.GetIndex() != last+1 {
-			return fmt.Errorf("%w: entry %d follows %d", ErrCorrupt, entry.GetIndex(), last)
+			return fmt.Errorf("%w: entry %d follows entry %d", ErrCorrupt, entry.GetIndex(), last)
 		}
 		last = entry.GetIndex()
 		entries = append(entries, entry)
@@ -218,7 +220,7 @@
 	return entries, err
 }
 
-// putRecord writes a record with its checksum.
+// putRecord writes a record, preceded by its checksum.
 func putRecord(bucket *bolt.Bucket, key []byte, record proto.Message) error {
 	data, err := proto.Marshal(record)
 	if err != nil {
@@ -228,13 +230,13 @@
 	return bucket.Put(key, append(checksum, data...))
 }
 
-// readRecord checks and decodes what putRecord wrote.
+// readRecord verifies the checksum of a record written by putRecord, and decodes the record.
 func readRecord(key, data []byte, record proto.Message) error {
 	if len(data) < checksumBytes || crc32.ChecksumIEEE(data[checksumBytes:]) != binary.BigEndian.Uint32(data) {
-		return fmt.Errorf("%w: %x", ErrCorrupt, key)
+		return fmt.Errorf("%w: key %x", ErrCorrupt, key)
 	}
 	return proto.Unmarshal(data[checksumBytes:], record)
 }
 
-// encodeUint64 encodes numbers so that they sort as keys.
+// encodeUint64 encodes a number as a key. Keys sort in numeric order.
 func encodeUint64(number uint64) []byte { return binary.BigEndian.AppendUint64(nil, number) }
--- a/internal/consensus/group.go
+++ b/internal/consensus/group.go
@@ -8,8 +8,8 @@
 	"snowquay/internal/core/tenancy"
 )
 
-// Group is one coordinator's membership of a group that shares a fleet: its consensus node, the state that all agree on, and its lease.
-// It has no I/O of its own. Use NewGroup.
+// Group is one coordinator's membership in a group that shares a fleet: its consensus node, the replicated state, and its lease. It performs
+// no I/O of its own. Use NewGroup.
 type Group struct {
 	Node             *Node
 	State            *membership.State
@@ -21,29 +21,29 @@
 	id           membership.MemberID
 	registration membership.Registration
 	messenger    Messenger
-	unsent       [][]byte // encoded commands that no leader has taken yet, oldest first
+	unsent       [][]byte // encoded commands that were not yet proposed, oldest first
 	leaving      bool     // this coordinator was removed from the group
-	registeredAt float64  // when our registration was proposed last
+	registeredAt float64  // time of the latest proposal of this coordinator's registration
 }
 
-// Messenger sends messages to other coordinators and hears of committed commands.
+// Messenger sends messages to other coordinators and is notified of committed commands.
 type Messenger interface {
-	// Send sends a message to another coordinator. It may be lost.
+	// Send sends a message to another coordinator. The message may be lost.
 	Send(to ID, message []byte)
-	// OwnershipChanged says that proxies may have changed owners. It is called after the state has changed.
+	// OwnershipChanged is called after a state change in which proxies may have changed owners.
 	OwnershipChanged(now float64, s *membership.State)
-	// DrainCommitted says that a drain or its end was committed.
+	// DrainCommitted is called when the start or the end of a drain is committed.
 	DrainCommitted(now float64, c membership.Command)
-	// RecordsCommitted says that records of servers were committed, whichever coordinator proposed them.
+	// RecordsCommitted is called when server records are committed, whichever coordinator proposed them.
 	RecordsCommitted(now float64, records []registry.Record)
-	// OrdersCompleted says which of the orders that were submitted here are accepted, and which are rejected.
+	// OrdersCompleted is called with the tickets of orders submitted to this coordinator that were accepted or rejected.
 	OrdersCompleted(now float64, accepted, rejected []membership.Ticket)
 }
 
-// TenantObserver is implemented by a Messenger that hears of tenants.
+// TenantObserver is implemented by a Messenger that is notified of tenant changes.
 type TenantObserver interface {
-	// TenantChanged says that a change of a tenant was committed. With a ticket it was submitted here, and had that outcome. Without a
-	// name any tenant may have changed.
+	// TenantChanged is called when a change of a tenant is committed. If ticket is not zero, the change was submitted to this coordinator,
+	// and outcome is its outcome. If name is empty, any tenant may have changed.
 	TenantChanged(now float64, name tenancy.Name, ticket membership.Ticket, outcome tenancy.Outcome)
 }
 
@@ -51,33 +51,33 @@
 type GroupConfig struct {
 	ID           membership.MemberID
 	Registration membership.Registration
-	Weight       float64 // of this coordinator's part of the proxies
-	Members      []ID    // the group's first members; none: a running group will add this one
+	Weight       float64 // relative share of the proxies that this coordinator owns
+	Members      []ID    // the group's initial members; if empty, a running group adds this coordinator
 	Seed         uint64  // unique to this process
 	Consensus    Config
 	Lease        membership.LeaseConfig
-	Capacity     tenancy.Capacity // of a host of many tenants
+	Capacity     tenancy.Capacity // capacity of a host of many tenants
 }
 
-// ErrRemoved says that the group has removed this coordinator for good.
-var ErrRemoved = errors.New("consensus: the group has taken this coordinator out")
+// ErrRemoved reports that the group has permanently removed a coordinator.
+var ErrRemoved = errors.New("consensus: the coordinator was removed from the group")
 
-const registerInterval = 1.0 // seconds between two proposals of our registration
+const registerInterval = 1.0 // seconds between two proposals of this coordinator's registration
 
 // GroupStats counts events since the start of the process.
 type GroupStats struct {
-	Applied          int // commands that were committed
+	Applied          int // committed commands
 	Invalid          int // commands that could not be encoded, decoded or applied
 	OwnershipChanges int
-	Restored         int // snapshots
-	Dropped          int // proposals that were given up
-	Confirmed        int // orders that were accepted
-	Rejected         int // orders that were rejected
-	ConfChanges      int // that were proposed
+	Restored         int // restored snapshots
+	Dropped          int // dropped proposals
+	Confirmed        int // accepted orders
+	Rejected         int // rejected orders
+	ConfChanges      int // proposed changes of the consensus configuration
 }
 
-// NewGroup starts a coordinator's membership from its storage, which the caller closes after the last use. The coordinator may give no
-// orders before it has renewed its lease.
+// NewGroup starts a coordinator's membership from its storage, which the caller closes after the last use. The coordinator must not send
+// commands to proxies before it has renewed its lease.
 func NewGroup(now float64, config GroupConfig, storage Storage, messenger Messenger) (*Group, error) {
 	group := &Group{
 		State:            &membership.State{Directory: tenancy.Directory{Capacity: config.Capacity}},
@@ -105,11 +105,11 @@
 	return group, nil
 }
 
-// Step takes a message of another coordinator. Errors are as with Node.Step.
+// Step processes a message from another coordinator. Errors are as in Node.Step.
 func (g *Group) Step(now float64, message []byte) error { return g.Node.Step(now, message) }
 
-// Tick renews the lease, expires those of others and does what else is due. An error is final: the coordinator must give no more orders
-// and end.
+// Tick renews the lease, expires the leases of others, proposes due commands and reports completed orders. An error is final: the
+// coordinator must send no more commands to proxies, and must stop.
 func (g *Group) Tick(now float64) error {
 	if err := g.Node.Tick(now); err != nil {
 		return err
@@ -133,7 +133,7 @@
 	return g.flush(now)
 }
 
-// leave releases the lease of a coordinator that was removed. It keeps voting until the others have removed it from consensus.
+// leave releases the lease of a removed coordinator. The coordinator continues to vote until the others have removed it from consensus.
 func (g *Group) leave(now float64) {
 	if g.leaving {
 		return
@@ -161,7 +161,7 @@
 	}
 }
 
-// proposeConfChange proposes the next change of who takes part in consensus, where this node leads it.
+// proposeConfChange proposes the next change of the consensus configuration if this node is the leader.
 func (g *Group) proposeConfChange(now float64) error {
 	config, ok := g.Node.Config()
 	if !ok {
@@ -173,12 +173,12 @@
 	}
 	g.Stats.ConfChanges++
 	if err := g.Node.ProposeConfChange(now, id, change); err != nil {
-		return g.Node.failed // otherwise the change was dropped, and is proposed again
+		return g.Node.failed // nil if the change was only dropped; it is proposed again
 	}
 	return nil
 }
 
-// Removed tells whether a coordinator was removed from the group and from consensus.
+// Removed reports whether a coordinator was removed from the group and from consensus.
 func (g *Group) Removed(id membership.MemberID) bool {
 	return g.State.Registrations[id].Removed && !g.Node.Includes(ID(id))
 }
@@ -188,5 +188,5 @@
 	return membership.Command{Kind: membership.RegisterMember, MemberID: g.id, Peer: g.registration.Peer, Address: g.registration.Address}
 }
 
-// Registered tells whether the group knows this coordinator under its present address.
+// Registered reports whether this coordinator is registered in the group with its current address.
 func (g *Group) Registered() bool { return g.State.Registrations[g.id] == g.registration }
--- a/internal/consensus/logger.go
+++ b/internal/consensus/logger.go
@@ -2,7 +2,8 @@
 
 import "fmt"
 
-// silentLogger keeps the raft library from writing to standard error. Its panics stay: Node recovers from them.
+// silentLogger discards the raft library's log output, which would go to standard error. Fatal and Panic still panic; Node recovers from
+// these panics.
 type silentLogger struct{}
 
 func (silentLogger) Debug(...any)            {}
--- a/internal/consensus/memory_storage.go
+++ b/internal/consensus/memory_storage.go
@@ -7,10 +7,10 @@
 	"go.etcd.io/raft/v3/raftpb"
 )
 
-// MemoryStorage is a Storage that outlives a node but not the process. The zero value is an empty one.
+// MemoryStorage is a Storage in memory, which outlives a node but not the process. The zero value is an empty storage.
 type MemoryStorage struct {
-	SaveError    error  // that Save returns instead of saving
-	OwnDataDirID uint64 // that DataDirID returns
+	SaveError    error  // if not nil, Save returns it and stores nothing
+	OwnDataDirID uint64 // returned by DataDirID
 
 	saved        PersistentState
 	peerDataDirs map[ID]uint64
@@ -31,7 +31,7 @@
 // PeerDataDirs implements Storage.
 func (m *MemoryStorage) PeerDataDirs() map[ID]uint64 { return maps.Clone(m.peerDataDirs) }
 
-// Copy returns an independent copy of the storage as it is now.
+// Copy returns an independent copy of the storage in its current state.
 func (m *MemoryStorage) Copy() MemoryStorage {
 	c := *m
 	c.saved.Entries = slices.Clone(m.saved.Entries)
--- a/internal/consensus/node.go
+++ b/internal/consensus/node.go
@@ -1,9 +1,9 @@
-// Package consensus replicates commands among coordinators by etcd's raft library.
+// Package consensus replicates commands among coordinators with etcd's raft library.
 //
-// A Node has no I/O of its own: messages, ticks and proposals come in, messages and committed commands go out through its Handler, and what
-// must be durable is saved through its Storage before anything follows from it. Elections are timed by the node's own seeded random
-// numbers, so a run in virtual time follows from its seed. A Group joins a Node with the state and lease of one coordinator. Times are
-// seconds. Nothing here is safe for concurrent use.
+// A Node performs no I/O of its own. Its caller passes in messages, ticks and proposals; the Node passes outgoing messages and committed
+// commands to its Handler. Durable state is saved through its Storage before any message or command that depends on it is passed on.
+// Elections are timed by the node's own seeded random numbers, so that a run in virtual time is reproducible from its seed. A Group combines
+// a Node with the state and lease of one coordinator. Times are in seconds. The types of this package are not safe for concurrent use.
 package consensus
 
 import (
@@ -19,29 +19,29 @@
 	"snowquay/internal/core/random"
 )
 
-// ID is a node's number. Numbers are never used twice in a group: a node with an emptied data directory needs a new one.
+// ID identifies a node. IDs are never reused in a group: a node whose data directory was emptied needs a new ID.
 type ID uint64
 
-// Handler receives what a Node sends and commits.
+// Handler receives the outgoing messages, committed commands and snapshots of a Node.
 type Handler interface {
-	// Send sends a message to another node. It may be lost.
+	// Send sends a message to another node. The message may be lost.
 	Send(to ID, message []byte)
-	// Committed receives each committed command once, in the order of the log.
+	// Committed is called once for each committed command, in log order.
 	Committed(now float64, index uint64, command []byte)
-	// Restored receives a snapshot that stands for all commands up to an index.
+	// Restored is called with a snapshot that replaces all commands up to an index.
 	Restored(now float64, index uint64, snapshot []byte)
 }
 
-// Config configures the consensus of a group. Times are seconds.
+// Config configures the consensus of a group. Times are in seconds.
 type Config struct {
-	HeartbeatInterval float64 // between two heartbeats of a leader
-	ElectionTimeout   float64 // the least time without a heartbeat after which a node calls an election; the most is twice that
-	SnapshotEntries   uint64  // log entries after which a snapshot replaces them
-	TrailingEntries   uint64  // log entries before a snapshot that are kept for nodes that are a little behind
-	MaxMessageBytes   int     // of log entries in one message
+	HeartbeatInterval float64 // time between two heartbeats of a leader
+	ElectionTimeout   float64 // minimum time without a heartbeat before a node starts an election; the maximum is twice that
+	SnapshotEntries   uint64  // number of log entries after which a snapshot replaces them
+	TrailingEntries   uint64  // number of log entries before a snapshot that are retained for nodes that are slightly behind
+	MaxMessageBytes   int     // maximum size of the log entries in one message
 }
 
-// DefaultConfig is what settings start from.
+// DefaultConfig is the default configuration, which settings override.
 var DefaultConfig = Config{
 	HeartbeatInterval: 0.1,
 	ElectionTimeout:   0.5, // five heartbeats
@@ -51,31 +51,31 @@
 }
 
 const (
-	maxInflightMessages    = 64      // to one node that has not acknowledged them
-	maxUncommittedMessages = 16      // of Config.MaxMessageBytes each; further proposals are dropped
-	disabledElectionTicks  = 1 << 30 // the library's own election timer, whose random numbers are not seeded, never fires
+	maxInflightMessages    = 64      // unacknowledged messages to one node
+	maxUncommittedMessages = 16      // uncommitted entries, in units of Config.MaxMessageBytes; further proposals are dropped
+	disabledElectionTicks  = 1 << 30 // never reached: disables the library's election timer, whose random numbers are not seeded
 )
 
 var (
-	// ErrStorage says that the node's storage failed. It is final for the node.
-	ErrStorage = errors.New("consensus: the disk failed")
-	// ErrInvalidMessage says that a message of another node was rejected; it changed nothing.
-	ErrInvalidMessage = errors.New("consensus: message not read")
-	// ErrLogTruncated says that the node's log lacks what the node had acknowledged: its data directory is an old copy, or damaged. It is
-	// final for the node.
-	ErrLogTruncated = errors.New("consensus: the log lacks what this node has confirmed")
-	// ErrNoLeader says that a proposal was dropped, for example because no leader is known.
+	// ErrStorage reports that the node's storage failed. It is final for the node.
+	ErrStorage = errors.New("consensus: storage failed")
+	// ErrInvalidMessage reports that a message from another node was rejected and had no effect.
+	ErrInvalidMessage = errors.New("consensus: invalid message")
+	// ErrLogTruncated reports that the node's log lacks entries that the node has acknowledged: its data directory is an old copy, or
+	// damaged. It is final for the node.
+	ErrLogTruncated = errors.New("consensus: the log lacks entries that this node has acknowledged")
+	// ErrNoLeader reports that a proposal was dropped, for example because no leader is known.
 	ErrNoLeader = errors.New("consensus: no leader is known")
 )
 
-// NodeConfig is what a Node consists of.
+// NodeConfig configures a Node and provides its storage, handler and state machine.
 type NodeConfig struct {
 	ID       ID
-	Members  []ID                   // the group's first members; none: the node waits until a running group adds it
-	Seed     uint64                 // of the random numbers that time elections
-	Storage  Storage                // owned by the caller, who closes it after the node's last use
-	Handler  Handler                // receives messages and commands
-	Snapshot func() ([]byte, error) // encodes the state machine's present state
+	Members  []ID                   // the group's initial members; if empty, the node waits until a running group adds it
+	Seed     uint64                 // seed of the random election timeouts
+	Storage  Storage                // owned by the caller, which closes it after the last use of the node
+	Handler  Handler                // receives messages, commands and snapshots
+	Snapshot func() ([]byte, error) // encodes the current state of the state machine
 	Config   Config
 }
 
@@ -83,35 +83,36 @@
 type Node struct {
 	id          ID
 	raw         *raft.RawNode
-	log         *raft.MemoryStorage // what the library reads; Storage has the durable copy
+	log         *raft.MemoryStorage // the log as the library reads it; storage has the durable copy
 	storage     Storage
 	handler     Handler
 	config      Config
-	stateImage  func() ([]byte, error)
+	encodeState func() ([]byte, error)
 	random      random.LCG
 	electionAt  float64
 	heartbeatAt float64
 	confState   *raftpb.ConfState
 
-	applied         uint64 // index of the newest entry that was handed out
+	applied         uint64 // index of the newest entry that was passed to the handler
 	snapshotIndex   uint64
-	snapshotDue     bool   // however short the log is
-	confChangeIndex uint64 // of the configuration change that was proposed last; 0 once it is applied
+	snapshotDue     bool   // create a snapshot regardless of the log's length
+	confChangeIndex uint64 // index of the configuration change that was proposed last; 0 after it is applied
 	failed          error  // a final error
 }
 
-// NewNode starts a node from its storage; before it returns, the handler receives the snapshot and the committed commands there. With an
-// empty storage the node is one of the group's first members, if it has any. An error wraps ErrStorage or the raft library's.
+// NewNode starts a node from its storage. Before it returns, it passes the stored snapshot and the stored committed commands to the handler.
+// If the storage is empty and config lists the group's initial members, the node starts as one of them. An error wraps ErrStorage or an
+// error of the raft library.
 func NewNode(now float64, config NodeConfig) (*Node, error) {
 	node := &Node{
-		id:         config.ID,
-		log:        raft.NewMemoryStorage(),
-		storage:    config.Storage,
-		handler:    config.Handler,
-		config:     config.Config,
-		stateImage: config.Snapshot,
-		random:     random.NewLCG(config.Seed + uint64(config.ID)),
-		confState:  &raftpb.ConfState{},
+		id:          config.ID,
+		log:         raft.NewMemoryStorage(),
+		storage:     config.Storage,
+		handler:     config.Handler,
+		config:      config.Config,
+		encodeState: config.Snapshot,
+		random:      random.NewLCG(config.Seed + uint64(config.ID)),
+		confState:   &raftpb.ConfState{},
 	}
 	saved, err := node.loadOrBootstrap(config.Members)
 	if err != nil {
@@ -140,7 +141,7 @@
 	return node, node.processReady(now)
 }
 
-// loadOrBootstrap returns what is stored. In an empty storage it first saves the start of a group of these members.
+// loadOrBootstrap returns the stored state. If the storage is empty, it first saves the initial state of a group with these members.
 func (n *Node) loadOrBootstrap(members []ID) (PersistentState, error) {
 	saved, err := n.storage.Load()
 	if err != nil {
@@ -165,7 +166,7 @@
 	return saved, nil
 }
 
-// restore makes what is stored the node's log, and hands a snapshot out.
+// restore adds saved state to the node's log, and passes a snapshot to the handler.
 func (n *Node) restore(now float64, saved PersistentState) error {
 	if saved.Snapshot != nil {
 		if err := n.applySnapshot(now, saved.Snapshot); err != nil {
@@ -181,30 +182,30 @@
 	return nil
 }
 
-// postponeElection draws the time of the next election that this node calls if it does not hear from a leader before.
+// postponeElection sets a random time at which this node starts an election unless it receives a message from a leader before then.
 func (n *Node) postponeElection(now float64) {
 	n.electionAt = now + n.config.ElectionTimeout*(1+n.random.Float24())
 }
 
-// IsLeader tells whether the node regards itself as the leader. A leader that is cut off does so until it hears otherwise: nothing but
-// committed commands may follow from it.
+// IsLeader reports whether the node considers itself the leader. A partitioned leader does so until it learns otherwise, so only committed
+// commands may have effects.
 func (n *Node) IsLeader() bool { return n.raw.BasicStatus().RaftState == raft.StateLeader }
 
-// Leader returns the node that this one regards as the leader, or 0.
+// Leader returns the ID of the node that this node considers the leader, or 0.
 func (n *Node) Leader() ID { return ID(n.raw.BasicStatus().Lead) }
 
-// AppliedIndex returns the index of the newest command that was handed out.
+// AppliedIndex returns the index of the newest log entry that the node has applied.
 func (n *Node) AppliedIndex() uint64 { return n.applied }
 
-// CommitIndex returns the index up to which the node knows, durably, that entries are committed.
+// CommitIndex returns the index up to which the node durably knows that log entries are committed.
 func (n *Node) CommitIndex() uint64 { return n.raw.BasicStatus().GetCommit() }
 
-// Includes tells whether a node takes part in consensus, as far as this one knows.
+// Includes reports whether a node is a voter or learner, as far as this node knows.
 func (n *Node) Includes(id ID) bool {
 	return slices.Contains(n.confState.GetVoters(), uint64(id)) || slices.Contains(n.confState.GetLearners(), uint64(id))
 }
 
-// Config returns who takes part, as the leader knows it; ok is false on other nodes.
+// Config returns the consensus configuration as known to the leader; ok is false on other nodes.
 func (n *Node) Config() (config membership.ConsensusConfig, ok bool) {
 	if !n.IsLeader() || n.failed != nil {
 		return config, false
@@ -225,8 +226,8 @@
 	return config, true
 }
 
-// Tick does what is due by time: heartbeats of a leader, elections of the others. It has to be called several times in a heartbeat
-// interval. An error is final for the node.
+// Tick performs the work that is due: it sends heartbeats if the node is the leader, and otherwise starts elections. It must be called
+// several times per heartbeat interval. An error is final for the node.
 func (n *Node) Tick(now float64) (err error) {
 	if n.failed != nil {
 		return n.failed
@@ -248,7 +249,8 @@
 	return n.processReady(now)
 }
 
-// Step takes a message of another node. An error that wraps ErrInvalidMessage concerns the message only; any other is final for the node.
+// Step processes a message from another node. An error that wraps ErrInvalidMessage concerns only the message; any other error is final for
+// the node.
 func (n *Node) Step(now float64, data []byte) (err error) {
 	if n.failed != nil {
 		return n.failed
@@ -259,11 +261,11 @@
 		return fmt.Errorf("%w: %w", ErrInvalidMessage, err)
 	}
 	if ID(message.GetTo()) != n.id || message.GetFrom() == 0 {
-		return fmt.Errorf("%w: from %d to %d", ErrInvalidMessage, message.GetFrom(), message.GetTo())
+		return fmt.Errorf("%w: sender %d, receiver %d", ErrInvalidMessage, message.GetFrom(), message.GetTo())
 	}
 	switch message.GetType() {
 	case raftpb.MessageType_MsgApp, raftpb.MessageType_MsgHeartbeat, raftpb.MessageType_MsgSnap:
-		if message.GetTerm() >= n.raw.BasicStatus().GetTerm() { // not from a former leader that was paused
+		if message.GetTerm() >= n.raw.BasicStatus().GetTerm() { // ignore a former leader that was paused
 			n.postponeElection(now)
 		}
 	}
@@ -273,8 +275,9 @@
 	return n.processReady(now)
 }
 
-// Propose proposes a command to the group. It may be lost, and may be committed even if an error is returned; a proposer that needs it
-// committed proposes it again until it is. An error that wraps ErrNoLeader concerns this proposal only; any other is final for the node.
+// Propose proposes a command to the group. The command may be lost, and may be committed even if an error is returned; a proposer that needs
+// it committed must repeat the proposal until it is. An error that wraps ErrNoLeader concerns only this proposal; any other error is final
+// for the node.
 func (n *Node) Propose(now float64, command []byte) (err error) {
 	if n.failed != nil {
 		return n.failed
@@ -286,7 +289,7 @@
 	return n.processReady(now)
 }
 
-// ProposeConfChange proposes one change of who takes part. Errors are as with Propose.
+// ProposeConfChange proposes one change of the consensus configuration. Errors are as in Propose.
 func (n *Node) ProposeConfChange(now float64, id membership.MemberID, change membership.ConfChange) (err error) {
 	if n.failed != nil {
 		return n.failed
@@ -303,13 +306,13 @@
 	if err := n.raw.ProposeConfChange(&raftpb.ConfChangeV2{Changes: []*raftpb.ConfChangeSingle{single}}); err != nil {
 		return fmt.Errorf("%w: %w", ErrNoLeader, err)
 	}
-	last, _ := n.log.LastIndex() // the library's memory storage returns no error
+	last, _ := n.log.LastIndex() // raft.MemoryStorage never returns an error here
 	n.confChangeIndex = last + 1
 	return n.processReady(now)
 }
 
-// recoverPanic turns a panic of the library into a final error. It panics where the log lacks what the node has acknowledged, which an
-// old copy of a data directory brings about: nothing may follow from such a log.
+// recoverPanic turns a panic of the raft library into a final error. The library panics if the log lacks entries that the node has
+// acknowledged, which happens if the data directory is an old copy. Such a log must not have any effects.
 func (n *Node) recoverPanic(err *error) {
 	if cause := recover(); cause != nil {
 		n.failed = fmt.Errorf("%w: %v", ErrLogTruncated, cause)
--- a/internal/consensus/propose.go
+++ b/internal/consensus/propose.go
@@ -9,14 +9,14 @@
 )
 
 const (
-	maxUnsent         = 256 // commands that wait for a leader; the oldest are dropped, and their proposers propose again
-	recordsPerCommand = 128 // some 30 KB: a change of members must not wait behind a megabyte
+	maxUnsent         = 256 // commands that wait for a leader; beyond this the oldest are dropped and proposed again by their proposers
+	recordsPerCommand = 128 // about 30 KB, so that a membership change does not wait behind a megabyte of records
 )
 
-// Propose hands a command to the group, with the next tick or as soon as a leader is known. It may be lost.
+// Propose queues a command, which is proposed with the next tick or as soon as a leader is known. The command may be lost.
 func (g *Group) Propose(_ float64, command membership.Command) {
 	data, err := command.Encode()
-	if err != nil { // it has a number that is not finite, and would be rejected
+	if err != nil { // the command contains a non-finite number and would be rejected
 		g.Stats.Invalid++
 		return
 	}
@@ -27,8 +27,8 @@
 	g.unsent = append(g.unsent, data)
 }
 
-// flush hands unsent commands to the leader, if one is known. A renewal that waited for long does no harm: its lease counts from when it
-// was proposed. An error is final for the node.
+// flush proposes unsent commands if a leader is known. A lease renewal that was queued for a long time is harmless: its lease is counted from
+// the time of the proposal. An error is final for the node.
 func (g *Group) flush(now float64) error {
 	for len(g.unsent) > 0 && g.Node.Leader() != 0 {
 		command := g.unsent[0]
@@ -43,15 +43,16 @@
 	return g.Node.failed
 }
 
-// StoreRecords makes records outlive this coordinator. They count when they are committed; RecordsStored tells.
+// StoreRecords replicates records so that they outlive this coordinator. They take effect when they are committed, which RecordsStored
+// reports.
 func (g *Group) StoreRecords(now float64, records []registry.Record) {
 	for batch := range slices.Chunk(records, recordsPerCommand) {
 		g.Propose(now, membership.Command{Kind: membership.StoreRecords, Records: batch})
 	}
-	_ = g.flush(now) // the next tick returns its error, too
+	_ = g.flush(now) // the next tick returns the same error
 }
 
-// RecordsStored tells whether records are committed as they were handed to StoreRecords, or with an earlier start of a drain.
+// RecordsStored reports whether records are committed as passed to StoreRecords, or with an earlier start of a drain.
 func (g *Group) RecordsStored(records []registry.Record) bool {
 	for _, record := range records {
 		stored, ok := g.State.Records[record.Server]
@@ -67,8 +68,8 @@
 	return g.SubmitOrder(now, membership.Command{Kind: membership.DrainServer, Server: server, Draining: on})
 }
 
-// SubmitOrder makes an order known to the whole group. Messenger.OrdersCompleted names its ticket when that has succeeded or failed. ok is
-// false where too many orders are pending.
+// SubmitOrder replicates an order to the whole group. Messenger.OrdersCompleted reports its ticket when the order is accepted or rejected. ok
+// is false if too many orders are pending.
 func (g *Group) SubmitOrder(now float64, order membership.Command) (ticket membership.Ticket, ok bool) {
 	ticket, ok = g.PendingOrders.Submit(now, order)
 	if !ok {
@@ -77,11 +78,11 @@
 	for _, command := range g.PendingOrders.DueCommands(now) {
 		g.Propose(now, command)
 	}
-	_ = g.flush(now) // the next tick returns its error, too
+	_ = g.flush(now) // the next tick returns the same error
 	return ticket, true
 }
 
-// ReleaseLease gives this coordinator's lease up, so that the others take its proxies over at once. An error is final for the node.
+// ReleaseLease releases this coordinator's lease, so that the others take over its proxies at once. An error is final for the node.
 func (g *Group) ReleaseLease(now float64) error {
 	g.Propose(now, g.Lease.Release())
 	return g.flush(now)
--- a/internal/consensus/ready.go
+++ b/internal/consensus/ready.go
@@ -9,7 +9,7 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// processReady saves, sends and hands out what the library has ready, in that order.
+// processReady processes the library's pending output: it saves state, then sends messages, then applies committed entries.
 func (n *Node) processReady(now float64) error {
 	for n.raw.HasReady() {
 		ready := n.raw.Ready()
@@ -19,7 +19,7 @@
 		}
 		n.sendMessages(ready.Messages)
 		for _, entry := range ready.CommittedEntries {
-			if err := n.commit(now, entry); err != nil {
+			if err := n.applyEntry(now, entry); err != nil {
 				n.failed = err
 				return err
 			}
@@ -29,7 +29,7 @@
 	return n.compact()
 }
 
-// saveReady makes entries, votes and snapshots durable, then adds them to the log.
+// saveReady makes entries, votes and snapshots durable, and then adds them to the in-memory log.
 func (n *Node) saveReady(now float64, ready raft.Ready) error {
 	unsaved := PersistentState{HardState: ready.HardState, Entries: ready.Entries}
 	if !raft.IsEmptySnap(ready.Snapshot) {
@@ -49,12 +49,12 @@
 			n.handler.Send(ID(message.GetTo()), data)
 		}
 		if message.GetType() == raftpb.MessageType_MsgSnap {
-			n.raw.ReportSnapshot(message.GetTo(), raft.SnapshotFinish) // if it is lost, the answer to the next heartbeat shows it
+			n.raw.ReportSnapshot(message.GetTo(), raft.SnapshotFinish) // if the snapshot is lost, the response to the next heartbeat reveals it
 		}
 	}
 }
 
-// applySnapshot makes a snapshot the start of the log and hands it out.
+// applySnapshot makes a snapshot the start of the log and passes it to the handler.
 func (n *Node) applySnapshot(now float64, snapshot *raftpb.Snapshot) error {
 	if err := n.log.ApplySnapshot(snapshot); err != nil {
 		return err
@@ -65,13 +65,13 @@
 	}
 	n.applied = metadata.GetIndex()
 	n.snapshotIndex = metadata.GetIndex()
-	if len(snapshot.GetData()) > 0 { // the one by which a group starts is empty
+	if len(snapshot.GetData()) > 0 { // the initial snapshot of a new group is empty
 		n.handler.Restored(now, n.applied, snapshot.GetData())
 	}
 	return nil
 }
 
-func (n *Node) commit(now float64, entry *raftpb.Entry) error {
+func (n *Node) applyEntry(now float64, entry *raftpb.Entry) error {
 	n.applied = entry.GetIndex()
 	if entry.GetType() != raftpb.EntryType_EntryNormal {
 		var change raftpb.ConfChangeV2
@@ -89,17 +89,17 @@
 	return nil
 }
 
-// compact replaces the log by a snapshot when it is long or a snapshot is due.
+// compact replaces the log with a snapshot if the log is long or a snapshot is due.
 func (n *Node) compact() error {
 	if n.applied-n.snapshotIndex < n.config.SnapshotEntries && !n.snapshotDue {
 		return nil
 	}
 	n.snapshotDue = false
-	image, err := n.stateImage()
+	state, err := n.encodeState()
 	if err != nil {
 		return err
 	}
-	snapshot, err := n.log.CreateSnapshot(n.applied, n.confState, image)
+	snapshot, err := n.log.CreateSnapshot(n.applied, n.confState, state)
 	if err != nil {
 		return err
 	}
