--- a/internal/consensus/benchmark_test.go
+++ b/internal/consensus/benchmark_test.go
@@ -13,7 +13,7 @@
 	"snowquay/internal/core/registry"
 )
 
-// countingStorage counts what is saved.
+// countingStorage counts the saves and the saved bytes.
 type countingStorage struct {
 	*FileStorage
 	saves int
@@ -49,7 +49,7 @@
 	return records
 }
 
-// How much a group without faults writes, and how long a restart takes with a number of servers.
+// BenchmarkRecovery measures how much a group without faults writes, and how long a restart takes, for several numbers of servers.
 func BenchmarkRecovery(b *testing.B) {
 	for _, servers := range []int{300, 1000, 5000} {
 		b.Run(fmt.Sprint(servers, "-servers"), func(b *testing.B) { benchmarkRecovery(b, servers) })
@@ -57,8 +57,8 @@
 }
 
 func benchmarkRecovery(b *testing.B, servers int) {
-	const calmSeconds = 600
-	const calmStep = 0.05
+	const idleSeconds = 600
+	const idleStep = 0.05
 	node := newCluster(b, 1, 3).nodes[1]
 	path := filepath.Join(b.TempDir(), "log.db")
 	storage := &countingStorage{FileStorage: openTestStorage(b, path)}
@@ -67,19 +67,19 @@
 	group.StoreRecords(node.clock(), benchmarkRecords(servers))
 	storage.saves = 0
 	storage.bytes = 0
-	tick(b, node, group, calmSeconds/calmStep, calmStep)
+	tick(b, node, group, idleSeconds/idleStep, idleStep)
 	snapshot, err := group.State.Snapshot()
 	if err != nil || len(group.State.Records) != servers {
 		b.Fatal(err, len(group.State.Records))
 	}
-	megabytesPerDay := float64(storage.bytes) / calmSeconds * 86400 / 1e6
-	savesPerSecond := float64(storage.saves) / calmSeconds
+	megabytesPerDay := float64(storage.bytes) / idleSeconds * 86400 / 1e6
+	savesPerSecond := float64(storage.saves) / idleSeconds
 	for b.Loop() {
 		closeTestStorage(b, storage.FileStorage)
 		storage = &countingStorage{FileStorage: openTestStorage(b, path)}
 		group = newTestGroup(b, node, storage, DefaultConfig)
 		if len(group.State.Records) != servers {
-			b.Fatal("it has not recovered")
+			b.Fatal("the records were not recovered")
 		}
 	}
 	b.ReportMetric(megabytesPerDay, "MB/day")
--- a/internal/consensus/cluster_test.go
+++ b/internal/consensus/cluster_test.go
@@ -18,7 +18,7 @@
 
 const stepSeconds = 0.01
 
-// proxyUIDs are the proxies whose owners a cluster checks.
+// proxyUIDs lists the proxies whose owners a cluster checks.
 var proxyUIDs = func() (all []string) {
 	for i := range 24 {
 		all = append(all, fmt.Sprint("relay-", i))
@@ -26,7 +26,8 @@
 	return all
 }()
 
-// cluster is a group in virtual time. Each coordinator has a clock with a rate of its own, and may be paused, killed and partitioned.
+// cluster simulates a group in virtual time. Each coordinator's clock runs at its own rate; coordinators can be paused, killed and
+// partitioned.
 type cluster struct {
 	t                  testing.TB
 	now                float64
@@ -38,14 +39,14 @@
 	partitioned        map[link]bool
 	pauseGuardDisabled bool
 	leaseConfig        membership.LeaseConfig
-	capacity           tenancy.Capacity // of each node, for tenants
+	capacity           tenancy.Capacity // tenant capacity of each node
 
-	conflict       string  // the first proxy that two coordinators owned at a time
-	unownedFor     float64 // seconds for which some proxy has had no owner
+	conflict       string  // describes the first proxy that two coordinators owned at the same time
+	unownedFor     float64 // seconds since all proxies last had an owner
 	longestUnowned float64
 }
 
-// link is one direction between two nodes.
+// link is the connection between two nodes in one direction.
 type link struct{ from, to ID }
 
 type message struct {
@@ -73,7 +74,7 @@
 	return c
 }
 
-// run lets time pass.
+// run advances the virtual time.
 func (c *cluster) run(seconds float64) {
 	for end := c.now + seconds; c.now < end; c.now += stepSeconds {
 		c.deliver()
@@ -83,14 +84,14 @@
 				continue
 			}
 			if err := node.group.Tick(node.clock()); err != nil {
-				node.kill() // it must give no more orders
+				node.kill() // it must send no more commands to proxies
 			}
 		}
 		c.checkOwners()
 	}
 }
 
-// deliver delivers the messages that are due.
+// deliver delivers messages whose delivery time has come. Messages to paused nodes wait.
 func (c *cluster) deliver() {
 	slices.SortStableFunc(c.inTransit, func(a, b message) int { return cmp.Compare(a.deliverAt, b.deliverAt) })
 	messages := c.inTransit
@@ -103,7 +104,7 @@
 			later = append(later, m)
 		case node == nil || node.group == nil:
 			continue
-		case node.group.Removed(membership.MemberID(m.from)): // the transport tells the sender, which then ends
+		case node.group.Removed(membership.MemberID(m.from)): // the transport rejects the sender, which then stops
 			c.nodes[m.from].kill()
 		case !c.partitioned[link{m.from, m.to}]:
 			if err := node.group.Step(node.clock(), m.data); errors.Is(err, ErrStorage) {
@@ -114,8 +115,8 @@
 	c.inTransit = append(later, c.inTransit...)
 }
 
-// checkOwners checks that no proxy has two owners. A paused process gives no orders while it is paused, and checks its lease first when
-// it goes on; so it counts only while it is not paused.
+// checkOwners checks that no proxy has two owners. Paused processes are not counted: they send no commands while paused, and check their
+// lease first when they resume.
 func (c *cluster) checkOwners() {
 	owned := 0
 	for _, uid := range proxyUIDs {
@@ -128,7 +129,7 @@
 		}
 		owned += min(len(owners), 1)
 		if len(owners) > 1 && c.conflict == "" {
-			c.conflict = fmt.Sprintf("at %.2f %v lead %s", c.now, owners, uid)
+			c.conflict = fmt.Sprintf("at %.2f %v all own %s", c.now, owners, uid)
 			c.logNodes()
 		}
 	}
@@ -143,7 +144,7 @@
 	for _, id := range c.members {
 		node := c.nodes[id]
 		if node.group == nil {
-			c.t.Logf("%d has ended", id)
+			c.t.Logf("%d is down", id)
 			continue
 		}
 		snapshot, _ := node.group.State.Snapshot()
@@ -153,7 +154,7 @@
 	}
 }
 
-// injectFault does one bad thing to the group. Nodes that were killed before may start again.
+// injectFault injects one random fault. Nodes that are down may restart.
 func (c *cluster) injectFault() {
 	victim := c.nodes[c.members[c.random.IntN(len(c.members))]]
 	switch c.random.IntN(6) {
@@ -170,7 +171,7 @@
 			c.partitioned[link{victim.id, id}] = true
 			c.partitioned[link{id, victim.id}] = true
 		}
-	case 4: // flapping
+	case 4: // restart
 		if victim.group == nil {
 			victim.start()
 		}
@@ -185,7 +186,7 @@
 	}
 }
 
-// heal ends all faults.
+// heal ends all faults and starts the nodes that are down.
 func (c *cluster) heal() {
 	clear(c.partitioned)
 	c.lossRate = 0.01
@@ -206,13 +207,13 @@
 	storage        *MemoryStorage
 	group          *Group
 	pausedUntil    float64
-	initialMembers []ID // the group's first members, as its settings list them
+	initialMembers []ID // the group's initial members, as listed in its settings
 	accepted       []membership.Ticket
 	rejected       []membership.Ticket
-	outcomes       map[membership.Ticket]tenancy.Outcome // of changes of tenants that were submitted here
-	drains         map[balancer.Server]bool              // as this process was told
-	records        map[balancer.Server]registry.Record   // as this process was told
-	startRecords   map[balancer.Server]registry.Record   // that it read when it started
+	outcomes       map[membership.Ticket]tenancy.Outcome // outcomes of tenant changes that were submitted to this node
+	drains         map[balancer.Server]bool              // as reported to this process
+	records        map[balancer.Server]registry.Record   // as reported to this process
+	startRecords   map[balancer.Server]registry.Record   // records in the state when the process started
 }
 
 func (n *testNode) start() {
@@ -233,7 +234,7 @@
 	}
 	n.group = group
 	n.startRecords = maps.Clone(group.State.Records)
-	n.accepted = nil // tickets of the former process
+	n.accepted = nil // discard the tickets of the previous process
 	n.rejected = nil
 	n.outcomes = map[membership.Ticket]tenancy.Outcome{}
 	if n.cluster.pauseGuardDisabled {
--- a/internal/consensus/confchange_test.go
+++ b/internal/consensus/confchange_test.go
@@ -7,7 +7,7 @@
 	"snowquay/internal/core/membership"
 )
 
-// join starts a coordinator that a running group has to add; another one proposes its registration, as the transport does for it.
+// join starts a coordinator that the running group must add. Coordinator by proposes its registration, as the transport would.
 func (c *cluster) join(id, by ID) *testNode {
 	node := &testNode{cluster: c, id: id, clockRate: 1, storage: &MemoryStorage{OwnDataDirID: uint64(id) * 7}}
 	c.nodes[id] = node
@@ -17,7 +17,7 @@
 	return node
 }
 
-// remove lets a coordinator propose the removal of one.
+// remove lets coordinator by propose the removal of another one.
 func (c *cluster) remove(id, by ID) {
 	c.propose(by, membership.Command{Kind: membership.RemoveRegistration, MemberID: membership.MemberID(id)})
 }
@@ -26,7 +26,7 @@
 	c.nodes[by].group.Propose(c.nodes[by].clock(), command)
 }
 
-// voters returns the number of voters as a leader knows it.
+// voters returns the number of voters as known to the leader.
 func (c *cluster) voters(t *testing.T) int {
 	t.Helper()
 	for _, id := range c.members {
@@ -43,7 +43,8 @@
 	return 0
 }
 
-// One coordinator is lost for good and replaced under a new number; a group of three goes on through it and through the loss of another.
+// One coordinator of three is lost permanently and replaced by one with a new ID. The group remains available during the replacement and
+// after the loss of a second coordinator.
 func TestLostCoordinatorIsReplaced(t *testing.T) {
 	c := newCluster(t, 3, 4)
 	c.heal()
@@ -51,29 +52,29 @@
 	c.nodes[3].kill()
 	c.run(5)
 	c.remove(3, 1)
-	newcomer := c.join(4, 1)
+	replacement := c.join(4, 1)
 	c.run(8)
-	alive := newcomer.group.State.AliveMembers()
-	if voters := c.voters(t); voters != 3 || c.unownedFor > 0 || len(alive) != 3 || !newcomer.holdsLease() {
-		t.Fatalf("%d voters, living %v, unled for %.1f s", voters, alive, c.unownedFor)
+	alive := replacement.group.State.AliveMembers()
+	if voters := c.voters(t); voters != 3 || c.unownedFor > 0 || len(alive) != 3 || !replacement.holdsLease() {
+		t.Fatalf("%d voters, alive %v, some proxies had no owner for %.1f s", voters, alive, c.unownedFor)
 	}
-	c.nodes[1].kill() // a majority of the new three is left
+	c.nodes[1].kill() // a majority of the three new members remains
 	if c.run(9); c.unownedFor > 0 || c.conflict != "" {
-		t.Errorf("unled for %.1f s, %s", c.unownedFor, c.conflict)
+		t.Errorf("some proxies had no owner for %.1f s, %s", c.unownedFor, c.conflict)
 	}
-	c.nodes[3].start() // the lost one turns up again, with all that it had
+	c.nodes[3].start() // the lost coordinator returns with its old storage
 	if c.run(9); c.nodes[3].holdsLease() || c.conflict != "" {
-		t.Error("one that was removed leads again")
+		t.Error("a removed coordinator holds a lease again")
 	}
-	invalid := newcomer.group.Stats.Invalid
-	c.remove(3, 4) // again
+	invalid := replacement.group.Stats.Invalid
+	c.remove(3, 4) // a second time
 	c.run(2)
-	if newcomer.group.Stats.Invalid == invalid {
-		t.Error("a number that is gone was removed again")
+	if replacement.group.Stats.Invalid == invalid {
+		t.Error("a removed ID was removed a second time")
 	}
 }
 
-// A coordinator that is running is removed: it stops by itself, and the others take its proxies over.
+// A removed coordinator that is still running stops by itself, and the others take over its proxies.
 func TestRunningCoordinatorIsRemoved(t *testing.T) {
 	c := newCluster(t, 5, 6)
 	c.heal()
@@ -81,14 +82,14 @@
 	leader := c.nodes[1].group.Node.Leader()
 	c.remove(leader, leader)
 	if c.run(8); c.nodes[leader].holdsLease() {
-		t.Error("it goes on")
+		t.Error("the removed coordinator still holds its lease")
 	}
 	if voters := c.voters(t); voters != 4 || c.unownedFor > 0 || c.conflict != "" {
-		t.Errorf("%d voters, unled for %.1f s, %s", voters, c.unownedFor, c.conflict)
+		t.Errorf("%d voters, some proxies had no owner for %.1f s, %s", voters, c.unownedFor, c.conflict)
 	}
 }
 
-// Members are added and removed while others die, pause and are partitioned: no proxy ever has two owners.
+// No proxy ever has two owners while members are added and removed, and others are killed, paused and partitioned.
 func TestMembersChangeDuringFaults(t *testing.T) {
 	for seed := range max(10, *seeds/3) {
 		c := newCluster(t, 3, 100+seed)
@@ -115,12 +116,13 @@
 			t.Errorf("seed %d: %s", seed, c.conflict)
 		}
 		if c.unownedFor > 0 {
-			t.Errorf("seed %d: some proxies are led by nobody after 20 s of calm, %d voters", seed, c.voters(t))
+			t.Errorf("seed %d: some proxies have no owner 20 s after the last fault, %d voters", seed, c.voters(t))
 		}
 	}
 }
 
-// A data directory that was restored from an old copy lacks what its node had acknowledged: the node ends instead of going on without.
+// A data directory that was restored from an old copy lacks entries that its node has acknowledged. The node must stop instead of continuing
+// without them.
 func TestOldCopyOfStorageEndsNode(t *testing.T) {
 	c := newCluster(t, 3, 8)
 	c.heal()
@@ -135,13 +137,13 @@
 	victim.storage = &old
 	victim.start()
 	if err := c.runUntilError(victim, 300); !errors.Is(err, ErrLogTruncated) {
-		t.Errorf("it goes on with a log that lacks what it had confirmed: %v", err)
+		t.Errorf("the node continues with a log that lacks entries it has acknowledged: %v", err)
 	}
 }
 
-// runUntilError plays a number of steps without faults, and returns the first error of one node.
+// runUntilError runs a number of steps without faults, and returns the first error of the watched node.
 func (c *cluster) runUntilError(watched *testNode, steps int) (failed error) {
-	note := func(node *testNode, err error) {
+	recordError := func(node *testNode, err error) {
 		if node == watched && failed == nil {
 			failed = err
 		}
@@ -153,13 +155,13 @@
 		for _, m := range messages {
 			node := c.nodes[m.to]
 			if node.group != nil && m.deliverAt <= c.now {
-				note(node, node.group.Step(node.clock(), m.data))
+				recordError(node, node.group.Step(node.clock(), m.data))
 			}
 		}
 		for _, id := range c.members {
 			node := c.nodes[id]
 			if node.group != nil && (node != watched || failed == nil) {
-				note(node, node.group.Tick(node.clock()))
+				recordError(node, node.group.Tick(node.clock()))
 			}
 		}
 	}
--- a/internal/consensus/file_storage_test.go
+++ b/internal/consensus/file_storage_test.go
@@ -26,13 +26,13 @@
 	}
 }
 
-// The parts share one file, in this order.
+// The subtests share one file and depend on their order.
 func TestFileStorage(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "log.db")
 	t.Run("survives a restart", func(t *testing.T) { testFileSurvivesRestart(t, path) })
 	t.Run("belongs to one node", func(t *testing.T) {
 		if _, err := OpenFileStorage(path, 2); !errors.Is(err, ErrWrongOwner) {
-			t.Errorf("another node's folder: %v", err)
+			t.Errorf("opened the data directory of another node: %v", err)
 		}
 	})
 	t.Run("rejects a truncated file", func(t *testing.T) { testTruncatedFiles(t, path) })
@@ -77,7 +77,7 @@
 			closeTestStorage(t, f)
 		}
 		if err == nil && length < len(content)/2 {
-			t.Errorf("%d of %d bytes are taken for a store", length, len(content))
+			t.Errorf("a file truncated to %d of %d bytes was accepted", length, len(content))
 		}
 	}
 }
@@ -95,6 +95,6 @@
 		t.Fatal(err)
 	}
 	if _, err := f.Load(); !errors.Is(err, ErrCorrupt) {
-		t.Errorf("a flipped bit: %v", err)
+		t.Errorf("loaded a record with a flipped bit: %v", err)
 	}
 }
--- a/internal/consensus/golden_test.go
+++ b/internal/consensus/golden_test.go
@@ -47,7 +47,7 @@
 		if err := f.SavePeerDataDir(2, 0x22); err != nil {
 			t.Fatal(err)
 		}
-		// The mark of a new file is drawn by chance.
+		// The data directory ID of a new file is random, so it is replaced by a fixed one.
 		if err := f.db.Update(func(tx *bolt.Tx) error {
 			return tx.Bucket(singletonBucket).Put(dataDirIDKey, binary.BigEndian.AppendUint64(nil, goldenDataDirID))
 		}); err != nil {
@@ -95,6 +95,6 @@
 		}
 	}
 	if f.DataDirID() != goldenDataDirID || !maps.Equal(f.PeerDataDirs(), map[ID]uint64{2: 0x22}) {
-		t.Errorf("mark %x, pins %v", f.DataDirID(), f.PeerDataDirs())
+		t.Errorf("data directory ID %x, IDs of peers %v", f.DataDirID(), f.PeerDataDirs())
 	}
 }
--- a/internal/consensus/group_test.go
+++ b/internal/consensus/group_test.go
@@ -11,9 +11,9 @@
 	"snowquay/internal/core/registry"
 )
 
-var seeds = flag.Uint64("seeds", 30, "days of coordinators that share a fleet")
+var seeds = flag.Uint64("seeds", 30, "number of simulated runs of a group with faults")
 
-// runWithFaults plays some minutes of faults, and then some seconds without.
+// runWithFaults simulates a group with a sequence of random faults, and then 12 seconds without faults.
 func runWithFaults(t testing.TB, seed uint64, pauseGuardDisabled bool) *cluster {
 	c := newCluster(t, 3+2*int(seed%2), seed)
 	c.pauseGuardDisabled = pauseGuardDisabled
@@ -28,16 +28,16 @@
 	return c
 }
 
-// Whatever dies, pauses, is partitioned or comes back: no proxy ever has two owners, all coordinators agree, and in the end all proxies
-// have an owner.
-func TestNeverTwoOwners(t *testing.T) {
+// While coordinators are killed, paused, partitioned and restarted, no proxy ever has two owners and all coordinators have the same state.
+// After the faults, all proxies have an owner.
+func TestProxyNeverHasTwoOwners(t *testing.T) {
 	for seed := range *seeds {
 		c := runWithFaults(t, seed, false)
 		if c.conflict != "" {
 			t.Errorf("seed %d: %s", seed, c.conflict)
 		}
 		if c.unownedFor > 0 {
-			t.Errorf("seed %d: some proxies are led by nobody after 12 s of calm", seed)
+			t.Errorf("seed %d: some proxies have no owner 12 s after the last fault", seed)
 		}
 		first := c.nodes[1].group
 		want, _ := first.State.Snapshot()
@@ -45,22 +45,23 @@
 			group := c.nodes[id].group
 			got, _ := group.State.Snapshot()
 			if group.Node.AppliedIndex() == first.Node.AppliedIndex() && string(got) != string(want) {
-				t.Errorf("seed %d: %d knows another state:\n%s\n%s", seed, id, got, want)
+				t.Errorf("seed %d: %d has a different state:\n%s\n%s", seed, id, got, want)
 			}
 		}
 	}
 }
 
-// Without the pause guard, a lease ignores that time has passed.
-func TestLeaseWithoutPauseGuardIsCaught(t *testing.T) {
-	caught := 0
+// Without the pause guard, a process that resumes after a pause uses a lease that has expired. The simulated runs must detect the resulting
+// proxies with two owners.
+func TestLeaseWithoutPauseGuardIsDetected(t *testing.T) {
+	detected := 0
 	for seed := range uint64(10) {
 		if runWithFaults(t, seed, true).conflict != "" {
-			caught++
+			detected++
 		}
 	}
-	if caught == 0 {
-		t.Error("a lease that ignores pauses was not caught in 10 days")
+	if detected == 0 {
+		t.Error("a lease that ignores pauses was not detected in 10 runs")
 	}
 }
 
@@ -69,7 +70,7 @@
 	c.heal()
 	c.run(6)
 	if c.unownedFor > 0 {
-		t.Fatal("proxies are led by nobody at the start")
+		t.Fatal("some proxies have no owner after the start")
 	}
 	drain := []registry.Record{{ServerConfig: registry.ServerConfig{Server: "a"}, Phase: balancer.Draining, NotifiedAt: 77, DrainOrdered: true}}
 	c.nodes[2].group.StoreRecords(c.nodes[2].clock(), drain)
@@ -79,7 +80,7 @@
 	c.longestUnowned = 0
 	c.run(8)
 	if c.longestUnowned > 5 || c.longestUnowned < 2 || c.unownedFor > 0 {
-		t.Errorf("some proxies were led by nobody for %.1f s", c.longestUnowned)
+		t.Errorf("some proxies had no owner for %.1f s", c.longestUnowned)
 	}
 	for _, id := range c.members {
 		group := c.nodes[id].group
@@ -95,10 +96,10 @@
 	c.run(1)
 	other.kill()
 	if c.run(3); c.longestUnowned > 0.5 {
-		t.Errorf("a takeover from one that released its lease took %.2f s", c.longestUnowned)
+		t.Errorf("the takeover from a coordinator that released its lease took %.2f s", c.longestUnowned)
 	}
 	if c.run(5); c.unownedFor == 0 {
-		t.Error("one of three goes on leading: without a majority nobody may")
+		t.Error("one coordinator of three still owns proxies without a majority")
 	}
 }
 
@@ -109,27 +110,27 @@
 	c.nodes[1].storage.SaveError = errors.New("disk full")
 	c.run(6)
 	if c.nodes[1].group != nil {
-		t.Error("it goes on though it can't save")
+		t.Error("the node continues although it cannot save")
 	}
 	c.nodes[1].storage.SaveError = nil
 	c.heal()
 	c.run(8)
 	if c.unownedFor > 0 || c.conflict != "" {
-		t.Errorf("after its return: unled for %.1f s, %s", c.unownedFor, c.conflict)
+		t.Errorf("after the restart: some proxies had no owner for %.1f s, %s", c.unownedFor, c.conflict)
 	}
 }
 
-// A drain is accepted when every living coordinator knows it, and rejected when no majority can be reached.
+// A drain is accepted once every coordinator with a valid lease has applied it, and rejected if no majority can be reached.
 func TestDrainsAreAcceptedOrRejected(t *testing.T) {
 	c := newCluster(t, 3, 9)
 	c.heal()
 	c.run(6)
 	node := c.nodes[1]
 	first, _ := node.group.Drain(node.clock(), "a", true)
-	c.nodes[2].pausedUntil = c.now + 2 // it holds its lease for longer: the drain must wait for it
+	c.nodes[2].pausedUntil = c.now + 2 // its lease remains valid for longer, so the drain must wait for it
 	c.run(1)
 	if len(node.accepted) != 0 {
-		t.Error("it was accepted though one that holds its lease does not know it")
+		t.Error("the drain was accepted although a coordinator with a valid lease has not applied it")
 	}
 	if c.run(2); len(node.accepted) != 1 || node.accepted[0] != first {
 		t.Errorf("accepted %v", node.accepted)
@@ -138,7 +139,7 @@
 	c.run(0.1)
 	second, _ := node.group.Drain(node.clock(), "b", true)
 	if c.run(5); len(node.accepted) != 2 || node.accepted[1] != second {
-		t.Errorf("after a death: accepted %v", node.accepted)
+		t.Errorf("after a coordinator was killed: accepted %v", node.accepted)
 	}
 	c.nodes[3].kill()
 	third, _ := node.group.Drain(node.clock(), "c", true)
@@ -147,9 +148,9 @@
 	}
 }
 
-// One coordinator flaps every second, and then another one has to take over while it catches up with more than the log keeps, so that it
-// needs a snapshot: all proxies have an owner again soon, and never two.
-func TestFlappingAndCatchingUp(t *testing.T) {
+// One coordinator is killed or restarted every second. Then another coordinator, which lags by more entries than the log retains and so needs
+// a snapshot, must catch up and take over. Proxies soon have an owner again, and never two.
+func TestFlappingMemberAndTakeoverAfterSnapshot(t *testing.T) {
 	c := newCluster(t, 3, 12)
 	c.heal()
 	c.run(6)
@@ -164,11 +165,11 @@
 	}
 	c.heal()
 	if c.run(6); c.longestUnowned > 5 || c.unownedFor > 0 || c.conflict != "" {
-		t.Errorf("flapping: some proxies led by nobody for %.1f s, %s", c.longestUnowned, c.conflict)
+		t.Errorf("flapping: some proxies had no owner for %.1f s, %s", c.longestUnowned, c.conflict)
 	}
-	late := c.nodes[c.members[2]]
-	c.partitioned[link{first.id, late.id}] = true
-	c.partitioned[link{c.members[1], late.id}] = true
+	lagging := c.nodes[c.members[2]]
+	c.partitioned[link{first.id, lagging.id}] = true
+	c.partitioned[link{c.members[1], lagging.id}] = true
 	for i := range 300 {
 		server := registry.ServerConfig{Server: balancer.Server(fmt.Sprint(i))}
 		first.group.StoreRecords(first.clock(), []registry.Record{{ServerConfig: server}})
@@ -178,13 +179,13 @@
 	first.kill()
 	c.longestUnowned = 0
 	c.run(9)
-	records := len(late.group.State.Records)
-	if c.longestUnowned > 6 || c.unownedFor > 0 || c.conflict != "" || records < 280 { // some are lost on the way
-		t.Errorf("catching up: led by nobody for %.1f s, %s, %d records", c.longestUnowned, c.conflict, records)
+	records := len(lagging.group.State.Records)
+	if c.longestUnowned > 6 || c.unownedFor > 0 || c.conflict != "" || records < 280 { // some proposals are lost in transit
+		t.Errorf("catching up: some proxies had no owner for %.1f s, %s, %d records", c.longestUnowned, c.conflict, records)
 	}
 }
 
-// newTestGroup starts node's group with storage and a fixed seed, outside of the cluster's time.
+// newTestGroup starts a group with node as its only member, a given storage and a fixed seed. The cluster's run does not drive it.
 func newTestGroup(t testing.TB, node *testNode, storage Storage, config Config) *Group {
 	t.Helper()
 	group, err := NewGroup(node.clock(), GroupConfig{
@@ -202,7 +203,7 @@
 	return group
 }
 
-// tick lets a group that is not driven by the cluster run for a number of steps of a length in seconds.
+// tick advances the virtual time by a number of steps and ticks a group that the cluster's run does not drive.
 func tick(t testing.TB, node *testNode, group *Group, steps int, seconds float64) {
 	t.Helper()
 	for range steps {
--- a/internal/consensus/history_test.go
+++ b/internal/consensus/history_test.go
@@ -11,14 +11,14 @@
 	"snowquay/internal/core/membership"
 )
 
-// order is an order of a coordinator to a proxy.
+// order is a command that a coordinator sends to a proxy.
 type order struct {
 	uid   string
 	by    membership.Peer
 	epoch membership.Epoch
 }
 
-// orderModel accepts the histories of orders to one proxy in which epochs do not fall and each epoch has one coordinator.
+// orderModel accepts histories of orders to one proxy in which epochs never decrease and each epoch has only one coordinator.
 var orderModel = porcupine.Model{
 	Partition: partitionBy(func(input any) string { return input.(order).uid }),
 	Init:      func() any { return order{} },
@@ -30,14 +30,14 @@
 	Equal: func(a, b any) bool { return a == b },
 }
 
-// drainOperation is a drain that a client submits or, with read, what a coordinator that holds its lease knows of it.
+// drainOperation is the submission of a drain by a client or, if read is set, a read of the drain from a coordinator with a valid lease.
 type drainOperation struct {
 	server balancer.Server
 	read   bool
 }
 
-// drainModel accepts the histories of drains in which an accepted drain is known from then on. All drains are of different servers and
-// none ends.
+// drainModel accepts histories in which every read after the acceptance of a drain returns it. Each drain is of a different server, and no
+// drain ends.
 var drainModel = porcupine.Model{
 	Partition: partitionBy(func(input any) string { return string(input.(drainOperation).server) }),
 	Init:      func() any { return false },
@@ -50,7 +50,7 @@
 	Equal: func(a, b any) bool { return a == b },
 }
 
-// partitionBy divides a history into those of each key.
+// partitionBy splits a history into one history per key.
 func partitionBy(key func(input any) string) func([]porcupine.Operation) [][]porcupine.Operation {
 	return func(history []porcupine.Operation) (parts [][]porcupine.Operation) {
 		partOf := map[string]int{}
@@ -68,24 +68,25 @@
 	}
 }
 
-// plantedFaults are faults of the program itself, which the histories have to show.
-type plantedFaults struct {
+// injectedDefects are defects of the program itself, which the histories must reveal.
+type injectedDefects struct {
 	pauseGuardDisabled bool // leases ignore pauses
-	epochUnchecked     bool // proxies follow orders of an older epoch
-	drainUnreplicated  bool // drains are accepted by the coordinator that they were submitted to, alone
+	epochUnchecked     bool // proxies apply orders of an older epoch
+	drainUnreplicated  bool // drains are accepted without replication by the coordinator that received them
 }
 
-// history plays a cluster with faults and records who gave which orders, which of them proxies followed, and what was known of drains.
+// history runs a cluster with faults and records which coordinator sent which orders, which orders proxies applied, and the submissions and
+// reads of drains.
 type history struct {
 	*cluster
-	planted        plantedFaults
-	ordersGiven    []porcupine.Operation
-	ordersFollowed []porcupine.Operation
-	drainsKnown    []porcupine.Operation
-	newestEpoch    map[string]membership.Epoch // that each proxy has followed
-	inFlight       []inFlightOrder
-	submissions    []*drainSubmission
-	missedDrain    string // a lease holder that did not know of an accepted drain
+	defects         injectedDefects
+	ordersSent      []porcupine.Operation
+	ordersApplied   []porcupine.Operation
+	drainOperations []porcupine.Operation
+	newestEpoch     map[string]membership.Epoch // newest epoch that each proxy has applied
+	inFlight        []inFlightOrder
+	submissions     []*drainSubmission
+	missedDrain     string // describes the first lease holder that did not know an accepted drain
 }
 
 type inFlightOrder struct {
@@ -99,11 +100,11 @@
 	group       *Group
 	ticket      membership.Ticket
 	submittedAt float64
-	acceptedAt  float64 // 0: not yet
-	lost        bool    // the process that it was submitted to has ended
+	acceptedAt  float64 // 0 if not accepted yet
+	lost        bool    // the process that received the drain has ended
 }
 
-const microsecondsPerSecond = 1e6 // operations are timed in whole microseconds
+const microsecondsPerSecond = 1e6 // porcupine's operation times are integers; they are in whole microseconds
 
 func (h *history) record(to *[]porcupine.Operation, input, output any, call, end float64) {
 	*to = append(*to, porcupine.Operation{
@@ -114,42 +115,42 @@
 	})
 }
 
-// giveOrders lets each coordinator that may do so give orders to some proxies. Between the check of its lease and the sending of the
-// order it may be paused.
-func (h *history) giveOrders() {
+// sendOrders sends orders to some proxies from each coordinator whose lease permits it. A coordinator may be paused between the check of its
+// lease and the sending of the order.
+func (h *history) sendOrders() {
 	for _, id := range h.members {
 		node := h.nodes[id]
 		for _, uid := range proxyUIDs[:6] {
 			if node.group == nil || node.paused() || h.random.Float64() > 0.03 || !node.group.Lease.Owns(node.clock(), node.group.State, uid) {
 				continue
 			}
-			given := order{uid: uid, by: node.name(), epoch: node.group.State.Epoch}
-			h.record(&h.ordersGiven, given, nil, h.now, h.now)
+			sent := order{uid: uid, by: node.name(), epoch: node.group.State.Epoch}
+			h.record(&h.ordersSent, sent, nil, h.now, h.now)
 			if h.random.Float64() < 0.003 {
 				node.pausedUntil = h.now + 10*h.random.Float64()
 			}
 			arrivesAt := max(h.now, node.pausedUntil) + 0.02*h.random.Float64()
-			h.inFlight = append(h.inFlight, inFlightOrder{order: given, arrivesAt: arrivesAt})
+			h.inFlight = append(h.inFlight, inFlightOrder{order: sent, arrivesAt: arrivesAt})
 		}
 	}
 }
 
-// followOrders lets proxies follow the orders that arrive.
-func (h *history) followOrders() {
+// applyOrders applies the orders that arrive at proxies.
+func (h *history) applyOrders() {
 	remaining := h.inFlight[:0]
 	for _, o := range h.inFlight {
 		switch {
 		case o.arrivesAt > h.now:
 			remaining = append(remaining, o)
-		case h.planted.epochUnchecked || o.epoch >= h.newestEpoch[o.uid]:
+		case h.defects.epochUnchecked || o.epoch >= h.newestEpoch[o.uid]:
 			h.newestEpoch[o.uid] = o.epoch
-			h.record(&h.ordersFollowed, o.order, nil, h.now, h.now) // it takes effect when the proxy follows it
+			h.record(&h.ordersApplied, o.order, nil, h.now, h.now) // it takes effect when the proxy applies it
 		}
 	}
 	h.inFlight = remaining
 }
 
-// submitDrain lets a client submit a drain to some coordinator now and then.
+// submitDrain occasionally submits a drain to a random coordinator.
 func (h *history) submitDrain() {
 	if h.random.Float64() >= 0.02 {
 		return
@@ -160,7 +161,7 @@
 	}
 	submission := &drainSubmission{server: balancer.Server(fmt.Sprint("s", len(h.submissions))), node: node, group: node.group, submittedAt: h.now}
 	h.submissions = append(h.submissions, submission)
-	if !h.planted.drainUnreplicated {
+	if !h.defects.drainUnreplicated {
 		submission.ticket, _ = node.group.Drain(node.clock(), submission.server, true)
 		return
 	}
@@ -171,8 +172,8 @@
 	node.group.State.Drains[submission.server] = h.now
 }
 
-// noteAcceptedDrains notes which drains were accepted since.
-func (h *history) noteAcceptedDrains() {
+// recordAcceptedDrains marks submissions that were accepted, or whose process has ended, since the last call.
+func (h *history) recordAcceptedDrains() {
 	for _, submission := range h.submissions {
 		if submission.acceptedAt > 0 || submission.lost {
 			continue
@@ -186,7 +187,7 @@
 	}
 }
 
-// readDrains records what coordinators that hold their lease know of the latest drains.
+// readDrains records reads of the latest drains from coordinators with a valid lease.
 func (h *history) readDrains() {
 	for _, id := range h.members {
 		node := h.nodes[id]
@@ -196,49 +197,50 @@
 		since := min(h.now, (node.group.Lease.RenewedAt()-1000)/node.clockRate)
 		for _, submission := range h.submissions[max(0, len(h.submissions)-8):] {
 			_, known := node.group.State.Drains[submission.server]
-			h.record(&h.drainsKnown, drainOperation{server: submission.server, read: true}, known, since, h.now)
+			h.record(&h.drainOperations, drainOperation{server: submission.server, read: true}, known, since, h.now)
 			if submission.acceptedAt > 0 && !known && h.missedDrain == "" {
-				h.missedDrain = fmt.Sprintf("at %.2f %s does not know of %s, which was accepted at %.2f", h.now, node.name(), submission.server, submission.acceptedAt)
+				h.missedDrain = fmt.Sprintf("at %.2f %s does not know the drain of %s, which was accepted at %.2f",
+					h.now, node.name(), submission.server, submission.acceptedAt)
 			}
 		}
 	}
 }
 
-// play lets a number of steps pass.
-func (h *history) play(steps int, seconds float64) {
+// advance runs the cluster and its clients for a number of steps.
+func (h *history) advance(steps int, seconds float64) {
 	for range steps {
 		h.run(seconds)
-		h.giveOrders()
-		h.followOrders()
+		h.sendOrders()
+		h.applyOrders()
 		h.submitDrain()
-		h.noteAcceptedDrains()
+		h.recordAcceptedDrains()
 		h.readDrains()
 	}
 }
 
-func playHistory(t testing.TB, seed uint64, planted plantedFaults) *history {
+func runHistory(t testing.TB, seed uint64, defects injectedDefects) *history {
 	t.Helper()
-	h := &history{cluster: newCluster(t, 3+2*int(seed%2), seed), planted: planted, newestEpoch: map[string]membership.Epoch{}}
-	h.pauseGuardDisabled = planted.pauseGuardDisabled
+	h := &history{cluster: newCluster(t, 3+2*int(seed%2), seed), defects: defects, newestEpoch: map[string]membership.Epoch{}}
+	h.pauseGuardDisabled = defects.pauseGuardDisabled
 	h.heal()
 	h.run(6)
 	for range 15 {
 		h.injectFault()
-		h.play(60, stepSeconds*3)
+		h.advance(60, stepSeconds*3)
 	}
 	h.heal()
-	h.play(200, stepSeconds*5)
+	h.advance(200, stepSeconds*5)
 	for _, submission := range h.submissions {
 		end := submission.acceptedAt
 		if end == 0 {
-			end = h.now + 1 // it may have taken effect at any time, or not
+			end = h.now + 1 // it may have taken effect at any time, or not at all
 		}
-		h.record(&h.drainsKnown, drainOperation{server: submission.server}, nil, submission.submittedAt, end)
+		h.record(&h.drainOperations, drainOperation{server: submission.server}, nil, submission.submittedAt, end)
 	}
 	return h
 }
 
-// check says which of the histories are not linearizable.
+// check returns an error that names the histories that are not linearizable.
 func (h *history) check() error {
 	var errs []error
 	for _, c := range []struct {
@@ -246,9 +248,9 @@
 		model      porcupine.Model
 		operations []porcupine.Operation
 	}{
-		{"given", orderModel, h.ordersGiven},
-		{"followed", orderModel, h.ordersFollowed},
-		{"drains", drainModel, h.drainsKnown},
+		{"sent orders", orderModel, h.ordersSent},
+		{"applied orders", orderModel, h.ordersApplied},
+		{"drains", drainModel, h.drainOperations},
 	} {
 		if !porcupine.CheckOperations(c.model, c.operations) {
 			errs = append(errs, errors.New(c.name))
@@ -260,42 +262,42 @@
 	return errors.Join(errs...)
 }
 
-// Histories of orders that were given, of orders that proxies followed, and of drains are linearizable, whatever dies, pauses, is
-// partitioned, or pauses between the check of its lease and its order.
+// The histories of sent orders, of orders that proxies applied, and of drains are linearizable while coordinators are killed, paused and
+// partitioned, including pauses between the check of a lease and the sending of an order.
 func TestHistoriesAreLinearizable(t *testing.T) {
-	followed := 0
+	applied := 0
 	accepted := 0
 	for seed := range min(*seeds, 12) {
-		h := playHistory(t, seed, plantedFaults{})
+		h := runHistory(t, seed, injectedDefects{})
 		if err := h.check(); err != nil {
 			t.Errorf("seed %d: %v", seed, err)
 		}
-		followed += len(h.ordersFollowed)
+		applied += len(h.ordersApplied)
 		for _, submission := range h.submissions {
 			if submission.acceptedAt > 0 {
 				accepted++
 			}
 		}
 	}
-	if followed < 1000 || accepted < 50 {
-		t.Errorf("%d orders followed, %d drains accepted: too few to say anything", followed, accepted)
+	if applied < 1000 || accepted < 50 {
+		t.Errorf("%d orders applied, %d drains accepted: too few for a meaningful check", applied, accepted)
 	}
 }
 
-// Each fault that is planted shows in the histories.
-func TestPlantedFaultsAreCaught(t *testing.T) {
-	for name, planted := range map[string]plantedFaults{
+// Each injected defect must be detected in the histories of one of 10 runs.
+func TestInjectedDefectsAreDetected(t *testing.T) {
+	for name, defects := range map[string]injectedDefects{
 		"a lease that ignores pauses":    {pauseGuardDisabled: true},
 		"an epoch that is not checked":   {epochUnchecked: true},
 		"a drain that is not replicated": {drainUnreplicated: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			for seed := range uint64(10) {
-				if playHistory(t, seed, planted).check() != nil {
+				if runHistory(t, seed, defects).check() != nil {
 					return
 				}
 			}
-			t.Error("it is not caught in 10 days")
+			t.Error("the defect was not detected in 10 runs")
 		})
 	}
 }
--- a/internal/consensus/propose_panic_test.go
+++ b/internal/consensus/propose_panic_test.go
@@ -6,13 +6,13 @@
 	"snowquay/internal/core/membership"
 )
 
-// panickingMessenger panics when it hears of a drain.
+// panickingMessenger panics when it is notified of a drain.
 type panickingMessenger struct{ *testNode }
 
-func (panickingMessenger) DrainCommitted(float64, membership.Command) { panic("planted") }
+func (panickingMessenger) DrainCommitted(float64, membership.Command) { panic("injected panic") }
 
-// A panic below a proposal is the end of the node, as one below a message or a tick is, and not of the caller.
-func TestPanicBelowProposalEndsNode(t *testing.T) {
+// A panic while a proposal is processed must end the node and not the caller, like a panic during a message or a tick.
+func TestPanicDuringProposalEndsNode(t *testing.T) {
 	c := newCluster(t, 1, 1)
 	node := c.nodes[1]
 	group, err := NewGroup(node.clock(), GroupConfig{
@@ -30,6 +30,6 @@
 	tick(t, node, group, 300, 0.01)
 	group.Drain(node.clock(), "a", true)
 	if err := group.Tick(node.clock()); err == nil {
-		t.Error("the node goes on after a panic")
+		t.Error("the node continues after a panic")
 	}
 }
--- a/internal/consensus/repeated_order_test.go
+++ b/internal/consensus/repeated_order_test.go
@@ -6,7 +6,7 @@
 	"snowquay/internal/core/membership"
 )
 
-// A drain that is committed a second time, after its end, is not told again: it does not stand.
+// A drain whose command is committed a second time after the drain has ended is not reported again, because it is not active.
 func TestRepeatedDrainIsNotToldAgain(t *testing.T) {
 	c := newCluster(t, 1, 1)
 	c.heal()
@@ -22,6 +22,6 @@
 		node.group.Committed(node.clock(), 0, data)
 	}
 	if len(node.group.State.Drains) != 0 || len(node.drains) != 0 {
-		t.Errorf("the drains %v stand, told were %v", node.group.State.Drains, node.drains)
+		t.Errorf("active drains %v, reported drains %v", node.group.State.Drains, node.drains)
 	}
 }
--- a/internal/consensus/restored_test.go
+++ b/internal/consensus/restored_test.go
@@ -7,7 +7,7 @@
 	"snowquay/internal/core/tenancy"
 )
 
-// A host that takes a snapshot of its group goes on admitting tenants up to its own capacity.
+// A host that restores a snapshot of its group must keep its own tenant capacity, which is configured locally and not replicated.
 func TestSnapshotLeavesTheHostsCapacity(t *testing.T) {
 	c := newCluster(t, 1, 1)
 	node := c.nodes[1]
--- a/internal/consensus/snapshot_orders_test.go
+++ b/internal/consensus/snapshot_orders_test.go
@@ -12,7 +12,7 @@
 	"snowquay/internal/core/tenancy"
 )
 
-// tenantChange is a command on a tenant with settings that are not read here.
+// tenantChange returns a command for a tenant, with placeholder settings that these tests do not parse.
 func tenantChange(kind tenancy.CommandKind, name tenancy.Name, id uint64) *tenancy.Command {
 	command := &tenancy.Command{Kind: kind, Name: name, ID: id, Fingerprint: id}
 	if kind != tenancy.Remove {
@@ -22,24 +22,24 @@
 	return command
 }
 
-// submitTenant submits a change of a tenant at a node.
+// submitTenant submits a tenant change to a node.
 func submitTenant(t *testing.T, node *testNode, command *tenancy.Command) membership.Ticket {
 	t.Helper()
 	ticket, ok := node.group.SubmitOrder(node.clock(), membership.Command{Kind: membership.ChangeTenant, Tenant: command})
 	if !ok {
-		t.Fatal("the change was not taken")
+		t.Fatal("the change was not accepted for submission")
 	}
 	return ticket
 }
 
-// deafen lets a node send, but not receive, until clear(c.partitioned).
-func (c *cluster) deafen(deaf ID) {
+// blockIncoming drops all messages to a node, which can still send, until clear(c.partitioned).
+func (c *cluster) blockIncoming(receiver ID) {
 	for _, id := range c.members {
-		c.partitioned[link{id, deaf}] = true
+		c.partitioned[link{id, receiver}] = true
 	}
 }
 
-// compactLog makes more entries than the log keeps, so that a node that has missed them needs a snapshot.
+// compactLog commits more entries than the log retains, so that a node that has missed them needs a snapshot.
 func (c *cluster) compactLog(by *testNode) {
 	for i := range 280 {
 		server := registry.ServerConfig{Server: balancer.Server(fmt.Sprint("filler-", i))}
@@ -48,8 +48,8 @@
 	}
 }
 
-// A change whose outcome was decided in a part of the log that its host has only as a snapshot is answered with that outcome,
-// or as not agreed on where the group does not remember it; it is never confirmed as something that it was not.
+// A host may receive the part of the log that decides a tenant change only as a snapshot. The change must then be answered with the decided
+// outcome, or rejected if the group has not stored the outcome. It must never be confirmed with a wrong outcome.
 func TestChangeDecidedInsideSnapshot(t *testing.T) {
 	for _, test := range []struct {
 		name      string
@@ -69,34 +69,34 @@
 			c.lossRate = 0
 			c.run(6)
 			leader := c.nodes[c.nodes[1].group.Node.Leader()]
-			late := c.nodes[c.members[int(leader.id)%3]]
+			lagging := c.nodes[c.members[int(leader.id)%3]]
 			submitTenant(t, leader, tenantChange(tenancy.Create, "a", 70))
 			c.run(2)
-			c.deafen(late.id)
-			ticket := submitTenant(t, late, test.command)
+			c.blockIncoming(lagging.id)
+			ticket := submitTenant(t, lagging, test.command)
 			c.run(0.3)
-			before := late.group.Stats.Restored
+			before := lagging.group.Stats.Restored
 			c.compactLog(leader)
 			submitTenant(t, leader, tenantChange(tenancy.Create, "d", 73))
 			c.run(0.2)
 			clear(c.partitioned)
 			c.run(6)
-			if late.group.Stats.Restored == before {
-				t.Fatal("the host has taken no snapshot")
+			if lagging.group.Stats.Restored == before {
+				t.Fatal("the host has restored no snapshot")
 			}
-			confirmed := slices.Contains(late.accepted, ticket)
-			if confirmed == slices.Contains(late.rejected, ticket) {
-				t.Fatalf("accepted %v, rejected %v: not answered once", late.accepted, late.rejected)
+			confirmed := slices.Contains(lagging.accepted, ticket)
+			if confirmed == slices.Contains(lagging.rejected, ticket) {
+				t.Fatalf("the change was not answered exactly once: accepted %v, rejected %v", lagging.accepted, lagging.rejected)
 			}
 			if confirmed != test.confirmed {
-				t.Errorf("confirmed: %t", confirmed)
+				t.Errorf("unexpected confirmation: %t", confirmed)
 			}
-			remembered, _ := leader.group.State.Directory.Find(test.command.ID)
-			if confirmed && late.outcomes[ticket] != remembered {
-				t.Errorf("its outcome is %+v, decided was %+v", late.outcomes[ticket], remembered)
+			decided, _ := leader.group.State.Directory.Find(test.command.ID)
+			if confirmed && lagging.outcomes[ticket] != decided {
+				t.Errorf("the reported outcome is %+v, the decided outcome is %+v", lagging.outcomes[ticket], decided)
 			}
-			if confirmed && errors.Is(late.outcomes[ticket].Err(), tenancy.ErrExists) {
-				t.Error("it is told the outcome of another change")
+			if confirmed && errors.Is(lagging.outcomes[ticket].Err(), tenancy.ErrExists) {
+				t.Error("the reported outcome belongs to another change")
 			}
 		})
 	}
--- a/internal/consensus/snapshot_random_test.go
+++ b/internal/consensus/snapshot_random_test.go
@@ -14,29 +14,30 @@
 	"snowquay/internal/core/tenancy"
 )
 
-var snapshotSeeds = flag.Uint64("snapshot-seeds", 12, "runs in which coordinators take snapshots while orders go on")
+var snapshotSeeds = flag.Uint64("snapshot-seeds", 12,
+	"number of simulated runs in which coordinators restore snapshots while orders are submitted")
 
-// snapshotRun is a run in which coordinators are away until the log is compacted, while callers give orders.
+// snapshotRun is a simulated run in which coordinators are unavailable until the log is compacted, while callers submit orders.
 type snapshotRun struct {
 	*cluster
-	draw       *rand.Rand
-	calls      []*orderCall
-	lastID     uint64
-	lastServer int
+	orderRandom *rand.Rand
+	calls       []*orderCall
+	lastID      uint64
+	lastServer  int
 }
 
-// orderCall is an order and who waits for its outcome.
+// orderCall is a submitted order and the process that reports its outcome.
 type orderCall struct {
 	node   *testNode
-	group  *Group // the process that took it
+	group  *Group // the process that received the order
 	ticket membership.Ticket
 	tenant *tenancy.Command // nil for a drain
 	server balancer.Server
 }
 
-// submit gives an order to a random coordinator that runs.
+// submit submits an order to a random coordinator, unless that coordinator is down.
 func (r *snapshotRun) submit(tenant *tenancy.Command, server balancer.Server, draining bool) {
-	node := r.nodes[r.members[r.draw.IntN(len(r.members))]]
+	node := r.nodes[r.members[r.orderRandom.IntN(len(r.members))]]
 	if node.group == nil {
 		return
 	}
@@ -50,21 +51,21 @@
 	}
 }
 
-// act gives a few random orders.
-func (r *snapshotRun) act() {
+// submitRandomOrders submits one to three random orders.
+func (r *snapshotRun) submitRandomOrders() {
 	names := []tenancy.Name{"a", "b", "c", "d"}
-	for range 1 + r.draw.IntN(3) {
-		switch r.draw.IntN(5) {
+	for range 1 + r.orderRandom.IntN(3) {
+		switch r.orderRandom.IntN(5) {
 		case 0:
 			r.lastServer++
 			r.submit(nil, r.server(r.lastServer), true)
 		case 1:
-			r.submit(nil, r.server(1+r.draw.IntN(max(r.lastServer, 1))), false)
+			r.submit(nil, r.server(1+r.orderRandom.IntN(max(r.lastServer, 1))), false)
 		default:
 			r.lastID++
-			kind := tenancy.CommandKind(1 + r.draw.IntN(3))
-			command := tenantChange(kind, names[r.draw.IntN(len(names))], r.lastID)
-			command.Time = r.now * tenancy.NameQuarantine // so that names can be used again soon
+			kind := tenancy.CommandKind(1 + r.orderRandom.IntN(3))
+			command := tenantChange(kind, names[r.orderRandom.IntN(len(names))], r.lastID)
+			command.Time = r.now * tenancy.NameQuarantine // so that the quarantine of a removed name ends soon
 			r.submit(command, "", false)
 		}
 	}
@@ -74,41 +75,42 @@
 	return balancer.Server(fmt.Sprint("drained-", number))
 }
 
-// awayUntilCompacted takes one coordinator away, in one of several ways, while orders and records go on; then it comes back.
-func (r *snapshotRun) awayUntilCompacted() {
-	away := r.nodes[r.members[r.draw.IntN(len(r.members))]]
-	r.act()
-	switch r.draw.IntN(4) {
+// isolateUntilCompacted partitions, pauses or kills one coordinator while orders and records are submitted, and then ends the fault.
+func (r *snapshotRun) isolateUntilCompacted() {
+	isolated := r.nodes[r.members[r.orderRandom.IntN(len(r.members))]]
+	r.submitRandomOrders()
+	switch r.orderRandom.IntN(4) {
 	case 0:
-		r.deafen(away.id)
+		r.blockIncoming(isolated.id)
 	case 1:
-		r.deafen(away.id)
+		r.blockIncoming(isolated.id)
 		for _, id := range r.members {
-			r.partitioned[link{away.id, id}] = true
+			r.partitioned[link{isolated.id, id}] = true
 		}
 	case 2:
-		away.pausedUntil = r.now + 3 + 2*r.draw.Float64()
+		isolated.pausedUntil = r.now + 3 + 2*r.orderRandom.Float64()
 	default:
-		away.kill()
+		isolated.kill()
 	}
-	r.act()
-	r.run(0.1 + 0.5*r.draw.Float64())
+	r.submitRandomOrders()
+	r.run(0.1 + 0.5*r.orderRandom.Float64())
 	for i := range 260 {
 		if i%40 == 0 {
-			r.act()
+			r.submitRandomOrders()
 		}
-		other := r.nodes[r.members[r.draw.IntN(len(r.members))]]
-		if other != away && other.group != nil {
+		other := r.nodes[r.members[r.orderRandom.IntN(len(r.members))]]
+		if other != isolated && other.group != nil {
 			record := registry.Record{ServerConfig: registry.ServerConfig{Server: balancer.Server(fmt.Sprint("started-", i%50))}, Started: r.now}
 			other.group.StoreRecords(other.clock(), []registry.Record{record})
 		}
 		r.run(0.01)
 	}
 	r.heal()
-	r.run(4 * r.draw.Float64())
+	r.run(4 * r.orderRandom.Float64())
 }
 
-// check judges the states by each other, what callers were told by the states, and what processes were told likewise.
+// check compares the states of all coordinators with each other, and the outcomes, drains and records that were reported to callers and
+// processes with these states. It returns the number of restored snapshots.
 func (r *snapshotRun) check(t *testing.T, seed uint64) (snapshots int) {
 	t.Helper()
 	first := r.nodes[r.members[0]].group
@@ -117,12 +119,12 @@
 		node := r.nodes[id]
 		got, _ := node.group.State.Snapshot()
 		if node.group.Node.AppliedIndex() == first.Node.AppliedIndex() && string(got) != string(want) {
-			t.Errorf("seed %d: %d has another state:\n%s\n%s", seed, id, got, want)
+			t.Errorf("seed %d: %d has a different state:\n%s\n%s", seed, id, got, want)
 		}
 		snapshots += node.group.Stats.Restored
-		told := slices.Sorted(maps.Keys(node.drains))
-		if stand := slices.Sorted(maps.Keys(node.group.State.Drains)); !slices.Equal(told, stand) {
-			t.Errorf("seed %d: %d was told of the drains %v, and %v stand", seed, id, told, stand)
+		reported := slices.Sorted(maps.Keys(node.drains))
+		if active := slices.Sorted(maps.Keys(node.group.State.Drains)); !slices.Equal(reported, active) {
+			t.Errorf("seed %d: the drains reported to %d are %v, the active drains are %v", seed, id, reported, active)
 		}
 	}
 	r.checkRecords(t, seed)
@@ -135,14 +137,14 @@
 	return snapshots
 }
 
-// checkRecords judges what processes were told of starts of servers.
+// checkRecords checks that every process was notified of every server start.
 func (r *snapshotRun) checkRecords(t *testing.T, seed uint64) {
 	t.Helper()
 	for _, id := range r.members {
 		node := r.nodes[id]
 		for server, record := range node.group.State.Records {
 			if node.startRecords[server] != record && node.records[server] != record {
-				t.Errorf("seed %d: %d was not told that %s started at %.2f", seed, id, server, record.Started)
+				t.Errorf("seed %d: %d was not notified that %s started at %.2f", seed, id, server, record.Started)
 				break
 			}
 		}
@@ -167,31 +169,31 @@
 	decided, succeeded := call.group.State.Directory.Find(call.tenant.ID)
 	if outcome.Err() != nil {
 		if succeeded {
-			t.Errorf("seed %d: change %d was made, and its caller told: %v", seed, call.tenant.ID, outcome.Err())
+			t.Errorf("seed %d: change %d was made, but its caller received: %v", seed, call.tenant.ID, outcome.Err())
 		}
 		return
 	}
 	if !succeeded || outcome != decided {
-		t.Errorf("seed %d: the caller of change %d was told %+v, decided was %+v", seed, call.tenant.ID, outcome, decided)
+		t.Errorf("seed %d: the caller of change %d received the outcome %+v, the decided outcome is %+v", seed, call.tenant.ID, outcome, decided)
 	}
-	if other, taken := versions[outcome.Version]; taken {
-		t.Errorf("seed %d: changes %d and %d have one version", seed, call.tenant.ID, other)
+	if other, exists := versions[outcome.Version]; exists {
+		t.Errorf("seed %d: changes %d and %d have the same version", seed, call.tenant.ID, other)
 	}
 	versions[outcome.Version] = call.tenant.ID
 }
 
-// Coordinators take snapshots while drains and changes of tenants go on: all states stay the same, every caller is told one
-// outcome, which is the one that was decided, and every process is told of the drains that stand and of no others.
+// Coordinators restore snapshots while drains and tenant changes are submitted. All coordinators must have the same state, every caller must
+// receive exactly one outcome, the one that was decided, and every process must be notified of exactly the active drains.
 func TestOrdersAcrossSnapshots(t *testing.T) {
 	snapshots := 0
 	for seed := range *snapshotSeeds {
-		r := &snapshotRun{cluster: newCluster(t, 3+2*int(seed%2), seed), draw: rand.New(rand.NewPCG(seed, 31))}
+		r := &snapshotRun{cluster: newCluster(t, 3+2*int(seed%2), seed), orderRandom: rand.New(rand.NewPCG(seed, 31))}
 		r.capacity = tenancy.DefaultCapacity
 		r.capacity.MaxTenants = 3
 		r.heal()
 		r.run(6)
 		for range 4 {
-			r.awayUntilCompacted()
+			r.isolateUntilCompacted()
 		}
 		r.heal()
 		r.run(15)
@@ -201,7 +203,7 @@
 		}
 	}
 	if snapshots == 0 {
-		t.Error("nobody took a snapshot")
+		t.Error("no coordinator restored a snapshot")
 	}
-	t.Logf("%d snapshots", snapshots)
+	t.Logf("%d restored snapshots", snapshots)
 }
