--- a/internal/consensus/propose.go
+++ b/internal/consensus/propose.go
@@ -63,7 +63,7 @@
 	return true
 }
 
-// Drain orders a drain of a server, or its end, as SubmitOrder does.
+// Drain submits an order that starts or ends the drain of a server. The results are as in SubmitOrder.
 func (g *Group) Drain(now float64, server balancer.Server, on bool) (ticket membership.Ticket, ok bool) {
 	return g.SubmitOrder(now, membership.Command{Kind: membership.DrainServer, Server: server, Draining: on})
 }
