--- a/internal/consensus/group.go
+++ b/internal/consensus/group.go
@@ -60,7 +60,7 @@
 }
 
 // ErrRemoved reports that the group has permanently removed a coordinator.
-var ErrRemoved = errors.New("consensus: the group has taken this coordinator out")
+var ErrRemoved = errors.New("consensus: the coordinator was removed from the group")
 
 const registerInterval = 1.0 // seconds between two proposals of this coordinator's registration
 
--- a/internal/service/group_test.go
+++ b/internal/service/group_test.go
@@ -122,7 +122,7 @@
 	all[4] = runMember(memberConfig(t, dir, 4, 4, true))
 	eventually(t, "the new one does not lead", func() bool { living, drains, leads := status(4); return living == 3 && drains == 1 && leads })
 	back := runMember(memberConfig(t, dir, 2, 3, false))
-	if err := <-back.done; err == nil || !strings.Contains(err.Error(), "taken this coordinator out") {
+	if err := <-back.done; err == nil || !strings.Contains(err.Error(), "the coordinator was removed from the group") {
 		t.Errorf("one that was taken out came back: %v", err)
 	}
 	if _, err := GroupStatus(all[1].config.Group.Members[1], []byte("another key of sixteen bytes")); err == nil {
