--- a/internal/wire/peer/frame.go
+++ b/internal/wire/peer/frame.go
@@ -104,7 +104,7 @@
 func frameLength(b []byte) (int, error) {
 	if len(b) >= lengthOffset {
 		if start := binary.BigEndian.Uint32(b); start != magic {
-			return 0, fmt.Errorf("%w: magic number %#08x, want %#08x", ErrFrame, start, uint32(magic))
+			return 0, fmt.Errorf("%w: it starts with %#08x, this version's with %#08x", ErrFrame, start, uint32(magic))
 		}
 	}
 	if len(b) < fromOffset {
