--- a/internal/consensus/committed.go
+++ b/internal/consensus/committed.go
@@ -56,7 +56,7 @@
 		ticket := g.PendingOrders.ObserveCommand(command, g.State)
 		outcome, known := g.State.TenantOutcome()
 		if !known {
-			g.PendingOrders.LoseOutcome(ticket)
+			g.PendingOrders.MarkOutcomeUnknown(ticket)
 		}
 		if observer, ok := g.messenger.(TenantObserver); ok {
 			observer.TenantChanged(now, command.Tenant.Name, ticket, outcome)
--- a/internal/consensus/snapshot_orders_test.go
+++ b/internal/consensus/snapshot_orders_test.go
@@ -91,7 +91,7 @@
 			if confirmed != test.confirmed {
 				t.Errorf("confirmed: %t", confirmed)
 			}
-			remembered, _ := leader.group.State.Directory.Find(test.command.ID)
+			remembered, _ := leader.group.State.Directory.FindOutcome(test.command.ID)
 			if confirmed && late.outcomes[ticket] != remembered {
 				t.Errorf("its outcome is %+v, decided was %+v", late.outcomes[ticket], remembered)
 			}
--- a/internal/consensus/snapshot_random_test.go
+++ b/internal/consensus/snapshot_random_test.go
@@ -164,7 +164,7 @@
 		return
 	}
 	outcome := call.node.outcomes[call.ticket]
-	decided, succeeded := call.group.State.Directory.Find(call.tenant.ID)
+	decided, succeeded := call.group.State.Directory.FindOutcome(call.tenant.ID)
 	if outcome.Err() != nil {
 		if succeeded {
 			t.Errorf("seed %d: change %d was made, and its caller told: %v", seed, call.tenant.ID, outcome.Err())
--- a/internal/coordinator/host_directory.go
+++ b/internal/coordinator/host_directory.go
@@ -21,7 +21,7 @@
 // ChangeTenant creates, changes or removes a tenant. done is called once, when the change is durable and in force, or refused. Its
 // error is ErrNotPersisted or ErrNotAgreed; refusals are in the outcome.
 func (h *Host) ChangeTenant(now float64, command tenancy.Command, done func(outcome tenancy.Outcome, err error)) {
-	answered, ok := h.Directory.Find(command.ID)
+	answered, ok := h.Directory.FindOutcome(command.ID)
 	if ok {
 		done(h.repeatedOutcome(answered, command), nil)
 		return
--- a/internal/core/membership/pending_orders.go
+++ b/internal/core/membership/pending_orders.go
@@ -89,8 +89,8 @@
 	return ticket
 }
 
-// LoseOutcome says that an order was committed, and that its outcome is not known here. It counts as rejected.
-func (p *PendingOrders) LoseOutcome(ticket Ticket) {
+// MarkOutcomeUnknown says that an order was committed, and that its outcome is not known here. It counts as rejected.
+func (p *PendingOrders) MarkOutcomeUnknown(ticket Ticket) {
 	for _, order := range p.orders {
 		if order.ticket == ticket {
 			order.outcomeLost = true
--- a/internal/core/membership/tenants.go
+++ b/internal/core/membership/tenants.go
@@ -19,7 +19,7 @@
 	}
 	if s.orderAlreadyApplied(command.ID) {
 		// Its outcome was told when it was applied, unless that was in a part of the log that came as a snapshot.
-		remembered, found := s.Directory.Find(command.Tenant.ID)
+		remembered, found := s.Directory.FindOutcome(command.Tenant.ID)
 		s.tenantOutcome = remembered
 		s.tenantOutcomeKnown = found && remembered.Fingerprint == command.Tenant.Fingerprint
 		return nil
--- a/internal/core/tenancy/command.go
+++ b/internal/core/tenancy/command.go
@@ -14,8 +14,8 @@
 var (
 	// ErrExists says that a tenant to be created exists already.
 	ErrExists = errors.New("there is such a tenant")
-	// ErrUnknown says that there is no tenant of that name.
-	ErrUnknown = errors.New("there is no such tenant")
+	// ErrNotFound says that there is no tenant of that name.
+	ErrNotFound = errors.New("there is no such tenant")
 	// ErrVersionMismatch says that a tenant has changed since the version that the caller has seen.
 	ErrVersionMismatch = errors.New("the tenant has changed since")
 	// ErrNameQuarantined says that a tenant of that name was removed less than NameQuarantine ago.
@@ -32,7 +32,7 @@
 var errorsByCode = []error{
 	nil,
 	ErrExists,
-	ErrUnknown,
+	ErrNotFound,
 	ErrVersionMismatch,
 	ErrNameQuarantined,
 	ErrKeyReused,
--- a/internal/core/tenancy/directory.go
+++ b/internal/core/tenancy/directory.go
@@ -51,7 +51,7 @@
 func (d *Directory) Apply(command Command) Outcome {
 	d.index()
 	outcome := Outcome{ID: command.ID, Fingerprint: command.Fingerprint}
-	if earlier, ok := d.Find(command.ID); ok && command.ID != 0 {
+	if earlier, ok := d.FindOutcome(command.ID); ok && command.ID != 0 {
 		if earlier.Fingerprint == command.Fingerprint {
 			return earlier
 		}
@@ -81,7 +81,7 @@
 	tenant := d.Tenants[command.Name]
 	if command.Kind != Create {
 		if tenant == nil {
-			return Tenant{}, ErrUnknown
+			return Tenant{}, ErrNotFound
 		}
 		if command.IfVersion != 0 && command.IfVersion != tenant.Version {
 			return Tenant{}, errorf(ErrVersionMismatch, "it is at version %d, not %d", tenant.Version, command.IfVersion)
@@ -187,8 +187,8 @@
 	}
 }
 
-// Find returns the outcome of a command that was applied before, by its ID.
-func (d *Directory) Find(id uint64) (Outcome, bool) {
+// FindOutcome returns the outcome of a command that was applied before, by its ID.
+func (d *Directory) FindOutcome(id uint64) (Outcome, bool) {
 	d.index()
 	number, ok := d.outcomeNumbers[id]
 	if !ok {
--- a/internal/core/tenancy/directory_test.go
+++ b/internal/core/tenancy/directory_test.go
@@ -58,8 +58,8 @@
 	if tenant, _ := d.Get("a"); string(tenant.Settings) != "first" || changed.Incarnation != created.Incarnation {
 		t.Errorf("%+v", tenant)
 	}
-	mustApply(t, d, testCommand(Change, "none", 3), ErrUnknown)
-	mustApply(t, d, testCommand(Remove, "none", 3), ErrUnknown)
+	mustApply(t, d, testCommand(Change, "none", 3), ErrNotFound)
+	mustApply(t, d, testCommand(Remove, "none", 3), ErrNotFound)
 	remove := testCommand(Remove, "a", 5)
 	remove.IfVersion = created.Version
 	mustApply(t, d, remove, ErrVersionMismatch)
--- a/internal/core/tenancy/golden_test.go
+++ b/internal/core/tenancy/golden_test.go
@@ -87,7 +87,7 @@
 	for code, want := range []error{
 		nil,
 		ErrExists,
-		ErrUnknown,
+		ErrNotFound,
 		ErrVersionMismatch,
 		ErrNameQuarantined,
 		ErrKeyReused,
--- a/internal/frontend/admin/tenant_changes.go
+++ b/internal/frontend/admin/tenant_changes.go
@@ -126,7 +126,7 @@
 	}
 	if err != nil {
 		result.status = http.StatusBadRequest
-		if errors.Is(err, tenancy.ErrUnknown) {
+		if errors.Is(err, tenancy.ErrNotFound) {
 			result.status = http.StatusNotFound
 		}
 		result.err = err
@@ -154,7 +154,7 @@
 	case !exists && authz.Authorize(change.caller, authz.Action{Role: authz.RoleHost}) != nil:
 		return 0, http.StatusForbidden, errors.New("only the host may make tenants")
 	case !exists && change.conditions.version != 0:
-		return 0, http.StatusPreconditionFailed, tenancy.ErrUnknown
+		return 0, http.StatusPreconditionFailed, tenancy.ErrNotFound
 	case !exists:
 		return tenancy.Create, 0, nil
 	case mustCreate && change.commandID == 0:
@@ -250,7 +250,7 @@
 		return http.StatusConflict
 	case errors.Is(err, tenancy.ErrVersionMismatch), errors.Is(err, tenancy.ErrExists):
 		return http.StatusPreconditionFailed
-	case errors.Is(err, tenancy.ErrUnknown):
+	case errors.Is(err, tenancy.ErrNotFound):
 		return http.StatusNotFound
 	default:
 		return http.StatusServiceUnavailable
--- a/internal/service/administered_host.go
+++ b/internal/service/administered_host.go
@@ -116,7 +116,7 @@
 func (h *administeredHost) Settings(name tenancy.Name) ([]byte, error) {
 	tenant, ok := h.program.Directory.Get(name)
 	if !ok {
-		return nil, tenancy.ErrUnknown
+		return nil, tenancy.ErrNotFound
 	}
 	return settings.MaskKeys(tenant.Settings)
 }
@@ -131,7 +131,7 @@
 func (h *administeredHost) Edit(name tenancy.Name, text []byte) ([]byte, error) {
 	tenant, ok := h.program.Directory.Get(name)
 	if !ok {
-		return nil, tenancy.ErrUnknown
+		return nil, tenancy.ErrNotFound
 	}
 	var edit settings.ServerEdit
 	err := json.Unmarshal(text, &edit)
