--- a/internal/coordinator/host_scheduling.go
+++ b/internal/coordinator/host_scheduling.go
@@ -66,7 +66,7 @@
 
 // chargeArrival charges a tenant for bytes that came in for it, and ends the long intervals of an idle one.
 func (h *Host) chargeArrival(now float64, tenant *TenantRuntime, bytes int) {
-	usage := tenancy.Usage{ConnEvents: 1, Bytes: bytes}
+	usage := tenancy.Usage{InputEvents: 1, Bytes: bytes}
 	h.Scheduler.Charge(tenant.Name, usage.CPUSeconds())
 	if tenant.idle {
 		tenant.idle = false
--- a/internal/core/tenancy/cost.go
+++ b/internal/core/tenancy/cost.go
@@ -65,13 +65,13 @@
 
 // Usage is what a tenant did in one tick, or what was received for it.
 type Usage struct {
-	Rounds     int
-	Messages   int
-	Entries    int // table entries in the messages
-	Servers    int // in each round
-	Proxies    int // proxies in each round
-	Bytes      int // received
-	ConnEvents int // receipts
+	Rounds      int
+	Messages    int
+	Entries     int // table entries in the messages
+	Servers     int // in each round
+	Proxies     int // proxies in each round
+	Bytes       int // received
+	InputEvents int // receipts
 }
 
 // CPUSeconds estimates the CPU time of a usage. It is not measured, so that the scheduling of tenants depends on events
@@ -81,5 +81,5 @@
 	return idleCPUSeconds +
 		rounds*(roundCPUSeconds+float64(u.Servers)*serverCPUSeconds+float64(u.Proxies)*proxyCPUSeconds) +
 		float64(u.Messages)*messageCPUSeconds +
-		float64(u.Entries)*entryCPUSeconds + float64(u.Bytes)*byteCPUSeconds + float64(u.ConnEvents)*receiveCPUSeconds
+		float64(u.Entries)*entryCPUSeconds + float64(u.Bytes)*byteCPUSeconds + float64(u.InputEvents)*receiveCPUSeconds
 }
