--- a/internal/core/membership/confchange.go
+++ b/internal/core/membership/confchange.go
@@ -5,42 +5,42 @@
 	"slices"
 )
 
-// ConsensusConfig is who takes part in consensus, as its leader knows it.
+// ConsensusConfig describes the members of the consensus and their progress, as known to the consensus leader.
 type ConsensusConfig struct {
 	Voters        []MemberID
 	Learners      []MemberID
-	Match         map[MemberID]uint64 // index of the newest log entry that each is known to have
-	Commit        uint64              // index of the newest committed log entry
-	ChangePending bool                // a change is proposed and not applied yet
+	Match         map[MemberID]uint64 // by member, the highest log index that it is known to have stored
+	Commit        uint64              // highest committed log index
+	ChangePending bool                // a configuration change was proposed and is not applied yet
 }
 
-// ConfChange is a change of who takes part in consensus.
+// ConfChange is a change of the consensus membership.
 type ConfChange int
 
-// Changes of who takes part.
+// Consensus membership changes.
 const (
 	NoChange       ConfChange = iota
-	AddLearner                // a new coordinator receives the log without a vote
-	PromoteLearner            // a learner that has caught up gets a vote
+	AddLearner                // a new coordinator receives the log but has no vote
+	PromoteLearner            // a learner that has caught up becomes a voter
 	RemoveMember
 )
 
 const (
-	maxVoters     = 7  // more make every agreement slower and no safer
-	maxLearnerLag = 64 // log entries, some seconds of renewals, by which a learner may be behind when it gets a vote
+	maxVoters     = 7  // more voters would slow down every commit without adding safety
+	maxLearnerLag = 64 // log entries, a few seconds of renewals, by which a learner may be behind when it is promoted
 )
 
-// NextConfChange returns the change that the leader of consensus has to propose next, and for which member. It follows from the state and
-// the configuration alone, so a new leader continues where the former one stopped. A new coordinator is a learner before it votes: every
-// agreement would have to wait for a voter with an empty log.
+// NextConfChange returns the membership change that the consensus leader has to propose next, and the member that it concerns. It depends
+// on the state and the configuration alone, so a new leader continues where the former one stopped. A new coordinator is a learner first,
+// since every commit would have to wait for a voter whose log is still empty.
 func (s *State) NextConfChange(config ConsensusConfig) (MemberID, ConfChange) {
 	if config.ChangePending {
 		return 0, NoChange
 	}
 	ids := slices.Sorted(maps.Keys(s.Registrations))
-	for _, id := range ids { // removals first: a majority of fewer is easier to reach
-		takesPart := slices.Contains(config.Voters, id) || slices.Contains(config.Learners, id)
-		if s.Registrations[id].Removed && takesPart {
+	for _, id := range ids { // removals first: a smaller group reaches a majority more easily
+		participates := slices.Contains(config.Voters, id) || slices.Contains(config.Learners, id)
+		if s.Registrations[id].Removed && participates {
 			return id, RemoveMember
 		}
 	}
--- a/internal/core/membership/datadir.go
+++ b/internal/core/membership/datadir.go
@@ -7,23 +7,24 @@
 )
 
 var (
-	// ErrDataDirReplaced says that a coordinator uses a number with another data directory than before.
-	ErrDataDirReplaced = errors.New("its folder is not the one that it had under this number: it needs a new number")
-	// ErrDataDirOutdated says that a coordinator's data directory is older than it was.
-	ErrDataDirOutdated = errors.New("its folder is older than it was: it needs a new number")
+	// ErrDataDirReplaced reports that a coordinator uses its number with a different data directory than before.
+	ErrDataDirReplaced = errors.New("the data directory is not the one used with this number before: assign a new number to the coordinator")
+	// ErrDataDirOutdated reports that a coordinator's data directory has reverted to an older state.
+	ErrDataDirOutdated = errors.New("the data directory has reverted to an older state: assign a new number to the coordinator")
 )
 
 const maxDataDirs = maxRegistrations
 
-// DataDirs knows the data directory of each number, and how far its log had got. A directory that was emptied, or restored from a copy,
-// has forgotten whom its node has voted for and what it has acknowledged: with that node's vote, what was agreed on could be lost. Guards
-// against that; it does harm where somebody moves a number to a new directory on purpose, and has to use a new number.
+// DataDirs records the data directory and the highest commit index of each coordinator number. It detects a data directory that was
+// emptied or restored from a copy: such a directory has lost the votes and acknowledgements of its node, and further votes of that node
+// could cause the loss of committed entries. The cost is that a number cannot be moved to a new directory on purpose: the coordinator
+// needs a new number.
 type DataDirs struct {
 	ids     map[MemberID]uint64
 	commits map[MemberID]uint64
 }
 
-// NewDataDirs starts from the IDs of data directories that were stored, by number.
+// NewDataDirs returns a DataDirs that starts from the stored data directory IDs, by coordinator number.
 func NewDataDirs(stored map[MemberID]uint64) *DataDirs {
 	ids := maps.Clone(stored)
 	if ids == nil {
@@ -32,18 +33,18 @@
 	return &DataDirs{ids: ids, commits: map[MemberID]uint64{}}
 }
 
-// Verify checks that a number still uses the data directory with the given ID, and that the commit index it has stored there has not
-// fallen. first says that the ID is new, and has to be stored before anything else follows from the message. An error wraps
-// ErrDataDirReplaced, ErrDataDirOutdated or, where there are too many numbers, ErrInvalidCommand.
-func (d *DataDirs) Verify(number MemberID, dataDirID, commit uint64) (first bool, err error) {
+// Verify checks that a coordinator number still uses the data directory with the given ID, and that the commit index stored there has not
+// decreased. isNew reports that the ID was unknown; the caller must store it before it processes the message any further. Errors wrap
+// ErrDataDirReplaced, ErrDataDirOutdated or, if there are too many numbers, ErrInvalidCommand.
+func (d *DataDirs) Verify(number MemberID, dataDirID, commit uint64) (isNew bool, err error) {
 	known, ok := d.ids[number]
 	switch {
 	case ok && known != dataDirID:
-		return false, fmt.Errorf("number %d: %w", number, ErrDataDirReplaced)
+		return false, fmt.Errorf("coordinator number %d: %w", number, ErrDataDirReplaced)
 	case commit < d.commits[number]:
-		return false, fmt.Errorf("number %d: %w", number, ErrDataDirOutdated)
+		return false, fmt.Errorf("coordinator number %d: %w", number, ErrDataDirOutdated)
 	case !ok && len(d.ids) >= maxDataDirs:
-		return false, fmt.Errorf("%w: over %d numbers", ErrInvalidCommand, maxDataDirs)
+		return false, fmt.Errorf("%w: more than %d coordinator numbers", ErrInvalidCommand, maxDataDirs)
 	}
 	d.ids[number] = dataDirID
 	d.commits[number] = commit
--- a/internal/core/membership/datadir_test.go
+++ b/internal/core/membership/datadir_test.go
@@ -7,10 +7,10 @@
 
 func TestDataDirs(t *testing.T) {
 	dirs := NewDataDirs(map[MemberID]uint64{1: 77})
-	verify := func(number MemberID, dataDirID, commit uint64, wantFirst bool, want error) {
+	verify := func(number MemberID, dataDirID, commit uint64, wantNew bool, want error) {
 		t.Helper()
-		if first, err := dirs.Verify(number, dataDirID, commit); first != wantFirst || !errors.Is(err, want) {
-			t.Errorf("number %d, directory %d, commit %d: %t, %v", number, dataDirID, commit, first, err)
+		if isNew, err := dirs.Verify(number, dataDirID, commit); isNew != wantNew || !errors.Is(err, want) {
+			t.Errorf("Verify(%d, %d, %d) = %t, %v", number, dataDirID, commit, isNew, err)
 		}
 	}
 	verify(1, 77, 5, false, nil)
--- a/internal/core/membership/golden_test.go
+++ b/internal/core/membership/golden_test.go
@@ -17,7 +17,7 @@
 		Phase: balancer.Draining, Started: 1000.25, NotifiedAt: 2000.5, DrainOrdered: true}
 }
 
-func goldenNeeds() tenancy.Requirements {
+func goldenRequirements() tenancy.Requirements {
 	return tenancy.Requirements{Memory: 1 << 20, EntriesPerSecond: 250.5, Connections: 40, CPU: 0.125}
 }
 
@@ -37,7 +37,7 @@
 		RecentOrderIDs: []uint64{101, 102},
 		Directory: tenancy.Directory{Version: 2, LastIncarnation: 1,
 			Tenants: map[tenancy.Name]*tenancy.Tenant{"one": {Name: "one", Incarnation: 1, Version: 2, Settings: []byte("<coordinator/>"), Weight: 2,
-				Requirements: goldenNeeds(), CreatedAt: 1000, ChangedAt: 1500.5}},
+				Requirements: goldenRequirements(), CreatedAt: 1000, ChangedAt: 1500.5}},
 			Quarantined: map[tenancy.Name]float64{"three": 1550.25},
 			Outcomes:    []tenancy.Outcome{{ID: 11, Fingerprint: 12, Code: 3, Detail: "stale", Version: 2, Incarnation: 1}}},
 	}
@@ -47,7 +47,7 @@
 	command := Command{Kind: ChangeTenant, Peer: "c1", Weight: 1.5, Renewal: 20, Incarnation: 77, SeenEpoch: 5, Records: []registry.Record{goldenRecord()},
 		Server: "127.0.1.2:8080", Draining: true, ID: 101, OrderedAt: 2000.5, AppliedOrders: 9, UIDs: []string{"relay-9"}, MemberID: 2,
 		Address: netip.MustParseAddrPort("127.0.0.2:7002"),
-		Tenant: &tenancy.Command{Kind: tenancy.Change, Name: "one", IfVersion: 4, Settings: []byte("<coordinator/>"), Weight: 2, Requirements: goldenNeeds(),
+		Tenant: &tenancy.Command{Kind: tenancy.Change, Name: "one", IfVersion: 4, Settings: []byte("<coordinator/>"), Weight: 2, Requirements: goldenRequirements(),
 			Time: 1500.5, ID: 13, Fingerprint: 14}}
 	golden.JSON(t, "command.json", command)
 	b, err := command.Encode()
@@ -57,15 +57,15 @@
 	golden.Bytes(t, "command.json", b)
 	decoded, err := Decode(golden.Read(t, "command.json"))
 	if err != nil || !reflect.DeepEqual(decoded, command) {
-		t.Errorf("%+v, %v, want %+v", decoded, err, command)
+		t.Errorf("decoded %+v, %v, want %+v", decoded, err, command)
 	}
 }
 
-// Commands are stored by these numbers.
+// Command kinds are stored by their numeric values, which must not change.
 func TestStoredKinds(t *testing.T) {
 	for i, kind := range []CommandKind{RenewLease, ExpireLease, ReleaseLease, StoreRecords, DrainServer, RegisterMember, RemoveRegistration, ClaimProxies, ChangeTenant} {
 		if kind != CommandKind(i+1) {
-			t.Errorf("kind %d has the number %d", i+1, kind)
+			t.Errorf("the command kind stored as %d has the value %d", i+1, kind)
 		}
 	}
 }
--- a/internal/core/membership/lease_test.go
+++ b/internal/core/membership/lease_test.go
@@ -2,19 +2,19 @@
 
 import "testing"
 
-func TestLeaseEndsBeforeItsExpiry(t *testing.T) {
+func TestLeaseEndsBeforePeersExpireIt(t *testing.T) {
 	s := &State{}
 	a := NewLease(100, "a", 7, 1, 0, DefaultLeaseConfig)
-	b := NewLease(9000, "b", 8, 1, 0, DefaultLeaseConfig) // with a clock of its own
+	b := NewLease(9000, "b", 8, 1, 0, DefaultLeaseConfig) // has a different clock
 	renewal := a.DueCommands(100, s)[0]
 	if a.Valid(100) {
-		t.Error("it orders before its renewal is agreed on")
+		t.Error("the lease is valid before its renewal is committed")
 	}
 	apply(t, s, renewal)
 	a.ObserveCommand(101, renewal, s)
 	b.ObserveCommand(9001, renewal, s)
 	if !a.Valid(102.9) || a.Valid(103) {
-		t.Error("it may order for three seconds from its proposal")
+		t.Error("the lease is not valid for exactly three seconds from the proposal of its renewal")
 	}
 	expired := func(now float64) bool {
 		for _, c := range b.DueCommands(now, s) {
@@ -26,17 +26,17 @@
 	}
 	timeout := DefaultLeaseConfig.Duration*(1+DefaultLeaseConfig.MaxClockDrift) + DefaultLeaseConfig.SafetyMargin
 	if expired(9001+DefaultLeaseConfig.Duration) || !expired(9001+timeout+0.01) {
-		t.Error("its lease expires at the wrong time")
+		t.Error("the other peer proposes the expiry of the lease at the wrong time")
 	}
 	old := renewal
-	old.Renewal = 2 // the number that comes next
+	old.Renewal = 2 // the sequence number that comes next
 	old.Incarnation = 6
 	a.DueCommands(102, s)
 	apply(t, s, old)
 	if a.ObserveCommand(102, old, s); a.Valid(103) {
-		t.Error("a renewal of a former process lets it order")
+		t.Error("a renewal by an earlier process extends the lease")
 	}
-	// A former process's renewal 3 is committed first, and ours of the same number after it.
+	// Renewal 3 of an earlier process is committed first, then ours with the same sequence number.
 	ours := a.DueCommands(102.8, s)[0]
 	theirs := ours
 	theirs.Incarnation = 6
@@ -44,14 +44,14 @@
 	a.ObserveCommand(102.9, theirs, s)
 	apply(t, s, ours)
 	if a.ObserveCommand(102.9, ours, s); a.Valid(103.1) {
-		t.Error("a renewal that did not count lets it order")
+		t.Error("a renewal that had no effect extends the lease")
 	}
 	if c := a.Release(); a.Valid(101) || c.Kind != ReleaseLease {
-		t.Error("it orders after it has released its lease")
+		t.Error("the lease is valid after its release")
 	}
 }
 
-// The weight of a new coordinator grows in steps, so that its proxies do not come all at once.
+// The weight of a new coordinator grows in steps, so that proxies do not move to it all at once.
 func TestWeightRampsUp(t *testing.T) {
 	s := newGroup(t, 1, 1)
 	config := DefaultLeaseConfig
@@ -65,7 +65,7 @@
 				continue
 			}
 			if c.Weight < last || c.Weight > last+0.26 {
-				t.Errorf("at %.1f the weight goes from %v to %v", now, last, c.Weight)
+				t.Errorf("at %.1f s the weight changes from %v to %v", now, last, c.Weight)
 			}
 			last = c.Weight
 			if apply(t, s, c) {
@@ -75,19 +75,19 @@
 		}
 	}
 	if last != 1 || epochs != rampSteps {
-		t.Errorf("it ends at %v after %d epochs", last, epochs)
+		t.Errorf("the final weight is %v after %d epochs", last, epochs)
 	}
 	lease = NewLease(100, "c9", 5, 1, 0, config)
 	if c := lease.DueCommands(100, &State{}); len(c) != 1 || c[0].Weight != 1 {
-		t.Errorf("alone, it takes %+v", c)
+		t.Errorf("the only coordinator proposes %+v, want its full weight", c)
 	}
 }
 
 func TestRampUpFor(t *testing.T) {
 	if seconds := RampUpFor(460, 3, 600, 1600); seconds < 100 || seconds > 130 {
-		t.Errorf("460 proxies with 600 lines each take %v s", seconds)
+		t.Errorf("the ramp-up for 460 proxies with 600 table entries each takes %v s", seconds)
 	}
 	if RampUpFor(12, 3, 16, 1600) != 0 || RampUpFor(10, 1, 1e6, 1) != 0 || RampUpFor(1e6, 2, 1e6, 1) != maxRampUp {
-		t.Error("small fleets wait, or large ones for ever")
+		t.Error("a small fleet or a single coordinator has a ramp-up, or a large fleet has one over the maximum")
 	}
 }
--- a/internal/core/membership/misrouted_test.go
+++ b/internal/core/membership/misrouted_test.go
@@ -16,8 +16,8 @@
 	}
 }
 
-// A proxy that keeps contacting another coordinator than its owner is claimed by that one; claims end with the lease of their holder, and
-// a claim that was decided too early is ignored.
+// A coordinator claims a proxy that keeps contacting it although another one owns it. Claims end with the lease of the claiming
+// coordinator. A claim by a proposer that did not know of a newer claim is ignored.
 func TestMisroutedProxiesAreClaimed(t *testing.T) {
 	s := newGroup(t, 1, 1, 1)
 	uid := proxyOwnedBy(s, "c0")
@@ -25,38 +25,38 @@
 	now := 100.0
 	for ; now < 105; now++ {
 		if misrouted.Observe(now, uid); len(misrouted.DueClaims(now, "c1", s)) > 0 {
-			t.Fatalf("it is claimed after %v s", now-100)
+			t.Fatalf("the proxy is claimed after %v s of contacts", now-100)
 		}
 	}
-	now += 4 // it has found its owner, and loses it again
+	now += 4 // the proxy reaches its owner for a while, then contacts c1 again
 	for from := now; ; now++ {
 		misrouted.Observe(now, uid)
 		if due := misrouted.DueClaims(now, "c1", s); len(due) > 0 {
 			if now-from < claimAfter {
-				t.Errorf("claimed after %v s of contacts", now-from)
+				t.Errorf("the proxy is claimed again after %v s of contacts", now-from)
 			}
-			late := due[0]
-			late.Peer = "c2"
+			conflicting := due[0]
+			conflicting.Peer = "c2"
 			if moved, err := s.Apply(due[0]); !moved || err != nil {
 				t.Fatal(moved, err)
 			}
 			if owner, _ := s.Owner(uid); owner != "c1" || !s.Contested(uid, "c1") {
-				t.Errorf("%s owns it, before its former owner knows", owner)
+				t.Errorf("the owner is %s, want c1, contested while the former owner does not know of the claim", owner)
 			}
-			if moved, _ := s.Apply(late); moved {
-				t.Error("a claim that was decided before the other was known takes it away again")
+			if moved, _ := s.Apply(conflicting); moved {
+				t.Error("a claim by a proposer that did not know of the first claim takes effect")
 			}
 			break
 		}
 		if now-from > 20 {
-			t.Fatal("it is never claimed")
+			t.Fatal("the proxy is not claimed after 20 s of contacts")
 		}
 	}
 	for i, peer := range []Peer{"c0", "c2"} {
 		apply(t, s, Command{Kind: RenewLease, Peer: peer, Weight: 1, Renewal: uint64(9 + i), SeenEpoch: s.Epoch})
 	}
 	if s.Contested(uid, "c1") {
-		t.Error("it is contested although all know")
+		t.Error("the proxy is contested although all coordinators know of the claim")
 	}
 	snapshot, err := s.Snapshot()
 	var again State
@@ -64,19 +64,19 @@
 		t.Fatal(err)
 	}
 	if owner, _ := again.Owner(uid); owner != "c1" {
-		t.Error("a snapshot forgets the claim")
+		t.Error("the claim is missing after a snapshot was restored")
 	}
 	apply(t, s, Command{Kind: ExpireLease, Peer: "c1", Renewal: 1})
 	if owner, _ := s.Owner(uid); owner != "c0" || len(s.Claims) != 0 {
-		t.Errorf("after the claimer's death %s owns it", owner)
+		t.Errorf("after the expiry of the claiming coordinator's lease, the owner is %s", owner)
 	}
 	if _, err := s.Apply(Command{Kind: ClaimProxies, Peer: "c1", UIDs: []string{"x"}}); !errors.Is(err, ErrInvalidCommand) {
-		t.Errorf("a dead coordinator claims: %v", err)
+		t.Errorf("a claim by a coordinator without a lease: %v, want ErrInvalidCommand", err)
 	}
 	for i := range maxMisroutedProxies + 10 {
 		misrouted.Observe(now, fmt.Sprint("x", i))
 	}
 	if len(misrouted.proxies) > maxMisroutedProxies {
-		t.Errorf("%d are remembered", len(misrouted.proxies))
+		t.Errorf("%d proxies are observed, more than the maximum", len(misrouted.proxies))
 	}
 }
--- a/internal/core/membership/ownership.go
+++ b/internal/core/membership/ownership.go
@@ -9,26 +9,26 @@
 )
 
 const (
-	maxCachedOwners = 16384 // proxies; when there are more the cache starts anew
-	maxClaims       = 4096  // proxies owned other than by hashing; further claims are ignored
+	maxCachedOwners = 16384 // proxies; beyond this the cache is cleared
+	maxClaims       = 4096  // proxies whose owner is not determined by hashing; further claims are ignored
 )
 
-// Ownership is a claim of a proxy: by whom, and since which epoch.
+// Ownership is the claim of a proxy by a peer, with the epoch in which it took effect.
 type Ownership struct {
 	Peer  Peer  `json:"peer"`
 	Since Epoch `json:"since"`
 }
 
-// ownerCache remembers the owners that were computed in one epoch; nothing but a new epoch changes them.
+// ownerCache caches the owners computed in one epoch. Owners change only with the epoch.
 type ownerCache struct {
 	epoch   Epoch
-	weights map[Peer]float64 // of the living peers in that epoch
+	weights map[Peer]float64 // of the peers alive in that epoch
 	owners  map[string]Peer  // by proxy
 }
 
-// Owner returns the peer that leads a proxy: the one that has claimed it, or else the one with the highest score by weighted rendezvous
-// hashing. The loss of a peer thus moves only the proxies of that peer, and spreads them over the others by their weights. ok is false
-// where no peer is alive.
+// Owner returns the peer that owns a proxy: the one that has claimed it, or else the one with the highest score by weighted rendezvous
+// hashing. The loss of a peer therefore moves only that peer's proxies and distributes them among the others by their weights. ok is
+// false if no peer is alive.
 func (s *State) Owner(uid string) (owner Peer, ok bool) {
 	if s.owners.owners == nil || s.owners.epoch != s.Epoch || len(s.owners.owners) >= maxCachedOwners {
 		s.owners = ownerCache{epoch: s.Epoch, weights: s.aliveWeights(), owners: map[string]Peer{}}
@@ -43,9 +43,10 @@
 	return owner, ok
 }
 
-// Contested tells whether a living peer other than owner may still regard itself as the owner of a proxy, because it acts by an epoch in
-// which it was. Guards against two coordinators that lead one proxy while the former has not yet heard that it changed hands; the cost
-// is that nobody leads such a proxy until its former owner has renewed its lease, or the lease has expired.
+// Contested reports whether an alive peer other than owner may still regard itself as the owner of a proxy, because it may not
+// have applied any epoch later than one in which it was. This prevents two coordinators from owning one proxy while the former owner does
+// not know of the change yet. The cost is that no coordinator manages such a proxy until its former owner has renewed its lease or the
+// lease has expired.
 func (s *State) Contested(uid string, owner Peer) bool {
 	for _, view := range s.PastViews {
 		former, ok := ownerIn(view.Weights, view.Claims, uid)
@@ -70,7 +71,7 @@
 	return weights
 }
 
-// ownerIn returns the owner of a proxy in one view: the peer that has claimed it if that peer is alive, or else the one by hashing.
+// ownerIn returns the owner of a proxy in one view: the peer that has claimed it if that peer is alive, or else the owner by hashing.
 func ownerIn(weights map[Peer]float64, claims map[string]Ownership, uid string) (Peer, bool) {
 	claim, ok := claims[uid]
 	if ok {
@@ -103,11 +104,11 @@
 	return -weight / math.Log(uniform)
 }
 
-// applyClaim makes a living peer the owner of proxies that have contacted it. A claim that was decided before another claim of the same
-// proxy was known is ignored.
+// applyClaim makes an alive peer the owner of proxies that have contacted it. A claim is ignored for a proxy if its proposer did not know of
+// a newer claim of the same proxy yet.
 func (s *State) applyClaim(command Command) (ownersChanged bool, err error) {
 	if !s.Members[command.Peer].Alive || command.SeenEpoch > s.Epoch {
-		return false, fmt.Errorf("%w: %s claims proxies without a lease", ErrInvalidCommand, command.Peer)
+		return false, fmt.Errorf("%w: %s claims proxies without a lease or with a future epoch", ErrInvalidCommand, command.Peer)
 	}
 	claims := maps.Clone(s.Claims)
 	if claims == nil {
@@ -127,7 +128,7 @@
 	return ownersChanged, nil
 }
 
-// releaseClaims ends the claims of a peer whose lease is over.
+// releaseClaims deletes the claims of a peer whose lease has ended.
 func (s *State) releaseClaims(peer Peer) {
 	remaining := maps.Clone(s.Claims)
 	maps.DeleteFunc(remaining, func(_ string, claim Ownership) bool { return claim.Peer == peer })
--- a/internal/core/membership/pending_orders.go
+++ b/internal/core/membership/pending_orders.go
@@ -7,12 +7,12 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Ticket identifies an order whose submitter waits for the outcome; 0 is none.
+// Ticket identifies a pending order to its submitter, who waits for the outcome. 0 means no order.
 type Ticket uint64
 
 const (
 	maxPendingOrders = 4096
-	proposeInterval  = 0.5 // seconds between two proposals of an order that is not committed yet: a proposal may be lost
+	proposeInterval  = 0.5 // seconds between two proposals of an uncommitted order, since a proposal may be lost
 )
 
 type pendingOrder struct {
@@ -20,15 +20,15 @@
 	command        Command
 	submittedAt    float64
 	lastProposedAt float64
-	number         uint64 // State.OrderCount once it was committed; 0 before
-	outcomeLost    bool   // it was committed, and its outcome is not known here
+	orderNumber    uint64 // State.OrderCount just after the order was committed; 0: not committed
+	outcomeUnknown bool   // the order was committed, but its outcome is not known here
 }
 
-// PendingOrders are the orders that were submitted to this coordinator and are not completed yet: drains, their ends, and changes of
-// tenants. An order is accepted once it was committed and every living coordinator has renewed its lease since applying it: from then on
-// no coordinator gives an order that ignores it, and it survives any minority of failures. Guards against a drain that is confirmed and
-// then forgotten by a takeover, or unknown to a coordinator that is cut off but still holds its lease; the cost is that an answer takes
-// some round trips, and after a failure the rest of a lease.
+// PendingOrders holds the orders that were submitted to this coordinator and are not completed yet: drains, ends of drains, and tenant
+// changes. An order is accepted once it is committed and every alive coordinator has renewed its lease after applying it: from then on no
+// coordinator issues commands that ignore it, and it survives the failure of any minority. Without this, a confirmed drain could be lost
+// in a takeover, or be unknown to a coordinator that is cut off but still holds its lease. The cost is that the response takes some round
+// trips and, after a failure, the remaining time of a lease.
 type PendingOrders struct {
 	orders      []*pendingOrder // oldest first
 	lastTicket  Ticket
@@ -36,13 +36,13 @@
 	timeout     float64
 }
 
-// NewPendingOrders returns an empty list. incarnation is unique to this process. timeout is the number of seconds after which an order
-// that is not accepted is rejected; it must be longer than it takes to detect a dead coordinator.
+// NewPendingOrders returns an empty list. incarnation must be unique to this process. timeout is the time in seconds after which an order
+// that was not accepted is rejected; it must exceed the time to detect a coordinator's failure.
 func NewPendingOrders(incarnation uint64, timeout float64) *PendingOrders {
 	return &PendingOrders{incarnation: incarnation, timeout: timeout}
 }
 
-// Submit takes an order, a command of kind DrainServer or ChangeTenant. ok is false where too many orders are pending.
+// Submit adds an order, a command of kind DrainServer or ChangeTenant. ok is false if too many orders are pending.
 func (p *PendingOrders) Submit(now float64, command Command) (ticket Ticket, ok bool) {
 	if len(p.orders) >= maxPendingOrders {
 		return 0, false
@@ -59,7 +59,7 @@
 	return p.lastTicket, true
 }
 
-// orderID returns an ID that no other order to any coordinator has.
+// orderID returns an ID that is unique among the orders submitted to all coordinators.
 func (p *PendingOrders) orderID(ticket Ticket) uint64 {
 	var seed [16]byte
 	binary.BigEndian.PutUint64(seed[:], p.incarnation)
@@ -70,7 +70,7 @@
 // DueCommands returns the commands that have to be proposed now.
 func (p *PendingOrders) DueCommands(now float64) (due []Command) {
 	for _, order := range p.orders {
-		if order.number == 0 && now-order.lastProposedAt >= proposeInterval {
+		if order.orderNumber == 0 && now-order.lastProposedAt >= proposeInterval {
 			order.lastProposedAt = now
 			due = append(due, order.command)
 		}
@@ -78,35 +78,35 @@
 	return due
 }
 
-// ObserveCommand takes a committed order after state has applied it. It returns the order's ticket, or 0 if it was submitted elsewhere.
+// ObserveCommand marks an order as committed, after state has applied it. It returns the order's ticket, or 0 if it is not pending here.
 func (p *PendingOrders) ObserveCommand(command Command, state *State) (ticket Ticket) {
 	for _, order := range p.orders {
-		if order.number == 0 && order.command.ID == command.ID {
-			order.number = state.OrderCount
+		if order.orderNumber == 0 && order.command.ID == command.ID {
+			order.orderNumber = state.OrderCount
 			ticket = order.ticket
 		}
 	}
 	return ticket
 }
 
-// MarkOutcomeUnknown says that an order was committed, and that its outcome is not known here. It counts as rejected.
+// MarkOutcomeUnknown marks an order that was committed with an outcome that is not known here. TakeCompleted returns it as rejected.
 func (p *PendingOrders) MarkOutcomeUnknown(ticket Ticket) {
 	for _, order := range p.orders {
 		if order.ticket == ticket {
-			order.outcomeLost = true
+			order.outcomeUnknown = true
 		}
 	}
 }
 
-// TakeCompleted removes and returns the orders that are accepted, and those that are rejected because they took too long, or because
-// their outcome is lost. A rejected order may have been committed, or be committed later; submitting it again does no harm.
+// TakeCompleted removes and returns the accepted orders and the rejected ones, which have timed out or have an unknown outcome. A rejected
+// order may have been committed, or may be committed later; submitting it again does no harm.
 func (p *PendingOrders) TakeCompleted(now float64, self Peer, state *State) (accepted, rejected []Ticket) {
 	appliedByAll := state.ordersAppliedByAll(self)
 	p.orders = slices.DeleteFunc(p.orders, func(order *pendingOrder) bool {
 		switch {
-		case order.outcomeLost:
+		case order.outcomeUnknown:
 			rejected = append(rejected, order.ticket)
-		case order.number > 0 && order.number <= appliedByAll:
+		case order.orderNumber > 0 && order.orderNumber <= appliedByAll:
 			accepted = append(accepted, order.ticket)
 		case now-order.submittedAt > p.timeout:
 			rejected = append(rejected, order.ticket)
@@ -118,7 +118,7 @@
 	return accepted, rejected
 }
 
-// ordersAppliedByAll returns the number of the newest order that every living coordinator is known to have applied. self has applied all.
+// ordersAppliedByAll returns the number of orders that every alive coordinator is known to have applied. self has applied all of them.
 func (s *State) ordersAppliedByAll(self Peer) uint64 {
 	applied := s.OrderCount
 	for peer, member := range s.Members {
--- a/internal/core/membership/records.go
+++ b/internal/core/membership/records.go
@@ -11,15 +11,15 @@
 )
 
 const (
-	maxRecords          = 131072 // servers of all tenants; one tenant may have 4,096
-	startTimesTolerance = 2.0    // seconds by which two coordinators may differ about one start, as each hears of it by its own connection
+	maxRecords         = 131072 // servers of all tenants; a single tenant may have 4,096
+	startTimeTolerance = 2.0    // seconds by which the start times that two coordinators see for one server may differ, as each has its own connection to it
 )
 
 func (s *State) applyRecords(records []registry.Record) error {
 	for _, record := range records {
 		known, ok := s.Records[record.Server]
 		if !ok && len(s.Records) >= maxRecords {
-			return fmt.Errorf("%w: over %d records", ErrInvalidCommand, maxRecords)
+			return fmt.Errorf("%w: more than %d records", ErrInvalidCommand, maxRecords)
 		}
 		if s.Records == nil {
 			s.Records = map[balancer.Server]registry.Record{}
@@ -29,7 +29,8 @@
 	return nil
 }
 
-// mergeRecord keeps the earliest time at which a drain began while it lasts, since a takeover must not restart its grace period.
+// mergeRecord returns the updated record. While a drain lasts, it keeps the earliest start time of the drain, since a takeover must not
+// restart the grace period.
 func mergeRecord(known, update registry.Record) registry.Record {
 	if known.Phase != balancer.Ready && update.Phase == known.Phase && known.NotifiedAt > 0 {
 		update.NotifiedAt = min(update.NotifiedAt, known.NotifiedAt)
@@ -59,14 +60,14 @@
 	return nil
 }
 
-// ChangedRecords returns those of the records that differ from what the group has agreed on: a new server, another phase or
-// configuration, a drain, a start at another time. Every coordinator hears from every server; without this filter all of them would
-// propose the same records again and again.
+// ChangedRecords returns the records that differ from the committed ones: new servers and servers with a changed phase, configuration, drain
+// or start time. Every coordinator receives the state of every server; without this filter all of them would repeatedly propose the same
+// records.
 func (s *State) ChangedRecords(records []registry.Record) (changed []registry.Record) {
 	for _, record := range records {
 		known, ok := s.Records[record.Server]
 		differs := !ok || known.ServerConfig != record.ServerConfig || known.Phase != record.Phase ||
-			known.DrainOrdered != record.DrainOrdered || math.Abs(known.Started-record.Started) > startTimesTolerance
+			known.DrainOrdered != record.DrainOrdered || math.Abs(known.Started-record.Started) > startTimeTolerance
 		if differs {
 			changed = append(changed, record)
 		}
@@ -74,7 +75,7 @@
 	return changed
 }
 
-// ServerRecords returns all records, sorted by server.
+// ServerRecords returns all committed records, sorted by server.
 func (s *State) ServerRecords() []registry.Record {
 	all := make([]registry.Record, 0, len(s.Records))
 	for _, record := range s.Records {
--- a/internal/core/membership/records_test.go
+++ b/internal/core/membership/records_test.go
@@ -16,10 +16,10 @@
 		apply(t, s, Command{Kind: StoreRecords, Records: []registry.Record{record}})
 	}
 	store()
-	record.NotifiedAt = 107 // a successor heard of it later
+	record.NotifiedAt = 107 // the coordinator that took over noticed the drain later
 	store()
 	if got := s.ServerRecords()[0].NotifiedAt; got != 100 {
-		t.Errorf("drain began at %v", got)
+		t.Errorf("the drain began at %v, want 100", got)
 	}
 	record.Phase = balancer.Ready
 	record.NotifiedAt = 0
@@ -29,7 +29,7 @@
 	record.NotifiedAt = 200
 	store()
 	if got := s.ServerRecords()[0].NotifiedAt; got != 200 {
-		t.Errorf("a new drain began at %v", got)
+		t.Errorf("the second drain began at %v, want 200", got)
 	}
 	snapshot, err := s.Snapshot()
 	var other State
@@ -38,6 +38,6 @@
 	}
 	again, _ := other.Snapshot()
 	if !bytes.Equal(snapshot, again) || other.Restore([]byte("{\"epoch\":")) == nil || other.Epoch != s.Epoch {
-		t.Error("a snapshot did not come back as it was")
+		t.Error("a restored snapshot differs, or a malformed snapshot was restored")
 	}
 }
--- a/internal/core/membership/state.go
+++ b/internal/core/membership/state.go
@@ -1,9 +1,9 @@
-// Package membership is the replicated state of a group of coordinators: its members and their leases, which of them owns which
-// proxy, and the facts that have to outlive any one of them.
+// Package membership implements the replicated state of a group of coordinators: the members and their leases, the owner of each proxy,
+// and the data that must survive the failure of any coordinator.
 //
-// State is a replicated state machine: the same commands in the same order lead to the same state on every coordinator. Lease decides
-// by one coordinator's clock alone whether it may give orders. The package is pure: it has no I/O and no clock of its own. Times are
-// seconds. docs/sharing.md describes the design.
+// State is a replicated state machine: the same commands in the same order lead to the same state on every coordinator. Lease decides by
+// the clock of one coordinator alone whether it may issue commands to proxies. The package is pure: it has no I/O and no clock of its own.
+// Times are in seconds. docs/sharing.md describes the design.
 package membership
 
 import (
@@ -17,57 +17,56 @@
 	"snowquay/internal/core/tenancy"
 )
 
-// Peer names a coordinator.
+// Peer is the name of a coordinator.
 type Peer string
 
-// Epoch grows whenever proxies may have changed owners. Orders of an older epoch must not be followed.
+// Epoch is a number that increases whenever proxies may have changed owners. Commands to proxies from an older epoch must not be executed.
 type Epoch uint64
 
 const (
-	maxMembers      = 64   // in one group; consensus among more is slow
-	maxPastViews    = 256  // a peer that is further behind has not renewed for longer than its lease
-	maxRecentOrders = 4096 // IDs kept to recognise an order that is proposed twice; its proposer gives up within seconds
+	maxMembers      = 64   // maximum in one group; consensus among more is slow
+	maxPastViews    = 256  // a peer that is further behind has not renewed its lease for longer than the lease's duration
+	maxRecentOrders = 4096 // IDs stored to detect an order that is proposed twice; its proposer gives up within seconds
 )
 
-// Member is a peer as the whole group knows it.
+// Member is the replicated state of a peer.
 type Member struct {
 	Weight        float64 `json:"weight"`
 	Renewal       uint64  `json:"renewal"`
-	Incarnation   uint64  `json:"life"` // of the process that renewed
+	Incarnation   uint64  `json:"life"` // of the process that made the renewal
 	Alive         bool    `json:"alive"`
-	SeenEpoch     Epoch   `json:"seen"`  // the peer acts by this epoch or a later one
-	AppliedOrders uint64  `json:"knows"` // number of orders that it is known to have applied
+	SeenEpoch     Epoch   `json:"seen"`  // the peer has applied this epoch and possibly later ones
+	AppliedOrders uint64  `json:"knows"` // number of orders that the peer is known to have applied
 }
 
-// State is what the group has agreed on. The zero value is the state of a new group.
+// State is the replicated state of the group. The zero value is the state of a new group.
 type State struct {
 	Epoch          Epoch                               `json:"epoch"`
 	Members        map[Peer]Member                     `json:"members"`
 	Records        map[balancer.Server]registry.Record `json:"records"`
-	Drains         map[balancer.Server]float64         `json:"drains"` // drains that were ordered, with the clock time of the order
-	PastViews      []View                              `json:"past"`   // epochs that a living peer may still act by, oldest first
-	OrderCount     uint64                              `json:"orders"` // drains, ends of drains and tenant changes applied so far
+	Drains         map[balancer.Server]float64         `json:"drains"` // ordered drains, with the time of each order in seconds
+	PastViews      []View                              `json:"past"`   // earlier epochs that an alive peer may not have left yet, oldest first
+	OrderCount     uint64                              `json:"orders"` // number of drains, ends of drains and tenant changes applied so far
 	Registrations  map[MemberID]Registration           `json:"seats"`
-	Claims         map[string]Ownership                `json:"claims,omitempty"` // by proxy; replaced rather than changed, as past views share it
+	Claims         map[string]Ownership                `json:"claims,omitempty"` // by proxy; the map is replaced instead of modified, since past views share it
 	RecentOrderIDs []uint64                            `json:"done"`             // oldest first
 
-	Directory tenancy.Directory `json:"directory,omitzero"` // of a hosted service
+	Directory tenancy.Directory `json:"directory,omitzero"` // the host's tenants
 
-	tenantOutcome      tenancy.Outcome // of the latest ChangeTenant
+	tenantOutcome      tenancy.Outcome // outcome of the latest ChangeTenant command
 	tenantOutcomeKnown bool
 	owners             ownerCache
 }
 
-// View is who owned what in an epoch that is over.
+// View is what determined the owners of proxies in an earlier epoch.
 type View struct {
 	Epoch   Epoch                `json:"epoch"`
-	Weights map[Peer]float64     `json:"weights"` // of the living peers
+	Weights map[Peer]float64     `json:"weights"` // of the alive peers
 	Claims  map[string]Ownership `json:"claims,omitempty"`
 }
 
-// Apply applies a committed command and reports whether proxies may have changed owners. Applying a command twice has the effect of
-// applying it once, so a proposer may repeat it until it is committed. A command that does not fit the state is answered by an error
-// that wraps ErrInvalidCommand.
+// Apply applies a committed command and reports whether proxies may have changed owners. Commands are idempotent, so a proposer may repeat
+// one until it is committed. If the command is not applicable to the state, the error wraps ErrInvalidCommand.
 func (s *State) Apply(command Command) (ownersChanged bool, err error) {
 	before := View{Epoch: s.Epoch, Weights: s.aliveWeights(), Claims: s.Claims}
 	ownersChanged, err = s.applyKind(command)
@@ -101,7 +100,7 @@
 	case ChangeTenant:
 		return false, s.applyTenantChange(command)
 	default:
-		return false, fmt.Errorf("%w: kind %d", ErrInvalidCommand, command.Kind)
+		return false, fmt.Errorf("%w: unknown kind %d", ErrInvalidCommand, command.Kind)
 	}
 }
 
@@ -114,7 +113,7 @@
 		return false, fmt.Errorf("%w: %s was removed from the group", ErrInvalidCommand, command.Peer)
 	}
 	if known && command.Renewal <= member.Renewal {
-		return false, nil // overtaken by a newer renewal
+		return false, nil // superseded by a newer renewal
 	}
 	if s.Members == nil {
 		s.Members = map[Peer]Member{}
@@ -130,8 +129,8 @@
 	return !member.Alive || member.Weight != command.Weight, nil
 }
 
-// applyLeaseEnd applies an expiry or a release. An expiry names the renewal that its proposer has seen: if the peer has renewed since,
-// it is alive and the expiry has no effect.
+// applyLeaseEnd applies an expiry or a release of a lease. An expiry contains the newest renewal that its proposer has seen: if the peer
+// has renewed its lease since, it is alive and the expiry has no effect.
 func (s *State) applyLeaseEnd(command Command) (ownersChanged bool) {
 	member := s.Members[command.Peer]
 	if !member.Alive {
@@ -146,14 +145,14 @@
 	return true
 }
 
-// AcceptsRenewal tells whether a renewal that was just applied is the one that counts. A renewal that was overtaken, or whose number an
-// earlier process of the peer had already used, changed nothing and grants no lease.
+// AcceptsRenewal reports whether a renewal that was just applied took effect. A renewal that was superseded by a newer one, or whose number
+// an earlier process of the peer had already used, changes nothing and grants no lease.
 func (s *State) AcceptsRenewal(command Command) bool {
 	member := s.Members[command.Peer]
 	return command.Kind == RenewLease && member.Renewal == command.Renewal && member.Incarnation == command.Incarnation
 }
 
-// AliveMembers returns the peers that hold a lease as far as the group knows, sorted by name.
+// AliveMembers returns the peers that hold a lease according to the state, sorted by name.
 func (s *State) AliveMembers() (alive []Peer) {
 	for peer, member := range s.Members {
 		if member.Alive {
@@ -164,8 +163,8 @@
 	return alive
 }
 
-// orderAlreadyApplied tells whether an order with this ID was applied, and otherwise remembers the ID. Without this, an order that is
-// proposed again because its first proposal seemed lost would undo a later order to the contrary.
+// orderAlreadyApplied reports whether an order with this ID was applied, and otherwise records the ID. Without this, an order that is
+// proposed again because its first proposal seemed lost would undo a later, contrary order.
 func (s *State) orderAlreadyApplied(id uint64) bool {
 	if id == 0 {
 		return false
@@ -180,7 +179,7 @@
 	return false
 }
 
-// prunePastViews drops the views that no living peer acts by any more.
+// prunePastViews removes the views of epochs that all alive peers have left.
 func (s *State) prunePastViews() {
 	oldest := s.Epoch
 	for _, member := range s.Members {
@@ -194,15 +193,15 @@
 	}
 }
 
-// Snapshot encodes the whole state. Equal states have equal bytes.
+// Snapshot encodes the whole state. Equal states have equal encodings.
 func (s *State) Snapshot() ([]byte, error) { return json.Marshal(s) }
 
-// Restore replaces the state by a snapshot; the capacity of the tenants' directory, which is configured locally, stays. On an error the
+// Restore replaces the state by a snapshot, except for the capacity of the tenant directory, which is configured locally. On an error the
 // state is unchanged.
 func (s *State) Restore(snapshot []byte) error {
 	var restored State
 	if err := json.Unmarshal(snapshot, &restored); err != nil {
-		return fmt.Errorf("snapshot: %w", err)
+		return fmt.Errorf("decoding the state snapshot: %w", err)
 	}
 	restored.Directory.Capacity = s.Directory.Capacity
 	*s = restored
--- a/internal/core/membership/state_test.go
+++ b/internal/core/membership/state_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// apply applies a command that fits the state and reports whether owners changed.
+// apply applies a command, which must be valid, and reports whether owners may have changed.
 func apply(t testing.TB, s *State, c Command) (ownersChanged bool) {
 	t.Helper()
 	ownersChanged, err := s.Apply(c)
@@ -31,13 +31,13 @@
 	s := newGroup(t, 1, 1)
 	epoch := s.Epoch
 	for _, c := range []Command{
-		{Kind: RenewLease, Peer: "c0", Weight: 1, Renewal: 1}, // again
-		{Kind: ExpireLease, Peer: "c0", Renewal: 0},           // it has renewed since
-		{Kind: ExpireLease, Peer: "nobody", Renewal: 1},
-		{Kind: ReleaseLease, Peer: "nobody"},
+		{Kind: RenewLease, Peer: "c0", Weight: 1, Renewal: 1}, // repeated
+		{Kind: ExpireLease, Peer: "c0", Renewal: 0},           // c0 has renewed its lease since
+		{Kind: ExpireLease, Peer: "unknown", Renewal: 1},
+		{Kind: ReleaseLease, Peer: "unknown"},
 	} {
 		if moved, err := s.Apply(c); moved || err != nil || s.Epoch != epoch {
-			t.Errorf("%+v: moved %t, %v", c, moved, err)
+			t.Errorf("%+v: owners changed: %t, %v", c, moved, err)
 		}
 	}
 	for _, c := range []Command{
@@ -49,10 +49,10 @@
 		{Kind: RenewLease, Peer: "x", Weight: math.NaN()},
 	} {
 		if _, err := s.Apply(c); !errors.Is(err, ErrInvalidCommand) || s.Epoch != epoch {
-			t.Errorf("%+v: %v", c, err)
+			t.Errorf("%+v: %v, want ErrInvalidCommand", c, err)
 		}
 	}
 	if _, err := Decode([]byte("{")); !errors.Is(err, ErrInvalidCommand) {
-		t.Errorf("%v", err)
+		t.Errorf("decoding a truncated command: %v, want ErrInvalidCommand", err)
 	}
 }
