--- a/internal/core/tenancy/connection.go
+++ b/internal/core/tenancy/connection.go
@@ -5,45 +5,45 @@
 	"slices"
 )
 
-// Bits of the address prefixes by which unidentified connections are counted.
+// Prefix lengths of the networks by which unidentified connections are counted.
 const (
 	ipv4NetworkBits = 24
 	ipv6NetworkBits = 48
 )
 
-// Conn is the number of a connection, given by its driver.
+// Conn identifies a connection. Its number is assigned by the network driver.
 type Conn uint64
 
 // Frontend is the protocol of a connection.
 type Frontend uint8
 
-// The frontends.
+// Frontend protocols.
 const (
 	SASP Frontend = iota + 1
 	HTTP
 )
 
-// IdentityParser finds the UID in the first bytes of a connection. With needMore, it needs more bytes. An error is final:
-// the bytes contain no UID.
+// IdentityParser extracts the UID from the first bytes received on a connection. needMore reports that it needs more bytes.
+// An error is final: the bytes contain no UID.
 type IdentityParser func(received []byte) (uid string, needMore bool, err error)
 
-// RejectReason is why a connection is rejected.
+// RejectReason is the reason for which a connection is rejected.
 type RejectReason int
 
-// The reasons to reject a connection.
+// Reasons for rejecting a connection.
 const (
 	NotRejected           RejectReason = iota
-	TooManyUnidentified                // too many connections whose tenant is not known
-	IdentifyTimedOut                   // it sent no UID in time
-	MalformedIdentity                  // it sent no valid UID
-	UnknownTenant                      // there is no such tenant
-	TenantStarting                     // its tenant does not run yet
-	TenantConnectionsFull              // its tenant has as many connections as it may
-	AcceptRateExceeded                 // its tenant's proxies connect faster than its share
-	NetworkNotAllowed                  // its address is not in its tenant's networks
+	TooManyUnidentified                // there are too many connections whose tenant is not known
+	IdentifyTimedOut                   // the proxy sent no UID in time
+	MalformedIdentity                  // the proxy sent no valid UID
+	UnknownTenant                      // the tenant does not exist
+	TenantStarting                     // the tenant is not running yet
+	TenantConnectionsFull              // the tenant has reached its maximum number of connections
+	AcceptRateExceeded                 // the tenant's proxies connect faster than its share of the accept rate
+	NetworkNotAllowed                  // the proxy's address is not in the tenant's networks
 )
 
-// rejectTexts are sent to proxies and are the values of a metric label, so they must not change.
+// rejectTexts are sent to proxies and used as values of a metric label, so they must not change.
 var rejectTexts = [...]string{
 	NotRejected:           "",
 	TooManyUnidentified:   "too many connections that have not said who they are",
@@ -56,33 +56,33 @@
 	NetworkNotAllowed:     "it does not come from its tenant's networks",
 }
 
-// String describes the reason for the proxy.
+// String returns the text that is sent to the proxy.
 func (r RejectReason) String() string { return rejectTexts[r] }
 
-// RouterLimits bounds what unidentified connections may take, and how fast connections are accepted. A connection beyond
-// a limit is closed. Times are in seconds.
+// RouterLimits limits the resources of unidentified connections and the rate at which connections are accepted. A
+// connection that exceeds a limit is closed. Times are in seconds.
 type RouterLimits struct {
-	Unidentified           int     // connections whose tenant is not known
-	UnidentifiedPerNetwork int     // such connections from one network, of 24 bits of IPv4 or 48 of IPv6
-	UnidentifiedBytes      int     // that one of them may send
-	TotalBuffered          int     // bytes that all of them may send
-	IdentifyTimeout        float64 // until the tenant must be known
+	Unidentified           int     // maximum number of connections whose tenant is not known
+	UnidentifiedPerNetwork int     // maximum number of such connections from one network, an IPv4 /24 or IPv6 /48
+	UnidentifiedBytes      int     // maximum bytes buffered for one of them
+	TotalBuffered          int     // maximum bytes buffered for all of them
+	IdentifyTimeout        float64 // time within which a connection must identify its tenant
 	MaxTenants             int
-	AcceptRate             float64 // connections per second of all tenants
-	AcceptBurst            float64 // connections at once of all tenants
-	RetryAfter             float64 // least time after which rejected connections may come back
+	AcceptRate             float64 // connections accepted per second, for all tenants together
+	AcceptBurst            float64 // connections accepted at once, for all tenants together
+	RetryAfter             float64 // minimum time after which a rejected proxy may reconnect
 }
 
-// DefaultRouterLimits are the limits without settings.
+// DefaultRouterLimits holds the limits that apply if the settings specify none.
 var DefaultRouterLimits = RouterLimits{
-	Unidentified:           8192,     // many proxies that dial at once; they are identified by their first message
-	UnidentifiedPerNetwork: 2048,     // a quarter, so that one network that only dials leaves room for others
+	Unidentified:           8192,     // allows many proxies to connect at once; they are identified by their first message
+	UnidentifiedPerNetwork: 2048,     // a quarter of Unidentified, so that a network that only opens connections leaves room for others
 	UnidentifiedBytes:      32 << 10, // a registration of 700 members in one message
-	TotalBuffered:          16 << 20, // of 500 such messages at once
-	IdentifyTimeout:        5,        // half of what an identified connection may be silent
+	TotalBuffered:          16 << 20, // 500 such messages at once
+	IdentifyTimeout:        5,        // half the time for which an identified connection may be silent
 	MaxTenants:             20000,
-	AcceptRate:             5000, // at 50 microseconds each
-	AcceptBurst:            5000, // the most proxies of one tenant, at once
+	AcceptRate:             5000, // each takes 50 microseconds
+	AcceptBurst:            5000, // the maximum number of proxies of one tenant, all at once
 	RetryAfter:             1,
 }
 
@@ -95,7 +95,7 @@
 	received []byte
 }
 
-// tenantRoute is what the router knows of a tenant.
+// tenantRoute holds the router's state of a tenant.
 type tenantRoute struct {
 	connections    int
 	maxConnections int
@@ -103,18 +103,18 @@
 	networks       []netip.Prefix // empty: any
 }
 
-// allows tells whether a tenant's connections may come from an address.
+// allows reports whether the tenant accepts connections from an address.
 func (t *tenantRoute) allows(from netip.Addr) bool {
 	return len(t.networks) == 0 ||
 		slices.ContainsFunc(t.networks, func(network netip.Prefix) bool { return network.Contains(from) })
 }
 
-// networkOf is the network of an address, by which unidentified connections are counted.
+// networkOf returns the network of an address by which unidentified connections are counted.
 func networkOf(address netip.Addr) netip.Prefix {
 	bits := ipv4NetworkBits
 	if address.Is6() {
 		bits = ipv6NetworkBits
 	}
-	network, _ := address.Prefix(bits) // fails only for more bits than the address has
+	network, _ := address.Prefix(bits) // fails only if bits exceeds the address length
 	return network
 }
--- a/internal/core/tenancy/directory.go
+++ b/internal/core/tenancy/directory.go
@@ -7,16 +7,16 @@
 )
 
 const (
-	// maxOutcomes is how many outcomes are remembered, so that a call whose answer was lost can be repeated.
+	// maxOutcomes is the number of outcomes stored, so that a call whose response was lost can be repeated.
 	maxOutcomes = 4096
 
-	// NameQuarantine is how long, in seconds, a name can't be used after its tenant was removed. What is still in flight
-	// to the removed tenant, such as late load reports and connections not yet noticed as broken, does not reach a new
-	// one. The cost is that a name can't be used again at once.
+	// NameQuarantine is the time in seconds for which a name can't be reused after its tenant was removed. It keeps
+	// traffic to the removed tenant, such as late load reports and connections whose failure is not detected yet, from
+	// reaching a new tenant of the same name. The cost is that a name can't be reused at once.
 	NameQuarantine = 10.0
 )
 
-// Version grows with every change of any tenant. Each tenant has the version of its latest change.
+// Version is a number that increases with every change of any tenant. Each tenant has the version of its latest change.
 type Version uint64
 
 // Tenant is an entry of the directory.
@@ -24,8 +24,8 @@
 	Name         Name         `json:"name"`
 	Incarnation  Incarnation  `json:"incarnation"`
 	Version      Version      `json:"version"`
-	Settings     []byte       `json:"settings"` // the content of its settings file
-	Weight       float64      `json:"weight"`   // of its share of what tenants share
+	Settings     []byte       `json:"settings"` // the content of the tenant's settings file
+	Weight       float64      `json:"weight"`   // weight of its share of the resources that tenants share
 	Requirements Requirements `json:"needs"`
 	CreatedAt    float64      `json:"made"`    // in seconds
 	ChangedAt    float64      `json:"changed"` // in seconds
@@ -38,18 +38,18 @@
 	Version         Version          `json:"version"`
 	LastIncarnation Incarnation      `json:"given"`
 	Tenants         map[Name]*Tenant `json:"tenants"`
-	Quarantined     map[Name]float64 `json:"resting"` // when the tenants of these names were removed
-	Outcomes        []Outcome        `json:"done"`    // the latest, oldest first
+	Quarantined     map[Name]float64 `json:"resting"` // when the tenant of each name was removed, in seconds
+	Outcomes        []Outcome        `json:"done"`    // the latest outcomes, oldest first
 
-	// Derived from the above by index.
-	used           Requirements   // of all tenants
-	outcomeNumbers map[uint64]int // of the remembered outcomes by ID, counted from the first one ever; nil: not indexed
-	droppedCount   int            // outcomes that are no longer remembered
+	// Derived from the fields above by buildIndex.
+	used           Requirements   // sum of all tenants' requirements
+	outcomeNumbers map[uint64]int // sequence numbers of the stored outcomes by ID, counting all outcomes ever stored; nil: not built
+	droppedCount   int            // number of outcomes that are no longer stored
 }
 
-// Apply takes a command. A command that is applied again has the outcome that it had.
+// Apply applies a command. A command with an ID that is applied again returns its first outcome.
 func (d *Directory) Apply(command Command) Outcome {
-	d.index()
+	d.buildIndex()
 	outcome := Outcome{ID: command.ID, Fingerprint: command.Fingerprint}
 	if earlier, ok := d.FindOutcome(command.ID); ok && command.ID != 0 {
 		if earlier.Fingerprint == command.Fingerprint {
@@ -60,19 +60,19 @@
 	}
 	tenant, err := d.execute(command)
 	if err != nil {
-		// A rejected command is not remembered, so that its caller may try again with the same key.
+		// The outcome of a rejected command is not stored, so that its caller may retry with the same key.
 		outcome.setErr(err)
 		return outcome
 	}
 	outcome.Version = tenant.Version
 	outcome.Incarnation = tenant.Incarnation
 	if command.ID != 0 {
-		d.remember(outcome)
+		d.storeOutcome(outcome)
 	}
 	return outcome
 }
 
-// execute does what a command says, or nothing at all.
+// execute performs a command. If it returns an error, the directory is unchanged.
 func (d *Directory) execute(command Command) (Tenant, error) {
 	if err := command.validate(); err != nil {
 		return Tenant{}, err
@@ -95,7 +95,7 @@
 	case Remove:
 		return d.remove(tenant, command.Time), nil
 	}
-	return Tenant{}, errorf(ErrInvalidCommand, "kind %d", command.Kind)
+	return Tenant{}, errorf(ErrInvalidCommand, "unknown kind %d", command.Kind)
 }
 
 func (d *Directory) create(command Command) (Tenant, error) {
@@ -103,10 +103,10 @@
 		return Tenant{}, ErrExists
 	}
 	if removedAt, ok := d.Quarantined[command.Name]; ok && command.Time < removedAt+NameQuarantine {
-		return Tenant{}, errorf(ErrNameQuarantined, "for %.1f s more", removedAt+NameQuarantine-command.Time)
+		return Tenant{}, errorf(ErrNameQuarantined, "available again in %.1f s", removedAt+NameQuarantine-command.Time)
 	}
 	if len(d.Tenants) >= d.Capacity.MaxTenants {
-		return Tenant{}, errorf(ErrNoCapacity, "there are %d tenants", len(d.Tenants))
+		return Tenant{}, errorf(ErrNoCapacity, "there are already %d tenants", len(d.Tenants))
 	}
 	if err := d.Capacity.fits(d.used, command.Requirements); err != nil {
 		return Tenant{}, err
@@ -118,7 +118,7 @@
 	}
 	d.Tenants[command.Name] = tenant
 	delete(d.Quarantined, command.Name)
-	return d.set(tenant, command), nil
+	return d.update(tenant, command), nil
 }
 
 func (d *Directory) change(tenant *Tenant, command Command) (Tenant, error) {
@@ -127,11 +127,11 @@
 		return Tenant{}, err
 	}
 	d.used = others
-	return d.set(tenant, command), nil
+	return d.update(tenant, command), nil
 }
 
-// set gives a tenant, whose requirements do not count as used, what a command says of it.
-func (d *Directory) set(tenant *Tenant, command Command) Tenant {
+// update sets the tenant's fields from a command. The tenant's requirements must not be included in used when it is called.
+func (d *Directory) update(tenant *Tenant, command Command) Tenant {
 	d.used = d.used.plus(command.Requirements)
 	d.Version++
 	tenant.Version = d.Version
@@ -151,7 +151,7 @@
 	return *tenant
 }
 
-// quarantine keeps a name from being used, and releases those whose quarantine is over.
+// quarantine adds a name to the quarantined ones, and deletes those whose quarantine is over.
 func (d *Directory) quarantine(name Name, now float64) {
 	if d.Quarantined == nil {
 		d.Quarantined = map[Name]float64{}
@@ -160,8 +160,8 @@
 	d.Quarantined[name] = now
 }
 
-// remember stores an outcome, in place of the oldest one if there are too many.
-func (d *Directory) remember(outcome Outcome) {
+// storeOutcome stores an outcome, and drops the oldest one if maxOutcomes are stored.
+func (d *Directory) storeOutcome(outcome Outcome) {
 	if len(d.Outcomes) >= maxOutcomes {
 		delete(d.outcomeNumbers, d.Outcomes[0].ID)
 		d.Outcomes = d.Outcomes[1:]
@@ -171,8 +171,8 @@
 	d.Outcomes = append(d.Outcomes, outcome)
 }
 
-// index derives what a snapshot does not contain, unless it has been derived before.
-func (d *Directory) index() {
+// buildIndex computes the fields that a snapshot does not contain, unless they are up to date.
+func (d *Directory) buildIndex() {
 	if d.outcomeNumbers != nil {
 		return
 	}
@@ -182,14 +182,14 @@
 		d.outcomeNumbers[outcome.ID] = i
 	}
 	d.used = Requirements{}
-	for _, tenant := range d.All() { // in order, so that all replicas have the same sum
+	for _, tenant := range d.All() { // in order, so that all replicas compute the same sum
 		d.used = d.used.plus(tenant.Requirements)
 	}
 }
 
-// FindOutcome returns the outcome of a command that was applied before, by its ID.
+// FindOutcome returns the stored outcome of the command with an ID.
 func (d *Directory) FindOutcome(id uint64) (Outcome, bool) {
-	d.index()
+	d.buildIndex()
 	number, ok := d.outcomeNumbers[id]
 	if !ok {
 		return Outcome{}, false
@@ -197,7 +197,7 @@
 	return d.Outcomes[number-d.droppedCount], true
 }
 
-// Get returns a tenant by its name.
+// Get returns a copy of the tenant with a name.
 func (d *Directory) Get(name Name) (Tenant, bool) {
 	tenant := d.Tenants[name]
 	if tenant == nil {
@@ -206,7 +206,7 @@
 	return *tenant, true
 }
 
-// All lists the tenants by name. The directory owns them.
+// All returns all tenants, sorted by name. They belong to the directory and must not be changed.
 func (d *Directory) All() []*Tenant {
 	all := make([]*Tenant, 0, len(d.Tenants))
 	for _, tenant := range d.Tenants {
@@ -216,8 +216,8 @@
 	return all
 }
 
-// Used is what all tenants require together.
+// Used returns the sum of all tenants' requirements.
 func (d *Directory) Used() Requirements {
-	d.index()
+	d.buildIndex()
 	return d.used
 }
--- a/internal/core/tenancy/golden_test.go
+++ b/internal/core/tenancy/golden_test.go
@@ -82,8 +82,8 @@
 	}
 }
 
-// The outcomes of calls are stored by these numbers.
-func TestStoredErrorNumbers(t *testing.T) {
+// Error codes and command kinds are stored by their numeric values, which must not change.
+func TestStoredErrorCodes(t *testing.T) {
 	for code, want := range []error{
 		nil,
 		ErrExists,
@@ -95,10 +95,10 @@
 		ErrNoCapacity,
 	} {
 		if !errors.Is(errorsByCode[code], want) {
-			t.Errorf("%d stands for %v, want %v", code, errorsByCode[code], want)
+			t.Errorf("code %d is %v, want %v", code, errorsByCode[code], want)
 		}
 	}
 	if Create != 1 || Change != 2 || Remove != 3 {
-		t.Error("the numbers of commands have changed")
+		t.Error("the numeric values of command kinds have changed")
 	}
 }
--- a/internal/core/tenancy/name_test.go
+++ b/internal/core/tenancy/name_test.go
@@ -12,12 +12,12 @@
 			t.Errorf("%q: %v", valid, err)
 		}
 	}
-	// Case, length, Unicode forms (composed, decomposed, full width, a letter of another script that looks alike), and
-	// what a path or a UID would divide.
+	// Upper case, length, Unicode forms (composed, decomposed, full width, a similar letter of another script), and
+	// separators of paths and UIDs.
 	for _, invalid := range []string{"", "A", "north ", "-a", "a-", "a/b", "a.b", "ä", "a\u0308", "ａ", "а", "a\x00", "%61",
 		strings.Repeat("x", MaxNameLength+1)} {
 		if name, err := ParseName(invalid); !errors.Is(err, ErrInvalidName) || name != "" {
-			t.Errorf("%q is taken for %q", invalid, name)
+			t.Errorf("ParseName(%q) = %q without ErrInvalidName", invalid, name)
 		}
 	}
 }
@@ -34,10 +34,10 @@
 	} {
 		name, local, ok := SplitUID(uid)
 		if ok != (want != "") {
-			t.Errorf("%q belongs to %q, %t", uid, name, ok)
+			t.Errorf("%q: tenant %q, valid: %t", uid, name, ok)
 		}
 		if name != want && ok || ok && name.UID(local) != uid {
-			t.Errorf("%q belongs to %q as %q", uid, name, local)
+			t.Errorf("%q: tenant %q, proxy %q", uid, name, local)
 		}
 	}
 }
--- a/internal/core/tenancy/requirements.go
+++ b/internal/core/tenancy/requirements.go
@@ -3,33 +3,34 @@
 import "math"
 
 const (
-	// maxRequirement bounds each of the requirements. Sums of 20,000 such are finite, and one fits no host.
+	// maxRequirement is the maximum of each requirement. It exceeds the capacity of any host, and sums of 20,000 such values
+	// are finite.
 	maxRequirement = 1 << 50
 
-	// requirementPrecision is the number of steps to which a core's time, or an entry per second, is divided.
+	// requirementPrecision is the number of steps per CPU core and per entry per second to which requirements are rounded.
 	requirementPrecision = 1 << 20
 
-	// capacityTolerance is the part by which sums of requirements may be rounded.
+	// capacityTolerance is the relative tolerance for rounding errors in sums of requirements.
 	capacityTolerance = 1e-9
 )
 
-// Requirements is what a tenant takes of its host when it is as large and as busy as its limits allow.
+// Requirements holds the resources of the host that a tenant uses when it is as large and as busy as its limits allow.
 type Requirements struct {
 	Memory           float64 `json:"memory"`      // bytes
 	EntriesPerSecond float64 `json:"lines"`       // table entries per second on the channel
-	Connections      float64 `json:"connections"` // at once
+	Connections      float64 `json:"connections"` // open at the same time
 	CPU              float64 `json:"work"`        // CPU seconds per second
 }
 
-// Capacity is what a host has for all its tenants. Their requirements together must fit into it. CPU time may be
-// overcommitted: it is shared as tenants need it, and a tenant that asks for more than its share waits.
+// Capacity holds the resources that a host has for all its tenants. The sum of their requirements must fit into it. CPU time
+// may be overcommitted: it is shared on demand, and a tenant that requests more than its share waits.
 type Capacity struct {
 	Requirements
-	CPUOvercommit float64 // how many times the CPU time may be required
+	CPUOvercommit float64 // factor by which the sum of required CPU time may exceed the available CPU time
 	MaxTenants    int
 }
 
-// DefaultCapacity is that of a host with four cores and 8 GiB for tenants, whose programs run on one of the cores.
+// DefaultCapacity is the capacity of a host with four cores and 8 GiB for tenants, where all tenants run on one of the cores.
 var DefaultCapacity = Capacity{
 	Requirements: Requirements{
 		Memory:           8 << 30,
@@ -41,14 +42,14 @@
 	MaxTenants:    20000,
 }
 
-// fits returns ErrNoCapacity if a tenant's requirements do not fit beside what others use.
+// fits returns an error that wraps ErrNoCapacity if a tenant's requirements exceed the capacity that the other tenants leave.
 func (c Capacity) fits(used, required Requirements) error {
 	available := c.Requirements
 	available.CPU *= c.CPUOvercommit
 	return required.CheckWithin(available.minus(used))
 }
 
-// CheckWithin returns ErrNoCapacity if some requirement is more than what is available.
+// CheckWithin returns an error that wraps ErrNoCapacity if some requirement exceeds the available resources.
 func (r Requirements) CheckWithin(available Requirements) error {
 	for _, resource := range [...]struct {
 		name      string
@@ -56,19 +57,19 @@
 		available float64
 	}{
 		{"bytes of memory", r.Memory, available.Memory},
-		{"lines a second", r.EntriesPerSecond, available.EntriesPerSecond},
+		{"table entries per second", r.EntriesPerSecond, available.EntriesPerSecond},
 		{"connections", r.Connections, available.Connections},
-		{"of a core's time", r.CPU, available.CPU},
+		{"CPU cores", r.CPU, available.CPU},
 	} {
 		if resource.required > resource.available*(1+capacityTolerance) {
-			return errorf(ErrNoCapacity, "it needs %.4g %s, there are %.4g",
+			return errorf(ErrNoCapacity, "%.4g %s required, %.4g available",
 				resource.required, resource.name, max(resource.available, 0))
 		}
 	}
 	return nil
 }
 
-// Valid tells whether all requirements are numbers within bounds.
+// Valid reports whether all requirements are numbers within the allowed range.
 func (r Requirements) Valid() bool {
 	for _, value := range [...]float64{r.Memory, r.EntriesPerSecond, r.Connections, r.CPU} {
 		if math.IsNaN(value) || value < 0 || value > maxRequirement {
@@ -78,8 +79,8 @@
 	return true
 }
 
-// rounded rounds the requirements up so that sums of them do not depend on the order of addition: all replicas of the
-// directory must agree on what is free to the last bit.
+// rounded returns the requirements rounded up so that sums of them do not depend on the order of addition: all replicas of
+// the directory must compute exactly the same available capacity.
 func (r Requirements) rounded() Requirements {
 	return Requirements{
 		Memory:           math.Ceil(r.Memory),
--- a/internal/core/tenancy/router.go
+++ b/internal/core/tenancy/router.go
@@ -11,16 +11,16 @@
 	"snowquay/internal/core/fairshare"
 )
 
-// acceptWindow is the window in seconds for fair sharing of the accept rate.
+// acceptWindow is the time window in seconds for the fair sharing of the accept rate.
 const acceptWindow = 0.1
 
-// ErrInvalidRoute says that a tenant can't be added to a router.
+// ErrInvalidRoute reports that a tenant can't be added to a router.
 var ErrInvalidRoute = errors.New("invalid route")
 
-// ConnectionRouter assigns connections to tenants. The proxies of all tenants connect to the same ports, and the first
-// message of a connection names its tenant for good. Use NewConnectionRouter. It is not safe for concurrent use.
+// ConnectionRouter assigns connections to tenants. The proxies of all tenants connect to the same ports, and the first message
+// on a connection determines its tenant permanently. Use NewConnectionRouter. It is not safe for concurrent use.
 type ConnectionRouter struct {
-	// Rejected counts rejected connections.
+	// Rejected counts rejected connections by reason.
 	Rejected map[RejectReason]int
 
 	limits  RouterLimits
@@ -28,14 +28,14 @@
 
 	unidentified          map[Conn]*unidentifiedConn
 	unidentifiedByNetwork map[netip.Prefix]int
-	bufferedBytes         int // of all unidentified connections
+	bufferedBytes         int // bytes received on all unidentified connections
 
 	tenants      map[Name]*tenantRoute
 	tenantByConn map[Conn]Name
 	acceptRate   *fairshare.Allocator
 }
 
-// NewConnectionRouter makes a router without tenants.
+// NewConnectionRouter returns a router without tenants.
 func NewConnectionRouter(now float64, limits RouterLimits, parsers map[Frontend]IdentityParser) *ConnectionRouter {
 	return &ConnectionRouter{
 		Rejected:              map[RejectReason]int{},
@@ -55,10 +55,10 @@
 	}
 }
 
-// Set adds a tenant or changes it: its weight for the accept rate, its connection limit and the networks of its proxies
-// (none: any). The flag ready is false while the tenant starts. Without networks, whoever reaches the SASP port may act as
-// any proxy of the tenant, since the protocol has no credentials. The error is ErrInvalidRoute, with that of the
-// allocator.
+// Set adds or changes a tenant: its weight for the accept rate, its connection limit and the networks of its proxies (none:
+// any). ready is false while the tenant is starting. Without networks, any client that can connect to the SASP port may
+// impersonate any proxy of the tenant, since the protocol has no credentials. Errors wrap ErrInvalidRoute and the error of
+// the accept rate's allocator.
 func (r *ConnectionRouter) Set(now float64, name Name, weight float64, maxConnections int,
 	networks []netip.Prefix, ready bool) error {
 	if err := r.acceptRate.Set(now, fairshare.Tenant(name), "", weight); err != nil {
@@ -75,7 +75,7 @@
 	return nil
 }
 
-// Remove removes a tenant. It returns the tenant's connections in ascending order, for the caller to close.
+// Remove removes a tenant. It returns the tenant's connections in ascending order, which the caller must close.
 func (r *ConnectionRouter) Remove(name Name) []Conn {
 	connections := r.Connections(name)
 	for _, conn := range connections {
@@ -86,7 +86,7 @@
 	return connections
 }
 
-// Connections lists a tenant's connections in ascending order.
+// Connections returns a tenant's connections in ascending order.
 func (r *ConnectionRouter) Connections(name Name) (connections []Conn) {
 	route := r.tenants[name]
 	if route == nil || route.connections == 0 {
@@ -101,18 +101,18 @@
 	return connections
 }
 
-// Tenant is the tenant of a connection; ok is false if it is not identified.
+// Tenant returns the tenant of a connection. ok is false if the connection is not identified.
 func (r *ConnectionRouter) Tenant(conn Conn) (name Name, ok bool) {
 	name, ok = r.tenantByConn[conn]
 	return name, ok
 }
 
-// Count is the number of identified and of unidentified connections, and the bytes that the latter have sent.
+// Count returns the numbers of identified and unidentified connections, and the bytes received on the unidentified ones.
 func (r *ConnectionRouter) Count() (identified, unidentified, buffered int) {
 	return len(r.tenantByConn), len(r.unidentified), r.bufferedBytes
 }
 
-// Opened takes a new connection. If a reason is returned, the caller closes it.
+// Opened adds a new connection. If it returns a reason other than NotRejected, the caller must close the connection.
 func (r *ConnectionRouter) Opened(now float64, conn Conn, from netip.Addr, frontend Frontend) RejectReason {
 	from = from.Unmap()
 	network := networkOf(from)
@@ -125,10 +125,10 @@
 	return NotRejected
 }
 
-// Closed forgets a connection.
+// Closed removes a connection.
 func (r *ConnectionRouter) Closed(conn Conn) {
 	if c := r.unidentified[conn]; c != nil {
-		r.forgetUnidentified(c)
+		r.removeUnidentified(c)
 	}
 	name, ok := r.tenantByConn[conn]
 	if !ok {
@@ -140,16 +140,16 @@
 	}
 }
 
-// RouteResult is what became of received bytes of an unidentified connection.
+// RouteResult is the result of bytes received on an unidentified connection.
 type RouteResult struct {
-	Tenant     Name   // to which the connection belongs from now on; empty if it is not known yet or rejected
-	Bytes      []byte // all that the connection has sent, for that tenant
+	Tenant     Name   // the connection's tenant from now on; empty if it is not known yet or the connection is rejected, except with TenantStarting
+	Bytes      []byte // all bytes received on the connection, to be passed to the tenant
 	Frontend   Frontend
-	Reason     RejectReason // unless NotRejected, the caller closes the connection
-	RetryAfter float64      // seconds after which the proxy may come back; 0: unspecified
+	Reason     RejectReason // unless NotRejected, the caller must close the connection
+	RetryAfter float64      // seconds after which the proxy may reconnect; 0: unspecified
 }
 
-// Receive takes received bytes of an unidentified connection. With TenantStarting, the result names the tenant too.
+// Receive processes bytes received on an unidentified connection. With TenantStarting, the result contains the tenant too.
 func (r *ConnectionRouter) Receive(now float64, conn Conn, received []byte) RouteResult {
 	c := r.unidentified[conn]
 	if c == nil {
@@ -161,7 +161,7 @@
 	if err == nil && needMore && len(c.received) < r.limits.UnidentifiedBytes && r.bufferedBytes <= r.limits.TotalBuffered {
 		return RouteResult{}
 	}
-	r.forgetUnidentified(c)
+	r.removeUnidentified(c)
 	name, _, ok := SplitUID(uid)
 	if err != nil || needMore || !ok {
 		return RouteResult{Frontend: c.frontend, Reason: r.reject(MalformedIdentity)}
@@ -200,8 +200,8 @@
 	return RouteResult{Tenant: name, Bytes: conn.received, Frontend: conn.frontend}
 }
 
-// TakeExpired removes the connections that were not identified in time, and returns them in ascending order for the
-// caller to close.
+// TakeExpired removes the connections that were not identified in time. It returns them in ascending order, and the caller
+// must close them.
 func (r *ConnectionRouter) TakeExpired(now float64) (connections []Conn) {
 	var expired []*unidentifiedConn
 	for _, c := range r.unidentified {
@@ -211,14 +211,14 @@
 	}
 	slices.SortFunc(expired, func(a, b *unidentifiedConn) int { return cmp.Compare(a.id, b.id) })
 	for _, c := range expired {
-		r.forgetUnidentified(c)
+		r.removeUnidentified(c)
 		r.reject(IdentifyTimedOut)
 		connections = append(connections, c.id)
 	}
 	return connections
 }
 
-func (r *ConnectionRouter) forgetUnidentified(conn *unidentifiedConn) {
+func (r *ConnectionRouter) removeUnidentified(conn *unidentifiedConn) {
 	r.bufferedBytes -= len(conn.received)
 	delete(r.unidentified, conn.id)
 	network := networkOf(conn.from)
--- a/internal/core/tenancy/router_test.go
+++ b/internal/core/tenancy/router_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// parseTestIdentity takes a text up to a full stop as a UID, and an exclamation mark at its start as malformed.
+// parseTestIdentity accepts a UID that ends with a full stop, and rejects a text that starts with an exclamation mark.
 func parseTestIdentity(received []byte) (uid string, needMore bool, err error) {
 	text := string(received)
 	switch {
@@ -20,17 +20,17 @@
 	return "", true, nil
 }
 
-// testAddress is an address in one of 256 networks.
+// testAddress returns an address in one of 256 networks.
 func testAddress(network byte) netip.Addr { return netip.AddrFrom4([4]byte{127, 0, network, 1}) }
 
-// testRouter opens connections with ascending numbers.
+// testRouter is a router with helpers to open connections, which get ascending numbers.
 type testRouter struct {
 	*ConnectionRouter
 	t    *testing.T
 	last Conn
 }
 
-// newTestRouter makes a router with the tenants "a" (two connections), "b" (from network 7 only) and "late" (starting).
+// newTestRouter returns a router with the tenants "a" (two connections), "b" (from network 7 only) and "late" (starting).
 func newTestRouter(t *testing.T) *testRouter {
 	t.Helper()
 	limits := DefaultRouterLimits
@@ -56,17 +56,17 @@
 	r.t.Helper()
 	r.last++
 	if reason := r.Opened(now, r.last, testAddress(network), SASP); reason != NotRejected {
-		r.t.Fatalf("rejected: %s", reason)
+		r.t.Fatalf("the connection was rejected: %s", reason)
 	}
 	return r.last
 }
 
-// receive passes a text of a connection to the router, and checks the result.
+// receive passes a text received on a connection to the router, and checks the result.
 func (r *testRouter) receive(conn Conn, text string, wantReason RejectReason, wantTenant Name) RouteResult {
 	r.t.Helper()
 	result := r.Receive(1, conn, []byte(text))
 	if result.Reason != wantReason || result.Tenant != wantTenant {
-		r.t.Errorf("%q: %v for %q, wanted %v for %q", text, result.Reason, result.Tenant, wantReason, wantTenant)
+		r.t.Errorf("%q: reason \"%v\", tenant %q, want reason \"%v\", tenant %q", text, result.Reason, result.Tenant, wantReason, wantTenant)
 	}
 	return result
 }
@@ -74,12 +74,12 @@
 func TestConnectionsAreRoutedByTheirFirstMessage(t *testing.T) {
 	r := newTestRouter(t)
 	conn := r.open(1, 1)
-	r.receive(conn, "a/re", NotRejected, "") // in two pieces
+	r.receive(conn, "a/re", NotRejected, "") // the message arrives in two parts
 	if result := r.receive(conn, "lay.", NotRejected, "a"); string(result.Bytes) != "a/relay." {
-		t.Errorf("its tenant is given %q", result.Bytes)
+		t.Errorf("the tenant receives %q", result.Bytes)
 	}
 	if name, ok := r.Tenant(conn); !ok || name != "a" {
-		t.Error("it is not identified")
+		t.Error("the connection is not identified")
 	}
 	r.receive(r.open(1, 1), "!", MalformedIdentity, "")
 	r.receive(r.open(1, 1), "A/relay.", MalformedIdentity, "")
@@ -93,37 +93,37 @@
 	r.Closed(conn)
 	r.receive(r.open(1, 1), "a/third.", NotRejected, "a")
 	if identified, unidentified, buffered := r.Count(); identified != 3 || unidentified != 0 || buffered != 0 {
-		t.Errorf("%d identified, %d unidentified, %d bytes", identified, unidentified, buffered)
+		t.Errorf("%d identified connections, %d unidentified ones with %d bytes", identified, unidentified, buffered)
 	}
 	if connections := r.Remove("a"); len(connections) != 2 {
-		t.Errorf("%v were a's", connections)
+		t.Errorf("the connections of tenant a were %v, want two", connections)
 	}
 	r.receive(r.open(1, 1), "a/relay.", UnknownTenant, "")
 }
 
-// A network that only dials leaves room for another. All networks together have a limit, and their connections expire.
+// Unidentified connections are limited per network, so that one network leaves room for others, and in total. They expire.
 func TestUnidentifiedConnectionsAreLimited(t *testing.T) {
 	r := newTestRouter(t)
 	for range 3 {
 		r.open(2, 1)
 	}
 	if r.Opened(2, 100, testAddress(1), SASP) != TooManyUnidentified {
-		t.Error("one network takes all connections")
+		t.Error("one network may exceed its limit of unidentified connections")
 	}
 	r.open(2, 2)
 	if r.Opened(2, 101, testAddress(3), SASP) != TooManyUnidentified {
-		t.Error("there is no limit")
+		t.Error("the total number of unidentified connections is unlimited")
 	}
 	if expired := r.TakeExpired(2 + r.limits.IdentifyTimeout/2); len(expired) != 0 {
-		t.Error("too soon", expired)
+		t.Error("connections expired too soon:", expired)
 	}
 	if expired := r.TakeExpired(2.1 + r.limits.IdentifyTimeout); len(expired) != 4 {
-		t.Error("still there", expired)
+		t.Error("not all connections have expired, only", expired)
 	}
 	r.open(9, 1)
 }
 
-// If many proxies of one tenant connect at once they are slowed; those of another are accepted.
+// If many proxies of one tenant connect at once, some are rejected; the proxies of another tenant are all accepted.
 func TestAcceptRateIsSharedFairly(t *testing.T) {
 	limits := DefaultRouterLimits
 	limits.AcceptRate = 100
@@ -136,7 +136,7 @@
 	}
 	conn := Conn(0)
 	accepted := map[Name]int{}
-	slowed := map[Name]int{}
+	rateLimited := map[Name]int{}
 	connect := func(now float64, name Name) {
 		conn++
 		r.Opened(now, conn, testAddress(0), SASP)
@@ -145,7 +145,7 @@
 		case result.Reason == NotRejected:
 			accepted[name]++
 		case result.Reason == AcceptRateExceeded && result.RetryAfter > 0:
-			slowed[name]++
+			rateLimited[name]++
 		}
 	}
 	for now := 1.0; now < 11; now += 0.01 {
@@ -156,7 +156,7 @@
 			connect(now, "b")
 		}
 	}
-	if slowed["b"] > 0 || accepted["b"] < 90 || accepted["a"] > 1150 || slowed["a"] == 0 {
-		t.Errorf("accepted %v, slowed %v", accepted, slowed)
+	if rateLimited["b"] > 0 || accepted["b"] < 90 || accepted["a"] > 1150 || rateLimited["a"] == 0 {
+		t.Errorf("accepted %v, rejected by the accept rate %v", accepted, rateLimited)
 	}
 }
--- a/internal/core/tenancy/snapshot.go
+++ b/internal/core/tenancy/snapshot.go
@@ -6,7 +6,7 @@
 	"maps"
 )
 
-// Snapshot encodes the directory. The same directory has the same bytes.
+// Snapshot encodes the directory. Equal directories have equal encodings.
 func (d *Directory) Snapshot() ([]byte, error) {
 	snapshot, err := json.Marshal(d)
 	if err != nil {
@@ -15,8 +15,8 @@
 	return snapshot, nil
 }
 
-// Restore replaces the directory by a snapshot, except for its Capacity. If the snapshot is invalid, nothing changes; the
-// error is ErrInvalidCommand for an invalid tenant.
+// Restore replaces the directory by a snapshot, except for its Capacity. On an error the directory is unchanged. If a tenant
+// is invalid, the error wraps ErrInvalidCommand.
 func (d *Directory) Restore(snapshot []byte) error {
 	var restored Directory
 	if err := json.Unmarshal(snapshot, &restored); err != nil {
@@ -25,7 +25,7 @@
 	for name, tenant := range restored.Tenants {
 		if tenant == nil || tenant.Name != name || tenant.Incarnation > restored.LastIncarnation ||
 			tenant.Version > restored.Version || !tenant.Requirements.Valid() || !(tenant.Weight > 0) {
-			return fmt.Errorf("%w: tenant %q of the directory", ErrInvalidCommand, name)
+			return fmt.Errorf("%w: tenant %q of the directory snapshot", ErrInvalidCommand, name)
 		}
 	}
 	restored.Capacity = d.Capacity
@@ -33,10 +33,10 @@
 	return nil
 }
 
-// Checkpoint is the state of a directory before a change of one tenant, for Rollback.
+// Checkpoint holds the state of a directory before a change of one tenant, for use by Rollback.
 type Checkpoint struct {
 	name            Name
-	tenant          *Tenant // nil: there was none of that name
+	tenant          *Tenant // nil: there was no tenant of that name
 	version         Version
 	lastIncarnation Incarnation
 	quarantined     map[Name]float64
@@ -45,9 +45,9 @@
 	noTenants       bool // the map of tenants was nil
 }
 
-// Checkpoint returns the present state, before a change of a tenant.
+// Checkpoint returns the current state. Call it before a change of the named tenant.
 func (d *Directory) Checkpoint(name Name) Checkpoint {
-	d.index()
+	d.buildIndex()
 	checkpoint := Checkpoint{
 		name:            name,
 		version:         d.Version,
@@ -63,14 +63,14 @@
 	return checkpoint
 }
 
-// Rollback undoes the change since a checkpoint, for example one that could not be made durable.
+// Rollback undoes the change since a checkpoint, for example because the change could not be stored.
 func (d *Directory) Rollback(checkpoint Checkpoint) {
 	d.Version = checkpoint.version
 	d.LastIncarnation = checkpoint.lastIncarnation
 	d.Quarantined = checkpoint.quarantined
 	d.Outcomes = checkpoint.outcomes
 	d.used = checkpoint.used
-	d.outcomeNumbers = nil // index makes it anew
+	d.outcomeNumbers = nil // buildIndex rebuilds it
 	delete(d.Tenants, checkpoint.name)
 	if checkpoint.tenant != nil {
 		d.Tenants[checkpoint.name] = checkpoint.tenant
