--- a/internal/core/tenancy/command.go
+++ b/internal/core/tenancy/command.go
@@ -50,7 +50,8 @@
 
 func (e *commandError) Unwrap() error { return e.err }
 
-// errorf returns a commandError with a formatted detail.
+// errorf returns a commandError with a formatted detail. The texts of details, those of ParseName included, must not change:
+// Outcome.Detail is part of the replicated and stored form, and replicas of different versions must compute equal outcomes.
 func errorf(err error, format string, args ...any) error {
 	return &commandError{err: err, detail: fmt.Sprintf(format, args...)}
 }
@@ -86,13 +87,13 @@
 		return errorf(ErrInvalidCommand, "%v", err)
 	}
 	if !isFinite(c.Time) || c.Time < 0 || len(c.Settings) > maxSettingsBytes {
-		return errorf(ErrInvalidCommand, "time %v, settings of %d bytes", c.Time, len(c.Settings))
+		return errorf(ErrInvalidCommand, "at %v, with settings of %d bytes", c.Time, len(c.Settings))
 	}
 	if c.Kind == Remove {
 		return nil
 	}
 	if !isFinite(c.Weight) || c.Weight <= 0 || !c.Requirements.Valid() || len(c.Settings) == 0 {
-		return errorf(ErrInvalidCommand, "weight %v, requirements %+v", c.Weight, c.Requirements)
+		return errorf(ErrInvalidCommand, "weight %v, needs %+v", c.Weight, c.Requirements)
 	}
 	return nil
 }
--- a/internal/core/tenancy/directory.go
+++ b/internal/core/tenancy/directory.go
@@ -95,7 +95,7 @@
 	case Remove:
 		return d.remove(tenant, command.Time), nil
 	}
-	return Tenant{}, errorf(ErrInvalidCommand, "unknown kind %d", command.Kind)
+	return Tenant{}, errorf(ErrInvalidCommand, "kind %d", command.Kind)
 }
 
 func (d *Directory) create(command Command) (Tenant, error) {
@@ -103,10 +103,10 @@
 		return Tenant{}, ErrExists
 	}
 	if removedAt, ok := d.Quarantined[command.Name]; ok && command.Time < removedAt+NameQuarantine {
-		return Tenant{}, errorf(ErrNameQuarantined, "available again in %.1f s", removedAt+NameQuarantine-command.Time)
+		return Tenant{}, errorf(ErrNameQuarantined, "for %.1f s more", removedAt+NameQuarantine-command.Time)
 	}
 	if len(d.Tenants) >= d.Capacity.MaxTenants {
-		return Tenant{}, errorf(ErrNoCapacity, "there are already %d tenants", len(d.Tenants))
+		return Tenant{}, errorf(ErrNoCapacity, "there are %d tenants", len(d.Tenants))
 	}
 	if err := d.Capacity.fits(d.used, command.Requirements); err != nil {
 		return Tenant{}, err
--- a/internal/core/tenancy/name.go
+++ b/internal/core/tenancy/name.go
@@ -19,7 +19,7 @@
 type Incarnation uint64
 
 // ErrInvalidName reports that a text can't be the name of a tenant. The administration API's responses contain its text.
-var ErrInvalidName = errors.New("invalid tenant name")
+var ErrInvalidName = errors.New("no name of a tenant")
 
 // MaxNameLength is the maximum length of a name in bytes: that of a domain name label (RFC 1035, section 2.3.4), so that a
 // name can be used as one.
@@ -33,7 +33,7 @@
 // tenant by a name that only resembles the tenant's name.
 func ParseName(text string) (Name, error) {
 	if text == "" || len(text) > MaxNameLength {
-		return "", fmt.Errorf("%w: it has %d bytes, must be 1 to %d", ErrInvalidName, len(text), MaxNameLength)
+		return "", fmt.Errorf("%w: %d bytes, 1 to %d are possible", ErrInvalidName, len(text), MaxNameLength)
 	}
 	for i := range len(text) {
 		c := text[i]
@@ -41,7 +41,7 @@
 		case c >= 'a' && c <= 'z', c >= '0' && c <= '9':
 		case c == '-' && i > 0 && i < len(text)-1:
 		case c >= 'A' && c <= 'Z':
-			return "", fmt.Errorf("%w: %q contains upper-case letters; use %q", ErrInvalidName, text, strings.ToLower(text))
+			return "", fmt.Errorf("%w: %q has upper case; %q would be one", ErrInvalidName, text, strings.ToLower(text))
 		default:
 			return "", fmt.Errorf("%w: byte %d of %q is none of a-z, 0-9 and inner hyphens", ErrInvalidName, i+1, text)
 		}
--- a/internal/core/tenancy/requirements.go
+++ b/internal/core/tenancy/requirements.go
@@ -57,12 +57,12 @@
 		available float64
 	}{
 		{"bytes of memory", r.Memory, available.Memory},
-		{"table entries per second", r.EntriesPerSecond, available.EntriesPerSecond},
+		{"lines a second", r.EntriesPerSecond, available.EntriesPerSecond},
 		{"connections", r.Connections, available.Connections},
-		{"CPU cores", r.CPU, available.CPU},
+		{"of a core's time", r.CPU, available.CPU},
 	} {
 		if resource.required > resource.available*(1+capacityTolerance) {
-			return errorf(ErrNoCapacity, "%.4g %s required, %.4g available",
+			return errorf(ErrNoCapacity, "it needs %.4g %s, there are %.4g",
 				resource.required, resource.name, max(resource.available, 0))
 		}
 	}
