--- a/internal/frontend/admin/hosted.go
+++ b/internal/frontend/admin/hosted.go
@@ -14,11 +14,11 @@
 	TenantRows() []TenantRow
 	// TenantRow returns one tenant; ok is false if there is no such tenant.
 	TenantRow(name tenancy.Name) (row TenantRow, ok bool)
-	// Settings returns the settings of a tenant without their keys. The error is tenancy.ErrUnknown.
+	// Settings returns the settings of a tenant without their keys. The error is tenancy.ErrNotFound.
 	Settings(name tenancy.Name) ([]byte, error)
 	// Merge returns settings with those keys of the tenant that they leave out.
 	Merge(name tenancy.Name, settings []byte) ([]byte, error)
-	// Edit returns the settings of a tenant after a change of one server. The error is tenancy.ErrUnknown or says what is wrong
+	// Edit returns the settings of a tenant after a change of one server. The error is tenancy.ErrNotFound or says what is wrong
 	// with the change.
 	Edit(name tenancy.Name, edit []byte) ([]byte, error)
 	// PreviewSettings checks the settings of a tenant and returns what would follow from them. It changes nothing.
