--- a/internal/core/tenancy/command.go
+++ b/internal/core/tenancy/command.go
@@ -19,7 +19,7 @@
 	// ErrVersionMismatch reports that a tenant has changed since the version that the caller has seen.
 	ErrVersionMismatch = errors.New("the tenant has changed in the meantime")
 	// ErrNameQuarantined reports that a tenant of the same name was removed less than NameQuarantine ago.
-	ErrNameQuarantined = errors.New("the name rests")
+	ErrNameQuarantined = errors.New("the name belonged to a tenant that was removed recently")
 	// ErrKeyReused reports that an idempotency key was already used for another call.
 	ErrKeyReused = errors.New("the idempotency key was used for another call")
 	// ErrInvalidCommand reports that a command or a stored tenant is invalid.
--- a/internal/service/host_test.go
+++ b/internal/service/host_test.go
@@ -291,7 +291,7 @@
 	h.want(200, "", hostKey, "DELETE", "/v1/tenants/one?force=true", "", "Idempotency-Key", "end-1")
 	h.want(404, "", hostKey, "DELETE", "/v1/tenants/one?force=true", "")
 	h.want(401, "", staffKey(1), "GET", "/v1/tenants/one", "")
-	h.want(409, "rests", hostKey, "PUT", "/v1/tenants/one", one)
+	h.want(409, "removed recently", hostKey, "PUT", "/v1/tenants/one", one)
 	if c, code := h.join("one/relay-1"); code == sasp.OK {
 		h.t.Error("a proxy of a removed tenant has joined")
 	} else {
