--- a/internal/consensus/snapshot_orders_test.go
+++ b/internal/consensus/snapshot_orders_test.go
@@ -91,7 +91,7 @@
 			if confirmed != test.confirmed {
 				t.Errorf("unexpected confirmation: %t", confirmed)
 			}
-			decided, _ := leader.group.State.Directory.Find(test.command.ID)
+			decided, _ := leader.group.State.Directory.FindOutcome(test.command.ID)
 			if confirmed && lagging.outcomes[ticket] != decided {
 				t.Errorf("the reported outcome is %+v, the decided outcome is %+v", lagging.outcomes[ticket], decided)
 			}
--- a/internal/frontend/admin/hosted.go
+++ b/internal/frontend/admin/hosted.go
@@ -15,11 +15,11 @@
 	TenantRows() []TenantRow
 	// TenantRow returns one tenant; ok is false if there is no such tenant.
 	TenantRow(name tenancy.Name) (row TenantRow, ok bool)
-	// Settings returns the settings of a tenant without their keys. The error is tenancy.ErrUnknown.
+	// Settings returns the settings of a tenant without their keys. The error is tenancy.ErrNotFound.
 	Settings(name tenancy.Name) ([]byte, error)
 	// RestoreKeys returns settings, with those keys filled in from the tenant's present settings that they leave out.
 	RestoreKeys(name tenancy.Name, settings []byte) ([]byte, error)
-	// EditServer returns the settings of a tenant after a change of one server. The error is tenancy.ErrUnknown or describes why
+	// EditServer returns the settings of a tenant after a change of one server. The error is tenancy.ErrNotFound or describes why
 	// the change is invalid.
 	EditServer(name tenancy.Name, edit []byte) ([]byte, error)
 	// PreviewSettings validates settings of a tenant and returns the effects that they would have. It changes nothing.
