--- a/internal/coordinator/config.go
+++ b/internal/coordinator/config.go
@@ -55,8 +55,8 @@
 	Load() ([]registry.Record, error)
 }
 
-// Ports returns the addresses that proxies and servers dial.
-func (c *Config) Ports() []netip.AddrPort { return validAddresses(c.SASP, c.HTTP) }
+// ListenAddresses returns the addresses that proxies and servers dial.
+func (c *Config) ListenAddresses() []netip.AddrPort { return validAddresses(c.SASP, c.HTTP) }
 
 func validAddresses(addresses ...netip.AddrPort) []netip.AddrPort {
 	var valid []netip.AddrPort
--- a/internal/coordinator/host.go
+++ b/internal/coordinator/host.go
@@ -49,8 +49,8 @@
 	OnFail func(error)
 }
 
-// Ports returns the addresses that proxies and servers dial.
-func (c *HostConfig) Ports() []netip.AddrPort { return validAddresses(c.SASP, c.HTTP) }
+// ListenAddresses returns the addresses that proxies and servers dial.
+func (c *HostConfig) ListenAddresses() []netip.AddrPort { return validAddresses(c.SASP, c.HTTP) }
 
 // HostStore persists the state of a host. What was saved without an error is durable, except for some server records; see
 // ServerStore.
@@ -71,7 +71,7 @@
 type HostStats struct {
 	Starts, Stops, Restarts, Reconfigured int // of tenants
 	SaveFailures                          int // of the directory and the server records
-	Unsigned, Foreign                     int // measurement packets without a user name, and of an unknown one
+	UnsignedPackets, UnknownUserPackets   int // measurement packets without a user name, and of an unknown one
 	Panics                                int // of tenants, which were started again
 }
 
@@ -201,8 +201,8 @@
 	return all
 }
 
-// Starting returns the number of tenants that are still to be started.
-func (h *Host) Starting() int { return len(h.startQueue) }
+// PendingStarts returns the number of tenants that are still to be started.
+func (h *Host) PendingStarts() int { return len(h.startQueue) }
 
 // Member returns this host's part in the group of hosts; nil if it is in none.
 func (h *Host) Member() *Member { return h.links.member }
--- a/internal/coordinator/host_connections.go
+++ b/internal/coordinator/host_connections.go
@@ -83,12 +83,12 @@
 func (h *Host) Datagram(now float64, data []byte) {
 	user, ok := collectd.PacketUser(data)
 	if !ok {
-		h.Stats.Unsigned++
+		h.Stats.UnsignedPackets++
 		return
 	}
 	tenant := h.running(h.measurementUsers[user])
 	if tenant == nil {
-		h.Stats.Foreign++
+		h.Stats.UnknownUserPackets++
 		return
 	}
 	h.call(now, tenant, func() { tenant.Coordinator.Datagram(now, data) })
--- a/internal/coordinator/host_directory.go
+++ b/internal/coordinator/host_directory.go
@@ -12,8 +12,8 @@
 )
 
 var (
-	// ErrNotAgreed reports that the hosts have not committed a change in time. It may still be committed.
-	ErrNotAgreed = errors.New("the change was not agreed on in time")
+	// ErrNotCommitted reports that the hosts have not committed a change in time. It may still be committed.
+	ErrNotCommitted = errors.New("the change was not agreed on in time")
 	// ErrNotPersisted reports that a change could not be made durable. Nothing has changed.
 	ErrNotPersisted = errors.New("the change could not be made durable")
 )
--- a/internal/coordinator/host_group.go
+++ b/internal/coordinator/host_group.go
@@ -103,12 +103,12 @@
 // propose proposes a change to the hosts that share the tenants.
 func (s *sharedTenants) propose(now float64, command tenancy.Command, done func(tenancy.Outcome, error)) {
 	if !s.member.Ready() {
-		done(tenancy.Outcome{}, ErrNotAgreed)
+		done(tenancy.Outcome{}, ErrNotCommitted)
 		return
 	}
 	ticket, ok := s.member.Group.SubmitOrder(now, membership.Command{Kind: membership.ChangeTenant, Tenant: &command})
 	if !ok {
-		done(tenancy.Outcome{}, ErrNotAgreed)
+		done(tenancy.Outcome{}, ErrNotCommitted)
 		return
 	}
 	s.proposals[ticket] = &proposal{done: done}
@@ -135,7 +135,7 @@
 
 func (p *proposal) complete(committed bool) {
 	if !committed {
-		p.done(tenancy.Outcome{}, ErrNotAgreed)
+		p.done(tenancy.Outcome{}, ErrNotCommitted)
 		return
 	}
 	p.done(p.outcome, nil)
--- a/internal/coordinator/host_group_test.go
+++ b/internal/coordinator/host_group_test.go
@@ -182,7 +182,7 @@
 			created++
 		case errors.Is(change.err, tenancy.ErrNoCapacity):
 		case errors.Is(change.err, errUnanswered):
-		case errors.Is(change.err, coordinator.ErrNotAgreed):
+		case errors.Is(change.err, coordinator.ErrNotCommitted):
 		default:
 			t.Error(change.err)
 		}
--- a/internal/coordinator/host_test.go
+++ b/internal/coordinator/host_test.go
@@ -222,7 +222,7 @@
 	f.start()
 	proxy := f.connectProxy(63)
 	f.run(0.02)
-	if left := f.host.Starting(); left == 0 || left >= tenants {
+	if left := f.host.PendingStarts(); left == 0 || left >= tenants {
 		t.Errorf("%d tenants are still to be started after 20 ms", left)
 	}
 	f.run(0.02) // the proxy was told to retry
@@ -231,7 +231,7 @@
 		t.Error("the tenant whose proxy has connected does not start first")
 	}
 	f.run(1)
-	if f.host.Starting() != 0 || proxy.closed != 1 {
-		t.Errorf("%d tenants are still to be started, closed %d", f.host.Starting(), proxy.closed)
+	if f.host.PendingStarts() != 0 || proxy.closed != 1 {
+		t.Errorf("%d tenants are still to be started, closed %d", f.host.PendingStarts(), proxy.closed)
 	}
 }
--- a/internal/env/simnet/simnet.go
+++ b/internal/env/simnet/simnet.go
@@ -75,8 +75,8 @@
 	n.now = max(n.now, until)
 }
 
-// Gap advances the clock without running events, as a pause of the machine does: what was due meanwhile happens late.
-func (n *Net) Gap(seconds float64) { n.now += seconds }
+// AdvanceClock advances the clock without running events, as a pause of the machine does: what was due meanwhile happens late.
+func (n *Net) AdvanceClock(seconds float64) { n.now += seconds }
 
 // Add adds a host in a zone. It is down until Start. A guest shares its address with another host: it can dial, but can't be
 // dialled.
--- a/internal/experiment/sockets_test.go
+++ b/internal/experiment/sockets_test.go
@@ -23,7 +23,7 @@
 		return &directProgram{Program: program}
 	})
 	sockets := runWrapped(t, cell, func(program env.Program, config *settings.Coordinator) env.Program {
-		return newSocketProgram(t, program, config.Ports(), config.Measurements)
+		return newSocketProgram(t, program, config.ListenAddresses(), config.Measurements)
 	})
 	if !reflect.DeepEqual(direct, sockets) {
 		t.Errorf("called directly:\n%+v\nover sockets:\n%+v", direct, sockets)
--- a/internal/frontend/longpollhttp/fixture_test.go
+++ b/internal/frontend/longpollhttp/fixture_test.go
@@ -55,7 +55,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s, err := eventloop.Listen(program, set.Ports(), set.HTTP, clock)
+	s, err := eventloop.Listen(program, set.ListenAddresses(), set.HTTP, clock)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/scenario/coordinators.go
+++ b/internal/scenario/coordinators.go
@@ -89,7 +89,7 @@
 	instance := r.coordinators[i]
 	config := r.scenario.Coordinator
 	if r.virtual == nil {
-		server, err := eventloop.Listen(instance.program, config.Ports(), config.Measurements, r.sockets.Now)
+		server, err := eventloop.Listen(instance.program, config.ListenAddresses(), config.Measurements, r.sockets.Now)
 		r.fail(err)
 		instance.host = &listenerHost{server: server, fail: r.fail}
 		return
--- a/internal/scenario/faults.go
+++ b/internal/scenario/faults.go
@@ -208,6 +208,6 @@
 // skipTime makes the clock jump, in virtual time only.
 func (r *run) skipTime(fault settings.Fault) {
 	if r.virtual != nil {
-		r.virtual.Gap(fault.Duration)
+		r.virtual.AdvanceClock(fault.Duration)
 	}
 }
--- a/internal/scenario/hosted_hosts.go
+++ b/internal/scenario/hosted_hosts.go
@@ -65,7 +65,7 @@
 	r.startedAt = now
 	r.updatedAt = 0
 	if r.virtual == nil {
-		instance.server, err = eventloop.Listen(program, r.settings.Ports(), r.settings.Measurements, r.sockets.Now)
+		instance.server, err = eventloop.Listen(program, r.settings.ListenAddresses(), r.settings.Measurements, r.sockets.Now)
 		if err != nil {
 			r.fail(err)
 			instance.running = false
@@ -130,8 +130,8 @@
 	sum.Restarts += host.Restarts
 	sum.Reconfigured += host.Reconfigured
 	sum.SaveFailures += host.SaveFailures
-	sum.Unsigned += host.Unsigned
-	sum.Foreign += host.Foreign
+	sum.UnsignedPackets += host.UnsignedPackets
+	sum.UnknownUserPackets += host.UnknownUserPackets
 	scheduler := instance.program.Scheduler.Stats
 	r.result.Scheduler.Turns += scheduler.Turns
 	r.result.Scheduler.Urgent += scheduler.Urgent
--- a/internal/service/host.go
+++ b/internal/service/host.go
@@ -46,13 +46,13 @@
 	if err != nil {
 		return err
 	}
-	err = proc.listen(program, append(config.Ports(), group.ports...), config.Measurements, clock)
+	err = proc.listen(program, append(config.ListenAddresses(), group.ports...), config.Measurements, clock)
 	if err != nil {
 		return err
 	}
 	logger.Info("host started",
 		"sasp", config.SASP, "http", config.HTTP, "administration", config.Admin, "store", config.Store,
-		"tenants", program.Starting())
+		"tenants", program.PendingStarts())
 	if config.Metrics.IsValid() {
 		traces.registry.MustRegister(&hostCollector{server: proc.server, program: program})
 		err = proc.serveMetrics(config.Metrics, metricsMux(traces.registry))
--- a/internal/service/metrics_host.go
+++ b/internal/service/metrics_host.go
@@ -81,7 +81,7 @@
 	identified, unidentified, unidentifiedBytes := host.Router.Count()
 	used := host.Directory.Used()
 	w.gauge("tenants", "Tenants that there are.", float64(len(host.Directory.Tenants)))
-	w.gauge("tenants_starting", "Of them, still to be started.", float64(host.Starting()))
+	w.gauge("tenants_starting", "Of them, still to be started.", float64(host.PendingStarts()))
 	w.gauge("connections", "Connections whose tenant is known.", float64(identified))
 	w.gauge("strangers", "Connections that have not said whose they are.", float64(unidentified))
 	w.gauge("strangers_bytes", "Bytes that they have sent.", float64(unidentifiedBytes))
@@ -96,8 +96,8 @@
 	w.counter("restarts", "Tenants that started anew for other settings.", host.Stats.Restarts)
 	w.counter("revised", "Tenants that took other settings while they ran.", host.Stats.Reconfigured)
 	w.counter("save_failed", "Changes and records that could not be made durable.", host.Stats.SaveFailures)
-	w.counter("measurements_unsigned", "Measurement packets that nobody signed.", host.Stats.Unsigned)
-	w.counter("measurements_foreign", "Those signed by nobody who is known.", host.Stats.Foreign)
+	w.counter("measurements_unsigned", "Measurement packets that nobody signed.", host.Stats.UnsignedPackets)
+	w.counter("measurements_foreign", "Those signed by nobody who is known.", host.Stats.UnknownUserPackets)
 	if host.Stats.Panics > 0 { // it is there from the first one on
 		w.counter("panics", "Panics of tenants, which were started again.", host.Stats.Panics)
 	}
--- a/internal/settings/coordinator.go
+++ b/internal/settings/coordinator.go
@@ -123,7 +123,7 @@
 // String describes the settings in several lines.
 func (c *Coordinator) String() string {
 	var text strings.Builder
-	writePorts(&text, c.Ports(), c.HTTP)
+	writePorts(&text, c.ListenAddresses(), c.HTTP)
 	if g := c.Group; g != nil {
 		membership := "one of its first members"
 		if g.Join {
--- a/internal/settings/host.go
+++ b/internal/settings/host.go
@@ -96,7 +96,7 @@
 // String describes the settings in several lines.
 func (h *Host) String() string {
 	var text strings.Builder
-	writePorts(&text, h.Ports(), h.HTTP)
+	writePorts(&text, h.ListenAddresses(), h.HTTP)
 	fmt.Fprintf(&text, "administration on %s, measurements on %s, store %q\n", h.Admin, h.Measurements, h.Store)
 	if g := h.Group; g != nil {
 		fmt.Fprintf(&text, "number %d of a group of %d hosts; a lease of %g s, taken over %.1f s after a death\n",
