--- a/internal/env/partition/partition.go
+++ b/internal/env/partition/partition.go
@@ -1,17 +1,18 @@
-// Package partition keeps which zones of a test network do not reach each other.
+// Package partition tracks which zones of a test network can't reach each other.
 package partition
 
-// Zones are the partitions between the zones of a network, which have numbers from 0. The zero value has no partition.
+// Zones holds the partitions between the zones of a network, which are numbered from 0. The zero value has no partitions.
 type Zones struct {
 	partitioned map[zonePair]bool
 }
 
-// zonePair are two zones, the lower number first.
+// zonePair is a pair of zones, the lower number first.
 type zonePair struct{ lower, higher int }
 
 func pairOf(a, b int) zonePair { return zonePair{lower: min(a, b), higher: max(a, b)} }
 
-// Isolate partitions a zone from all others, of which there are zones in all, or ends these partitions.
+// Isolate partitions a zone from all others if on is true; otherwise it ends these partitions. zones is the total number of
+// zones.
 func (z *Zones) Isolate(zone, zones int, on bool) {
 	if z.partitioned == nil {
 		z.partitioned = map[zonePair]bool{}
@@ -23,5 +24,5 @@
 	}
 }
 
-// Between reports whether two zones do not reach each other.
+// Between reports whether there is a partition between two zones.
 func (z *Zones) Between(a, b int) bool { return z.partitioned[pairOf(a, b)] }
--- a/internal/env/simnet/conn.go
+++ b/internal/env/simnet/conn.go
@@ -8,9 +8,9 @@
 )
 
 const (
-	receiveWindow = 32 << 10 // bytes that a host accepts for a program that does not read
-	maxPieces     = 64       // of one delivery
-	pieceInterval = 1e-6     // seconds between two pieces of a delivery
+	receiveWindow = 32 << 10 // bytes that a host buffers for a program that does not read
+	maxPieces     = 64       // pieces of one delivery
+	pieceInterval = 1e-6     // seconds between consecutive pieces of a delivery
 	dialLatencies = 3.0      // one-way latencies until a dial succeeds or is refused
 	dialTimeout   = 1.0      // seconds
 )
@@ -22,11 +22,11 @@
 	peer   *endpoint // nil until the dial has succeeded
 	closed bool
 
-	lastArrival  float64  // clock time in seconds of the latest delivery that is scheduled: deliveries keep their order
+	lastArrival  float64  // clock time in seconds of the latest scheduled delivery; keeps deliveries in order
 	accepted     uint64   // bytes that the host has accepted
-	unread       [][]byte // accepted by the host while the program stalls
+	unread       [][]byte // accepted by the host while the program is stalled
 	unreadBytes  int
-	beyondWindow [][]byte // sent, but not accepted by the host
+	beyondWindow [][]byte // received but not accepted, since the receive window is full
 }
 
 func (h *Host) newEndpoint(peer *endpoint) *endpoint {
@@ -63,7 +63,7 @@
 	}
 	e.peer = target.newEndpoint(e)
 	target.program.Opened(host.net.now, e.peer.id, host.addr, port)
-	if host.incarnation == incarnation && !e.closed { // the target may have closed it
+	if host.incarnation == incarnation && !e.closed { // the target may have closed the connection
 		host.program.Connected(host.net.now, e.id, true)
 	}
 }
@@ -88,7 +88,7 @@
 	conn.close()
 }
 
-// close closes the endpoint and tells the peer. If that can't be reached, it detects it later.
+// close closes the endpoint and notifies the peer. A peer that can't be reached detects the broken connection later.
 func (e *endpoint) close() {
 	if e.closed {
 		return
@@ -107,7 +107,7 @@
 	net.At(max(net.now+delay, peer.lastArrival), func() { peer.lost(incarnation) })
 }
 
-// lost ends the endpoint, unless the program that had it has ended, and tells the program.
+// lost closes the endpoint and notifies its program, unless that incarnation of the program has ended.
 func (e *endpoint) lost(incarnation int) {
 	host := e.host
 	if e.closed || host.incarnation != incarnation {
@@ -120,8 +120,8 @@
 	}
 }
 
-// loseSoon ends the endpoint when a partition is detected.
-func (e *endpoint) loseSoon() {
+// loseAfterDetection closes the endpoint once the partition is detected, after a random delay.
+func (e *endpoint) loseAfterDetection() {
 	net := e.host.net
 	incarnation := e.host.incarnation
 	net.At(net.now+net.Faults.DetectionDelay*net.random.Float64(), func() { e.lost(incarnation) })
@@ -152,8 +152,8 @@
 	}
 }
 
-// arrive takes a piece of a delivery that was sent while the host had an incarnation. The host accepts as much as its window allows;
-// the program reads it unless it stalls.
+// arrive handles the arrival of a piece of a delivery that was sent to an incarnation of the host's program. The host accepts
+// pieces while its receive window allows, and the program reads them unless it is stalled.
 func (e *endpoint) arrive(incarnation int, piece []byte) {
 	if e.host.incarnation != incarnation || e.closed || e.peer.host.partitionedFrom(e.host) {
 		return
@@ -166,7 +166,7 @@
 	e.acceptPiece(piece)
 }
 
-// acceptPiece takes a piece into the host, acknowledges it to the sender, and has the program read it unless it stalls.
+// acceptPiece accepts a piece at the host, acknowledges it to the sender, and passes it to the program unless that is stalled.
 func (e *endpoint) acceptPiece(piece []byte) {
 	net := e.host.net
 	e.accepted += uint64(len(piece))
@@ -191,7 +191,7 @@
 	})
 }
 
-// readStalled has the program read what arrived during a stall that has ended.
+// readStalled passes the data that arrived during a stall to the program, if the stall has ended.
 func (e *endpoint) readStalled() {
 	host := e.host
 	if host.stalledUntil > host.net.now {
--- a/internal/env/simnet/events.go
+++ b/internal/env/simnet/events.go
@@ -1,13 +1,13 @@
 package simnet
 
-// event is a function that runs at a clock time.
+// event is a function that is scheduled for a clock time.
 type event struct {
 	at       float64 // seconds
-	sequence uint64  // orders events of the same time
+	sequence uint64  // orders events with the same time
 	do       func()
 }
 
-// eventQueue is a heap.Interface of events by time.
+// eventQueue implements heap.Interface. It orders events by time.
 type eventQueue []event
 
 func (q eventQueue) Len() int { return len(q) }
@@ -23,7 +23,7 @@
 func (q *eventQueue) Pop() any {
 	last := len(*q) - 1
 	popped := (*q)[last]
-	(*q)[last].do = nil // lets the function be collected
+	(*q)[last].do = nil // allows the function to be garbage-collected
 	*q = (*q)[:last]
 	return popped
 }
--- a/internal/env/simnet/host.go
+++ b/internal/env/simnet/host.go
@@ -9,13 +9,13 @@
 	"snowquay/internal/env"
 )
 
-// Host runs one program at a time at an address. It implements env.IO for the program.
+// Host is a host with an address that runs one program at a time. It implements env.IO for the program.
 type Host struct {
 	net         *Net
 	addr        netip.Addr
 	zone        int
 	program     env.Program
-	incarnation int // incremented by each start and end of the program
+	incarnation int // incremented at each start and end of a program
 	up          bool
 
 	latestConn  env.Conn
@@ -23,7 +23,7 @@
 
 	stalledUntil    float64               // clock time in seconds until which the program reads nothing
 	frozenUntil     float64               // clock time in seconds until which no timer fires
-	unreachable     func(netip.Addr) bool // addresses that the host and that do not reach each other; nil: none
+	unreachable     func(netip.Addr) bool // reports addresses that are partitioned from the host; nil: none
 	dropsDatagrams  bool
 	datagramsLateBy float64 // seconds
 }
@@ -38,7 +38,7 @@
 	program.Start(h.net.now, h)
 }
 
-// Kill ends the program at once. Peers that can be reached see their connections closed.
+// Kill ends the program immediately. Peers that can be reached see their connections closed.
 func (h *Host) Kill() {
 	h.up = false
 	h.incarnation++
@@ -48,10 +48,10 @@
 	h.connections = map[env.Conn]*endpoint{}
 }
 
-// Up reports whether a program runs.
+// Up reports whether a program is running.
 func (h *Host) Up() bool { return h.up }
 
-// Stall makes the program read nothing for some seconds. What it has sent is still delivered.
+// Stall makes the program read nothing for the given number of seconds. Data that it has sent is still delivered.
 func (h *Host) Stall(seconds float64) {
 	h.stalledUntil = max(h.stalledUntil, h.net.now+seconds)
 	h.net.At(h.stalledUntil, func() {
@@ -61,14 +61,14 @@
 	})
 }
 
-// Freeze stops the program for some seconds: it reads nothing, and its timers fire late.
+// Freeze pauses the program for the given number of seconds: it reads nothing, and its timers fire late.
 func (h *Host) Freeze(seconds float64) {
 	h.frozenUntil = max(h.frozenUntil, h.net.now+seconds)
 	h.Stall(seconds)
 }
 
-// Isolate partitions the host from the addresses for which a function returns true, in both directions; nil ends it. Connections to
-// them break when that is detected.
+// Isolate partitions the host, in both directions, from the addresses for which unreachable returns true; nil ends the partition.
+// Connections to these addresses break once the partition is detected.
 func (h *Host) Isolate(unreachable func(netip.Addr) bool) {
 	h.unreachable = unreachable
 	for _, conn := range h.sortedConnections() {
@@ -76,19 +76,19 @@
 		if peer == nil || !h.partitionedFrom(peer.host) {
 			continue
 		}
-		conn.loseSoon()
-		peer.loseSoon()
+		conn.loseAfterDetection()
+		peer.loseAfterDetection()
 	}
 }
 
-// partitionedFrom reports whether two hosts do not reach each other.
+// partitionedFrom reports whether there is a partition between the host and another one.
 func (h *Host) partitionedFrom(other *Host) bool {
 	return h.net.partitions.Between(h.zone, other.zone) || h.excludes(other) || other.excludes(h)
 }
 
 func (h *Host) excludes(other *Host) bool { return h.unreachable != nil && h.unreachable(other.addr) }
 
-// DisturbDatagrams makes the datagrams that the host sends get lost, or late by some seconds.
+// DisturbDatagrams sets whether the datagrams that the host sends are lost, and by how many seconds they are late.
 func (h *Host) DisturbDatagrams(lost bool, lateBy float64) {
 	h.dropsDatagrams = lost
 	h.datagramsLateBy = lateBy
--- a/internal/env/simnet/simnet.go
+++ b/internal/env/simnet/simnet.go
@@ -1,6 +1,7 @@
-// Package simnet simulates a network of hosts in virtual time. Everything that happens follows from the seed. It can inject
-// faults: deliveries in pieces, hosts that stop reading or freeze, partitions between zones and between hosts (connections stay half
-// open until that is detected), lost, duplicated and late datagrams, gaps in the clock, and hosts that are killed and restarted.
+// Package simnet simulates a network of hosts in virtual time. A simulation is determined by its seed. It can inject faults:
+// deliveries split into pieces, hosts that stop reading or freeze, partitions between zones and between hosts (connections stay
+// half open until the partition is detected), lost, duplicated and late datagrams, clock jumps, and hosts that are killed and
+// restarted.
 package simnet
 
 import (
@@ -13,39 +14,39 @@
 	"snowquay/internal/env/partition"
 )
 
-// randomStream separates the random numbers of a Net from others of the same seed.
+// randomStream is the generator stream of a Net. It makes its random numbers differ from those of other users of the same seed.
 const randomStream = 0x5eed
 
-// Faults are the latencies of a network and its random faults.
+// Faults configures the latencies and the random faults of a network.
 type Faults struct {
 	SplitProbability     float64 // probability that a delivery is split into pieces
 	LossProbability      float64 // probability that a datagram is lost
 	DuplicateProbability float64 // probability that a datagram is duplicated
-	MaxDelay             float64 // seconds by which a datagram may be late, at most
-	SameZoneLatency      float64 // seconds one way, on average
-	CrossZoneLatency     float64 // seconds one way, on average
-	DetectionDelay       float64 // seconds until a broken connection is detected, at most
+	MaxDelay             float64 // maximum extra delay of a datagram in seconds
+	SameZoneLatency      float64 // mean one-way latency in seconds
+	CrossZoneLatency     float64 // mean one-way latency in seconds
+	DetectionDelay       float64 // maximum time in seconds until a broken connection is detected
 }
 
-// DefaultFaults are those of a network without random faults.
+// DefaultFaults has the latencies of a network without random faults.
 var DefaultFaults = Faults{SameZoneLatency: 0.0003, CrossZoneLatency: 0.001, DetectionDelay: 2}
 
-// Net is a simulated network with its clock. It is used by one goroutine. Use New.
+// Net is a simulated network with its own clock. It is not safe for concurrent use. Create one with New.
 type Net struct {
 	// Faults may be changed at any time.
 	Faults Faults
-	// Events is the number of events that have happened.
+	// Events is the number of events that have run.
 	Events int
 
 	now        float64 // clock time in seconds
-	sequence   uint64  // of the latest event that was scheduled
+	sequence   uint64  // of the most recently scheduled event
 	events     eventQueue
 	random     *rand.Rand
 	hosts      map[netip.Addr]*Host
 	partitions partition.Zones
 }
 
-// New returns a network without hosts at a clock time in seconds.
+// New returns a network without hosts whose clock is at now, in seconds.
 func New(seed uint64, now float64) *Net {
 	return &Net{
 		Faults: DefaultFaults,
@@ -58,13 +59,14 @@
 // Now returns the clock time in seconds.
 func (n *Net) Now() float64 { return n.now }
 
-// At schedules a function for a clock time in seconds. Functions of the same time run in the order in which they were scheduled.
+// At schedules a function for a clock time in seconds. Functions with the same time run in the order in which they were
+// scheduled.
 func (n *Net) At(at float64, do func()) {
 	n.sequence++
 	heap.Push(&n.events, event{at: max(at, n.now), sequence: n.sequence, do: do})
 }
 
-// Run lets virtual time pass until a clock time in seconds.
+// Run advances virtual time to a clock time in seconds and runs the events that are due by then.
 func (n *Net) Run(until float64) {
 	for len(n.events) > 0 && n.events[0].at <= until {
 		next := heap.Pop(&n.events).(event)
@@ -75,10 +77,10 @@
 	n.now = max(n.now, until)
 }
 
-// AdvanceClock advances the clock without running events, as a pause of the machine does: what was due meanwhile happens late.
+// AdvanceClock advances the clock without running events, like a pause of the machine: events that become due meanwhile run late.
 func (n *Net) AdvanceClock(seconds float64) { n.now += seconds }
 
-// Add adds a host in a zone. It is down until Start. A guest shares its address with another host: it can dial, but can't be
+// Add adds a host in a zone. It is down until Host.Start. A guest shares its address with another host: it can dial, but can't be
 // dialled.
 func (n *Net) Add(addr netip.Addr, zone int, guest bool) *Host {
 	host := &Host{net: n, addr: addr, zone: zone, connections: map[env.Conn]*endpoint{}}
@@ -88,8 +90,8 @@
 	return host
 }
 
-// Cut partitions a zone from all others, of which there are zones in all, or ends the partition. Connections between them break when
-// that is detected.
+// Cut partitions a zone from all others if on is true; otherwise it ends the partition. zones is the total number of zones.
+// Connections between partitioned zones break once the partition is detected.
 func (n *Net) Cut(zone, zones int, on bool) {
 	n.partitions.Isolate(zone, zones, on)
 	if !on {
@@ -104,7 +106,7 @@
 	}
 }
 
-// breakPartitioned ends one side of a connection, unless the partition has ended before it is detected.
+// breakPartitioned closes one side of a connection, unless the partition ends before it is detected.
 func (n *Net) breakPartitioned(conn *endpoint) {
 	incarnation := conn.host.incarnation
 	n.At(n.now+n.Faults.DetectionDelay*(0.3+0.7*n.random.Float64()), func() {
@@ -123,7 +125,7 @@
 	return hosts
 }
 
-// latency draws the seconds of one way between two hosts.
+// latency returns a random one-way latency in seconds between two hosts.
 func (n *Net) latency(a, b *Host) float64 {
 	mean := n.Faults.CrossZoneLatency
 	if a.zone == b.zone {
--- a/internal/env/socketnet/conn.go
+++ b/internal/env/socketnet/conn.go
@@ -10,12 +10,12 @@
 )
 
 const (
-	readSize       = 16 << 10        // bytes of one read
-	maxQueuedWrite = 1024            // writes to a peer that does not read; at one more the connection is closed
-	dialTimeout    = 1 * time.Second // also until a dial to a partitioned zone fails
+	readSize       = 16 << 10        // maximum bytes of one read
+	maxQueuedWrite = 1024            // queued writes to a peer that does not read; the connection is closed when the queue is full
+	dialTimeout    = 1 * time.Second // also the time until a dial to a partitioned zone fails
 )
 
-// connection is one side of a connection. Its fields are used under the lock of the Net.
+// connection is one side of a connection. Its fields are protected by the lock of the Net.
 type connection struct {
 	host     *Host
 	id       env.Conn
@@ -62,7 +62,7 @@
 	go c.readAll(incarnation)
 }
 
-// connect opens a socket without the lock.
+// connect opens a socket. The caller must not hold the lock, since dialling blocks.
 func (h *Host) connect(to netip.AddrPort, zone int) (net.Conn, error) {
 	h.net.mu.Lock()
 	partitioned := h.net.partitions.Between(h.zone, zone)
@@ -75,7 +75,7 @@
 	return dialer.Dial("tcp", to.String())
 }
 
-// writeAll writes what is queued until the connection is closed.
+// writeAll writes the queued data until the connection is closed.
 func (c *connection) writeAll(socket net.Conn) {
 	for data := range c.writes {
 		_, err := socket.Write(data)
@@ -84,11 +84,11 @@
 			break
 		}
 	}
-	for range c.writes { // so that the channel never fills up after an error
+	for range c.writes { // drain the channel so that it does not fill up after an error
 	}
 }
 
-// readAll passes what is read to the program until the connection is closed.
+// readAll reads data and passes it to the program until the connection is closed.
 func (c *connection) readAll(incarnation int) {
 	buffer := make([]byte, readSize)
 	for {
@@ -101,7 +101,7 @@
 	}
 }
 
-// received handles the result of a read and reports whether to read on.
+// received handles the result of a read and reports whether to continue reading.
 func (c *connection) received(incarnation int, data []byte, err error) (open bool) {
 	host := c.host
 	host.net.mu.Lock()
@@ -119,7 +119,7 @@
 	return err == nil
 }
 
-// close closes the connection without telling the program.
+// close closes the connection without notifying the program.
 func (c *connection) close() {
 	if c.closed {
 		return
@@ -141,7 +141,7 @@
 	select {
 	case conn.writes <- bytes.Clone(data):
 	default:
-		_ = conn.socket.Close() // the reader notices
+		_ = conn.socket.Close() // readAll detects the closed socket
 	}
 }
 
--- a/internal/env/socketnet/host.go
+++ b/internal/env/socketnet/host.go
@@ -9,13 +9,13 @@
 	"snowquay/internal/env"
 )
 
-// Host runs one program at a time. It implements env.IO for the program. Its methods are called under the lock of its Net.
+// Host runs one program at a time. It implements env.IO for the program. The caller of its methods must hold the lock of its Net.
 type Host struct {
 	net         *Net
-	addr        netip.AddrPort // port 0: it does not listen
+	addr        netip.AddrPort // with port 0 the host does not listen
 	zone        int
 	program     env.Program
-	incarnation int // incremented by each start and end of the program
+	incarnation int // incremented at each start and end of a program
 	up          bool
 
 	latestConn  env.Conn
@@ -28,7 +28,7 @@
 	datagramsLateBy float64 // seconds
 }
 
-// Start runs a program on the host. The error is that of listening.
+// Start runs a program on the host. It returns an error if the host can't listen.
 func (h *Host) Start(program env.Program) error {
 	h.program = program
 	h.up = true
@@ -78,7 +78,7 @@
 	go conn.readAll(incarnation)
 }
 
-// Kill ends the program at once. Peers see their connections reset.
+// Kill ends the program immediately. Peers see their connections reset.
 func (h *Host) Kill() {
 	if !h.up {
 		return
@@ -98,12 +98,12 @@
 	}
 }
 
-// Freeze stops the program for some seconds.
+// Freeze pauses the program for the given number of seconds.
 func (h *Host) Freeze(seconds float64) {
 	h.frozenUntil = max(h.frozenUntil, h.net.clock()+seconds)
 }
 
-// waitWhileFrozen returns when the host is not frozen. The caller must not hold the lock.
+// waitWhileFrozen blocks until the host is no longer frozen. The caller must not hold the lock.
 func (h *Host) waitWhileFrozen() {
 	for {
 		h.net.mu.Lock()
@@ -116,13 +116,13 @@
 	}
 }
 
-// DisturbDatagrams makes the datagrams that the host sends get lost, or late by some seconds.
+// DisturbDatagrams sets whether the datagrams that the host sends are lost, and by how many seconds they are late.
 func (h *Host) DisturbDatagrams(lost bool, lateBy float64) {
 	h.dropsDatagrams = lost
 	h.datagramsLateBy = lateBy
 }
 
-// closePartitioned closes connections to zones that the host does not reach any more.
+// closePartitioned closes the connections to zones that the host can no longer reach.
 func (h *Host) closePartitioned() {
 	for _, conn := range h.connections {
 		if h.net.partitions.Between(h.zone, conn.peerZone) && !conn.closed {
@@ -139,7 +139,7 @@
 	}
 	data = bytes.Clone(data)
 	socket := h.datagrams
-	send := func() { _, _ = socket.WriteToUDPAddrPort(data, to) } // a datagram may get lost
+	send := func() { _, _ = socket.WriteToUDPAddrPort(data, to) } // errors are ignored, since a datagram may get lost
 	if h.datagramsLateBy > 0 {
 		h.net.At(h.net.clock()+h.datagramsLateBy, send)
 		return
--- a/internal/env/socketnet/socketnet.go
+++ b/internal/env/socketnet/socketnet.go
@@ -1,5 +1,5 @@
-// Package socketnet runs programs over real sockets on loopback, as package simnet does in virtual time. All programs of a Net take
-// turns under one lock, since they emulate the other parties of a test; the program under test has an event loop of its own.
+// Package socketnet runs programs over real sockets on loopback, as package simnet does in virtual time. One lock serializes all
+// programs of a Net, since they emulate the peers of the program under test, which has an event loop of its own.
 package socketnet
 
 import (
@@ -11,16 +11,16 @@
 	"snowquay/internal/env/partition"
 )
 
-// Net is a set of hosts whose programs take turns. Use New. Stop ends its programs.
+// Net is a set of hosts whose programs run under a common lock. Create one with New. Stop ends its programs.
 type Net struct {
 	mu         sync.Mutex // held while a program runs
 	clock      func() float64
-	hosts      map[netip.Addr]*Host // that listen, or whose zones are known
+	hosts      map[netip.Addr]*Host // hosts that are not guests, and placeholders for the zones of other addresses
 	partitions partition.Zones
 	stopped    bool
 }
 
-// New returns a net without hosts. clock returns seconds.
+// New returns a Net without hosts. clock returns the clock time in seconds.
 func New(clock func() float64) *Net {
 	return &Net{clock: clock, hosts: map[netip.Addr]*Host{}}
 }
@@ -28,7 +28,7 @@
 // Now returns the clock time in seconds.
 func (n *Net) Now() float64 { return n.clock() }
 
-// At calls a function under the lock at a clock time in seconds, unless the net is stopped before.
+// At calls a function under the lock at a clock time in seconds, unless the Net is stopped before then.
 func (n *Net) At(at float64, do func()) {
 	time.AfterFunc(seconds(at-n.clock()), func() {
 		n.mu.Lock()
@@ -59,10 +59,11 @@
 	}
 }
 
-// SetZone sets the zone of an address on which a program outside the net listens.
+// SetZone sets the zone of an address on which a program outside the Net listens.
 func (n *Net) SetZone(addr netip.Addr, zone int) { n.hosts[addr] = &Host{net: n, zone: zone} }
 
-// Add adds a host in a zone. It listens if it has a port. A guest shares its address with an earlier host, and does not listen.
+// Add adds a host in a zone. The host listens if its address has a port. A guest is a host that shares the IP address of an
+// earlier host; it does not listen.
 func (n *Net) Add(addr netip.AddrPort, zone int) *Host {
 	host := &Host{net: n, addr: addr, zone: zone, connections: map[env.Conn]*connection{}}
 	_, taken := n.hosts[addr.Addr()]
@@ -72,8 +73,8 @@
 	return host
 }
 
-// Cut partitions a zone from all others, of which there are zones in all, or ends the partition: connections between them break, and
-// dials fail. The caller holds the lock.
+// Cut partitions a zone from all others if on is true; otherwise it ends the partition. zones is the total number of zones.
+// Connections between partitioned zones break, and dials between them fail. The caller must hold the lock.
 func (n *Net) Cut(zone, zones int, on bool) {
 	n.partitions.Isolate(zone, zones, on)
 	if !on {
