--- a/internal/coordinator/authorization_test.go
+++ b/internal/coordinator/authorization_test.go
@@ -12,12 +12,12 @@
 	"snowquay/internal/wire/peer"
 )
 
-// A data directory that was emptied has forgotten its votes. So its member is refused under its old number, also by members that
-// have restarted since, and is told so. Under a new number it joins.
+// A member whose data directory was emptied has lost its votes. It is refused under its old number, also by members that have
+// restarted since, and fails with an error that says so. Under a new number it can join.
 func TestEmptiedDataDirNeedsNewNumber(t *testing.T) {
 	group := newMemberGroup(1, 3)
 	if !group.holdsLease(1) || !group.holdsLease(2) || !group.holdsLease(3) {
-		t.Fatal("not all members hold a lease at the start")
+		t.Fatal("not all members hold a lease initially")
 	}
 	group.hosts[3].Kill()
 	group.hosts[2].Kill()
@@ -27,7 +27,7 @@
 	group.run(8)
 	failure := group.members[3].Failed
 	if !errors.Is(failure, coordinator.ErrRefused) || !strings.Contains(failure.Error(), "new number") {
-		t.Errorf("member 3 is not refused under its old number: %v\n%s", failure, strings.Join(group.logLines, "\n"))
+		t.Errorf("member 3 with an emptied data directory failed with %v, want a refusal of its old number; log:\n%s", failure, strings.Join(group.logLines, "\n"))
 	}
 	if !group.holdsLease(1) || !group.holdsLease(2) {
 		t.Error("members 1 and 2 lost their leases")
@@ -39,14 +39,14 @@
 	group.start(4, coordinator.GroupConfig{Members: group.addresses, Join: true})
 	group.run(8)
 	if !group.holdsLease(4) || !group.members[4].Group.Registered() {
-		t.Errorf("member 4 has not joined: %v", group.members[4].Failed)
+		t.Errorf("member 4 has not joined, error %v", group.members[4].Failed)
 	}
 
-	// Member 3 still counts for the quorum: with member 1 down, 2 and 4 are two of four.
+	// Member 3 still counts for the quorum: with member 1 down, members 2 and 4 are two of four voters.
 	group.hosts[1].Kill()
 	group.run(8)
 	if group.holdsLease(2) || group.holdsLease(4) {
-		t.Error("two of four voters hold leases")
+		t.Error("members hold leases with two of four voters up")
 	}
 	group.start(1, coordinator.GroupConfig{Members: group.addresses})
 	group.run(8)
@@ -55,27 +55,28 @@
 	group.net.Add(netip.AddrFrom4([4]byte{10, 0, 0, 99}), 9, false).Start(tool)
 	group.run(4)
 	if !strings.Contains(tool.reply, `"gone":true`) && !strings.Contains(tool.reply, `"number":2`) {
-		t.Errorf("the tool got the reply %s", tool.reply)
+		t.Errorf("status reply %s is neither from member 2 nor shows a removed member", tool.reply)
 	}
 	group.hosts[1].Kill()
 	group.run(8)
 	if !group.holdsLease(2) || !group.holdsLease(4) {
-		t.Error("two of the three members that are left do not hold leases")
+		t.Error("members 2 and 4 do not hold leases after the removal of member 3")
 	}
 }
 
-// Connections without the key, of another version, or with forged or malformed commands are closed, and the group is not affected.
+// Connections with a wrong key, of another protocol version, or with forged or malformed frames are closed, and the group is not
+// affected.
 func TestUnauthorizedPeersAreRefused(t *testing.T) {
 	renewal := []byte(`{"kind":1,"peer":"c1","weight":1,"renewal":99999}`)
 	expiry := []byte(`{"kind":2,"peer":"c1","renewal":5}`)
 	cases := map[string]*groupTool{
-		"wrong key":                {key: "x", frames: []peer.Frame{{Kind: peer.StatusRequest}}},
-		"lease renewal":            {frames: []peer.Frame{{Kind: peer.Command, Message: renewal}}},
-		"lease expiry":             {frames: []peer.Frame{{Kind: peer.Command, Message: expiry}}},
-		"malformed command":        {frames: []peer.Frame{{Kind: peer.Command, Message: []byte(`{`)}}},
-		"consensus without number": {frames: []peer.Frame{{Kind: peer.Consensus, Message: []byte(`x`)}}},
-		"addressed to another":     {frames: []peer.Frame{{To: 3, Kind: peer.StatusRequest}}},
-		"another's number":         {frames: []peer.Frame{{From: 1, DataDirID: 5, Kind: peer.Consensus, Message: []byte(`x`)}}},
+		"wrong key":                       {key: "x", frames: []peer.Frame{{Kind: peer.StatusRequest}}},
+		"lease renewal":                   {frames: []peer.Frame{{Kind: peer.Command, Message: renewal}}},
+		"lease expiry":                    {frames: []peer.Frame{{Kind: peer.Command, Message: expiry}}},
+		"malformed command":               {frames: []peer.Frame{{Kind: peer.Command, Message: []byte(`{`)}}},
+		"consensus without member number": {frames: []peer.Frame{{Kind: peer.Consensus, Message: []byte(`x`)}}},
+		"addressed to another member":     {frames: []peer.Frame{{To: 3, Kind: peer.StatusRequest}}},
+		"another member's number":         {frames: []peer.Frame{{From: 1, DataDirID: 5, Kind: peer.Consensus, Message: []byte(`x`)}}},
 	}
 	group := newMemberGroup(2, 3)
 	address := byte(100)
@@ -86,7 +87,7 @@
 		group.run(1)
 		t.Run(name, func(t *testing.T) {
 			if !tool.closed {
-				t.Error("the connection is not closed")
+				t.Error("the connection is still open")
 			}
 		})
 	}
@@ -94,11 +95,11 @@
 	group.net.Add(netip.AddrFrom4([4]byte{10, 0, 1, 99}), 0, false).Start(olderVersion)
 	group.run(1)
 	if !olderVersion.closed || !group.logged("this version's with") {
-		t.Error("a peer of another version is not refused as such")
+		t.Error("the connection of a peer of another version is not closed, or the log does not name the version")
 	}
 	for id := membership.MemberID(1); id <= 3; id++ {
 		if !group.holdsLease(id) || group.members[id].Group.State.Members["c1"].Renewal > 1000 {
-			t.Errorf("member %d is affected", id)
+			t.Errorf("member %d has lost its lease or applied a forged renewal", id)
 		}
 	}
 }
--- a/internal/coordinator/auxiliary.go
+++ b/internal/coordinator/auxiliary.go
@@ -9,22 +9,23 @@
 	"snowquay/internal/feed/graphite"
 )
 
-// graphiteRandomStream separates the random numbers of the Graphite sender from others of the same seed.
+// graphiteRandomStream is the generator stream of the Graphite sender. It makes its random numbers differ from those of other
+// users of the same seed.
 const graphiteRandomStream = 0x67a
 
-// linkOwner tells whose a connection is.
+// linkOwner is the component that a connection belongs to.
 type linkOwner int
 
 const (
-	clientLink   linkOwner = iota // a proxy's, a server's, or not known yet
-	graphiteLink                  // the Graphite sender's
-	peerLink                      // a member's of the group, or a tool's that speaks to the group
+	clientLink   linkOwner = iota // a proxy, a server, or an unidentified client
+	graphiteLink                  // the Graphite sender
+	peerLink                      // group membership: another member, or an administration tool
 )
 
-// auxiliaryLinks are the connections of a Coordinator or a Host that are not its clients'.
+// auxiliaryLinks handles the connections of a Coordinator or a Host that do not belong to proxies or servers.
 type auxiliaryLinks struct {
-	graphite *graphite.Sender // nil: no metrics are sent
-	member   *Member          // nil: not in a group
+	graphite *graphite.Sender // nil if no metrics are sent
+	member   *Member          // nil if it is in no group
 }
 
 func newGraphiteSender(now float64, setup graphite.Config, seed uint64) *graphite.Sender {
@@ -40,7 +41,7 @@
 	}
 }
 
-// opened takes a connection to the group's port. It reports whether it has.
+// opened accepts a connection if it was opened to the group's port, and reports whether it was.
 func (l *auxiliaryLinks) opened(now float64, conn env.Conn, from netip.Addr, port uint16) bool {
 	if l.member == nil || port != l.member.port() {
 		return false
@@ -58,7 +59,7 @@
 	}
 }
 
-// receive takes data of a connection, unless it is a client's.
+// receive handles data of the Graphite sender's and the group's connections, and returns the owner of the connection.
 func (l *auxiliaryLinks) receive(now float64, conn env.Conn, data []byte) linkOwner {
 	if l.graphite != nil && l.graphite.Receive(conn) {
 		return graphiteLink
@@ -69,7 +70,7 @@
 	return clientLink
 }
 
-// closed reports whether the connection was not a client's.
+// closed handles the end of a connection and reports whether it was an auxiliary one.
 func (l *auxiliaryLinks) closed(now float64, conn env.Conn) bool {
 	if l.graphite != nil && l.graphite.Closed(now, conn) {
 		return true
@@ -77,7 +78,7 @@
 	return l.member != nil && l.member.peers.closed(conn)
 }
 
-// delivered reports whether the connection is not a client's.
+// delivered handles the delivery of data and reports whether the connection is an auxiliary one.
 func (l *auxiliaryLinks) delivered(now float64, conn env.Conn, total uint64) bool {
 	if l.graphite != nil && l.graphite.Delivered(now, conn, total) {
 		return true
@@ -85,12 +86,12 @@
 	return l.member != nil && l.member.peers.delivered(conn, total)
 }
 
-// leave releases the member's lease and reports whether the group knows, or there is none to tell.
-func (l *auxiliaryLinks) leave(now float64) (known bool) {
+// leave releases the member's lease and reports whether the group has committed that, or there is no lease to release.
+func (l *auxiliaryLinks) leave(now float64) (released bool) {
 	return l.member == nil || !l.member.Ready() || l.member.Leave(now)
 }
 
-// addFleetMetrics adds a fleet's metrics to those that are sent next, their paths under a prefix.
+// addFleetMetrics adds a fleet's metrics to the next batch of a sender. Their paths start with a prefix.
 func addFleetMetrics(sender *graphite.Sender, fleet *controlplane.Fleet, now float64, prefix ...string) {
 	for _, metric := range fleet.Metrics(now) {
 		path := append([]string{}, prefix...)
--- a/internal/coordinator/connections.go
+++ b/internal/coordinator/connections.go
@@ -21,7 +21,7 @@
 	c.SASP.Opened(now, saspsession.Conn(conn), from)
 }
 
-// Connected implements env.Program. A coordinator dials only its group and the Graphite receiver.
+// Connected implements env.Program. A coordinator dials only the other members of its group and the Graphite receiver.
 func (c *Coordinator) Connected(now float64, conn env.Conn, ok bool) {
 	c.links.connected(now, conn, ok)
 }
@@ -36,7 +36,7 @@
 		return
 	}
 	c.SASP.Receive(now, saspsession.Conn(conn), data)
-	if c.Fleet.Registry.HasChanges() { // a drain does not wait for the next tick
+	if c.Fleet.Registry.HasChanges() { // send a drain without waiting for the next tick
 		c.tickSoon(now)
 	}
 }
@@ -66,7 +66,7 @@
 	c.SASP.Delivered(now, saspsession.Conn(conn), total)
 }
 
-// Datagram implements env.Program: it takes a measurement packet.
+// Datagram implements env.Program: it handles a measurement packet.
 func (c *Coordinator) Datagram(now float64, data []byte) {
 	err := c.Collector.Packet(now, data)
 	if err != nil && c.config.Log != nil {
--- a/internal/coordinator/coordinator.go
+++ b/internal/coordinator/coordinator.go
@@ -1,6 +1,6 @@
-// Package coordinator assembles a coordinator from its parts: a fleet, a SASP server, a long-poll front end and a collector of
-// measurements. A Coordinator may share its fleet with others as a Member of a group, and a Host runs one Coordinator for each
-// of many tenants. The same programs run in virtual time and over real sockets.
+// Package coordinator assembles a coordinator from its components: a fleet, a SASP server, a long-poll front end and a collector
+// of measurements. A Coordinator may share its fleet with other coordinators as a Member of a group, and a Host runs one
+// Coordinator for each of many tenants. The same programs run in virtual time and over real sockets.
 package coordinator
 
 import (
@@ -19,38 +19,38 @@
 )
 
 const (
-	tickInterval     = 0.02 // seconds between two runs of a coordinator that serves connections
-	idleTickInterval = 0.25 // seconds between two runs of a hosted coordinator without connections
+	tickInterval     = 0.02 // seconds between ticks of a coordinator that serves connections
+	idleTickInterval = 0.25 // seconds between ticks of a hosted coordinator without connections
 )
 
-// Coordinator controls one fleet: it decides the tables of its proxies and sends them. It is an env.Program.
+// Coordinator controls one fleet: it computes the weight tables of its proxies and sends them. It implements env.Program.
 type Coordinator struct {
 	config Config
 	io     env.IO
 
-	// Fleet holds the control plane's state: servers, proxies and their tables.
+	// Fleet is the state of the control plane: servers, proxies and their tables.
 	Fleet *controlplane.Fleet
 	// SASP serves proxies and servers that speak SASP.
 	SASP *saspsession.Server
-	// LongPoll serves proxies that poll over HTTP.
+	// LongPoll serves proxies that use long polls over HTTP.
 	LongPoll *longpollhttp.Frontend
-	// Collector reads measurement packets.
+	// Collector decodes measurement packets.
 	Collector *collectd.Collector
-	// Member is this coordinator's part in a group of its own; nil if it is in none.
+	// Member is this coordinator's membership of its group; nil if it is standalone or the tenant of a Host.
 	Member *Member
 
-	peers           Peers // nil: the fleet is not shared
+	peers           Peers // nil if the fleet is not shared
 	links           auxiliaryLinks
 	pollConnections map[env.Conn]bool     // connections of LongPoll
 	lastTick        float64               // clock time in seconds
-	pendingDrains   map[uint64]func(bool) // administrators' drains that the group has not completed, by ticket
+	pendingDrains   map[uint64]func(bool) // callbacks of administrators' drains that the group has not completed, by ticket
 
-	serversRestored  bool    // the group's servers were added to the registry
+	serversRestored  bool    // whether the group's servers were added to the registry
 	nextDrainCleanup float64 // clock time in seconds
 }
 
-// New returns a coordinator that does nothing until Start. store may be nil: its records are not persisted then. The error is that
-// of loading the records or of invalid settings.
+// New returns a coordinator that does nothing until Start. If store is nil, server records are not stored. It returns an error if
+// the records can't be loaded or the settings are invalid.
 func New(now float64, config Config, store Store) (*Coordinator, error) {
 	coordinator := &Coordinator{config: config, pollConnections: map[env.Conn]bool{}}
 	var records []registry.Record
@@ -82,10 +82,11 @@
 	return coordinator, nil
 }
 
-// longPollEpoch is in microseconds, so that it grows with each start of the process, and never 0.
+// longPollEpoch returns the start time in microseconds, so that the epoch increases with each start of the process. It is
+// never 0.
 func longPollEpoch(now float64) uint64 { return uint64(now*1e6) | 1 }
 
-// joinGroup connects the coordinator to those that share its fleet, if any.
+// joinGroup connects the coordinator to the coordinators that share its fleet, if any.
 func (c *Coordinator) joinGroup() {
 	switch {
 	case c.config.Group != nil:
@@ -154,7 +155,7 @@
 	c.Fleet.SendDue(now)
 }
 
-// tickSoon does what is due at once, or asks the host for a turn to do so.
+// tickSoon runs a tick immediately, or asks the host for a turn to run it.
 func (c *Coordinator) tickSoon(now float64) {
 	if c.config.RequestTurn != nil {
 		c.config.RequestTurn(now)
@@ -163,7 +164,7 @@
 	c.tick(now)
 }
 
-// Reconfigure applies changed settings to a running coordinator. On an error nothing has changed.
+// Reconfigure applies changed settings to a running coordinator. If it returns an error, nothing has changed.
 func (c *Coordinator) Reconfigure(now float64, config Config) (controlplane.Revision, error) {
 	revision, err := c.Fleet.Reconfigure(now, config.Site)
 	if err != nil {
@@ -175,20 +176,20 @@
 	return revision, nil
 }
 
-// Idle reports whether nobody is connected, so that nothing is urgent until somebody connects.
+// Idle reports whether no client is connected, so that no work is urgent until one connects.
 func (c *Coordinator) Idle() bool {
 	connections, _ := c.SASP.Connections()
 	return connections == 0 && c.LongPoll.Connections() == 0
 }
 
-// GraphiteSender returns the sender of metrics; nil if none are sent.
+// GraphiteSender returns the sender of metrics; nil if no metrics are sent.
 func (c *Coordinator) GraphiteSender() *graphite.Sender { return c.links.graphite }
 
-// Leave releases the lease of this coordinator, so that the others need not wait until it expires. It is called again until it
-// reports that the group knows.
-func (c *Coordinator) Leave(now float64) (known bool) { return c.links.leave(now) }
+// Leave releases the lease of this coordinator, so that the other members need not wait for its expiry. It reports whether the
+// group has committed the release; the caller repeats the call until it has.
+func (c *Coordinator) Leave(now float64) (released bool) { return c.links.leave(now) }
 
-// Log implements saspsession.Out and longpollhttp.Out: it logs an event with attributes.
+// Log implements saspsession.Out and longpollhttp.Out. It logs an event with attributes.
 func (c *Coordinator) Log(event string, attributes ...any) {
 	if c.config.Log != nil {
 		c.config.Log.Log(context.Background(), slog.LevelInfo, event, attributes...)
--- a/internal/coordinator/graphite_test.go
+++ b/internal/coordinator/graphite_test.go
@@ -18,10 +18,10 @@
 	"snowquay/internal/store"
 )
 
-// joinedMetric is the number of joined proxies of the first tenant.
+// joinedMetric is the path of the metric that counts the joined proxies of the first tenant.
 const joinedMetric = "sq.test.tenants.t000.fleet.joined"
 
-// graphiteFixture is a host with two tenants whose metrics are sent to a sink.
+// graphiteFixture is a host with two tenants that sends metrics to a Graphite sink.
 type graphiteFixture struct {
 	*hostFixture
 	sink        *emulator.GraphiteSink
@@ -42,7 +42,7 @@
 	return f
 }
 
-// Dashboards of users refer to these paths.
+// The paths of metrics must not change, since users' dashboards refer to them.
 func TestGraphitePathsOnTheWire(t *testing.T) {
 	f := newGraphiteFixture(t, func(*graphite.Config) {})
 	f.connectProxy(0)
@@ -51,7 +51,7 @@
 	golden.Bytes(t, "graphite-paths.txt", []byte(strings.Join(paths, "\n")+"\n"))
 }
 
-// The sink is down for an hour: no value is lost if the spool is large enough, and a small one still covers the whole hour at a
+// The sink is down for an hour. No value is lost if the spool is large enough, and a small spool still covers the whole hour at a
 // coarser resolution.
 func TestGraphiteSinkDownForAnHour(t *testing.T) {
 	tests := []struct {
@@ -79,16 +79,16 @@
 			values := f.sink.Values[joinedMetric]
 			span := spanOf(values, 1000, 1000+3720)
 			if span.first > test.firstUntil || span.last < test.lastFrom || span.maxGap > test.maxGap || len(values) < test.minValues {
-				t.Errorf("%d values: %+v", len(values), span)
+				t.Errorf("%d values with %+v do not cover the outage as expected", len(values), span)
 			}
-			t.Logf("%d values, %+v; %d lines, %d of them again", len(values), span, f.sink.Lines, f.sink.Duplicates)
+			t.Logf("%d values with %+v; %d lines, %d of them duplicates", len(values), span, f.sink.Lines, f.sink.Duplicates)
 			if joined := values[span.last]; joined != 1 || f.sink.Malformed > 0 || len(proxy.rows) == 0 {
-				t.Errorf("%v joined, %d lines garbled, %d rows", joined, f.sink.Malformed, len(proxy.rows))
+				t.Errorf("%v proxies joined, want 1; %d malformed lines, want 0; proxy received %d rows, want some", joined, f.sink.Malformed, len(proxy.rows))
 			}
-			// A total that grew during the hour arrives with the growth.
+			// The increase of a cumulative metric during the hour is not lost.
 			turns := f.sink.Values["sq.test.host.turns"]
 			if turns[span.last] < turns[span.first]+1000 {
-				t.Errorf("turns grow from %v to %v", turns[span.first], turns[span.last])
+				t.Errorf("turns increase from %v to %v, want an increase of at least 1000", turns[span.first], turns[span.last])
 			}
 		})
 	}
@@ -113,9 +113,9 @@
 	return span
 }
 
-// A sink that stalls while its host still accepts data, and that is killed repeatedly, loses no value, and the tenants' proxies are
-// not affected.
-func TestGraphiteSinkStallsAndDies(t *testing.T) {
+// No value is lost when the sink stalls while its host still accepts data, and is then killed, several times. The tenants'
+// proxies are not affected.
+func TestGraphiteSinkStallsAndRestarts(t *testing.T) {
 	f := newGraphiteFixture(t, func(setup *graphite.Config) {
 		setup.Interval = 1
 		setup.Spool.StallTimeout = 5
@@ -123,14 +123,14 @@
 	f.connectProxy(0)
 	f.run(5)
 	for i := range 12 {
-		f.sinkMachine.Stall(4) // data that its host has accepted and the sink has not read is lost with it
+		f.sinkMachine.Stall(4) // unread data that the sink's host has accepted is lost when the sink is killed
 		f.run(2 + float64(i)/8)
 		f.sinkMachine.Kill()
 		f.run(1)
 		f.sinkMachine.Start(f.sink)
 		f.run(8)
 	}
-	f.sinkMachine.Stall(20) // longer than the sender waits
+	f.sinkMachine.Stall(20) // longer than the sender's stall timeout
 	f.run(30)
 	values := f.sink.Values[joinedMetric]
 	const start = 1002
@@ -146,10 +146,10 @@
 	}
 	tenant, _ := f.host.Tenant("t000")
 	if tenant.Coordinator.Fleet.Joined() != 1 {
-		t.Error("the proxy is not joined any more")
+		t.Error("the proxy is no longer joined")
 	}
 	sender := f.host.GraphiteSender()
 	if sender.Disconnects < 12 || sender.State() != spool.Connected {
-		t.Errorf("broken %d times, state %d: the faults had no effect", sender.Disconnects, sender.State())
+		t.Errorf("sender has %d disconnects, want at least 12, and state %d, want connected", sender.Disconnects, sender.State())
 	}
 }
--- a/internal/coordinator/group_fixture_test.go
+++ b/internal/coordinator/group_fixture_test.go
@@ -16,7 +16,7 @@
 
 const testGroupKey = "key"
 
-// memberGroup is members of a group on a simulated network, with storage in memory.
+// memberGroup is a group of members on a simulated network, with storage in memory.
 type memberGroup struct {
 	net         *simnet.Net
 	addresses   map[membership.MemberID]netip.AddrPort
@@ -27,7 +27,7 @@
 	incarnation uint64 // of the latest start
 }
 
-// newMemberGroup starts a group of some members and lets it settle.
+// newMemberGroup starts a group of count members and runs it for 5 seconds.
 func newMemberGroup(seed uint64, count int) *memberGroup {
 	group := &memberGroup{
 		net:       simnet.New(seed, 1000),
@@ -86,11 +86,11 @@
 	return false
 }
 
-// groupTool sends frames to a member as the command line does.
+// groupTool sends frames to a member as the command-line tool does.
 type groupTool struct {
 	to     netip.AddrPort
 	frames []peer.Frame
-	key    string // empty: that of the group
+	key    string // empty for the key of the group
 	buffer []byte
 	reply  string
 	closed bool
@@ -125,7 +125,7 @@
 func (t *groupTool) Datagram(float64, []byte)                     {}
 func (t *groupTool) TimerFired(float64, int)                      {}
 
-// rawClient sends bytes as they are.
+// rawClient sends data without framing.
 type rawClient struct {
 	groupTool
 	to   netip.AddrPort
--- a/internal/coordinator/host_bench_test.go
+++ b/internal/coordinator/host_bench_test.go
@@ -18,16 +18,16 @@
 	return float64(stats.HeapAlloc)
 }
 
-// The cost of a tenant without connections: memory, and CPU time a second.
+// BenchmarkIdleTenant measures the memory and the CPU time per second of a tenant without connections.
 func BenchmarkIdleTenant(b *testing.B) {
 	for _, tenants := range []int{10, 1000} {
 		b.Run(fmt.Sprint(tenants), func(b *testing.B) {
-			day := scenario.DefaultHostedScenario()
+			hosted := scenario.DefaultHostedScenario()
 			for b.Loop() {
 				before := heapBytes()
 				f := newHostFixture(b, &store.MemoryTenantStore{})
 				for number := range tenants {
-					f.create(tenantName(number), day.TenantSettings(number), 0)
+					f.create(tenantName(number), hosted.TenantSettings(number), 0)
 				}
 				f.run(5)
 				b.ReportMetric((heapBytes()-before)/float64(tenants), "B/tenant")
@@ -40,11 +40,11 @@
 	}
 }
 
-// The cost of reading a tenant's settings, which a restarted host does for all its tenants.
+// BenchmarkParseTenant measures the parsing of a tenant's settings, which a restarted host does for all its tenants.
 func BenchmarkParseTenant(b *testing.B) {
 	f := newHostFixture(b, &store.MemoryTenantStore{})
-	day := scenario.DefaultHostedScenario()
-	tenant := tenancy.Tenant{Name: "t000", Settings: day.TenantSettings(0)}
+	hosted := scenario.DefaultHostedScenario()
+	tenant := tenancy.Tenant{Name: "t000", Settings: hosted.TenantSettings(0)}
 	for b.Loop() {
 		if _, err := f.config.ParseTenant(tenant); err != nil {
 			b.Fatal(err)
--- a/internal/coordinator/host_connections.go
+++ b/internal/coordinator/host_connections.go
@@ -78,8 +78,8 @@
 	}
 }
 
-// Datagram implements env.Program: it takes a measurement packet. The packet names the user that signed it, and by that the tenant,
-// whose key then verifies the signature.
+// Datagram implements env.Program: it handles a measurement packet. The user name in the packet determines the tenant, whose key
+// verifies the packet's signature.
 func (h *Host) Datagram(now float64, data []byte) {
 	user, ok := collectd.PacketUser(data)
 	if !ok {
@@ -95,7 +95,7 @@
 	h.chargeArrival(now, tenant, len(data))
 }
 
-// running returns the tenant of a name; nil if it does not run.
+// running returns the tenant with a name; nil if it is not running.
 func (h *Host) running(name tenancy.Name) *TenantRuntime {
 	tenant := h.tenants[name]
 	if tenant == nil || tenant.Coordinator == nil {
@@ -113,8 +113,9 @@
 	return h.running(name)
 }
 
-// identify takes data of a connection whose tenant is not known. If it identifies a running tenant, identify hands the connection
-// to that tenant and returns it with all data of the connection. A connection that can't be served is closed.
+// identify handles data of a connection whose tenant is not known. If the data identifies a running tenant, identify opens
+// the connection at that tenant and returns the tenant with all data that the connection has sent so far. A connection that
+// can't be served is closed.
 func (h *Host) identify(now float64, conn env.Conn, data []byte) (*TenantRuntime, []byte) {
 	from, open := h.unidentified[conn]
 	if !open {
@@ -145,7 +146,7 @@
 	return nil, nil
 }
 
-// startEarlier moves a tenant that somebody asks for to the front of the start queue.
+// startEarlier moves a tenant to the front of the start queue, since a client has tried to connect to it.
 func (h *Host) startEarlier(name tenancy.Name) {
 	tenant := h.tenants[name]
 	if tenant == nil || tenant.Err != nil {
@@ -158,7 +159,7 @@
 	}
 }
 
-// closeExpired closes connections that have not identified themselves in time.
+// closeExpired closes the connections that have not identified themselves in time.
 func (h *Host) closeExpired(now float64) {
 	for _, expired := range h.Router.TakeExpired(now) {
 		delete(h.unidentified, env.Conn(expired))
@@ -173,7 +174,7 @@
 	return h.config.SASP.Port()
 }
 
-// rejectionResponse is the HTTP response to a connection that is not routed.
+// rejectionResponse is the HTTP status and problem type of a rejected connection.
 type rejectionResponse struct {
 	status int
 	kind   string
--- a/internal/coordinator/host_directory.go
+++ b/internal/coordinator/host_directory.go
@@ -12,18 +12,18 @@
 )
 
 var (
-	// ErrNotCommitted reports that the hosts have not committed a change in time. It may still be committed.
+	// ErrNotCommitted reports that the group of hosts has not committed a change in time. The change may still be committed.
 	ErrNotCommitted = errors.New("the change was not agreed on in time")
-	// ErrNotPersisted reports that a change could not be made durable. Nothing has changed.
+	// ErrNotPersisted reports that a change could not be saved durably. The change has no effect.
 	ErrNotPersisted = errors.New("the change could not be made durable")
 )
 
-// ChangeTenant creates, changes or removes a tenant. done is called once, when the change is durable and in force, or refused. Its
-// error is ErrNotPersisted or ErrNotAgreed; refusals are in the outcome.
+// ChangeTenant creates, changes or removes a tenant. done is called once, when the change is durable and in effect or was
+// rejected. Its error is ErrNotPersisted or ErrNotCommitted; a rejection is part of the outcome.
 func (h *Host) ChangeTenant(now float64, command tenancy.Command, done func(outcome tenancy.Outcome, err error)) {
-	answered, ok := h.Directory.Find(command.ID)
+	recorded, ok := h.Directory.Find(command.ID)
 	if ok {
-		done(h.repeatedOutcome(answered, command), nil)
+		done(h.repeatedOutcome(recorded, command), nil)
 		return
 	}
 	if h.shared != nil {
@@ -37,15 +37,15 @@
 	done(outcome, err)
 }
 
-// repeatedOutcome returns the outcome of a command whose identifier was used before.
-func (h *Host) repeatedOutcome(answered tenancy.Outcome, command tenancy.Command) tenancy.Outcome {
-	if answered.Fingerprint != command.Fingerprint {
-		return h.Directory.Apply(command) // it refuses another command with the same identifier
+// repeatedOutcome returns the outcome of a command whose identifier has been used before.
+func (h *Host) repeatedOutcome(recorded tenancy.Outcome, command tenancy.Command) tenancy.Outcome {
+	if recorded.Fingerprint != command.Fingerprint {
+		return h.Directory.Apply(command) // rejects a different command with the same identifier
 	}
-	return answered
+	return recorded
 }
 
-// applyCommand applies a command to the directory and saves it.
+// applyCommand applies a command to the directory and saves the directory.
 func (h *Host) applyCommand(command tenancy.Command) (tenancy.Outcome, error) {
 	previous, _ := h.Directory.Get(command.Name)
 	checkpoint := h.Directory.Checkpoint(command.Name)
@@ -59,8 +59,8 @@
 	}
 	err := h.store.Save(h.Directory, command.Name, ended)
 	if err != nil {
-		// A change that is confirmed must not be lost by a restart. So while the disk is full, no tenant can be changed; those that
-		// run are not affected.
+		// A confirmed change must survive a restart. So while the disk is full, no tenant can be changed, but running tenants are not
+		// affected.
 		h.Directory.Rollback(checkpoint)
 		h.Stats.SaveFailures++
 		return tenancy.Outcome{}, fmt.Errorf("%w: %w", ErrNotPersisted, err)
@@ -68,12 +68,12 @@
 	return outcome, nil
 }
 
-// directoryCommitted applies a change of the directory that the group has committed. An empty name stands for a change of the whole
-// directory.
+// directoryCommitted applies a change of the directory that the group has committed. An empty name means that the whole directory
+// may have changed.
 func (h *Host) directoryCommitted(now float64, name tenancy.Name) {
 	replaying := h.io == nil || h.shared.member.Group == nil
 	if replaying {
-		return // Start registers the tenants that result
+		return // Start registers the resulting tenants
 	}
 	if name != "" {
 		h.reconcile(now, name)
@@ -83,7 +83,7 @@
 	h.reconcileAll(now)
 }
 
-// reconcileAll brings all tenants to what the directory says.
+// reconcileAll brings all tenants in line with the directory.
 func (h *Host) reconcileAll(now float64) {
 	listedNames := map[tenancy.Name]bool{}
 	for _, listed := range h.Directory.All() {
@@ -104,11 +104,11 @@
 type TenantPreview struct {
 	Config   TenantConfig
 	Revision controlplane.Revision
-	Reasons  []tablecheck.Finding // why the change would do harm; none: it would not
+	Reasons  []tablecheck.Finding // harm that the change would cause; empty if it would cause none
 }
 
-// Preview checks changed settings of a tenant without applying them: whether they are valid, what would change, and whether that
-// would harm the connected proxies. The error is that of parsing.
+// Preview checks changed settings of a tenant without applying them: whether they are valid, what would change, and whether the
+// change would harm the connected proxies. It returns an error if the settings can't be parsed.
 func (h *Host) Preview(now float64, listed tenancy.Tenant) (TenantPreview, error) {
 	config, err := h.config.ParseTenant(listed)
 	preview := TenantPreview{Config: config}
@@ -117,13 +117,13 @@
 	}
 	tenant := h.running(listed.Name)
 	if tenant == nil {
-		preview.Revision.RestartReason = "there is none that runs"
+		preview.Revision.RestartReason = "the tenant is not running"
 		return preview, nil
 	}
 	fleet := tenant.Coordinator.Fleet
 	preview.Revision = controlplane.CompareSites(fleet.Site(), &preview.Config.Config.Site)
 	reasons := fleet.Preview(now, preview.Revision.Removed, false)
-	if len(preview.Revision.Removed) > 0 { // else the findings are not caused by the change
+	if len(preview.Revision.Removed) > 0 { // otherwise the findings are not caused by the change
 		preview.Reasons = reasons
 	}
 	return preview, nil
--- a/internal/coordinator/host_fixture_test.go
+++ b/internal/coordinator/host_fixture_test.go
@@ -16,7 +16,7 @@
 	"snowquay/internal/wire/sasp"
 )
 
-// hostFixture is a host on a simulated network, whose process can end and start again.
+// hostFixture is a host on a simulated network whose process can be killed and restarted.
 type hostFixture struct {
 	t       testing.TB
 	config  *settings.Host
@@ -26,7 +26,7 @@
 	host    *coordinator.Host
 }
 
-// parseHostSettings parses the settings of a host of which the tenants are to run.
+// parseHostSettings parses the settings of a host and sets its parser of tenants' settings.
 func parseHostSettings(t testing.TB, text string) *settings.Host {
 	t.Helper()
 	config, err := settings.ParseHost("host.xml", []byte(text))
@@ -64,7 +64,7 @@
 
 func (f *hostFixture) run(seconds float64) { f.net.Run(f.net.Now() + seconds) }
 
-// change creates, changes or removes a tenant; text is nil for a removal. A refusal is returned as an error.
+// change creates, changes or removes a tenant; text is nil for a removal. A rejection is returned as an error.
 func (f *hostFixture) change(kind tenancy.CommandKind, name tenancy.Name, text []byte, id uint64) (tenancy.Outcome, error) {
 	f.t.Helper()
 	command := tenancy.Command{Kind: kind, Name: name, Settings: text, ID: id, Time: f.net.Now()}
@@ -77,15 +77,15 @@
 		command.Requirements = config.Requirements
 	}
 	var outcome tenancy.Outcome
-	var refusal error
+	var rejection error
 	f.host.ChangeTenant(f.net.Now(), command, func(o tenancy.Outcome, err error) {
 		outcome = o
-		refusal = errors.Join(err, o.Err())
+		rejection = errors.Join(err, o.Err())
 	})
-	return outcome, refusal
+	return outcome, rejection
 }
 
-// create creates a tenant, which must not be refused.
+// create creates a tenant and fails the test if that is rejected.
 func (f *hostFixture) create(name tenancy.Name, text []byte, id uint64) {
 	f.t.Helper()
 	_, err := f.change(tenancy.Create, name, text, id)
@@ -94,7 +94,7 @@
 	}
 }
 
-// connect connects a proxy or a server that sends messages from an address of a tenant's settings.
+// connect connects a proxy or a server, from an address that a tenant's settings allow, and sends messages.
 func (f *hostFixture) connect(tenant int, messages ...*sasp.Message) *saspClient {
 	client := &saspClient{to: f.config.SASP, messages: messages}
 	address := netip.AddrFrom4([4]byte{127, 16, byte(tenant*4 + 1), byte(200 + len(messages))})
@@ -110,24 +110,24 @@
 
 func tenantName(number int) tenancy.Name { return tenancy.Name(fmt.Sprintf("t%03d", number)) }
 
-// tenantSettings returns the settings of as many tenants, all of whose servers are in the default table.
+// tenantSettings returns the settings of count tenants. All their servers are in the default table.
 func tenantSettings(count int) [][]byte {
-	day := scenario.DefaultHostedScenario()
+	hosted := scenario.DefaultHostedScenario()
 	var all [][]byte
 	for number := range count {
-		text := strings.ReplaceAll(string(day.TenantSettings(number)), `pod="`, `standing="true" pod="`)
+		text := strings.ReplaceAll(string(hosted.TenantSettings(number)), `pod="`, `standing="true" pod="`)
 		all = append(all, []byte(text))
 	}
 	return all
 }
 
-// saspClient sends messages and keeps the codes and rows that it receives.
+// saspClient sends messages and records the codes and rows that it receives.
 type saspClient struct {
 	to       netip.AddrPort
 	messages []*sasp.Message
 	codes    []sasp.Code
 	rows     []sasp.Row
-	closed   int // connections
+	closed   int // closed connections
 	io       env.IO
 	buffer   []byte
 }
--- a/internal/coordinator/host_group.go
+++ b/internal/coordinator/host_group.go
@@ -7,7 +7,7 @@
 	"snowquay/internal/core/tenancy"
 )
 
-// serverDrains are the drains of one tenant's servers, with the clock time in seconds of their order.
+// serverDrains maps the draining servers of one tenant to the clock times in seconds at which their drains were ordered.
 type serverDrains map[balancer.Server]float64
 
 // sharedTenants connects a Host to the group of hosts that share its tenants.
@@ -16,13 +16,13 @@
 	member        *Member
 	byIncarnation map[tenancy.Incarnation]*TenantRuntime
 	proposals     map[membership.Ticket]*proposal
-	drainOrders   map[membership.Ticket]tenancy.Incarnation // ordered here and not completed
+	drainOrders   map[membership.Ticket]tenancy.Incarnation // drains that were ordered at this host and are not completed
 
-	drains           map[tenancy.Incarnation]serverDrains // committed drains; nil: to be computed
-	drainsOrderCount uint64                               // of the state that drains was computed from
+	drains           map[tenancy.Incarnation]serverDrains // committed drains; nil if they must be computed again
+	drainsOrderCount uint64                               // order count of the state that drains was computed from
 }
 
-// proposal is a change of a tenant that was proposed here and is not answered yet.
+// proposal is a change of a tenant that was proposed by this host and is not completed yet.
 type proposal struct {
 	outcome tenancy.Outcome
 	done    func(tenancy.Outcome, error)
@@ -49,7 +49,7 @@
 	member.OnTenant = h.shared.tenantCommitted
 }
 
-// running returns the tenant of an incarnation; nil if it does not run here.
+// running returns the tenant with an incarnation; nil if it is not running on this host.
 func (s *sharedTenants) running(incarnation tenancy.Incarnation) *TenantRuntime {
 	tenant := s.byIncarnation[incarnation]
 	if tenant == nil || tenant.Coordinator == nil {
@@ -58,7 +58,7 @@
 	return tenant
 }
 
-// ownerOf returns the running tenant of a server's scoped name, and the tenant's own name of the server.
+// ownerOf returns the running tenant of a server with a scoped name, and the server's name without the scope.
 func (s *sharedTenants) ownerOf(scoped balancer.Server) (*TenantRuntime, balancer.Server) {
 	incarnation, server, ok := membership.SplitScoped(scoped)
 	if !ok {
@@ -100,7 +100,7 @@
 	s.host.directoryCommitted(now, name)
 }
 
-// propose proposes a change to the hosts that share the tenants.
+// propose proposes a change of a tenant to the group of hosts.
 func (s *sharedTenants) propose(now float64, command tenancy.Command, done func(tenancy.Outcome, error)) {
 	if !s.member.Ready() {
 		done(tenancy.Outcome{}, ErrNotCommitted)
@@ -114,7 +114,7 @@
 	s.proposals[ticket] = &proposal{done: done}
 }
 
-// orderCompleted tells who ordered a drain or a change here whether it is in force.
+// orderCompleted reports to the initiator of a drain or a change at this host whether it was committed.
 func (s *sharedTenants) orderCompleted(now float64, ticket membership.Ticket, committed bool) {
 	pending := s.proposals[ticket]
 	if pending != nil {
@@ -143,7 +143,7 @@
 
 func (s *sharedTenants) invalidateDrains() { s.drains = nil }
 
-// drainsByTenant returns the committed drains, computed again only after a change.
+// drainsByTenant returns the committed drains of each tenant. They are cached until the state changes.
 func (s *sharedTenants) drainsByTenant() map[tenancy.Incarnation]serverDrains {
 	state := s.member.Group.State
 	if s.drains != nil && s.drainsOrderCount == state.OrderCount {
--- a/internal/coordinator/host_group_test.go
+++ b/internal/coordinator/host_group_test.go
@@ -18,7 +18,7 @@
 
 const hostGroupSize = 3
 
-// hostGroup is hosts that share their tenants, on a simulated network.
+// hostGroup is a group of hosts that share their tenants, on a simulated network.
 type hostGroup struct {
 	t        *testing.T
 	net      *simnet.Net
@@ -73,18 +73,18 @@
 
 func (g *hostGroup) run(seconds float64) { g.net.Run(g.net.Now() + seconds) }
 
-// leader returns the index of the host that leads consensus.
+// leader returns the index of the host that is the consensus leader.
 func (g *hostGroup) leader() int { return int(g.hosts[0].Member().Group.Node.Leader()) - 1 }
 
-var errUnanswered = errors.New("not answered yet")
+var errPending = errors.New("not completed yet")
 
-// pendingChange is a command to a host; err is errUnanswered until it is answered.
+// pendingChange is a command that was submitted to a host. err is errPending until the command is completed.
 type pendingChange struct {
 	err     error
 	outcome tenancy.Outcome
 }
 
-// change gives a command to a host.
+// change submits a command to a host.
 func (g *hostGroup) change(i int, command tenancy.Command) *pendingChange {
 	g.t.Helper()
 	command.Time = g.net.Now()
@@ -96,7 +96,7 @@
 		command.Weight = config.Weight
 		command.Requirements = config.Requirements
 	}
-	pending := &pendingChange{err: errUnanswered}
+	pending := &pendingChange{err: errPending}
 	g.hosts[i].ChangeTenant(g.net.Now(), command, func(outcome tenancy.Outcome, err error) {
 		pending.err = errors.Join(err, outcome.Err())
 		pending.outcome = outcome
@@ -104,7 +104,7 @@
 	return pending
 }
 
-// A tenant that is created at one host runs at all hosts, and a command that is repeated at another host has the same outcome.
+// A tenant that is created at one host runs on all hosts, and a command that is repeated at another host has the same outcome.
 func TestHostsShareTenants(t *testing.T) {
 	g := newHostGroup(t, 100)
 	command := tenancy.Command{Kind: tenancy.Create, Name: "t000", Settings: tenantSettings(1)[0], ID: 5}
@@ -116,22 +116,22 @@
 	for i, host := range g.hosts {
 		tenant, ok := host.Tenant("t000")
 		if !ok || tenant.Coordinator == nil || tenant.Incarnation != first.outcome.Incarnation {
-			t.Errorf("host %d does not run the tenant", i)
+			t.Errorf("host %d does not run the created incarnation of the tenant", i)
 		}
 	}
 	repeated := g.change(2, command)
 	g.run(2)
 	if repeated.err != nil || repeated.outcome != first.outcome {
-		t.Errorf("repeated at another host: %v %+v, first %+v", repeated.err, repeated.outcome, first.outcome)
+		t.Errorf("command repeated at another host: error %v, outcome %+v, want %+v", repeated.err, repeated.outcome, first.outcome)
 	}
 	for round := range 20 {
-		g.changeWhileLeaderDies(round)
+		g.changeWhileLeaderIsKilled(round)
 	}
 }
 
-// changeWhileLeaderDies gives a command to the leader, which dies at a moment that depends on the round, and repeats the command at
-// another host. The tenant must be created once.
-func (g *hostGroup) changeWhileLeaderDies(round int) {
+// changeWhileLeaderIsKilled submits a command to the leader, kills the leader after a time that depends on the round, and
+// repeats the command at another host. The tenant must be created once.
+func (g *hostGroup) changeWhileLeaderIsKilled(round int) {
 	g.t.Helper()
 	leader := g.leader()
 	name := tenancy.Name("r" + string(tenantName(round))[1:])
@@ -145,24 +145,24 @@
 	g.start(leader)
 	g.run(8)
 	if repeated.err != nil {
-		g.t.Errorf("round %d: %v", round, repeated.err)
+		g.t.Errorf("round %d: repeated command failed: %v", round, repeated.err)
 	}
 	incarnations := map[tenancy.Incarnation]bool{}
 	for i, host := range g.hosts {
 		tenant, ok := host.Tenant(name)
 		if !ok || tenant.Coordinator == nil {
-			g.t.Fatalf("round %d: host %d does not run %s", round, i, name)
+			g.t.Fatalf("round %d: host %d does not run tenant %s", round, i, name)
 		}
 		incarnations[tenant.Incarnation] = true
 	}
 	if len(incarnations) != 1 {
-		g.t.Errorf("round %d: incarnations %v", round, incarnations)
+		g.t.Errorf("round %d: hosts run incarnations %v, want a single one", round, incarnations)
 	}
 }
 
-// More tenants than the hosts have capacity for are created at all hosts at once, while one of the hosts dies: no more are created
-// than there is capacity for, and all hosts have the same.
-func TestHostsLimitTenantsTogether(t *testing.T) {
+// All hosts get commands at the same time to create more tenants in total than they have capacity for, and one of the hosts is
+// killed meanwhile. No more tenants are created than there is capacity for, and all hosts have the same tenants.
+func TestTenantCapacityAcrossHosts(t *testing.T) {
 	const capacity = 7
 	g := newHostGroup(t, capacity)
 	var changes []*pendingChange
@@ -181,7 +181,7 @@
 		case change.err == nil:
 			created++
 		case errors.Is(change.err, tenancy.ErrNoCapacity):
-		case errors.Is(change.err, errUnanswered):
+		case errors.Is(change.err, errPending):
 		case errors.Is(change.err, coordinator.ErrNotCommitted):
 		default:
 			t.Error(change.err)
@@ -198,10 +198,10 @@
 		}
 		directories[strings.Join(names, " ")]++
 		if len(names) != capacity {
-			t.Errorf("host %d has %d tenants", i, len(names))
+			t.Errorf("host %d has %d tenants, want as many as its capacity", i, len(names))
 		}
 	}
 	if len(directories) != 1 || created > capacity {
-		t.Errorf("%d were confirmed; the hosts have %v", created, directories)
+		t.Errorf("%d creations were confirmed; the hosts have the tenants %v, want the same on all", created, directories)
 	}
 }
--- a/internal/coordinator/host_metrics.go
+++ b/internal/coordinator/host_metrics.go
@@ -1,6 +1,6 @@
 package coordinator
 
-// addMetrics adds the metrics of the host and of each running tenant to those that are sent next.
+// addMetrics adds the metrics of the host and of each running tenant to the next batch of the Graphite sender.
 func (h *Host) addMetrics(now float64) {
 	sender := h.links.graphite
 	identified, unidentified, _ := h.Router.Count()
--- a/internal/coordinator/host_panics.go
+++ b/internal/coordinator/host_panics.go
@@ -9,15 +9,15 @@
 )
 
 const (
-	firstPanicBackoff = 1.0   // seconds from a panic of a tenant until it is started again
-	maxPanicBackoff   = 60.0  // the backoff doubles up to it
-	panicBackoffReset = 300.0 // seconds without a panic after which the backoff is the first one again
+	firstPanicBackoff = 1.0   // seconds between a panic of a tenant and its restart
+	maxPanicBackoff   = 60.0  // seconds; the backoff doubles with each panic up to this limit
+	panicBackoffReset = 300.0 // seconds without a panic after which the backoff is reset to firstPanicBackoff
 )
 
-// ErrTenantPanicked is the reason why a tenant does not run that panicked and waits for its restart.
-var ErrTenantPanicked = errors.New("the tenant panicked and is started again soon")
+// ErrTenantPanicked is the error of a tenant that is not running because it panicked and waits for its restart.
+var ErrTenantPanicked = errors.New("the tenant panicked and will be restarted soon")
 
-// panicHistory is what the host remembers of a tenant's panics.
+// panicHistory records a tenant's panics. The backoff until the restart is computed from it.
 type panicHistory struct {
 	count      int
 	panickedAt float64 // clock time in seconds
@@ -35,9 +35,9 @@
 
 func (p panicHistory) restartAt() float64 { return p.panickedAt + p.backoff }
 
-// call runs a step of a tenant. If the step panics, it reports false, and that tenant alone is stopped, to be started again
-// from what is durable. A tenant's coordinator shares no state with the other tenants, so that nothing of theirs can be half
-// changed. A fatal error of the Go runtime, such as memory that has run out, ends the process all the same.
+// call runs a step of a tenant and recovers from a panic. If the step panics, call returns false and stops that tenant only; the
+// tenant is restarted later from its durable state. A tenant's coordinator shares no state with other tenants, so a panic can't
+// leave their state partially changed. A fatal error of the Go runtime, such as running out of memory, still ends the process.
 func (h *Host) call(now float64, tenant *TenantRuntime, step func()) (ok bool) {
 	defer func() {
 		if cause := recover(); cause != nil {
@@ -49,13 +49,13 @@
 	return true
 }
 
-// tenantPanicked stops a tenant and tells its callers to come back.
+// tenantPanicked stops a tenant after a panic and makes the router ask its clients to retry.
 func (h *Host) tenantPanicked(now float64, tenant *TenantRuntime, cause any, stack []byte) {
 	h.Stats.Panics++
 	tenant.panics = tenant.panics.next(now)
 	h.logError(tenant.Name, "tenant panicked, restarting it", "cause", cause, "panics", tenant.panics.count,
 		"backoff_seconds", tenant.panics.backoff, "stack", string(stack))
-	if h.tenants[tenant.Name] != tenant { // it was removed meanwhile
+	if h.tenants[tenant.Name] != tenant { // it has been removed meanwhile
 		return
 	}
 	h.stop(tenant)
@@ -65,7 +65,7 @@
 	}
 }
 
-// restartPanicked queues the tenants whose backoff after a panic is over.
+// restartPanicked queues the tenants whose backoff after a panic has elapsed.
 func (h *Host) restartPanicked(now float64) {
 	if h.Stats.Panics == 0 {
 		return
--- a/internal/coordinator/host_panics_test.go
+++ b/internal/coordinator/host_panics_test.go
@@ -14,7 +14,7 @@
 	"snowquay/internal/store"
 )
 
-// panickingHost is a host whose first tenant panics in its turn when it is told to.
+// panickingHost is a host whose first tenant panics at its next message if panicNext is set.
 type panickingHost struct {
 	*hostFixture
 	panicNext bool
@@ -30,7 +30,7 @@
 	config.OnMessageTrace = func(name tenancy.Name, _ tenancy.Incarnation, _ controlplane.MessageTrace) {
 		if p.panicNext && name == tenantName(0) {
 			p.panicNext = false
-			panic("planted")
+			panic("injected panic")
 		}
 	}
 	p.hostFixture = startHostFixture(t, config, &store.MemoryTenantStore{})
@@ -41,7 +41,7 @@
 	return p
 }
 
-// panicByDrain orders a drain of the first tenant, whose message makes the tenant panic.
+// panicByDrain makes the first tenant panic by ordering a drain, which causes a message.
 func (p *panickingHost) panicByDrain() {
 	p.t.Helper()
 	p.host.Drain(p.net.Now(), tenantName(0), firstServer, true, func(bool) {})
@@ -52,7 +52,7 @@
 	}
 }
 
-// A tenant that panics is started again from what is durable, with its drains; its neighbours are served meanwhile.
+// A tenant that panics is restarted from its durable state, including its drains. Other tenants are served meanwhile.
 func TestPanicOfTenantLeavesNeighbours(t *testing.T) {
 	p := newPanickingHost(t)
 	proxy := p.connectProxy(0)
@@ -60,36 +60,36 @@
 	p.run(3)
 	p.panicByDrain()
 	if p.host.Stats.Panics != 1 || proxy.closed != 1 || neighbour.closed != 0 {
-		t.Fatalf("%d panics; %d and %d connections closed", p.host.Stats.Panics, proxy.closed, neighbour.closed)
+		t.Fatalf("%d panics, want 1; closed connections: tenant %d, neighbour %d, want 1 and 0", p.host.Stats.Panics, proxy.closed, neighbour.closed)
 	}
-	if !strings.Contains(p.log.String(), "planted") || !strings.Contains(p.log.String(), "host_panics_test.go") {
-		t.Error("the log has no cause and stack")
+	if !strings.Contains(p.log.String(), "injected panic") || !strings.Contains(p.log.String(), "host_panics_test.go") {
+		t.Error("the log does not contain the cause and the stack of the panic")
 	}
 	tenant, _ := p.host.Tenant(tenantName(0))
 	if tenant.Coordinator != nil || !errors.Is(tenant.Err, coordinator.ErrTenantPanicked) {
-		t.Errorf("it runs, or says: %v", tenant.Err)
+		t.Errorf("the tenant is running or has the error %v, want ErrTenantPanicked", tenant.Err)
 	}
 
 	rows := len(neighbour.rows)
 	p.host.Drain(p.net.Now(), tenantName(1), "127.16.4.1:18080", true, func(bool) {})
 	p.run(0.5)
 	if len(neighbour.rows) == rows || neighbour.closed != 0 {
-		t.Errorf("a drain of the neighbour was not told while the tenant is down: %d rows more", len(neighbour.rows)-rows)
+		t.Errorf("a drain of the neighbour was not sent while the tenant is down: %d new rows", len(neighbour.rows)-rows)
 	}
 
 	p.run(1.5)
 	proxy = p.connect(0, setBalancer("t000/relay-0"), register("t000/relay-0"), setBalancer("t000/relay-0"))
 	p.run(3)
 	if tenant.Coordinator == nil || tenant.Err != nil || len(proxy.rows) == 0 {
-		t.Fatalf("it was not started again: %v, %d rows", tenant.Err, len(proxy.rows))
+		t.Fatalf("the tenant was not restarted: error %v, %d rows", tenant.Err, len(proxy.rows))
 	}
 	drain, _ := tenant.Coordinator.Fleet.DrainProgress(firstServer)
 	if drain.Phase != balancer.Draining {
-		t.Errorf("its drain is lost: %+v", drain)
+		t.Errorf("the tenant's drain is lost: %+v", drain)
 	}
 }
 
-// A tenant that panics again and again is started more and more rarely.
+// The time until the restart of a tenant that panics repeatedly increases with each panic.
 func TestPanickingTenantBacksOff(t *testing.T) {
 	p := newPanickingHost(t)
 	var downtimes []float64
@@ -108,7 +108,7 @@
 	}
 	for i := 1; i < len(downtimes); i++ {
 		if downtimes[i] < 1.3*downtimes[i-1] {
-			t.Errorf("down for %.1f s after each panic", downtimes)
+			t.Errorf("tenant was down for %.1f s after the panics, want increasing times", downtimes)
 		}
 	}
 }
--- a/internal/coordinator/host_scheduling.go
+++ b/internal/coordinator/host_scheduling.go
@@ -4,8 +4,8 @@
 	"snowquay/internal/core/tenancy"
 )
 
-// runTurns gives turns to the tenants that are due. When no more are due, it starts tenants of the start queue while the CPU budget
-// lasts.
+// runTurns runs the turns of the tenants that are due. When no more tenants are due, it starts tenants of the start queue
+// while the CPU budget lasts.
 func (h *Host) runTurns(now float64) {
 	h.turnRequested = false
 	for {
@@ -37,14 +37,14 @@
 	h.Scheduler.Charge(name, tenantStartCPUSeconds)
 }
 
-// runRequestedTurns gives turns at once if a tenant has requested it.
+// runRequestedTurns runs turns immediately if a tenant has requested one.
 func (h *Host) runRequestedTurns(now float64) {
 	if h.turnRequested {
 		h.runTurns(now)
 	}
 }
 
-// runTurn gives a tenant its turn and charges the tenant for it.
+// runTurn runs a tenant's turn and charges the tenant for it.
 func (h *Host) runTurn(now float64, tenant *TenantRuntime) {
 	program := tenant.Coordinator
 	if !h.call(now, tenant, func() { program.TimerFired(now, 0) }) {
@@ -64,7 +64,7 @@
 	tenant.charged = stats
 }
 
-// chargeArrival charges a tenant for bytes that came in for it, and ends the long intervals of an idle one.
+// chargeArrival charges a tenant for bytes received for it. If the tenant was idle, its turns return to the shorter interval.
 func (h *Host) chargeArrival(now float64, tenant *TenantRuntime, bytes int) {
 	usage := tenancy.Usage{Receipts: 1, Bytes: bytes}
 	h.Scheduler.Charge(tenant.Name, usage.CPUSeconds())
--- a/internal/coordinator/host_tenants.go
+++ b/internal/coordinator/host_tenants.go
@@ -16,7 +16,7 @@
 	}
 }
 
-// register makes a tenant known and queues it for its start.
+// register adds a tenant of the directory to the host and queues it to be started.
 func (h *Host) register(now float64, listed tenancy.Tenant) *TenantRuntime {
 	tenant := &TenantRuntime{Tenant: listed}
 	h.tenants[listed.Name] = tenant
@@ -29,7 +29,7 @@
 		err = h.applySettings(now, tenant, false)
 	}
 	if err != nil {
-		// The settings were valid when the change was accepted, but this version may read them differently.
+		// The settings were valid when the change was accepted, but this version of the program may parse them differently.
 		tenant.Err = err
 		h.log(listed.Name, "tenant failed to start", "error", err)
 		return tenant
@@ -38,13 +38,13 @@
 	return tenant
 }
 
-// applySettings applies those of a tenant's settings that the host enforces: its callers, its measurement user, its weight and its
-// connections. If the user or a caller belongs to another tenant, nothing has changed.
+// applySettings applies the settings of a tenant that the host enforces: its callers, its measurement user, its weight and its
+// connection limits. It returns an error and changes nothing if the measurement user or a caller belongs to another tenant.
 func (h *Host) applySettings(now float64, tenant *TenantRuntime, ready bool) error {
 	user := tenant.config.Config.User
 	owner, taken := h.measurementUsers[user]
 	if taken && owner != tenant.Name {
-		return fmt.Errorf("the user of its measurements, %q, is another tenant's", user)
+		return fmt.Errorf("the measurement user %q belongs to another tenant", user)
 	}
 	err := h.Credentials.Set(tenant.Name, tenant.config.Callers)
 	if err != nil {
@@ -59,12 +59,12 @@
 	return h.route(now, tenant, ready)
 }
 
-// route makes the router accept a tenant's connections, or tell them to retry while the tenant is not ready.
+// route makes the router accept a tenant's connections, or reject them with a request to retry while the tenant is not ready.
 func (h *Host) route(now float64, tenant *TenantRuntime, ready bool) error {
 	return h.Router.Set(now, tenant.Name, tenant.Weight, tenant.config.MaxConnections, tenant.config.Networks, ready)
 }
 
-// start runs the coordinator of a registered tenant.
+// start creates and starts the coordinator of a registered tenant.
 func (h *Host) start(now float64, tenant *TenantRuntime) {
 	h.Stats.Starts++
 	h.call(now, tenant, func() { h.startCoordinator(now, tenant) })
@@ -88,7 +88,7 @@
 	h.log(tenant.Name, "tenant started", "incarnation", tenant.Incarnation, "version", tenant.Version)
 }
 
-// coordinatorConfig returns a tenant's configuration with what the host provides.
+// coordinatorConfig returns a tenant's configuration, completed with the host's addresses, logger, scheduling and group.
 func (h *Host) coordinatorConfig(tenant *TenantRuntime) Config {
 	config := tenant.config.Config
 	name := tenant.Name
@@ -112,7 +112,7 @@
 	return config
 }
 
-// stop ends a tenant's coordinator at once. Its proxies continue with the tables that they have.
+// stop ends a tenant's coordinator immediately. The proxies continue to use the tables that they have.
 func (h *Host) stop(tenant *TenantRuntime) {
 	for _, conn := range h.Router.Remove(tenant.Name) {
 		h.io.Close(env.Conn(conn))
@@ -124,7 +124,7 @@
 	}
 }
 
-// remove stops a tenant and forgets it.
+// remove stops a tenant and deletes it from the host.
 func (h *Host) remove(tenant *TenantRuntime) {
 	h.Stats.Stops++
 	h.stop(tenant)
@@ -138,7 +138,7 @@
 	h.log(tenant.Name, "tenant stopped", "incarnation", tenant.Incarnation)
 }
 
-// reconcile brings a tenant to what the directory says.
+// reconcile brings a tenant in line with the directory.
 func (h *Host) reconcile(now float64, name tenancy.Name) {
 	tenant := h.tenants[name]
 	listed, ok := h.Directory.Get(name)
@@ -154,14 +154,14 @@
 	} else if tenant.Version != listed.Version {
 		h.update(now, tenant, listed)
 	}
-	if tenant.startable() { // a change takes effect before the tenants that wait for their start
+	if tenant.startable() { // start a changed tenant before the tenants in the start queue
 		h.startQueue = slices.DeleteFunc(h.startQueue, func(queued tenancy.Name) bool { return queued == name })
 		h.start(now, tenant)
 	}
 }
 
-// update applies changed settings of a tenant. If they can't be applied in place, its coordinator is stopped to be started again, as
-// after a restart of the host, and its proxies reconnect within seconds.
+// update applies changed settings of a tenant. If they can't be applied in place, it stops the coordinator, which is then started
+// again as after a restart of the host, and the proxies reconnect within seconds.
 func (h *Host) update(now float64, tenant *TenantRuntime, listed tenancy.Tenant) {
 	config, err := h.config.ParseTenant(listed)
 	previous := tenant.config
@@ -192,12 +192,12 @@
 	h.stop(tenant)
 }
 
-// reconfigure applies a tenant's settings to its running coordinator and reports whether that was possible.
+// reconfigure applies a tenant's settings to its running coordinator. It reports whether that was possible without a restart.
 func (h *Host) reconfigure(now float64, tenant *TenantRuntime) bool {
 	var revision controlplane.Revision
 	var err error
 	if !h.call(now, tenant, func() { revision, err = tenant.Coordinator.Reconfigure(now, tenant.config.Config) }) {
-		return true // it is started by these settings after its backoff
+		return true // it panicked and is restarted with these settings after its backoff
 	}
 	if err != nil {
 		return false
--- a/internal/coordinator/host_test.go
+++ b/internal/coordinator/host_test.go
@@ -17,8 +17,9 @@
 // firstServer is the first server of the first tenant's settings.
 const firstServer = "127.16.0.1:18080"
 
-// The process is killed between a confirmation and what follows from it, and between what is durable and its confirmation: the next
-// process publishes what was confirmed, and answers the repeated command alike.
+// The process is killed after a change is confirmed but before it takes effect, and a command is repeated as if its
+// confirmation had been lost. The next process publishes the confirmed change and answers the repeated command with the same
+// outcome.
 func TestHostRestartAfterConfirmation(t *testing.T) {
 	t.Run("memory", func(t *testing.T) {
 		f := newHostFixture(t, &store.MemoryTenantStore{})
@@ -64,18 +65,18 @@
 	restart() // before the tenant has started
 	repeated, err := f.change(tenancy.Create, "t000", text[0], 7)
 	if err != nil || repeated != first {
-		t.Errorf("the repeated command is answered %+v %v, the first one was %+v", repeated, err, first)
+		t.Errorf("the repeated command has outcome %+v, error %v, want %+v", repeated, err, first)
 	}
 	f.run(0.5)
 	proxy := f.connectProxy(0)
 	f.run(3)
 	if len(proxy.codes) != 2 || proxy.codes[1] != sasp.OK || len(proxy.rows) == 0 {
-		t.Errorf("the proxy has no table: codes %v, %d rows", proxy.codes, len(proxy.rows))
+		t.Errorf("the proxy has received no table: codes %v, %d rows", proxy.codes, len(proxy.rows))
 	}
 
 	confirmed := false
 	f.host.Drain(f.net.Now(), "t000", balancer.Server(firstServer), true, func(ok bool) { confirmed = ok })
-	restart() // before the drain has reached the proxy
+	restart() // before the drain is sent to the proxy
 	if !confirmed {
 		t.Fatal("the drain is not confirmed")
 	}
@@ -88,11 +89,11 @@
 		}
 	}
 	if len(proxy.rows) == 0 || weight != 0 {
-		t.Errorf("the drain is lost: %d rows, weight %d", len(proxy.rows), weight)
+		t.Errorf("the drain is lost: %d rows, weight %d, want 0", len(proxy.rows), weight)
 	}
 }
 
-// A change that can't be made durable has no effect.
+// A change that can't be saved has no effect.
 func TestHostChangeNotPersisted(t *testing.T) {
 	memory := &store.MemoryTenantStore{}
 	f := newHostFixture(t, memory)
@@ -106,7 +107,7 @@
 		t.Error(err)
 	}
 	if _, ok := f.host.Tenant("t001"); ok || len(f.host.Tenants()) != 1 {
-		t.Error("the change has had an effect")
+		t.Error("a change that was not saved has taken effect")
 	}
 	memory.SaveError = nil
 	if _, err := f.change(tenancy.Create, "t001", text[1], 2); err != nil {
@@ -114,8 +115,8 @@
 	}
 }
 
-// A tenant that is removed and created again is another incarnation: connections of the earlier one are closed, its drains are not
-// the new one's, and its proxies' tables are replaced.
+// A tenant that is removed and created again is a new incarnation: the connections of the earlier incarnation are closed, its
+// drains don't apply to the new one, and the tables of its proxies are replaced.
 func TestHostRecreatesTenant(t *testing.T) {
 	f := newHostFixture(t, &store.MemoryTenantStore{})
 	text := tenantSettings(1)[0]
@@ -146,11 +147,12 @@
 	tenant, _ := f.host.Tenant("t000")
 	drain, _ := tenant.Coordinator.Fleet.DrainProgress(firstServer)
 	if drain.Phase != balancer.Ready || len(proxy.rows) < 4 {
-		t.Errorf("%+v, %d rows", drain, len(proxy.rows))
+		t.Errorf("drain of the recreated tenant's server is %+v, want phase ready; proxy received %d rows, want at least 4", drain, len(proxy.rows))
 	}
 }
 
-// Servers and proxies of a tenant come and go while it runs. Settings that its balancer takes at the start make it restart.
+// Servers and proxies of a tenant are added and removed while it runs. A change of settings that its balancer reads only at
+// the start restarts the tenant.
 func TestHostReconfiguresTenant(t *testing.T) {
 	f := newHostFixture(t, &store.MemoryTenantStore{})
 	text := string(tenantSettings(1)[0])
@@ -181,14 +183,14 @@
 	}
 	removedWeight, sent := weights[firstServer]
 	if !sent || removedWeight != 0 || weights["127.16.0.99:18080"] == 0 || proxy.closed != 0 {
-		t.Errorf("weights %v, closed %d", weights, proxy.closed)
+		t.Errorf("weights %v after a server was replaced, want 0 only for the old one; %d connections closed, want 0", weights, proxy.closed)
 	}
 	after, _ := f.host.Tenant("t000")
 	if after.Coordinator != program || f.host.Stats.Reconfigured != 1 {
-		t.Error("the tenant has restarted")
+		t.Error("the tenant was restarted or not reconfigured in place")
 	}
 
-	// A server that is not listed any more can't register.
+	// A server that is no longer listed can't register.
 	registration := &sasp.Message{
 		Kind:   sasp.Registration,
 		Groups: []sasp.Group{{UID: []byte("t000/fleet"), Name: []byte("search"), To: 1}},
@@ -197,21 +199,22 @@
 	server := f.connect(0, registration, registration, registration, registration)
 	f.run(1)
 	if len(server.codes) == 0 || server.codes[0] != sasp.NotAccepted {
-		t.Errorf("the removed server is answered %v", server.codes)
+		t.Errorf("the removed server received the codes %v, want NotAccepted first", server.codes)
 	}
 
 	replace(`<relay uid="relay-0" zone="north"`, `<relay uid="relay-7" zone="north"`)
 	if proxy.closed != 1 {
-		t.Error("a proxy that is not listed any more is still connected")
+		t.Error("a proxy that is no longer listed is still connected")
 	}
 	replace(`drain-within="3"`, `drain-within="4"`)
 	after, _ = f.host.Tenant("t000")
 	if after.Coordinator == program || after.Coordinator == nil || f.host.Stats.Restarts != 1 {
-		t.Error("the tenant has not restarted")
+		t.Error("the tenant was not restarted")
 	}
 }
 
-// Many tenants that start at once do so in the time that the running ones leave. A tenant whose proxy connects starts first.
+// Many tenants that start at the same time use only the CPU time that the running tenants leave. A tenant whose proxy
+// connects starts first.
 func TestHostStartsManyTenants(t *testing.T) {
 	const tenants = 64
 	f := newHostFixture(t, &store.MemoryTenantStore{})
@@ -223,15 +226,15 @@
 	proxy := f.connectProxy(63)
 	f.run(0.02)
 	if left := f.host.PendingStarts(); left == 0 || left >= tenants {
-		t.Errorf("%d tenants are still to be started after 20 ms", left)
+		t.Errorf("%d tenants wait to be started after 20 ms, want some but not all", left)
 	}
-	f.run(0.02) // the proxy was told to retry
+	f.run(0.02) // the proxy was asked to retry
 	tenant, _ := f.host.Tenant("t063")
 	if tenant.Coordinator == nil {
-		t.Error("the tenant whose proxy has connected does not start first")
+		t.Error("the tenant whose proxy has connected was not started first")
 	}
 	f.run(1)
 	if f.host.PendingStarts() != 0 || proxy.closed != 1 {
-		t.Errorf("%d tenants are still to be started, closed %d", f.host.PendingStarts(), proxy.closed)
+		t.Errorf("%d tenants wait to be started, want 0; %d connections closed, want 1", f.host.PendingStarts(), proxy.closed)
 	}
 }
--- a/internal/coordinator/member.go
+++ b/internal/coordinator/member.go
@@ -17,36 +17,36 @@
 )
 
 const (
-	memberTickInterval = 0.02 // seconds between two runs of a member that is a program of its own
-	joinRetryInterval  = 0.5  // seconds between two requests to join the group
+	memberTickInterval = 0.02 // seconds between ticks of a member that runs as its own program
+	joinRetryInterval  = 0.5  // seconds between requests to join the group
 )
 
-// ErrRefused reports that another coordinator refuses this one. It issues no commands any more.
+// ErrRefused reports that another coordinator refuses this one. A refused coordinator issues no more commands.
 var ErrRefused = errors.New("refused by another coordinator")
 
 // GroupConfig configures a Member of a group.
 type GroupConfig struct {
 	// Self is the number of this member.
 	Self membership.MemberID
-	// Weight is this member's share of the proxies, relative to the others'.
+	// Weight is this member's share of the proxies, relative to the weights of the other members.
 	Weight float64
-	// Members are the known members of the group by number, this one included, with the addresses that they listen on.
+	// Members maps the numbers of the known members of the group, including this one, to their listen addresses.
 	Members map[membership.MemberID]netip.AddrPort
-	// Join makes the member request to be registered with a group that runs already.
+	// Join makes the member request its registration with a group that is already running.
 	Join bool
 	// Key authenticates frames between members.
 	Key       []byte
 	Consensus consensus.Config
 	Lease     membership.LeaseConfig
-	// Capacity of a host of many tenants.
+	// Capacity is the capacity of each host, in a group of hosts.
 	Capacity tenancy.Capacity
 }
 
-// PeerName returns the name of a member by its number.
+// PeerName returns the name of the member with a number.
 func PeerName(id membership.MemberID) membership.Peer { return membership.Peer(fmt.Sprint("c", id)) }
 
-// Member is a coordinator's part in a group: it connects to the other members, takes part in consensus, and knows which proxies
-// it owns. It is an env.Program, and implements Peers.
+// Member is a coordinator's membership of a group: it connects to the other members, participates in consensus, and determines
+// which proxies it owns. It implements env.Program and Peers.
 type Member struct {
 	config      GroupConfig
 	storage     consensus.Storage
@@ -60,23 +60,23 @@
 
 	// Group is this member's replica of the group's state; nil before Start.
 	Group *consensus.Group
-	// Failed is why the member issues no commands any more; nil while it works.
+	// Failed is the error because of which the member issues no more commands; nil while it works.
 	Failed error
 
-	// OnFail is called once, when Failed is set. It may be nil, as may the callbacks below.
+	// OnFail is called once, when Failed is set. OnFail and the callbacks below may be nil.
 	OnFail func(error)
-	// OnDrain is called when a drain, or its end, is committed.
+	// OnDrain is called when a drain or the end of a drain is committed.
 	OnDrain func(now float64, command membership.Command)
-	// OnRecords is called when records of servers are committed.
+	// OnRecords is called when server records are committed.
 	OnRecords func(now float64, records []registry.Record)
-	// OnOrderCompleted is called when an order from this member is committed or refused.
+	// OnOrderCompleted is called when an order that this member submitted is committed or refused.
 	OnOrderCompleted func(now float64, ticket membership.Ticket, committed bool)
 	// OnTenant is called when a change of a tenant is committed.
 	OnTenant func(now float64, name tenancy.Name, ticket membership.Ticket, outcome tenancy.Outcome)
 }
 
 // NewMember returns a member that does nothing until Start. No earlier process of the member may have used the incarnation. The
-// caller owns the storage and closes it after the member's end.
+// caller owns the storage and closes it after the member has ended.
 func NewMember(config GroupConfig, storage consensus.Storage, incarnation uint64, log func(event string, attributes ...any)) *Member {
 	return &Member{config: config, storage: storage, incarnation: incarnation, log: log}
 }
@@ -89,7 +89,7 @@
 	}
 }
 
-// begin starts the member without a timer of its own.
+// begin starts the member without setting a timer.
 func (m *Member) begin(now float64, io env.IO) {
 	m.io = io
 	m.peers = newPeerTransport(m, io)
@@ -137,7 +137,7 @@
 // port returns the port on which the member listens for the others.
 func (m *Member) port() uint16 { return m.config.Members[m.config.Self].Port() }
 
-// addresses returns the addresses of the other members: those of the settings, replaced by those registered since.
+// addresses returns the addresses of the other members. Registered addresses take precedence over those of the settings.
 func (m *Member) addresses() map[membership.MemberID]netip.AddrPort {
 	addresses := make(map[membership.MemberID]netip.AddrPort, len(m.config.Members))
 	for id, address := range m.config.Members {
@@ -163,7 +163,7 @@
 	return m.Group.Node.CommitIndex()
 }
 
-// fail ends the member's part for good.
+// fail permanently ends the member's participation in the group.
 func (m *Member) fail(err error) {
 	if m.Failed != nil {
 		return
@@ -199,8 +199,8 @@
 	}
 }
 
-// requestJoin asks all members that can be reached to propose the registration: proposals of a member that is not registered are
-// ignored.
+// requestJoin asks all members that can be reached to propose this member's registration, since proposals of an unregistered
+// member are ignored.
 func (m *Member) requestJoin() {
 	command, err := m.Group.RegisterCommand().Encode()
 	if err == nil {
@@ -208,8 +208,9 @@
 	}
 }
 
-// Leave releases the member's lease. It is called again until it reports that the group knows.
-func (m *Member) Leave(now float64) (known bool) {
+// Leave releases the member's lease. It reports whether the group has committed the release; the caller repeats the call until it
+// has.
+func (m *Member) Leave(now float64) (released bool) {
 	if !m.leaving {
 		m.leaving = true
 		err := m.Group.ReleaseLease(now)
@@ -240,7 +241,7 @@
 // Delivered implements env.Program.
 func (m *Member) Delivered(_ float64, conn env.Conn, total uint64) { m.peers.delivered(conn, total) }
 
-// Datagram implements env.Program. A member receives none.
+// Datagram implements env.Program. A member receives no datagrams.
 func (m *Member) Datagram(float64, []byte) {}
 
 // Ready implements Peers.
--- a/internal/coordinator/member_messages.go
+++ b/internal/coordinator/member_messages.go
@@ -57,15 +57,16 @@
 	}
 }
 
-// receiveReply handles a frame on a connection that this member dialled. The other side sends there only why it refuses this
-// member.
+// receiveReply handles a frame on a connection that this member dialled. The only frame that the peer sends on it is a
+// rejection of this member.
 func (m *Member) receiveReply(frame peer.Frame) {
 	if frame.Kind == peer.Rejection {
-		m.fail(fmt.Errorf("%w: number %d: %s", ErrRefused, frame.From, frame.Message))
+		m.fail(fmt.Errorf("%w: member %d: %s", ErrRefused, frame.From, frame.Message))
 	}
 }
 
-// receiveFrame handles a frame on a connection that another member or a tool dialled. On an error the connection is to be closed.
+// receiveFrame handles a frame on a connection that another member or a tool dialled. If it returns an error, the caller
+// closes the connection.
 func (m *Member) receiveFrame(now float64, conn env.Conn, frame peer.Frame) error {
 	sender := membership.MemberID(frame.From)
 	if sender != 0 {
@@ -103,7 +104,8 @@
 	}
 }
 
-// proposeRegistration proposes that a member joins or is removed. Other commands are proposed only by members, through consensus.
+// proposeRegistration proposes the registration or the removal of a member. Other commands are rejected here; members propose
+// them through consensus.
 func (m *Member) proposeRegistration(now float64, message []byte) error {
 	command, err := membership.Decode(message)
 	if err != nil {
@@ -117,12 +119,12 @@
 	return nil
 }
 
-// authorize checks that the sender was not removed from the group, and that it uses the data directory that its number always
-// had: one that was emptied has forgotten its votes.
+// authorize checks that the sender was not removed from the group, and that it still uses the data directory that its number has
+// used before: an emptied directory has lost the member's votes.
 func (m *Member) authorize(frame peer.Frame) error {
 	sender := membership.MemberID(frame.From)
 	if m.Group != nil && m.Group.Removed(sender) {
-		return fmt.Errorf("number %d: %w", sender, consensus.ErrRemoved)
+		return fmt.Errorf("member %d: %w", sender, consensus.ErrRemoved)
 	}
 	first, err := m.dataDirs.Verify(sender, frame.DataDirID, frame.Commit)
 	if err != nil || !first {
@@ -135,14 +137,14 @@
 	return m.Failed
 }
 
-// Status is the state of a group as one member sees it, for operators.
+// Status is one member's view of the state of its group, for operators.
 type Status struct {
 	Number        membership.MemberID                             `json:"number"`
-	Leader        membership.MemberID                             `json:"consensus-leader"` // 0: none is known
+	Leader        membership.MemberID                             `json:"consensus-leader"` // 0 if unknown
 	Commit        uint64                                          `json:"commit"`
 	Epoch         membership.Epoch                                `json:"epoch"`
 	HoldsLease    bool                                            `json:"holds-lease"`
-	Failed        string                                          `json:"failed,omitempty"` // why it issues no commands any more
+	Failed        string                                          `json:"failed,omitempty"` // why the member issues no more commands; empty while it works
 	Registrations map[membership.MemberID]membership.Registration `json:"seats"`
 	Members       map[membership.Peer]membership.Member           `json:"members"`
 	Drains        int                                             `json:"drains"`
--- a/internal/coordinator/member_sockets_test.go
+++ b/internal/coordinator/member_sockets_test.go
@@ -13,7 +13,7 @@
 	"snowquay/internal/frontend/eventloop"
 )
 
-// loopMember is a member on an event loop of its own.
+// loopMember is a member with its own event loop.
 type loopMember struct {
 	member *coordinator.Member
 	loop   *eventloop.Server
@@ -63,7 +63,8 @@
 	return owned
 }
 
-// On event loops over loopback, all proxies have an owner, also soon after a member has ended without releasing its lease.
+// With members on event loops over loopback sockets, all proxies have an owner, also soon after a member ended without
+// releasing its lease.
 func TestProxyOwnershipOverSockets(t *testing.T) {
 	addresses := map[membership.MemberID]netip.AddrPort{}
 	ids := []membership.MemberID{1, 2, 3}
@@ -92,7 +93,7 @@
 			time.Sleep(20 * time.Millisecond)
 		}
 	}
-	waitForOwners("at the start")
+	waitForOwners("initially")
 	if err := members[2].loop.Stop(); err != nil {
 		t.Error(err)
 	}
--- a/internal/coordinator/member_test.go
+++ b/internal/coordinator/member_test.go
@@ -17,7 +17,7 @@
 
 func testProxyUID(i int) string { return fmt.Sprint("relay-", i) }
 
-// storedGroup is three members on a simulated network that splits deliveries, each with storage on disk.
+// storedGroup is a group of three members on a simulated network that splits deliveries. Each member has storage on disk.
 type storedGroup struct {
 	t           *testing.T
 	net         *simnet.Net
@@ -29,8 +29,8 @@
 	storage     map[membership.MemberID]*consensus.FileStorage
 	incarnation uint64
 
-	owned    int    // proxies that have an owner, at the latest look
-	conflict string // a proxy that had two owners; empty: there was none
+	owned    int    // proxies that had an owner at the latest check
+	conflict string // describes a proxy that had several owners; empty if there was none
 }
 
 func newStoredGroup(t *testing.T) *storedGroup {
@@ -89,7 +89,7 @@
 	}
 }
 
-// run lets time pass and looks for the owners of the proxies meanwhile.
+// run advances the time and checks the owners of the proxies every 0.05 seconds.
 func (g *storedGroup) run(seconds float64) {
 	end := g.net.Now() + seconds
 	for g.net.Now() < end {
@@ -119,12 +119,13 @@
 	return g.members[id].Group.Lease.Valid(g.net.Now())
 }
 
-// Members are killed, frozen and cut off in turn: each proxy has at most one owner at any time, and one again soon after a fault.
+// Members are killed, frozen and partitioned in turn. Each proxy has at most one owner at any time, and has an owner again
+// soon after each fault.
 func TestProxyOwnershipUnderFaults(t *testing.T) {
 	g := newStoredGroup(t)
 	g.run(5)
 	if g.owned != testProxies {
-		t.Fatalf("%d of %d proxies have an owner at the start", g.owned, testProxies)
+		t.Fatalf("%d of %d proxies have an owner initially", g.owned, testProxies)
 	}
 	g.kill(1)
 	g.run(7)
@@ -146,7 +147,7 @@
 	g.net.Cut(isolatedZone, zones, false)
 	g.run(6)
 	if g.owned != testProxies || g.conflict != "" {
-		t.Errorf("%d proxies have an owner in the end; %s", g.owned, g.conflict)
+		t.Errorf("%d proxies have an owner after the partition has ended; conflict: %s", g.owned, g.conflict)
 	}
 
 	g.kill(2)
@@ -154,6 +155,6 @@
 	epoch := g.members[1].Group.State.Epoch
 	g.run(8)
 	if g.holdsLease(2) || g.owned != testProxies || g.members[1].Group.State.Epoch == epoch {
-		t.Error("a member with another key takes part")
+		t.Error("a member with another key participates in the group, or its proxies have no new owner")
 	}
 }
--- a/internal/coordinator/peer_sequences_test.go
+++ b/internal/coordinator/peer_sequences_test.go
@@ -10,7 +10,7 @@
 	"snowquay/internal/wire/peer"
 )
 
-// drawFrame draws a frame that a tool or a peer with the group's key may send.
+// drawFrame draws a random frame that a tool or a peer with the group's key may send.
 func drawFrame(rt *rapid.T) peer.Frame {
 	frame := peer.Frame{
 		From:      rapid.SampledFrom([]uint64{0, 0, 2, 3, 9}).Draw(rt, "from"),
@@ -24,7 +24,7 @@
 		MemberID: membership.MemberID(rapid.IntRange(0, 9).Draw(rt, "member")),
 		Peer:     membership.Peer(rapid.SampledFrom([]string{"", "c2", "c9"}).Draw(rt, "peer")),
 	}
-	if command.Kind == membership.RemoveRegistration { // a removal by a tool is meant, and ends a member
+	if command.Kind == membership.RemoveRegistration { // a removal is authorized and would end a member of the group
 		command.MemberID = 9
 	}
 	text, _ := command.Encode()
@@ -32,8 +32,8 @@
 	return frame
 }
 
-// Whatever frames tools and peers send, in whatever order, and however they end: no member panics or fails, its connections are bounded, a
-// status that is asked for is answered, and the group goes on.
+// Tools and peers send arbitrary sequences of frames and may be killed afterwards. No member panics or fails, the number of
+// connections stays bounded, status requests are answered, and the members keep their leases.
 func TestPeerFrameSequences(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		g := newMemberGroup(rapid.Uint64Range(1, 1000).Draw(rt, "seed"), 3)
@@ -50,15 +50,15 @@
 				host.Kill()
 			}
 		}
-		asks := &groupTool{to: memberAddress(1), frames: []peer.Frame{{To: 1, Kind: peer.StatusRequest}}}
-		g.net.Add(netip.AddrFrom4([4]byte{10, 8, 1, 1}), 0, true).Start(asks)
+		requester := &groupTool{to: memberAddress(1), frames: []peer.Frame{{To: 1, Kind: peer.StatusRequest}}}
+		g.net.Add(netip.AddrFrom4([4]byte{10, 8, 1, 1}), 0, true).Start(requester)
 		g.run(3)
-		if asks.reply == "" {
-			rt.Error("a status was not answered")
+		if requester.reply == "" {
+			rt.Error("a status request was not answered")
 		}
 		for id, member := range g.members {
 			if member.Failed != nil || !g.holdsLease(id) {
-				rt.Errorf("member %d: %v, holds its lease %t", id, member.Failed, g.holdsLease(id))
+				rt.Errorf("member %d: error %v, holds its lease: %t", id, member.Failed, g.holdsLease(id))
 			}
 		}
 	})
--- a/internal/coordinator/peers.go
+++ b/internal/coordinator/peers.go
@@ -9,31 +9,31 @@
 )
 
 const (
-	peerRedialInterval      = 0.25    // seconds between two dials of a member that does not answer
-	maxUndeliveredPeerBytes = 4 << 20 // beyond it messages to a member are dropped; consensus repeats what is lost
+	peerRedialInterval      = 0.25    // seconds between dials of a member that can't be reached
+	maxUndeliveredPeerBytes = 4 << 20 // bytes in flight to a member beyond which messages are dropped; consensus resends lost ones
 	maxIncomingPeers        = 32      // connections; a group has few members, and tools connect one at a time
 )
 
-// outgoingPeer is the connection that this member dials to another, for its messages to that one.
+// outgoingPeer is the connection that this member dials to another member to send messages to it.
 type outgoingPeer struct {
 	id         membership.MemberID
-	conn       env.Conn // 0: none
+	conn       env.Conn // 0 if there is none
 	connected  bool
 	nextDialAt float64 // clock time in seconds
 	sent       uint64  // bytes
 	delivered  uint64  // bytes
-	buffer     []byte  // received and not decoded
+	buffer     []byte  // received bytes that are not decoded yet
 }
 
-// peerTransport carries a group's messages. Each member dials each other one and sends on its own connections, so that a network
-// fault on one side stops one direction only.
+// peerTransport sends and receives the messages of a group. Each member dials all other members and sends only on the connections
+// that it has dialled, so that a network fault on one side affects one direction only.
 type peerTransport struct {
 	member   *Member
 	io       env.IO
 	byID     map[membership.MemberID]*outgoingPeer
 	byConn   map[env.Conn]*outgoingPeer
-	incoming map[env.Conn][]byte // bytes received and not decoded, by connection that others dialled
-	scratch  []byte              // of the latest frame that was encoded
+	incoming map[env.Conn][]byte // received bytes that are not decoded yet, by connections that were dialled by peers
+	scratch  []byte              // buffer of the most recently encoded frame
 }
 
 func newPeerTransport(member *Member, io env.IO) *peerTransport {
@@ -46,7 +46,7 @@
 	}
 }
 
-// tick dials members without a connection, and closes connections to those that were removed.
+// tick dials the members without a connection, and closes the connections to removed members.
 func (t *peerTransport) tick(now float64) {
 	addresses := t.member.addresses()
 	t.removeAbsent(addresses)
@@ -85,7 +85,8 @@
 	t.byConn[link.conn] = link
 }
 
-// encode returns a frame to a member, with what identifies this member's data directory. It is valid until the next call.
+// encode returns an encoded frame to a member, including the identifier of this member's data directory. The frame is valid until
+// the next call of encode.
 func (t *peerTransport) encode(to membership.MemberID, kind peer.Kind, message []byte) []byte {
 	member := t.member
 	frame := peer.Frame{
@@ -100,7 +101,7 @@
 	return t.scratch
 }
 
-// send sends a message if the member is connected and not far behind with what was sent before.
+// send sends a message to a member. It drops the message if the member is not connected or has too many undelivered bytes.
 func (t *peerTransport) send(to membership.MemberID, kind peer.Kind, message []byte) {
 	link := t.byID[to]
 	if link == nil || !link.connected || link.sent-link.delivered > maxUndeliveredPeerBytes {
@@ -111,7 +112,7 @@
 	t.io.Send(link.conn, frame)
 }
 
-// broadcast sends a message to all members that are connected.
+// broadcast sends a message to all connected members.
 func (t *peerTransport) broadcast(kind peer.Kind, message []byte) {
 	for _, id := range sortedIDs(t.byID) {
 		t.send(id, kind, message)
@@ -120,14 +121,14 @@
 
 func (t *peerTransport) opened(conn env.Conn) {
 	if len(t.incoming) >= maxIncomingPeers {
-		t.member.log("peer connection closed", "reason", "too many")
+		t.member.log("peer connection closed", "reason", "too many connections")
 		t.io.Close(conn)
 		return
 	}
 	t.incoming[conn] = nil
 }
 
-// connected takes the result of a dial. It reports whether the connection is to a member.
+// connected handles the result of a dial and reports whether the connection is to a member.
 func (t *peerTransport) connected(conn env.Conn, ok bool) bool {
 	link := t.byConn[conn]
 	if link == nil {
@@ -139,12 +140,12 @@
 		link.conn = 0
 		return true
 	}
-	// The members learn each other's data directories, also where consensus has nothing to send.
+	// Members learn each other's data directories from any frame, so send one even if consensus has nothing to send.
 	t.send(link.id, peer.Hello, nil)
 	return true
 }
 
-// closed reports whether the connection was of the group.
+// closed handles the end of a connection and reports whether the connection belonged to the group.
 func (t *peerTransport) closed(conn env.Conn) bool {
 	_, incoming := t.incoming[conn]
 	if incoming {
@@ -154,7 +155,7 @@
 	return t.connected(conn, false)
 }
 
-// delivered takes the bytes that a member's host has received. It reports whether the connection is of the group.
+// delivered records how many bytes a member's host has received. It reports whether the connection belongs to the group.
 func (t *peerTransport) delivered(conn env.Conn, total uint64) bool {
 	link := t.byConn[conn]
 	if link != nil {
@@ -165,7 +166,7 @@
 	return incoming
 }
 
-// receive handles the frames that data completes. It reports whether the connection is of the group.
+// receive decodes received data and handles the complete frames. It reports whether the connection belongs to the group.
 func (t *peerTransport) receive(now float64, conn env.Conn, data []byte) bool {
 	link := t.byConn[conn]
 	buffer, incoming := t.incoming[conn]
@@ -186,7 +187,7 @@
 		link.buffer = rest
 		return true
 	}
-	// A frame may have led to the end of the connection.
+	// The connection may have been closed while a frame was handled.
 	_, incoming = t.incoming[conn]
 	if incoming {
 		t.incoming[conn] = rest
@@ -194,7 +195,8 @@
 	return true
 }
 
-// receiveFrames handles all whole frames of a buffer and returns what is left of it. With an error, sender is that of the frame.
+// receiveFrames handles all complete frames of a buffer and returns the rest of it. If there is an error, sender is the sender of
+// the frame that caused it.
 func (t *peerTransport) receiveFrames(now float64, conn env.Conn, dialled bool, buffer []byte) (rest []byte, sender uint64, err error) {
 	for {
 		frame, size, err := peer.Next(buffer, t.member.config.Key)
--- a/internal/coordinator/restore_test.go
+++ b/internal/coordinator/restore_test.go
@@ -52,7 +52,7 @@
 	}
 }
 
-// drainingServer registers a server over SASP and then asks for its drain.
+// drainingServer returns a client that registers a server over SASP and then requests its drain.
 func drainingServer() *rawClient {
 	client := &rawClient{to: saspAddress}
 	groups := []sasp.Group{{UID: []byte("fleet"), Name: []byte("search"), To: 1}}
@@ -63,7 +63,7 @@
 	return client
 }
 
-// A coordinator without a store of its own restores from the group which servers there are, and which of them drain.
+// A coordinator without a local store restores the servers and their drains from the state of the group.
 func TestRegistryIsRestoredFromGroup(t *testing.T) {
 	net := simnet.New(1, 1000)
 	storage := &consensus.MemoryStorage{OwnDataDirID: 5}
@@ -85,14 +85,14 @@
 	net.Run(net.Now() + 1)
 	server := balancer.Server(serverAddress.String())
 	if phase, _ := program.Fleet.Registry.Phase(server); phase != balancer.Draining {
-		t.Fatalf("after the drain order the server is in phase %v", phase)
+		t.Fatalf("after the drain order the server is in phase %v, want draining", phase)
 	}
 	host.Kill()
 	program = start()
 	net.Run(net.Now() + 2)
 	record, ok := program.Fleet.Registry.Find(server)
 	if !ok || record.Phase != balancer.Draining || !record.DrainOrdered {
-		t.Errorf("after the restart the record is %+v", record)
+		t.Errorf("after the restart the record is %+v, want a draining server with an ordered drain", record)
 	}
 }
 
@@ -100,7 +100,7 @@
 	state := &membership.State{}
 	record := registry.Record{ServerConfig: registry.ServerConfig{Server: "a", Weight: 1}, Phase: balancer.Ready, Started: 100}
 	if len(state.ChangedRecords([]registry.Record{record})) != 1 {
-		t.Error("a new server is no change")
+		t.Error("a new server is not reported as a change")
 	}
 	if _, err := state.Apply(membership.Command{Kind: membership.StoreRecords, Records: []registry.Record{record}}); err != nil {
 		t.Fatal(err)
@@ -108,7 +108,7 @@
 	later := record
 	later.Started = 101
 	if len(state.ChangedRecords([]registry.Record{record, later})) != 0 {
-		t.Error("a start that another coordinator observed a second later is a change")
+		t.Error("a start that another coordinator observed a second later is reported as a change")
 	}
 	changes := map[string]func(*registry.Record){
 		"start":   func(r *registry.Record) { r.Started = 110 },
@@ -121,7 +121,7 @@
 			changed := record
 			change(&changed)
 			if len(state.ChangedRecords([]registry.Record{changed})) != 1 {
-				t.Errorf("%+v is no change", changed)
+				t.Errorf("%+v is not reported as a change", changed)
 			}
 		})
 	}
--- a/internal/coordinator/sharing.go
+++ b/internal/coordinator/sharing.go
@@ -9,37 +9,39 @@
 	"snowquay/internal/core/registry"
 )
 
-// drainCleanupInterval is the seconds between two searches for drains that have ended elsewhere.
+// drainCleanupInterval is the number of seconds between checks for drains that have ended at other members.
 const drainCleanupInterval = 1.0
 
-// Peers are the coordinators that share the fleet of one, as that one sees them.
+// Peers is a coordinator's interface to the group of coordinators that share its fleet.
 type Peers interface {
 	// Ready reports whether changes can be proposed to the group.
 	Ready() bool
-	// HoldsLease reports whether this coordinator holds a lease, hence has applied all that was committed before the lease.
+	// HoldsLease reports whether this coordinator holds a lease. If it does, it has applied all commands that were committed before
+	// the lease.
 	HoldsLease(now float64) bool
 	// Owns reports whether this coordinator may send commands to a proxy now.
 	Owns(now float64, uid string) bool
 	// Epoch returns the epoch of the ownership of proxies.
 	Epoch() uint64
-	// ProxyRedirected notes that a proxy of another owner was redirected.
+	// ProxyRedirected records that a proxy with another owner was redirected.
 	ProxyRedirected(now float64, uid string)
-	// Drain proposes a drain, or its end. The ticket identifies it when it is committed or refused. ok is false if it can't be
-	// proposed.
+	// Drain proposes a drain or the end of a drain. The ticket identifies the order when it is committed or refused. ok is false if
+	// it can't be proposed.
 	Drain(now float64, server balancer.Server, draining bool) (ticket uint64, ok bool)
-	// Drains returns the committed drains with the clock time in seconds of their order. The caller must not change the map.
+	// Drains returns the draining servers with the clock times in seconds at which their committed drains were ordered. The caller
+	// must not change the map.
 	Drains() map[balancer.Server]float64
-	// ServerRecords returns the committed records of servers, ordered by server.
+	// ServerRecords returns the committed server records, ordered by server.
 	ServerRecords() []registry.Record
-	// StoreRecords proposes those of the records that differ from the committed ones.
+	// StoreRecords proposes the records that differ from the committed ones.
 	StoreRecords(now float64, records []registry.Record)
 }
 
-// replicatedStore saves records locally and proposes them to the group. Saving does not wait for the group: each coordinator
-// hears every server itself, treats servers that it does not know as warming up, and drains are committed on their own.
+// replicatedStore saves records locally and proposes them to the group. Saving does not wait for the group: each coordinator gets
+// the state of every server directly and treats unknown servers as warming up, and drains are committed separately.
 type replicatedStore struct {
 	coordinator *Coordinator
-	local       controlplane.RecordStore // nil: there is no local store
+	local       controlplane.RecordStore // nil if there is no local store
 }
 
 // Save implements controlplane.RecordStore.
@@ -65,8 +67,8 @@
 	return c.peers.Drain(now, server, draining)
 }
 
-// RequestDrain orders a drain, or its end, for an administrator. done is called once, when the drain is committed and durable,
-// or refused.
+// RequestDrain orders a drain or the end of a drain for an administrator. done is called once, when the order is committed and
+// durable, or refused.
 func (c *Coordinator) RequestDrain(now float64, server balancer.Server, draining bool, done func(ok bool)) {
 	ticket, ok := c.OrderDrain(now, server, draining)
 	if !ok {
@@ -100,7 +102,7 @@
 	}
 }
 
-// orderCompleted tells the administrator or the SASP connection that ordered a drain whether it is in force.
+// orderCompleted reports to the administrator or the SASP connection that ordered a drain whether the order was committed.
 func (c *Coordinator) orderCompleted(now float64, order membership.Ticket, committed bool) {
 	ticket := uint64(order)
 	done := c.pendingDrains[ticket]
@@ -112,7 +114,7 @@
 	done(committed)
 }
 
-// abandonDrains answers all who wait for a drain that was ordered here: it may be in force, and may be ordered again.
+// abandonDrains reports all pending drains of administrators as not confirmed: they may be in effect, and may be ordered again.
 func (c *Coordinator) abandonDrains() {
 	tickets := make([]uint64, 0, len(c.pendingDrains))
 	for ticket := range c.pendingDrains {
@@ -126,8 +128,8 @@
 	}
 }
 
-// reconcileWithGroup brings the registry to the state of the group: also for servers that registered after a drain was
-// committed, and for drains that were persisted here and have ended elsewhere.
+// reconcileWithGroup brings the registry in line with the state of the group. This covers servers that registered after their
+// drain was committed, and drains that were stored locally and have been ended by other members.
 func (c *Coordinator) reconcileWithGroup(now float64) {
 	drains := c.peers.Drains()
 	for server := range drains {
@@ -136,7 +138,7 @@
 			c.Fleet.Registry.SetDrain(now, server, true)
 		}
 	}
-	// Without a lease, commands that have ended a drain may be committed and not known here yet.
+	// Without a lease, this coordinator may not have applied yet a committed command that ended a drain.
 	if !c.peers.HoldsLease(now) || now < c.nextDrainCleanup {
 		return
 	}
@@ -153,7 +155,7 @@
 	}
 }
 
-// restoreServers adds the servers that the group knows and that have not connected to this coordinator yet.
+// restoreServers adds the servers that are in the group's state but have not connected to this coordinator yet.
 func (c *Coordinator) restoreServers(now float64) {
 	for _, record := range c.peers.ServerRecords() {
 		_, known := c.Fleet.Registry.Find(record.Server)
--- a/internal/coordinator/tenant.go
+++ b/internal/coordinator/tenant.go
@@ -10,14 +10,14 @@
 	"snowquay/internal/env"
 )
 
-// TenantConfig is the parsed settings of a tenant.
+// TenantConfig holds the parsed settings of a tenant.
 type TenantConfig struct {
 	Config         Config
-	Callers        []authz.Credential // of the administration API
-	Weight         float64            // relative to other tenants
+	Callers        []authz.Credential // credentials for the administration API
+	Weight         float64            // share of CPU time and accept rate, relative to other tenants
 	Requirements   tenancy.Requirements
 	MaxConnections int
-	Networks       []netip.Prefix // from which its proxies and servers may connect; none: from any
+	Networks       []netip.Prefix // networks from which its proxies and servers may connect; empty: all
 }
 
 // TenantRuntime is a tenant of a Host, whether or not it runs.
@@ -25,20 +25,20 @@
 	tenancy.Tenant
 	// Coordinator is the tenant's coordinator; nil while it is not started, or if it failed to start.
 	Coordinator *Coordinator
-	// Err is why the tenant does not run, or does not run by its latest settings.
+	// Err is the reason why the tenant is not running, or is not running with its latest settings.
 	Err error
 
 	config          TenantConfig
-	measurementUser string             // under which the host knows it
-	idle            bool               // nobody is connected: its turns are rarer
-	charged         controlplane.Stats // totals up to the latest charge
+	measurementUser string             // user name of its measurement packets that is registered with the host
+	idle            bool               // no client is connected, so its turns are less frequent
+	charged         controlplane.Stats // totals at the latest charge
 	panics          panicHistory
 }
 
-// startable reports whether the tenant is to be started.
+// startable reports whether the tenant is stopped without an error.
 func (t *TenantRuntime) startable() bool { return t.Coordinator == nil && t.Err == nil }
 
-// siteForGroup sets how many hosts share the tenant, and the position of this one.
+// siteForGroup sets the number of hosts that share the tenant, and the position of this host among them.
 func siteForGroup(site *controlplane.Site, group *GroupConfig) {
 	site.DataPlane.Coordinators = len(group.Members)
 	site.DataPlane.Self = 0
@@ -49,14 +49,14 @@
 	}
 }
 
-// tenantIO is the env.IO of a tenant's coordinator: its own connections, and timers that the scheduler runs when it is the tenant's
-// turn.
+// tenantIO is the env.IO of a tenant's coordinator. It sends on the tenant's connections, and maps timers to turns of the host's
+// scheduler.
 type tenantIO struct {
 	host   *Host
 	tenant tenancy.Name
 }
 
-// Dial implements env.IO. A tenant's coordinator dials nobody.
+// Dial implements env.IO. A tenant's coordinator dials no connections.
 func (t *tenantIO) Dial(netip.AddrPort) env.Conn { return 0 }
 
 // Send implements env.IO.
@@ -68,28 +68,29 @@
 	t.host.io.Close(conn)
 }
 
-// Datagram implements env.IO. A tenant's coordinator sends none.
+// Datagram implements env.IO. A tenant's coordinator sends no datagrams.
 func (t *tenantIO) Datagram(netip.AddrPort, []byte) {}
 
 // SetTimer implements env.IO.
 func (t *tenantIO) SetTimer(at float64, _ int) { t.host.Scheduler.ScheduleAt(t.tenant, at) }
 
-// Drain orders a drain of a tenant's server, or its end. done is called once, when it is committed and durable, or refused.
+// Drain orders a drain of a tenant's server or the end of the drain. done is called once, when the order is committed and
+// durable, or refused.
 func (h *Host) Drain(now float64, name tenancy.Name, server balancer.Server, draining bool, done func(ok bool)) {
 	tenant := h.running(name)
 	if tenant == nil {
 		done(false)
 		return
 	}
-	answered := false
-	answer := func(ok bool) {
-		if !answered {
-			answered = true
+	called := false
+	doneOnce := func(ok bool) {
+		if !called {
+			called = true
 			done(ok)
 		}
 	}
-	if !h.call(now, tenant, func() { tenant.Coordinator.RequestDrain(now, server, draining, answer) }) {
-		answer(false)
+	if !h.call(now, tenant, func() { tenant.Coordinator.RequestDrain(now, server, draining, doneOnce) }) {
+		doneOnce(false)
 	}
 	tenant.idle = false
 }
--- a/internal/coordinator/tenant_peers.go
+++ b/internal/coordinator/tenant_peers.go
@@ -7,8 +7,9 @@
 	"snowquay/internal/core/tenancy"
 )
 
-// tenantPeers is the Peers of a tenant's coordinator. In the group's state the tenant's servers have names with a prefix of its
-// incarnation, so that tenants may list the same addresses, and an incarnation inherits nothing of an earlier one.
+// tenantPeers implements Peers for a tenant's coordinator. In the group's state, the names of the tenant's servers have a prefix
+// with the tenant's incarnation, so that several tenants may list the same addresses, and an incarnation inherits no state of an
+// earlier one.
 type tenantPeers struct {
 	shared      *sharedTenants
 	incarnation tenancy.Incarnation
