--- a/internal/frontend/longpollhttp/fixture_test.go
+++ b/internal/frontend/longpollhttp/fixture_test.go
@@ -55,7 +55,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	server, err := eventloop.Listen(program, config.Ports(), config.HTTP, clock)
+	server, err := eventloop.Listen(program, config.ListenAddresses(), config.HTTP, clock)
 	if err != nil {
 		t.Fatal(err)
 	}
