--- a/internal/service/admin_client.go
+++ b/internal/service/admin_client.go
@@ -16,33 +16,34 @@
 	"snowquay/internal/settings"
 )
 
-// adminCallTimeout limits a call of the command line. It is longer than agreement on a drain may take.
+// adminCallTimeout limits an administration call of the command line. It is longer than the time that a group may
+// take to commit a drain.
 const adminCallTimeout = 45 * time.Second
 
 var (
-	// ErrNoAdminAddress reports settings without an administration API.
-	ErrNoAdminAddress = errors.New("the settings have no <listen admin>")
-	// ErrNoCaller reports settings in which no caller has the role that a call needs.
-	ErrNoCaller = errors.New("the settings have no caller who may do that")
+	// ErrNoAdminAddress is returned for settings that configure no administration API.
+	ErrNoAdminAddress = errors.New("no administration API is configured: the settings have no <listen admin=...>")
+	// ErrNoCaller is returned for settings in which no caller has the role that a call requires.
+	ErrNoCaller = errors.New("no caller in the settings has the role that this call requires")
 )
 
-// AdminError is the answer of an administration API that has rejected a call.
+// AdminError is the error response of an administration API to a rejected call.
 type AdminError struct {
 	Status string // HTTP status code and text
-	Detail string // of the problem document; empty if there was none
+	Detail string // detail of the problem document; empty if the response has none
 }
 
 // Error implements error.
 func (e *AdminError) Error() string { return e.Status + ": " + e.Detail }
 
-// CallAdmin calls the administration API of a coordinator with the credential of the first caller in its settings who has the
-// role. body is sent as JSON, or as it is if it is a []byte; nil: nothing is sent. The result is the JSON document of the answer.
-// A rejected call returns an *AdminError.
+// CallAdmin calls the administration API of a coordinator with the credential of the first caller in its settings who
+// has the role. body is encoded as JSON unless it is a []byte, which is sent unchanged; if it is nil, the request has
+// no body. The result is the JSON document of the response. A rejected call returns an *AdminError.
 func CallAdmin(config *settings.Coordinator, role authz.Role, method, path string, body any) (json.RawMessage, error) {
 	return callAdmin(config.Admin, config.Callers, role, method, path, body)
 }
 
-// CallHostAdmin calls the administration API of a host of many tenants as CallAdmin calls that of a coordinator.
+// CallHostAdmin is like CallAdmin, but calls the administration API of a host of many tenants.
 func CallHostAdmin(config *settings.Host, role authz.Role, method, path string, body any) (json.RawMessage, error) {
 	return callAdmin(config.Admin, config.Callers, role, method, path, body)
 }
@@ -80,12 +81,13 @@
 		return nil, err
 	}
 	if response.StatusCode >= http.StatusMultipleChoices {
-		return nil, rejection(response.Status, document)
+		return nil, newAdminError(response.Status, document)
 	}
 	return document, nil
 }
 
-// secretForRole returns the secret of the first caller who has at least a role; empty if there is none.
+// secretForRole returns the secret of the first caller with at least the given role, or an empty string if there is
+// none.
 func secretForRole(callers []authz.Credential, role authz.Role) string {
 	for _, caller := range callers {
 		if caller.Role >= role && caller.Secret != "" {
@@ -106,13 +108,14 @@
 	}
 }
 
-func rejection(status string, document []byte) *AdminError {
+// newAdminError returns the error for a response with an error status. document is the body of the response.
+func newAdminError(status string, document []byte) *AdminError {
 	var problem struct {
 		Detail string `json:"detail"`
 	}
-	_ = json.Unmarshal(document, &problem) // an answer that is no problem document has no detail
+	_ = json.Unmarshal(document, &problem) // Detail stays empty if the body is not a problem document
 	return &AdminError{Status: status, Detail: problem.Detail}
 }
 
-// EscapePathSegment escapes a server name for use as one segment of a path.
+// EscapePathSegment escapes a server name for use as one segment of a URL path.
 func EscapePathSegment(name string) string { return url.PathEscape(name) }
--- a/internal/service/administered_coordinator_test.go
+++ b/internal/service/administered_coordinator_test.go
@@ -17,8 +17,9 @@
 
 const administrationAddress = "127.0.0.1:15844"
 
-// The administration API of a running coordinator, alone and in a group: roles, drains that would do harm, that are repeated, that
-// two callers order at once, that are followed to their end, and a flood of calls beside an urgent drain.
+// TestAdministration calls the administration API of a running coordinator, alone and in a group. It covers roles,
+// rejected harmful drains, repeated drains, drains with an outdated version, drains that are followed to their end,
+// and an urgent drain during a flood of calls.
 func TestAdministration(t *testing.T) {
 	for _, test := range []struct {
 		name    string
@@ -52,15 +53,15 @@
 		`address="127.0.1.1:8080"`, `standing="true" address="127.0.1.1:8080"`)
 }
 
-// joinProxy makes a proxy join a coordinator and read what it is sent.
+// joinProxy connects a proxy that joins a coordinator and discards what it receives.
 func joinProxy(t *testing.T, config *settings.Coordinator) net.Conn {
 	t.Helper()
 	conn, err := net.Dial("tcp", config.SASP.String())
 	if err != nil {
 		t.Fatal(err)
 	}
-	if config.Group != nil { // a proxy is served once the group has a lease
-		eventually(t, "nobody leads", func() bool {
+	if config.Group != nil { // proxies are served only while the coordinator holds a lease
+		eventually(t, "the coordinator holds no lease", func() bool {
 			status, err := GroupStatus(config.Group.Members[1], []byte(groupKey))
 			return err == nil && status.HoldsLease
 		})
@@ -74,13 +75,13 @@
 	return conn
 }
 
-// want makes a call of the administration API and checks the status and parts of the body of the response.
-func want(t *testing.T, what string, status int, parts []string, key, method, path, body string, headers ...string) apiResponse {
+// want calls the administration API and checks the status of the response, and that its body contains the given parts.
+func want(t *testing.T, call string, status int, parts []string, key, method, path, body string, headers ...string) apiResponse {
 	t.Helper()
 	got := callAPI(t, administrationAddress, key, method, path, body, headers...)
 	for _, part := range append(parts, "") {
 		if got.status != status || !strings.Contains(got.body, part) {
-			t.Errorf("%s: %d %s, want %d with %q", what, got.status, got.body, status, part)
+			t.Errorf("%s: %d %s, want %d with %q", call, got.status, got.body, status, part)
 		}
 	}
 	return got
@@ -88,8 +89,8 @@
 
 func testAdministration(t *testing.T, grouped bool) {
 	config := administeredConfig(t, grouped)
-	coordinator := runCoordinator(config)
-	eventually(t, "the coordinator does not run", func() bool {
+	coordinator := startCoordinator(config)
+	eventually(t, "the coordinator does not serve its administration API", func() bool {
 		_, err := CallAdmin(config, authz.RoleViewer, "GET", "/v1/servers", nil)
 		return err == nil
 	})
@@ -99,8 +100,8 @@
 	checkAudit(t, config)
 	_ = proxy.Close()
 	coordinator.end(t)
-	coordinator = runCoordinator(config)
-	eventually(t, "a drain that was confirmed is lost after a restart", func() bool {
+	coordinator = startCoordinator(config)
+	eventually(t, "a confirmed drain is lost after a restart", func() bool {
 		body, err := CallAdmin(config, authz.RoleViewer, "GET", "/v1/drains/127.0.1.1:8080", nil)
 		return err == nil && strings.Contains(string(body), `"phase":"drains"`)
 	})
@@ -109,33 +110,33 @@
 
 func checkDrains(t *testing.T, config *settings.Coordinator) {
 	t.Helper()
-	want(t, "a wrong key", 401, nil, "a wrong key altogether", "GET", "/v1/servers", "")
+	want(t, "an unknown key", 401, nil, "a wrong key altogether", "GET", "/v1/servers", "")
 	servers := want(t, "servers", 200, []string{`"127.0.1.1:8080","phase":"in service"`}, viewerSecret, "GET", "/v1/servers", "")
 	tag := servers.header.Get("ETag")
 	one := `{"server":"127.0.1.1:8080","on":true}`
 	two := `{"server":"[::1]:8080","on":true}`
 	want(t, "a viewer's drain", 403, nil, viewerSecret, "POST", "/v1/drains", one)
-	want(t, "the drain of an unknown server", 404, nil, staffSecret, "POST", "/v1/drains", `{"server":"x","on":true}`)
+	want(t, "a drain of an unknown server", 404, nil, staffSecret, "POST", "/v1/drains", `{"server":"x","on":true}`)
 	want(t, "an unknown field", 400, nil, staffSecret, "POST", "/v1/drains", `{"server":"x","off":true}`)
-	eventually(t, "the relay is not led", func() bool {
+	eventually(t, "the relay has not joined", func() bool {
 		got := callAPI(t, administrationAddress, viewerSecret, "GET", "/v1/drains/127.0.1.1:8080", "")
 		return strings.Contains(got.body, `"proxies":1`)
 	})
 	first := want(t, "a drain", 202, []string{`"phase":"drains"`}, staffSecret, "POST", "/v1/drains", one, "If-Match", tag, "Idempotency-Key", "k1")
-	want(t, "the same drain, as if its answer was lost", 202, []string{first.body}, staffSecret, "POST", "/v1/drains", one, "If-Match", tag,
+	want(t, "the same drain, repeated as after a lost response", 202, []string{first.body}, staffSecret, "POST", "/v1/drains", one, "If-Match", tag,
 		"Idempotency-Key", "k1")
-	want(t, "another drain with the same key", 422, nil, staffSecret, "POST", "/v1/drains", two, "Idempotency-Key", "k1")
-	want(t, "a drain by a former version", 412, nil, staffSecret, "POST", "/v1/drains", two, "If-Match", tag)
+	want(t, "another drain with the same idempotency key", 422, nil, staffSecret, "POST", "/v1/drains", two, "Idempotency-Key", "k1")
+	want(t, "a drain with an outdated version", 412, nil, staffSecret, "POST", "/v1/drains", two, "If-Match", tag)
 	want(t, "a drain that is followed", 200, []string{`"done":true`, `"proxies-without":1`}, viewerSecret, "GET", "/v1/drains/127.0.1.1:8080?wait=10", "")
 	want(t, "a preview", 200, []string{`"harmless":false`, "no open, warm server"}, viewerSecret, "POST", "/v1/preview", `{"drain":["[::1]:8080"]}`)
-	want(t, "the drain of the last server", 409, []string{"would do harm"}, staffSecret, "POST", "/v1/drains", two)
-	eventually(t, "there is no message trace", func() bool { // a trace is kept when its message is acknowledged
+	want(t, "a drain of the last server", 409, []string{"would do harm"}, staffSecret, "POST", "/v1/drains", two)
+	eventually(t, "no message trace is recorded", func() bool { // a trace is recorded when its message is acknowledged
 		body, err := CallAdmin(config, authz.RoleViewer, "GET", "/v1/orders?relay=relay-1", nil)
 		return err == nil && strings.Contains(string(body), `"facts.lists"`)
 	})
 }
 
-// checkFlood checks that an urgent drain is not slowed by a flood of another caller's calls.
+// checkFlood checks that an urgent drain is not delayed by a flood of calls of another caller.
 func checkFlood(t *testing.T) {
 	t.Helper()
 	limited := 0
@@ -145,9 +146,9 @@
 			limited++
 		}
 	}
-	want(t, "an urgent drain beside a flood", 202, nil, staffSecret, "POST", "/v1/drains", `{"server":"[::1]:8080","on":true,"force":true}`)
+	want(t, "an urgent drain during a flood", 202, nil, staffSecret, "POST", "/v1/drains", `{"server":"[::1]:8080","on":true,"force":true}`)
 	if limited == 0 {
-		t.Error("a flood of calls is not slowed: the test tests nothing")
+		t.Error("none of 400 calls was rejected with status 429: the flood did not reach the rate limit")
 	}
 }
 
@@ -155,12 +156,12 @@
 	t.Helper()
 	var body json.RawMessage
 	var err error
-	eventually(t, "the audit", func() bool {
+	eventually(t, "the audit log cannot be fetched", func() bool {
 		body, err = CallAdmin(config, authz.RoleStaff, "GET", "/v1/audit", nil)
 		return err == nil
 	})
 	var entries []audit.Entry
 	if err != nil || json.Unmarshal(body, &entries) != nil || len(entries) < 5 || entries[0].Who != "ann" || entries[0].What != "drain by force" {
-		t.Errorf("audit %s, %v", body, err)
+		t.Errorf("audit log %s, error %v, want at least 5 entries and a forced drain by ann first", body, err)
 	}
 }
--- a/internal/service/administered_host.go
+++ b/internal/service/administered_host.go
@@ -14,7 +14,7 @@
 	"snowquay/internal/settings"
 )
 
-// administeredHost is a host as its administration API sees it. It implements admin.TenantHost.
+// administeredHost gives the administration API access to a host. It implements admin.TenantHost.
 type administeredHost struct {
 	server  *eventloop.Server
 	program *coordinator.Host
@@ -25,10 +25,11 @@
 // Do implements admin.Program.
 func (h *administeredHost) Do(f func(now float64)) { doOnLoop(h.server, f) }
 
-// doOnLoop calls f between two events of a host. A panic of f, which looks at tenants, is raised on the caller's goroutine, where the HTTP
-// server answers for it, so that it does not end the host.
+// doOnLoop calls f on the event loop, between two events of a host. f reads the state of tenants and may panic. The
+// panic is raised again on the caller's goroutine, where the HTTP server, or the registry of the metrics, recovers
+// from it, so that it does not terminate the host.
 func doOnLoop(server *eventloop.Server, f func(now float64)) {
-	panicked := make(chan any, 1) // f may still run when Do has given up waiting for it
+	panicked := make(chan any, 1) // buffered, since f may still run after Do has stopped waiting for it
 	server.Do(func(now float64) {
 		defer func() {
 			if cause := recover(); cause != nil {
@@ -73,7 +74,7 @@
 
 // TenantRows implements admin.TenantHost.
 func (h *administeredHost) TenantRows() []admin.TenantRow {
-	rows := []admin.TenantRow{} // not nil: no tenants are [] in JSON
+	rows := []admin.TenantRow{} // not nil, so that an empty list is encoded as [] in JSON
 	for _, runtime := range h.program.Tenants() {
 		rows = append(rows, h.row(runtime))
 	}
@@ -123,7 +124,7 @@
 
 // Merge implements admin.TenantHost.
 func (h *administeredHost) Merge(name tenancy.Name, text []byte) ([]byte, error) {
-	tenant, _ := h.program.Directory.Get(name) // a new tenant has no keys yet
+	tenant, _ := h.program.Directory.Get(name) // a new tenant has no stored keys
 	return settings.MergeKeys(text, tenant.Settings)
 }
 
--- a/internal/service/coordinator.go
+++ b/internal/service/coordinator.go
@@ -63,7 +63,7 @@
 	return nil
 }
 
-// openRecords opens the store of server records at a path; nil if the path is empty.
+// openRecords opens the store of server records at a path. It returns nil if the path is empty.
 func (p *process) openRecords(path string) (coordinator.Store, error) {
 	if path == "" {
 		return nil, nil
@@ -100,7 +100,7 @@
 	return p.serveAdministration(config.Admin, admin.New(now, administered, p.logger))
 }
 
-// administeredCoordinator is a coordinator as its administration API sees it. It implements admin.Program.
+// administeredCoordinator gives the administration API access to a coordinator. It implements admin.Program.
 type administeredCoordinator struct {
 	authz.Credentials
 	server  *eventloop.Server
--- a/internal/service/coordinator_test.go
+++ b/internal/service/coordinator_test.go
@@ -15,26 +15,26 @@
 	"snowquay/internal/wire/sasp"
 )
 
-// dialEventually dials an address until it answers.
+// dialEventually dials an address until it accepts a connection.
 func dialEventually(t *testing.T, address string) net.Conn {
 	t.Helper()
-	for end := time.Now().Add(10 * time.Second); ; time.Sleep(5 * time.Millisecond) {
+	for deadline := time.Now().Add(10 * time.Second); ; time.Sleep(5 * time.Millisecond) {
 		conn, err := net.Dial("tcp", address)
 		if err == nil {
 			return conn
 		}
-		if time.Now().After(end) {
+		if time.Now().After(deadline) {
 			t.Fatal(err)
 		}
 	}
 }
 
-// The coordinator of the example settings serves a proxy, its metrics and message traces, and ends on a signal.
+// A coordinator with the example settings serves a proxy, its metrics and its message traces, and stops on a signal.
 func TestServe(t *testing.T) {
 	store := filepath.Join(t.TempDir(), "roll.db")
 	config := parseExample(t, ":3860", ":14870", ":25826", ":14871", ":9464", ":14872", "snowquay.db", store)
-	coordinator := runCoordinator(config)
-	_ = dialEventually(t, "127.0.0.1:14872").Close() // metrics are served last: all else is served by now
+	coordinator := startCoordinator(config)
+	_ = dialEventually(t, "127.0.0.1:14872").Close() // metrics are served last, so all other ports are open by now
 	proxy := dialEventually(t, config.SASP.String())
 	defer func() { _ = proxy.Close() }()
 	b := sasp.Append(nil, &sasp.Message{Kind: sasp.SetBalancer, UID: []byte("relay-1"), Flags: sasp.Push | sasp.Trust})
@@ -58,7 +58,7 @@
 		t.Fatal(err)
 	}
 	if len(orders) != 1 || orders[0]["held"] != true || orders[0]["facts.streams"] != 1.0 || orders[0]["trace"] == "" {
-		t.Errorf("%v", orders)
+		t.Errorf("message traces %v, want one that is acknowledged, caused by one proxy event and has a trace ID", orders)
 	}
 	golden.Bytes(t, "order-keys.txt", []byte(strings.Join(slices.Sorted(maps.Keys(orders[0])), "\n")+"\n"))
 	if other := get(t, "http://127.0.0.1:14872/orders?relay=x"); strings.TrimSpace(other) != "[]" {
--- a/internal/service/do_on_loop_test.go
+++ b/internal/service/do_on_loop_test.go
@@ -21,8 +21,8 @@
 func (idleProgram) Datagram(float64, []byte)                     {}
 func (idleProgram) TimerFired(float64, int)                      {}
 
-// A call of the administration API that panics panics on its own goroutine, and the loop goes on.
-func TestPanicOfAReadLeavesTheLoop(t *testing.T) {
+// A panic of a function that doOnLoop calls is raised on the caller's goroutine, and the event loop continues.
+func TestPanicOnLoopIsRaisedOnCaller(t *testing.T) {
 	free, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -33,7 +33,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	conn, err := net.Dial("tcp", address.String()) // from now on calls run on the loop's goroutine
+	conn, err := net.Dial("tcp", address.String()) // after the first event, calls run on the goroutine of the loop
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -45,13 +45,13 @@
 	}
 	for range 3 {
 		if cause := raised(); cause != "planted" {
-			t.Errorf("the call ended with %v", cause)
+			t.Errorf("the call panicked with %v, want planted", cause)
 		}
 	}
 	called := false
 	doOnLoop(server, func(float64) { called = true })
 	if !called {
-		t.Error("the loop does not go on")
+		t.Error("the event loop does not run calls after a panic")
 	}
 	if err := server.Stop(); err != nil {
 		t.Error(err)
--- a/internal/service/group_test.go
+++ b/internal/service/group_test.go
@@ -35,17 +35,17 @@
 		`<zone name="north"/>`, group+`<zone name="north"/>`)
 }
 
-// runningMember is a coordinator of a group that runs in this process.
+// runningMember is a running coordinator that is a member of a group.
 type runningMember struct {
-	*running
+	*runningProgram
 	config *settings.Coordinator
 }
 
-func runMember(config *settings.Coordinator) *runningMember {
-	return &runningMember{running: runCoordinator(config), config: config}
+func startMember(config *settings.Coordinator) *runningMember {
+	return &runningMember{runningProgram: startCoordinator(config), config: config}
 }
 
-// sendAndReceive sends the messages of a server and returns the code of the last reply.
+// sendAndReceive sends messages of a server, waits for the reply to each, and returns the code of the last reply.
 func sendAndReceive(t *testing.T, at string, messages ...*sasp.Message) sasp.Code {
 	t.Helper()
 	c, err := net.Dial("tcp", at)
@@ -75,78 +75,79 @@
 	return code
 }
 
-// One of three coordinators takes a drain and leaves, and the others know the drain. A member is removed and replaced under a
-// new number.
+// One of three coordinators confirms a drain and leaves, and the other two still have the drain. A member is removed
+// and replaced by one with a new number.
 func TestServeInGroup(t *testing.T) {
 	dir := t.TempDir()
 	all := map[int]*runningMember{}
 	for n := 1; n <= 3; n++ {
-		all[n] = runMember(memberConfig(t, dir, n, 3, false))
+		all[n] = startMember(memberConfig(t, dir, n, 3, false))
 	}
-	status := func(n int) (living, drains int, leads bool) {
+	status := func(n int) (alive, drains int, holdsLease bool) {
 		s, err := GroupStatus(all[n].config.Group.Members[membership.MemberID(n)], []byte(groupKey))
 		if err != nil {
 			return 0, 0, false
 		}
 		for _, m := range s.Members {
 			if m.Alive {
-				living++
+				alive++
 			}
 		}
-		return living, s.Drains, s.HoldsLease
+		return alive, s.Drains, s.HoldsLease
 	}
 	for n := 1; n <= 3; n++ {
-		eventually(t, fmt.Sprint(n, " does not lead"), func() bool { living, _, leads := status(n); return living == 3 && leads })
+		eventually(t, fmt.Sprint(n, " holds no lease or does not see 3 live members"), func() bool { alive, _, holdsLease := status(n); return alive == 3 && holdsLease })
 	}
-	// The server at [::1] stands; the settings allow members to speak from their own host only, so it is told from there.
+	// The standing server of the settings has the address [::1], but the settings accept messages about a server only
+	// from its own host. So a server on the host of this connection registers and is drained.
 	member := &sasp.Message{Kind: sasp.SetMember, Groups: []sasp.Group{{UID: []byte("fleet"), Name: []byte("search"), To: 1}},
 		Rows: []sasp.Row{{Address: sasp.AddressOf(all[1].config.SASP), Flags: sasp.Quiesce}}}
 	register := &sasp.Message{Kind: sasp.Registration, Groups: member.Groups, Rows: []sasp.Row{{Address: sasp.AddressOf(all[1].config.SASP)}}}
 	if code := sendAndReceive(t, all[2].config.SASP.String(), register, member); code != sasp.OK {
-		t.Fatalf("the drain was answered with %s", code)
+		t.Fatalf("the reply to the drain has code %s", code)
 	}
 	all[2].end(t)
 	for _, n := range []int{1, 3} {
-		living, drains, _ := status(n)
-		if drains != 1 || living != 2 {
-			t.Errorf("%d knows %d drains and %d living, at once after an orderly end", n, drains, living)
+		alive, drains, _ := status(n)
+		if drains != 1 || alive != 2 {
+			t.Errorf("coordinator %d has %d drains and %d live members right after an orderly leave, want 1 and 2", n, drains, alive)
 		}
 	}
 	if !strings.Contains(get(t, "http://127.0.0.1:15231/metrics"), "snowquay_group_drains 1") {
-		t.Error("the metrics do not tell")
+		t.Error("the metrics do not count the drain")
 	}
 	golden.Bytes(t, "metrics-group.txt", metricNames(get(t, "http://127.0.0.1:15231/metrics")))
 	if err := RemoveMember(all[1].config.Group, 2, 20*time.Second); err != nil {
 		t.Fatal(err)
 	}
-	all[4] = runMember(memberConfig(t, dir, 4, 4, true))
-	eventually(t, "the new one does not lead", func() bool { living, drains, leads := status(4); return living == 3 && drains == 1 && leads })
-	back := runMember(memberConfig(t, dir, 2, 3, false))
-	if err := <-back.done; err == nil || !strings.Contains(err.Error(), "taken this coordinator out") {
-		t.Errorf("one that was taken out came back: %v", err)
+	all[4] = startMember(memberConfig(t, dir, 4, 4, true))
+	eventually(t, "the new member holds no lease, or lacks the drain or a live member", func() bool { alive, drains, holdsLease := status(4); return alive == 3 && drains == 1 && holdsLease })
+	removed := startMember(memberConfig(t, dir, 2, 3, false))
+	if err := <-removed.done; err == nil || !strings.Contains(err.Error(), "taken this coordinator out") {
+		t.Errorf("a removed member that was started again ended with %v", err)
 	}
 	if _, err := GroupStatus(all[1].config.Group.Members[1], []byte("another key of sixteen bytes")); err == nil {
-		t.Error("a tool with another key was answered")
+		t.Error("a status request with another key got a reply")
 	}
 	for _, n := range []int{1, 3, 4} {
 		all[n].end(t)
 	}
 }
 
-// A coordinator does not run on a damaged log of its group.
+// A coordinator does not start with a damaged consensus log.
 func TestServeRejectsDamagedGroupStore(t *testing.T) {
 	dir := t.TempDir()
 	c := memberConfig(t, dir, 1, 3, false)
 	if err := os.WriteFile(c.GroupStore, []byte("this is no store at all, but long enough to be looked at"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if err := <-runMember(c).done; err == nil {
-		t.Error("it runs on a file that is no store")
+	if err := <-startMember(c).done; err == nil {
+		t.Error("the coordinator started with a file that is not a consensus log")
 	}
 }
 
-// BenchmarkDrain measures the time from the order of a drain to its confirmation, by a coordinator alone and by one of three in a
-// group, all on this machine and its disk.
+// BenchmarkDrain measures the time from the request of a drain to its confirmation, by a single coordinator and by
+// one of a group of three, all on one machine and its disk.
 func BenchmarkDrain(b *testing.B) {
 	for _, count := range []int{0, 3} {
 		b.Run(fmt.Sprint(count, "-in-the-group"), func(b *testing.B) {
@@ -158,7 +159,7 @@
 				if count == 0 {
 					c.Group = nil
 				}
-				all = append(all, runMember(c))
+				all = append(all, startMember(c))
 			}
 			time.Sleep(2 * time.Second)
 			at := all[0].config.SASP
@@ -168,7 +169,7 @@
 			}
 			defer func() { _ = c.Close() }()
 			buf := make([]byte, 4096)
-			say := func(m *sasp.Message) {
+			exchange := func(m *sasp.Message) {
 				if _, err := c.Write(sasp.Append(nil, m)); err != nil {
 					b.Fatal(err)
 				}
@@ -182,11 +183,11 @@
 				}
 			}
 			groups := []sasp.Group{{UID: []byte("fleet"), Name: []byte("search"), To: 1}}
-			say(&sasp.Message{Kind: sasp.Registration, Groups: groups, Rows: []sasp.Row{{Address: sasp.AddressOf(at)}}})
+			exchange(&sasp.Message{Kind: sasp.Registration, Groups: groups, Rows: []sasp.Row{{Address: sasp.AddressOf(at)}}})
 			flags := uint8(0)
 			for b.Loop() {
 				flags ^= sasp.Quiesce
-				say(&sasp.Message{Kind: sasp.SetMember, Groups: groups, Rows: []sasp.Row{{Address: sasp.AddressOf(at), Flags: flags}}})
+				exchange(&sasp.Message{Kind: sasp.SetMember, Groups: groups, Rows: []sasp.Row{{Address: sasp.AddressOf(at), Flags: flags}}})
 			}
 			for _, s := range all {
 				s.end(b)
--- a/internal/service/group_tool.go
+++ b/internal/service/group_tool.go
@@ -16,26 +16,29 @@
 )
 
 const (
-	memberTimeout       = 3 * time.Second        // for a member to answer the command line
-	removalPollInterval = 200 * time.Millisecond // between two checks whether a removal is agreed on
-	replyReadSize       = 16 << 10               // bytes read at once from a member
+	memberTimeout       = 3 * time.Second        // limit for connecting to a member, and for its reply
+	removalPollInterval = 200 * time.Millisecond // time between two checks whether a removal is committed
+	replyReadSize       = 16 << 10               // maximum number of bytes per read from a member
 )
 
-// UnknownMemberError reports that a group has no member with a number.
+// UnknownMemberError reports that a group has no member with the given number.
 type UnknownMemberError struct {
 	MemberID membership.MemberID
 }
 
 // Error implements error.
-func (e *UnknownMemberError) Error() string { return fmt.Sprintf("nobody has number %d", e.MemberID) }
+func (e *UnknownMemberError) Error() string {
+	return fmt.Sprintf("the group has no member with number %d", e.MemberID)
+}
 
-// GroupStatus returns the status of a group as the member at an address reports it. key is the key of the group.
+// GroupStatus returns the status of a group as reported by the member at an address. key is the key of the group.
 func GroupStatus(address netip.AddrPort, key []byte) (coordinator.Status, error) {
 	return queryMember(address, key, nil)
 }
 
-// RemoveMember removes a member from its group for good, through any of the other members. A command may be lost while a leader
-// is elected, so it is repeated until a member reports that the removal is agreed on, or the timeout has passed.
+// RemoveMember removes a member permanently from its group, through any of the other members. A command may be lost
+// during a leader election, so it is repeated until a member reports that the removal is committed, or the timeout
+// has passed.
 func RemoveMember(group *coordinator.GroupConfig, id membership.MemberID, timeout time.Duration) error {
 	deadline := time.Now().Add(timeout)
 	for {
@@ -48,14 +51,15 @@
 			return err
 		}
 		if time.Now().After(deadline) {
-			return fmt.Errorf("it was not agreed on within %s: is a majority up? %w", timeout, err)
+			return fmt.Errorf("the removal was not committed within %s; check that a majority of the members is running: %w", timeout, err)
 		}
 		time.Sleep(removalPollInterval)
 	}
 }
 
-// requestRemoval sends the command that removes a member to the first of the others that answers. removed tells that a member
-// knows the removal to be agreed on already; err is that of the last member that was tried.
+// requestRemoval sends the command that removes a member to the first of the other members that replies. removed
+// reports whether a member has already seen the removal committed; err is the error of the last member that was
+// tried.
 func requestRemoval(group *coordinator.GroupConfig, id membership.MemberID) (removed bool, err error) {
 	for _, other := range slices.Sorted(maps.Keys(group.Members)) {
 		if other == id {
@@ -121,7 +125,7 @@
 	for {
 		n, err := conn.Read(chunk)
 		if err != nil {
-			return nil, fmt.Errorf("no answer, as where the key is another one: %w", err)
+			return nil, fmt.Errorf("no reply from the member, which may use another key: %w", err)
 		}
 		received = append(received, chunk[:n]...)
 		frame, size, err := peer.Next(received, key)
--- a/internal/service/helpers_test.go
+++ b/internal/service/helpers_test.go
@@ -12,20 +12,20 @@
 	"snowquay/internal/settings"
 )
 
-// running is a program that runs in this process.
-type running struct {
+// runningProgram is a program that runs in the process of the test.
+type runningProgram struct {
 	stop chan os.Signal
 	done chan error
 }
 
-func run(serve func(stop <-chan os.Signal) error) *running {
-	r := &running{stop: make(chan os.Signal, 1), done: make(chan error, 1)}
+func start(serve func(stop <-chan os.Signal) error) *runningProgram {
+	r := &runningProgram{stop: make(chan os.Signal, 1), done: make(chan error, 1)}
 	go func() { r.done <- serve(r.stop) }()
 	return r
 }
 
-// end stops the program by a signal and fails the test if it ends with an error.
-func (r *running) end(t testing.TB) {
+// end stops the program with a signal. It fails the test if the program returns an error.
+func (r *runningProgram) end(t testing.TB) {
 	t.Helper()
 	r.stop <- os.Interrupt
 	if err := <-r.done; err != nil {
@@ -33,15 +33,16 @@
 	}
 }
 
-func runCoordinator(config *settings.Coordinator) *running {
-	return run(func(stop <-chan os.Signal) error { return Serve(config, slog.New(slog.DiscardHandler), stop) })
+func startCoordinator(config *settings.Coordinator) *runningProgram {
+	return start(func(stop <-chan os.Signal) error { return Serve(config, slog.New(slog.DiscardHandler), stop) })
 }
 
-func runProxy(config *settings.Proxy) *running {
-	return run(func(stop <-chan os.Signal) error { return ServeProxy(config, slog.New(slog.DiscardHandler), stop) })
+func startProxy(config *settings.Proxy) *runningProgram {
+	return start(func(stop <-chan os.Signal) error { return ServeProxy(config, slog.New(slog.DiscardHandler), stop) })
 }
 
-// parseExample parses the example settings of a coordinator after replacements of their text.
+// parseExample parses the example settings of a coordinator after replacements in their text. replacements are old
+// and new texts in turn.
 func parseExample(t *testing.T, replacements ...string) *settings.Coordinator {
 	t.Helper()
 	return parseCoordinator(t, strings.NewReplacer(replacements...).Replace(readFile(t, "../../docs/example.xml")))
@@ -65,11 +66,12 @@
 	return string(text)
 }
 
-func eventually(t *testing.T, what string, ok func() bool) {
+// eventually polls a condition, and fails the test with the text of failure if it does not hold within 20 seconds.
+func eventually(t *testing.T, failure string, condition func() bool) {
 	t.Helper()
-	for end := time.Now().Add(20 * time.Second); !ok(); time.Sleep(20 * time.Millisecond) {
-		if time.Now().After(end) {
-			t.Fatal(what)
+	for deadline := time.Now().Add(20 * time.Second); !condition(); time.Sleep(20 * time.Millisecond) {
+		if time.Now().After(deadline) {
+			t.Fatal(failure)
 		}
 	}
 }
@@ -81,7 +83,7 @@
 	header http.Header
 }
 
-// callAPI makes a call of the administration API at an address. headers are names and values in turn.
+// callAPI calls the administration API at an address. headers are names and values in turn.
 func callAPI(t *testing.T, address, key, method, path, body string, headers ...string) apiResponse {
 	t.Helper()
 	request, err := http.NewRequest(method, "http://"+address+path, strings.NewReader(body))
@@ -104,7 +106,7 @@
 	return apiResponse{status: response.StatusCode, body: string(text), header: response.Header}
 }
 
-// get returns the body of a URL.
+// get returns the body of the response to a GET request.
 func get(t *testing.T, url string) string {
 	t.Helper()
 	response, err := http.Get(url)
@@ -119,7 +121,8 @@
 	return string(text)
 }
 
-// metricNames returns the names, types and help texts in an answer of the metrics endpoint, without those of the Go runtime.
+// metricNames returns the names, types and help texts in a response of the metrics endpoint, without those of the Go
+// runtime.
 func metricNames(metrics string) []byte {
 	var names []byte
 	for line := range strings.Lines(metrics) {
--- a/internal/service/http.go
+++ b/internal/service/http.go
@@ -12,17 +12,18 @@
 )
 
 const (
-	readHeaderTimeout = 5 * time.Second // for a client to send the header of its request
-	shutdownTimeout   = 5 * time.Second // for requests in progress when a server shuts down
+	readHeaderTimeout = 5 * time.Second // limit for a client to send the header of its request
+	shutdownTimeout   = 5 * time.Second // limit for the requests in progress when a server shuts down
 )
 
-// httpServer is an HTTP server beside the event loop. Use listenHTTP.
+// httpServer is an HTTP server that runs outside the event loop. listenHTTP starts one.
 type httpServer struct {
 	server   *http.Server
 	finished chan struct{} // closed when the serving goroutine has ended
 }
 
-// listenHTTP serves HTTP on an address. name is used in errors and the log. The caller shuts the server down or aborts it.
+// listenHTTP starts an HTTP server on an address. name identifies the server in errors and in the log. The caller
+// must call shutdown or abort in the end.
 func listenHTTP(name string, address netip.AddrPort, handler http.Handler, logger *slog.Logger) (*httpServer, error) {
 	listener, err := net.Listen("tcp", address.String())
 	if err != nil {
@@ -42,7 +43,7 @@
 	return s, nil
 }
 
-// shutdown ends the server once the requests in progress are answered, after shutdownTimeout at the latest.
+// shutdown stops the server once the requests in progress are answered, after shutdownTimeout at the latest.
 func (s *httpServer) shutdown() error {
 	ctx, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
 	defer cancel()
@@ -51,7 +52,7 @@
 	return err
 }
 
-// abort ends the server at once and closes its connections.
+// abort stops the server at once and closes its connections.
 func (s *httpServer) abort() error {
 	err := s.server.Close()
 	<-s.finished
--- a/internal/service/metrics.go
+++ b/internal/service/metrics.go
@@ -17,7 +17,7 @@
 	return mux
 }
 
-// metricWriter writes the metrics of a collector, whose names share a prefix.
+// metricWriter writes the metrics of a collector. Their names share a prefix.
 type metricWriter struct {
 	prefix string
 	out    chan<- prometheus.Metric
@@ -36,7 +36,7 @@
 	w.out <- prometheus.MustNewConstMetric(desc, kind, value)
 }
 
-// writeGraphite writes the metrics of the sender to a Graphite server; none if it is nil.
+// writeGraphite writes the metrics of a Graphite sender. It writes none if the sender is nil.
 func (w metricWriter) writeGraphite(sender *graphite.Sender) {
 	if sender == nil {
 		return
--- a/internal/service/metrics_coordinator.go
+++ b/internal/service/metrics_coordinator.go
@@ -14,7 +14,8 @@
 	program *coordinator.Coordinator
 }
 
-// Describe implements prometheus.Collector. It describes nothing: which metrics there are depends on the coordinator's settings.
+// Describe implements prometheus.Collector. It describes nothing, since the set of metrics depends on the
+// coordinator's settings.
 func (c *coordinatorCollector) Describe(chan<- *prometheus.Desc) {}
 
 // Collect implements prometheus.Collector.
@@ -60,7 +61,8 @@
 	w.counter("malformed", "Messages that could not be read.", stats.Malformed)
 }
 
-// writeGroup writes the metrics of a coordinator in its group; none if it is in no group.
+// writeGroup writes the metrics of a coordinator as a member of a group. It writes none if the coordinator is in no
+// group.
 func (w metricWriter) writeGroup(now float64, program *coordinator.Coordinator) {
 	member := program.Member
 	if member == nil || member.Group == nil {
--- a/internal/service/metrics_graphite_test.go
+++ b/internal/service/metrics_graphite_test.go
@@ -12,16 +12,16 @@
 	"snowquay/internal/wire/graphite"
 )
 
-// A coordinator sends its metrics to a Graphite server that starts late, goes, and comes back.
+// A coordinator sends its metrics to a Graphite server that starts late, disconnects, and is reachable again.
 func TestMetricsAreSentToGraphite(t *testing.T) {
 	config := parseExample(t, ":3860", ":15861", ":25826", ":15862", ":9464", ":15863", "snowquay.db", filepath.Join(t.TempDir(), "roll.db"),
 		`<zone name="north"/>`, `<graphite address="127.0.0.1:15864" prefix="sq" every="0.2"/><zone name="north"/>`)
 	if !strings.Contains(config.String(), "figures to 127.0.0.1:15864 each 0.2 s") {
 		t.Error(config)
 	}
-	coordinator := runCoordinator(config)
+	coordinator := startCoordinator(config)
 	defer coordinator.end(t)
-	eventually(t, "the coordinator does not run", func() bool {
+	eventually(t, "the coordinator does not accept connections", func() bool {
 		conn, err := net.Dial("tcp", "127.0.0.1:15861")
 		return err == nil && conn.Close() == nil
 	})
@@ -37,7 +37,7 @@
 		if err := conn.SetDeadline(time.Now().Add(20 * time.Second)); err != nil {
 			t.Fatal(err)
 		}
-		seen := map[string]bool{} // paths: three of each server, seven of the fleet
+		seen := map[string]bool{} // by path: three series of each server, seven of the fleet
 		lines := bufio.NewScanner(conn)
 		for len(seen) < 19 && lines.Scan() {
 			sample, err := graphite.Parse(lines.Bytes())
--- a/internal/service/metrics_host.go
+++ b/internal/service/metrics_host.go
@@ -13,7 +13,7 @@
 	program *coordinator.Host
 }
 
-// tenantMetric is a gauge of each tenant of a host.
+// tenantMetric is a gauge that a host has for each of its tenants.
 type tenantMetric struct {
 	desc  *prometheus.Desc
 	value func(host *coordinator.Host, tenant *coordinator.TenantRuntime) float64
@@ -63,7 +63,7 @@
 	return longestWait
 }
 
-// Describe implements prometheus.Collector. It describes nothing: which metrics there are depends on the tenants.
+// Describe implements prometheus.Collector. It describes nothing, since the set of metrics depends on the tenants.
 func (c *hostCollector) Describe(chan<- *prometheus.Desc) {}
 
 // Collect implements prometheus.Collector.
@@ -98,7 +98,7 @@
 	w.counter("save_failed", "Changes and records that could not be made durable.", host.Stats.SaveFailures)
 	w.counter("measurements_unsigned", "Measurement packets that nobody signed.", host.Stats.Unsigned)
 	w.counter("measurements_foreign", "Those signed by nobody who is known.", host.Stats.Foreign)
-	if host.Stats.Panics > 0 { // it is there from the first one on
+	if host.Stats.Panics > 0 { // the metric exists from the first panic on
 		w.counter("panics", "Panics of tenants, which were started again.", host.Stats.Panics)
 	}
 }
--- a/internal/service/process.go
+++ b/internal/service/process.go
@@ -17,11 +17,11 @@
 )
 
 const (
-	leaveTimeout      = 2 * time.Second       // for the other members of a group to learn that this one leaves
-	leavePollInterval = 20 * time.Millisecond // between two checks whether they have learnt it
+	leaveTimeout      = 2 * time.Second       // limit for the other members of a group to learn that this one leaves
+	leavePollInterval = 20 * time.Millisecond // time between two checks whether they have learnt it
 )
 
-// process owns what a running program has opened, and closes it in the reverse order.
+// process owns the resources that a running program has opened, and closes them in reverse order.
 type process struct {
 	role    string // "coordinator", "host" or "proxy", for the log
 	logger  *slog.Logger
@@ -42,15 +42,15 @@
 	return err
 }
 
-// groupMember is what the process of a member needs to take part in its group.
+// groupMember holds what a process needs to take part in its group.
 type groupMember struct {
 	storage     consensus.Storage
 	incarnation uint64
-	ports       []netip.AddrPort // on which the other members dial this one
+	ports       []netip.AddrPort // addresses to which the other members connect
 }
 
-// openGroup opens the consensus log of a member at a path; the zero groupMember if there is no group. From then on the process
-// stops when fail is called.
+// openGroup opens the consensus log of a member at a path. It returns the zero groupMember if there is no group. From
+// then on the process stops when fail is called.
 func (p *process) openGroup(config *coordinator.GroupConfig, path string) (groupMember, error) {
 	p.failed = make(chan error, 1)
 	if config == nil {
@@ -68,7 +68,7 @@
 	}, nil
 }
 
-// fail stops the process with an error. It is called once at most, so the send never blocks.
+// fail stops the process with an error. It is called at most once, so the send to the buffered channel never blocks.
 func (p *process) fail(err error) { p.failed <- err }
 
 // listen starts the event loop of the program.
@@ -102,8 +102,9 @@
 	return nil
 }
 
-// wait blocks until a signal arrives or the program has failed, and returns the error it failed with. A program that has failed
-// is not started again here: proxies dial another coordinator, and the process supervisor restarts this one or reports why not.
+// wait blocks until a signal arrives or the program has failed, and returns the error it failed with. A failed
+// program is not restarted here: proxies connect to another coordinator, and the process supervisor restarts this one
+// or reports why it can't.
 func (p *process) wait(stop <-chan os.Signal) error {
 	select {
 	case received := <-stop:
@@ -114,7 +115,8 @@
 	}
 }
 
-// leave gives up what this process owns in its group, and waits until the other members know, for leaveTimeout at most.
+// leave releases what this process owns in its group, and waits until the other members know of it, for leaveTimeout
+// at most.
 func (p *process) leave(leave func(now float64) (known bool)) {
 	deadline := time.Now().Add(leaveTimeout)
 	for time.Now().Before(deadline) {
--- a/internal/service/proxy_test.go
+++ b/internal/service/proxy_test.go
@@ -23,8 +23,8 @@
 	"snowquay/internal/settings"
 )
 
-// backends starts servers that answer with their number, and returns their addresses and a function that returns the number of
-// queries of each.
+// backends starts n servers that respond with their index. It returns their addresses and a function that returns the
+// number of requests that each has received.
 func backends(t testing.TB, n int) (at []string, hits func() []int64) {
 	var mu sync.Mutex
 	counts := make([]int64, n)
@@ -45,7 +45,7 @@
 	}
 }
 
-// A proxy follows the weights that a coordinator publishes, and goes on by them when the coordinator has ended.
+// A proxy applies the weights that a coordinator publishes, and continues with them after the coordinator has stopped.
 func TestServeProxy(t *testing.T) {
 	at, hits := backends(t, 3)
 	dir := t.TempDir()
@@ -54,7 +54,7 @@
 		text = strings.Replace(text, `address="`+old+`"`, `standing="true" address="`+at[i]+`"`, 1)
 	}
 	text = strings.Replace(text, `<server address="[::1]:8080" zone="south" pod="1" standing="true"/>`, "", 1)
-	coordinator := runCoordinator(parseCoordinator(t, strings.NewReplacer(":3860", `:15810" http="127.0.0.1:15811`, ":25826", ":15812",
+	coordinator := startCoordinator(parseCoordinator(t, strings.NewReplacer(":3860", `:15810" http="127.0.0.1:15811`, ":25826", ":15812",
 		":9464", ":15813", "snowquay.db", filepath.Join(dir, "roll.db")).Replace(text)))
 	text = strings.NewReplacer(":8000", ":15814", ":9465", ":15815", ":8600", ":15811", "25826", "15812", "relay-1.table",
 		filepath.Join(dir, "table"), "127.0.1.1:8080", at[0], "127.0.1.2:8080", at[1], "127.0.1.3:8080", at[2]).
@@ -63,8 +63,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	proxy := runProxy(config)
-	eventually(t, "the proxy is not led", func() bool {
+	proxy := startProxy(config)
+	eventually(t, "the proxy has no coordinator or no table", func() bool {
 		r, err := http.Get("http://127.0.0.1:15815/metrics")
 		if err != nil {
 			return false
@@ -80,10 +80,10 @@
 	}
 	for i, n := range hits() {
 		if n < 5 {
-			t.Errorf("server %d got %d of 90 queries", i, n)
+			t.Errorf("server %d got %d of 90 requests, want at least 5", i, n)
 		}
 	}
-	eventually(t, "no measurement reaches the coordinator", func() bool {
+	eventually(t, "no valid measurement reaches the coordinator", func() bool {
 		figures := get(t, "http://127.0.0.1:15813/metrics")
 		return strings.Contains(figures, "snowquay_relays_holding 1") && !strings.Contains(figures, "snowquay_measurements_total 0") &&
 			strings.Contains(figures, "snowquay_measurements_garbled_total 0")
@@ -91,29 +91,29 @@
 	golden.Bytes(t, "metrics-proxy.txt", metricNames(get(t, "http://127.0.0.1:15815/metrics")))
 	coordinator.end(t)
 	if got := get(t, "http://127.0.0.1:15814/search/b"); !strings.Contains(got, "got /search/b") {
-		t.Error("without its coordinator it does not go on")
+		t.Error("the proxy does not forward requests without its coordinator")
 	}
-	eventually(t, "no snapshot", func() bool { _, err := os.Stat(filepath.Join(dir, "table")); return err == nil })
+	eventually(t, "the proxy saves no snapshot", func() bool { _, err := os.Stat(filepath.Join(dir, "table")); return err == nil })
 	proxy.end(t)
 }
 
-// load sends queries on several connections and returns the sorted durations of all queries, and the duration of the whole.
-func load(b testing.TB, at string, conns, each int) (times []time.Duration, took time.Duration) {
+// load sends requests on several connections. It returns the sorted durations of all requests, and the total duration.
+func load(b testing.TB, address string, conns, perConn int) (times []time.Duration, elapsed time.Duration) {
 	var mu sync.Mutex
 	var group sync.WaitGroup
 	begin := time.Now()
 	for range conns {
 		group.Go(func() {
-			c, err := net.Dial("tcp", at)
+			c, err := net.Dial("tcp", address)
 			if err != nil {
 				b.Error(err)
 				return
 			}
 			defer func() { _ = c.Close() }()
 			r := bufio.NewReader(c)
-			mine := make([]time.Duration, 0, each)
-			for range each {
-				from := time.Now()
+			durations := make([]time.Duration, 0, perConn)
+			for range perConn {
+				sentAt := time.Now()
 				if _, err := io.WriteString(c, "GET /search HTTP/1.1\r\nHost: x\r\n\r\n"); err != nil {
 					b.Error(err)
 					return
@@ -127,21 +127,21 @@
 					b.Error(err, resp.StatusCode)
 					return
 				}
-				mine = append(mine, time.Since(from))
+				durations = append(durations, time.Since(sentAt))
 			}
 			mu.Lock()
-			times = append(times, mine...)
+			times = append(times, durations...)
 			mu.Unlock()
 		})
 	}
 	group.Wait()
-	took = time.Since(begin)
+	elapsed = time.Since(begin)
 	slices.Sort(times)
-	return times, took
+	return times, elapsed
 }
 
-// BenchmarkProxy compares this proxy with the standard library's reverse proxy with a random choice, on the same servers, and with
-// no proxy at all.
+// BenchmarkProxy compares this proxy with the standard library's reverse proxy, which selects servers at random, and
+// with direct connections to a server, on the same servers.
 func BenchmarkProxy(b *testing.B) {
 	at, _ := backends(b, 8)
 	var list strings.Builder
@@ -153,7 +153,7 @@
 	if err != nil {
 		b.Fatal(err)
 	}
-	proxy := runProxy(config)
+	proxy := startProxy(config)
 	transport := &http.Transport{MaxIdleConnsPerHost: 64, MaxIdleConns: 1000}
 	plain := httptest.NewServer(&httputil.ReverseProxy{Transport: transport, Rewrite: func(r *httputil.ProxyRequest) {
 		r.SetURL(&url.URL{Scheme: "http", Host: at[rand.IntN(len(at))]})
@@ -186,15 +186,15 @@
 	proxy.end(b)
 }
 
-// BenchmarkKeptConnections measures the memory of an idle connection on which one query was answered.
-func BenchmarkKeptConnections(b *testing.B) {
+// BenchmarkIdleConnections measures the memory of an idle connection on which one request was answered.
+func BenchmarkIdleConnections(b *testing.B) {
 	at, _ := backends(b, 1)
 	config, err := settings.ParseProxy("x.xml", []byte(`<proxy uid="p"><listen clients="127.0.0.1:15830"/><zone name="a"/><route path="/" class="search"/>`+
 		`<class name="search" benefit="1" goal-time="5" client-timeout="9" effect="free"/><server address="`+at[0]+`" zone="a" standing="true"/></proxy>`))
 	if err != nil {
 		b.Fatal(err)
 	}
-	proxy := runProxy(config)
+	proxy := startProxy(config)
 	time.Sleep(200 * time.Millisecond)
 	for b.Loop() {
 		const n = 5000
--- a/internal/service/snapshot.go
+++ b/internal/service/snapshot.go
@@ -6,10 +6,10 @@
 	"path/filepath"
 )
 
-// tableSnapshot is the path of the file that a proxy saves its tables in. It implements proxy.Store.
+// tableSnapshot is the path of the file to which a proxy saves its tables. It implements proxy.Store.
 type tableSnapshot string
 
-// Save implements proxy.Store. It replaces the file as a whole.
+// Save implements proxy.Store. It writes a temporary file and renames it, so that the file is replaced as a whole.
 func (s tableSnapshot) Save(data []byte) error {
 	file, err := os.CreateTemp(filepath.Dir(string(s)), ".snapshot-*")
 	if err != nil {
@@ -21,7 +21,7 @@
 		err = os.Rename(file.Name(), string(s))
 	}
 	if err != nil {
-		_ = os.Remove(file.Name()) // the caller learns of the first error, which matters more
+		_ = os.Remove(file.Name()) // the earlier error, which is returned, matters more
 	}
 	return err
 }
--- a/internal/service/tenant_loggers.go
+++ b/internal/service/tenant_loggers.go
@@ -10,7 +10,7 @@
 	"snowquay/internal/core/tenancy"
 )
 
-// tenantLogLimits divides the log between the tenants; a unit is a line.
+// tenantLogLimits are the limits by which the tenants of a host share its log. The unit is a line.
 var tenantLogLimits = fairshare.Config{
 	Rate:          200,
 	Burst:         2000,
@@ -20,15 +20,15 @@
 	MaxYield:      0.1,
 }
 
-// suppressedReportInterval is the minimum time in seconds between two lines that report how many lines of a tenant were
-// suppressed.
+// suppressedReportInterval is the minimum time in seconds between two reports of the number of suppressed lines of a
+// tenant.
 const suppressedReportInterval = 10.0
 
-// tenantLoggers limits the rate of each tenant's log, so that a tenant whose proxies are rejected again and again can't crowd out
-// the others. Suppressed lines are counted. It may be used by several goroutines.
+// tenantLoggers limits the rate of each tenant's log lines, so that a tenant whose proxies are rejected again and
+// again can't crowd out the others. It counts the suppressed lines. It is safe for concurrent use.
 type tenantLoggers struct {
 	base       *slog.Logger
-	mu         sync.Mutex // protects what follows
+	mu         sync.Mutex // protects the fields below
 	shares     *fairshare.Allocator
 	suppressed map[tenancy.Name]int
 	reportedAt map[tenancy.Name]float64
@@ -47,7 +47,7 @@
 
 func unixSeconds(t time.Time) float64 { return float64(t.UnixNano()) / 1e9 }
 
-// logger returns the logger of a tenant, or that of the host, which has no limit, for the empty name.
+// logger returns the logger of a tenant. For the empty name it returns the logger of the host, which has no limit.
 func (l *tenantLoggers) logger(name tenancy.Name) *slog.Logger {
 	if name == "" {
 		return l.base
@@ -67,7 +67,7 @@
 	return logger
 }
 
-// remove forgets a tenant that has been removed.
+// remove deletes the state of a tenant that has been removed.
 func (l *tenantLoggers) remove(name tenancy.Name) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -77,7 +77,8 @@
 	l.shares.Remove(fairshare.Tenant(name))
 }
 
-// allow reports whether a line of a tenant is within its share, and how many suppressed lines it has to report.
+// allow reports whether a line of a tenant is within its share, and the number of suppressed lines that the line has
+// to report.
 func (l *tenantLoggers) allow(now float64, name tenancy.Name) (ok bool, suppressed int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -98,7 +99,7 @@
 	return true, suppressed
 }
 
-// limitedHandler is the handler of a tenant's logger.
+// limitedHandler is the handler of a tenant's logger. It drops lines that exceed the tenant's share.
 type limitedHandler struct {
 	slog.Handler
 	loggers *tenantLoggers
--- a/internal/service/traces.go
+++ b/internal/service/traces.go
@@ -18,18 +18,18 @@
 )
 
 const (
-	coordinatorTraceCapacity = 512 // message traces that a coordinator keeps
-	tenantTraceCapacity      = 64  // message traces that a host keeps of each tenant
+	coordinatorTraceCapacity = 512 // number of message traces that a coordinator keeps
+	tenantTraceCapacity      = 64  // number of message traces that a host keeps of each tenant
 )
 
-// Names of the spans of a message: the whole, its time in the queue and its time on the network.
+// Names of the spans of a message: the whole span, and its child spans for the time in the queue and on the network.
 const (
 	messageSpan = "order"
 	queueSpan   = "waits"
 	networkSpan = "travels"
 )
 
-// Keys of the attributes of a message span. They are also the keys of an admin.MessageTrace in JSON.
+// Keys of the attributes of a message span. admin.MessageTrace uses the same keys in JSON.
 const (
 	tenantKey      = attribute.Key("tenant")
 	relayKey       = attribute.Key("relay")
@@ -45,38 +45,39 @@
 	incarnationKey = attribute.Key("incarnation")
 )
 
-// traceRecorder records what became of the messages to proxies: as spans (decided, sent, acknowledged) and as a histogram.
+// traceRecorder records the progress of the messages to proxies: as spans (decided, sent, acknowledged), and as a
+// histogram of the time from the decision to the acknowledgement.
 type traceRecorder struct {
-	registry       *prometheus.Registry
-	acknowledgedIn *prometheus.HistogramVec
-	tracer         trace.Tracer
-	log            *traceLog
+	registry   *prometheus.Registry
+	ackLatency *prometheus.HistogramVec
+	tracer     trace.Tracer
+	log        *traceLog
 }
 
 // newTraceRecorder returns a recorder that keeps the latest traces of each tenant, up to capacity.
 func newTraceRecorder(capacity int) *traceRecorder {
 	r := &traceRecorder{
 		registry: prometheus.NewRegistry(),
-		acknowledgedIn: prometheus.NewHistogramVec(prometheus.HistogramOpts{
+		ackLatency: prometheus.NewHistogramVec(prometheus.HistogramOpts{
 			Name:    "snowquay_order_held_seconds",
 			Help:    "From a decision until a relay was known to hold it.",
 			Buckets: prometheus.ExponentialBuckets(0.002, 2, 14),
 		}, []string{"urgent"}),
 		log: &traceLog{capacity: capacity, rings: map[tenancy.Name]*traceRing{}},
 	}
-	r.registry.MustRegister(r.acknowledgedIn)
+	r.registry.MustRegister(r.ackLatency)
 	r.tracer = sdk.NewTracerProvider(sdk.WithSyncer(r.log)).Tracer("snowquay")
 	return r
 }
 
-// wallTime converts a clock time in seconds since 1970.
+// wallTime converts a clock time, in seconds since 1970, to a time.Time.
 func wallTime(clock float64) time.Time { return time.Unix(0, int64(clock*1e9)) }
 
 // record records a message of a coordinator without tenants.
 func (r *traceRecorder) record(message controlplane.MessageTrace) { r.recordTenant("", 0, message) }
 
-// recordTenant records a message of a tenant's coordinator: a span with the number of inputs that it was decided from, and a
-// child span for each of its phases.
+// recordTenant records a message of a tenant's coordinator: a span whose attributes count the inputs of the decision,
+// and a child span for each phase of the message.
 func (r *traceRecorder) recordTenant(name tenancy.Name, incarnation tenancy.Incarnation, message controlplane.MessageTrace) {
 	acknowledged := message.AckedAt > 0
 	if acknowledged {
@@ -84,7 +85,7 @@
 		if message.Urgent {
 			urgent = "yes"
 		}
-		r.acknowledgedIn.WithLabelValues(urgent).Observe(message.AckedAt - message.DecidedAt)
+		r.ackLatency.WithLabelValues(urgent).Observe(message.AckedAt - message.DecidedAt)
 	}
 	decidedAt := trace.WithTimestamp(wallTime(message.DecidedAt))
 	sentAt := trace.WithTimestamp(wallTime(message.SentAt))
@@ -109,19 +110,20 @@
 		return
 	}
 	ackedAt := trace.WithTimestamp(wallTime(message.AckedAt))
-	_, travelling := r.tracer.Start(ctx, networkSpan, sentAt)
-	travelling.End(ackedAt)
+	_, inTransit := r.tracer.Start(ctx, networkSpan, sentAt)
+	inTransit.End(ackedAt)
 	span.End(ackedAt)
 }
 
-// serveHTTP answers with the latest message traces of a coordinator without tenants, those to one proxy if ?relay= names it.
+// serveHTTP responds with the latest message traces of a coordinator without tenants. ?relay= restricts them to one
+// proxy.
 func (r *traceRecorder) serveHTTP(w http.ResponseWriter, request *http.Request) {
 	w.Header().Set("Content-Type", "application/json")
 	traces := r.log.latest("", request.URL.Query().Get("relay"))
-	_ = json.NewEncoder(w).Encode(traces) // a client that has gone away needs no answer
+	_ = json.NewEncoder(w).Encode(traces) // fails if the client has disconnected
 }
 
-// traceLog is a span exporter that keeps the latest message traces of each tenant. It may be used by several goroutines.
+// traceLog is a span exporter that keeps the latest message traces of each tenant. It is safe for concurrent use.
 type traceLog struct {
 	capacity int
 	mu       sync.Mutex // protects rings
@@ -131,7 +133,7 @@
 // traceRing is a ring buffer of message traces.
 type traceRing struct {
 	traces []admin.MessageTrace
-	total  int // traces that were ever added
+	total  int // number of traces ever added
 }
 
 func (r *traceRing) add(row admin.MessageTrace, capacity int) {
@@ -162,7 +164,7 @@
 	return nil
 }
 
-// messageTrace converts the span of a message.
+// messageTrace converts the span of a message to an admin.MessageTrace.
 func messageTrace(span sdk.ReadOnlySpan) admin.MessageTrace {
 	row := admin.MessageTrace{
 		Trace:   span.SpanContext().TraceID().String(),
@@ -210,11 +212,12 @@
 	delete(l.rings, name)
 }
 
-// latest returns the latest message traces of a tenant, the newest first; only those to one proxy if its UID is not empty.
+// latest returns the latest message traces of a tenant, the newest first. A non-empty proxyUID restricts them to one
+// proxy.
 func (l *traceLog) latest(name tenancy.Name, proxyUID string) []admin.MessageTrace {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	rows := []admin.MessageTrace{} // not nil: no traces are [] in JSON
+	rows := []admin.MessageTrace{} // not nil, so that an empty list is encoded as [] in JSON
 	ring := l.rings[name]
 	if ring == nil {
 		return rows
--- a/internal/service/traces_test.go
+++ b/internal/service/traces_test.go
@@ -17,7 +17,7 @@
 	recorder.record(controlplane.MessageTrace{UID: "relay-2", Full: true, DecidedAt: 2000, SentAt: 2000.125})
 	traces := recorder.log.latest("one", "")
 	if len(traces) != 2 || traces[0].Round != 2 || traces[1].Round != 1 {
-		t.Fatalf("the latest two are %+v", traces)
+		t.Fatalf("latest returned %+v, want rounds 2 and 1", traces)
 	}
 	traces = append(traces[:1], recorder.log.latest("", "relay-2")...)
 	for i, want := range []string{
@@ -36,7 +36,7 @@
 		}
 		want = strings.NewReplacer(`"DECIDED"`, string(decided), "TRACE", traces[i].Trace).Replace(want)
 		if string(got) != want || len(traces[i].Trace) != 32 {
-			t.Errorf("trace in JSON\n%s, want\n%s", got, want)
+			t.Errorf("trace in JSON\n%s\nwant\n%s", got, want)
 		}
 	}
 }
