--- a/internal/proxy/clients.go
+++ b/internal/proxy/clients.go
@@ -14,16 +14,16 @@
 	"snowquay/internal/wire/http1"
 )
 
-// client is a client's connection. Its requests are handled one at a time.
+// client is a connection from a client. Its requests are handled one at a time.
 type client struct {
 	id           env.Conn
-	received     []byte // not read yet
+	received     []byte // data that has not been consumed yet
 	message      http1.Message
-	request      forwarding.RequestID // in flight; 0: none
-	reading      bool                 // readRequests handles a request and reads on after it
-	closing      bool                 // the connection is closed after the next response
-	continueSent bool                 // the response 100 (Continue) to the request that is incomplete
-	idleSince    float64
+	request      forwarding.RequestID // the request in flight; 0: none
+	reading      bool                 // readRequests is handling a request, and parses the next one itself
+	closing      bool                 // whether to close the connection after the next response
+	continueSent bool                 // whether 100 (Continue) has been sent for the incomplete request
+	idleSince    float64              // time of the latest response, or of the connection if none has been sent
 }
 
 func (p *Proxy) receiveFromClient(now float64, c *client, data []byte) {
@@ -36,12 +36,12 @@
 	p.readRequests(now, c)
 }
 
-// readRequests handles the complete requests that a client has sent, until one is in flight.
+// readRequests handles the complete requests in the received data until one is in flight.
 func (p *Proxy) readRequests(now float64, c *client) {
 	for p.clients[c.id] == c && c.request == 0 && !c.closing && len(c.received) > 0 {
 		length, err := http1.ParseRequest(c.received, p.config.Limits.HTTP, &c.message)
 		if err != nil {
-			p.rejectMalformed(now, c, statusOf(err), err.Error())
+			p.rejectMalformed(now, c, parseErrorStatus(err), err.Error())
 			return
 		}
 		if length == 0 {
@@ -56,7 +56,7 @@
 	}
 }
 
-// consume removes a request of this length from the received data.
+// consume removes a request of the given length from the received data.
 func (c *client) consume(length int) {
 	c.message = http1.Message{}
 	c.continueSent = false
@@ -66,7 +66,7 @@
 	}
 }
 
-// sendContinue asks a client that waits for it to send the body of its request.
+// sendContinue sends 100 (Continue), once per request, to a client that expects it before it sends the body.
 func (p *Proxy) sendContinue(c *client) {
 	if c.message.Continue && !c.continueSent {
 		c.continueSent = true
@@ -74,7 +74,8 @@
 	}
 }
 
-func statusOf(err error) int {
+// parseErrorStatus returns the HTTP status of the response to a request that could not be parsed.
+func parseErrorStatus(err error) int {
 	var parseError *http1.Error
 	if errors.As(err, &parseError) {
 		return parseError.Status
@@ -82,14 +83,15 @@
 	return http.StatusBadRequest
 }
 
-// rejectMalformed answers a request that cannot be read, and closes the connection.
+// rejectMalformed responds to a request that cannot be parsed, and closes the connection.
 func (p *Proxy) rejectMalformed(now float64, c *client, status int, title string) {
 	p.Stats.Malformed++
 	c.closing = true
 	p.respond(now, c, "", problem(status, title, 0))
 }
 
-// problem returns a response as in RFC 9457. retryAfter is in seconds; 0: none.
+// problem returns an error response with problem details (RFC 9457). If retryAfter is 0, the response has no Retry-After field;
+// otherwise it is in seconds and is rounded up.
 func problem(status int, title string, retryAfter float64) *http1.Message {
 	message := &http1.Message{
 		Status: status,
@@ -103,7 +105,8 @@
 	return message
 }
 
-// respond sends the response to a client's current request, and reads the next one.
+// respond sends the response to a client's current request. Then it closes the connection if that is requested, or else handles the
+// requests that have been received in the meantime.
 func (p *Proxy) respond(now float64, c *client, method string, message *http1.Message) {
 	p.response = http1.AppendResponse(p.response[:0], message, method, c.closing)
 	p.io.Send(c.id, p.response)
@@ -123,7 +126,8 @@
 	p.io.Close(c.id)
 }
 
-func (p *Proxy) clientClosed(now float64, c *client) {
+// handleClientClosed cancels the request of a client that has closed its connection.
+func (p *Proxy) handleClientClosed(now float64, c *client) {
 	delete(p.clients, c.id)
 	if c.request == 0 || p.requests[c.request] == nil {
 		return
@@ -132,6 +136,7 @@
 	p.perform(now, p.Core.ClientGone(c.request))
 }
 
+// closeIdleClients closes the connections that have been idle for longer than Limits.IdleTimeout, in the order of their IDs.
 func (p *Proxy) closeIdleClients(now float64) {
 	var idle []*client
 	for _, c := range p.clients {
--- a/internal/proxy/coordinator.go
+++ b/internal/proxy/coordinator.go
@@ -8,28 +8,29 @@
 )
 
 const (
-	redialInterval    = 1.0 // seconds until the next coordinator is dialled, divided by their number; the wait is jittered
-	minRedialFactor   = 0.3 // of redialInterval; the jitter adds up to 1
-	heartbeatInterval = 1.0 // seconds
+	redialInterval    = 1.0 // seconds between dials, divided by the number of coordinators; the delay is jittered
+	minRedialFactor   = 0.3 // smallest fraction of redialInterval; the jitter adds up to 1
+	heartbeatInterval = 1.0 // seconds between SASP heartbeats; the response timeouts derive from it
 )
 
-// coordinatorClient is the connection to the coordinator that owns the proxy, by the long-poll API or SASP.
+// coordinatorClient maintains the connection to the coordinator that owns the proxy. It uses the long-poll API or SASP.
 type coordinatorClient struct {
-	proxy       *Proxy
-	conn        env.Conn // 0: none
-	connected   bool
-	joined      bool // the coordinator has accepted the proxy
-	index       int  // of the current coordinator, or of the next one
-	dialAt      float64
-	received    []byte
-	awaiting    bool    // a response to the latest poll or heartbeat
-	requestedAt float64 // when that was sent
-	pollAt      float64 // long-poll API: no poll before
-	heartbeatAt float64 // SASP: when the next heartbeat is due
-	messageID   uint32  // SASP: of the latest message
-	message     sasp.Message
+	proxy            *Proxy
+	conn             env.Conn // 0: none
+	connected        bool
+	joined           bool // the coordinator has accepted the proxy
+	index            int  // index in Config.Coordinators of the current coordinator, or of the next one to dial
+	nextDialAt       float64
+	received         []byte
+	awaitingResponse bool    // whether the latest poll or heartbeat has no response yet
+	requestSentAt    float64 // when the latest poll or heartbeat was sent
+	nextPollAt       float64 // long-poll API: earliest time of the next poll
+	nextHeartbeatAt  float64 // SASP: time of the next heartbeat
+	messageID        uint32  // SASP: ID of the latest message that was sent
+	message          sasp.Message
 }
 
+// start dials a randomly chosen coordinator, if any is configured.
 func (c *coordinatorClient) start(now float64, p *Proxy) {
 	c.proxy = p
 	coordinators := len(p.config.Coordinators)
@@ -39,7 +40,7 @@
 	}
 }
 
-// address of the current coordinator, or of the next one; the zero value if there is none.
+// address returns the address of the current coordinator, or of the next one to dial. It is the zero value if none is configured.
 func (c *coordinatorClient) address() netip.AddrPort {
 	if len(c.proxy.config.Coordinators) == 0 {
 		return netip.AddrPort{}
@@ -51,11 +52,11 @@
 	c.conn = c.proxy.io.Dial(c.address())
 	c.connected = false
 	c.received = nil
-	c.awaiting = false
-	c.requestedAt = now
+	c.awaitingResponse = false
+	c.requestSentAt = now
 }
 
-// disconnect closes the connection; the next coordinator is dialled after a wait.
+// disconnect closes the connection and schedules a dial of the next coordinator.
 func (c *coordinatorClient) disconnect(now float64, reason string) {
 	if c.conn != 0 {
 		c.proxy.io.Close(c.conn)
@@ -63,27 +64,30 @@
 	c.disconnected(now, reason)
 }
 
+// disconnected handles the end of the connection and schedules a dial of the next coordinator.
 func (c *coordinatorClient) disconnected(now float64, reason string) {
 	if c.joined {
 		c.proxy.config.Log("coordinator lost", "address", c.address(), "reason", reason, "table_age_seconds", c.proxy.Core.Tables.Age(now))
 	}
 	c.conn = 0
 	c.connected = false
-	c.awaiting = false
-	c.leave(now)
+	c.awaitingResponse = false
+	c.markLeft(now)
 	coordinators := len(c.proxy.config.Coordinators)
-	c.dialAt = now + redialInterval*(minRedialFactor+c.proxy.random.Float())/float64(coordinators)
+	c.nextDialAt = now + redialInterval*(minRedialFactor+c.proxy.random.Float())/float64(coordinators)
 	c.index = (c.index + 1) % coordinators
 }
 
-func (c *coordinatorClient) leave(now float64) {
+// markLeft records that the current coordinator no longer accepts the proxy or is disconnected.
+func (c *coordinatorClient) markLeft(now float64) {
 	if c.joined && c.proxy.config.Observer != nil {
 		c.proxy.config.Observer.Left(now)
 	}
 	c.joined = false
 }
 
-func (c *coordinatorClient) join(now float64) {
+// markJoined records that the current coordinator has accepted the proxy.
+func (c *coordinatorClient) markJoined(now float64) {
 	if c.joined {
 		return
 	}
@@ -94,7 +98,7 @@
 	}
 }
 
-// handleConnected reports whether the connection is the coordinator's.
+// handleConnected handles the result of a dial of a coordinator. It returns false if the connection is a different one.
 func (c *coordinatorClient) handleConnected(now float64, id env.Conn, ok bool) bool {
 	if id != c.conn || id == 0 {
 		return false
@@ -104,8 +108,8 @@
 		return true
 	}
 	c.connected = true
-	c.heartbeatAt = now + heartbeatInterval
-	c.pollAt = now
+	c.nextHeartbeatAt = now + heartbeatInterval
+	c.nextPollAt = now
 	if c.proxy.config.SASP {
 		c.register()
 		return true
@@ -132,14 +136,14 @@
 	c.readResponses(now)
 }
 
-// tick dials, polls or sends heartbeats when they are due. It disconnects from a coordinator that does not respond, since the
-// connection to one that is paused stays open.
+// tick dials, polls or sends heartbeats when they are due. It disconnects from a coordinator that does not respond, because the
+// connection to a paused coordinator stays open.
 func (c *coordinatorClient) tick(now float64) {
 	if len(c.proxy.config.Coordinators) == 0 {
 		return
 	}
 	if c.conn == 0 {
-		if now >= c.dialAt {
+		if now >= c.nextDialAt {
 			c.dial(now)
 		}
 		return
--- a/internal/proxy/environment_test.go
+++ b/internal/proxy/environment_test.go
@@ -18,29 +18,29 @@
 	"snowquay/internal/wire/http1"
 )
 
-// noProgram is an env.Program that does nothing, for others to embed.
-type noProgram struct {
+// stubProgram is an env.Program that ignores all events. Test programs embed it and override some of its methods.
+type stubProgram struct {
 	io  env.IO
 	net *simnet.Net
 }
 
-func (b *noProgram) Start(_ float64, io env.IO)                   { b.io = io }
-func (b *noProgram) Opened(float64, env.Conn, netip.Addr, uint16) {}
-func (b *noProgram) Connected(float64, env.Conn, bool)            {}
-func (b *noProgram) Closed(float64, env.Conn)                     {}
-func (b *noProgram) Delivered(float64, env.Conn, uint64)          {}
-func (b *noProgram) Datagram(float64, []byte)                     {}
-func (b *noProgram) TimerFired(float64, int)                      {}
-func (b *noProgram) Receive(float64, env.Conn, []byte)            {}
+func (b *stubProgram) Start(_ float64, io env.IO)                   { b.io = io }
+func (b *stubProgram) Opened(float64, env.Conn, netip.Addr, uint16) {}
+func (b *stubProgram) Connected(float64, env.Conn, bool)            {}
+func (b *stubProgram) Closed(float64, env.Conn)                     {}
+func (b *stubProgram) Delivered(float64, env.Conn, uint64)          {}
+func (b *stubProgram) Datagram(float64, []byte)                     {}
+func (b *stubProgram) TimerFired(float64, int)                      {}
+func (b *stubProgram) Receive(float64, env.Conn, []byte)            {}
 
-// testServer responds with its name, or misbehaves.
+// testServer responds to each request with its name, or simulates a fault.
 type testServer struct {
-	noProgram
+	stubProgram
 	name     string
-	behavior string // ok, silent, reset, drip, twice, fails, full, unframed
-	received map[env.Conn][]byte
-	requests []string
-	closed   int
+	behavior string              // silent, reset, drip, twice, fails, full or unframed; any other value: a normal response
+	received map[env.Conn][]byte // data of incomplete requests
+	requests []string            // method, target and body of each request
+	closed   int                 // number of connections that the proxy has closed
 }
 
 func (s *testServer) Closed(_ float64, conn env.Conn) {
@@ -63,39 +63,39 @@
 	}
 	s.received[conn] = s.received[conn][length:]
 	s.requests = append(s.requests, request.Method+" "+request.Target+" "+string(request.Body))
-	answer := fmt.Appendf(nil, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(s.name), s.name)
+	response := fmt.Appendf(nil, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(s.name), s.name)
 	switch s.behavior {
-	case "silent":
-	case "reset":
-		s.io.Send(conn, answer[:20])
+	case "silent": // no response
+	case "reset": // the connection is closed within the response
+		s.io.Send(conn, response[:20])
 		s.io.Close(conn)
-	case "drip":
-		for i := range answer {
-			s.net.At(now+float64(i), func() { s.io.Send(conn, answer[i:i+1]) })
+	case "drip": // one byte of the response per second
+		for i := range response {
+			s.net.At(now+float64(i), func() { s.io.Send(conn, response[i:i+1]) })
 		}
-	case "twice":
-		s.io.Send(conn, append(answer, answer...))
+	case "twice": // two responses to one request
+		s.io.Send(conn, append(response, response...))
 	case "fails":
-		s.io.Send(conn, []byte("HTTP/1.1 500 Internal Server Error\r\nContent-Length: 4\r\n\r\nowch"))
-	case "full":
+		s.io.Send(conn, []byte("HTTP/1.1 500 Internal Server Error\r\nContent-Length: 4\r\n\r\noops"))
+	case "full": // the request is rejected before it is executed
 		s.io.Send(conn, []byte("HTTP/1.1 503 Service Unavailable\r\nSnowquay-Ran: no\r\nContent-Length: 0\r\n\r\n"))
-	case "unframed":
+	case "unframed": // the body is delimited by the end of the connection
 		s.io.Send(conn, []byte("HTTP/1.0 200 OK\r\n\r\n"+s.name))
 		s.net.At(now+0.1, func() { s.io.Close(conn) })
 	default:
-		s.io.Send(conn, answer)
+		s.io.Send(conn, response)
 	}
 }
 
-// testClient sends data and keeps what it receives.
+// testClient sends data on one connection to the proxy and records what it receives.
 type testClient struct {
-	noProgram
+	stubProgram
 	proxy      netip.AddrPort
-	send       string
+	send       string // data to send when the connection is established
 	conn       env.Conn
 	received   string
-	closed     bool
-	closeAfter float64
+	closed     bool    // whether the proxy has closed the connection
+	closeAfter float64 // seconds after which the client closes the connection; 0: never
 }
 
 func (c *testClient) Start(_ float64, io env.IO) {
@@ -114,17 +114,18 @@
 
 func (c *testClient) Closed(float64, env.Conn) { c.closed = true }
 
-// testEnvironment is a proxy with servers and clients in virtual time.
+// testEnvironment runs a proxy with servers and clients in a simulated network with virtual time.
 type testEnvironment struct {
-	t       *testing.T
-	net     *simnet.Net
-	proxy   *Proxy
-	host    *simnet.Host
-	servers []*testServer
-	hosts   []*simnet.Host
-	clients byte
+	t           *testing.T
+	net         *simnet.Net
+	proxy       *Proxy
+	proxyHost   *simnet.Host
+	servers     []*testServer
+	serverHosts []*simnet.Host
+	clients     byte
 }
 
+// memoryStore is a Store that keeps the snapshot in memory.
 type memoryStore struct{ snapshot []byte }
 
 func (s *memoryStore) Save(snapshot []byte) error {
@@ -134,12 +135,14 @@
 
 func (s *memoryStore) Load() ([]byte, error) { return s.snapshot, nil }
 
-var proxyAt = netip.MustParseAddrPort("10.0.0.1:8080")
+var proxyAddress = netip.MustParseAddrPort("10.0.0.1:8080")
 
-func serverAt(i int) netip.AddrPort {
+func serverAddress(i int) netip.AddrPort {
 	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 1, byte(i + 1)}), 80)
 }
 
+// testConfig returns a configuration with an idempotent, a keyed and a non-idempotent class, whose default tables have the given number of
+// servers.
 func testConfig(servers int) Config {
 	config := Config{
 		UID:    "proxy-1",
@@ -161,12 +164,12 @@
 		},
 	}
 	for i := range servers {
-		config.DefaultServers = append(config.DefaultServers, balancer.Server(serverAt(i).String()))
+		config.DefaultServers = append(config.DefaultServers, balancer.Server(serverAddress(i).String()))
 	}
 	return config
 }
 
-// newTestEnvironment starts a proxy and its servers; change, if not nil, changes the proxy's configuration.
+// newTestEnvironment starts a proxy and its servers. If change is not nil, it changes the configuration of the proxy.
 func newTestEnvironment(t *testing.T, servers int, change func(*Config)) *testEnvironment {
 	e := &testEnvironment{t: t, net: simnet.New(1, 1000)}
 	e.net.Faults.SplitProbability = 0.3
@@ -175,21 +178,21 @@
 		change(&config)
 	}
 	for i := range servers {
-		server := &testServer{noProgram: noProgram{net: e.net}, name: fmt.Sprint("s", i)}
+		server := &testServer{stubProgram: stubProgram{net: e.net}, name: fmt.Sprint("s", i)}
 		e.servers = append(e.servers, server)
-		e.hosts = append(e.hosts, e.net.Add(serverAt(i).Addr(), 0, false))
-		e.hosts[i].Start(server)
+		e.serverHosts = append(e.serverHosts, e.net.Add(serverAddress(i).Addr(), 0, false))
+		e.serverHosts[i].Start(server)
 	}
 	e.proxy = New(e.net.Now(), config)
-	e.host = e.net.Add(proxyAt.Addr(), 0, false)
-	e.host.Start(e.proxy)
+	e.proxyHost = e.net.Add(proxyAddress.Addr(), 0, false)
+	e.proxyHost.Start(e.proxy)
 	return e
 }
 
-// newClient starts a client that sends data and closes its connection after some seconds; 0: it does not.
+// newClient starts a client that sends data, and closes its connection after closeAfter seconds unless that is 0.
 func (e *testEnvironment) newClient(send string, closeAfter float64) *testClient {
 	e.clients++
-	client := &testClient{noProgram: noProgram{net: e.net}, proxy: proxyAt, send: send, closeAfter: closeAfter}
+	client := &testClient{stubProgram: stubProgram{net: e.net}, proxy: proxyAddress, send: send, closeAfter: closeAfter}
 	e.net.Add(netip.AddrFrom4([4]byte{10, 0, 2, e.clients}), 0, false).Start(client)
 	return client
 }
@@ -206,20 +209,21 @@
 	return fmt.Sprintf("POST %s HTTP/1.1\r\nHost: x\r\n%sContent-Length: %d\r\n\r\n%s", path, field, len(body), body)
 }
 
+// expectReceived checks that the data which a client has received contains each of the parts.
 func (e *testEnvironment) expectReceived(client *testClient, parts ...string) {
 	e.t.Helper()
 	for _, part := range parts {
 		if !strings.Contains(client.received, part) {
-			e.t.Errorf("the client got %q, want %q in it", client.received, part)
+			e.t.Errorf("client received %q, which does not contain %q", client.received, part)
 		}
 	}
 }
 
-// testLocations returns locations with two servers in each failure domain.
+// testLocations returns the locations of servers, with two servers in each failure domain.
 func testLocations(servers int) map[balancer.Server]retry.Location {
 	locations := map[balancer.Server]retry.Location{}
 	for i := range servers {
-		server := balancer.Server(serverAt(i).String())
+		server := balancer.Server(serverAddress(i).String())
 		locations[server] = retry.Location{Server: server, FailureDomain: balancer.FailureDomain(i / 2)}
 	}
 	return locations
--- a/internal/proxy/longpoll.go
+++ b/internal/proxy/longpoll.go
@@ -13,25 +13,26 @@
 )
 
 const (
-	pollWait      = 20.0 // seconds that a coordinator may hold a poll
-	shortPollWait = 1.0  // likewise, if there are several: a paused one is noticed by it
+	pollWait      = 20.0 // seconds for which a coordinator may hold a poll open
+	shortPollWait = 1.0  // likewise if there are several coordinators, so that a paused one is detected quickly
 )
 
-// responseLimits of coordinators; a body has tables of all classes.
+// responseLimits apply to responses of coordinators. A body contains the tables of all classes.
 var responseLimits = http1.Limits{Head: 16 << 10, Body: 8 << 20, Fields: 100}
 
 func (c *coordinatorClient) tickLongPoll(now float64) {
-	if !c.awaiting {
-		if now >= c.pollAt {
+	if !c.awaitingResponse {
+		if now >= c.nextPollAt {
 			c.poll(now)
 		}
 		return
 	}
-	if now-c.requestedAt > c.pollWait()+2*heartbeatInterval {
+	if now-c.requestSentAt > c.pollWait()+2*heartbeatInterval {
 		c.disconnect(now, "no response")
 	}
 }
 
+// pollWait returns the seconds for which the coordinator may hold a poll open.
 func (c *coordinatorClient) pollWait() float64 {
 	if len(c.proxy.config.Coordinators) > 1 {
 		return shortPollWait
@@ -39,7 +40,7 @@
 	return pollWait
 }
 
-// poll asks for tables that are newer than those held.
+// poll requests tables that are newer than those the proxy holds.
 func (c *coordinatorClient) poll(now float64) {
 	query := url.Values{"wait": {fmt.Sprint(c.pollWait())}}
 	epoch, version, ownershipEpoch := c.proxy.Core.Tables.HeldVersion()
@@ -50,8 +51,8 @@
 	if ownershipEpoch > 0 {
 		query.Set("lead", strconv.FormatUint(ownershipEpoch, 10))
 	}
-	c.awaiting = true
-	c.requestedAt = now
+	c.awaitingResponse = true
+	c.requestSentAt = now
 	c.proxy.io.Send(c.conn, fmt.Appendf(nil, "GET /v1/proxies/%s/tables?%s HTTP/1.1\r\nHost: coordinator\r\nAccept: %s\r\n\r\n",
 		url.PathEscape(c.proxy.config.UID), query.Encode(), delta.CBOR))
 }
@@ -68,7 +69,7 @@
 		if length == 0 {
 			return
 		}
-		c.awaiting = false
+		c.awaitingResponse = false
 		c.handleResponse(now, &response)
 		if c.conn == id {
 			c.received = append(c.received[:0], c.received[length:]...)
@@ -86,17 +87,18 @@
 		c.poll(now)
 	case http.StatusNoContent:
 		c.proxy.Core.Tables.MarkCurrent(now)
-		c.join(now)
+		c.markJoined(now)
 		c.poll(now)
 	case http.StatusTooManyRequests, http.StatusServiceUnavailable:
-		c.leave(now)
-		c.pollAt = now + retryAfter(response)
-	default: // another coordinator owns the proxy, or it is not authorized
+		c.markLeft(now)
+		c.nextPollAt = now + retryAfter(response)
+	default: // another coordinator owns the proxy, or the proxy is not authorized
 		c.disconnect(now, fmt.Sprint("unexpected status ", response.Status))
 	}
 }
 
-// retryAfter returns the seconds until the next poll that a response asks for.
+// retryAfter returns the delay before the next poll in seconds, from the Retry-After field of a response. If the field is missing,
+// invalid or greater than pollWait, it returns redialInterval.
 func retryAfter(response *http1.Message) float64 {
 	seconds, err := strconv.ParseFloat(response.Get("Retry-After"), 64)
 	if err != nil || !(seconds >= 0) || seconds > pollWait {
@@ -105,7 +107,8 @@
 	return seconds
 }
 
-// applyTables applies the tables of a response. A delta to a version that is not held is no error: the next poll gets complete tables.
+// applyTables applies the tables in a response. A delta to a version that the proxy does not hold is not an error: the next poll requests
+// complete tables.
 func (c *coordinatorClient) applyTables(now float64, response *http1.Message) error {
 	core := c.proxy.Core
 	var tables delta.Tables
@@ -113,7 +116,7 @@
 		c.proxy.config.Log("tables cannot be decoded", "error", err)
 		return fmt.Errorf("decode tables: %w", err)
 	}
-	orders, left, err := core.Tables.Apply(now, &tables)
+	orders, removed, err := core.Tables.Apply(now, &tables)
 	if errors.Is(err, tablecache.ErrUnknownBase) {
 		core.Tables.ForgetVersion()
 		return nil
@@ -127,7 +130,7 @@
 	for i := range tables.Classes {
 		entries += len(tables.Classes[i].Entries)
 	}
-	c.join(now)
-	c.proxy.tablesChanged(now, entries, left)
+	c.markJoined(now)
+	c.proxy.handleTableChange(now, entries, removed)
 	return nil
 }
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -1,6 +1,6 @@
-// Package proxy is a small proxy as an env.Program: it serves HTTP/1.1 clients, forwards their requests to servers by the published
-// tables, gets these from coordinators by the long-poll API or SASP, and sends load reports. The decisions are made in core/forwarding.
-// docs/proxy.md has the reasons for its design.
+// Package proxy implements a small HTTP/1.1 proxy as an env.Program. It forwards client requests to servers according to weight tables,
+// which it receives from coordinators over the long-poll API or SASP, and sends load reports. Package core/forwarding makes the
+// forwarding decisions. See docs/proxy.md for the design.
 package proxy
 
 import (
@@ -16,42 +16,42 @@
 )
 
 const (
-	tickInterval      = 0.01 // seconds
-	idleCheckInterval = 1.0  // seconds between two checks for idle clients
+	tickInterval      = 0.01 // seconds between timer ticks
+	idleCheckInterval = 1.0  // seconds between checks for idle clients
 )
 
 // Stats counts events, for metrics.
 type Stats struct {
-	Malformed       int // requests that cannot be read
-	RejectedClients int // connections beyond Limits.MaxClients
+	Malformed       int // requests that could not be parsed
+	RejectedClients int // client connections beyond Limits.MaxClients
 	Dials           int // connections to servers
-	Reused          int // attempts on idle connections
+	Reused          int // attempts that reused an idle connection
 	Saves           int // attempts to save a snapshot
-	SaveFailed      int
-	UnexpectedData  int // connections on which a server sent more than a response
+	SaveFailed      int // attempts to save a snapshot that failed
+	UnexpectedData  int // server connections closed because the server sent data without a request or after a response
 }
 
-// Proxy is an env.Program. Use New.
+// Proxy is an env.Program. Create one with New.
 type Proxy struct {
-	config       Config
-	io           env.IO
-	Core         *forwarding.Proxy
-	clients      map[env.Conn]*client
-	connections  map[env.Conn]*serverConn
-	targets      map[balancer.Server]*target
-	requests     map[forwarding.RequestID]*pendingRequest
-	attempts     map[forwarding.AttemptID]*serverConn
-	coordinator  coordinatorClient
-	random       random.LCG
-	response     []byte // buffer
-	unsaved      bool   // the tables have changed since the latest snapshot
-	savedAt      float64
-	checkedAt    float64
-	nextReportAt float64
-	Stats        Stats
+	config        Config
+	io            env.IO
+	Core          *forwarding.Proxy
+	clients       map[env.Conn]*client
+	connections   map[env.Conn]*serverConn
+	targets       map[balancer.Server]*target
+	requests      map[forwarding.RequestID]*pendingRequest
+	attempts      map[forwarding.AttemptID]*serverConn
+	coordinator   coordinatorClient
+	random        random.LCG
+	response      []byte // buffer that respond reuses
+	tablesUnsaved bool   // whether the tables have changed since the latest snapshot
+	savedAt       float64
+	idleCheckedAt float64
+	nextReportAt  float64
+	Stats         Stats
 }
 
-// New returns a proxy that does nothing until Start.
+// New returns a proxy that is inactive until Start is called.
 func New(now float64, config Config) *Proxy {
 	p := &Proxy{
 		config:      config,
@@ -105,7 +105,7 @@
 		return
 	}
 	if !ok {
-		p.forget(conn)
+		p.removeServerConn(conn)
 		p.perform(now, p.Core.AttemptFailed(now, conn.attempt, retry.NotExecuted))
 		return
 	}
@@ -129,11 +129,11 @@
 // Closed implements env.Program.
 func (p *Proxy) Closed(now float64, id env.Conn) {
 	if c := p.clients[id]; c != nil {
-		p.clientClosed(now, c)
+		p.handleClientClosed(now, c)
 		return
 	}
 	if conn := p.connections[id]; conn != nil {
-		p.serverClosed(now, conn)
+		p.handleServerClosed(now, conn)
 		return
 	}
 	p.coordinator.handleClosed(now, id)
@@ -142,7 +142,7 @@
 // Delivered implements env.Program.
 func (p *Proxy) Delivered(float64, env.Conn, uint64) {}
 
-// IgnoreDelivery implements eventloop.DeliveryIgnorer: the proxy does not use reports of what its peers have received.
+// IgnoreDelivery implements eventloop.DeliveryIgnorer: the proxy does not use delivery reports.
 func (p *Proxy) IgnoreDelivery() {}
 
 // Datagram implements env.Program.
@@ -156,27 +156,28 @@
 		p.nextReportAt = now + p.config.ReportInterval
 		p.sendReports(now)
 	}
-	if p.unsaved && now-p.savedAt >= saveInterval {
+	if p.tablesUnsaved && now-p.savedAt >= saveInterval {
 		p.saveTables(now)
 	}
-	if now-p.checkedAt >= idleCheckInterval {
-		p.checkedAt = now
+	if now-p.idleCheckedAt >= idleCheckInterval {
+		p.idleCheckedAt = now
 		p.closeIdleClients(now)
 	}
 	p.io.SetTimer(now+tickInterval, 0)
 }
 
-// Reconnect closes the connection to the coordinator; the next one is dialled.
+// Reconnect closes the connection to the current coordinator and schedules a dial of the next one.
 func (p *Proxy) Reconnect(now float64) {
 	if p.coordinator.conn != 0 {
 		p.coordinator.disconnect(now, "reconnect requested")
 	}
 }
 
-// Clients returns the number of client connections.
+// Clients returns the number of open client connections.
 func (p *Proxy) Clients() int { return len(p.clients) }
 
-// Coordinator reports whether a coordinator has accepted the proxy, and the address of the current or next one.
+// Coordinator reports whether a coordinator has accepted the proxy, and returns the address of the current coordinator or of the next one
+// to dial.
 func (p *Proxy) Coordinator() (joined bool, address netip.AddrPort) {
 	return p.coordinator.joined, p.coordinator.address()
 }
--- a/internal/proxy/proxy_test.go
+++ b/internal/proxy/proxy_test.go
@@ -14,21 +14,21 @@
 	client := e.newClient(get("/search?q=1")+get("/search?q=2")+post("/introduce", "", "body")+get("/nowhere"), 0)
 	e.runFor(1)
 	e.expectReceived(client, "s0", "s1", "404")
-	if answered := strings.Count(client.received, "HTTP/1.1 200"); answered != 3 {
-		t.Errorf("%d of 3 requests are answered: %s", answered, client.received)
+	if succeeded := strings.Count(client.received, "HTTP/1.1 200"); succeeded != 3 {
+		t.Errorf("%d of 3 requests succeeded: %s", succeeded, client.received)
 	}
 	if client.closed || e.proxy.Clients() != 1 {
-		t.Error("the connection is closed")
+		t.Error("client connection was closed")
 	}
 	if e.proxy.Stats.Reused != 1 {
-		t.Errorf("%d connections were used again, want 1", e.proxy.Stats.Reused)
+		t.Errorf("%d attempts reused a connection, want 1", e.proxy.Stats.Reused)
 	}
 
 	closing := e.newClient("GET /search HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n", 0)
 	e.runFor(1)
 	e.expectReceived(closing, "Connection: close")
 	if !closing.closed {
-		t.Error("the connection stays open after Connection: close")
+		t.Error("client connection stays open after a request with Connection: close")
 	}
 
 	for _, server := range e.servers {
@@ -39,7 +39,7 @@
 	e.expectReceived(client, "Content-Length: 2")
 }
 
-// An idempotent request is answered by another server in time; one that is not is executed once at most.
+// If a server fails, idempotent requests succeed on another server in time, and non-idempotent requests are executed at most once.
 func TestFaultyServers(t *testing.T) {
 	for _, behavior := range []string{"silent", "reset", "drip", "fails", "full", "twice"} {
 		t.Run(behavior, func(t *testing.T) {
@@ -53,7 +53,7 @@
 			for _, client := range clients {
 				e.expectReceived(client, "HTTP/1.1 200")
 				if strings.Count(client.received, "HTTP/1.1") != 1 {
-					t.Errorf("not one response: %q", client.received)
+					t.Errorf("client received %q, want exactly one response", client.received)
 				}
 			}
 			for i := range 6 {
@@ -68,7 +68,7 @@
 	}
 }
 
-// expectExecutedOnce checks that a number of requests, which are not idempotent, reached a server that executes them, and each once.
+// expectExecutedOnce checks that the given number of non-idempotent requests reached a server that executes them, each exactly once.
 func (e *testEnvironment) expectExecutedOnce(requests int) {
 	e.t.Helper()
 	executions := map[string]int{}
@@ -85,13 +85,13 @@
 		}
 	}
 	if len(executions) != requests {
-		e.t.Errorf("%d of %d requests reached a server", len(executions), requests)
+		e.t.Errorf("%d of %d requests reached a server that executes them", len(executions), requests)
 	}
 }
 
 func TestUnreachableServers(t *testing.T) {
 	e := newTestEnvironment(t, 2, nil)
-	e.hosts[0].Kill() // a refused connection proves that nothing was executed
+	e.serverHosts[0].Kill() // a refused connection proves that the request was not executed
 	for i := range 6 {
 		client := e.newClient(post("/once", "", fmt.Sprint(i)), 0)
 		e.runFor(0.5)
@@ -100,14 +100,14 @@
 	e.servers[1].behavior = "fails"
 	client := e.newClient(get("/search"), 0)
 	e.runFor(2)
-	e.expectReceived(client, "500", "owch") // the server's own response
-	e.hosts[1].Kill()
+	e.expectReceived(client, "500", "oops") // the response of the server
+	e.serverHosts[1].Kill()
 	client = e.newClient(get("/search"), 0)
 	e.runFor(2)
 	e.expectReceived(client, "HTTP/1.1 502")
 }
 
-// The attempts of a client that closes its connection are cancelled, so that the server notices.
+// When a client closes its connection, its attempts are cancelled by closing their connections to servers.
 func TestClientClosesConnection(t *testing.T) {
 	e := newTestEnvironment(t, 1, nil)
 	e.servers[0].behavior = "silent"
@@ -117,10 +117,11 @@
 		t.Errorf("%d connections to the server were closed, want 1", e.servers[0].closed)
 	}
 	if e.proxy.Core.InFlight() != 0 || len(e.proxy.requests) != 0 || e.proxy.Clients() != 0 {
-		t.Errorf("%d requests in flight, %d clients", e.proxy.Core.InFlight(), e.proxy.Clients())
+		t.Errorf("%d requests in flight, %d clients; want none", e.proxy.Core.InFlight(), e.proxy.Clients())
 	}
 }
 
+// limitClients sets limits that tests can reach with little data and few clients.
 func limitClients(config *Config) {
 	config.Limits.HTTP = http1.Limits{Head: 500, Body: 1000, Fields: 20}
 	config.Limits.MaxClients = 3
@@ -144,10 +145,10 @@
 			e.runFor(0.5)
 			e.expectReceived(client, "HTTP/1.1 "+test.status, "Connection: close")
 			if !client.closed || strings.Count(client.received, "HTTP/1.1") != 1 {
-				t.Errorf("requests after it are read: %q", client.received)
+				t.Errorf("client received %q, want one response and a closed connection", client.received)
 			}
 			if len(e.servers[0].requests) != 0 {
-				t.Errorf("the server got %q", e.servers[0].requests)
+				t.Errorf("server received %q, want no requests", e.servers[0].requests)
 			}
 		})
 	}
@@ -160,7 +161,7 @@
 	e.runFor(1)
 	e.expectReceived(client, "HTTP/1.1 422")
 	if strings.Count(client.received, "HTTP/1.1 200") != 2 {
-		t.Errorf("the same request is not answered twice: %q", client.received)
+		t.Errorf("the two equal requests did not both succeed: %q", client.received)
 	}
 }
 
@@ -184,16 +185,16 @@
 	fourth := e.newClient("", 0)
 	e.runFor(0.5)
 	if third.closed || !fourth.closed {
-		t.Error("a fourth client is accepted, or a third is not")
+		t.Error("client limit is 3, but the third client was rejected or the fourth accepted")
 	}
 	e.runFor(7)
 	if !third.closed {
-		t.Error("an idle client stays connected")
+		t.Error("idle client stays connected after the idle timeout")
 	}
 }
 
-// All servers fail at once: each request ends within its client timeout and retries stay within their budget; when the servers have
-// recovered, requests are answered at once.
+// While all servers fail, each request ends within its client timeout and retries stay within their budget. Once the servers have recovered,
+// requests succeed immediately.
 func TestAllServersFail(t *testing.T) {
 	e := newTestEnvironment(t, 3, func(config *Config) { config.Forwarding.Budget = retry.Budget{Ratio: 0.1, Burst: 5} })
 	for _, server := range e.servers {
@@ -209,7 +210,7 @@
 	}
 	stats := e.proxy.Core.Stats
 	if stats.Retries > 16 || stats.OverBudget == 0 || e.proxy.Core.InFlight() != 0 {
-		t.Errorf("%d in flight, %+v", e.proxy.Core.InFlight(), stats)
+		t.Errorf("%d requests in flight, want 0; want at most 16 retries and some over budget: %+v", e.proxy.Core.InFlight(), stats)
 	}
 	for _, server := range e.servers {
 		server.behavior = ""
--- a/internal/proxy/reports.go
+++ b/internal/proxy/reports.go
@@ -8,7 +8,7 @@
 	"snowquay/internal/feed/collectd"
 )
 
-// sendReports sends the load reports to the collector of the current coordinator.
+// sendReports sends load reports to the collector on the current coordinator's host.
 func (p *Proxy) sendReports(now float64) {
 	collector := netip.AddrPortFrom(p.coordinator.address().Addr(), p.config.CollectorPort)
 	send := func(packet []byte) { p.io.Datagram(collector, packet) }
--- a/internal/proxy/requests.go
+++ b/internal/proxy/requests.go
@@ -15,15 +15,15 @@
 
 const idempotencyKeyField = "Idempotency-Key"
 
-// pendingRequest is a client's request that is in flight.
+// pendingRequest is a client request in flight.
 type pendingRequest struct {
 	client      *client
 	method      string
-	data        []byte // as it is sent to servers
-	lastFailure []byte // the latest response that counts as a failure; nil: none
+	data        []byte // the encoded request, as it is sent to servers
+	lastFailure []byte // the latest encoded response with a status of 500 or above; nil: none
 }
 
-// handleRequest forwards the request that a client has sent, or rejects it.
+// handleRequest forwards a client's current request, or rejects it if no class matches its path.
 func (p *Proxy) handleRequest(now float64, c *client) {
 	message := &c.message
 	class, ok := p.route(message.Target)
@@ -31,18 +31,18 @@
 		p.respond(now, c, message.Method, problem(http.StatusNotFound, "no class of queries is at this path", 0))
 		return
 	}
-	received := forwarding.Request{Class: class, IdempotencyKey: message.Get(idempotencyKeyField)}
-	if received.IdempotencyKey != "" {
-		received.Fingerprint = fingerprint(message)
+	coreRequest := forwarding.Request{Class: class, IdempotencyKey: message.Get(idempotencyKeyField)}
+	if coreRequest.IdempotencyKey != "" {
+		coreRequest.Fingerprint = fingerprint(message)
 	}
 	request := &pendingRequest{client: c, method: message.Method, data: http1.AppendRequest(nil, message)}
-	id, actions := p.Core.HandleRequest(now, received)
+	id, actions := p.Core.HandleRequest(now, coreRequest)
 	p.requests[id] = request
 	c.request = id
 	p.perform(now, actions)
 }
 
-// route returns the class of a request; ok is false if there is none.
+// route returns the request class for a path; ok is false if no route matches.
 func (p *Proxy) route(path string) (class balancer.Class, ok bool) {
 	for _, route := range p.config.Routes {
 		if strings.HasPrefix(path, route.Prefix) {
@@ -52,6 +52,7 @@
 	return 0, false
 }
 
+// fingerprint returns a hash of the method, target and body of a request. It detects the reuse of an idempotency key for another request.
 func fingerprint(message *http1.Message) uint64 {
 	digest := xxhash.New()
 	_, _ = digest.WriteString(message.Method + " " + message.Target + "\n")
@@ -59,7 +60,7 @@
 	return digest.Sum64()
 }
 
-// perform executes actions in their order.
+// perform executes actions of the forwarding core in order.
 func (p *Proxy) perform(now float64, actions []forwarding.Action) {
 	for _, action := range actions {
 		switch action.Kind {
@@ -75,7 +76,8 @@
 	}
 }
 
-// failRequest tells a client that its request failed or is rejected. If a server has said why it failed, its response is passed on.
+// failRequest responds to a client whose request failed or was rejected. If all attempts failed and a server sent a failure response, the
+// latest such response is returned to the client.
 func (p *Proxy) failRequest(now float64, action forwarding.Action) {
 	request := p.requests[action.Request]
 	if request == nil {
@@ -94,7 +96,7 @@
 	p.respond(now, request.client, request.method, response)
 }
 
-// failureStatus returns the HTTP status for an error of the forwarding core.
+// failureStatus maps an error of the forwarding core to an HTTP status.
 func failureStatus(err error) int {
 	switch {
 	case errors.Is(err, forwarding.ErrKeyReused):
--- a/internal/proxy/sasp.go
+++ b/internal/proxy/sasp.go
@@ -8,34 +8,38 @@
 	"snowquay/internal/wire/sasp"
 )
 
+// saspFlags are the flags in the SetBalancer messages of the proxy.
 const saspFlags = sasp.Push | sasp.Trust | sasp.NoChange
 
+// tickSASP sends a heartbeat when it is due. If there is another coordinator, it disconnects from one that has not responded to the
+// previous heartbeat.
 func (c *coordinatorClient) tickSASP(now float64) {
-	if now < c.heartbeatAt {
+	if now < c.nextHeartbeatAt {
 		return
 	}
-	c.heartbeatAt = now + heartbeatInterval
-	if c.awaiting && now-c.requestedAt > heartbeatInterval/2 && len(c.proxy.config.Coordinators) > 1 {
+	c.nextHeartbeatAt = now + heartbeatInterval
+	if c.awaitingResponse && now-c.requestSentAt > heartbeatInterval/2 && len(c.proxy.config.Coordinators) > 1 {
 		c.disconnect(now, "no response")
 		return
 	}
 	c.sendSetBalancer()
-	c.awaiting = true
-	c.requestedAt = now
+	c.awaitingResponse = true
+	c.requestSentAt = now
 }
 
+// send assigns the next message ID to a message and sends it.
 func (c *coordinatorClient) send(message *sasp.Message) {
 	c.messageID++
 	message.ID = c.messageID
 	c.proxy.io.Send(c.conn, sasp.Append(nil, message))
 }
 
-// sendSetBalancer identifies the proxy. It is the heartbeat too.
+// sendSetBalancer identifies the proxy to the coordinator. The message also serves as the heartbeat.
 func (c *coordinatorClient) sendSetBalancer() {
 	c.send(&sasp.Message{Kind: sasp.SetBalancer, UID: []byte(c.proxy.config.UID), Flags: saspFlags})
 }
 
-// register identifies the proxy, and registers the servers that it holds as the members of its groups.
+// register identifies the proxy, and registers the servers in its tables as the members of one group per class.
 func (c *coordinatorClient) register() {
 	c.sendSetBalancer()
 	registration := &sasp.Message{Kind: sasp.Registration, LB: sasp.FromBalancer}
@@ -77,7 +81,7 @@
 func (c *coordinatorClient) handleMessage(now float64, message *sasp.Message) {
 	switch message.Kind {
 	case sasp.SetBalancerReply:
-		c.awaiting = false
+		c.awaitingResponse = false
 		if c.joined {
 			c.proxy.Core.Tables.MarkCurrent(now)
 		}
@@ -86,16 +90,16 @@
 			c.disconnect(now, message.Code.String())
 			return
 		}
-		c.join(now)
+		c.markJoined(now)
 	case sasp.SendWeights:
 		c.applyWeights(now, message)
 	}
 }
 
-// applyWeights applies the groups in the order in which they come: servers are added before others are removed, so that no table is
-// empty meanwhile.
+// applyWeights applies groups in the order in which they arrive: servers are added before others are removed, so that no table is empty in
+// between.
 func (c *coordinatorClient) applyWeights(now float64, message *sasp.Message) {
-	var left []balancer.Server
+	var allRemoved []balancer.Server
 	for _, group := range message.Groups {
 		name := string(group.Name)
 		uid := string(group.UID)
@@ -104,7 +108,7 @@
 			c.proxy.config.Log("weights rejected", "group", name, "uid", uid, "error", err)
 			continue
 		}
-		left = append(left, removed...)
+		allRemoved = append(allRemoved, removed...)
 	}
-	c.proxy.tablesChanged(now, len(message.Rows), left)
+	c.proxy.handleTableChange(now, len(message.Rows), allRemoved)
 }
--- a/internal/proxy/servers.go
+++ b/internal/proxy/servers.go
@@ -14,29 +14,29 @@
 )
 
 const (
-	notExecutedField = "Snowquay-Ran" // "no" in a 503: the server has not begun with the request
-	maxIdleBuffer    = 8 << 10        // bytes that an idle connection keeps for its next response
+	notExecutedField = "Snowquay-Ran" // response field; "no" in a 503 means that the server has not started to execute the request
+	maxIdleBuffer    = 8 << 10        // largest receive buffer, in bytes, that an idle connection retains
 )
 
-// target is a server to which requests are forwarded.
+// target is a server to which requests are forwarded, with its idle connections.
 type target struct {
 	address netip.AddrPort
 	idle    []*serverConn
-	removed bool // from the tables
+	removed bool // whether no table has the server any more
 }
 
 // serverConn is a connection to a server. It carries one attempt at a time.
 type serverConn struct {
 	id        env.Conn
 	target    *target
-	attempt   forwarding.AttemptID // 0: it is idle
+	attempt   forwarding.AttemptID // 0: the connection is idle
 	request   forwarding.RequestID
 	connected bool
 	received  []byte
 	message   http1.Message
 }
 
-// sendAttempt sends a request to a server, on an idle connection if there is one.
+// sendAttempt sends a request to a server on an idle connection, or on a new one if none is idle.
 func (p *Proxy) sendAttempt(now float64, action forwarding.Action) {
 	t := p.targetOf(action.Server)
 	if t == nil {
@@ -46,7 +46,7 @@
 	if p.config.Observer != nil {
 		p.config.Observer.AttemptSent(now, action.Server)
 	}
-	conn := p.connection(t)
+	conn := p.acquireServerConn(t)
 	conn.attempt = action.Attempt
 	conn.request = action.Request
 	conn.received = conn.received[:0]
@@ -56,7 +56,7 @@
 	}
 }
 
-// targetOf returns the target of a server; nil: its name is no address.
+// targetOf returns the target for a server, or nil if the name of the server is not an address.
 func (p *Proxy) targetOf(server balancer.Server) *target {
 	if t := p.targets[server]; t != nil {
 		return t
@@ -70,8 +70,8 @@
 	return t
 }
 
-// connection returns the idle connection to a target that was used last, or a new one.
-func (p *Proxy) connection(t *target) *serverConn {
+// acquireServerConn returns the most recently used idle connection to a target, or dials a new one.
+func (p *Proxy) acquireServerConn(t *target) *serverConn {
 	if len(t.idle) > 0 {
 		last := len(t.idle) - 1
 		conn := t.idle[last]
@@ -85,14 +85,15 @@
 	return conn
 }
 
+// sendRequest sends the current request of a connection to its server.
 func (p *Proxy) sendRequest(conn *serverConn) {
 	if request := p.requests[conn.request]; request != nil {
 		p.io.Send(conn.id, request.data)
 	}
 }
 
-// forget removes a connection that is closed.
-func (p *Proxy) forget(conn *serverConn) {
+// removeServerConn removes a closed connection from the maps of the proxy and from the idle connections.
+func (p *Proxy) removeServerConn(conn *serverConn) {
 	delete(p.connections, conn.id)
 	delete(p.attempts, conn.attempt)
 	if i := slices.Index(conn.target.idle, conn); i >= 0 {
@@ -101,7 +102,7 @@
 }
 
 func (p *Proxy) closeServerConn(conn *serverConn) {
-	p.forget(conn)
+	p.removeServerConn(conn)
 	p.io.Close(conn.id)
 }
 
@@ -119,7 +120,7 @@
 	for {
 		length, err := http1.ParseResponse(conn.received, method, p.config.Limits.HTTP, &conn.message)
 		if err != nil {
-			p.connectionBroken(now, conn)
+			p.handleServerConnFailure(now, conn)
 			p.io.Close(conn.id)
 			return
 		}
@@ -130,12 +131,12 @@
 			p.handleResponse(now, conn, length)
 			return
 		}
-		conn.received = append(conn.received[:0], conn.received[length:]...) // an interim response, such as 100 (Continue)
+		conn.received = append(conn.received[:0], conn.received[length:]...) // skip an interim response such as 100 (Continue)
 	}
 }
 
-// handleResponse handles a complete response, which has this length in conn.received. Status 500 and above is a failure of the server:
-// the request may be retried elsewhere.
+// handleResponse handles a complete response, which occupies the first length bytes of conn.received. A status of 500 or above is a server
+// failure: the request may be retried on another server.
 func (p *Proxy) handleResponse(now float64, conn *serverConn, length int) {
 	attempt := conn.attempt
 	message := conn.message
@@ -150,7 +151,7 @@
 	reusable := !message.Close && !unexpectedData && !conn.target.removed && len(conn.target.idle) < p.config.Limits.MaxIdlePerServer
 	if message.Status >= http.StatusInternalServerError {
 		failure := slices.Clone(conn.received[:length])
-		p.release(conn, reusable)
+		p.releaseServerConn(conn, reusable)
 		p.handleFailure(now, attempt, &message, failure)
 		return
 	}
@@ -159,11 +160,11 @@
 		delete(p.requests, id)
 		p.respond(now, request.client, request.method, &message)
 	}
-	p.release(conn, reusable)
+	p.releaseServerConn(conn, reusable)
 	p.perform(now, actions)
 }
 
-// handleFailure handles a response that is a failure of the server. It is kept for the client, in case all attempts fail.
+// handleFailure handles a response that reports a server failure. The response is stored and returned to the client if all attempts fail.
 func (p *Proxy) handleFailure(now float64, attempt forwarding.AttemptID, message *http1.Message, failure []byte) {
 	outcome := retry.MaybeExecuted
 	if message.Status == http.StatusServiceUnavailable && strings.EqualFold(message.Get(notExecutedField), "no") {
@@ -176,8 +177,8 @@
 	p.perform(now, p.Core.AttemptFailed(now, attempt, outcome))
 }
 
-// release keeps a connection for the next request if it is reusable, and closes it otherwise.
-func (p *Proxy) release(conn *serverConn, reusable bool) {
+// releaseServerConn makes a reusable connection available for further requests, and closes any other.
+func (p *Proxy) releaseServerConn(conn *serverConn, reusable bool) {
 	if !reusable {
 		delete(p.connections, conn.id)
 		p.io.Close(conn.id)
@@ -190,18 +191,19 @@
 	conn.target.idle = append(conn.target.idle, conn)
 }
 
-func (p *Proxy) serverClosed(now float64, conn *serverConn) {
+// handleServerClosed handles the end of a connection to a server. The end completes a response whose body is delimited by it.
+func (p *Proxy) handleServerClosed(now float64, conn *serverConn) {
 	if conn.attempt != 0 && conn.message.UntilClose && http1.CompleteResponseAtEOF(conn.received, &conn.message) == nil {
 		conn.message.Close = true
 		p.handleResponse(now, conn, len(conn.received))
 		return
 	}
-	p.connectionBroken(now, conn)
+	p.handleServerConnFailure(now, conn)
 }
 
-// connectionBroken fails the attempt of a connection that has ended or cannot be used any more.
-func (p *Proxy) connectionBroken(now float64, conn *serverConn) {
-	p.forget(conn)
+// handleServerConnFailure removes a connection that has ended or is no longer usable, and fails its attempt.
+func (p *Proxy) handleServerConnFailure(now float64, conn *serverConn) {
+	p.removeServerConn(conn)
 	if conn.attempt != 0 {
 		p.perform(now, p.Core.AttemptFailed(now, conn.attempt, retry.MaybeExecuted))
 	}
--- a/internal/proxy/tables.go
+++ b/internal/proxy/tables.go
@@ -2,9 +2,9 @@
 
 import "snowquay/balancer"
 
-const saveInterval = 1.0 // seconds between two snapshots at least
+const saveInterval = 1.0 // minimum seconds between snapshots
 
-// restoreTables takes the tables of the stored snapshot, so that a proxy that restarts does not need a coordinator.
+// restoreTables restores the tables from the stored snapshot, so that a restarted proxy can forward requests without a coordinator.
 func (p *Proxy) restoreTables(now float64) {
 	if p.config.Store == nil {
 		return
@@ -24,8 +24,9 @@
 	p.config.Log("tables restored from snapshot", "age_seconds", p.Core.Tables.Age(now))
 }
 
+// saveTables saves a snapshot of the tables to the Store.
 func (p *Proxy) saveTables(now float64) {
-	p.unsaved = false
+	p.tablesUnsaved = false
 	p.savedAt = now
 	p.Stats.Saves++
 	snapshot, err := p.Core.Tables.Save()
@@ -38,11 +39,12 @@
 	}
 }
 
-// tablesChanged closes the idle connections to servers that have left the tables; requests in flight there go on.
-func (p *Proxy) tablesChanged(now float64, entries int, left []balancer.Server) {
-	p.unsaved = p.config.Store != nil
-	p.Core.RemoveServers(left)
-	for _, server := range left {
+// handleTableChange handles a change of entries in the tables. It closes the idle connections to servers that no table has any more;
+// requests in flight to them continue.
+func (p *Proxy) handleTableChange(now float64, entries int, removed []balancer.Server) {
+	p.tablesUnsaved = p.config.Store != nil
+	p.Core.RemoveServers(removed)
+	for _, server := range removed {
 		p.removeTarget(server)
 	}
 	if p.config.Observer != nil {
@@ -50,6 +52,7 @@
 	}
 }
 
+// removeTarget removes the target for a server and closes its idle connections.
 func (p *Proxy) removeTarget(server balancer.Server) {
 	t := p.targets[server]
 	if t == nil {
@@ -65,7 +68,7 @@
 	}
 }
 
-// classesWithServers says of each class whether its table has a server.
+// classesWithServers reports for each class whether its table has a server.
 func (p *Proxy) classesWithServers() []bool {
 	var hasServer []bool
 	for class := range p.config.Forwarding.ClassNames {
