--- a/balancer/balancer_test.go
+++ b/balancer/balancer_test.go
@@ -162,7 +162,7 @@
 	b := h.balancer
 	someWarm := slices.ContainsFunc(b.servers, func(s *server) bool { return b.isWarmAndReady(h.now, s) })
 	oneTable := len(b.eligibilitySets) == 1 && len(b.groups) <= 1
-	if !someWarm || !oneTable || b.completionRates.Entries() < 20 {
+	if !someWarm || !oneTable || b.completionRates.Count() < 20 {
 		return
 	}
 	for _, s := range b.servers {
--- a/balancer/estimates.go
+++ b/balancer/estimates.go
@@ -19,7 +19,7 @@
 
 // requestRateScale is the scale of completion rate histograms, in requests per second: 16 bins cover
 // rates up to 130, and values of the last half minute to two minutes count.
-var requestRateScale = histogram.Scale{Min: minRequestRate, Growth: 1.5, Halve: 64}
+var requestRateScale = histogram.Scale{Min: minRequestRate, Growth: 1.5, HalveAbove: 64}
 
 // endPeriod updates all estimates at the end of a report period, then the intakes and the admitted
 // fractions.
--- a/balancer/health.go
+++ b/balancer/health.go
@@ -47,7 +47,7 @@
 		return warm * b.completionRates.Mean() * min(safeIntakeFactor, b.guarantees.OverloadFactor/2)
 	}
 	usual := srv.completionRates.Mean()
-	if srv.onTime || srv.completionRates.Entries() == 0 {
+	if srv.onTime || srv.completionRates.Count() == 0 {
 		usual = max(usual, b.completionRates.Mean())
 	}
 	return safeIntakeFactor * usual
@@ -69,10 +69,10 @@
 func boundIntakes(candidates []candidate, attemptRate float64) {
 	total := 0.0
 	warmTotal := 0.0
-	takers := make([]waterfill.Taker, len(candidates))
+	takers := make([]waterfill.Consumer, len(candidates))
 	for i := range candidates {
 		c := &candidates[i]
-		takers[i] = waterfill.Taker{Want: c.intake, Bound: c.safeIntake}
+		takers[i] = waterfill.Consumer{Demand: c.intake, Limit: c.safeIntake}
 		total += c.safeIntake
 		if c.warm {
 			warmTotal += c.safeIntake
--- a/balancer/pacing.go
+++ b/balancer/pacing.go
@@ -117,7 +117,7 @@
 	most := max(c.MaxMessages-reservedMessages, min(c.MaxMessages-1, 1)) // a single one assigns the tables
 	forAll := most - int(math.Ceil(drainMessageFraction*float64(most)))
 	sent := group.messages.Count(now, c.MessageWindow)
-	sinceLast, sentAny := group.messages.Since(now)
+	sinceLast, sentAny := group.messages.SinceLatest(now)
 	if u < urgencyCritical {
 		spacing := c.MessageWindow / float64(most)
 		return sent < forAll && (!sentAny || sinceLast >= spacing)
--- a/balancer/weights.go
+++ b/balancer/weights.go
@@ -119,7 +119,7 @@
 
 // canBoundIntakes reports whether enough is known to bound the intakes.
 func (b *Balancer) canBoundIntakes(candidates []candidate) bool {
-	if b.completionRates.Entries() <= 0 || b.attemptRate <= 0 {
+	if b.completionRates.Count() <= 0 || b.attemptRate <= 0 {
 		return false
 	}
 	for i := range candidates {
--- a/internal/core/admission/controller.go
+++ b/internal/core/admission/controller.go
@@ -121,8 +121,8 @@
 	return true
 }
 
-// Done ends a request that was admitted.
-func (c *Controller) Done() { c.inFlight-- }
+// EndRequest ends a request that was admitted.
+func (c *Controller) EndRequest() { c.inFlight-- }
 
 // InFlight returns the number of admitted requests in flight.
 func (c *Controller) InFlight() int { return c.inFlight }
@@ -132,11 +132,11 @@
 	return c.byServer[server] < c.limits.MaxPerServer
 }
 
-// Begin counts an attempt at a server as in flight, until End.
-func (c *Controller) Begin(server balancer.Server) { c.byServer[server]++ }
+// BeginAttempt counts an attempt at a server as in flight, until End.
+func (c *Controller) BeginAttempt(server balancer.Server) { c.byServer[server]++ }
 
-// End ends an attempt that Begin counted.
-func (c *Controller) End(server balancer.Server) {
+// EndAttempt ends an attempt that Begin counted.
+func (c *Controller) EndAttempt(server balancer.Server) {
 	c.byServer[server]--
 	if c.byServer[server] <= 0 {
 		delete(c.byServer, server)
--- a/internal/core/admission/controller_test.go
+++ b/internal/core/admission/controller_test.go
@@ -17,7 +17,7 @@
 	for i := range 1000 { // 100 per second
 		if _, err := controller.Admit(1000+float64(i)*0.01, 0); err == nil {
 			admitted++
-			controller.Done()
+			controller.EndRequest()
 		}
 	}
 	if math.Abs(float64(admitted)-500) > 20 {
--- a/internal/core/forwarding/attempts.go
+++ b/internal/core/forwarding/attempts.go
@@ -66,7 +66,7 @@
 	req.attempts = append(req.attempts, a)
 	req.state.RecordAttempt(server)
 	p.attempts[a.id] = req
-	p.Admission.Begin(server)
+	p.Admission.BeginAttempt(server)
 	p.Stats.Attempts++
 	if totals := p.totalsOf(server); totals != nil {
 		totals.Attempts++
@@ -91,7 +91,7 @@
 
 func (p *Proxy) endAttempt(req *request, ended *attempt) {
 	delete(p.attempts, ended.id)
-	p.Admission.End(ended.server)
+	p.Admission.EndAttempt(ended.server)
 	if i := slices.Index(req.attempts, ended); i >= 0 {
 		req.attempts = slices.Delete(req.attempts, i, i+1)
 	}
--- a/internal/core/forwarding/proxy.go
+++ b/internal/core/forwarding/proxy.go
@@ -100,18 +100,18 @@
 
 // Stats counts events, for metrics.
 type Stats struct {
-	Requests    int
-	Answered    int
-	Failed      int
-	Late        int // failed at their deadline
-	Rejected    int // by admission control
-	NoServer    int
-	Attempts    int
-	Retries     int
-	Hedges      int
-	OverBudget  int // retries that the budget did not allow
-	ClientsGone int
-	KeysReused  int
+	Requests         int
+	Answered         int
+	Failed           int
+	DeadlineExceeded int // failed at their deadline
+	Rejected         int // by admission control
+	NoServer         int
+	Attempts         int
+	Retries          int
+	Hedges           int
+	OverBudget       int // retries that the budget did not allow
+	ClientsGone      int
+	KeysReused       int
 }
 
 // Proxy forwards requests. Use New. It is not safe for concurrent use.
@@ -185,8 +185,8 @@
 	return actions
 }
 
-// RemoveServers forgets the failures of servers that are in no table any more.
-func (p *Proxy) RemoveServers(servers []balancer.Server) {
+// ForgetServers forgets the failures of servers that are in no table any more.
+func (p *Proxy) ForgetServers(servers []balancer.Server) {
 	for _, server := range servers {
 		p.Outliers.Forget(server)
 	}
--- a/internal/core/forwarding/requests.go
+++ b/internal/core/forwarding/requests.go
@@ -68,7 +68,7 @@
 	p.deadlines.Cancel(&req.deadline)
 	p.slowTimers.Cancel(&req.slow)
 	delete(p.requests, req.id)
-	p.Admission.Done()
+	p.Admission.EndRequest()
 }
 
 func (p *Proxy) cancel(req *request, a *attempt) {
@@ -101,7 +101,7 @@
 }
 
 func (p *Proxy) deadlinePassed(now float64, req *request) {
-	p.Stats.Late++
+	p.Stats.DeadlineExceeded++
 	for _, a := range req.attempts { // a server that does not answer counts as one that fails
 		p.recordServerFailure(now, a.server)
 		p.rememberExecution(req, a)
--- a/internal/core/histogram/histogram.go
+++ b/internal/core/histogram/histogram.go
@@ -9,9 +9,9 @@
 
 // Scale says where the bins begin. One histogram always uses the same scale.
 type Scale struct {
-	Min    float64 // start of the first bin; smaller values count as this one
-	Growth float64 // ratio of the starts of two neighbouring bins, over 1
-	Halve  float64 // number of values after which all count half
+	Min        float64 // start of the first bin; smaller values count as this one
+	Growth     float64 // ratio of the starts of two neighbouring bins, over 1
+	HalveAbove float64 // number of values after which all count half
 }
 
 // Histogram holds values on one scale. Its zero value is empty.
@@ -26,7 +26,7 @@
 	bin := math.Log(max(value, scale.Min)/scale.Min) / math.Log(scale.Growth)
 	h.counts[int(min(bin, binCount-1))]++
 	h.total++
-	for h.total > scale.Halve {
+	for h.total > scale.HalveAbove {
 		h.halve()
 	}
 	h.mean = 0
@@ -42,8 +42,8 @@
 	h.total /= 2
 }
 
-// Entries returns the number of values, older ones counted in part.
-func (h *Histogram) Entries() float64 { return h.total }
+// Count returns the number of values, older ones counted in part.
+func (h *Histogram) Count() float64 { return h.total }
 
 // Mean returns the mean of all values by the middle of their bins, and 0 if there are none.
 func (h *Histogram) Mean() float64 { return h.mean }
--- a/internal/core/histogram/histogram_test.go
+++ b/internal/core/histogram/histogram_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-var testScale = Scale{Min: 0.2, Growth: 1.5, Halve: 64}
+var testScale = Scale{Min: 0.2, Growth: 1.5, HalveAbove: 64}
 
 func TestMeanIsWithinABin(t *testing.T) {
 	for _, value := range []float64{0.01, 0.2, 3, 40, 1e9} {
@@ -22,8 +22,8 @@
 
 func TestEmptyHistogramHasNoMean(t *testing.T) {
 	var h Histogram
-	if h.Mean() != 0 || h.Entries() != 0 {
-		t.Errorf("mean %v of %v entries", h.Mean(), h.Entries())
+	if h.Mean() != 0 || h.Count() != 0 {
+		t.Errorf("mean %v of %v entries", h.Mean(), h.Count())
 	}
 }
 
@@ -35,7 +35,7 @@
 	for range 200 {
 		h.Add(testScale, 20)
 	}
-	if h.Mean() < 15 || h.Entries() > 64 {
-		t.Errorf("the mean is %.1f of %.0f entries after many of 20", h.Mean(), h.Entries())
+	if h.Mean() < 15 || h.Count() > 64 {
+		t.Errorf("the mean is %.1f of %.0f entries after many of 20", h.Mean(), h.Count())
 	}
 }
--- a/internal/core/slidingwindow/slidingwindow.go
+++ b/internal/core/slidingwindow/slidingwindow.go
@@ -27,8 +27,8 @@
 	c.times = append(c.times[:0], c.times[old:]...)
 }
 
-// Since returns the seconds since the latest event, and false if none is remembered.
-func (c *Counter) Since(now float64) (seconds float64, ok bool) {
+// SinceLatest returns the seconds since the latest event, and false if none is remembered.
+func (c *Counter) SinceLatest(now float64) (seconds float64, ok bool) {
 	if len(c.times) == 0 {
 		return 0, false
 	}
--- a/internal/core/slidingwindow/slidingwindow_test.go
+++ b/internal/core/slidingwindow/slidingwindow_test.go
@@ -4,7 +4,7 @@
 
 func TestEmptyCounterHasNoEvents(t *testing.T) {
 	var c Counter
-	if _, ok := c.Since(5); ok || c.Count(5, 10) != 0 {
+	if _, ok := c.SinceLatest(5); ok || c.Count(5, 10) != 0 {
 		t.Error("an empty counter has events")
 	}
 }
@@ -17,7 +17,7 @@
 	if n := c.Count(19, 10); n != 10 { // 10 to 19; the one at 9 is a whole window old
 		t.Errorf("%d events in a window of 10 s, want 10", n)
 	}
-	if since, ok := c.Since(21.5); !ok || since != 2.5 {
+	if since, ok := c.SinceLatest(21.5); !ok || since != 2.5 {
 		t.Errorf("the latest was %v s ago, want 2.5", since)
 	}
 	if n := c.Count(100, 10); n != 0 || len(c.times) != 0 {
--- a/internal/core/waterfill/waterfill.go
+++ b/internal/core/waterfill/waterfill.go
@@ -10,20 +10,20 @@
 	precision = 1e-9
 )
 
-// Taker wants an amount and takes no more than its bound.
-type Taker struct {
-	Want  float64
-	Bound float64
+// Consumer wants an amount and takes no more than its bound.
+type Consumer struct {
+	Demand float64
+	Limit  float64
 }
 
 // Factor returns the least factor on all wants at which the takers, each up to its bound, take the total. It
 // returns the largest factor if they never do.
-func Factor(takers []Taker, total float64) float64 {
+func Factor(takers []Consumer, total float64) float64 {
 	factor := maxFactor
 	for step := factor / 2; step > precision; step /= 2 {
 		sum := 0.0
 		for _, taker := range takers {
-			sum += min((factor-step)*taker.Want, taker.Bound)
+			sum += min((factor-step)*taker.Demand, taker.Limit)
 		}
 		if sum >= total {
 			factor -= step
--- a/internal/core/waterfill/waterfill_test.go
+++ b/internal/core/waterfill/waterfill_test.go
@@ -13,17 +13,17 @@
 		amounts := rapid.SliceOfN(rapid.Float64Range(0.1, 100), 1, 20)
 		wants := amounts.Draw(t, "wants")
 		bounds := rapid.SliceOfN(rapid.Float64Range(0.1, 100), len(wants), len(wants)).Draw(t, "bounds")
-		takers := make([]Taker, len(wants))
+		takers := make([]Consumer, len(wants))
 		possible := 0.0
 		for i := range takers {
-			takers[i] = Taker{Want: wants[i], Bound: bounds[i]}
+			takers[i] = Consumer{Demand: wants[i], Limit: bounds[i]}
 			possible += bounds[i]
 		}
 		total := rapid.Float64Range(0.01, 1).Draw(t, "part") * possible
 		factor := Factor(takers, total)
 		sum := 0.0
 		for _, taker := range takers {
-			sum += min(factor*taker.Want, taker.Bound)
+			sum += min(factor*taker.Demand, taker.Limit)
 		}
 		if math.Abs(sum-total) > 1e-3*total+1e-6 {
 			t.Fatalf("with a factor of %v they take %v of %v", factor, sum, total)
@@ -32,7 +32,7 @@
 }
 
 func TestFactorOfATotalOutOfReachIsTheLargest(t *testing.T) {
-	if got := Factor([]Taker{{Want: 1, Bound: 2}}, 3); got != maxFactor {
+	if got := Factor([]Consumer{{Demand: 1, Limit: 2}}, 3); got != maxFactor {
 		t.Errorf("the factor is %v, want %v", got, maxFactor)
 	}
 }
--- a/internal/proxy/tables.go
+++ b/internal/proxy/tables.go
@@ -41,7 +41,7 @@
 // tablesChanged closes the idle connections to servers that have left the tables; requests in flight there go on.
 func (p *Proxy) tablesChanged(now float64, entries int, left []balancer.Server) {
 	p.unsaved = p.config.Store != nil
-	p.Core.RemoveServers(left)
+	p.Core.ForgetServers(left)
 	for _, server := range left {
 		p.removeTarget(server)
 	}
--- a/internal/service/metrics_proxy.go
+++ b/internal/service/metrics_proxy.go
@@ -32,7 +32,7 @@
 	w.counter("queries", "Queries.", stats.Requests)
 	w.counter("answered", "Answered.", stats.Answered)
 	w.counter("failed", "Without an answer after all tries.", stats.Failed)
-	w.counter("late", "Whose client timeout was over.", stats.Late)
+	w.counter("late", "Whose client timeout was over.", stats.DeadlineExceeded)
 	w.counter("refused", "Refused by levels and limits.", stats.Rejected)
 	w.counter("nowhere", "For which no server had room, or a line.", stats.NoServer)
 	w.counter("keys_reused", "With a key that another query had.", stats.KeysReused)
