--- a/internal/core/admission/controller.go
+++ b/internal/core/admission/controller.go
@@ -1,5 +1,6 @@
-// Package admission decides which requests a proxy admits: by the fraction or rate that the coordinator sets for each class, and by
-// limits of the requests in flight. The others are rejected at once, with a time after which the client may retry. It is pure.
+// Package admission decides which requests a proxy admits, according to the fraction or rate that the coordinator sets for each class and
+// to limits on the requests in flight. Other requests are rejected immediately, with a time after which the client may retry. It does no
+// I/O and reads no clock.
 package admission
 
 import (
@@ -9,53 +10,54 @@
 )
 
 var (
-	// ErrRateLimited says that the coordinator has limited the requests of this class.
-	ErrRateLimited = errors.New("fewer queries of this class are let in")
-	// ErrTooManyInFlight says that the proxy has as many requests in flight as Limits allow.
-	ErrTooManyInFlight = errors.New("as many queries are under way as may be")
+	// ErrRateLimited means that the coordinator has limited the requests of the class.
+	ErrRateLimited = errors.New("requests of this class are rate limited")
+	// ErrTooManyInFlight means that the proxy has as many requests in flight as Limits allow.
+	ErrTooManyInFlight = errors.New("too many requests in flight")
 )
 
 const (
-	rateBurst            = 0.25 // seconds of a rate that may come at once, since traffic is uneven
+	rateBurst            = 0.25 // burst in seconds of the rate, since traffic is uneven
 	overloadedRetryAfter = 1.0  // seconds after which a client may retry when too many requests are in flight
-	unlimitedRate        = -1.0 // no rate has been set
+	unlimitedRate        = -1.0 // rate limit of a class before a rate is set
 )
 
-// Limits of the requests in flight; a request beyond one is rejected.
+// Limits are limits on the number of requests in flight. Requests that exceed them are rejected.
 type Limits struct {
-	MaxInFlight  int // in all
-	MaxPerServer int // at one server
+	MaxInFlight  int // in total
+	MaxPerServer int // per server
 }
 
-// DefaultLimits are the limits when the settings have none.
+// DefaultLimits are the limits that are used if the settings specify none.
 var DefaultLimits = Limits{MaxInFlight: 10000, MaxPerServer: 1000}
 
+// classState holds the admission state of a request class.
 type classState struct {
-	admission  float64 // fraction, or requests per second
+	admission  float64 // admitted fraction, or rate in requests per second
 	retryAfter float64 // seconds
-	credit     float64 // AdmissionFraction: the part of a request that has not been admitted yet
-	tokens     float64 // AdmissionRate: requests that may be admitted at once
-	refilledAt float64 // clock time in seconds of tokens
+	credit     float64 // for AdmissionFraction: fraction of a request carried over; a request is admitted once it reaches 1
+	tokens     float64 // for AdmissionRate: requests that may be admitted at once
+	refilledAt float64 // clock time in seconds of the latest refill of tokens
 }
 
-// Controller admits requests. Use New.
+// Controller admits requests. It must be created with New.
 type Controller struct {
 	mode     balancer.AdmissionMode
 	limits   Limits
 	classes  []classState
 	inFlight int
-	byServer map[balancer.Server]int // in flight
+	byServer map[balancer.Server]int // attempts in flight
 	Stats    Stats
 }
 
-// Stats counts decisions, for metrics.
+// Stats holds decision counters for metrics.
 type Stats struct {
 	Admitted    int
 	RateLimited int
-	Overloaded  int
+	Overloaded  int // rejected because too many requests were in flight
 }
 
-// New returns a Controller for this number of classes, which admits all requests within the limits until SetAdmission.
+// New returns a Controller for a number of classes. It admits all requests within the limits until SetAdmission is called.
 func New(mode balancer.AdmissionMode, classes int, limits Limits) *Controller {
 	c := &Controller{
 		mode:     mode,
@@ -72,8 +74,8 @@
 	return c
 }
 
-// SetAdmission sets the fraction, or the rate in requests per second, of a class that is admitted, and the seconds after which the
-// clients of rejected requests may retry.
+// SetAdmission sets the fraction of the requests of a class that is admitted, or their rate in requests per second, and the time in seconds
+// after which clients may retry rejected requests.
 func (c *Controller) SetAdmission(now float64, class balancer.Class, admission, retryAfter float64) {
 	state := &c.classes[class]
 	if state.admission < 0 {
@@ -84,9 +86,9 @@
 	state.retryAfter = retryAfter
 }
 
-// Admit decides on a request. An error, ErrTooManyInFlight or ErrRateLimited, says that it is rejected, and retryAfter is the time in
-// seconds after which its client may retry; otherwise Done must follow. A fraction is admitted evenly: at 0.3 every third or fourth
-// request, not a random one.
+// Admit decides whether to admit a request. A rejection is returned as ErrTooManyInFlight or ErrRateLimited, with the time in seconds
+// after which the client may retry. For an admitted request, EndRequest must be called when it ends. A fraction is admitted evenly: at 0.3
+// every third or fourth request is admitted, rather than a random selection.
 func (c *Controller) Admit(now float64, class balancer.Class) (retryAfter float64, err error) {
 	if c.inFlight >= c.limits.MaxInFlight {
 		c.Stats.Overloaded++
@@ -102,6 +104,7 @@
 	return 0, nil
 }
 
+// admit reports whether the fraction or rate of the class admits one more request, and counts it.
 func (s *classState) admit(mode balancer.AdmissionMode, now float64) bool {
 	switch {
 	case mode == balancer.AdmissionFraction && s.admission < 1:
@@ -121,21 +124,21 @@
 	return true
 }
 
-// EndRequest ends a request that was admitted.
+// EndRequest records the end of an admitted request.
 func (c *Controller) EndRequest() { c.inFlight-- }
 
 // InFlight returns the number of admitted requests in flight.
 func (c *Controller) InFlight() int { return c.inFlight }
 
-// HasCapacity reports whether a server may have one more attempt in flight.
+// HasCapacity reports whether one more attempt may be sent to a server.
 func (c *Controller) HasCapacity(server balancer.Server) bool {
 	return c.byServer[server] < c.limits.MaxPerServer
 }
 
-// BeginAttempt counts an attempt at a server as in flight, until End.
+// BeginAttempt records an attempt at a server as in flight, until EndAttempt is called.
 func (c *Controller) BeginAttempt(server balancer.Server) { c.byServer[server]++ }
 
-// EndAttempt ends an attempt that Begin counted.
+// EndAttempt records the end of an attempt that was passed to BeginAttempt.
 func (c *Controller) EndAttempt(server balancer.Server) {
 	c.byServer[server]--
 	if c.byServer[server] <= 0 {
--- a/internal/core/admission/controller_test.go
+++ b/internal/core/admission/controller_test.go
@@ -21,6 +21,6 @@
 		}
 	}
 	if math.Abs(float64(admitted)-500) > 20 {
-		t.Errorf("%d of 1000 are admitted within 10 s at a rate of 50", admitted)
+		t.Errorf("admitted %d of 1000 requests within 10 s at a rate of 50 per second, want 480 to 520", admitted)
 	}
 }
--- a/internal/core/forwarding/admission_test.go
+++ b/internal/core/forwarding/admission_test.go
@@ -8,7 +8,7 @@
 	"snowquay/internal/core/retry"
 )
 
-func TestServersWithoutCapacity(t *testing.T) {
+func TestRejectionWhenAllServersAreAtCapacity(t *testing.T) {
 	p := newTestProxy(t, 2, func(config *Config) { config.Limits = admission.Limits{MaxInFlight: 5, MaxPerServer: 2} })
 	for range 4 {
 		sendRequest(t, p, 1000, Request{Class: idempotent})
@@ -16,11 +16,11 @@
 	_, actions := p.HandleRequest(1000, Request{Class: idempotent})
 	rejected := onlyAction(t, actions, Reject)
 	if !errors.Is(rejected.Err, ErrNoServer) || rejected.RetryAfter <= 0 {
-		t.Errorf("%+v", rejected)
+		t.Errorf("got %+v, want ErrNoServer with a retry time", rejected)
 	}
 }
 
-func TestTooManyInFlight(t *testing.T) {
+func TestRejectionAtTheInFlightLimit(t *testing.T) {
 	p := newTestProxy(t, 2, func(config *Config) { config.Limits = admission.Limits{MaxInFlight: 5, MaxPerServer: 50} })
 	for range 5 {
 		p.HandleRequest(1000, Request{Class: idempotent})
@@ -28,7 +28,7 @@
 	_, actions := p.HandleRequest(1000, Request{Class: idempotent})
 	rejected := onlyAction(t, actions, Reject)
 	if !errors.Is(rejected.Err, admission.ErrTooManyInFlight) {
-		t.Errorf("%+v", rejected)
+		t.Errorf("got %+v, want ErrTooManyInFlight", rejected)
 	}
 }
 
@@ -52,11 +52,11 @@
 		}
 		rejected := onlyAction(t, actions, Reject)
 		if rejected.RetryAfter != retryAfter || !errors.Is(rejected.Err, admission.ErrRateLimited) {
-			t.Fatalf("%+v", rejected)
+			t.Fatalf("got %+v, want ErrRateLimited with the ordered retry time", rejected)
 		}
 	}
 	if admitted < 29 || admitted > 31 {
-		t.Errorf("%d of 100 are admitted at a fraction of 0.3", admitted)
+		t.Errorf("admitted %d of 100 requests at a fraction of 0.3, want 29 to 31", admitted)
 	}
 }
 
--- a/internal/core/forwarding/attempts.go
+++ b/internal/core/forwarding/attempts.go
@@ -7,22 +7,24 @@
 	"snowquay/internal/core/retry"
 )
 
-const minHedgeDelay = 0.0001 // seconds; a hedge is never sent at once
+// minHedgeDelay is the delay in seconds that HedgeAfter must exceed for requests to be hedged, so that a hedge is never sent immediately.
+const minHedgeDelay = 0.0001
 
+// location returns the location of a server. An unconfigured server shares no zone or failure domain with a configured one.
 func (p *Proxy) location(server balancer.Server) retry.Location {
 	if location, ok := p.config.Locations[server]; ok {
 		return location
 	}
-	return retry.Location{Server: server, Zone: -1, FailureDomain: -1} // unknown: it shares no group with another server
+	return retry.Location{Server: server, Zone: -1, FailureDomain: -1}
 }
 
-// fallback says which servers a pick may choose besides the preferred ones.
+// fallback specifies which servers a pick may choose in addition to the preferred ones.
 type fallback struct {
-	ejected bool // those that are ejected
-	tried   bool // those that have had the request
+	ejected bool // servers ejected by outlier detection
+	tried   bool // servers that the request has already been sent to
 }
 
-// fallbacks are tried in this order.
+// fallbacks lists the fallbacks in the order in which pick tries them.
 var fallbacks = []fallback{
 	{},
 	{ejected: true},
@@ -30,11 +32,11 @@
 	{ejected: true, tried: true},
 }
 
-// pick picks a server for a request's next attempt; ok is false if none may take it.
+// pick selects a server for the next attempt of a request. ok is false if no server is eligible.
 func (p *Proxy) pick(now float64, req *request) (server balancer.Server, ok bool) {
 	table := p.Tables.Table(req.received.Class)
 	for _, allowed := range fallbacks {
-		server, ok = table.Pick(func(server balancer.Server) bool { return p.mayUse(now, req, server, allowed) })
+		server, ok = table.Pick(func(server balancer.Server) bool { return p.isEligible(now, req, server, allowed) })
 		if ok {
 			return server, true
 		}
@@ -42,7 +44,8 @@
 	return "", false
 }
 
-func (p *Proxy) mayUse(now float64, req *request, server balancer.Server, allowed fallback) bool {
+// isEligible reports whether a request may be sent to a server, given the fallback.
+func (p *Proxy) isEligible(now float64, req *request, server balancer.Server, allowed fallback) bool {
 	if !p.Admission.HasCapacity(server) {
 		return false
 	}
@@ -55,8 +58,8 @@
 	return req.state.AllowedAt(p.location(server))
 }
 
-// send begins a request's next attempt. It reports false if no server may take it.
-func (p *Proxy) send(now float64, req *request) bool {
+// sendAttempt starts the next attempt of a request. It returns false if no server is eligible.
+func (p *Proxy) sendAttempt(now float64, req *request) bool {
 	server, ok := p.pick(now, req)
 	if !ok {
 		return false
@@ -75,11 +78,12 @@
 	if p.hedges(req) {
 		slowAfter = p.config.HedgeAfter
 	}
-	p.slowTimers.Set(&req.slow, now+slowAfter)
+	p.slowTimers.Set(&req.slowTimer, now+slowAfter)
 	p.actions = append(p.actions, Action{Kind: Send, Request: req.id, Attempt: a.id, Server: server})
 	return true
 }
 
+// attempt returns the in-flight attempt with an ID, or nil if there is none.
 func (r *request) attempt(id AttemptID) *attempt {
 	for _, a := range r.attempts {
 		if a.id == id {
@@ -89,6 +93,7 @@
 	return nil
 }
 
+// endAttempt removes an attempt from the attempts in flight.
 func (p *Proxy) endAttempt(req *request, ended *attempt) {
 	delete(p.attempts, ended.id)
 	p.Admission.EndAttempt(ended.server)
@@ -97,7 +102,8 @@
 	}
 }
 
-// AttemptSucceeded ends an attempt that brought an answer, and its request; ok is false if the attempt is not in flight any more.
+// AttemptSucceeded ends an attempt that received a response, together with its request. ok is false if the attempt is no longer in
+// flight.
 func (p *Proxy) AttemptSucceeded(now float64, id AttemptID) (request RequestID, actions []Action, ok bool) {
 	req := p.attempts[id]
 	if req == nil {
@@ -109,38 +115,39 @@
 	if totals := p.totalsOf(a.server); totals != nil {
 		totals.Seconds += now - a.sentAt
 	}
-	p.rememberExecution(req, a)
+	p.recordExecution(req, a)
 	p.Stats.Answered++
-	p.end(req)
+	p.endRequest(req)
 	return req.id, p.takeActions(), true
 }
 
-// AttemptFailed ends an attempt that brought no answer. The request is retried where that is allowed, and fails otherwise.
+// AttemptFailed ends an attempt that received no response. The request is retried if that is allowed, and fails otherwise.
 func (p *Proxy) AttemptFailed(now float64, id AttemptID, outcome retry.Outcome) []Action {
 	req := p.attempts[id]
 	if req == nil {
 		return nil
 	}
-	p.attemptFailed(now, req, req.attempt(id), outcome)
+	p.handleFailedAttempt(now, req, req.attempt(id), outcome)
 	return p.takeActions()
 }
 
-func (p *Proxy) attemptFailed(now float64, req *request, a *attempt, outcome retry.Outcome) {
+// handleFailedAttempt ends a failed attempt and retries the request, or fails it if no other attempt is in flight and it cannot be retried.
+func (p *Proxy) handleFailedAttempt(now float64, req *request, a *attempt, outcome retry.Outcome) {
 	p.endAttempt(req, a)
 	p.recordServerFailure(now, a.server)
 	req.state.RecordFailure(p.location(a.server), a.sentAt, outcome)
 	if outcome == retry.MaybeExecuted {
-		p.rememberExecution(req, a)
+		p.recordExecution(req, a)
 	}
-	if len(req.attempts) > 0 { // the other attempt of a hedged request goes on
+	if len(req.attempts) > 0 { // the other attempt of a hedged request is still in flight
 		return
 	}
 	if !p.retry(now, req, outcome) {
-		p.fail(req, ErrAttemptsFailed)
+		p.failRequest(req, ErrAttemptsFailed)
 	}
 }
 
-// retry sends a request again if that is allowed. It reports whether it was sent.
+// retry sends a request again if its retry policy and the retry budget of its class allow this. It reports whether it was sent.
 func (p *Proxy) retry(now float64, req *request, outcome retry.Outcome) bool {
 	if !req.state.MayRetry(now, outcome) {
 		return false
@@ -149,7 +156,7 @@
 		p.Stats.OverBudget++
 		return false
 	}
-	if !p.send(now, req) {
+	if !p.sendAttempt(now, req) {
 		return false
 	}
 	p.Stats.Retries++
--- a/internal/core/forwarding/benchmark_test.go
+++ b/internal/core/forwarding/benchmark_test.go
@@ -23,7 +23,7 @@
 	return data
 }
 
-// Decoding and applying a delta of one entry, or complete tables of a class: requests wait for it.
+// Measures decoding and applying a delta with one entry, or the complete table of a class. Requests wait while a proxy does this.
 func BenchmarkTable(b *testing.B) {
 	for _, entries := range []int{1, 300, 5000} {
 		b.Run(fmt.Sprint(entries, "-entries"), func(b *testing.B) {
@@ -44,7 +44,7 @@
 	}
 }
 
-// A request from its arrival to its response, without sockets.
+// Measures the handling of a request from arrival to response, without sockets.
 func BenchmarkRequest(b *testing.B) {
 	p := newTestProxy(b, 8, nil)
 	now := 1000.0
--- a/internal/core/forwarding/environment_test.go
+++ b/internal/core/forwarding/environment_test.go
@@ -15,18 +15,18 @@
 
 func TestMain(m *testing.M) { testseed.Main(m) }
 
-// Classes of testConfig.
+// The request classes of testConfig.
 const (
 	idempotent = balancer.Class(iota)
 	keyed
 	nonIdempotent
 )
 
-const dedupWindow = 4 // seconds, of the class keyed
+const keyedDedupWindow = 4 // seconds; deduplication window of the class keyed
 
 func serverName(i int) balancer.Server { return balancer.Server(fmt.Sprintf("10.0.0.%d:80", i)) }
 
-// testConfig has servers in two zones, two in each failure domain.
+// testConfig returns a configuration with servers in two zones, and two servers in each failure domain.
 func testConfig(servers int) Config {
 	config := Config{
 		ClassNames: []string{"search", "introduce", "once"},
@@ -37,7 +37,7 @@
 				ClientTimeout:    5,
 				Idempotency:      balancer.Keyed,
 				DedupScope:       balancer.SameFailureDomain,
-				DedupWindow:      dedupWindow,
+				DedupWindow:      keyedDedupWindow,
 			},
 			{LatencyObjective: 1, ClientTimeout: 5, Idempotency: balancer.NonIdempotent},
 		},
@@ -59,7 +59,7 @@
 	return config
 }
 
-// testTables returns tables, or a delta, in which each class has these servers.
+// testTables returns complete tables or, if full is false, a delta, in which each class lists the servers.
 func testTables(full bool, version uint64, servers ...int) *delta.Tables {
 	tables := &delta.Tables{Epoch: "a", Version: version}
 	for _, name := range []string{"search", "introduce", "once"} {
@@ -72,7 +72,7 @@
 	return tables
 }
 
-// newTestProxy returns a proxy whose tables have all servers; change, if not nil, changes its configuration.
+// newTestProxy returns a proxy whose tables list all servers. change modifies its configuration unless it is nil.
 func newTestProxy(t testing.TB, servers int, change func(*Config)) *Proxy {
 	t.Helper()
 	config := testConfig(servers)
@@ -88,6 +88,7 @@
 	return p
 }
 
+// applyTables applies tables and the orders for classes that come with them.
 func applyTables(t testing.TB, p *Proxy, now float64, tables *delta.Tables) {
 	t.Helper()
 	orders, _, err := p.Tables.Apply(now, tables)
@@ -97,29 +98,29 @@
 	p.ApplyOrders(now, orders)
 }
 
-// onlyAction returns the single action, which must be of a kind.
+// onlyAction returns the only action, and fails the test if there are others or if it is of another kind.
 func onlyAction(t testing.TB, actions []Action, kind ActionKind) Action {
 	t.Helper()
 	if len(actions) != 1 || actions[0].Kind != kind {
-		t.Fatalf("actions %+v, want one of kind %d", actions, kind)
+		t.Fatalf("actions %+v, want a single one of kind %d", actions, kind)
 	}
 	return actions[0]
 }
 
-// sendRequest handles a request, which must be sent to a server.
+// sendRequest passes a request to the proxy, and fails the test unless it is sent to a server.
 func sendRequest(t testing.TB, p *Proxy, now float64, received Request) Action {
 	t.Helper()
 	_, actions := p.HandleRequest(now, received)
 	return onlyAction(t, actions, Send)
 }
 
-// expectRetry fails an attempt, which must be retried.
+// expectRetry reports an attempt as failed, and fails the test unless it is retried.
 func expectRetry(t testing.TB, p *Proxy, now float64, attempt AttemptID, outcome retry.Outcome) Action {
 	t.Helper()
 	return onlyAction(t, p.AttemptFailed(now, attempt, outcome), Send)
 }
 
-// expectFailure fails an attempt, which must not be retried.
+// expectFailure reports an attempt as failed, and fails the test unless the request fails without a retry.
 func expectFailure(t testing.TB, p *Proxy, now float64, attempt AttemptID, outcome retry.Outcome) Action {
 	t.Helper()
 	return onlyAction(t, p.AttemptFailed(now, attempt, outcome), Fail)
--- a/internal/core/forwarding/idempotency.go
+++ b/internal/core/forwarding/idempotency.go
@@ -5,25 +5,27 @@
 	"snowquay/internal/core/retry"
 )
 
-const maxKeys = 65536 // idempotency keys that are remembered; the oldest is forgotten first, and a client's retry may then go anywhere
+// maxIdempotencyKeys is the number of idempotency keys that a proxy stores. Beyond it the oldest key is evicted, after which a retry by
+// the client may be sent to any server.
+const maxIdempotencyKeys = 65536
 
-// keyRecord is what is known of an idempotency key.
+// keyRecord holds the state of an idempotency key. Clock times are in seconds.
 type keyRecord struct {
-	fingerprint   uint64
-	expiresAt     float64
-	maybeExecuted bool           // an attempt under it may have been executed
-	location      retry.Location // of that attempt
-	sentAt        float64        // of that attempt
+	fingerprint   uint64         // hash of the request that the key belongs to
+	expiresAt     float64        // clock time
+	maybeExecuted bool           // whether an attempt with this key may have been executed
+	location      retry.Location // server of the first such attempt
+	sentAt        float64        // clock time at which that attempt was sent
 }
 
-// lookUpKey returns the record of a request's idempotency key, a new one for a new key; nil: the request needs none. The error is
-// ErrKeyReused if the key belongs to another request.
+// lookUpKey returns the record of the idempotency key of a request, and creates it for a new key. It returns nil for a request that needs
+// no record, and ErrKeyReused if the key belongs to another request.
 func (p *Proxy) lookUpKey(now float64, received Request, class balancer.RequestClass) (*keyRecord, error) {
 	key := received.IdempotencyKey
 	if key == "" || class.Idempotency == balancer.Idempotent {
 		return nil, nil
 	}
-	record := p.keys[key]
+	record := p.idempotencyKeys[key]
 	if record != nil && now < record.expiresAt {
 		if record.fingerprint != received.Fingerprint {
 			return nil, ErrKeyReused
@@ -33,34 +35,36 @@
 	if record == nil {
 		p.keyOrder = append(p.keyOrder, key)
 	}
-	for p.oldestKeyIsDue(now, key) {
-		delete(p.keys, p.keyOrder[0])
+	for p.mustEvictOldestKey(now, key) {
+		delete(p.idempotencyKeys, p.keyOrder[0])
 		p.keyOrder = p.keyOrder[1:]
 	}
 	record = &keyRecord{fingerprint: received.Fingerprint, expiresAt: now + class.ClientTimeout + class.DedupWindow}
-	p.keys[key] = record
+	p.idempotencyKeys[key] = record
 	return record, nil
 }
 
-// oldestKeyIsDue reports whether the oldest key is to be forgotten: it has expired and is not the current one, or there are too many.
-func (p *Proxy) oldestKeyIsDue(now float64, current string) bool {
+// mustEvictOldestKey reports whether the oldest key must be evicted: it has expired and is not the current key, or too many keys are
+// stored.
+func (p *Proxy) mustEvictOldestKey(now float64, current string) bool {
 	if len(p.keyOrder) == 0 {
 		return false
 	}
-	if len(p.keyOrder) > maxKeys {
+	if len(p.keyOrder) > maxIdempotencyKeys {
 		return true
 	}
 	oldest := p.keyOrder[0]
-	record := p.keys[oldest]
+	record := p.idempotencyKeys[oldest]
 	return record != nil && now >= record.expiresAt && oldest != current
 }
 
-// rememberExecution records under a request's idempotency key where it may have been executed, for retries by its client.
-func (p *Proxy) rememberExecution(req *request, a *attempt) {
+// recordExecution records under the idempotency key of a request at which server it may have been executed. A retry by the client is
+// then sent to a server that recognises it.
+func (p *Proxy) recordExecution(req *request, a *attempt) {
 	if req.received.IdempotencyKey == "" || req.state.Class.Idempotency == balancer.Idempotent {
 		return
 	}
-	record := p.keys[req.received.IdempotencyKey]
+	record := p.idempotencyKeys[req.received.IdempotencyKey]
 	if record == nil || record.maybeExecuted {
 		return
 	}
--- a/internal/core/forwarding/invariants_test.go
+++ b/internal/core/forwarding/invariants_test.go
@@ -10,7 +10,7 @@
 	"snowquay/internal/core/retry"
 )
 
-const modelServers = 6
+const modelServerCount = 6
 
 type modelAttempt struct {
 	request RequestID
@@ -18,7 +18,7 @@
 	sentAt  float64
 }
 
-// model is what random events have done to a proxy.
+// model applies random events to a proxy and records their expected effects.
 type model struct {
 	t        *rapid.T
 	proxy    *Proxy
@@ -27,17 +27,17 @@
 	inTable  map[balancer.Server]bool
 	classes  map[RequestID]balancer.Class
 	inFlight map[AttemptID]modelAttempt
-	executed map[RequestID][]modelAttempt // those that may have been executed
-	ended    map[RequestID]int
+	executed map[RequestID][]modelAttempt // attempts that may have been executed
+	ended    map[RequestID]int            // how often each request has ended
 }
 
-// In any order of events each request ends once, nothing stays behind, no effect can happen twice by the proxy's retries, and no request
-// goes to a server that is not in the table.
+// For any sequence of events, each request ends exactly once, no state is left over, no request takes effect twice because the proxy
+// retried it, and no request is sent to a server that is not in the table.
 func TestInvariantsUnderRandomEvents(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		m := &model{
 			t:        r,
-			proxy:    newTestProxy(t, modelServers, func(config *Config) { config.HedgeAfter = 0.2 }),
+			proxy:    newTestProxy(t, modelServerCount, func(config *Config) { config.HedgeAfter = 0.2 }),
 			now:      1000,
 			version:  1,
 			inTable:  map[balancer.Server]bool{},
@@ -46,7 +46,7 @@
 			executed: map[RequestID][]modelAttempt{},
 			ended:    map[RequestID]int{},
 		}
-		for i := range modelServers {
+		for i := range modelServerCount {
 			m.inTable[serverName(i)] = true
 		}
 		for range rapid.IntRange(1, 60).Draw(r, "events") {
@@ -113,7 +113,7 @@
 func (m *model) changeTable() {
 	var servers []int
 	clear(m.inTable)
-	for i := range modelServers {
+	for i := range modelServerCount {
 		if rapid.Bool().Draw(m.t, "in table") {
 			servers = append(servers, i)
 			m.inTable[serverName(i)] = true
@@ -141,7 +141,7 @@
 		case Send:
 			m.checkSend(action)
 			m.inFlight[action.Attempt] = modelAttempt{request: action.Request, server: action.Server, sentAt: m.now}
-		case Cancel: // it may have been executed all the same
+		case Cancel: // the cancelled attempt may have been executed nevertheless
 			m.executed[action.Request] = append(m.executed[action.Request], m.inFlight[action.Attempt])
 			delete(m.inFlight, action.Attempt)
 		default:
@@ -152,17 +152,17 @@
 
 func (m *model) checkSend(action Action) {
 	if !m.inTable[action.Server] {
-		m.t.Fatalf("request %d is sent to %s, which is not in the table", action.Request, action.Server)
+		m.t.Fatalf("request %d was sent to %s, which is not in the table", action.Request, action.Server)
 	}
 	if m.ended[action.Request] > 0 {
-		m.t.Fatalf("request %d is sent to %s after its end", action.Request, action.Server)
+		m.t.Fatalf("request %d was sent to %s after it ended", action.Request, action.Server)
 	}
 	class := m.classes[action.Request]
 	for _, earlier := range m.executed[action.Request] {
 		recognised := m.proxy.location(earlier.server).FailureDomain == m.proxy.location(action.Server).FailureDomain &&
-			m.now <= earlier.sentAt+dedupWindow
+			m.now <= earlier.sentAt+keyedDedupWindow
 		if class == nonIdempotent || class == keyed && !recognised {
-			m.t.Fatalf("request %d of class %d may have been executed at %s and is sent to %s", action.Request, class, earlier.server, action.Server)
+			m.t.Fatalf("request %d of class %d, which may have been executed at %s, was sent to %s", action.Request, class, earlier.server, action.Server)
 		}
 	}
 }
@@ -170,12 +170,12 @@
 func (m *model) checkEnd() {
 	for request := range m.classes {
 		if m.ended[request] != 1 {
-			m.t.Fatalf("request %d ended %d times", request, m.ended[request])
+			m.t.Fatalf("request %d ended %d times, want once", request, m.ended[request])
 		}
 	}
 	p := m.proxy
 	if p.InFlight() != 0 || len(p.attempts) != 0 || p.Admission.InFlight() != 0 || len(m.inFlight) != 0 {
-		m.t.Fatalf("still in flight: %d requests, %d attempts, %d admitted, %d attempts of the model",
+		m.t.Fatalf("still in flight: %d requests, %d attempts, %d admitted requests, %d attempts in the model; want none",
 			p.InFlight(), len(p.attempts), p.Admission.InFlight(), len(m.inFlight))
 	}
 }
--- a/internal/core/forwarding/proxy.go
+++ b/internal/core/forwarding/proxy.go
@@ -1,5 +1,6 @@
-// Package forwarding is a proxy without its sockets: it admits requests, picks a server for each, decides on retries, hedged requests
-// and deadlines, and counts attempts for load reports. Events and clock times come in, actions go out. It is pure.
+// Package forwarding implements the request handling of a proxy without its sockets: it admits requests, picks a server for each, decides
+// on retries, hedged requests and deadlines, and counts attempts for load reports. It takes events and clock times, and returns the actions
+// to perform. It does no I/O and reads no clock.
 package forwarding
 
 import (
@@ -22,25 +23,25 @@
 // AttemptID identifies one attempt to forward a request to a server. Each ID is used once.
 type AttemptID uint64
 
-// Request is what is known of a request when it arrives.
+// Request describes a request on arrival.
 type Request struct {
 	Class          balancer.Class
-	IdempotencyKey string // by which servers recognise a retry; empty: none
-	Fingerprint    uint64 // a hash of the request, which tells whether its key was used for another one
+	IdempotencyKey string // lets servers recognise a retry; empty if the request has none
+	Fingerprint    uint64 // hash of the request, by which reuse of the key for another request is detected
 }
 
-// ActionKind says what an Action asks for.
+// ActionKind is the kind of an Action.
 type ActionKind int
 
-// Kinds of actions.
+// The kinds of actions.
 const (
 	Send   ActionKind = iota // send a request to a server
-	Cancel                   // close the connection of an attempt that is not needed any more, so that the server notices
-	Fail                     // answer a client that its request failed
-	Reject                   // answer a client that its request is not admitted, and when to retry
+	Cancel                   // close the connection of an attempt that is no longer needed, so that the server notices
+	Fail                     // respond to a client that its request failed
+	Reject                   // respond to a client that its request is rejected, and when to retry
 )
 
-// Action is what the caller has to do.
+// Action is an action that the caller must perform.
 type Action struct {
 	Kind       ActionKind
 	Request    RequestID
@@ -51,106 +52,106 @@
 }
 
 var (
-	// ErrNoServer says that no server may take a request.
-	ErrNoServer = errors.New("no server may take it")
-	// ErrDeadlineExceeded says that a request's client timeout is over.
-	ErrDeadlineExceeded = errors.New("it took too long")
-	// ErrAttemptsFailed says that the last attempt that was allowed failed.
-	ErrAttemptsFailed = errors.New("the servers that were tried failed")
-	// ErrKeyReused says that an idempotency key was used for another request.
-	ErrKeyReused = errors.New("the key was used for another query")
+	// ErrNoServer means that no server is eligible for a request.
+	ErrNoServer = errors.New("no server is available")
+	// ErrDeadlineExceeded means that the client timeout of a request has expired.
+	ErrDeadlineExceeded = errors.New("request timed out")
+	// ErrAttemptsFailed means that the last attempt that was allowed has failed.
+	ErrAttemptsFailed = errors.New("all attempts failed")
+	// ErrKeyReused means that an idempotency key was already used for a different request.
+	ErrKeyReused = errors.New("idempotency key was already used for a different request")
 )
 
 const (
-	timerResolution    = 0.01 // seconds; client timeouts are of seconds
-	noServerRetryAfter = 1.0  // seconds after which a client for whom there was no server may retry
+	timerResolution    = 0.01 // seconds; client timeouts are on the order of seconds
+	noServerRetryAfter = 1.0  // seconds after which a client may retry a request for which no server was available
 )
 
-// Config of a Proxy.
+// Config holds the configuration of a Proxy.
 type Config struct {
 	Classes       []balancer.RequestClass
 	ClassNames    []string
-	RetryPolicies []balancer.RetryPolicy // by class, until a coordinator orders others
+	RetryPolicies []balancer.RetryPolicy // by class, until a coordinator sets others
 	AdmissionMode balancer.AdmissionMode
 	Limits        admission.Limits
 	Outliers      outlier.Config
 	Budget        retry.Budget // of each class
-	HedgeAfter    float64      // seconds after which an idempotent request is hedged; 0: never
+	HedgeAfter    float64      // seconds after which an idempotent request is hedged; 0 disables hedging
 	Locations     map[balancer.Server]retry.Location
 	NewTable      func(class int) picker.Table
 }
 
-// attempt is one that is in flight.
+// attempt is an attempt in flight.
 type attempt struct {
 	id     AttemptID
 	server balancer.Server
 	sentAt float64
 }
 
-// request is one that is in flight.
+// request is a request in flight.
 type request struct {
-	id       RequestID
-	received Request
-	state    retry.Request
-	attempts []*attempt // oldest first
-	hedged   bool
-	deadline timingwheel.Timer[*request]
-	slow     timingwheel.Timer[*request] // fires when the latest attempt has taken long
+	id            RequestID
+	received      Request
+	state         retry.Request
+	attempts      []*attempt // oldest first
+	hedged        bool
+	deadlineTimer timingwheel.Timer[*request]
+	slowTimer     timingwheel.Timer[*request] // fires when the latest attempt is slow
 }
 
-// Stats counts events, for metrics.
+// Stats holds event counters for metrics.
 type Stats struct {
 	Requests         int
 	Answered         int
 	Failed           int
-	DeadlineExceeded int // failed at their deadline
-	Rejected         int // by admission control
+	DeadlineExceeded int // requests that failed at their deadline
+	Rejected         int // requests rejected by admission control
 	NoServer         int
 	Attempts         int
 	Retries          int
 	Hedges           int
-	OverBudget       int // retries that the budget did not allow
+	OverBudget       int // retries that the retry budget did not allow
 	ClientsGone      int
 	KeysReused       int
 }
 
-// Proxy forwards requests. Use New. It is not safe for concurrent use.
+// Proxy forwards requests. It must be created with New, and is not safe for concurrent use.
 type Proxy struct {
-	config        Config
-	Tables        *tablecache.Tables
-	Admission     *admission.Controller
-	Outliers      *outlier.Detector
-	retryPolicies []balancer.RetryPolicy // by class
-	budgets       []retry.Budget         // by class
-	requests      map[RequestID]*request
-	attempts      map[AttemptID]*request
-	lastRequest   RequestID
-	lastAttempt   AttemptID
-	deadlines     *timingwheel.Wheel[*request]
-	slowTimers    *timingwheel.Wheel[*request]
-	keys          map[string]*keyRecord
-	keyOrder      []string // oldest first
-	serverTotals  map[balancer.Server]*loadreport.Totals
-	classTotals   []loadreport.Totals
-	actions       []Action
-	Stats         Stats
+	config          Config
+	Tables          *tablecache.Tables
+	Admission       *admission.Controller
+	Outliers        *outlier.Detector
+	retryPolicies   []balancer.RetryPolicy // by class
+	budgets         []retry.Budget         // by class
+	requests        map[RequestID]*request
+	attempts        map[AttemptID]*request
+	lastRequest     RequestID
+	lastAttempt     AttemptID
+	deadlineTimers  *timingwheel.Wheel[*request]
+	slowTimers      *timingwheel.Wheel[*request]
+	idempotencyKeys map[string]*keyRecord
+	keyOrder        []string // oldest first
+	serverTotals    map[balancer.Server]*loadreport.Totals
+	classTotals     []loadreport.Totals
+	actions         []Action
+	Stats           Stats
 }
 
 // New returns a Proxy whose tables are empty.
 func New(now float64, config Config) *Proxy {
 	proxy := &Proxy{
-		config:        config,
-		Tables:        tablecache.New(config.ClassNames, config.NewTable),
-		Admission:     admission.New(config.AdmissionMode, len(config.ClassNames), config.Limits),
-		Outliers:      outlier.New(config.Outliers),
-		retryPolicies: slices.Clone(config.RetryPolicies),
-		requests:      map[RequestID]*request{},
-		attempts:      map[AttemptID]*request{},
-		deadlines:     timingwheel.New[*request](now, timerResolution),
-		slowTimers:    timingwheel.New[*request](now, timerResolution),
-		keys:          map[string]*keyRecord{},
-		serverTotals:  map[balancer.Server]*loadreport.Totals{},
-		classTotals:   make([]loadreport.Totals, len(config.ClassNames)),
+		config:          config,
+		Tables:          tablecache.New(config.ClassNames, config.NewTable),
+		Admission:       admission.New(config.AdmissionMode, len(config.ClassNames), config.Limits),
+		Outliers:        outlier.New(config.Outliers),
+		retryPolicies:   slices.Clone(config.RetryPolicies),
+		requests:        map[RequestID]*request{},
+		attempts:        map[AttemptID]*request{},
+		deadlineTimers:  timingwheel.New[*request](now, timerResolution),
+		slowTimers:      timingwheel.New[*request](now, timerResolution),
+		idempotencyKeys: map[string]*keyRecord{},
+		serverTotals:    map[balancer.Server]*loadreport.Totals{},
+		classTotals:     make([]loadreport.Totals, len(config.ClassNames)),
 	}
 	for range config.ClassNames {
 		proxy.budgets = append(proxy.budgets, config.Budget)
@@ -158,7 +159,7 @@
 	return proxy
 }
 
-// ApplyOrders applies what came with tables for the classes: admission and retry policies.
+// ApplyOrders applies the admission settings and retry policies that a coordinator sent along with tables.
 func (p *Proxy) ApplyOrders(now float64, orders []tablecache.ClassOrder) {
 	for _, order := range orders {
 		if order.Admission >= 0 {
@@ -170,7 +171,8 @@
 	}
 }
 
-// safePolicy limits an ordered policy to what a class allows: a proxy does not follow an order by which an effect could happen twice.
+// safePolicy limits the retry policy that a coordinator ordered to what a class allows. This prevents an order from causing a
+// non-idempotent request to take effect twice.
 func safePolicy(class balancer.RequestClass, ordered balancer.RetryPolicy) balancer.RetryPolicy {
 	if class.Idempotency == balancer.NonIdempotent {
 		return min(ordered, balancer.RetryIfNotExecuted)
@@ -178,21 +180,21 @@
 	return ordered
 }
 
-// takeActions returns the collected actions.
+// takeActions returns the pending actions and clears them.
 func (p *Proxy) takeActions() []Action {
 	actions := p.actions
 	p.actions = nil
 	return actions
 }
 
-// ForgetServers forgets the failures of servers that are in no table any more.
+// ForgetServers discards the recorded failures of servers that are no longer in any table.
 func (p *Proxy) ForgetServers(servers []balancer.Server) {
 	for _, server := range servers {
 		p.Outliers.Forget(server)
 	}
 }
 
-// RequestOf returns the request of an attempt that is in flight; ok is false if the attempt is not.
+// RequestOf returns the request of an attempt. ok is false if the attempt is not in flight.
 func (p *Proxy) RequestOf(id AttemptID) (request RequestID, ok bool) {
 	req := p.attempts[id]
 	if req == nil {
--- a/internal/core/forwarding/requests.go
+++ b/internal/core/forwarding/requests.go
@@ -5,7 +5,7 @@
 	"snowquay/internal/core/retry"
 )
 
-// HandleRequest takes a client's request.
+// HandleRequest admits a client's request and starts its first attempt, or rejects it.
 func (p *Proxy) HandleRequest(now float64, received Request) (RequestID, []Action) {
 	p.Stats.Requests++
 	p.lastRequest++
@@ -22,18 +22,18 @@
 		p.Stats.Rejected++
 		return id, []Action{{Kind: Reject, Request: id, Err: err, RetryAfter: retryAfter}}
 	}
-	req := p.begin(now, id, received, key)
-	if !p.send(now, req) {
+	req := p.beginRequest(now, id, received, key)
+	if !p.sendAttempt(now, req) {
 		p.Stats.NoServer++
-		p.end(req)
+		p.endRequest(req)
 		p.classTotals[received.Class].Failed++
 		return id, append(p.takeActions(), Action{Kind: Reject, Request: id, Err: ErrNoServer, RetryAfter: noServerRetryAfter})
 	}
 	return id, p.takeActions()
 }
 
-// begin records an admitted request.
-func (p *Proxy) begin(now float64, id RequestID, received Request, key *keyRecord) *request {
+// beginRequest registers an admitted request and sets its deadline timer.
+func (p *Proxy) beginRequest(now float64, id RequestID, received Request, key *keyRecord) *request {
 	class := p.config.Classes[received.Class]
 	req := &request{
 		id:       id,
@@ -45,81 +45,84 @@
 			HasKey:   received.IdempotencyKey != "",
 		},
 	}
-	if key != nil && key.maybeExecuted { // its client retries: it goes where the first attempt may have been executed
+	if key != nil && key.maybeExecuted { // a retry by the client: send it only to servers that recognise it
 		req.state.MaybeExecuted = true
 		req.state.FirstExecution = key.location
 		req.state.FirstSentAt = key.sentAt
 	}
 	p.requests[id] = req
-	req.deadline.Value = req
-	req.slow.Value = req
-	p.deadlines.Set(&req.deadline, req.state.Deadline)
+	req.deadlineTimer.Value = req
+	req.slowTimer.Value = req
+	p.deadlineTimers.Set(&req.deadlineTimer, req.state.Deadline)
 	p.budgets[received.Class].RecordRequest()
 	return req
 }
 
-// end forgets a request and cancels its attempts.
-func (p *Proxy) end(req *request) {
+// endRequest removes a request and cancels its attempts and timers.
+func (p *Proxy) endRequest(req *request) {
 	for len(req.attempts) > 0 {
 		a := req.attempts[0]
 		p.endAttempt(req, a)
-		p.cancel(req, a)
+		p.cancelAttempt(req, a)
 	}
-	p.deadlines.Cancel(&req.deadline)
-	p.slowTimers.Cancel(&req.slow)
+	p.deadlineTimers.Cancel(&req.deadlineTimer)
+	p.slowTimers.Cancel(&req.slowTimer)
 	delete(p.requests, req.id)
 	p.Admission.EndRequest()
 }
 
-func (p *Proxy) cancel(req *request, a *attempt) {
+// cancelAttempt adds the action that closes the connection of an attempt.
+func (p *Proxy) cancelAttempt(req *request, a *attempt) {
 	p.actions = append(p.actions, Action{Kind: Cancel, Request: req.id, Attempt: a.id, Server: a.server})
 }
 
-func (p *Proxy) fail(req *request, err error) {
+// failRequest ends a request and adds the action that responds with the error.
+func (p *Proxy) failRequest(req *request, err error) {
 	p.Stats.Failed++
 	p.classTotals[req.received.Class].Failed++
-	p.end(req)
+	p.endRequest(req)
 	p.actions = append(p.actions, Action{Kind: Fail, Request: req.id, Err: err})
 }
 
-// ClientGone ends a request whose client has closed its connection.
+// ClientGone ends a request after its client has closed the connection.
 func (p *Proxy) ClientGone(id RequestID) []Action {
 	req := p.requests[id]
 	if req == nil {
 		return nil
 	}
 	p.Stats.ClientsGone++
-	p.end(req)
+	p.endRequest(req)
 	return p.takeActions()
 }
 
 // Tick fails requests whose deadline has passed, and retries or hedges those whose latest attempt is slow.
 func (p *Proxy) Tick(now float64) []Action {
-	p.deadlines.Advance(now, func(req *request) { p.deadlinePassed(now, req) })
-	p.slowTimers.Advance(now, func(req *request) { p.attemptSlow(now, req) })
+	p.deadlineTimers.Advance(now, func(req *request) { p.deadlinePassed(now, req) })
+	p.slowTimers.Advance(now, func(req *request) { p.handleSlowAttempt(now, req) })
 	return p.takeActions()
 }
 
+// deadlinePassed fails a request whose client timeout has expired.
 func (p *Proxy) deadlinePassed(now float64, req *request) {
 	p.Stats.DeadlineExceeded++
-	for _, a := range req.attempts { // a server that does not answer counts as one that fails
+	for _, a := range req.attempts { // a server that does not respond in time counts as failed
 		p.recordServerFailure(now, a.server)
-		p.rememberExecution(req, a)
+		p.recordExecution(req, a)
 	}
-	p.fail(req, ErrDeadlineExceeded)
+	p.failRequest(req, ErrDeadlineExceeded)
 }
 
-// hedges reports whether a request is to be hedged once its first attempt is slow.
+// hedges reports whether a request should be hedged when its attempt is slow.
 func (p *Proxy) hedges(req *request) bool {
 	return p.config.HedgeAfter > minHedgeDelay && !req.hedged && req.state.Class.Idempotency == balancer.Idempotent
 }
 
-// attemptSlow handles a request whose latest attempt has taken longer than the hedging delay, or than the latency objective. In the
-// second case the attempt is cancelled if the request may be retried; otherwise its answer is waited for.
-func (p *Proxy) attemptSlow(now float64, req *request) {
+// handleSlowAttempt handles a request whose latest attempt has exceeded the hedging delay or the latency objective. If the request is not
+// hedged, the attempt is cancelled and retried where a retry is allowed; otherwise it stays in flight.
+func (p *Proxy) handleSlowAttempt(now float64, req *request) {
 	if p.hedges(req) {
 		req.hedged = true
-		if len(req.attempts) == 1 && p.budgets[req.received.Class].TryRetry() && p.send(now, req) {
+		if len(req.attempts) == 1 && p.budgets[req.received.Class].TryRetry() && p.sendAttempt(now, req) {
 			p.Stats.Hedges++
 			return
 		}
@@ -133,6 +136,6 @@
 	if !afterFailure.MayRetry(now, retry.MaybeExecuted) {
 		return
 	}
-	p.cancel(req, a)
-	p.attemptFailed(now, req, a, retry.MaybeExecuted)
+	p.cancelAttempt(req, a)
+	p.handleFailedAttempt(now, req, a, retry.MaybeExecuted)
 }
--- a/internal/core/forwarding/retry_test.go
+++ b/internal/core/forwarding/retry_test.go
@@ -15,14 +15,14 @@
 	first := sendRequest(t, p, 1000, Request{Class: idempotent})
 	second := expectRetry(t, p, 1000.1, first.Attempt, retry.MaybeExecuted)
 	if second.Server == first.Server {
-		t.Error("it is sent to the same server again")
+		t.Error("request is retried at the same server")
 	}
 	failed := expectFailure(t, p, 1000.2, second.Attempt, retry.MaybeExecuted)
 	if !errors.Is(failed.Err, ErrAttemptsFailed) || p.InFlight() != 0 {
-		t.Errorf("%d in flight, %+v", p.InFlight(), failed)
+		t.Errorf("%d requests in flight, action %+v; want none and ErrAttemptsFailed", p.InFlight(), failed)
 	}
 	if _, _, ok := p.AttemptSucceeded(1001, second.Attempt); ok {
-		t.Error("an attempt that has ended succeeds")
+		t.Error("success of an attempt that has already ended is accepted")
 	}
 }
 
@@ -33,15 +33,15 @@
 
 	first = sendRequest(t, p, 1001, Request{Class: nonIdempotent})
 	second := expectRetry(t, p, 1001.1, first.Attempt, retry.NotExecuted)
-	expectFailure(t, p, 1001.2, second.Attempt, retry.NotExecuted) // one retry is allowed
+	expectFailure(t, p, 1001.2, second.Attempt, retry.NotExecuted) // the policy allows one retry
 
 	sendRequest(t, p, 1002, Request{Class: nonIdempotent})
 	if actions := p.Tick(1003.5); len(actions) != 0 {
-		t.Errorf("actions after its latency objective: %+v", actions)
+		t.Errorf("actions after the latency objective: %+v, want none", actions)
 	}
 }
 
-// A retry goes to servers that recognise it by its key, also when the client itself retries.
+// Retries by the proxy and by the client are sent only to servers that recognise the request by its key.
 func TestKeyedRequestStaysInItsDedupScope(t *testing.T) {
 	p := newTestProxy(t, 8, func(config *Config) { config.Budget.Burst = 100 })
 	for i := range 20 {
@@ -51,15 +51,15 @@
 		second := expectRetry(t, p, now+0.1, first.Attempt, retry.MaybeExecuted)
 		domain := p.location(first.Server).FailureDomain
 		if p.location(second.Server).FailureDomain != domain || second.Server == first.Server {
-			t.Fatalf("retried at %s after %s", second.Server, first.Server)
+			t.Fatalf("request is retried at %s after an attempt at %s, want another server of the same failure domain", second.Server, first.Server)
 		}
 		if _, _, ok := p.AttemptSucceeded(now+0.2, second.Attempt); !ok {
-			t.Fatal("not answered")
+			t.Fatal("success of the retry is not accepted")
 		}
 
-		third := sendRequest(t, p, now+1, request) // its client has not received the response
+		third := sendRequest(t, p, now+1, request) // the client retries because it has not received the response
 		if p.location(third.Server).FailureDomain != domain {
-			t.Fatal("the client's own retry goes to another failure domain")
+			t.Fatal("retry by the client is sent to another failure domain")
 		}
 		p.AttemptSucceeded(now+1.1, third.Attempt)
 
@@ -67,22 +67,22 @@
 		_, actions := p.HandleRequest(now+2, request)
 		rejected := onlyAction(t, actions, Reject)
 		if !errors.Is(rejected.Err, ErrKeyReused) {
-			t.Errorf("the key of another request: %+v", rejected)
+			t.Errorf("reuse of the key for another request: %+v, want ErrKeyReused", rejected)
 		}
 	}
 }
 
-func TestKeyedRequestThatIsNotRecognised(t *testing.T) {
+func TestKeyedRequestIsNotRetriedWithoutDeduplication(t *testing.T) {
 	p := newTestProxy(t, 8, nil)
 	withoutKey := sendRequest(t, p, 5000, Request{Class: keyed})
 	expectFailure(t, p, 5000.1, withoutKey.Attempt, retry.MaybeExecuted)
 
 	late := sendRequest(t, p, 6000, Request{Class: keyed, IdempotencyKey: "late", Fingerprint: 1})
-	expectFailure(t, p, 6000+dedupWindow+0.5, late.Attempt, retry.MaybeExecuted)
+	expectFailure(t, p, 6000+keyedDedupWindow+0.5, late.Attempt, retry.MaybeExecuted)
 }
 
-// The other servers of the failure domain are drained between an attempt and its retry.
-func TestKeyedRequestStaysDuringDrain(t *testing.T) {
+// If the other servers of the failure domain are drained between an attempt and its retry, a keyed request is retried at the same server.
+func TestKeyedRequestStaysInItsDedupScopeDuringDrain(t *testing.T) {
 	p := newTestProxy(t, 8, nil)
 	first := sendRequest(t, p, 7000, Request{Class: keyed, IdempotencyKey: "drained", Fingerprint: 1})
 	var remaining []int
@@ -95,7 +95,7 @@
 	applyTables(t, p, 7000.05, testTables(true, 2, remaining...))
 	second := expectRetry(t, p, 7000.1, first.Attempt, retry.MaybeExecuted)
 	if second.Server != first.Server {
-		t.Errorf("it is sent to %s, which does not recognise it", second.Server)
+		t.Errorf("request is retried at %s, which does not recognise it", second.Server)
 	}
 }
 
@@ -109,11 +109,11 @@
 		}
 	}
 	if p.Stats.Retries > 13 || p.Stats.Retries < 8 || p.Stats.OverBudget == 0 {
-		t.Errorf("%d retries of 100 requests with a budget of a tenth", p.Stats.Retries)
+		t.Errorf("%d retries of 100 requests with a budget of a tenth, want 8 to 13 and some over budget", p.Stats.Retries)
 	}
 }
 
-// A server that fails is ejected for a time; requests are sent all the same if all servers are.
+// A failing server is ejected for some time. If all servers are ejected, requests are sent to them nevertheless.
 func TestFailingServersAreEjected(t *testing.T) {
 	p := newTestProxy(t, 3, nil)
 	failing := serverName(1)
@@ -129,7 +129,7 @@
 		}
 	}
 	if sent[failing] > 5 || p.Outliers.Ejections != 1 {
-		t.Errorf("a failing server was sent %d of 300 requests and ejected %d times", sent[failing], p.Outliers.Ejections)
+		t.Errorf("failing server received %d of 300 requests and was ejected %d times, want at most 5 and exactly 1", sent[failing], p.Outliers.Ejections)
 	}
 
 	for i := range 100 {
@@ -143,6 +143,6 @@
 		func(balancer.Class, loadreport.Totals) {},
 	)
 	if failures < 100 {
-		t.Errorf("%v failures are reported", failures)
+		t.Errorf("%v failures reported, want at least 100", failures)
 	}
 }
--- a/internal/core/outlier/detector.go
+++ b/internal/core/outlier/detector.go
@@ -1,49 +1,50 @@
-// Package outlier ejects servers that fail repeatedly, for a time that grows with each ejection. It is pure.
+// Package outlier ejects servers that fail repeatedly, for a time that grows with each ejection. It does no I/O and reads no clock.
 package outlier
 
 import "snowquay/balancer"
 
-// Config of outlier ejection.
+// Config holds the configuration of outlier detection.
 type Config struct {
-	ConsecutiveFailures int     // failures in a row that eject a server; 0: none is ejected
-	BaseEjection        float64 // seconds of the first ejection; each further one in a row doubles it
-	MaxEjection         float64 // seconds of an ejection at most
+	ConsecutiveFailures int     // consecutive failures after which a server is ejected; 0 disables ejection
+	BaseEjection        float64 // duration of the first ejection in seconds; doubled with each further consecutive ejection
+	MaxEjection         float64 // maximum duration of an ejection in seconds
 }
 
-// DefaultConfig is the configuration when the settings have none.
+// DefaultConfig is the configuration that is used if the settings specify none.
 var DefaultConfig = Config{ConsecutiveFailures: 8, BaseEjection: 4, MaxEjection: 30}
 
 const (
-	maxServers   = 8192 // failing servers that are remembered; further ones are not ejected
-	maxDoublings = 16   // of BaseEjection
+	maxTrackedServers = 8192 // maximum number of failing servers that are tracked; further ones are not ejected
+	maxDoublings      = 16   // limit on the doublings of BaseEjection
 )
 
+// serverState holds the recent failures of a server.
 type serverState struct {
-	failures     int // in a row
-	ejections    int // in a row
-	ejectedUntil float64
+	failures     int     // consecutive
+	ejections    int     // consecutive
+	ejectedUntil float64 // clock time in seconds
 }
 
-// Detector knows the servers that have failed at one proxy. Use New.
+// Detector tracks the servers that fail as seen by one proxy. It must be created with New.
 type Detector struct {
 	config    Config
-	servers   map[balancer.Server]*serverState // those whose latest attempt failed
-	Ejections int                              // in all
+	servers   map[balancer.Server]*serverState // servers whose latest attempt failed
+	Ejections int                              // total number, for metrics
 }
 
-// New returns a Detector that has seen no failure.
+// New returns a Detector with no recorded failures.
 func New(config Config) *Detector {
 	return &Detector{config: config, servers: map[balancer.Server]*serverState{}}
 }
 
-// RecordSuccess records an answer of a server, which ends its ejection.
+// RecordSuccess records a response from a server. It clears the failures of the server and ends its ejection.
 func (d *Detector) RecordSuccess(server balancer.Server) { delete(d.servers, server) }
 
-// RecordFailure records a failed attempt at a server. It reports whether the server is ejected from now on.
+// RecordFailure records a failed attempt at a server. It reports whether this failure ejects the server.
 func (d *Detector) RecordFailure(now float64, server balancer.Server) bool {
 	state := d.servers[server]
 	if state == nil {
-		if d.config.ConsecutiveFailures == 0 || len(d.servers) >= maxServers {
+		if d.config.ConsecutiveFailures == 0 || len(d.servers) >= maxTrackedServers {
 			return false
 		}
 		state = &serverState{}
@@ -55,17 +56,18 @@
 	}
 	factor := float64(uint64(1) << min(state.ejections, maxDoublings))
 	state.ejectedUntil = now + min(d.config.BaseEjection*factor, d.config.MaxEjection)
-	state.failures = d.config.ConsecutiveFailures - 1 // one more failure afterwards ejects it again, for longer
+	state.failures = d.config.ConsecutiveFailures - 1 // one more failure after the ejection ejects it again, for longer
 	state.ejections++
 	d.Ejections++
 	return true
 }
 
-// Ejected reports whether a server should not be used now. It is advice: a caller that has no other server uses an ejected one.
+// Ejected reports whether a server is ejected and should not be used. This is advisory: a caller uses an ejected server if no other
+// server is available.
 func (d *Detector) Ejected(now float64, server balancer.Server) bool {
 	state := d.servers[server]
 	return state != nil && now < state.ejectedUntil
 }
 
-// Forget removes a server that is in no table any more.
+// Forget discards the state of a server that is no longer in any table.
 func (d *Detector) Forget(server balancer.Server) { delete(d.servers, server) }
--- a/internal/core/retry/budget.go
+++ b/internal/core/retry/budget.go
@@ -1,18 +1,18 @@
 package retry
 
-// Budget limits retries to a fraction of the requests, so that retries do not multiply the load of servers that are failing. It is
-// a token bucket that requests fill.
+// Budget limits retries to a fraction of the requests, so that retries do not multiply the load on failing servers. It is a token bucket
+// that is refilled by requests.
 type Budget struct {
-	Ratio   float64 // retries for each request
-	Burst   float64 // retries that may be sent at once
+	Ratio   float64 // retries per request
+	Burst   float64 // maximum number of retries that may be sent at once
 	tokens  float64
 	started bool
 }
 
-// DefaultBudget is the budget when the settings have none.
+// DefaultBudget is the budget that is used if the settings specify none.
 var DefaultBudget = Budget{Ratio: 0.2, Burst: 10}
 
-// RecordRequest records a request's first attempt.
+// RecordRequest adds the tokens for one request to the budget. It is called once for each request, not for retries.
 func (b *Budget) RecordRequest() {
 	if !b.started {
 		b.started = true
@@ -21,7 +21,7 @@
 	b.tokens = min(b.Burst, b.tokens+b.Ratio)
 }
 
-// TryRetry takes a retry from the budget. It reports whether there was one left.
+// TryRetry takes a retry from the budget. It reports whether the budget allowed it.
 func (b *Budget) TryRetry() bool {
 	if b.tokens < 1 {
 		return false
--- a/internal/core/retry/policy.go
+++ b/internal/core/retry/policy.go
@@ -1,19 +1,19 @@
-// Package retry decides whether a failed request may be sent once more, and where: by what its class allows, by what is known of
-// its attempts so far, and within a retry budget. It is pure.
+// Package retry decides whether a failed request may be retried, and at which servers, according to its class, its previous attempts and
+// a retry budget. It does no I/O and reads no clock.
 package retry
 
 import "snowquay/balancer"
 
-// Outcome of an attempt that brought no answer.
+// Outcome is the outcome of an attempt that received no response.
 type Outcome int
 
-// What is known of a failed attempt.
+// The possible outcomes of a failed attempt.
 const (
-	NotExecuted   Outcome = iota // it is proved that the server never began with it
-	MaybeExecuted                // it failed after the server may have had it
+	NotExecuted   Outcome = iota // the server is certain not to have started the request
+	MaybeExecuted                // the attempt failed after the server may have received the request
 )
 
-// Location of a server.
+// Location identifies a server with its zone and failure domain.
 type Location struct {
 	Server        balancer.Server
 	Zone          balancer.Zone
@@ -21,30 +21,30 @@
 }
 
 const (
-	rememberedAttempts = 4    // servers that a request has been sent to
-	minTimeLeft        = 0.02 // seconds until the deadline, below which a retry cannot be answered in time
+	maxTriedServers  = 4    // number of servers that are remembered as tried
+	minRemainingTime = 0.02 // seconds; with less time until the deadline, a retry cannot complete in time
 )
 
-// Request is what is known of a request's attempts. Times are clock times in seconds.
+// Request holds the retry state of a request. Times are clock times in seconds.
 type Request struct {
 	Class          balancer.RequestClass
-	Policy         balancer.RetryPolicy // as the coordinator or the settings order
-	Deadline       float64              // when its client gives up
-	HasKey         bool                 // it carries a key by which servers recognise a retry
-	Attempts       int                  // so far
-	MaybeExecuted  bool                 // one of them may have been executed
-	FirstExecution Location             // the first that may have been executed
-	FirstSentAt    float64              // when that one was sent
-	tried          [rememberedAttempts]balancer.Server
+	Policy         balancer.RetryPolicy // set by the coordinator or the settings
+	Deadline       float64              // time at which the client gives up
+	HasKey         bool                 // whether it carries an idempotency key by which servers recognise a retry
+	Attempts       int                  // number of attempts so far
+	MaybeExecuted  bool                 // whether an attempt may have been executed
+	FirstExecution Location             // server of the first attempt that may have been executed
+	FirstSentAt    float64              // time at which that attempt was sent
+	tried          [maxTriedServers]balancer.Server
 }
 
 // RecordAttempt records that the request was sent to a server.
 func (r *Request) RecordAttempt(server balancer.Server) {
-	r.tried[r.Attempts%rememberedAttempts] = server
+	r.tried[r.Attempts%maxTriedServers] = server
 	r.Attempts++
 }
 
-// RecordFailure records how the latest attempt ended. sentAt is the clock time in seconds at which it was sent.
+// RecordFailure records the outcome of the latest attempt, which was sent to the location at the clock time sentAt in seconds.
 func (r *Request) RecordFailure(location Location, sentAt float64, outcome Outcome) {
 	if outcome != MaybeExecuted || r.MaybeExecuted {
 		return
@@ -54,9 +54,9 @@
 	r.FirstSentAt = sentAt
 }
 
-// Tried reports whether a server has had the request already.
+// Tried reports whether the request has already been sent to a server.
 func (r *Request) Tried(server balancer.Server) bool {
-	for i := range min(r.Attempts, rememberedAttempts) {
+	for i := range min(r.Attempts, maxTriedServers) {
 		if r.tried[i] == server {
 			return true
 		}
@@ -64,9 +64,9 @@
 	return false
 }
 
-// MayRetry reports whether a request whose latest attempt ended with this outcome may be sent once more now. It prevents effects
-// that happen twice: a request that is not idempotent is retried only if it is proved that no attempt was executed; one with an
-// idempotency key only under that key, and while servers still remember the first attempt.
+// MayRetry reports whether a request whose latest attempt ended with the given outcome may be retried now. It prevents requests from taking
+// effect twice: a non-idempotent request is retried only if it is certain that no attempt was executed, and a keyed request only
+// with its key and only while servers still remember the first attempt.
 func (r *Request) MayRetry(now float64, last Outcome) bool {
 	if r.Policy == balancer.RetryNever {
 		return false
@@ -75,7 +75,7 @@
 	if r.Policy == balancer.RetryTwice {
 		maxRetries = 2
 	}
-	if r.Attempts > maxRetries || r.Deadline-now < minTimeLeft {
+	if r.Attempts > maxRetries || r.Deadline-now < minRemainingTime {
 		return false
 	}
 	if last == MaybeExecuted && r.Policy == balancer.RetryIfNotExecuted {
@@ -93,7 +93,8 @@
 	return false
 }
 
-// AllowedAt reports whether a retry may go to a server: once an attempt may have been executed, only to servers that recognise it.
+// AllowedAt reports whether a retry may be sent to a server. Once an attempt may have been executed, only servers that recognise the
+// request are allowed.
 func (r *Request) AllowedAt(location Location) bool {
 	if r.Class.Idempotency == balancer.Idempotent || !r.MaybeExecuted {
 		return true
