--- a/internal/core/histogram/histogram.go
+++ b/internal/core/histogram/histogram.go
@@ -1,24 +1,24 @@
-// Package histogram keeps the distribution of a positive quantity in bins that grow by a constant ratio. It forgets by
-// halving: the older a value, the less it counts. It does no I/O and reads no clock.
+// Package histogram records the distribution of a positive quantity in bins that grow by a constant ratio. Values decay by
+// halving of all counts: the older a value, the less it counts. It does no I/O and reads no clock.
 package histogram
 
 import "math"
 
-// binCount is the number of bins; the last one holds all values above it.
+// binCount is the number of bins. The last bin also holds all larger values.
 const binCount = 16
 
-// Scale says where the bins begin. One histogram always uses the same scale.
+// Scale determines the bins and the decay of a histogram. All values of a histogram must be added with the same scale.
 type Scale struct {
-	Min        float64 // start of the first bin; smaller values count as this one
-	Growth     float64 // ratio of the starts of two neighbouring bins, over 1
-	HalveAbove float64 // number of values after which all count half
+	Min        float64 // start of the first bin; smaller values are added as this value
+	Growth     float64 // ratio of the starts of two adjacent bins, greater than 1
+	HalveAbove float64 // total count above which all counts are halved
 }
 
-// Histogram holds values on one scale. Its zero value is empty.
+// Histogram holds the counts of values on a scale. The zero value is empty.
 type Histogram struct {
 	counts [binCount]float64
 	total  float64
-	mean   float64 // computed with each value: it is read far more often
+	mean   float64 // updated whenever a value is added, because it is read far more often
 }
 
 // Add adds a value.
@@ -35,6 +35,7 @@
 	}
 }
 
+// halve halves all counts.
 func (h *Histogram) halve() {
 	for i := range h.counts {
 		h.counts[i] /= 2
@@ -42,8 +43,8 @@
 	h.total /= 2
 }
 
-// Count returns the number of values, older ones counted in part.
+// Count returns the number of values, weighted by their decay.
 func (h *Histogram) Count() float64 { return h.total }
 
-// Mean returns the mean of all values by the middle of their bins, and 0 if there are none.
+// Mean returns the mean of the values, each approximated by the middle of its bin, or 0 if there are none.
 func (h *Histogram) Mean() float64 { return h.mean }
--- a/internal/core/histogram/histogram_test.go
+++ b/internal/core/histogram/histogram_test.go
@@ -7,7 +7,7 @@
 
 var testScale = Scale{Min: 0.2, Growth: 1.5, HalveAbove: 64}
 
-func TestMeanIsWithinABin(t *testing.T) {
+func TestMeanIsAccurateToOneBin(t *testing.T) {
 	for _, value := range []float64{0.01, 0.2, 3, 40, 1e9} {
 		var h Histogram
 		for range 200 {
@@ -15,7 +15,7 @@
 		}
 		bounded := min(max(value, 0.2), 0.2*math.Pow(1.5, 15))
 		if ratio := h.Mean() / bounded; ratio < 1/1.5 || ratio > 1.5 {
-			t.Errorf("the mean of %v alone is %.3f", value, h.Mean())
+			t.Errorf("mean of a single repeated value %v is %.3f", value, h.Mean())
 		}
 	}
 }
@@ -23,11 +23,11 @@
 func TestEmptyHistogramHasNoMean(t *testing.T) {
 	var h Histogram
 	if h.Mean() != 0 || h.Count() != 0 {
-		t.Errorf("mean %v of %v entries", h.Mean(), h.Count())
+		t.Errorf("empty histogram has the mean %v and the count %v, want 0", h.Mean(), h.Count())
 	}
 }
 
-func TestOldValuesAreForgotten(t *testing.T) {
+func TestOldValuesDecay(t *testing.T) {
 	var h Histogram
 	for range 64 {
 		h.Add(testScale, 1)
@@ -36,6 +36,6 @@
 		h.Add(testScale, 20)
 	}
 	if h.Mean() < 15 || h.Count() > 64 {
-		t.Errorf("the mean is %.1f of %.0f entries after many of 20", h.Mean(), h.Count())
+		t.Errorf("mean %.1f and count %.0f after 200 values of 20, want a mean of at least 15 and a count of at most 64", h.Mean(), h.Count())
 	}
 }
--- a/internal/core/indexedheap/indexedheap.go
+++ b/internal/core/indexedheap/indexedheap.go
@@ -1,10 +1,11 @@
-// Package indexedheap is a binary heap whose elements know their positions, so that one that changes is moved, and one that goes is
-// removed, in logarithmic time. It is pure.
+// Package indexedheap implements a binary heap whose elements store their positions, so that an element can be reordered after a change or
+// removed in logarithmic time. It does no I/O.
 package indexedheap
 
-// Position is embedded by value in the struct of an element. The zero value is not in a heap. An element is in one heap at a time.
+// Position is the position of an element in a heap, and is embedded by value in the element's struct. The zero value means that the element
+// is in no heap. An element can be in only one heap at a time.
 type Position struct {
-	number int // index in the heap + 1; 0: not in a heap
+	number int // index in the heap plus 1; 0 if not in a heap
 }
 
 // InHeap reports whether the element is in a heap.
@@ -12,14 +13,14 @@
 
 func (p *Position) position() *Position { return p }
 
-// Element is a pointer to a struct that embeds Position.
+// Element is the constraint for elements: pointers to structs that embed Position.
 type Element[E any] interface {
-	// Less orders the elements of a heap.
+	// Less reports whether the element precedes another one.
 	Less(other E) bool
 	position() *Position
 }
 
-// Heap holds elements; the least one is first. The zero value is empty.
+// Heap is a min-heap of elements. The zero value is empty.
 type Heap[E Element[E]] struct {
 	elements []E
 }
@@ -27,17 +28,17 @@
 // Len returns the number of elements.
 func (h *Heap[E]) Len() int { return len(h.elements) }
 
-// First returns the least element. The heap must not be empty.
+// First returns the smallest element. The heap must not be empty.
 func (h *Heap[E]) First() E { return h.elements[0] }
 
-// Push adds an element, which must not be in a heap.
+// Push adds an element. It must not be in a heap already.
 func (h *Heap[E]) Push(element E) {
 	h.elements = append(h.elements, element)
 	h.place(len(h.elements)-1, element)
 	h.Fix(element)
 }
 
-// Remove removes an element. One that is not in the heap is left alone.
+// Remove removes an element. It does nothing if the element is not in a heap.
 func (h *Heap[E]) Remove(element E) {
 	position := element.position()
 	if !position.InHeap() {
@@ -56,18 +57,18 @@
 	}
 }
 
-// Fix restores the order after an element of the heap has changed. One that is not in the heap is left alone.
+// Fix restores the heap order after an element has changed. It does nothing if the element is not in a heap.
 func (h *Heap[E]) Fix(element E) {
 	position := element.position()
 	if !position.InHeap() {
 		return
 	}
-	index := h.up(position.number-1, element)
-	h.down(index, element)
+	index := h.siftUp(position.number-1, element)
+	h.siftDown(index, element)
 }
 
-// up moves an element towards the root and returns its index.
-func (h *Heap[E]) up(index int, element E) int {
+// siftUp moves an element towards the root and returns its index.
+func (h *Heap[E]) siftUp(index int, element E) int {
 	for index > 0 {
 		parent := (index - 1) / 2
 		if !element.Less(h.elements[parent]) {
@@ -80,8 +81,8 @@
 	return index
 }
 
-// down moves an element away from the root.
-func (h *Heap[E]) down(index int, element E) {
+// siftDown moves an element away from the root.
+func (h *Heap[E]) siftDown(index int, element E) {
 	for {
 		child := h.leastChild(index)
 		if child < 0 || !h.elements[child].Less(element) {
@@ -93,7 +94,7 @@
 	h.place(index, element)
 }
 
-// leastChild returns the index of the least child; negative if there is none.
+// leastChild returns the index of the smallest child, or -1 if there is none.
 func (h *Heap[E]) leastChild(index int) int {
 	left := 2*index + 1
 	right := left + 1
@@ -106,6 +107,7 @@
 	return left
 }
 
+// place stores an element at an index.
 func (h *Heap[E]) place(index int, element E) {
 	h.elements[index] = element
 	element.position().number = index + 1
--- a/internal/core/indexedheap/indexedheap_test.go
+++ b/internal/core/indexedheap/indexedheap_test.go
@@ -13,8 +13,8 @@
 
 func (n *number) Less(other *number) bool { return n.value < other.value }
 
-// Whatever is pushed, changed and removed, the first element is the least, and each knows where it is.
-func TestFirstIsLeast(t *testing.T) {
+// After any sequence of pushes, changes and removals, the first element is the smallest, and each element stores its own position.
+func TestHeapInvariantsUnderRandomOperations(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		elements := make([]*number, 20)
 		for i := range elements {
@@ -46,13 +46,13 @@
 		}
 		count++
 		if heap.elements[element.number-1] != element {
-			t.Fatalf("the element with value %d is not at its position %d", element.value, element.number-1)
+			t.Fatalf("element with value %d is not at its stored position %d", element.value, element.number-1)
 		}
 		if element.Less(heap.First()) {
-			t.Fatalf("the first value is %d, there is a value %d", heap.First().value, element.value)
+			t.Fatalf("first value is %d, but the heap contains %d", heap.First().value, element.value)
 		}
 	}
 	if heap.Len() != count {
-		t.Fatalf("%d elements are in the heap, its length is %d", count, heap.Len())
+		t.Fatalf("%d elements are in the heap, but its length is %d", count, heap.Len())
 	}
 }
--- a/internal/core/picker/benchmark_test.go
+++ b/internal/core/picker/benchmark_test.go
@@ -7,7 +7,7 @@
 	"snowquay/balancer"
 )
 
-// linearRoundRobin is the smooth weighted round robin of nginx, which scans all entries: the tables are compared with it.
+// linearRoundRobin is the smooth weighted round robin of nginx, which scans all entries. The benchmarks compare the tables with it.
 type linearRoundRobin struct {
 	entries []Entry
 	credits []float64 // by entry
--- a/internal/core/picker/earliest_deadline_first.go
+++ b/internal/core/picker/earliest_deadline_first.go
@@ -6,36 +6,38 @@
 	"snowquay/internal/core/random"
 )
 
-// EarliestDeadlineFirst picks by earliest deadline first, a weighted round robin: each server is due again after the inverse of its weight,
-// and the one that is due first is picked. In any run of picks a server gets its proportion, give or take one. It is the stride
-// scheduling of Waldspurger and Weihl (1995), as in Envoy's and gRPC's EDF schedulers. Use NewEarliestDeadlineFirst.
+// EarliestDeadlineFirst is a Table that picks by earliest deadline first, a weighted round robin: a picked server is due again after an
+// interval of virtual time that is the inverse of its weight, and the server that is due first is picked. In any sequence of picks a server
+// gets its proportion, plus or minus one. This is the stride scheduling of Waldspurger and Weihl (1995), as in the EDF schedulers of Envoy
+// and gRPC. It must be created with NewEarliestDeadlineFirst.
 type EarliestDeadlineFirst struct {
-	entries map[balancer.Server]*scheduledEntry
-	queue   indexedheap.Heap[*scheduledEntry] // the entry that is due first is first
-	time    float64                           // virtual: a server is due every 1/weight
-	random  random.LCG
-	skipped []*scheduledEntry // by the current pick
+	entries     map[balancer.Server]*scheduledEntry
+	queue       indexedheap.Heap[*scheduledEntry] // ordered by nextDue
+	virtualTime float64                           // time at which the latest picked server was due; a server is due every 1/weight
+	random      random.LCG
+	skipped     []*scheduledEntry // entries skipped by the current pick
 }
 
+// scheduledEntry is a table entry with the virtual time at which it is due.
 type scheduledEntry struct {
 	indexedheap.Position
-	server balancer.Server
-	weight float64
-	due    float64 // virtual time
+	server  balancer.Server
+	weight  float64
+	nextDue float64 // virtual time
 }
 
-// Less reports whether the entry is due before another one.
+// Less reports whether the entry is due before another one. Entries that are due at the same time are ordered by server.
 func (e *scheduledEntry) Less(other *scheduledEntry) bool {
-	return e.due < other.due || e.due == other.due && e.server < other.server
+	return e.nextDue < other.nextDue || e.nextDue == other.nextDue && e.server < other.server
 }
 
-// NewEarliestDeadlineFirst returns an empty table. The seed decides when new servers are first due.
+// NewEarliestDeadlineFirst returns an empty table. The seed determines when new servers are first due.
 func NewEarliestDeadlineFirst(seed uint64) *EarliestDeadlineFirst {
 	return &EarliestDeadlineFirst{entries: map[balancer.Server]*scheduledEntry{}, random: random.NewLCG(seed)}
 }
 
-// Set implements Table. A new server is first due at a random time within its interval, so that the proxies that learn of it at the
-// same time do not all send their next request there. One whose weight changes keeps the fraction of its interval that is left.
+// Set implements Table. A new server is first due at a random time within its interval, so that proxies which add it at the same time do
+// not all send their next request to it. If a weight changes, the remaining fraction of the interval of its server stays the same.
 func (t *EarliestDeadlineFirst) Set(server balancer.Server, weight float64) {
 	entry := t.entries[server]
 	switch {
@@ -45,11 +47,11 @@
 			t.queue.Remove(entry)
 		}
 	case entry == nil:
-		entry = &scheduledEntry{server: server, weight: weight, due: t.time + t.random.Float()/weight}
+		entry = &scheduledEntry{server: server, weight: weight, nextDue: t.virtualTime + t.random.Float()/weight}
 		t.entries[server] = entry
 		t.queue.Push(entry)
 	case entry.weight != weight:
-		entry.due = t.time + max(entry.due-t.time, 0)*entry.weight/weight
+		entry.nextDue = t.virtualTime + max(entry.nextDue-t.virtualTime, 0)*entry.weight/weight
 		entry.weight = weight
 		t.queue.Fix(entry)
 	}
@@ -76,17 +78,17 @@
 	return all
 }
 
-// Pick implements Table. Servers that are not allowed stay due, but for one pick only: once they are allowed again, they do not get all
-// that they missed at once.
+// Pick implements Table. Servers that are not allowed stay due, but for one pick only: when they are allowed again, they are not picked
+// repeatedly to make up for the picks that they missed.
 func (t *EarliestDeadlineFirst) Pick(allowed func(balancer.Server) bool) (server balancer.Server, ok bool) {
 	picked := t.firstAllowed(allowed)
 	if picked != nil {
-		t.time = max(t.time, picked.due)
-		picked.due = t.time + 1/picked.weight
+		t.virtualTime = max(t.virtualTime, picked.nextDue)
+		picked.nextDue = t.virtualTime + 1/picked.weight
 		t.queue.Fix(picked)
 	}
 	for _, entry := range t.skipped {
-		entry.due = max(entry.due, t.time)
+		entry.nextDue = max(entry.nextDue, t.virtualTime)
 		t.queue.Push(entry)
 	}
 	t.skipped = t.skipped[:0]
@@ -96,8 +98,8 @@
 	return picked.server, true
 }
 
-// firstAllowed returns the entry that is due first of those that are allowed, nil if there is none. It moves those before it from the
-// queue to skipped.
+// firstAllowed returns the allowed entry that is due first, or nil if there is none. It moves the entries that are due earlier from the queue
+// to skipped.
 func (t *EarliestDeadlineFirst) firstAllowed(allowed func(balancer.Server) bool) *scheduledEntry {
 	for t.queue.Len() > 0 {
 		entry := t.queue.First()
--- a/internal/core/picker/fenwick.go
+++ b/internal/core/picker/fenwick.go
@@ -1,9 +1,9 @@
 package picker
 
-// fenwickTree holds weights and finds the one in whose part of the cumulative sum a number falls, in logarithmic time (Fenwick, "A new
-// data structure for cumulative frequency tables", 1994).
+// fenwickTree stores a sequence of weights. It updates a weight, and finds the weight whose interval of the cumulative sum contains a number,
+// in logarithmic time (Fenwick, "A new data structure for cumulative frequency tables", 1994).
 type fenwickTree struct {
-	nodes []float64 // node i, from 1, is the sum of the weights i-lowestBit(i) to i-1; node 0 is unused
+	nodes []float64 // node i, counted from 1, is the sum of the weights i-lowestBit(i) to i-1; node 0 is unused
 	total float64
 }
 
@@ -17,7 +17,7 @@
 
 func lowestBit(node int) int { return node & -node }
 
-// add changes a weight by a difference.
+// add adds a difference to a weight.
 func (t *fenwickTree) add(index int, change float64) {
 	t.total += change
 	for node := index + 1; node < len(t.nodes); node += lowestBit(node) {
@@ -25,10 +25,10 @@
 	}
 }
 
-// push adds a weight at the end.
+// push appends a weight.
 func (t *fenwickTree) push(weight float64) {
 	node := len(t.nodes)
-	covered := 0.0 // the sum of the other weights of the new node
+	covered := 0.0 // sum of the other weights that the new node covers
 	for child := node - 1; child > node-lowestBit(node); child -= lowestBit(child) {
 		covered += t.nodes[child]
 	}
@@ -36,13 +36,13 @@
 	t.total += weight
 }
 
-// removeLast removes the last weight, which is given. No other node covers it.
+// removeLast removes the last weight, whose value is passed. No node except the last covers it.
 func (t *fenwickTree) removeLast(weight float64) {
 	t.total -= weight
 	t.nodes = t.nodes[:len(t.nodes)-1]
 }
 
-// search returns the index of the weight in whose part of the cumulative sum a number falls. The tree must not be empty.
+// search returns the index of the weight whose interval of the cumulative sum contains a number. The tree must not be empty.
 func (t *fenwickTree) search(sum float64) int {
 	step := 1
 	for step*2 < len(t.nodes) {
@@ -56,5 +56,5 @@
 			sum -= t.nodes[next]
 		}
 	}
-	return min(index, len(t.nodes)-2) // rounding may leave a remainder after the last weight
+	return min(index, len(t.nodes)-2) // due to rounding, sum may lie after the last weight
 }
--- a/internal/core/picker/table.go
+++ b/internal/core/picker/table.go
@@ -1,5 +1,6 @@
-// Package picker picks servers in proportion to their weights: by earliest deadline first, which keeps every run of picks close to
-// the weights, or at random. Both change an entry in logarithmic time, and neither bunches picks when a table changes. It is pure.
+// Package picker picks servers in proportion to their weights: by earliest deadline first, which keeps any sequence of picks close to the
+// weights, or at random. Both algorithms change an entry in logarithmic time, and neither causes bursts of picks of one server when a table
+// changes. The package does no I/O and reads no clock.
 package picker
 
 import (
@@ -10,7 +11,7 @@
 	"snowquay/balancer"
 )
 
-// Entry of a table.
+// Entry is an entry of a table.
 type Entry struct {
 	Server balancer.Server `json:"Server"`
 	Weight float64         `json:"Weight"` // above 0
@@ -18,19 +19,19 @@
 
 // Table picks servers by weight.
 type Table interface {
-	// Set changes the weight of a server. A weight that is not positive and finite removes it.
+	// Set sets the weight of a server. A weight that is not positive and finite removes the server.
 	Set(server balancer.Server, weight float64)
-	// Weight returns the weight of a server; 0: it is not in the table.
+	// Weight returns the weight of a server, or 0 if it is not in the table.
 	Weight(server balancer.Server) float64
 	// Len returns the number of servers.
 	Len() int
 	// Entries returns all entries, sorted by server.
 	Entries() []Entry
-	// Pick returns a server that allowed accepts; nil accepts all. ok is false if there is none.
+	// Pick picks a server that allowed accepts; nil accepts all. ok is false if there is none.
 	Pick(allowed func(balancer.Server) bool) (server balancer.Server, ok bool)
 }
 
-// Replace makes a table hold these entries and no others. Servers that stay keep their place in the rotation.
+// Replace replaces the entries of a table. Servers that were already in it keep their position in the rotation.
 func Replace(table Table, entries []Entry) {
 	wanted := make(map[balancer.Server]bool, len(entries))
 	for _, entry := range entries {
--- a/internal/core/picker/table_test.go
+++ b/internal/core/picker/table_test.go
@@ -14,7 +14,7 @@
 
 func TestMain(m *testing.M) { testseed.Main(m) }
 
-// newTables makes tables by the name of their algorithm.
+// newTables holds the constructors of tables by the name of the algorithm.
 var newTables = map[string]func(seed uint64) Table{
 	earliestDeadlineFirst: func(seed uint64) Table { return NewEarliestDeadlineFirst(seed) },
 	weightedRandom:        func(seed uint64) Table { return NewWeightedRandom(seed) },
@@ -35,8 +35,8 @@
 	return sum
 }
 
-// After any changes a table has the same entries as a map, and picks are in proportion to the weights: within two by earliest deadline
-// first, within six standard deviations at random.
+// After any sequence of changes a table has the same entries as a map, and its picks are in proportion to the weights: within two picks by
+// earliest deadline first, within six standard deviations at random.
 func TestPicksAreProportionalToWeights(t *testing.T) {
 	for algorithm, newTable := range newTables {
 		t.Run(algorithm, func(t *testing.T) {
@@ -45,11 +45,11 @@
 				want := changeRandomly(r, table)
 				checkEntries(r, table, want)
 				if _, ok := table.Pick(func(balancer.Server) bool { return false }); ok {
-					r.Fatal("a server is picked that is not allowed")
+					r.Fatal("picked a server that is not allowed")
 				}
 				if len(want) == 0 {
 					if _, ok := table.Pick(nil); ok {
-						r.Fatal("a server is picked from an empty table")
+						r.Fatal("picked a server from an empty table")
 					}
 					return
 				}
@@ -59,7 +59,7 @@
 	}
 }
 
-// changeRandomly changes a table and returns its weights.
+// changeRandomly makes random changes to a table and returns the expected weights.
 func changeRandomly(r *rapid.T, table Table) map[balancer.Server]float64 {
 	weights := map[balancer.Server]float64{}
 	for range rapid.IntRange(1, 30).Draw(r, "changes") {
@@ -79,7 +79,7 @@
 
 func checkEntries(r *rapid.T, table Table, want map[balancer.Server]float64) {
 	if table.Len() != len(want) || len(table.Entries()) != len(want) {
-		r.Fatalf("%d entries, want %d", table.Len(), len(want))
+		r.Fatalf("table has %d entries, want %d", table.Len(), len(want))
 	}
 	for server, weight := range want {
 		if table.Weight(server) != weight {
@@ -103,12 +103,13 @@
 			tolerance = 6*math.Sqrt(mean*(1-weight/sum)) + 1
 		}
 		if math.Abs(picked[server]-mean) > tolerance {
-			r.Fatalf("%s was picked %v times of %d, want %.1f", server, picked[server], picks, mean)
+			r.Fatalf("%s was picked %v times in %d picks, want %.1f", server, picked[server], picks, mean)
 		}
 	}
 }
 
-func newRotation(seed uint64) *EarliestDeadlineFirst {
+// newEqualWeightTable returns a table of 10 servers with equal weights.
+func newEqualWeightTable(seed uint64) *EarliestDeadlineFirst {
 	table := NewEarliestDeadlineFirst(seed)
 	for i := range 10 {
 		table.Set(serverName(i), 1)
@@ -116,9 +117,9 @@
 	return table
 }
 
-// A server that was not allowed for long does not get all that it missed at once.
-func TestServerThatReturnsIsNotPickedInARow(t *testing.T) {
-	table := newRotation(1)
+// A server that was not allowed for a long time is not picked repeatedly to make up for the picks that it missed.
+func TestReallowedServerIsNotPickedRepeatedly(t *testing.T) {
+	table := newEqualWeightTable(1)
 	returning := serverName(3)
 	for range 500 {
 		table.Pick(func(server balancer.Server) bool { return server != returning })
@@ -131,15 +132,15 @@
 		}
 	}
 	if picked > 2 {
-		t.Errorf("a server that returns gets %d of the next 10 picks", picked)
+		t.Errorf("server that is allowed again gets %d of the next 10 picks, want at most 2", picked)
 	}
 }
 
-// Of many proxies that learn of a server at the same time only its proportion picks it next.
-func TestNewServerIsNotPickedByAllProxiesAtOnce(t *testing.T) {
+// If many proxies add a server at the same time, only the fraction of them that corresponds to its weight picks it next.
+func TestNewServerIsNotNextPickOfAllProxies(t *testing.T) {
 	first := 0
 	for seed := range uint64(1000) {
-		table := newRotation(seed)
+		table := newEqualWeightTable(seed)
 		for range 25 {
 			table.Pick(nil)
 		}
@@ -150,11 +151,11 @@
 		}
 	}
 	if first > 180 || first < 30 {
-		t.Errorf("a new server is the next pick of %d of 1000 proxies, its proportion is 91", first)
+		t.Errorf("new server is the next pick of %d of 1000 proxies, want 30 to 180 (its proportion is 91)", first)
 	}
 }
 
-// Another coordinator may publish the same proportions at another scale.
+// Scaling all weights by the same factor does not change the picks: another coordinator may publish the same proportions at another scale.
 func TestScaleOfWeightsDoesNotChangePicks(t *testing.T) {
 	table := NewEarliestDeadlineFirst(5)
 	scaled := NewEarliestDeadlineFirst(5)
@@ -174,8 +175,8 @@
 	}
 }
 
-// If one server in a hundred is allowed it is found, in proportion to the weights of those that are.
-func TestPicksAmongFewAllowedServers(t *testing.T) {
+// If only one server in a hundred is allowed, an allowed server is still picked, in proportion to the weights of the allowed ones.
+func TestPicksWhenFewServersAreAllowed(t *testing.T) {
 	for algorithm, newTable := range newTables {
 		t.Run(algorithm, func(t *testing.T) {
 			table := newTable(1)
@@ -189,16 +190,16 @@
 			for range picks {
 				server, ok := table.Pick(func(server balancer.Server) bool { return server == light || server == heavy })
 				if !ok {
-					t.Fatal("no server is picked")
+					t.Fatal("no server was picked")
 				}
 				picked[server]++
 			}
 			if len(picked) != 2 {
-				t.Errorf("picked %v", picked)
+				t.Errorf("number of picks by server: %v, want both allowed servers", picked)
 			}
 			proportion := float64(picked[heavy]) / picks
 			if algorithm == weightedRandom && math.Abs(proportion-0.75) > 0.03 {
-				t.Errorf("the server with three quarters of the weight gets %.2f of the picks", proportion)
+				t.Errorf("server with three quarters of the weight gets a fraction %.2f of the picks, want 0.72 to 0.78", proportion)
 			}
 		})
 	}
--- a/internal/core/picker/weighted_random.go
+++ b/internal/core/picker/weighted_random.go
@@ -8,21 +8,21 @@
 )
 
 const (
-	maxRandomDraws = 8       // draws before a pick looks at all servers for those that are allowed
-	rebuildAfter   = 1 << 16 // changes after which sums are computed anew, so that rounding errors do not accumulate
+	maxRandomDraws       = 8       // draws before a pick scans all entries for allowed servers
+	changesBeforeRebuild = 1 << 16 // changes after which the sums are recomputed, so that rounding errors do not accumulate
 )
 
-// WeightedRandom picks at random, each server with a probability in proportion to its weight, by inverse transform sampling over a
-// tree of cumulative weights. Use NewWeightedRandom.
+// WeightedRandom is a Table that picks at random, each server with a probability proportional to its weight, by inverse transform sampling
+// over a tree of cumulative weights. It must be created with NewWeightedRandom.
 type WeightedRandom struct {
 	indexes map[balancer.Server]int
 	entries []Entry
-	weights fenwickTree // of entries
+	weights fenwickTree // in the order of entries
 	random  random.LCG
-	changes int // since the tree was built
+	changes int // number since the tree was built
 }
 
-// NewWeightedRandom returns an empty table. The picks follow from the seed.
+// NewWeightedRandom returns an empty table. Its picks are determined by the seed.
 func NewWeightedRandom(seed uint64) *WeightedRandom {
 	return &WeightedRandom{
 		indexes: map[balancer.Server]int{},
@@ -50,7 +50,7 @@
 	}
 }
 
-// remove removes an entry; the last one takes its index.
+// remove removes an entry and moves the last one to its index.
 func (t *WeightedRandom) remove(index int) {
 	lastIndex := len(t.entries) - 1
 	last := t.entries[lastIndex]
@@ -65,18 +65,18 @@
 		t.rebuild()
 		return
 	}
-	t.countChange()
+	t.recordChange()
 }
 
 func (t *WeightedRandom) addWeight(index int, change float64) {
 	t.weights.add(index, change)
-	t.countChange()
+	t.recordChange()
 }
 
-// countChange computes the sums anew when it is time. Entries and sums must agree.
-func (t *WeightedRandom) countChange() {
+// recordChange counts a change, and rebuilds the tree if it is due. The entries must already be consistent with the tree.
+func (t *WeightedRandom) recordChange() {
 	t.changes++
-	if t.changes >= rebuildAfter {
+	if t.changes >= changesBeforeRebuild {
 		t.rebuild()
 	}
 }
@@ -104,7 +104,7 @@
 	return all
 }
 
-// Pick implements Table. If the first draws hit no server that is allowed, it draws among those that are.
+// Pick implements Table. If the first draws yield no allowed server, it draws from the allowed servers only.
 func (t *WeightedRandom) Pick(allowed func(balancer.Server) bool) (server balancer.Server, ok bool) {
 	if len(t.entries) == 0 {
 		return "", false
@@ -115,11 +115,11 @@
 			return entry.Server, true
 		}
 	}
-	return t.pickAmong(allowed)
+	return t.pickFromAllowed(allowed)
 }
 
-// pickAmong draws among the servers that are allowed, by a scan of all entries.
-func (t *WeightedRandom) pickAmong(allowed func(balancer.Server) bool) (server balancer.Server, ok bool) {
+// pickFromAllowed draws from the allowed servers only, by a scan of all entries.
+func (t *WeightedRandom) pickFromAllowed(allowed func(balancer.Server) bool) (server balancer.Server, ok bool) {
 	sum := 0.0
 	for _, entry := range t.entries {
 		if allowed(entry.Server) {
@@ -134,7 +134,7 @@
 		if !allowed(entry.Server) {
 			continue
 		}
-		server = entry.Server // rounding may leave a remainder after the last one
+		server = entry.Server // due to rounding, remaining may lie after the last one
 		if remaining < entry.Weight {
 			break
 		}
--- a/internal/core/picker/weighted_random_rebuild_test.go
+++ b/internal/core/picker/weighted_random_rebuild_test.go
@@ -2,10 +2,10 @@
 
 import "testing"
 
-// A removal in the moment in which the sums are computed anew leaves no share to the removed server, nor takes one from the others.
+// A removal that triggers the rebuild of the tree leaves no weight to the removed server, and does not reduce that of the others.
 func TestRemovalAtRebuildLeavesShares(t *testing.T) {
 	const picks = 2000
-	for before := rebuildAfter - 3; before <= rebuildAfter; before++ {
+	for before := changesBeforeRebuild - 3; before <= changesBeforeRebuild; before++ {
 		table := NewWeightedRandom(1)
 		table.Set("removed", 1)
 		table.Set("light", 1)
@@ -19,14 +19,14 @@
 		for range picks {
 			server, ok := table.Pick(nil)
 			if !ok || server == "removed" {
-				t.Fatalf("%d changes before: picked %q", before, server)
+				t.Fatalf("after %d changes: picked %q", before, server)
 			}
 			if server == "heavy" {
 				heavy++
 			}
 		}
 		if heavy < picks*97/100 {
-			t.Errorf("%d changes before: a server of weight 100 beside one of 1 got %d of %d picks", before, heavy, picks)
+			t.Errorf("after %d changes: server of weight 100 beside one of weight 1 got %d of %d picks, want at least 97 in 100", before, heavy, picks)
 		}
 	}
 }
--- a/internal/core/random/lcg_test.go
+++ b/internal/core/random/lcg_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// Runs are seeded and compared, so that the sequence of a seed must stay.
+// The sequence of a seed must not change, because seeded runs are compared with each other.
 func TestLCGSequence(t *testing.T) {
 	state := uint64(7*2 + 1)
 	next := func() uint64 {
@@ -15,7 +15,7 @@
 			t.Fatalf("number %d is %v, want %v", i, got, want)
 		}
 		if got, want := g.Float24(), float64(next()>>40)/(1<<24); got != want {
-			t.Fatalf("number %d of 24 bits is %v, want %v", i, got, want)
+			t.Fatalf("24-bit number %d is %v, want %v", i, got, want)
 		}
 	}
 }
--- a/internal/core/random/random.go
+++ b/internal/core/random/random.go
@@ -1,17 +1,17 @@
-// Package random generates pseudo-random numbers that depend on their seed alone. It does no I/O.
+// Package random generates pseudo-random numbers that depend only on the seed. It does no I/O.
 package random
 
-// The multiplier and the increment of the linear congruential step, as in the reference implementation of PCG.
+// Multiplier and increment of the linear congruential step, as in the reference implementation of PCG.
 const (
 	multiplier = 6364136223846793005
 	increment  = 1442695040888963407
 )
 
 // PCG is the state of a permuted congruential generator (PCG-XSH-RR 64/32). It is not safe for concurrent use, and
-// not for secrets.
+// not suitable for secrets.
 type PCG uint64
 
-// New returns a generator. Equal seeds give equal sequences.
+// New returns a generator with a seed. Equal seeds yield equal sequences.
 func New(seed uint64) PCG { return PCG(seed*multiplier + increment) }
 
 // Float returns a uniformly distributed number in [0, 1).
--- a/internal/core/random/random_test.go
+++ b/internal/core/random/random_test.go
@@ -2,26 +2,26 @@
 
 import "testing"
 
-func TestNumbersAreUniformAndRepeatable(t *testing.T) {
+func TestFloatsAreUniformAndReproducible(t *testing.T) {
 	first := New(7)
 	second := New(7)
 	sum := 0.0
 	for range 10000 {
 		number := first.Float()
 		if number != second.Float() || number < 0 || number >= 1 {
-			t.Fatalf("drew %v", number)
+			t.Fatalf("drew %v, want the number of an equal seed in [0, 1)", number)
 		}
 		sum += number
 	}
 	if mean := sum / 10000; mean < 0.48 || mean > 0.52 {
-		t.Errorf("the mean of 10,000 numbers is %.3f", mean)
+		t.Errorf("mean of 10,000 numbers is %.3f, want 0.48 to 0.52", mean)
 	}
 }
 
-func TestSeedsGiveDifferentSequences(t *testing.T) {
+func TestDifferentSeedsYieldDifferentNumbers(t *testing.T) {
 	first := New(7)
 	second := New(8)
 	if first.Float() == second.Float() {
-		t.Error("two seeds draw the same")
+		t.Error("generators with different seeds draw the same number")
 	}
 }
--- a/internal/core/tablecache/apply.go
+++ b/internal/core/tablecache/apply.go
@@ -9,7 +9,7 @@
 	"snowquay/internal/wire/sasp"
 )
 
-// retryPolicies by their names in responses.
+// retryPolicies maps the names of retry policies in responses to the policies.
 var retryPolicies = map[string]balancer.RetryPolicy{
 	"none":    balancer.RetryNever,
 	"proof":   balancer.RetryIfNotExecuted,
@@ -17,20 +17,20 @@
 	"twice":   balancer.RetryTwice,
 }
 
-// Apply applies a response of the long-poll API completely or, with an error, not at all. It returns the orders for classes, and the
-// servers that are in no table any more: their idle connections are to be closed, and requests in flight there go on. An error wraps
-// ErrEpochOutdated, ErrUnknownBase, ErrUnknownClass or ErrTooManyEntries.
+// Apply applies a response of the long-poll API completely or, if it returns an error, not at all. It returns the orders for classes, and
+// the servers that are no longer in any table: the caller must close their idle connections, while requests in flight there continue. An
+// error wraps ErrEpochOutdated, ErrUnknownBase, ErrUnknownClass or ErrTooManyEntries.
 func (t *Tables) Apply(now float64, response *delta.Tables) (orders []ClassOrder, left []balancer.Server, err error) {
 	if response.Stale(t.ownershipEpoch) {
 		t.Stats.Outdated++
-		return nil, nil, fmt.Errorf("%w: %d, newest %d", ErrEpochOutdated, response.OwnershipEpoch, t.ownershipEpoch)
+		return nil, nil, fmt.Errorf("%w: %d, newest is %d", ErrEpochOutdated, response.OwnershipEpoch, t.ownershipEpoch)
 	}
 	if !response.AppliesTo(t.epoch, t.version) {
 		t.Stats.BaseUnknown++
-		return nil, nil, fmt.Errorf("%w: base %d, held %d", ErrUnknownBase, response.Base, t.version)
+		return nil, nil, fmt.Errorf("%w: base %d, current version %d", ErrUnknownBase, response.Base, t.version)
 	}
 	for i := range response.Classes {
-		if err := t.check(&response.Classes[i]); err != nil {
+		if err := t.checkUpdate(&response.Classes[i]); err != nil {
 			t.Stats.Invalid++
 			return nil, nil, err
 		}
@@ -39,7 +39,7 @@
 	for i := range response.Classes {
 		update := &response.Classes[i]
 		class, _ := t.Class(update.Class)
-		applyEntries(t.tables[class], update, touched)
+		applyUpdate(t.tables[class], update, touched)
 		order := classOrder(class, update)
 		if order.Admission >= 0 || order.HasRetry {
 			orders = append(orders, order)
@@ -53,25 +53,26 @@
 	return orders, t.recordRemovals(touched), nil
 }
 
-// check returns an error if the update of a class cannot be applied.
-func (t *Tables) check(update *delta.Class) error {
+// checkUpdate returns an error if the update of a class is not applicable.
+func (t *Tables) checkUpdate(update *delta.Class) error {
 	class, ok := t.Class(update.Class)
 	if !ok {
 		return fmt.Errorf("%w: %q", ErrUnknownClass, update.Class)
 	}
 	entries := len(update.Entries)
-	tooMany := entries > maxEntries
+	tooMany := entries > maxClassEntries
 	if !update.Full {
-		tooMany = tooMany || t.tables[class].Len()+entries > maxEntries+entries/2 // a delta may replace as many as it adds
+		// a delta that replaces servers removes as many as it adds, so that half of its entries may be removals
+		tooMany = tooMany || t.tables[class].Len()+entries > maxClassEntries+entries/2
 	}
 	if tooMany {
-		return fmt.Errorf("%w: %d in class %q", ErrTooManyEntries, entries, update.Class)
+		return fmt.Errorf("%w: update of %d in class %q", ErrTooManyEntries, entries, update.Class)
 	}
 	return nil
 }
 
-// applyEntries changes the table of a class and adds the servers concerned to touched.
-func applyEntries(table picker.Table, update *delta.Class, touched map[balancer.Server]bool) {
+// applyUpdate applies the update of a class to its table, and adds the affected servers to touched.
+func applyUpdate(table picker.Table, update *delta.Class, touched map[balancer.Server]bool) {
 	if !update.Full {
 		for _, entry := range update.Entries {
 			server := balancer.Server(entry.Server)
@@ -92,6 +93,7 @@
 	picker.Replace(table, entries)
 }
 
+// classOrder returns the orders in the update of a class.
 func classOrder(class balancer.Class, update *delta.Class) ClassOrder {
 	order := ClassOrder{
 		Class:     class,
@@ -109,8 +111,9 @@
 	return order
 }
 
-// ApplyRows applies the rows of a class that a SASP workload manager sends: each sets or removes a server, which serverOf names. It
-// returns the servers that are in no table any more. An error wraps ErrUnknownClass or ErrTooManyEntries; nothing is applied then.
+// ApplyRows applies rows for a class from a SASP workload manager. Each row sets or removes the server that serverOf returns for its
+// address. ApplyRows returns the servers that are no longer in any table. If it returns an error, which wraps ErrUnknownClass or
+// ErrTooManyEntries, no row is applied.
 func (t *Tables) ApplyRows(now float64, className string, rows []sasp.Row, serverOf func(sasp.Address) balancer.Server) ([]balancer.Server, error) {
 	class, ok := t.Class(className)
 	if !ok {
@@ -118,9 +121,9 @@
 		return nil, fmt.Errorf("%w: %q", ErrUnknownClass, className)
 	}
 	table := t.tables[class]
-	if table.Len()+len(rows) > 2*maxEntries {
+	if table.Len()+len(rows) > 2*maxClassEntries {
 		t.Stats.Invalid++
-		return nil, fmt.Errorf("%w: %d in class %q", ErrTooManyEntries, len(rows), className)
+		return nil, fmt.Errorf("%w: update of %d in class %q", ErrTooManyEntries, len(rows), className)
 	}
 	touched := map[balancer.Server]bool{}
 	for _, row := range rows {
--- a/internal/core/tablecache/golden_test.go
+++ b/internal/core/tablecache/golden_test.go
@@ -7,7 +7,8 @@
 	"snowquay/internal/golden"
 )
 
-func TestStoredTables(t *testing.T) {
+// The stored format of a snapshot does not change, and restoring a snapshot and saving it again yields the same data.
+func TestSnapshotFormat(t *testing.T) {
 	empty := func() *Tables {
 		return New([]string{"search", "book"}, func(int) picker.Table { return picker.NewEarliestDeadlineFirst(1) })
 	}
@@ -25,7 +26,7 @@
 		t.Fatal(err)
 	}
 	if restored.currentAt != held.currentAt || restored.ownershipEpoch != held.ownershipEpoch {
-		t.Errorf("restored as of %v with ownership epoch %d", restored.currentAt, restored.ownershipEpoch)
+		t.Errorf("restored the time %v and ownership epoch %d, want those of the snapshot", restored.currentAt, restored.ownershipEpoch)
 	}
 	again, err := restored.Save()
 	if err != nil {
--- a/internal/core/tablecache/snapshot.go
+++ b/internal/core/tablecache/snapshot.go
@@ -8,12 +8,14 @@
 	"snowquay/internal/core/picker"
 )
 
+// snapshot is the stored form of the tables.
 type snapshot struct {
-	CurrentAt      float64         `json:"at"` // clock time in seconds at which the tables were last known to be the newest
+	CurrentAt      float64         `json:"at"` // clock time in seconds at which the tables were last known to be current
 	OwnershipEpoch uint64          `json:"lead"`
 	Classes        []snapshotClass `json:"classes"`
 }
 
+// snapshotClass is the stored form of the table of a class.
 type snapshotClass struct {
 	Name    string         `json:"name"`
 	Entries []picker.Entry `json:"lines"`
@@ -28,19 +30,19 @@
 	return json.Marshal(saved)
 }
 
-// Restore takes the tables of a snapshot completely or, with an error that wraps ErrInvalidSnapshot, not at all. With them a proxy that
-// restarts has tables while it reaches no coordinator. A snapshot of more than two hours is rejected, since its servers may have left.
-// The ownership epoch is restored too, so that responses which are older than the proxy has followed stay rejected.
+// Restore restores the tables from a snapshot completely or, if it returns an error, which wraps ErrInvalidSnapshot, not at all. This gives
+// a restarted proxy tables while it cannot reach a coordinator. A snapshot that is more than two hours old is rejected, since its servers
+// may have left. The ownership epoch is restored as well, so that responses of older ownership epochs are still rejected.
 func (t *Tables) Restore(now float64, data []byte) error {
 	var saved snapshot
 	if err := json.Unmarshal(data, &saved); err != nil {
 		return fmt.Errorf("%w: %w", ErrInvalidSnapshot, err)
 	}
-	if saved.CurrentAt > now || now-saved.CurrentAt > maxAge {
-		return fmt.Errorf("%w: %.0f s old, at most %.0f allowed", ErrInvalidSnapshot, now-saved.CurrentAt, maxAge)
+	if saved.CurrentAt > now || now-saved.CurrentAt > maxSnapshotAge {
+		return fmt.Errorf("%w: %.0f s old, limit is %.0f s", ErrInvalidSnapshot, now-saved.CurrentAt, maxSnapshotAge)
 	}
 	for _, class := range saved.Classes {
-		if err := t.checkSaved(class); err != nil {
+		if err := t.checkSnapshotClass(class); err != nil {
 			return err
 		}
 	}
@@ -53,14 +55,15 @@
 	return nil
 }
 
-func (t *Tables) checkSaved(class snapshotClass) error {
+// checkSnapshotClass returns an error if the table of a class in a snapshot cannot be restored.
+func (t *Tables) checkSnapshotClass(class snapshotClass) error {
 	_, known := t.Class(class.Name)
-	if !known || len(class.Entries) > maxEntries {
+	if !known || len(class.Entries) > maxClassEntries {
 		return fmt.Errorf("%w: class %q with %d entries", ErrInvalidSnapshot, class.Name, len(class.Entries))
 	}
 	for _, entry := range class.Entries {
 		if !(entry.Weight > 0) || math.IsInf(entry.Weight, 0) || entry.Server == "" {
-			return fmt.Errorf("%w: server %q, weight %v", ErrInvalidSnapshot, entry.Server, entry.Weight)
+			return fmt.Errorf("%w: server %q with weight %v", ErrInvalidSnapshot, entry.Server, entry.Weight)
 		}
 	}
 	return nil
--- a/internal/core/tablecache/tables.go
+++ b/internal/core/tablecache/tables.go
@@ -1,5 +1,5 @@
-// Package tablecache keeps a proxy's tables: it applies what coordinators send completely and in order, rejects what is older than
-// the proxy has followed, and restores the tables from a snapshot after a restart. It is pure.
+// Package tablecache stores the weight tables of a proxy. It applies the responses of coordinators completely and in order, rejects those of
+// older ownership epochs, and restores the tables from a snapshot after a restart. It does no I/O and reads no clock.
 package tablecache
 
 import (
@@ -10,46 +10,46 @@
 )
 
 var (
-	// ErrEpochOutdated says that a response is from a coordinator that owned the proxy before another one did.
+	// ErrEpochOutdated means that a response is from a coordinator whose ownership of the proxy has since passed to another one.
 	ErrEpochOutdated = errors.New("ownership epoch is outdated")
-	// ErrUnknownBase says that a response is a delta to a version that the proxy does not hold.
-	ErrUnknownBase = errors.New("delta to a version that is not held")
-	// ErrUnknownClass says that a response names a class that the proxy does not have.
+	// ErrUnknownBase means that a response is a delta whose base is not the version of the tables.
+	ErrUnknownBase = errors.New("delta to an unknown version")
+	// ErrUnknownClass means that a response names a class that is not configured.
 	ErrUnknownClass = errors.New("unknown class")
-	// ErrTooManyEntries says that a table is larger than a proxy accepts.
+	// ErrTooManyEntries means that a table would be larger than a proxy accepts.
 	ErrTooManyEntries = errors.New("too many table entries")
-	// ErrInvalidSnapshot says that a snapshot cannot be used.
+	// ErrInvalidSnapshot means that a snapshot cannot be restored.
 	ErrInvalidSnapshot = errors.New("invalid snapshot")
 )
 
 const (
-	maxEntries  = 8192   // of a class; a larger table is rejected
-	maxRemovals = 8192   // servers whose removal is remembered
-	maxAge      = 7200.0 // seconds; the servers of an older snapshot may have moved
+	maxClassEntries   = 8192   // table entries per class; a larger table is rejected
+	maxRemovedServers = 8192   // removed servers that are remembered; beyond it all are forgotten
+	maxSnapshotAge    = 7200.0 // seconds; the servers of an older snapshot may have moved
 )
 
-// ClassOrder is what a coordinator orders for a class besides its table.
+// ClassOrder holds the orders of a coordinator for a class besides its table.
 type ClassOrder struct {
 	Class      balancer.Class
-	Admission  float64 // fraction or rate; below 0: unchanged
+	Admission  float64 // fraction or rate; unchanged if below 0
 	RetryAfter float64 // seconds after which clients of rejected requests may retry
 	Retry      balancer.RetryPolicy
-	HasRetry   bool // Retry is ordered; false: unchanged
+	HasRetry   bool // whether Retry is ordered; otherwise the policy is unchanged
 }
 
-// Tables of a proxy, one for each class. Use New. Clock times are in seconds.
+// Tables holds the tables of a proxy, one for each class. It must be created with New. Clock times are in seconds.
 type Tables struct {
 	classNames     []string
 	tables         []picker.Table // by class
-	epoch          string         // of version; empty: none is held
+	epoch          string         // epoch of version; empty if no version is known
 	version        uint64
-	ownershipEpoch uint64                   // the newest that was followed
-	currentAt      float64                  // when they were last known to be the newest
-	removed        map[balancer.Server]bool // servers that have left the tables and not returned
+	ownershipEpoch uint64                   // newest ownership epoch of the applied responses
+	currentAt      float64                  // clock time at which the tables were last known to be current
+	removed        map[balancer.Server]bool // servers that were removed from all tables and not added again
 	Stats          Stats
 }
 
-// Stats counts responses by what became of them, for metrics.
+// Stats counts responses by outcome, for metrics.
 type Stats struct {
 	Applied     int
 	Outdated    int
@@ -57,7 +57,7 @@
 	Invalid     int
 }
 
-// New returns empty tables for classes of these names; newTable makes the table of a class.
+// New returns empty tables for classes with the given names. newTable creates the table of a class.
 func New(classNames []string, newTable func(class int) picker.Table) *Tables {
 	t := &Tables{classNames: classNames, removed: map[balancer.Server]bool{}}
 	for class := range classNames {
@@ -69,7 +69,7 @@
 // Table returns the table of a class.
 func (t *Tables) Table(class balancer.Class) picker.Table { return t.tables[class] }
 
-// Class returns the class with a name; ok is false if there is none.
+// Class returns the class with a name. ok is false if there is none.
 func (t *Tables) Class(name string) (class balancer.Class, ok bool) {
 	for index, className := range t.classNames {
 		if className == name {
@@ -79,22 +79,21 @@
 	return 0, false
 }
 
-// HeldVersion returns what a poll names: the epoch and version that the proxy holds, and the newest ownership epoch that it has
-// followed.
+// HeldVersion returns the fields of a poll: the epoch and version of the tables, and the newest ownership epoch of the applied responses.
 func (t *Tables) HeldVersion() (epoch string, version, ownershipEpoch uint64) {
 	return t.epoch, t.version, t.ownershipEpoch
 }
 
-// ForgetVersion makes the next poll name no version, so that complete tables are sent. The tables stay.
+// ForgetVersion clears the version but not the tables, so that the response to the next poll has complete tables.
 func (t *Tables) ForgetVersion() {
 	t.epoch = ""
 	t.version = 0
 }
 
-// Age returns the seconds since the tables were known to be the newest.
+// Age returns the seconds since the tables were last known to be current.
 func (t *Tables) Age(now float64) float64 { return now - t.currentAt }
 
-// MarkCurrent records that a coordinator has said that the tables are the newest.
+// MarkCurrent records that a coordinator has confirmed that the tables are current.
 func (t *Tables) MarkCurrent(now float64) { t.currentAt = now }
 
 // HasServer reports whether a server is in the table of any class.
@@ -107,7 +106,7 @@
 	return false
 }
 
-// recordRemovals returns the touched servers that have left the tables by this change.
+// recordRemovals records which of the touched servers are no longer in any table, and returns those that were not recorded already.
 func (t *Tables) recordRemovals(touched map[balancer.Server]bool) (left []balancer.Server) {
 	for server := range touched {
 		if t.HasServer(server) {
@@ -119,7 +118,7 @@
 			left = append(left, server)
 		}
 	}
-	if len(t.removed) > maxRemovals {
+	if len(t.removed) > maxRemovedServers {
 		t.removed = map[balancer.Server]bool{}
 	}
 	return left
--- a/internal/core/tablecache/tables_test.go
+++ b/internal/core/tablecache/tables_test.go
@@ -13,7 +13,7 @@
 	return New([]string{"search", "book"}, func(int) picker.Table { return picker.NewEarliestDeadlineFirst(1) })
 }
 
-// testResponse returns complete tables in which each class has these servers.
+// testResponse returns a response with complete tables in which each class lists the servers.
 func testResponse(version, ownershipEpoch uint64, servers ...string) *delta.Tables {
 	response := &delta.Tables{Epoch: "a", Version: version, OwnershipEpoch: ownershipEpoch}
 	for _, name := range []string{"search", "book"} {
@@ -26,8 +26,8 @@
 	return response
 }
 
-// heldTables returns tables of ownership epoch 7 with the servers a and b.
-func heldTables(t *testing.T) *Tables {
+// newTablesWithTwoServers returns tables of ownership epoch 7 with the servers a and b, from which c and d have been removed.
+func newTablesWithTwoServers(t *testing.T) *Tables {
 	t.Helper()
 	tables := newTestTables()
 	if _, _, err := tables.Apply(1000, testResponse(1, 0, "a", "b", "c", "d")); err != nil {
@@ -38,13 +38,13 @@
 		t.Fatal(err)
 	}
 	if len(left) != 2 {
-		t.Fatalf("servers %v left, want c and d", left)
+		t.Fatalf("removed servers %v, want c and d", left)
 	}
 	return tables
 }
 
-// A response is applied completely or not at all.
-func TestResponsesAreRejected(t *testing.T) {
+// A response that cannot be applied completely changes no table.
+func TestInapplicableResponsesAreRejected(t *testing.T) {
 	unknownBase := testResponse(12, 7, "c")
 	unknownBase.Base = 11
 	unknownBase.Classes[0].Full = false
@@ -62,21 +62,21 @@
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			tables := heldTables(t)
+			tables := newTablesWithTwoServers(t)
 			if _, _, err := tables.Apply(1002, test.response); !errors.Is(err, test.want) {
 				t.Errorf("error %v, want %v", err, test.want)
 			}
 			for class := range balancer.Class(2) {
 				if tables.Table(class).Len() != 2 || tables.Table(class).Weight("c") != 0 {
-					t.Errorf("class %d has changed: %v", class, tables.Table(class).Entries())
+					t.Errorf("table of class %d has changed: %v", class, tables.Table(class).Entries())
 				}
 			}
 		})
 	}
 }
 
-func TestOwnershipEpochSurvivesRestart(t *testing.T) {
-	snapshot, err := heldTables(t).Save()
+func TestSnapshotRestoresOwnershipEpoch(t *testing.T) {
+	snapshot, err := newTablesWithTwoServers(t).Save()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -85,7 +85,7 @@
 		t.Fatal(err)
 	}
 	if servers := restored.Table(1).Len(); servers != 2 {
-		t.Errorf("%d servers are restored, want 2", servers)
+		t.Errorf("%d servers restored, want 2", servers)
 	}
 	if _, _, err := restored.Apply(1011, testResponse(1, 6, "c", "d")); !errors.Is(err, ErrEpochOutdated) {
 		t.Errorf("error %v, want %v", err, ErrEpochOutdated)
@@ -111,7 +111,7 @@
 				t.Errorf("error %v, want %v", err, ErrInvalidSnapshot)
 			}
 			if tables.Table(0).Len() != 0 {
-				t.Errorf("%v is restored", tables.Table(0).Entries())
+				t.Errorf("entries %v were restored from an invalid snapshot", tables.Table(0).Entries())
 			}
 		})
 	}
--- a/internal/core/timingwheel/timingwheel_test.go
+++ b/internal/core/timingwheel/timingwheel_test.go
@@ -19,7 +19,7 @@
 	testTick  = 0.01   // seconds
 )
 
-// wheelModel compares a wheel with a plain map of the times at which timers are due.
+// wheelModel compares a wheel with a map of the times at which the timers are due.
 type wheelModel struct {
 	wheel  *Wheel[int]
 	timers []Timer[int]
@@ -51,7 +51,7 @@
 	delete(m.due, timer)
 }
 
-// advance fails the test if a timer expires that is not due, or out of order, or if one that is due does not expire.
+// advance advances the wheel. It fails the test if a timer expires early or out of order, or if a timer that is due does not expire.
 func (m *wheelModel) advance(t *rapid.T, seconds float64) {
 	m.now += seconds
 	previous := -1.0
@@ -61,20 +61,20 @@
 			t.Fatalf("timer %d expired at %v, due at %v (set %t)", timer, m.now, at, set)
 		}
 		if at < previous-testTick*1.01 && at > m.now {
-			t.Fatalf("timer %d expired after one due at %v", timer, previous)
+			t.Fatalf("timer %d expired out of order, after one due at %v", timer, previous)
 		}
 		previous = at
 		delete(m.due, timer)
 	})
 	for timer, at := range m.due {
 		if at < m.now-2*testTick {
-			t.Fatalf("timer %d was due at %v and has not expired at %v", timer, at, m.now)
+			t.Fatalf("timer %d was due at %v but has not expired at %v", timer, at, m.now)
 		}
 	}
 }
 
-// The same timers expire, in the same tick, as with a plain list, whatever is set, moved and cancelled.
-func TestExpiresLikePlainList(t *testing.T) {
+// For any sequence of operations, the wheel expires the same timers at the same ticks as a map of their times.
+func TestExpirationMatchesModel(t *testing.T) {
 	delays := []float64{-1, 0, 0.003, 0.5, 0.64, 3, 40.96, 41, 3000, 1e5}
 	steps := []float64{0, 0.01, 0.3, 0.64, 2, 41, 2700, 50000}
 	rapid.Check(t, func(t *rapid.T) {
@@ -90,44 +90,44 @@
 				model.advance(t, rapid.SampledFrom(steps).Draw(t, "seconds"))
 			}
 			if model.wheel.Len() != len(model.due) {
-				t.Fatalf("%d timers are set, the length is %d", len(model.due), model.wheel.Len())
+				t.Fatalf("%d timers are set, but the length is %d", len(model.due), model.wheel.Len())
 			}
 		}
 	})
 }
 
-// entry is a timer of a heap, to compare with.
-type entry struct {
+// heapTimer is a timer in a timerHeap, which the benchmarks compare with the wheel.
+type heapTimer struct {
 	at    float64 // clock time in seconds
 	index int
 }
 
-// byTime is a heap.Interface of entries by time.
-type byTime []*entry
+// timerHeap implements heap.Interface. Its timers are ordered by time.
+type timerHeap []*heapTimer
 
-func (h byTime) Len() int           { return len(h) }
-func (h byTime) Less(i, j int) bool { return h[i].at < h[j].at }
+func (h timerHeap) Len() int           { return len(h) }
+func (h timerHeap) Less(i, j int) bool { return h[i].at < h[j].at }
 
-func (h byTime) Swap(i, j int) {
+func (h timerHeap) Swap(i, j int) {
 	h[i], h[j] = h[j], h[i]
 	h[i].index = i
 	h[j].index = j
 }
 
-func (h *byTime) Push(x any) {
-	added := x.(*entry)
+func (h *timerHeap) Push(x any) {
+	added := x.(*heapTimer)
 	added.index = len(*h)
 	*h = append(*h, added)
 }
 
-func (h *byTime) Pop() any {
+func (h *timerHeap) Pop() any {
 	last := len(*h) - 1
 	popped := (*h)[last]
 	*h = (*h)[:last]
 	return popped
 }
 
-// A long poll is mostly answered before its wait ends: its timer is moved, beside those of all other polls.
+// Measures rescheduling a timer among many others. Most long polls are answered before their wait ends, which reschedules their timers.
 func BenchmarkMove(b *testing.B) {
 	for _, timers := range []int{10_000, 1_000_000} {
 		random := rand.New(rand.NewPCG(1, 2))
@@ -150,10 +150,10 @@
 }
 
 func benchmarkHeap(b *testing.B, count int, random *rand.Rand) {
-	var timers byTime
-	entries := make([]*entry, count)
+	var timers timerHeap
+	entries := make([]*heapTimer, count)
 	for i := range entries {
-		entries[i] = &entry{at: 30 * random.Float64()}
+		entries[i] = &heapTimer{at: 30 * random.Float64()}
 		heap.Push(&timers, entries[i])
 	}
 	b.ReportAllocs()
--- a/internal/core/waterfill/waterfill.go
+++ b/internal/core/waterfill/waterfill.go
@@ -1,29 +1,29 @@
-// Package waterfill divides an amount among takers with bounds. It does no I/O and keeps no state.
+// Package waterfill divides an amount among consumers with limits. It does no I/O and has no state.
 package waterfill
 
 import "slices"
 
 const (
-	// maxFactor is the largest factor that Factor finds.
+	// maxFactor is the largest factor that Factor returns.
 	maxFactor = 1e6
-	// precision of the factor that Factor finds.
+	// precision is the precision of the factor that Factor returns.
 	precision = 1e-9
 )
 
-// Consumer wants an amount and takes no more than its bound.
+// Consumer demands an amount, but receives at most its limit.
 type Consumer struct {
 	Demand float64
 	Limit  float64
 }
 
-// Factor returns the least factor on all wants at which the takers, each up to its bound, take the total. It
-// returns the largest factor if they never do.
-func Factor(takers []Consumer, total float64) float64 {
+// Factor returns the smallest factor such that the demands multiplied by it, each capped at the limit of its consumer,
+// sum up to the total. It returns maxFactor if no factor suffices.
+func Factor(consumers []Consumer, total float64) float64 {
 	factor := maxFactor
 	for step := factor / 2; step > precision; step /= 2 {
 		sum := 0.0
-		for _, taker := range takers {
-			sum += min((factor-step)*taker.Demand, taker.Limit)
+		for _, consumer := range consumers {
+			sum += min((factor-step)*consumer.Demand, consumer.Limit)
 		}
 		if sum >= total {
 			factor -= step
@@ -32,8 +32,8 @@
 	return factor
 }
 
-// Cap returns the bound at which amounts make up the total: those below it are given whole, and the others share
-// what is left. It returns false if the amounts do not exceed the total together. It sorts the amounts.
+// Cap returns the bound at which the capped amounts sum up to the total: amounts below it are allotted in full, and the
+// others share the rest equally. needed is false if the sum of the amounts does not exceed the total. Cap sorts amounts.
 func Cap(amounts []float64, total float64) (bound float64, needed bool) {
 	slices.Sort(amounts)
 	left := total
--- a/internal/core/waterfill/waterfill_test.go
+++ b/internal/core/waterfill/waterfill_test.go
@@ -8,36 +8,36 @@
 	"pgregory.net/rapid"
 )
 
-func TestFactorMakesUpTheTotal(t *testing.T) {
+func TestScaledDemandsReachTotal(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		amounts := rapid.SliceOfN(rapid.Float64Range(0.1, 100), 1, 20)
-		wants := amounts.Draw(t, "wants")
-		bounds := rapid.SliceOfN(rapid.Float64Range(0.1, 100), len(wants), len(wants)).Draw(t, "bounds")
-		takers := make([]Consumer, len(wants))
+		demands := amounts.Draw(t, "demands")
+		limits := rapid.SliceOfN(rapid.Float64Range(0.1, 100), len(demands), len(demands)).Draw(t, "limits")
+		consumers := make([]Consumer, len(demands))
 		possible := 0.0
-		for i := range takers {
-			takers[i] = Consumer{Demand: wants[i], Limit: bounds[i]}
-			possible += bounds[i]
+		for i := range consumers {
+			consumers[i] = Consumer{Demand: demands[i], Limit: limits[i]}
+			possible += limits[i]
 		}
 		total := rapid.Float64Range(0.01, 1).Draw(t, "part") * possible
-		factor := Factor(takers, total)
+		factor := Factor(consumers, total)
 		sum := 0.0
-		for _, taker := range takers {
-			sum += min(factor*taker.Demand, taker.Limit)
+		for _, consumer := range consumers {
+			sum += min(factor*consumer.Demand, consumer.Limit)
 		}
 		if math.Abs(sum-total) > 1e-3*total+1e-6 {
-			t.Fatalf("with a factor of %v they take %v of %v", factor, sum, total)
+			t.Fatalf("with a factor of %v the capped demands sum up to %v, want %v", factor, sum, total)
 		}
 	})
 }
 
-func TestFactorOfATotalOutOfReachIsTheLargest(t *testing.T) {
+func TestFactorForUnreachableTotal(t *testing.T) {
 	if got := Factor([]Consumer{{Demand: 1, Limit: 2}}, 3); got != maxFactor {
-		t.Errorf("the factor is %v, want %v", got, maxFactor)
+		t.Errorf("factor is %v, want %v", got, maxFactor)
 	}
 }
 
-func TestCapSharesWhatSmallAmountsLeave(t *testing.T) {
+func TestCappedAmountsReachTotal(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		amounts := rapid.SliceOfN(rapid.Float64Range(0, 100), 1, 20).Draw(t, "amounts")
 		sum := 0.0
@@ -48,7 +48,7 @@
 		bound, needed := Cap(slices.Clone(amounts), total)
 		if !needed {
 			if sum > total+1e-6 {
-				t.Fatalf("%v exceed %v and are not bounded", sum, total)
+				t.Fatalf("amounts with the sum %v exceed the total %v but are not capped", sum, total)
 			}
 			return
 		}
@@ -57,7 +57,7 @@
 			bounded += min(amount, bound)
 		}
 		if math.Abs(bounded-total) > 1e-6 {
-			t.Fatalf("bounded by %v they make up %v of %v", bound, bounded, total)
+			t.Fatalf("capped at %v, the amounts sum up to %v, want %v", bound, bounded, total)
 		}
 	})
 }
