--- a/internal/core/admission/controller.go
+++ b/internal/core/admission/controller.go
@@ -9,11 +9,13 @@
 	"snowquay/balancer"
 )
 
+// Clients receive the texts of these errors as the titles of problem documents. Since the type of these documents is about:blank, a client
+// can tell problems apart only by the title, so the texts must not change.
 var (
 	// ErrRateLimited means that the coordinator has limited the requests of the class.
-	ErrRateLimited = errors.New("requests of this class are rate limited")
+	ErrRateLimited = errors.New("fewer queries of this class are let in")
 	// ErrTooManyInFlight means that the proxy has as many requests in flight as Limits allow.
-	ErrTooManyInFlight = errors.New("too many requests in flight")
+	ErrTooManyInFlight = errors.New("as many queries are under way as may be")
 )
 
 const (
--- a/internal/core/forwarding/proxy.go
+++ b/internal/core/forwarding/proxy.go
@@ -51,15 +51,17 @@
 	RetryAfter float64         // Reject: seconds after which the client may retry
 }
 
+// Clients receive the texts of these errors as the titles of problem documents. Since the type of these documents is about:blank, a client
+// can tell problems apart only by the title, so the texts must not change.
 var (
 	// ErrNoServer means that no server is eligible for a request.
-	ErrNoServer = errors.New("no server is available")
+	ErrNoServer = errors.New("no server may take it")
 	// ErrDeadlineExceeded means that the client timeout of a request has expired.
-	ErrDeadlineExceeded = errors.New("request timed out")
+	ErrDeadlineExceeded = errors.New("it took too long")
 	// ErrAttemptsFailed means that the last attempt that was allowed has failed.
-	ErrAttemptsFailed = errors.New("all attempts failed")
+	ErrAttemptsFailed = errors.New("the servers that were tried failed")
 	// ErrKeyReused means that an idempotency key was already used for a different request.
-	ErrKeyReused = errors.New("idempotency key was already used for a different request")
+	ErrKeyReused = errors.New("the key was used for another query")
 )
 
 const (
