--- a/balancer/pacing.go
+++ b/balancer/pacing.go
@@ -119,7 +119,7 @@
 	usable := max(c.MaxMessages-reservedMessages, min(c.MaxMessages-1, 1))
 	unreserved := usable - int(math.Ceil(drainMessageFraction*float64(usable)))
 	sent := group.messages.Count(now, c.MessageWindow)
-	sinceLast, sentAny := group.messages.Since(now)
+	sinceLast, sentAny := group.messages.SinceLatest(now)
 	if u < urgencyCritical {
 		spacing := c.MessageWindow / float64(usable)
 		return sent < unreserved && (!sentAny || sinceLast >= spacing)
--- a/internal/core/admission/controller_test.go
+++ b/internal/core/admission/controller_test.go
@@ -17,10 +17,10 @@
 	for i := range 1000 { // 100 per second
 		if _, err := controller.Admit(1000+float64(i)*0.01, 0); err == nil {
 			admitted++
-			controller.Done()
+			controller.EndRequest()
 		}
 	}
 	if math.Abs(float64(admitted)-500) > 20 {
-		t.Errorf("%d of 1000 are admitted within 10 s at a rate of 50", admitted)
+		t.Errorf("admitted %d of 1000 requests within 10 s at a rate of 50 per second, want 480 to 520", admitted)
 	}
 }
--- a/internal/proxy/tables.go
+++ b/internal/proxy/tables.go
@@ -43,7 +43,7 @@
 // requests in flight to them continue.
 func (p *Proxy) handleTableChange(now float64, entries int, removed []balancer.Server) {
 	p.tablesUnsaved = p.config.Store != nil
-	p.Core.RemoveServers(removed)
+	p.Core.ForgetServers(removed)
 	for _, server := range removed {
 		p.removeTarget(server)
 	}
