--- a/internal/cli/administration.go
+++ b/internal/cli/administration.go
@@ -14,11 +14,11 @@
 	"snowquay/internal/settings"
 )
 
-// adminCall calls the administration API of a coordinator or of a tenant, as a caller with a role. The path
-// is relative to the coordinator's or the tenant's.
+// adminCall calls the administration API of a coordinator or of a tenant with the rights of a role. The path
+// is relative to the API root of the coordinator or of the tenant. It returns the body of the response.
 type adminCall func(role authz.Role, method, path string, body any) (json.RawMessage, error)
 
-// coordinatorTarget is the coordinator that a command calls.
+// coordinatorTarget is the argument that selects the coordinator that a command calls.
 type coordinatorTarget struct {
 	Settings string `arg:"" type:"existingfile" help:"Settings file (XML) of the coordinator."`
 }
@@ -33,7 +33,7 @@
 	}, nil
 }
 
-// get reads a resource with a viewer's rights and decodes it.
+// get reads a resource with the rights of a viewer and decodes it into result.
 func (t *coordinatorTarget) get(path string, result any) error {
 	call, err := t.adminCall()
 	if err != nil {
@@ -42,12 +42,13 @@
 	return get(call, path, result)
 }
 
+// get reads a resource with the rights of a viewer and decodes it into result.
 func get(call adminCall, path string, result any) error {
-	answer, err := call(authz.RoleViewer, http.MethodGet, path, nil)
+	response, err := call(authz.RoleViewer, http.MethodGet, path, nil)
 	if err != nil {
 		return err
 	}
-	return json.Unmarshal(answer, result)
+	return json.Unmarshal(response, result)
 }
 
 // drainOptions are the arguments and flags of the commands that drain a server.
@@ -59,7 +60,7 @@
 	Follow   float64 `help:"Seconds to wait until no proxy sends to it." default:"10"`
 }
 
-// drainRequest is the body of a request to drain a server or to end its drain.
+// drainRequest is the request body that drains a server or ends its drain.
 type drainRequest struct {
 	Force    bool   `json:"force"`
 	LoseZone bool   `json:"lose-zone"`
@@ -67,21 +68,22 @@
 	Server   string `json:"server"`
 }
 
-// order orders the drain, waits for it if wanted, and prints the last answer.
-func (o *drainOptions) order(env *environment, call adminCall) error {
+// submit requests the drain or its end and prints the last response. After a request for a drain, it waits up to
+// Follow seconds until no proxy sends to the server.
+func (o *drainOptions) submit(env *environment, call adminCall) error {
 	request := drainRequest{Force: o.Force, LoseZone: o.LoseZone, On: !o.End, Server: o.Server}
-	answer, err := call(authz.RoleStaff, http.MethodPost, "/drains", request)
+	response, err := call(authz.RoleStaff, http.MethodPost, "/drains", request)
 	if err != nil {
 		return err
 	}
 	if !o.End && o.Follow > 0 {
 		path := fmt.Sprintf("/drains/%s?wait=%g", service.EscapePathSegment(o.Server), o.Follow)
-		answer, err = call(authz.RoleViewer, http.MethodGet, path, nil)
+		response, err = call(authz.RoleViewer, http.MethodGet, path, nil)
 		if err != nil {
 			return err
 		}
 	}
-	_, err = fmt.Fprintf(env.out, "%s\n", answer)
+	_, err = fmt.Fprintf(env.out, "%s\n", response)
 	return err
 }
 
@@ -96,7 +98,7 @@
 	if err != nil {
 		return err
 	}
-	return c.order(env, call)
+	return c.submit(env, call)
 }
 
 type previewCommand struct {
@@ -105,20 +107,20 @@
 	LoseZone bool     `help:"Also with any one zone lost."`
 }
 
-// previewRequest is the body of a request to preview the drain of several servers.
+// previewRequest is the request body for a preview of draining several servers together.
 type previewRequest struct {
 	Drain    []string `json:"drain"`
 	LoseZone bool     `json:"lose-zone"`
 }
 
-// Run prints why servers must not be drained together.
+// Run prints why servers must not be drained together. The result is negative if there is a reason.
 func (c *previewCommand) Run(env *environment) error {
 	call, err := c.adminCall()
 	if err != nil {
 		return err
 	}
 	request := previewRequest{Drain: c.Server, LoseZone: c.LoseZone}
-	answer, err := call(authz.RoleViewer, http.MethodPost, "/preview", request)
+	response, err := call(authz.RoleViewer, http.MethodPost, "/preview", request)
 	if err != nil {
 		return err
 	}
@@ -126,7 +128,7 @@
 		Harmless bool     `json:"harmless"`
 		Reasons  []string `json:"reasons"`
 	}
-	if err := json.Unmarshal(answer, &result); err != nil {
+	if err := json.Unmarshal(response, &result); err != nil {
 		return err
 	}
 	for _, reason := range result.Reasons {
@@ -145,7 +147,7 @@
 	Most  int    `help:"Maximum number of orders." default:"5"`
 }
 
-// Run prints the latest orders to a proxy and their reasons.
+// Run prints the latest orders that were sent to a proxy, and their reasons.
 func (c *explainCommand) Run(env *environment) error {
 	call, err := c.adminCall()
 	if err != nil {
@@ -154,8 +156,8 @@
 	return explainOrders(env, call, c.Proxy, c.Most)
 }
 
-// explainOrders prints the latest orders to a proxy. All their fields are printed, since they differ
-// between kinds of orders.
+// explainOrders prints the latest orders that were sent to a proxy, at most limit. It prints all fields of
+// an order, since the kinds of orders have different fields.
 func explainOrders(env *environment, call adminCall, proxy string, limit int) error {
 	var orders []map[string]any
 	if err := get(call, "/orders?relay="+url.QueryEscape(proxy), &orders); err != nil {
@@ -180,7 +182,7 @@
 	coordinatorTarget
 }
 
-// Run lists the servers of a coordinator.
+// Run lists the servers that a coordinator knows.
 func (c *serversCommand) Run(env *environment) error {
 	var servers []struct {
 		Server        string `json:"server"`
--- a/internal/cli/check.go
+++ b/internal/cli/check.go
@@ -11,7 +11,7 @@
 	Day      bool   `help:"The file is a scenario."`
 }
 
-// Run checks a settings file.
+// Run checks a settings file and prints a summary of the settings.
 func (c *checkCommand) Run(env *environment) error {
 	if c.Day {
 		return c.checkScenario(env)
--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -14,8 +14,8 @@
 	"snowquay/internal/console"
 )
 
-// commands are all commands and the flags that they have in common. The names of commands, flags and
-// arguments follow from the names of the fields.
+// commands declares all commands and their common flags. Kong derives the names of commands, flags and
+// arguments from the names of the fields.
 type commands struct {
 	LogLevel string `help:"What is logged: debug, info, warn or error." enum:"debug,info,warn,error" default:"info" env:"SNOWQUAY_LOG_LEVEL"`
 	LogJSON  bool   `help:"Log as JSON."`
@@ -37,13 +37,14 @@
 	Schema     schemaCommand      `cmd:"" help:"Print the schema of all settings files."`
 }
 
-// environment is what commands write to.
+// environment holds the output and the logger of a command.
 type environment struct {
 	out io.Writer
 	log *slog.Logger
 }
 
-// errNegativeResult is returned by a command that worked and has printed a negative result.
+// errNegativeResult is returned by a command that succeeded and has printed a negative result. It is not
+// printed.
 var errNegativeResult = errors.New("negative result")
 
 // Exit statuses of the program.
@@ -53,8 +54,8 @@
 	exitUsage   = 2
 )
 
-// Main runs a command line and returns the exit status: 0; 1 for an error or a negative result, such as a
-// broken rule; 2 for a command line that is invalid.
+// Main runs a command line and returns the exit status: 0 for success, 1 for an error or a negative result,
+// such as a broken rule, and 2 for an invalid command line.
 func Main(args []string, out, errOut io.Writer) int {
 	var parsed commands
 	helpShown := false
@@ -88,7 +89,7 @@
 
 func newLogger(out io.Writer, levelName string, asJSON bool) *slog.Logger {
 	var level slog.Level
-	_ = level.UnmarshalText([]byte(levelName)) // the parser accepts valid names only
+	_ = level.UnmarshalText([]byte(levelName)) // the parser accepts only valid names
 	options := &slog.HandlerOptions{Level: level}
 	if asJSON {
 		return slog.New(slog.NewJSONHandler(out, options))
@@ -96,7 +97,7 @@
 	return slog.New(slog.NewTextHandler(out, options))
 }
 
-// terminationSignal returns a channel that receives the signals that end the program.
+// terminationSignal returns a channel that receives the signals on which the program terminates.
 func terminationSignal() <-chan os.Signal {
 	signals := make(chan os.Signal, 1)
 	signal.Notify(signals, os.Interrupt, syscall.SIGTERM)
--- a/internal/cli/cli_test.go
+++ b/internal/cli/cli_test.go
@@ -8,7 +8,8 @@
 	"testing"
 )
 
-// TestMain runs the program itself when a scenario starts the test's executable as a coordinator.
+// TestMain runs the program instead of the tests in a process that a scenario starts as a coordinator, because
+// such a process runs the test's executable. It is recognized by the environment variable, which it inherits.
 func TestMain(m *testing.M) {
 	if os.Getenv("SNOWQUAY_PROGRAM") != "" {
 		os.Exit(Main(os.Args[1:], os.Stdout, os.Stderr))
@@ -19,23 +20,24 @@
 	os.Exit(m.Run())
 }
 
-// All rules are kept when coordinators that are processes are killed and stopped.
+// All rules must be kept while coordinators that run as processes are killed and paused.
 func TestTakeoverOfProcesses(t *testing.T) {
-	code, out, errOut := command("rehearse", "takeover", "--kills", "3", "--every", "3", "--log-level", "error", "--folder", t.TempDir())
+	code, out, errOut := runCommand("rehearse", "takeover", "--kills", "3", "--every", "3", "--log-level", "error", "--folder", t.TempDir())
 	if code != 0 || !strings.Contains(out, "3 deaths of coordinators") {
-		t.Errorf("exit %d:\n%s%s", code, out, errOut)
+		t.Errorf("takeover: exit status %d, want 0 and 3 deaths of coordinators:\n%s%s", code, out, errOut)
 	}
 }
 
-func command(args ...string) (code int, out, errOut string) {
+// runCommand runs a command line in this process and returns its exit status and outputs.
+func runCommand(args ...string) (code int, out, errOut string) {
 	var o, e bytes.Buffer
 	code = Main(args, &o, &e)
 	return code, o.String(), e.String()
 }
 
 func TestCommands(t *testing.T) {
-	bad := filepath.Join(t.TempDir(), "bad.xml")
-	if err := os.WriteFile(bad, []byte("<coordinator>\n<zone/></coordinator>"), 0o600); err != nil {
+	invalid := filepath.Join(t.TempDir(), "bad.xml")
+	if err := os.WriteFile(invalid, []byte("<coordinator>\n<zone/></coordinator>"), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	for _, c := range []struct {
@@ -45,9 +47,9 @@
 	}{
 		{[]string{"check", "../../docs/example.xml"}, 0, "4 servers listed"},
 		{[]string{"check", "--day", "../scenario/bad-day.xml"}, 0, "12 relays listed"},
-		{[]string{"check", bad}, 1, "bad.xml:2: <zone>"},
+		{[]string{"check", invalid}, 1, "bad.xml:2: <zone>"},
 		{[]string{"check", "nowhere.xml"}, 2, "nowhere.xml"},
-		{[]string{"serve", bad}, 1, "bad.xml"},
+		{[]string{"serve", invalid}, 1, "bad.xml"},
 		{[]string{"schema"}, 0, "coordinatorType"},
 		{[]string{"rehearse", "--virtual", "--log-level", "error"}, 0, "rule 5  kept"},
 		{[]string{"rehearse", "--virtual", "--log-level", "error", "--without", "pace"}, 1, "rule 5  BROKEN"},
@@ -59,7 +61,7 @@
 		{[]string{"group", "status", "../../docs/example.xml"}, 1, "no element group"},
 		{[]string{"group", "remove", "../../docs/example.xml", "3"}, 1, "no element group"},
 		{[]string{"proxy", "--check", "../../docs/example-proxy.xml"}, 0, "proxy relay-1 on 127.0.0.1:8000: 2 classes, 2 routes"},
-		{[]string{"proxy", bad}, 1, "bad.xml"},
+		{[]string{"proxy", invalid}, 1, "bad.xml"},
 		{[]string{"explain", "../../docs/example.xml", "relay-1"}, 1, "no <listen admin>"},
 		{[]string{"servers", "../../docs/example.xml"}, 1, "no <listen admin>"},
 		{[]string{"drain", "../../docs/example.xml", "127.0.1.1:8080"}, 1, "no <listen admin>"},
@@ -67,25 +69,25 @@
 		{[]string{"dance"}, 2, "dance"},
 		{[]string{"--help"}, 0, "rehearse"},
 	} {
-		code, out, errOut := command(c.args...)
+		code, out, errOut := runCommand(c.args...)
 		if code != c.code || !strings.Contains(out+errOut, c.out) {
-			t.Errorf("%v: exit %d, want %d with %q:\n%s%s", c.args, code, c.code, c.out, out, errOut)
+			t.Errorf("%v: exit status %d, want %d and a text that contains %q:\n%s%s", c.args, code, c.code, c.out, out, errOut)
 		}
 	}
 }
 
-func TestFormerCommandNamesWorkAlike(t *testing.T) {
+func TestAliasesBehaveLikeCommandNames(t *testing.T) {
 	for _, names := range [][2]string{{"scenario", "rehearse"}, {"experiment", "lab"}} {
 		for _, args := range [][]string{{"--help"}, {"--no-such-flag"}} {
-			code, out, errOut := command(append([]string{names[0]}, args...)...)
-			formerCode, formerOut, formerErr := command(append([]string{names[1]}, args...)...)
-			if code != formerCode || out != formerOut || errOut != formerErr {
-				t.Errorf("%s %v: exit %d\n%s%s\n%s: exit %d\n%s%s", names[0], args, code, out, errOut, names[1], formerCode, formerOut, formerErr)
+			code, out, errOut := runCommand(append([]string{names[0]}, args...)...)
+			aliasCode, aliasOut, aliasErrOut := runCommand(append([]string{names[1]}, args...)...)
+			if code != aliasCode || out != aliasOut || errOut != aliasErrOut {
+				t.Errorf("%s %v: exit status %d\n%s%s\nwant the same as for %s: exit status %d\n%s%s", names[0], args, code, out, errOut, names[1], aliasCode, aliasOut, aliasErrOut)
 			}
 		}
 	}
-	code, out, _ := command("scenario", "--virtual", "--log-level", "error")
+	code, out, _ := runCommand("scenario", "--virtual", "--log-level", "error")
 	if code != 0 || !strings.Contains(out, "rule 5  kept") {
-		t.Errorf("exit %d:\n%s", code, out)
+		t.Errorf("scenario: exit status %d, want 0 and rule 5 kept:\n%s", code, out)
 	}
 }
--- a/internal/cli/experiment.go
+++ b/internal/cli/experiment.go
@@ -26,8 +26,9 @@
 	Jobs       int    `help:"Number of cells that run at once; 0: one per core."`
 }
 
-// runMissing runs what the folder lacks, and returns the experiment and all records of the folder.
-func (c *experimentRunCommand) runMissing(env *environment) (*settings.Experiment, map[string]*experiment.Record, error) {
+// runMissingCells runs the cells that have no record in the folder. It returns the experiment and all records
+// of the folder.
+func (c *experimentRunCommand) runMissingCells(env *environment) (*settings.Experiment, map[string]*experiment.Record, error) {
 	config, err := settings.LoadExperiment(c.Experiment)
 	if err != nil {
 		return nil, nil, err
@@ -43,9 +44,9 @@
 	return config, records, err
 }
 
-// Run runs an experiment and prints its table.
+// Run runs the missing cells of an experiment and prints its table of results.
 func (c *experimentRunCommand) Run(env *environment) error {
-	config, records, err := c.runMissing(env)
+	config, records, err := c.runMissingCells(env)
 	if err != nil {
 		return err
 	}
@@ -57,9 +58,10 @@
 	Most int `help:"Maximum number of runs and pairs that are listed." default:"15"`
 }
 
-// Run runs an experiment and prints its worst runs. The result is negative if a rule was broken.
+// Run runs the missing cells of an experiment, and prints its worst runs and the worst pairs of faults. The
+// result is negative if a rule was broken.
 func (c *experimentSweepCommand) Run(env *environment) error {
-	_, records, err := c.runMissing(env)
+	_, records, err := c.runMissingCells(env)
 	if err != nil {
 		return err
 	}
@@ -85,6 +87,7 @@
 	return nil
 }
 
+// printRecord prints a run in one line: its cell, its service, its broken rules and its faults.
 func printRecord(env *environment, record *experiment.Record) {
 	console.Printf(env.out, "%s.%s.%s.%d  service %.3f, worst 10 s %.3f",
 		record.Fleet, record.Case, record.Arm, record.Seed, record.Service, record.WorstTenSeconds)
@@ -102,7 +105,7 @@
 	Other  string `arg:"" help:"Arm that is compared with it."`
 }
 
-// Run compares two arms of an experiment.
+// Run compares two arms of an experiment and prints the differences.
 func (c *experimentCompareCommand) Run(env *environment) error {
 	folder, config, err := experiment.Read(c.Folder)
 	if err != nil {
@@ -114,7 +117,7 @@
 	}
 	differences := experiment.Compare(experiment.Groups(config, records), c.Base, c.Other)
 	if len(differences) == 0 {
-		return fmt.Errorf("no seed was played with both %q and %q", c.Base, c.Other)
+		return fmt.Errorf("no seed was run with both arms %q and %q", c.Base, c.Other)
 	}
 	experiment.PrintDifferences(env.out, differences, c.Base, c.Other)
 	return nil
@@ -124,7 +127,7 @@
 	Folder string `arg:"" type:"existingdir" help:"Folder of the records."`
 }
 
-// Run writes the report of an experiment and prints the names of its files.
+// Run writes the report of an experiment and prints the names of the files written.
 func (c *experimentReportCommand) Run(env *environment) error {
 	folder, config, err := experiment.Read(c.Folder)
 	if err != nil {
@@ -147,10 +150,11 @@
 	Out    string  `help:"File for the scenario." type:"path" default:"shrunk-day.xml"`
 }
 
-// shrunkFileMode is the permission of the file of a shrunk scenario.
+// shrunkFileMode is the file mode of a shrunk scenario.
 const shrunkFileMode = 0o644
 
-// Run shrinks a scenario as long as it stays bad, and writes it to a file.
+// Run shrinks the scenario of a cell while it still breaks the rule, or its service stays below the limit, and
+// writes the result to a file.
 func (c *experimentShrinkCommand) Run(env *environment) error {
 	_, config, err := experiment.Read(c.Folder)
 	if err != nil {
@@ -160,26 +164,26 @@
 	if err != nil {
 		return err
 	}
-	day, err := cell.Scenario()
+	scenario, err := cell.Scenario()
 	if err != nil {
 		return err
 	}
-	isBad := experiment.Breaks(c.Rule, cell.Options())
+	condition := experiment.Breaks(c.Rule, cell.Options())
 	if c.Under > 0 {
-		isBad = experiment.ServiceBelow(c.Under, cell.Options())
+		condition = experiment.ServiceBelow(c.Under, cell.Options())
 	}
-	if !isBad(day) {
-		return fmt.Errorf("the day %s is not bad in that way", c.Cell)
+	if !condition(scenario) {
+		return fmt.Errorf("the scenario of cell %s does not meet the condition for shrinking", c.Cell)
 	}
-	day = experiment.Shrink(day, isBad, c.Most, env.out)
-	text, err := day.Write()
+	scenario = experiment.Shrink(scenario, condition, c.Most, env.out)
+	text, err := scenario.Write()
 	if err != nil {
 		return err
 	}
 	if err := os.WriteFile(c.Out, text, shrunkFileMode); err != nil {
 		return err
 	}
-	console.Printf(env.out, "%s: play it with scenario --virtual --front %s", c.Out, cell.Arm.Frontend)
+	console.Printf(env.out, "%s: run it with scenario --virtual --front %s", c.Out, cell.Arm.Frontend)
 	if cell.Arm.Coordinators > 1 {
 		console.Printf(env.out, " --coordinators %d", cell.Arm.Coordinators)
 	}
@@ -192,7 +196,8 @@
 	Cell       string `arg:""`
 }
 
-// Run runs one cell of an experiment and prints its record as JSON.
+// Run runs one cell of an experiment in this program, whatever program its arm names, and prints its record as
+// JSON.
 func (c *experimentOneCommand) Run(env *environment) error {
 	config, err := settings.LoadExperiment(c.Experiment)
 	if err != nil {
--- a/internal/cli/group.go
+++ b/internal/cli/group.go
@@ -18,7 +18,7 @@
 	Remove groupRemoveCommand `cmd:"" help:"Remove a coordinator for good; its number is never used again."`
 }
 
-// groupTarget is the group that a command calls.
+// groupTarget is the argument that selects the group of coordinators that a command calls.
 type groupTarget struct {
 	Settings string `arg:"" type:"existingfile" help:"Settings file (XML) of any coordinator of the group."`
 }
@@ -29,7 +29,7 @@
 		return nil, err
 	}
 	if config.Group == nil {
-		return nil, fmt.Errorf("%s has no element group: the coordinator shares its fleet with nobody", t.Settings)
+		return nil, fmt.Errorf("%s has no element group: the coordinator is not a member of a group", t.Settings)
 	}
 	return config.Group, nil
 }
@@ -38,13 +38,14 @@
 	groupTarget
 }
 
-// Run prints the status of each member of a group. The result is negative if no majority answers.
+// Run prints the status of each member of a group. The result is negative if no majority of the members
+// responds.
 func (c *groupStatusCommand) Run(env *environment) error {
 	group, err := c.load()
 	if err != nil {
 		return err
 	}
-	answers := 0
+	responses := 0
 	for _, number := range slices.Sorted(maps.Keys(group.Members)) {
 		address := group.Members[number]
 		status, err := service.GroupStatus(address, group.Key)
@@ -52,7 +53,7 @@
 			console.Printf(env.out, "%d at %s: %v\n", number, address, err)
 			continue
 		}
-		answers++
+		responses++
 		console.Printf(env.out, "%d at %s: holds its lease: %t; epoch %d; consensus leader %d, %d agreed; %d drains\n",
 			number, address, status.HoldsLease, status.Epoch, status.Leader, status.Commit, status.Drains)
 		printRegistrations(env, status)
@@ -60,12 +61,13 @@
 			console.Printf(env.out, "    it orders nothing: %s\n", status.Failed)
 		}
 	}
-	if answers <= len(group.Members)/2 {
+	if responses <= len(group.Members)/2 {
 		return errNegativeResult
 	}
 	return nil
 }
 
+// printRegistrations prints the coordinators that are registered with the group, as one member reports them.
 func printRegistrations(env *environment, status coordinator.Status) {
 	for _, number := range slices.Sorted(maps.Keys(status.Registrations)) {
 		registration := status.Registrations[number]
@@ -87,7 +89,7 @@
 	Wait   time.Duration `help:"How long to wait for agreement." default:"10s"`
 }
 
-// Run removes a coordinator from a group.
+// Run removes a coordinator from a group permanently.
 func (c *groupRemoveCommand) Run(env *environment) error {
 	group, err := c.load()
 	if err != nil {
--- a/internal/cli/scenario.go
+++ b/internal/cli/scenario.go
@@ -30,21 +30,21 @@
 
 // Run runs one scenario.
 func (c *scenarioCommand) Run(env *environment) error {
-	without, err := parseGuards(c.Without)
+	disabled, err := parseGuards(c.Without)
 	if err != nil {
 		return err
 	}
-	day, err := loadScenario(c.Day, without)
+	config, err := loadScenario(c.Day, disabled)
 	if err != nil {
 		return err
 	}
 	if c.Coordinators > 1 && !c.Virtual {
-		return errors.New("several coordinators run in virtual time only, with --virtual")
+		return errors.New("several coordinators are supported in virtual time only: add --virtual")
 	}
 	if !c.Virtual {
-		console.Printf(env.out, "playing %g s over loopback sockets ...\n", day.Seconds)
+		console.Printf(env.out, "running %g s over loopback sockets ...\n", config.Seconds)
 	}
-	return runScenario(env, day, scenario.Options{
+	return runScenario(env, config, scenario.Options{
 		Sockets:      !c.Virtual,
 		Log:          env.log,
 		Seed:         c.Seed,
@@ -54,18 +54,18 @@
 	})
 }
 
-// builtInScenario is the name of the built-in scenario in errors.
+// builtInScenario is the file name of the built-in scenario in error messages.
 const builtInScenario = "bad-day.xml"
 
-// loadScenario reads a scenario file, or the built-in scenario if the path is empty.
-func loadScenario(path string, without []controlplane.Guard) (*settings.Scenario, error) {
+// loadScenario reads a scenario file, or the built-in scenario if the path is empty, with some guards disabled.
+func loadScenario(path string, disabled []controlplane.Guard) (*settings.Scenario, error) {
 	if path == "" {
-		return settings.ParseScenario(builtInScenario, scenario.DefaultScenario, without...)
+		return settings.ParseScenario(builtInScenario, scenario.DefaultScenario, disabled...)
 	}
-	return settings.LoadScenario(path, without...)
+	return settings.LoadScenario(path, disabled...)
 }
 
-// guardNames returns the names of all guards, for help and errors.
+// guardNames returns the names of all guards for help texts and error messages.
 func guardNames() string {
 	var names []string
 	for _, guard := range controlplane.Guards {
@@ -74,25 +74,26 @@
 	return strings.Join(names, ", ")
 }
 
+// parseGuards returns the guards with the given names.
 func parseGuards(names []string) ([]controlplane.Guard, error) {
 	var guards []controlplane.Guard
 	for _, name := range names {
 		guard := controlplane.Guard(name)
 		if !slices.Contains(controlplane.Guards, guard) {
-			return nil, fmt.Errorf("no guard is named %q; there are %s", name, guardNames())
+			return nil, fmt.Errorf("no guard is named %q; the guards are %s", name, guardNames())
 		}
 		guards = append(guards, guard)
 	}
 	return guards, nil
 }
 
-// runScenario runs a scenario and prints the verdicts. The result is negative if a rule was broken.
-func runScenario(env *environment, day *settings.Scenario, options scenario.Options) error {
-	result, err := scenario.Run(day, options)
+// runScenario runs a scenario and prints its result. The result is negative if a rule was broken.
+func runScenario(env *environment, config *settings.Scenario, options scenario.Options) error {
+	result, err := scenario.Run(config, options)
 	if err != nil {
 		return err
 	}
-	if err := result.Print(env.out, day.Coordinator.Site.ClassNames); err != nil {
+	if err := result.Print(env.out, config.Coordinator.Site.ClassNames); err != nil {
 		return err
 	}
 	if !result.Kept() {
@@ -118,21 +119,21 @@
 }
 
 const (
-	// hostedFloodRate is the rate of a flooding tenant in messages per second.
+	// hostedFloodRate is the rate of the tenant that floods the host, in messages per second.
 	hostedFloodRate = 2000
-	// hostedDowntime is the time in seconds until a killed host runs again.
+	// hostedDowntime is the time in seconds between the kill of a host and its restart.
 	hostedDowntime = 1
-	// allTenants selects all tenants of a host.
+	// allTenants is the tenant number that selects all tenants of a host.
 	allTenants = -1
 )
 
-// Run runs a scenario with many tenants.
+// Run runs a scenario with many tenants and prints its result. The result is negative if a rule was broken.
 func (c *hostedCommand) Run(env *environment) error {
 	if c.Hosts > 1 && !c.Virtual {
-		return errors.New("several hosts run in virtual time only, with --virtual")
+		return errors.New("several hosts are supported in virtual time only: add --virtual")
 	}
 	if !c.Virtual {
-		console.Printf(env.out, "playing %g s over loopback sockets ...\n", c.Seconds)
+		console.Printf(env.out, "running %g s over loopback sockets ...\n", c.Seconds)
 	}
 	result, err := scenario.RunHosted(scenario.HostedScenario{
 		Tenants:      c.Tenants,
--- a/internal/cli/serve.go
+++ b/internal/cli/serve.go
@@ -12,7 +12,7 @@
 	Settings string `arg:"" type:"existingfile" help:"Settings file (XML)."`
 }
 
-// Run runs a coordinator until the program is told to end.
+// Run runs a coordinator until the program receives a termination signal.
 func (c *serveCommand) Run(env *environment) error {
 	config, err := settings.LoadCoordinator(c.Settings)
 	if err != nil {
@@ -23,7 +23,7 @@
 
 type platformCommand struct{}
 
-// Run runs a coordinator on the platform.
+// Run runs a coordinator on the platform with the configuration that PROXY_CONFIG names.
 func (*platformCommand) Run(env *environment) error { return platform.Run(env.log) }
 
 type hostCommand struct {
@@ -31,7 +31,7 @@
 	Check    bool   `help:"Only print its errors, or how it will act."`
 }
 
-// Run runs a host of tenants until the program is told to end.
+// Run runs a host of tenants until the program receives a termination signal.
 func (c *hostCommand) Run(env *environment) error {
 	config, err := settings.LoadHost(c.Settings)
 	if err != nil {
@@ -49,7 +49,7 @@
 	Check    bool   `help:"Only print its errors."`
 }
 
-// Run runs a proxy until the program is told to end.
+// Run runs a proxy until the program receives a termination signal.
 func (c *proxyCommand) Run(env *environment) error {
 	config, err := settings.LoadProxy(c.Settings)
 	if err != nil {
--- a/internal/cli/takeover.go
+++ b/internal/cli/takeover.go
@@ -30,26 +30,26 @@
 const (
 	// takeoverCoordinators is the number of coordinators of the group.
 	takeoverCoordinators = 3
-	// coordinatorFaultPrefix is the prefix of the kinds of faults that stop a coordinator.
+	// coordinatorFaultPrefix is the common prefix of the kinds of faults that concern coordinators.
 	coordinatorFaultPrefix = "coordinator_"
 )
 
-// Run runs a scenario in which coordinators are killed and stopped.
+// Run runs a scenario in which coordinators are killed and paused. The result is negative if a rule was broken.
 func (c *takeoverCommand) Run(env *environment) error {
-	day, err := loadScenario("", nil)
+	config, err := loadScenario("", nil)
 	if err != nil {
 		return err
 	}
 	if c.Servers > 0 || c.Relays > 0 {
 		if !c.Virtual {
-			return errors.New("another number of servers or proxies runs in virtual time only, with --virtual")
+			return errors.New("other numbers of servers or proxies are supported in virtual time only: add --virtual")
 		}
-		site := &day.Coordinator.Site
-		scenario.Enlarge(day, cmp.Or(c.Servers, len(site.Servers)), cmp.Or(c.Relays, len(site.Proxies)))
+		site := &config.Coordinator.Site
+		scenario.Enlarge(config, cmp.Or(c.Servers, len(site.Servers)), cmp.Or(c.Relays, len(site.Proxies)))
 	}
-	scenario.AddTakeovers(day, c.Kills, c.Every, c.Seed, c.Calm)
+	scenario.AddTakeovers(config, c.Kills, c.Every, c.Seed, c.Calm)
 	if c.Spare {
-		day.Faults = slices.DeleteFunc(day.Faults, func(fault settings.Fault) bool {
+		config.Faults = slices.DeleteFunc(config.Faults, func(fault settings.Fault) bool {
 			return strings.HasPrefix(fault.Kind, coordinatorFaultPrefix)
 		})
 	}
@@ -60,14 +60,14 @@
 		RealProxies:  c.Proxies,
 	}
 	if c.Virtual {
-		return runScenario(env, day, options)
+		return runScenario(env, config, options)
 	}
-	return c.runProcesses(env, day, options)
+	return c.runProcesses(env, config, options)
 }
 
-// runProcesses runs the scenario over sockets, with a process for each coordinator.
-func (c *takeoverCommand) runProcesses(env *environment, day *settings.Scenario, options scenario.Options) (err error) {
-	exe, err := os.Executable()
+// runProcesses runs the scenario over loopback sockets, with a process for each coordinator.
+func (c *takeoverCommand) runProcesses(env *environment, config *settings.Scenario, options scenario.Options) (err error) {
+	executable, err := os.Executable()
 	if err != nil {
 		return err
 	}
@@ -84,9 +84,9 @@
 		return err
 	}
 	defer func() { err = errors.Join(err, log.Close()) }()
-	console.Printf(env.out, "playing %.0f s over loopback sockets, three coordinators as processes, %d kills ...\n",
-		day.Seconds, c.Kills)
+	console.Printf(env.out, "running %.0f s over loopback sockets, three coordinators as processes, %d kills ...\n",
+		config.Seconds, c.Kills)
 	options.Sockets = true
-	options.Processes = &scenario.Processes{Executable: exe, Folder: folder, Log: log}
-	return runScenario(env, day, options)
+	options.Processes = &scenario.Processes{Executable: executable, Folder: folder, Log: log}
+	return runScenario(env, config, options)
 }
--- a/internal/cli/tenant.go
+++ b/internal/cli/tenant.go
@@ -26,7 +26,7 @@
 	Explain tenantExplainCommand `cmd:"" help:"Print why a proxy's latest orders were given, and when it held them."`
 }
 
-// tenantTarget is the tenant of a host that a command concerns.
+// tenantTarget holds the arguments that select a tenant of a host.
 type tenantTarget struct {
 	Host   string `arg:"" type:"existingfile" help:"Settings file of the host (XML)."`
 	Tenant string `arg:"" help:"Name of the tenant."`
@@ -45,17 +45,17 @@
 	}, nil
 }
 
-// print calls the administration API and prints the answer.
+// print calls the administration API and prints the response.
 func (t *tenantTarget) print(env *environment, role authz.Role, method, path string, body any) error {
 	call, err := t.adminCall()
 	if err != nil {
 		return err
 	}
-	answer, err := call(role, method, path, body)
+	response, err := call(role, method, path, body)
 	if err != nil {
 		return err
 	}
-	_, err = fmt.Fprintf(env.out, "%s\n", answer)
+	_, err = fmt.Fprintf(env.out, "%s\n", response)
 	return err
 }
 
@@ -63,17 +63,17 @@
 	Host string `arg:"" type:"existingfile" help:"Settings file of the host (XML)."`
 }
 
-// tenantStatus is a tenant in the list of a host's tenants.
+// tenantStatus is an element of the list of a host's tenants.
 type tenantStatus struct {
 	Name        string  `json:"name"`
 	Problem     string  `json:"wrong"`
 	Version     uint64  `json:"version"`
-	CPU         float64 `json:"work"`    // seconds
+	CPU         float64 `json:"work"`    // CPU time in seconds
 	LongestWait float64 `json:"longest"` // seconds
 	Running     bool    `json:"runs"`
 	Servers     int     `json:"servers"`
 	Proxies     int     `json:"relays"`
-	Current     int     `json:"newest"` // proxies that hold the newest tables
+	Current     int     `json:"newest"` // number of proxies that hold the newest tables
 }
 
 // Run lists the tenants of a host.
@@ -82,12 +82,12 @@
 	if err != nil {
 		return err
 	}
-	answer, err := service.CallHostAdmin(host, authz.RoleViewer, http.MethodGet, "/v1/tenants", nil)
+	response, err := service.CallHostAdmin(host, authz.RoleViewer, http.MethodGet, "/v1/tenants", nil)
 	if err != nil {
 		return err
 	}
 	var tenants []tenantStatus
-	if err := json.Unmarshal(answer, &tenants); err != nil {
+	if err := json.Unmarshal(response, &tenants); err != nil {
 		return err
 	}
 	for _, tenant := range tenants {
@@ -112,7 +112,7 @@
 	What string `arg:"" optional:"" help:"state, settings, servers, relays or audit." enum:"state,settings,servers,relays,audit" default:"state"`
 }
 
-// Run prints one tenant.
+// Run prints the requested part of a tenant's data.
 func (c *tenantShowCommand) Run(env *environment) error {
 	path := "/" + c.What
 	role := authz.RoleViewer
@@ -132,7 +132,7 @@
 	Force    bool   `help:"Also if it would do harm."`
 }
 
-// Run makes a tenant or changes its settings.
+// Run creates a tenant or changes its settings.
 func (c *tenantPutCommand) Run(env *environment) error {
 	text, err := os.ReadFile(c.Settings)
 	if err != nil {
@@ -165,7 +165,7 @@
 
 const bytesPerMegabyte = 1 << 20
 
-// Run checks a tenant's settings.
+// Run checks a tenant's settings and prints the resources that the tenant requires of a host.
 func (c *tenantCheckCommand) Run(env *environment) error {
 	host, err := settings.LoadHost(c.Host)
 	if err != nil {
@@ -184,11 +184,11 @@
 		return err
 	}
 	site := &tenant.Config.Site
-	needs := &tenant.Requirements
+	requirements := &tenant.Requirements
 	_, err = fmt.Fprintf(env.out, "tenant %s: %d classes, %d servers, %d relays listed; weight %g\n"+
 		"takes at most %.1f MB, %.0f lines a second, %.0f connections, %.4f of a core\n",
 		name, len(site.Classes), len(site.Servers), len(site.Proxies), tenant.Weight,
-		needs.Memory/bytesPerMegabyte, needs.EntriesPerSecond, needs.Connections, needs.CPU)
+		requirements.Memory/bytesPerMegabyte, requirements.EntriesPerSecond, requirements.Connections, requirements.CPU)
 	return err
 }
 
@@ -204,7 +204,7 @@
 	Force    bool    `help:"Also if it would do harm."`
 }
 
-// Run changes one server of a tenant's settings.
+// Run adds, changes or removes one server of a tenant's settings.
 func (c *tenantServerCommand) Run(env *environment) error {
 	edit := settings.ServerEdit{
 		Server:        c.Server,
@@ -229,7 +229,7 @@
 	if err != nil {
 		return err
 	}
-	return c.order(env, call)
+	return c.submit(env, call)
 }
 
 type tenantExplainCommand struct {
@@ -238,7 +238,7 @@
 	Most  int    `help:"Maximum number of orders." default:"5"`
 }
 
-// Run prints the latest orders to a tenant's proxy and their reasons.
+// Run prints the latest orders that were sent to a proxy of a tenant, and their reasons.
 func (c *tenantExplainCommand) Run(env *environment) error {
 	call, err := c.adminCall()
 	if err != nil {
--- a/internal/console/console.go
+++ b/internal/console/console.go
@@ -1,4 +1,4 @@
-// Package console writes text for the people at a terminal. A write that fails is ignored: nobody is left to be told of it.
+// Package console writes text to a terminal. Write errors are ignored, because they cannot be reported anywhere else.
 package console
 
 import (
@@ -6,12 +6,12 @@
 	"io"
 )
 
-// Printf writes a formatted text.
+// Printf formats its arguments like fmt.Fprintf and writes the result.
 func Printf(w io.Writer, format string, args ...any) {
 	_, _ = fmt.Fprintf(w, format, args...)
 }
 
-// Println writes its operands with spaces between them, and a line end.
+// Println writes its arguments, separated by spaces, and a newline.
 func Println(w io.Writer, args ...any) {
 	_, _ = fmt.Fprintln(w, args...)
 }
