--- a/internal/feed/collectd/collector.go
+++ b/internal/feed/collectd/collector.go
@@ -7,9 +7,9 @@
 //	    derive requests, derive failed requests
 //	host = server address, plugin uptime, type uptime: gauge seconds
 //
-// If packets need not be signed, the value lists may also come as lines of collectd's plain text protocol
-// (PUTVAL) in datagrams. All others are ignored, because a network may carry other measurements. The package
-// does no I/O.
+// If packets need not be signed, the value lists may also be sent in datagrams as lines of collectd's plain
+// text protocol (PUTVAL). All other value lists are ignored, because the network may carry other measurements.
+// The package performs no I/O.
 package collectd
 
 import (
@@ -39,30 +39,30 @@
 	nanosecondsPerSecond  = 1e9
 )
 
-// MaxPacketBytes is the maximum size of a packet, which is that of collectd.
+// MaxPacketBytes is the maximum size of a packet. collectd has the same limit.
 const MaxPacketBytes = 65535
 
 const (
-	signaturePartType   = 0x0200 // type of the part that signs all parts after it
-	signatureHeaderSize = 4 + 32 // type, length and HMAC-SHA-256 in bytes; the user follows
-	maxPartTypeHighByte = 0x02   // maximum first byte of a packet of the binary protocol
+	signaturePartType   = 0x0200 // type of the part that contains the signature of all parts after it
+	signatureHeaderSize = 4 + 32 // bytes of type, length and HMAC-SHA-256; the user name follows
+	maxPartTypeHighByte = 0x02   // maximum first byte of a packet in the binary protocol
 )
 
 // ErrInvalidPacket is returned for a packet that was rejected as a whole.
-var ErrInvalidPacket = errors.New("measurement packet not read")
+var ErrInvalidPacket = errors.New("invalid measurement packet")
 
-// Collector passes the content of packets to a fleet.
+// Collector parses packets and passes the load reports in them to a fleet.
 type Collector struct {
-	Packets   int // received
-	Malformed int // rejected packets and lines
-	Foreign   int // value lists that were ignored
+	Packets   int // received packets, including rejected ones
+	Malformed int // rejected packets and rejected lines of text
+	Foreign   int // value lists that were ignored because they are not load reports
 
 	fleet   *controlplane.Fleet
 	options network.ParseOpts
 }
 
-// New returns a collector. With a key, it accepts only packets that the user has signed with the key by
-// HMAC-SHA-256.
+// New returns a collector. If the key is not empty, the collector accepts only packets that the user has signed
+// with it by HMAC-SHA-256.
 func New(fleet *controlplane.Fleet, user, key string) *Collector {
 	c := &Collector{fleet: fleet}
 	if key != "" {
@@ -80,7 +80,7 @@
 	key  string
 }
 
-// Password returns the key of the user.
+// Password implements network.PasswordLookup. It returns the key of the user.
 func (c credentials) Password(user string) (string, error) {
 	if user != c.user {
 		return "", fmt.Errorf("no key for user %q", user)
@@ -88,8 +88,8 @@
 	return c.key, nil
 }
 
-// PacketUser returns the user who claims to have signed a packet, or false if it is not signed. The
-// signature is not verified.
+// PacketUser returns the name of the user who claims to have signed a packet, or false if the packet is not
+// signed. It does not verify the signature.
 func PacketUser(packet []byte) (string, bool) {
 	if len(packet) < signatureHeaderSize || binary.BigEndian.Uint16(packet) != signaturePartType {
 		return "", false
@@ -101,21 +101,22 @@
 	return string(packet[signatureHeaderSize:length]), true
 }
 
-// Packet reads one datagram. A binary packet is read as a whole before any of it is passed on, so that a
-// malformed packet changes nothing; with a key, values that are not signed are not parsed. Errors wrap
-// ErrInvalidPacket, or ErrInvalidLine if lines of a text were rejected.
+// Packet parses one datagram and passes its load reports to the fleet. A binary packet is parsed as a whole
+// before any of its reports is passed on, so that a malformed packet changes nothing. If the collector has a
+// key, values that are not signed are not parsed. Errors wrap ErrInvalidPacket, or ErrInvalidLine if lines of
+// text were rejected.
 func (c *Collector) Packet(now float64, packet []byte) (err error) {
 	c.Packets++
-	defer func() { // the parser is given arbitrary bytes from the network
+	defer func() { // the parser processes arbitrary bytes from the network and may panic
 		if reason := recover(); reason != nil {
 			c.Malformed++
-			err = fmt.Errorf("%w: the parser failed: %v", ErrInvalidPacket, reason)
+			err = fmt.Errorf("%w: the parser panicked: %v", ErrInvalidPacket, reason)
 		}
 	}()
 	if isText(packet) {
 		if c.options.PasswordLookup != nil {
 			c.Malformed++
-			return fmt.Errorf("%w: text is not taken where measurements are signed", ErrInvalidPacket)
+			return fmt.Errorf("%w: plain text is not accepted, because packets must be signed", ErrInvalidPacket)
 		}
 		return c.readText(now, packet)
 	}
@@ -126,7 +127,7 @@
 	}
 	if len(packet) > MaxPacketBytes {
 		c.Malformed++
-		return fmt.Errorf("%w: %d bytes, %d at most", ErrInvalidPacket, len(packet), MaxPacketBytes)
+		return fmt.Errorf("%w: %d bytes exceed the maximum of %d", ErrInvalidPacket, len(packet), MaxPacketBytes)
 	}
 	for _, list := range lists {
 		c.report(now, list)
@@ -134,18 +135,19 @@
 	return nil
 }
 
-// isText reports whether a packet cannot be one of the binary protocol.
+// isText reports whether a packet cannot be in the binary protocol and is therefore parsed as text.
 func isText(packet []byte) bool {
 	return len(packet) > 0 && len(packet) <= MaxPacketBytes && packet[0] > maxPartTypeHighByte
 }
 
-// report passes a value list to the fleet, or counts it as foreign.
+// report passes a value list to the fleet, or counts it as foreign if it is not a load report.
 func (c *Collector) report(now float64, list *api.ValueList) {
 	if !c.tryReport(now, list) {
 		c.Foreign++
 	}
 }
 
+// tryReport passes a value list to the fleet. It returns false if the list is not a load report.
 func (c *Collector) tryReport(now float64, list *api.ValueList) bool {
 	at := float64(list.Time.UnixNano()) / nanosecondsPerSecond
 	switch {
@@ -174,8 +176,8 @@
 	return false
 }
 
-// readTotals reads attempts, failed attempts and, if there is a third value, microseconds. It returns false
-// if the number of values is not count, or if one of them is not a derive.
+// readTotals reads the numbers of attempts and failed attempts and, if there is a third value, microseconds.
+// It returns false if the number of values is not count, or if one of them is not a derive.
 func readTotals(values []api.Value, count int) (loadreport.Totals, bool) {
 	if len(values) != count {
 		return loadreport.Totals{}, false
--- a/internal/feed/collectd/collector_test.go
+++ b/internal/feed/collectd/collector_test.go
@@ -10,6 +10,7 @@
 	"snowquay/internal/core/registry"
 )
 
+// newFleet returns a fleet with one server, one request class and the proxy r1.
 func newFleet(t testing.TB) *controlplane.Fleet {
 	t.Helper()
 	f, err := controlplane.New(1000, controlplane.Site{ClassNames: []string{"search"}, Classes: []balancer.RequestClass{{LatencyObjective: 1}},
@@ -24,10 +25,11 @@
 	return f
 }
 
-func packet(now, tries float64, key string) (out []byte) {
+// packet returns a packet of proxy r1 that reports traffic, demand and an uptime.
+func packet(now, attempts float64, key string) (out []byte) {
 	p := NewPacketWriter(now, "r1", "relays", key, func(b []byte) { out = bytes.Clone(b) })
-	p.Traffic("10.0.0.1:80", loadreport.Totals{Attempts: tries, Failed: 1, Seconds: tries / 4})
-	p.Demand("search", loadreport.Totals{Attempts: tries})
+	p.Traffic("10.0.0.1:80", loadreport.Totals{Attempts: attempts, Failed: 1, Seconds: attempts / 4})
+	p.Demand("search", loadreport.Totals{Attempts: attempts})
 	p.Uptime(77)
 	p.Flush()
 	return out
@@ -45,10 +47,10 @@
 		traffic, demand := f.LoadReports.Flush()
 		if len(traffic) != 1 || traffic[0].Attempts != 20 || traffic[0].Latency != 0.25 || traffic[0].Interval != 0.5 ||
 			len(demand) != 1 || demand[0].Requests != 20 {
-			t.Errorf("key %q: %+v, %+v", key, traffic, demand)
+			t.Errorf("key %q: upstream reports %+v, demand reports %+v", key, traffic, demand)
 		}
 		if f.LoadReports.Rejected.Stale != 2 {
-			t.Errorf("the doubled packet: %+v", f.LoadReports.Rejected)
+			t.Errorf("rejected reports %+v, want 2 stale ones of the duplicated packet", f.LoadReports.Rejected)
 		}
 	}
 }
@@ -63,10 +65,10 @@
 		_ = c.Packet(1001, b)
 	}
 	if f.LoadReports.Len() != 0 {
-		t.Errorf("%d series are kept of packets without a valid signature", f.LoadReports.Len())
+		t.Errorf("%d series are stored from packets without a valid signature", f.LoadReports.Len())
 	}
 	if err := c.Packet(1001, signed); err != nil || f.LoadReports.Len() != 2 {
-		t.Errorf("the signed one: %v, %d series", err, f.LoadReports.Len())
+		t.Errorf("packet with a valid signature: error %v, %d series stored, want 2", err, f.LoadReports.Len())
 	}
 }
 
@@ -78,7 +80,7 @@
 		for _, bit := range []byte{1, 0x80} {
 			b := bytes.Clone(good)
 			b[i] ^= bit
-			_ = c.Packet(1001, b[:max(i, 1)]) // truncated just before the flipped bit
+			_ = c.Packet(1001, b[:max(i, 1)]) // truncated just before the flipped byte
 		}
 	}
 	before := f.LoadReports.Len()
@@ -86,7 +88,7 @@
 		_ = c.Packet(1001, b)
 	}
 	if f.LoadReports.Len() != before || c.Malformed == 0 {
-		t.Errorf("%d series more, %d malformed", f.LoadReports.Len()-before, c.Malformed)
+		t.Errorf("%d series were added by malformed packets, %d packets were counted as malformed", f.LoadReports.Len()-before, c.Malformed)
 	}
 }
 
--- a/internal/feed/collectd/flipped_bit_test.go
+++ b/internal/feed/collectd/flipped_bit_test.go
@@ -5,7 +5,8 @@
 	"testing"
 )
 
-// A whole packet with a flipped bit that is rejected for it changes nothing.
+// A complete packet that is rejected because of a flipped bit must not add any series, not even for the valid
+// values before the damage.
 func TestRejectedPacketWithFlippedBitChangesNothing(t *testing.T) {
 	good := packet(2000, 10, "")
 	rejected := 0
@@ -16,15 +17,15 @@
 			damaged := bytes.Clone(good)
 			damaged[i] ^= 1 << bit
 			if err := New(fleet, "", "").Packet(1001, damaged); err == nil {
-				continue // it says something else now
+				continue // the packet is still valid, with another content
 			}
 			rejected++
 			if series := fleet.LoadReports.Len(); series != before {
-				t.Errorf("byte %d, bit %d: rejected, and %d series more", i, bit, series-before)
+				t.Errorf("byte %d, bit %d: the packet was rejected, but added %d series", i, bit, series-before)
 			}
 		}
 	}
 	if rejected == 0 {
-		t.Error("none was rejected")
+		t.Error("no packet was rejected")
 	}
 }
--- a/internal/feed/collectd/writer.go
+++ b/internal/feed/collectd/writer.go
@@ -11,7 +11,8 @@
 	"snowquay/internal/core/loadreport"
 )
 
-// PacketWriter writes load reports into packets. Flush must be called at the end.
+// PacketWriter encodes load reports into packets of the binary protocol and passes these to a function. Flush
+// must be called after the last report.
 type PacketWriter struct {
 	host   string
 	user   string
@@ -21,8 +22,8 @@
 	send   func([]byte)
 }
 
-// NewPacketWriter returns a writer of reports of a host at a time in seconds since 1970. With a key, packets
-// are signed. The function send is called with each packet.
+// NewPacketWriter returns a writer of the reports of a host at a time in seconds since 1970. If the key is not
+// empty, packets are signed. The writer calls the function send with each packet.
 func NewPacketWriter(now float64, host, user, key string, send func([]byte)) *PacketWriter {
 	w := &PacketWriter{
 		host: host,
@@ -35,23 +36,23 @@
 	return w
 }
 
-// Traffic adds a proxy's totals for a server.
+// Traffic adds the totals of the host, which is a proxy, for a server.
 func (w *PacketWriter) Traffic(server string, totals loadreport.Totals) {
 	w.add(pluginName, server, trafficType, api.Derive(totals.Attempts), api.Derive(totals.Failed),
 		api.Derive(totals.Seconds/secondsPerMicrosecond))
 }
 
-// Demand adds a proxy's totals for a class.
+// Demand adds the totals of the host, which is a proxy, for a request class.
 func (w *PacketWriter) Demand(class string, totals loadreport.Totals) {
 	w.add(pluginName, class, demandType, api.Derive(totals.Attempts), api.Derive(totals.Failed))
 }
 
-// Uptime adds the time in seconds since the host's server started.
+// Uptime adds the time in seconds since the host, which is a server, started.
 func (w *PacketWriter) Uptime(seconds float64) {
 	w.add(uptimeType, "", uptimeType, api.Gauge(seconds))
 }
 
-// Flush sends the last packet, if it has any values.
+// Flush sends the current packet if it has any values, and starts a new one.
 func (w *PacketWriter) Flush() {
 	packet, err := w.buffer.Bytes()
 	if err == nil && len(packet) > 0 {
@@ -68,6 +69,7 @@
 	}
 }
 
+// add adds a value list to the current packet. If it does not fit, add sends the packet and starts a new one.
 func (w *PacketWriter) add(plugin, instance, valueType string, values ...api.Value) {
 	list := &api.ValueList{
 		Identifier: api.Identifier{Host: w.host, Plugin: plugin, PluginInstance: instance, Type: valueType},
@@ -78,6 +80,6 @@
 	err := w.buffer.Write(context.Background(), list)
 	if errors.Is(err, network.ErrNotEnoughSpace) {
 		w.Flush()
-		_ = w.buffer.Write(context.Background(), list) // one value list fits into an empty packet
+		_ = w.buffer.Write(context.Background(), list) // a single value list fits into an empty packet
 	}
 }
--- a/internal/feed/graphite/sender.go
+++ b/internal/feed/graphite/sender.go
@@ -1,6 +1,6 @@
 // Package graphite sends metrics to a receiver in Graphite's plaintext protocol. Package core/spool decides
-// what is buffered while the receiver is unreachable and what is sent when; this package adds the names of
-// the series, the encoding and the connection.
+// which samples are buffered while the receiver is unreachable, and when samples are sent. This package
+// implements the names of the series, the encoding and the connection.
 package graphite
 
 import (
@@ -12,12 +12,12 @@
 	"snowquay/internal/wire/graphite"
 )
 
-// DefaultMaxSeries is enough for 1,000 servers with 20 classes.
+// DefaultMaxSeries is the default of Config.MaxSeries. It is enough for 1,000 servers with 20 classes.
 const DefaultMaxSeries = 1 << 15
 
 const (
-	// minimumSuffix and maximumSuffix are appended to the path of a gauge for the extremes of a merged
-	// sample.
+	// minimumSuffix and maximumSuffix are appended to the path of a gauge for the minimum and the maximum of
+	// a merged sample.
 	minimumSuffix = ".least"
 	maximumSuffix = ".most"
 )
@@ -25,29 +25,30 @@
 // Config is the configuration of a Sender.
 type Config struct {
 	Address   netip.AddrPort
-	Prefix    string  // of all paths, without a dot at the end
+	Prefix    string  // prefix of all paths, without a trailing dot
 	Interval  float64 // seconds between two samples
-	MaxSeries int     // maximum number of paths; further ones are left out and counted
+	MaxSeries int     // maximum number of paths; the values of further ones are dropped and counted
 	Spool     spool.Config
 }
 
-// Sender makes samples and sends them. It is part of an env.Program, which passes on the events of the
-// connections; a method returns false for the event of a connection that is not the sender's. Use New.
+// Sender takes samples of metrics and sends them. It is part of an env.Program, which passes the events of its
+// connections to the sender. The methods that handle these events return false if the connection is not the
+// sender's. Use New to create a sender.
 type Sender struct {
 	*spool.Sender
-	SeriesDropped int // values that were left out because there were too many series
+	SeriesDropped int // values that were dropped because there were too many series
 
 	config       Config
 	io           env.IO
-	conn         env.Conn // 0: there is none
+	conn         env.Conn // 0 if there is no connection
 	ids          map[string]spool.ID
-	paths        []string      // by ID
+	paths        []string      // indexed by ID
 	nextSampleAt float64       // time of the next sample in seconds
-	values       []spool.Value // of the sample that is being made
+	values       []spool.Value // values of the sample that is being taken
 	buffer       []byte
 }
 
-// New returns a sender. The function random returns uniform numbers from 0 to 1.
+// New returns a sender without a connection. The function random returns uniform numbers from 0 to 1.
 func New(now float64, config Config, random func() float64) *Sender {
 	return &Sender{
 		Sender:       spool.NewSender(now, config.Spool, random),
@@ -57,11 +58,11 @@
 	}
 }
 
-// Start sets the I/O with which the sender connects. It must be called before Tick.
+// Start sets the I/O interface through which the sender connects. It must be called before Tick.
 func (s *Sender) Start(io env.IO) { s.io = io }
 
-// Add adds a value to the sample that is being made; isCounter tells whether the series only grows. It is
-// called by the function that Tick is given.
+// Add adds a value to the sample that is being taken. The flag isCounter means that the series never decreases.
+// Add must be called only by the function that is passed to Tick.
 func (s *Sender) Add(isCounter bool, value float64, path ...string) {
 	id, ok := s.seriesID(path)
 	if !ok {
@@ -75,7 +76,8 @@
 	s.values = append(s.values, spool.Value{ID: id, Kind: kind, Mean: value, Min: value, Max: value})
 }
 
-// seriesID returns the ID of a path, or false if there are too many series.
+// seriesID returns the ID of the series with a path, and creates the series if necessary. It returns false if
+// there are too many series.
 func (s *Sender) seriesID(path []string) (spool.ID, bool) {
 	var b strings.Builder
 	b.WriteString(s.config.Prefix)
@@ -96,10 +98,11 @@
 	return id, true
 }
 
-// Tick makes a sample when it is due, with the values that collect adds, and sends what may be sent.
+// Tick takes a sample when it is due, with the values that collect adds, and sends the samples that the spool
+// releases.
 func (s *Sender) Tick(now float64, collect func()) {
 	if now >= s.nextSampleAt {
-		// After a pause, one sample is made for all that were missed.
+		// After a pause, one sample replaces all that were missed.
 		s.nextSampleAt = max(s.nextSampleAt+s.config.Interval, now)
 		s.values = s.values[:0]
 		collect()
@@ -115,8 +118,8 @@
 	s.send(now)
 }
 
-// sortValues sorts values by ID in place. The last of several values of a series is kept. It uses insertion
-// sort, since values are nearly sorted: they are collected in the same order each time.
+// sortValues sorts values by ID in place. Of several values of a series, it keeps the last one. It uses
+// insertion sort, since values are nearly sorted: they are collected in the same order each time.
 func sortValues(values []spool.Value) []spool.Value {
 	for i := 1; i < len(values); i++ {
 		for k := i; k > 0 && values[k].ID < values[k-1].ID; k-- {
@@ -150,7 +153,7 @@
 	}
 }
 
-// encode writes a sample to the buffer.
+// encode replaces the content of the buffer by a sample in the plaintext protocol.
 func (s *Sender) encode(sample *spool.Sample) {
 	s.buffer = s.buffer[:0]
 	for _, value := range sample.Values {
@@ -163,10 +166,10 @@
 	}
 }
 
-// owns reports whether a connection is the sender's.
+// owns reports whether a connection is the sender's current one.
 func (s *Sender) owns(conn env.Conn) bool { return s.conn != 0 && conn == s.conn }
 
-// Connected reports the end of an attempt to connect; established tells whether it succeeded.
+// Connected handles the end of an attempt to connect. The flag established means that it succeeded.
 func (s *Sender) Connected(now float64, conn env.Conn, established bool) bool {
 	if !s.owns(conn) {
 		return false
@@ -181,7 +184,7 @@
 	return true
 }
 
-// Closed reports the end of a connection.
+// Closed handles the end of a connection.
 func (s *Sender) Closed(now float64, conn env.Conn) bool {
 	if !s.owns(conn) {
 		return false
@@ -191,7 +194,7 @@
 	return true
 }
 
-// Delivered reports the number of bytes of a connection that the receiver's host has.
+// Delivered handles an update of the number of bytes that have reached the receiver's host on a connection.
 func (s *Sender) Delivered(now float64, conn env.Conn, total uint64) bool {
 	if !s.owns(conn) {
 		return false
@@ -201,5 +204,5 @@
 	return true
 }
 
-// Receive reports bytes from the receiver, which are ignored.
+// Receive handles bytes from the receiver, which are ignored.
 func (s *Sender) Receive(conn env.Conn) bool { return s.owns(conn) }
