--- a/internal/service/admin_client.go
+++ b/internal/service/admin_client.go
@@ -22,7 +22,7 @@
 
 var (
 	// ErrNoAdminAddress is returned for settings that configure no administration API.
-	ErrNoAdminAddress = errors.New("no administration API is configured: the settings have no <listen admin=...>")
+	ErrNoAdminAddress = errors.New("no administration API is configured: the settings have no <listen admin>")
 	// ErrNoCaller is returned for settings in which no caller has the role that a call requires.
 	ErrNoCaller = errors.New("no caller in the settings has the role that this call requires")
 )
