--- a/internal/experiment/cell.go
+++ b/internal/experiment/cell.go
@@ -158,7 +158,7 @@
 		drawFaults(built, c.Case.RandomFaults, c.Case.Kinds)
 	}
 	if c.Case.Kills > 0 {
-		scenario.AddKills(built, c.Case.Kills)
+		scenario.AddCoordinatorFaults(built, c.Case.Kills)
 	}
 }
 
@@ -166,7 +166,7 @@
 func (c Cell) Options() scenario.Options {
 	options := scenario.Options{
 		Seed:             c.Seed,
-		Front:            c.Arm.Frontend,
+		Frontend:         c.Arm.Frontend,
 		Coordinators:     c.Arm.Coordinators,
 		DropMeasurements: c.Arm.Policy == "listed",
 	}
--- a/internal/scenario/random_faults.go
+++ b/internal/scenario/random_faults.go
@@ -36,8 +36,8 @@
 	}
 }
 
-// AddKills adds restarts, pauses and isolations of coordinators at random moments, by the scenario's seed.
-func AddKills(scenario *settings.Scenario, count int) {
+// AddCoordinatorFaults adds restarts, pauses and isolations of coordinators at random moments, by the scenario's seed.
+func AddCoordinatorFaults(scenario *settings.Scenario, count int) {
 	random := rand.New(rand.NewPCG(scenario.Seed, killStream))
 	for range count {
 		server := random.IntN(sharedCoordinators)
@@ -64,8 +64,8 @@
 	"balancer_restart", "reconnect", "report_late", "reports_stop", "demand", "clock_gap",
 }
 
-// RedrawFaults replaces a scenario's faults, by its seed: two to six of any kind, at any time, which may overlap.
-func RedrawFaults(scenario *settings.Scenario) {
+// RandomizeFaults replaces a scenario's faults, by its seed: two to six of any kind, at any time, which may overlap.
+func RandomizeFaults(scenario *settings.Scenario) {
 	random := rand.New(rand.NewPCG(scenario.Seed, redrawStream))
 	scenario.Faults = nil
 	for range minFaults + random.IntN(maxFaults-1) {
--- a/internal/scenario/result.go
+++ b/internal/scenario/result.go
@@ -39,11 +39,11 @@
 	ControlPlane     controlplane.Stats
 	SASP             saspsession.Stats
 	LongPoll         longpoll.Stats
-	Bytes            int // of long-poll responses
+	LongPollBytes    int // of long-poll responses
 	FullTableBytes   int // of the same with full tables
 	Events           int // of the virtual network
 	Seconds          float64
-	LedAfter         []float64 // seconds from each stop of a coordinator until all relays were led again
+	JoinedAfter      []float64 // seconds from each stop of a coordinator until all relays were led again
 	UpdatedAfter     []float64 // seconds from each stop of a coordinator until all relays had received their tables
 	AckDelays        []float64 // seconds from decision to acknowledgement, of each message that was acknowledged
 }
@@ -70,7 +70,7 @@
 	result.Requested = r.checker.Requested
 	result.Answered = r.checker.Answered
 	result.OnTime = r.checker.OnTime
-	result.Bytes = r.checker.Bytes
+	result.LongPollBytes = r.checker.Bytes
 	result.FullTableBytes = r.checker.FullTableBytes
 	result.Attempts = r.checker.Attempts
 	result.Messages = r.checker.Messages
@@ -117,11 +117,11 @@
 }
 
 func (r *Result) printTakeovers(text *strings.Builder) {
-	if len(r.LedAfter) == 0 {
+	if len(r.JoinedAfter) == 0 {
 		return
 	}
 	fmt.Fprintf(text, "%d deaths of coordinators; all relays led again after %.2f s (median), %.2f s (p90), %.2f s (most); told their tables after %.2f, %.2f, %.2f s\n",
-		len(r.LedAfter), quantile(r.LedAfter, 0.5), quantile(r.LedAfter, 0.9), quantile(r.LedAfter, 1),
+		len(r.JoinedAfter), quantile(r.JoinedAfter, 0.5), quantile(r.JoinedAfter, 0.9), quantile(r.JoinedAfter, 1),
 		quantile(r.UpdatedAfter, 0.5), quantile(r.UpdatedAfter, 0.9), quantile(r.UpdatedAfter, 1))
 }
 
@@ -131,7 +131,7 @@
 		return
 	}
 	fmt.Fprintf(text, "%d polls: %d classes as deltas, %d in full, %d waits ended empty, %d refused, %d answers lost; %d bytes, %d with whole tables\n", stats.Polls,
-		stats.Deltas, stats.FullTables, stats.EmptyAnswers, stats.Rejected, stats.LostAnswers, r.Bytes, r.FullTableBytes)
+		stats.Deltas, stats.FullTables, stats.EmptyAnswers, stats.Rejected, stats.LostAnswers, r.LongPollBytes, r.FullTableBytes)
 }
 
 // quantile of values in any order; 0 if there are none.
--- a/internal/scenario/scenario.go
+++ b/internal/scenario/scenario.go
@@ -44,10 +44,10 @@
 	Coordinators     int                             // that share the fleet; 0 or 1: one alone
 	RealProxies      bool                            // real proxies with HTTP clients, in place of emulated relays
 	Processes        *Processes                      // coordinators are processes of their own, over sockets; nil: they are not
-	OnLedCheck       func(now float64, led bool)     // optional: whether all relays are led
+	OnJoinedCheck    func(now float64, led bool)     // optional: whether all relays are led
 	Policy           emulator.Policy                 // of emulated relays
 	DropMeasurements bool                            // the configured weights remain
-	Front            string                          // by which relays join: "sasp", "http", or "both" in turn; empty: sasp
+	Frontend         string                          // by which relays join: "sasp", "http", or "both" in turn; empty: sasp
 
 	// WrapCoordinator returns the program that stands in a coordinator's place in virtual time, and runs it; nil: the
 	// coordinator itself.
@@ -56,7 +56,7 @@
 
 // usesLongPoll tells whether a relay speaks the long-poll API instead of SASP.
 func (o Options) usesLongPoll(relay int) bool {
-	return o.Front == "http" || o.Front == "both" && relay%2 == 1
+	return o.Frontend == "http" || o.Frontend == "both" && relay%2 == 1
 }
 
 // run is a scenario under way.
--- a/internal/scenario/takeover.go
+++ b/internal/scenario/takeover.go
@@ -16,8 +16,8 @@
 // checkTakeovers records which takeovers have completed.
 func (r *run) checkTakeovers(now float64) {
 	led, updated := r.checker.AllRelaysLed()
-	if r.options.OnLedCheck != nil {
-		r.options.OnLedCheck(now, led)
+	if r.options.OnJoinedCheck != nil {
+		r.options.OnJoinedCheck(now, led)
 	}
 	for i := range r.takeovers {
 		current := &r.takeovers[i]
@@ -27,7 +27,7 @@
 		}
 		if led && !current.led {
 			current.led = true
-			r.result.LedAfter = append(r.result.LedAfter, elapsed)
+			r.result.JoinedAfter = append(r.result.JoinedAfter, elapsed)
 		}
 		if updated && !current.updated {
 			current.updated = true
