--- a/internal/cli/takeover.go
+++ b/internal/cli/takeover.go
@@ -55,7 +55,7 @@
 	}
 	options := scenario.Options{
 		Log:          env.log,
-		Frontend:     c.Front,
+		Front:        c.Front,
 		Coordinators: takeoverCoordinators,
 		RealProxies:  c.Proxies,
 	}
--- a/internal/experiment/cell.go
+++ b/internal/experiment/cell.go
@@ -166,7 +166,7 @@
 func (c Cell) Options() scenario.Options {
 	options := scenario.Options{
 		Seed:             c.Seed,
-		Frontend:         c.Arm.Frontend,
+		Front:            c.Arm.Frontend,
 		Coordinators:     c.Arm.Coordinators,
 		DropMeasurements: c.Arm.Policy == "listed",
 	}
--- a/internal/scenario/hosted.go
+++ b/internal/scenario/hosted.go
@@ -25,14 +25,14 @@
 	Sockets        bool
 	OnlyTenant     int                   // this tenant alone, for comparison; -1: all
 	Rate           float64               // requests a second of each tenant
-	FloodingTenant int                   // this tenant floods the host from a third of the scenario on; -1: none
+	Flood          int                   // this tenant floods the host from a third of the scenario on; -1: none
 	FloodRate      float64               // messages a second of the flood
 	Hosts          int                   // that share the tenants, in virtual time; 0 or 1: one alone
 	Kills          int                   // of hosts, at random moments, one host at a time
-	RestartAt      float64               // second at which the host is killed; 0: never
+	Restart        float64               // second at which the host is killed; 0: never
 	RestartDelay   float64               // seconds until a killed host runs again
-	RemovedTenant  int                   // this tenant is removed halfway, and created again; -1: none
-	DrainServers   bool                  // each tenant has a server drained during the flood
+	Remove         int                   // this tenant is removed halfway, and created again; -1: none
+	Drains         bool                  // each tenant has a server drained during the flood
 	Log            *slog.Logger          // nil: none
 	Store          coordinator.HostStore // nil: in memory
 	Configure      func(*settings.Host)  // changes the host's settings; nil: none
@@ -43,16 +43,16 @@
 // DefaultHostedScenario returns the scenario that runs if nothing else is asked for.
 func DefaultHostedScenario() HostedScenario {
 	return HostedScenario{
-		Tenants:        20,
-		Servers:        4,
-		Relays:         4,
-		Seconds:        30,
-		Seed:           1,
-		OnlyTenant:     -1,
-		Rate:           24,
-		FloodingTenant: -1,
-		FloodRate:      2000,
-		RemovedTenant:  -1,
+		Tenants:    20,
+		Servers:    4,
+		Relays:     4,
+		Seconds:    30,
+		Seed:       1,
+		OnlyTenant: -1,
+		Rate:       24,
+		Flood:      -1,
+		FloodRate:  2000,
+		Remove:     -1,
 	}
 }
 
--- a/internal/scenario/hosted_faults.go
+++ b/internal/scenario/hosted_faults.go
@@ -30,22 +30,22 @@
 
 func (r *hostedRun) scheduleFaults(start float64) {
 	scenario := r.scenario
-	if scenario.FloodingTenant >= 0 && scenario.includes(scenario.FloodingTenant) {
-		r.at(start, floodStart, func() { r.startFlood(scenario.FloodingTenant) })
+	if scenario.Flood >= 0 && scenario.includes(scenario.Flood) {
+		r.at(start, floodStart, func() { r.startFlood(scenario.Flood) })
 	}
-	if scenario.DrainServers {
+	if scenario.Drains {
 		for i, tenant := range r.tenants {
 			r.at(start, drainStart+drainSpread*float64(i)/float64(len(r.tenants)), func() { r.drainServer(tenant) })
 		}
 	}
-	if scenario.RestartAt > 0 {
-		r.network.At(start+scenario.RestartAt, func() { r.restartHost(0) })
+	if scenario.Restart > 0 {
+		r.network.At(start+scenario.Restart, func() { r.restartHost(0) })
 	}
 	for i := range scenario.Kills {
 		share := killStart + killSpread*(float64(i)+0.5*r.random.Float64())/float64(scenario.Kills)
 		r.at(start, share, r.killRandomHost)
 	}
-	if scenario.RemovedTenant >= 0 && scenario.includes(scenario.RemovedTenant) {
+	if scenario.Remove >= 0 && scenario.includes(scenario.Remove) {
 		r.scheduleRemoval(start)
 	}
 }
@@ -63,7 +63,7 @@
 func (r *hostedRun) scheduleRemoval(start float64) {
 	removed := r.tenants[0]
 	for _, tenant := range r.tenants {
-		if tenant.number == r.scenario.RemovedTenant {
+		if tenant.number == r.scenario.Remove {
 			removed = tenant
 		}
 	}
--- a/internal/scenario/hosted_test.go
+++ b/internal/scenario/hosted_test.go
@@ -28,7 +28,7 @@
 	t.Helper()
 	for i, tenant := range result.Tenants {
 		for _, verdict := range tenant.Verdicts {
-			if !verdict.Kept && i != scenario.FloodingTenant {
+			if !verdict.Kept && i != scenario.Flood {
 				t.Errorf("seed %d, %s: rule %d: %v", scenario.Seed, tenant.Name, verdict.Rule, verdict.Reasons)
 			}
 		}
@@ -51,7 +51,7 @@
 // Twenty tenants on one host, each with its own servers and relays on both fronts.
 func TestHostedScenarioKeepsAllRules(t *testing.T) {
 	scenario := DefaultHostedScenario()
-	scenario.DrainServers = true
+	scenario.Drains = true
 	result := runHosted(t, scenario)
 	if !result.Kept() || result.UpdatedAfter == 0 {
 		t.Error("not kept")
@@ -62,20 +62,20 @@
 // server. Each other tenant keeps all rules, has the service that it has alone, and never waits for its turn for long.
 func TestFloodDoesNotAffectOtherTenants(t *testing.T) {
 	scenario := DefaultHostedScenario()
-	scenario.DrainServers = true
-	scenario.FloodingTenant = 3
+	scenario.Drains = true
+	scenario.Flood = 3
 	result := runHosted(t, scenario)
 	checkOtherTenants(t, scenario, result)
 	checkSeparation(t, scenario, result)
 	for i, tenant := range result.Tenants {
-		if i != scenario.FloodingTenant && tenant.LongestWait > 0.1 {
+		if i != scenario.Flood && tenant.LongestWait > 0.1 {
 			t.Errorf("%s waited %.3f s for its turn", tenant.Name, tenant.LongestWait)
 		}
 	}
 	for _, number := range []int{0, 4, 11} {
 		alone := scenario
 		alone.OnlyTenant = number
-		alone.FloodingTenant = -1
+		alone.Flood = -1
 		aloneResult, err := RunHosted(alone)
 		if err != nil {
 			t.Fatal(err)
@@ -108,8 +108,8 @@
 		t.Run(test.name, func(t *testing.T) {
 			scenario := DefaultHostedScenario()
 			scenario.Tenants = 6
-			scenario.DrainServers = true
-			scenario.FloodingTenant = 3
+			scenario.Drains = true
+			scenario.Flood = 3
 			scenario.AnyNetwork = test.anyNetwork
 			scenario.DisabledGuards = test.disabled
 			result, err := RunHosted(scenario)
@@ -126,8 +126,8 @@
 // The host's process is killed in the middle of drains: those that were confirmed continue.
 func TestDrainsSurviveHostRestart(t *testing.T) {
 	scenario := DefaultHostedScenario()
-	scenario.DrainServers = true
-	scenario.RestartAt = 15.2
+	scenario.Drains = true
+	scenario.Restart = 15.2
 	scenario.RestartDelay = 1
 	result := runHosted(t, scenario)
 	if !result.Kept() || result.Host.Starts != 2*scenario.Tenants {
@@ -139,8 +139,8 @@
 // its relays receive full tables, and nobody else is affected.
 func TestRemovedTenantCanBeCreatedAgain(t *testing.T) {
 	scenario := DefaultHostedScenario()
-	scenario.DrainServers = true
-	scenario.RemovedTenant = 5
+	scenario.Drains = true
+	scenario.Remove = 5
 	scenario.Seconds = 40
 	result := runHosted(t, scenario)
 	if !result.Kept() || result.Host.Stops != 1 || result.Rejected[tenancy.UnknownTenant] == 0 {
@@ -155,9 +155,9 @@
 	scenario.Hosts = 3
 	scenario.Kills = 3
 	scenario.RestartDelay = 2
-	scenario.DrainServers = true
+	scenario.Drains = true
 	scenario.Seconds = 60
-	scenario.RemovedTenant = 5
+	scenario.Remove = 5
 	result := runHosted(t, scenario)
 	if !result.Kept() {
 		t.Error("not kept", result.Host, result.Problems)
@@ -169,8 +169,8 @@
 		t.Skip("real time")
 	}
 	scenario := DefaultHostedScenario()
-	scenario.DrainServers = true
-	scenario.FloodingTenant = 3
+	scenario.Drains = true
+	scenario.Flood = 3
 	scenario.Sockets = true
 	scenario.Seconds = 12
 	checkOtherTenants(t, scenario, runHosted(t, scenario))
@@ -186,10 +186,10 @@
 		scenario.Hosts = 3
 		scenario.Kills = 4
 		scenario.RestartDelay = 1 + float64(seed%4)
-		scenario.DrainServers = true
+		scenario.Drains = true
 		scenario.Seconds = 60
-		scenario.RemovedTenant = 5
-		scenario.FloodingTenant = 2
+		scenario.Remove = 5
+		scenario.Flood = 2
 		scenario.FloodRate = 500
 		scenario.Seed = uint64(seed + 2)
 		result, err := RunHosted(scenario)
--- a/internal/scenario/result.go
+++ b/internal/scenario/result.go
@@ -39,7 +39,7 @@
 	ControlPlane     controlplane.Stats
 	SASP             saspsession.Stats
 	LongPoll         longpoll.Stats
-	LongPollBytes    int // of long-poll responses
+	Bytes            int // of long-poll responses
 	FullTableBytes   int // of the same with full tables
 	Events           int // of the virtual network
 	Seconds          float64
@@ -70,7 +70,7 @@
 	result.Requested = r.checker.Requested
 	result.Answered = r.checker.Answered
 	result.OnTime = r.checker.OnTime
-	result.LongPollBytes = r.checker.Bytes
+	result.Bytes = r.checker.Bytes
 	result.FullTableBytes = r.checker.FullTableBytes
 	result.Attempts = r.checker.Attempts
 	result.Messages = r.checker.Messages
@@ -131,7 +131,7 @@
 		return
 	}
 	fmt.Fprintf(text, "%d polls: %d classes as deltas, %d in full, %d waits ended empty, %d refused, %d answers lost; %d bytes, %d with whole tables\n", stats.Polls,
-		stats.Deltas, stats.FullTables, stats.EmptyAnswers, stats.Rejected, stats.LostAnswers, r.LongPollBytes, r.FullTableBytes)
+		stats.Deltas, stats.FullTables, stats.EmptyAnswers, stats.Rejected, stats.LostAnswers, r.Bytes, r.FullTableBytes)
 }
 
 // quantile of values in any order; 0 if there are none.
--- a/internal/scenario/scenario.go
+++ b/internal/scenario/scenario.go
@@ -47,7 +47,7 @@
 	OnJoinedCheck    func(now float64, led bool)     // optional: whether all relays are led
 	Policy           emulator.Policy                 // of emulated relays
 	DropMeasurements bool                            // the configured weights remain
-	Frontend         string                          // by which relays join: "sasp", "http", or "both" in turn; empty: sasp
+	Front            string                          // by which relays join: "sasp", "http", or "both" in turn; empty: sasp
 
 	// WrapCoordinator returns the program that stands in a coordinator's place in virtual time, and runs it; nil: the
 	// coordinator itself.
@@ -56,7 +56,7 @@
 
 // usesLongPoll tells whether a relay speaks the long-poll API instead of SASP.
 func (o Options) usesLongPoll(relay int) bool {
-	return o.Frontend == "http" || o.Frontend == "both" && relay%2 == 1
+	return o.Front == "http" || o.Front == "both" && relay%2 == 1
 }
 
 // run is a scenario under way.
--- a/internal/scenario/scenario_test.go
+++ b/internal/scenario/scenario_test.go
@@ -49,7 +49,7 @@
 
 func TestDefaultScenarioKeepsAllRules(t *testing.T) {
 	for _, front := range fronts {
-		result, text := runScenario(t, parseDefaultScenario(t), Options{Frontend: front})
+		result, text := runScenario(t, parseDefaultScenario(t), Options{Front: front})
 		if !result.Kept() || len(result.ProtocolErrors) > 0 {
 			t.Errorf("%s: a rule was broken or something was not understood:\n%s", front, text)
 		}
@@ -110,7 +110,7 @@
 			scenario := parseDefaultScenario(t)
 			scenario.Seed = seed + 100
 			RandomizeFaults(scenario)
-			result, text := runScenario(t, scenario, Options{Frontend: fronts[seed%3]})
+			result, text := runScenario(t, scenario, Options{Front: fronts[seed%3]})
 			if !result.Kept() || len(result.ProtocolErrors) > 0 && result.SASP.Rejected == 0 {
 				t.Errorf("%+v\n%s", scenario.Faults, text)
 			}
@@ -132,7 +132,7 @@
 	text = strings.NewReplacer("13860", "13861", "15826", "15827", "18600", "18601").Replace(text)
 	text = strings.Replace(text, `seconds="73"`, `seconds="14"`, 1)
 	text = strings.ReplaceAll(text, ":18080", ":18081")
-	result, printed := runScenario(t, parseScenario(t, text), Options{Sockets: true, Frontend: "both"})
+	result, printed := runScenario(t, parseScenario(t, text), Options{Sockets: true, Front: "both"})
 	if !result.Kept() || result.Messages == 0 || len(result.AckDelays) == 0 {
 		t.Errorf("over sockets:\n%s", printed)
 	}
@@ -170,7 +170,7 @@
 		scenario.Seed = rapid.Uint64Range(1, 1<<20).Draw(rt, "seed")
 		scenario.Faults = rapid.SliceOfN(rapid.Custom(drawFault), 0, 4).Draw(rt, "troubles")
 		front := rapid.SampledFrom(fronts).Draw(rt, "front")
-		result, text := runScenario(t, scenario, Options{Frontend: front})
+		result, text := runScenario(t, scenario, Options{Front: front})
 		if !result.Kept() {
 			rt.Errorf("%s %+v\n%s", front, scenario.Faults, text)
 		}
@@ -187,7 +187,7 @@
 			{Kind: "balancer_restart", At: 4.000105828046799, Proxy: 8, Duration: 0.3, Factor: 3},
 			{Kind: "balancer_restart", At: 4, Proxy: 8, Duration: 0.31104539499256134, Factor: 3},
 		}
-		result, text := runScenario(t, scenario, Options{Frontend: front})
+		result, text := runScenario(t, scenario, Options{Front: front})
 		if !result.Kept() {
 			t.Errorf("%s:\n%s", front, text)
 		}
@@ -205,7 +205,7 @@
 		{Kind: "coordinator_restart", At: 8.298040186084336, Duration: 4, Factor: 3},
 		{Kind: "clock_gap", At: 4, Duration: 1.8842056159275744, Factor: 3},
 	}
-	result, text := runScenario(t, scenario, Options{Frontend: "http"})
+	result, text := runScenario(t, scenario, Options{Front: "http"})
 	if !result.Kept() {
 		t.Errorf("rules broken:\n%s", text)
 	}
@@ -222,7 +222,7 @@
 		{Kind: "hang", At: 11.486917704343796, Duration: 2.5022309713907624, Factor: 3, Server: 7, Proxy: 1},
 		{Kind: "hang", At: 4, Duration: 4, Factor: 3, Server: 0, Proxy: 0},
 	}
-	result, text := runScenario(t, scenario, Options{Frontend: "both"})
+	result, text := runScenario(t, scenario, Options{Front: "both"})
 	if !result.Kept() {
 		t.Errorf("rules broken:\n%s", text)
 	}
@@ -234,7 +234,7 @@
 	scenario := parseDefaultScenario(t)
 	scenario.Seed = number + 100
 	RandomizeFaults(scenario)
-	result, text := runScenario(t, scenario, Options{Frontend: fronts[number%3]})
+	result, text := runScenario(t, scenario, Options{Front: fronts[number%3]})
 	if !result.Kept() {
 		t.Errorf("%+v\n%s", scenario.Faults, text)
 	}
--- a/internal/scenario/takeover_test.go
+++ b/internal/scenario/takeover_test.go
@@ -26,7 +26,7 @@
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
 			scenario := drawTakeoverScenario(t, seed+5000)
-			result, text := runScenario(t, scenario, Options{Coordinators: 3, Frontend: fronts[seed%3]})
+			result, text := runScenario(t, scenario, Options{Coordinators: 3, Front: fronts[seed%3]})
 			if !result.Kept() || result.Service < 0.3 {
 				t.Errorf("%+v\n%s", scenario.Faults, text)
 			}
@@ -52,7 +52,7 @@
 					lastUnled = elapsed
 				}
 			}
-			result, text := runScenario(t, scenario, Options{Coordinators: 3, Frontend: fronts[server], OnJoinedCheck: checkLed})
+			result, text := runScenario(t, scenario, Options{Coordinators: 3, Front: fronts[server], OnJoinedCheck: checkLed})
 			if !result.Kept() || lastUnled > 28 || unledSeconds < 1 {
 				t.Errorf("%s of %d: some relay led by nobody for %.1f s, last at %.1f s:\n%s", kind, server, unledSeconds, lastUnled, text)
 			}
@@ -62,7 +62,7 @@
 
 func TestDefaultScenarioWithThreeCoordinators(t *testing.T) {
 	for _, front := range fronts {
-		result, text := runScenario(t, parseDefaultScenario(t), Options{Coordinators: 3, Frontend: front})
+		result, text := runScenario(t, parseDefaultScenario(t), Options{Coordinators: 3, Front: front})
 		if !result.Kept() || result.Service < 0.6 {
 			t.Errorf("%s:\n%s", front, text)
 		}
