--- a/internal/scenario/coordinators.go
+++ b/internal/scenario/coordinators.go
@@ -17,12 +17,12 @@
 )
 
 const (
-	groupPort           = 13900 // of coordinators that share the fleet
+	groupPort           = 13900 // port of the group protocol between coordinators that share the fleet
 	groupKey            = "a key for rehearsals"
-	incarnationsPerNode = 100 // so that incarnations of different members differ
+	incarnationsPerNode = 100 // step between incarnations of a member, so that those of different members differ
 )
 
-// coordinatorInstance is a coordinator of the scenario, with what survives its restarts.
+// coordinatorInstance is a coordinator of the scenario with the state that survives its restarts.
 type coordinatorInstance struct {
 	program *coordinator.Coordinator
 	host    host
@@ -32,22 +32,22 @@
 	starts  uint64
 }
 
-// listenerHost is the host of a coordinator over sockets.
+// listenerHost is the host of a coordinator that runs over sockets. It supports Kill only.
 type listenerHost struct {
-	server *eventloop.Server
-	fail   func(error)
+	server      *eventloop.Server
+	recordError func(error)
 }
 
-func (h *listenerHost) Kill()                          { h.fail(h.server.Stop()) }
+func (h *listenerHost) Kill()                          { h.recordError(h.server.Stop()) }
 func (h *listenerHost) Freeze(float64)                 {}
 func (h *listenerHost) DisturbDatagrams(bool, float64) {}
 
-// coordinatorAddr returns the address of the i-th coordinator, by that of the first.
+// coordinatorAddr returns the address of the i-th coordinator, derived from that of the first.
 func (r *run) coordinatorAddr(i int, first netip.AddrPort) netip.AddrPort {
 	return offsetAddr(first, i)
 }
 
-// coordinatorAddrs returns the addresses of all coordinators, by that of the first.
+// coordinatorAddrs returns the addresses of all coordinators, derived from that of the first.
 func (r *run) coordinatorAddrs(first netip.AddrPort) []netip.AddrPort {
 	var addresses []netip.AddrPort
 	for i := range r.coordinators {
@@ -56,7 +56,7 @@
 	return addresses
 }
 
-// offsetAddr adds to the last number of an IPv4 address.
+// offsetAddr adds an offset to the last octet of an IPv4 address.
 func offsetAddr(address netip.AddrPort, offset int) netip.AddrPort {
 	octets := address.Addr().As4()
 	octets[3] += byte(offset)
@@ -66,18 +66,18 @@
 func (r *run) startCoordinator(i int) {
 	instance := r.coordinators[i]
 	if instance.running {
-		return // two restarts overlapped
+		return // already restarted: two restart faults overlapped
 	}
 	if r.options.Processes != nil {
 		process, err := r.startProcess(i)
 		instance.host = process
 		instance.running = err == nil
-		r.fail(err)
+		r.recordError(err)
 		return
 	}
 	program, err := coordinator.New(r.network.Now(), r.coordinatorConfig(i), &instance.store)
 	if err != nil {
-		r.fail(err)
+		r.recordError(err)
 		return
 	}
 	instance.program = program
@@ -90,8 +90,8 @@
 	config := r.scenario.Coordinator
 	if r.virtual == nil {
 		server, err := eventloop.Listen(instance.program, config.Ports(), config.Measurements, r.sockets.Now)
-		r.fail(err)
-		instance.host = &listenerHost{server: server, fail: r.fail}
+		r.recordError(err)
+		instance.host = &listenerHost{server: server, recordError: r.recordError}
 		return
 	}
 	var program env.Program = instance.program
@@ -103,10 +103,10 @@
 		instance.host = r.addHost(r.coordinatorAddr(i, config.SASP), zone, program, false)
 		return
 	}
-	r.fail(startOn(instance.host, program))
+	r.recordError(startProgram(instance.host, program))
 }
 
-// coordinatorConfig returns the configuration of the next start of a coordinator.
+// coordinatorConfig returns the configuration for the next start of a coordinator.
 func (r *run) coordinatorConfig(i int) coordinator.Config {
 	config := r.scenario.Coordinator.Config
 	config.Log = r.options.Log
@@ -136,7 +136,7 @@
 	}
 }
 
-// groupConfig returns the group configuration of one of count members that share a fleet, or tenants.
+// groupConfig returns the group configuration of one of count members that share a fleet or tenants.
 func groupConfig(count, self int, address func(member int) netip.Addr) *coordinator.GroupConfig {
 	config := &coordinator.GroupConfig{
 		Self:      membership.MemberID(self + 1),
@@ -213,16 +213,16 @@
 	sum.UnknownVersions += stats.UnknownVersions
 }
 
-// startAgent starts an agent that orders a server's drain, or its end.
+// startAgent starts an agent that requests the drain of a server, or cancels it if quiesce is false.
 func (r *run) startAgent(server int, quiesce bool) {
-	drained := r.servers[server]
+	target := r.servers[server]
 	agent := &emulator.Agent{
-		Coordinators: drained.Coordinators,
-		Server:       drained.Addr,
-		FleetUID:     drained.FleetUID,
+		Coordinators: target.Coordinators,
+		Server:       target.Addr,
+		FleetUID:     target.FleetUID,
 		Group:        r.classes[0].Name,
 		Quiesce:      quiesce,
 		Checker:      r.checker,
 	}
-	r.addHost(drained.Addr, int(r.zoneOf(server)), agent, true)
+	r.addHost(target.Addr, int(r.zoneOf(server)), agent, true)
 }
--- a/internal/scenario/enlarge.go
+++ b/internal/scenario/enlarge.go
@@ -12,15 +12,15 @@
 
 const (
 	serversPerFailureDomain = 10
-	fullUpdateSeconds       = 8.0   // in which the channel can send all relays all entries
-	maxRatePerServer        = 8.0   // requests a second: more only takes longer to run
-	maxRate                 = 600.0 // requests a second, likewise
-	expectedProxyRate       = 1.0   // requests a second
+	fullUpdateSeconds       = 8.0   // time in which the channel can send all entries to all relays
+	maxRatePerServer        = 8.0   // requests per second; a higher rate only lengthens the run
+	maxRate                 = 600.0 // requests per second, limited for the same reason
+	expectedProxyRate       = 1.0   // requests per second
 	serverPort              = 8080
 )
 
-// Enlarge replaces a scenario's servers and relays by the given numbers of them, with a channel to match, and removes its
-// faults.
+// Enlarge replaces a scenario's servers and relays by the given numbers of them, raises the capacity of the channel
+// to match, and removes all faults.
 func Enlarge(scenario *settings.Scenario, servers, relays int) {
 	site := &scenario.Coordinator.Site
 	site.Servers = nil
--- a/internal/scenario/environment.go
+++ b/internal/scenario/environment.go
@@ -9,14 +9,14 @@
 	"snowquay/internal/env/socketnet"
 )
 
-// host runs a program, in virtual time or over sockets.
+// host runs a program in virtual time or over sockets.
 type host interface {
 	Kill()
 	Freeze(seconds float64)
 	DisturbDatagrams(lost bool, lateBy float64)
 }
 
-// network of a scenario, which has its clock.
+// network is the network of a scenario. It also provides the clock.
 type network interface {
 	Now() float64
 	At(at float64, do func())
@@ -24,7 +24,7 @@
 	Cut(zone, zones int, on bool)
 }
 
-// environment of a scenario: one of the two networks, and the first error of running programs in it.
+// environment holds the network of a scenario, simulated or over sockets, and the first error that occurred in it.
 type environment struct {
 	network network
 	virtual *simnet.Net    // nil over sockets
@@ -32,7 +32,7 @@
 	err     error
 }
 
-// exclusively calls do while no program runs.
+// exclusively calls do while no program of the scenario runs.
 func (e *environment) exclusively(do func()) {
 	if e.sockets != nil {
 		e.sockets.Do(do)
@@ -41,19 +41,20 @@
 	do()
 }
 
-// after calls do when the given seconds have passed.
+// after calls do after the given number of seconds.
 func (e *environment) after(seconds float64, do func()) { e.network.At(e.network.Now()+seconds, do) }
 
-func (e *environment) fail(err error) {
+// recordError stores an error unless an earlier one is stored.
+func (e *environment) recordError(err error) {
 	if err != nil && e.err == nil {
 		e.err = err
 	}
 }
 
-// addHost adds a host and starts a program on it. A guest shares its address with another host.
+// addHost adds a host and starts a program on it. A guest shares the IP address of another host.
 func (e *environment) addHost(address netip.AddrPort, zone int, program env.Program, guest bool) host {
 	added := e.newHost(address, zone, guest)
-	e.fail(startOn(added, program))
+	e.recordError(startProgram(added, program))
 	return added
 }
 
@@ -67,8 +68,8 @@
 	return e.sockets.Add(address, zone)
 }
 
-// startOn starts a program on a host that runs none.
-func startOn(target host, program env.Program) error {
+// startProgram starts a program on a host that runs no program.
+func startProgram(target host, program env.Program) error {
 	switch target := target.(type) {
 	case *simnet.Host:
 		target.Start(program)
--- a/internal/scenario/faults.go
+++ b/internal/scenario/faults.go
@@ -7,20 +7,28 @@
 	"snowquay/internal/settings"
 )
 
-// growSteps is the number of steps in which the load grows.
+// growSteps is the number of steps in which a "grow" fault raises the load.
 const growSteps = 20
 
-// faultHandlers begin a fault and see to its end, by its kind.
+// faultHandlers has by the kind of a fault the function that begins it and schedules its end.
 var faultHandlers = map[string]func(*run, settings.Fault){
-	"slow":        func(r *run, fault settings.Fault) { r.during(fault, &r.servers[fault.Server].SlowdownFactor, 1) },
-	"fast_errors": func(r *run, fault settings.Fault) { r.during(fault, &r.servers[fault.Server].ErrorProbability, 0) },
+	"slow": func(r *run, fault settings.Fault) {
+		r.setDuringFault(fault, &r.servers[fault.Server].SlowdownFactor, 1)
+	},
+	"fast_errors": func(r *run, fault settings.Fault) {
+		r.setDuringFault(fault, &r.servers[fault.Server].ErrorProbability, 0)
+	},
 	"answer_lost": func(r *run, fault settings.Fault) {
-		r.during(fault, &r.servers[fault.Server].ResponseLossProbability, 0)
+		r.setDuringFault(fault, &r.servers[fault.Server].ResponseLossProbability, 0)
+	},
+	"heavy_tail": func(r *run, fault settings.Fault) {
+		r.setDuringFault(fault, &r.servers[fault.Server].HeavyTailProbability, 0)
+	},
+	"ageing": func(r *run, fault settings.Fault) {
+		r.setDuringFault(fault, &r.servers[fault.Server].AgingPerRequest, 0)
 	},
-	"heavy_tail": func(r *run, fault settings.Fault) { r.during(fault, &r.servers[fault.Server].HeavyTailProbability, 0) },
-	"ageing":     func(r *run, fault settings.Fault) { r.during(fault, &r.servers[fault.Server].AgingPerRequest, 0) },
 	"conn_squeeze": func(r *run, fault settings.Fault) {
-		r.during(fault, &r.servers[fault.Server].ConnectionCapacityFraction, 0)
+		r.setDuringFault(fault, &r.servers[fault.Server].ConnectionCapacityFraction, 0)
 	},
 	"shared_slow":  (*run).slowFailureDomain,
 	"hang":         (*run).hangServer,
@@ -31,25 +39,27 @@
 
 	"coordinator_restart": (*run).restartCoordinator,
 	"coordinator_pause":   (*run).pauseCoordinator,
-	"coordinator_hidden":  (*run).isolateCoordinator, // from relays and servers
-	"coordinator_alone":   (*run).isolateCoordinator, // from the other coordinators
+	"coordinator_hidden":  (*run).isolateCoordinator, // isolates the coordinator from relays and servers
+	"coordinator_alone":   (*run).isolateCoordinator, // isolates the coordinator from the other coordinators
 
 	"balancer_stall":   func(r *run, fault settings.Fault) { r.relayHosts[fault.Proxy].Freeze(fault.Duration) },
 	"balancer_deaf":    (*run).ignoreUpdates,
 	"balancer_restart": (*run).killRelay,
 	"reconnect":        func(r *run, fault settings.Fault) { r.relays[fault.Proxy].DropConnection(r.network.Now()) },
-	"false_reports":    func(r *run, fault settings.Fault) { r.during(fault, &r.relays[fault.Proxy].FalseFailureFraction, 0) },
-	"give_up":          (*run).shortenPatience,
-	"demand":           (*run).multiplyLoad,
-	"grow":             (*run).growLoad,
-	"report_late":      (*run).disturbReports,
-	"reports_stop":     (*run).disturbReports,
+	"false_reports": func(r *run, fault settings.Fault) {
+		r.setDuringFault(fault, &r.relays[fault.Proxy].FalseFailureFraction, 0)
+	},
+	"give_up":      (*run).shortenPatience,
+	"demand":       (*run).multiplyLoad,
+	"grow":         (*run).growLoad,
+	"report_late":  (*run).disturbReports,
+	"reports_stop": (*run).disturbReports,
 
 	"zone_cut":  (*run).cutZone,
 	"clock_gap": (*run).skipTime,
 }
 
-// injectFault begins a fault, and sees to its end.
+// injectFault begins a fault and schedules its end.
 func (r *run) injectFault(fault settings.Fault) {
 	if r.injectProxyFault(fault) {
 		return
@@ -59,8 +69,8 @@
 	}
 }
 
-// during sets a value to the fault's factor for as long as the fault lasts.
-func (r *run) during(fault settings.Fault, value *float64, normal float64) {
+// setDuringFault sets a value to the fault's factor, and back to normal when the fault ends.
+func (r *run) setDuringFault(fault settings.Fault, value *float64, normal float64) {
 	*value = fault.Factor
 	r.after(fault.Duration, func() { *value = normal })
 }
@@ -68,7 +78,7 @@
 func (r *run) slowFailureDomain(fault settings.Fault) {
 	for i, server := range r.scenario.Coordinator.Site.Servers {
 		if int(server.FailureDomain) == fault.FailureDomain {
-			r.during(fault, &r.servers[i].SlowdownFactor, 1)
+			r.setDuringFault(fault, &r.servers[i].SlowdownFactor, 1)
 		}
 	}
 }
@@ -93,7 +103,8 @@
 	}
 }
 
-// isolateServer cuts a server off without a reset. It returns with a new process.
+// isolateServer isolates a server without resetting its connections, in virtual time only. When the fault ends, the
+// server is restarted as a new process.
 func (r *run) isolateServer(fault settings.Fault) {
 	isolated, ok := r.serverHosts[fault.Server].(*simnet.Host)
 	if !ok {
@@ -115,25 +126,26 @@
 	}
 }
 
-// faultyCoordinator returns the index of the coordinator that a fault names.
-func (r *run) faultyCoordinator(fault settings.Fault) int {
+// targetCoordinator returns the index of the coordinator that a fault concerns.
+func (r *run) targetCoordinator(fault settings.Fault) int {
 	return max(fault.Server, 0) % len(r.coordinators)
 }
 
 func (r *run) restartCoordinator(fault settings.Fault) {
-	i := r.faultyCoordinator(fault)
+	i := r.targetCoordinator(fault)
 	r.takeovers = append(r.takeovers, takeover{stoppedAt: r.network.Now()})
 	r.stopCoordinator(i)
 	r.after(fault.Duration, func() { r.startCoordinator(i) })
 }
 
 func (r *run) pauseCoordinator(fault settings.Fault) {
-	r.coordinators[r.faultyCoordinator(fault)].host.Freeze(fault.Duration)
+	r.coordinators[r.targetCoordinator(fault)].host.Freeze(fault.Duration)
 }
 
-// isolateCoordinator cuts a coordinator off from one side, in virtual time only.
+// isolateCoordinator isolates a coordinator either from the other coordinators or from everything else, in virtual
+// time only.
 func (r *run) isolateCoordinator(fault settings.Fault) {
-	isolated, ok := r.coordinators[r.faultyCoordinator(fault)].host.(*simnet.Host)
+	isolated, ok := r.coordinators[r.targetCoordinator(fault)].host.(*simnet.Host)
 	if !ok {
 		return
 	}
@@ -146,8 +158,8 @@
 	r.after(fault.Duration, func() { isolated.Isolate(nil) })
 }
 
-// ignoreUpdates makes a relay ignore updates. Its load changes too: little traffic makes this harder to detect, and does
-// as little harm.
+// ignoreUpdates makes a relay ignore updates. It also changes the relay's load: with little traffic the fault is
+// harder to detect, and does little harm.
 func (r *run) ignoreUpdates(fault settings.Fault) {
 	relay := r.relays[fault.Proxy]
 	relay.IgnoreUpdates(true)
@@ -166,13 +178,13 @@
 
 func (r *run) shortenPatience(fault settings.Fault) {
 	for _, relay := range r.relays {
-		r.during(fault, &relay.PatienceFraction, relay.PatienceFraction)
+		r.setDuringFault(fault, &relay.PatienceFraction, relay.PatienceFraction)
 	}
 }
 
 func (r *run) multiplyLoad(fault settings.Fault) {
 	for _, relay := range r.relays {
-		r.during(fault, &relay.LoadFactor, 1)
+		r.setDuringFault(fault, &relay.LoadFactor, 1)
 	}
 }
 
@@ -191,7 +203,7 @@
 	}
 }
 
-// disturbReports delays all relays' measurements, or drops them.
+// disturbReports delays or drops the measurements of all relays.
 func (r *run) disturbReports(fault settings.Fault) {
 	for _, relayHost := range r.relayHosts {
 		relayHost.DisturbDatagrams(fault.Kind == "reports_stop", fault.Factor)
@@ -205,7 +217,7 @@
 	r.after(fault.Duration, func() { r.network.Cut(int(fault.Zone), zones, false) })
 }
 
-// skipTime makes the clock jump, in virtual time only.
+// skipTime moves the clock forward without running events, in virtual time only.
 func (r *run) skipTime(fault settings.Fault) {
 	if r.virtual != nil {
 		r.virtual.Gap(fault.Duration)
--- a/internal/scenario/hosted.go
+++ b/internal/scenario/hosted.go
@@ -15,32 +15,32 @@
 	"snowquay/internal/store"
 )
 
-// HostedScenario is a scenario of many tenants on one host, or on several that share the tenants.
+// HostedScenario configures a scenario of many tenants on one host, or on several hosts that share the tenants.
 type HostedScenario struct {
 	Tenants        int
-	Servers        int // of each tenant
-	Relays         int // of each tenant
+	Servers        int // servers of each tenant
+	Relays         int // relays of each tenant
 	Seconds        float64
 	Seed           uint64
-	Sockets        bool
-	OnlyTenant     int                   // this tenant alone, for comparison; -1: all
-	Rate           float64               // requests a second of each tenant
-	Flood          int                   // this tenant floods the host from a third of the scenario on; -1: none
-	FloodRate      float64               // messages a second of the flood
-	Hosts          int                   // that share the tenants, in virtual time; 0 or 1: one alone
-	Kills          int                   // of hosts, at random moments, one host at a time
-	Restart        float64               // second at which the host is killed; 0: never
-	RestartDelay   float64               // seconds until a killed host runs again
-	Remove         int                   // this tenant is removed halfway, and created again; -1: none
-	Drains         bool                  // each tenant has a server drained during the flood
-	Log            *slog.Logger          // nil: none
-	Store          coordinator.HostStore // nil: in memory
-	Configure      func(*settings.Host)  // changes the host's settings; nil: none
-	DisabledGuards []controlplane.Guard  // of each tenant's coordinator
-	AnyNetwork     bool                  // relays of a tenant may dial from any network
+	Sockets        bool                  // run over loopback sockets in real time; otherwise in virtual time
+	OnlyTenant     int                   // run with this tenant alone, for comparison; -1: with all
+	Rate           float64               // requests per second of each tenant
+	Flood          int                   // tenant that floods the host after a third of the scenario; -1: none
+	FloodRate      float64               // messages per second of the flood
+	Hosts          int                   // number of hosts that share the tenants, in virtual time; 0 or 1: a single one
+	Kills          int                   // number of host restarts at random times; one is skipped if a host is down
+	Restart        float64               // second at which the first host is killed and then restarted; 0: never
+	RestartDelay   float64               // seconds until a killed host is started again
+	Remove         int                   // tenant that is removed halfway and created again later; -1: none
+	Drains         bool                  // drain a server of each tenant, during the flood if there is one
+	Log            *slog.Logger          // nil: no logging
+	Store          coordinator.HostStore // store of each host; nil: a memory store of its own
+	Configure      func(*settings.Host)  // modifies the settings of the hosts; optional
+	DisabledGuards []controlplane.Guard  // guards that are disabled in the coordinator of each tenant
+	AnyNetwork     bool                  // accept the relays of a tenant from any network
 }
 
-// DefaultHostedScenario returns the scenario that runs if nothing else is asked for.
+// DefaultHostedScenario returns the default hosted scenario.
 func DefaultHostedScenario() HostedScenario {
 	return HostedScenario{
 		Tenants:    20,
@@ -56,15 +56,15 @@
 	}
 }
 
-// includes tells whether a tenant is part of the scenario.
+// includes reports whether a tenant is part of the scenario.
 func (s *HostedScenario) includes(tenant int) bool { return s.OnlyTenant < 0 || s.OnlyTenant == tenant }
 
 const (
-	electionSeconds = 5.0    // at most, until a group of hosts has a leader and leases
-	hostedStream    = 0x4057 // second word of the seed of a run's random numbers
+	electionSeconds = 5.0    // maximum time until a group of hosts has a leader and leases
+	hostedStream    = 0x4057 // second word of the seed of a run's random number generator
 )
 
-// hostedRun is a hosted scenario under way.
+// hostedRun is the state of a running hosted scenario.
 type hostedRun struct {
 	environment
 	scenario  HostedScenario
@@ -72,39 +72,40 @@
 	hosts     []*hostInstance
 	random    *rand.Rand
 	tenants   []*hostedTenant
-	startedAt float64 // of the latest start of a host
-	updatedAt float64 // when all relays had received their tables; 0: they have not, since a host was started
+	startedAt float64 // time of the latest start of a host
+	updatedAt float64 // time at which all relays had received their tables; 0: not yet since the latest host start
 	rules     emulator.Rules
 	result    HostedResult
 }
 
-// RunHosted runs a hosted scenario. It returns an error if it could not be run; a broken rule is part of the result.
+// RunHosted runs a hosted scenario. It returns an error if the scenario could not be run; a violated rule is not an
+// error but is recorded in the result.
 func RunHosted(scenario HostedScenario) (*HostedResult, error) {
-	started, err := newHostedRun(scenario)
+	r, err := newHostedRun(scenario)
 	if err != nil {
 		return nil, err
 	}
-	start := started.network.Now()
-	started.exclusively(func() {
-		started.startHosts(start)
-		start = started.network.Now()
-		started.startedAt = start
-		for _, tenant := range started.tenants {
-			started.startTenant(tenant)
+	start := r.network.Now()
+	r.exclusively(func() {
+		r.startHosts(start)
+		start = r.network.Now()
+		r.startedAt = start
+		for _, tenant := range r.tenants {
+			r.startTenant(tenant)
 		}
-		started.check()
-		started.scheduleFaults(start)
+		r.checkPeriodically()
+		r.scheduleFaults(start)
 	})
-	if started.err != nil {
-		return nil, started.err
+	if r.err != nil {
+		return nil, r.err
 	}
-	started.network.Run(start + scenario.Seconds)
-	started.exclusively(started.finish)
-	if started.sockets != nil {
-		started.stopHost(0)
-		started.sockets.Stop()
+	r.network.Run(start + scenario.Seconds)
+	r.exclusively(r.finish)
+	if r.sockets != nil {
+		r.stopHost(0)
+		r.sockets.Stop()
 	}
-	return &started.result, started.err
+	return &r.result, r.err
 }
 
 func newHostedRun(scenario HostedScenario) (*hostedRun, error) {
@@ -115,8 +116,8 @@
 	if scenario.Configure != nil {
 		scenario.Configure(parsed)
 	}
-	created := &hostedRun{scenario: scenario, settings: parsed, random: rand.New(rand.NewPCG(scenario.Seed, hostedStream))}
-	parsed.ParseTenant = created.parseTenant
+	r := &hostedRun{scenario: scenario, settings: parsed, random: rand.New(rand.NewPCG(scenario.Seed, hostedStream))}
+	parsed.ParseTenant = r.parseTenant
 	if scenario.Log != nil {
 		parsed.Log = func(name tenancy.Name) *slog.Logger { return scenario.Log.With("tenant", string(name)) }
 	}
@@ -125,20 +126,20 @@
 		if instance.store == nil {
 			instance.store = &store.MemoryTenantStore{}
 		}
-		created.hosts = append(created.hosts, instance)
+		r.hosts = append(r.hosts, instance)
 	}
 	if scenario.Sockets {
-		created.sockets = socketnet.New(eventloop.Clock())
-		created.sockets.SetZone(firstHostAddr, 0)
-		created.network = created.sockets
+		r.sockets = socketnet.New(eventloop.Clock())
+		r.sockets.SetZone(firstHostAddr, 0)
+		r.network = r.sockets
 	} else {
-		created.virtual = simnet.New(scenario.Seed, virtualStartSeconds)
-		created.network = created.virtual
+		r.virtual = simnet.New(scenario.Seed, virtualStartSeconds)
+		r.network = r.virtual
 	}
-	return created, nil
+	return r, nil
 }
 
-// parseTenant parses a tenant's settings, without the guards that the scenario disables.
+// parseTenant parses the settings of a tenant and applies the scenario's AnyNetwork and DisabledGuards.
 func (r *hostedRun) parseTenant(tenant tenancy.Tenant) (coordinator.TenantConfig, error) {
 	config, err := settings.ParseTenant(tenant.Name, tenant.Settings, r.settings)
 	if r.scenario.AnyNetwork {
@@ -150,7 +151,7 @@
 	return config, err
 }
 
-// startHosts starts the hosts, and creates the tenants when several hosts have elected a leader.
+// startHosts starts the hosts, waits for the election of a leader if there are several, and creates the tenants.
 func (r *hostedRun) startHosts(start float64) {
 	for i := range r.hosts {
 		r.startHost(i)
@@ -163,13 +164,13 @@
 			r.createTenant(tenant)
 		}
 	}
-	if len(r.hosts) > 1 { // until all know of all tenants
+	if len(r.hosts) > 1 { // until all hosts have learnt of all tenants
 		r.network.Run(start + 2*electionSeconds)
 	}
 }
 
-// check calls the tenants' invariant checkers again and again.
-func (r *hostedRun) check() {
+// checkPeriodically calls the invariant checkers of the tenants and schedules its own next call.
+func (r *hostedRun) checkPeriodically() {
 	now := r.network.Now()
 	allUpdated := true
 	for _, tenant := range r.tenants {
@@ -181,5 +182,5 @@
 		r.updatedAt = now
 		r.result.UpdatedAfter = now - r.startedAt
 	}
-	r.network.At(now+checkIntervalSeconds, r.check)
+	r.network.At(now+checkIntervalSeconds, r.checkPeriodically)
 }
--- a/internal/scenario/hosted_faults.go
+++ b/internal/scenario/hosted_faults.go
@@ -12,46 +12,46 @@
 )
 
 const (
-	floodStart         = 1.0 / 3 // share of the scenario
-	drainStart         = 0.45    // share of the scenario
-	drainSpread        = 0.1     // share of the scenario in which all tenants' drains begin
-	killStart          = 0.25    // share of the scenario
-	killSpread         = 0.6     // share of the scenario in which hosts are killed
-	removeStart        = 0.5     // share of the scenario
-	recreateSlack      = 0.5     // seconds after a removed tenant's name may be used again
-	floodRelay         = 240     // number of the address that a flood comes from
-	floodedRelayOfEach = "relay-0"
+	floodStart     = 1.0 / 3   // fraction of the scenario
+	drainStart     = 0.45      // fraction of the scenario
+	drainSpread    = 0.1       // fraction of the scenario over which the drains of the tenants begin
+	killStart      = 0.25      // fraction of the scenario
+	killSpread     = 0.6       // fraction of the scenario over which hosts are killed
+	removeStart    = 0.5       // fraction of the scenario
+	recreateSlack  = 0.5       // seconds to wait after the name of a removed tenant may be used again
+	floodAddrIndex = 240       // index of the address that a flood comes from, among those of the tenant's relays
+	floodRelayUID  = "relay-0" // UID that a flood uses, of the flooding tenant and of the one it names
 )
 
-// at calls do when the given share of the scenario has passed.
-func (r *hostedRun) at(start, share float64, do func()) {
-	r.network.At(start+share*r.scenario.Seconds, do)
+// atFraction calls do when the given fraction of the scenario has passed.
+func (r *hostedRun) atFraction(start, fraction float64, do func()) {
+	r.network.At(start+fraction*r.scenario.Seconds, do)
 }
 
 func (r *hostedRun) scheduleFaults(start float64) {
 	scenario := r.scenario
 	if scenario.Flood >= 0 && scenario.includes(scenario.Flood) {
-		r.at(start, floodStart, func() { r.startFlood(scenario.Flood) })
+		r.atFraction(start, floodStart, func() { r.startFlood(scenario.Flood) })
 	}
 	if scenario.Drains {
 		for i, tenant := range r.tenants {
-			r.at(start, drainStart+drainSpread*float64(i)/float64(len(r.tenants)), func() { r.drainServer(tenant) })
+			r.atFraction(start, drainStart+drainSpread*float64(i)/float64(len(r.tenants)), func() { r.drainServer(tenant) })
 		}
 	}
 	if scenario.Restart > 0 {
 		r.network.At(start+scenario.Restart, func() { r.restartHost(0) })
 	}
 	for i := range scenario.Kills {
-		share := killStart + killSpread*(float64(i)+0.5*r.random.Float64())/float64(scenario.Kills)
-		r.at(start, share, r.killRandomHost)
+		fraction := killStart + killSpread*(float64(i)+0.5*r.random.Float64())/float64(scenario.Kills)
+		r.atFraction(start, fraction, r.restartRandomHost)
 	}
 	if scenario.Remove >= 0 && scenario.includes(scenario.Remove) {
 		r.scheduleRemoval(start)
 	}
 }
 
-// killRandomHost restarts a host, unless one is down already.
-func (r *hostedRun) killRandomHost() {
+// restartRandomHost kills a random host and starts it again, unless a host is down already.
+func (r *hostedRun) restartRandomHost() {
 	chosen := r.random.IntN(len(r.hosts))
 	if slices.ContainsFunc(r.hosts, func(instance *hostInstance) bool { return !instance.running }) {
 		return
@@ -59,7 +59,7 @@
 	r.restartHost(chosen)
 }
 
-// scheduleRemoval removes a tenant, and creates it again when its name may be used again.
+// scheduleRemoval schedules the removal of a tenant, and its creation when its name may be used again.
 func (r *hostedRun) scheduleRemoval(start float64) {
 	removed := r.tenants[0]
 	for _, tenant := range r.tenants {
@@ -67,7 +67,7 @@
 			removed = tenant
 		}
 	}
-	r.at(start, removeStart, func() {
+	r.atFraction(start, removeStart, func() {
 		removed.checker.CoordinatorDown()
 		removed.checker.ForgetDrains()
 		r.changeTenant(tenancy.Command{Kind: tenancy.Remove, Name: removed.name})
@@ -78,7 +78,7 @@
 	})
 }
 
-// drainServer orders a drain from the host, as its administration API does.
+// drainServer requests the drain of a tenant's last server from a host, as the administration API does.
 func (r *hostedRun) drainServer(tenant *hostedTenant) {
 	server := tenantServer(tenant.number, r.scenario.Servers-1)
 	r.onRunningHost(func(now float64, host *coordinator.Host) {
@@ -88,7 +88,7 @@
 				tenant.checker.DrainChanged(r.network.Now(), server, true)
 				return
 			}
-			killsHosts := len(r.hosts) > 1 && r.scenario.Kills > 0 // a host that is killed does not answer
+			killsHosts := len(r.hosts) > 1 && r.scenario.Kills > 0 // a killed host may leave the request unanswered
 			if !killsHosts {
 				r.addProblem("%s: drain refused", tenant.name)
 			}
@@ -96,7 +96,7 @@
 	})
 }
 
-// startFlood starts a flood by a tenant, which also names the next tenant.
+// startFlood starts a flood by a tenant. The flood also uses the names of the next tenant and of its relay.
 func (r *hostedRun) startFlood(tenant int) {
 	name := tenantName(tenant)
 	victim := tenantName((tenant + 1) % max(r.scenario.Tenants, 2))
@@ -104,8 +104,8 @@
 		SASP:         netip.AddrPortFrom(firstHostAddr, hostSASPPort),
 		HTTP:         netip.AddrPortFrom(firstHostAddr, hostHTTPPort),
 		Measurements: netip.AddrPortFrom(firstHostAddr, hostMeasurementsPort),
-		UID:          name.UID(floodedRelayOfEach),
-		OtherUID:     victim.UID(floodedRelayOfEach),
+		UID:          name.UID(floodRelayUID),
+		OtherUID:     victim.UID(floodRelayUID),
 		User:         string(name),
 		Key:          measurementsKey(tenant),
 		OtherUser:    string(victim),
@@ -114,7 +114,7 @@
 		Server:       tenantServer(tenant, 0),
 		Seed:         r.scenario.Seed,
 	}
-	r.addHost(netip.AddrPortFrom(tenantRelay(tenant, floodRelay), 0), 0, flood, false)
+	r.addHost(netip.AddrPortFrom(tenantRelay(tenant, floodAddrIndex), 0), 0, flood, false)
 }
 
 func measurementsKey(tenant int) string { return fmt.Sprintf("measurements-%03d", tenant) }
--- a/internal/scenario/hosted_hosts.go
+++ b/internal/scenario/hosted_hosts.go
@@ -22,16 +22,16 @@
 
 var firstHostAddr = netip.AddrFrom4([4]byte{127, 0, 0, 1})
 
-// HostSettings are the settings of the host of a hosted scenario.
+// HostSettings is the settings file of the hosts of a hosted scenario.
 const HostSettings = `<host>
   <listen sasp="127.0.0.1:14960" http="127.0.0.1:18760" measurements="127.0.0.1:15927" admin="127.0.0.1:18770" store="host.db"/>
   <caller name="host" key="a-key-for-rehearsals-of-hosts" role="host"/>
 </host>`
 
-// hostInstance is a host of the scenario, with what survives its restarts.
+// hostInstance is a host of the scenario with the state that survives its restarts.
 type hostInstance struct {
-	host    *simnet.Host      // in virtual time
-	server  *eventloop.Server // over sockets
+	host    *simnet.Host      // nil over sockets
+	server  *eventloop.Server // nil in virtual time
 	program *coordinator.Host
 	running bool
 	store   coordinator.HostStore
@@ -57,7 +57,7 @@
 	instance := r.hosts[i]
 	program, err := coordinator.NewHost(now, r.hostConfig(i), instance.store)
 	if err != nil {
-		r.fail(err)
+		r.recordError(err)
 		return
 	}
 	instance.program = program
@@ -67,7 +67,7 @@
 	if r.virtual == nil {
 		instance.server, err = eventloop.Listen(program, r.settings.Ports(), r.settings.Measurements, r.sockets.Now)
 		if err != nil {
-			r.fail(err)
+			r.recordError(err)
 			instance.running = false
 		}
 		return
@@ -78,7 +78,7 @@
 	instance.host.Start(program)
 }
 
-// hostConfig returns the configuration of the next start of a host.
+// hostConfig returns the configuration for the next start of a host.
 func (r *hostedRun) hostConfig(i int) coordinator.HostConfig {
 	config := r.settings.HostConfig
 	count := len(r.hosts)
@@ -106,7 +106,7 @@
 	if r.virtual != nil {
 		instance.host.Kill()
 	} else {
-		r.fail(instance.server.Stop())
+		r.recordError(instance.server.Stop())
 	}
 	if len(r.hosts) == 1 {
 		for _, tenant := range r.tenants {
@@ -115,7 +115,7 @@
 	}
 }
 
-// restartHost kills a host, and starts it again.
+// restartHost kills a host and starts it again after the restart delay.
 func (r *hostedRun) restartHost(i int) {
 	r.stopHost(i)
 	r.after(r.scenario.RestartDelay, func() { r.startHost(i) })
@@ -144,7 +144,7 @@
 	}
 }
 
-// runningHost returns a host that runs, drawn at random, or nil.
+// runningHost returns a random running host, or nil if all are down.
 func (r *hostedRun) runningHost() *hostInstance {
 	first := r.random.IntN(len(r.hosts))
 	for i := range r.hosts {
@@ -155,7 +155,8 @@
 	return nil
 }
 
-// onRunningHost calls do with a host that runs, between two of its steps.
+// onRunningHost calls do with a random running host, between two of the steps of its program. It does nothing if all
+// hosts are down.
 func (r *hostedRun) onRunningHost(do func(now float64, host *coordinator.Host)) {
 	instance := r.runningHost()
 	switch {
@@ -167,14 +168,14 @@
 	}
 }
 
-// changeTenant creates or removes a tenant.
+// changeTenant creates or removes a tenant through a running host, and records a failure as a problem of the result.
 func (r *hostedRun) changeTenant(command tenancy.Command) {
 	r.onRunningHost(func(now float64, host *coordinator.Host) {
 		command.Time = now
 		if command.Kind != tenancy.Remove {
 			config, err := settings.ParseTenant(command.Name, command.Settings, r.settings)
 			if err != nil {
-				r.fail(err)
+				r.recordError(err)
 				return
 			}
 			command.Weight = config.Weight
--- a/internal/scenario/hosted_result.go
+++ b/internal/scenario/hosted_result.go
@@ -13,45 +13,46 @@
 )
 
 const (
-	ruleCount              = 5
-	maxPrintedViolations   = 3 // tenants, of one rule
-	maxPrintedTenantErrors = 2 // of one tenant
+	ruleCount              = 5 // rules that the invariant checker has
+	maxPrintedViolations   = 3 // tenants printed for each violated rule
+	maxPrintedTenantErrors = 2 // protocol errors printed for each tenant
 	maxPrintedProblems     = 10
-	noDrain                = -1
+	noDrain                = -1 // drain time of a tenant without a drain
 )
 
-// TenantResult is the result of one tenant.
+// TenantResult is the result of one tenant of a hosted scenario.
 type TenantResult struct {
 	Name           tenancy.Name
 	Verdicts       []emulator.Verdict
-	Service        float64 // benefit answered on time over the benefit requested
-	ForeignEntries int     // to servers of other tenants, that its relays received
+	Service        float64 // ratio of the benefit answered on time to the benefit requested
+	ForeignEntries int     // servers of other tenants that its relays named, sent to or had in their tables
 	ProtocolErrors []string
-	LongestWait    float64 // seconds that it was due and waited for its turn
-	Work           float64 // seconds of work that the scheduler charged it with
-	DrainTime      float64 // seconds until no relay sent to the draining server; negative: no drain was ordered
+	LongestWait    float64 // longest time in seconds that the tenant was due and waited for its turn
+	Work           float64 // seconds of work that the schedulers charged to the tenant
+	DrainTime      float64 // seconds until no relay sent to the draining server any more; negative: no drain was ordered
 }
 
-// HostedResult is the result of a hosted scenario. Figures of service are of emulated servers.
+// HostedResult is the result of a hosted scenario. Service is that of emulated servers.
 type HostedResult struct {
 	Tenants      []TenantResult
 	Host         coordinator.HostStats
 	Scheduler    SchedulerStats
 	UpdatedAfter float64 // seconds from the latest start of a host until all relays had received their tables; 0: never
-	Events       int     // of the virtual network
+	Events       int     // events that the virtual network processed
 	Rejected     map[tenancy.RejectReason]int
-	Memory       float64 // that the tenants require of the host
+	Memory       float64 // memory that the tenants require of the first host
 	Problems     []string
 }
 
-// SchedulerStats counts the turns of the hosts' schedulers.
+// SchedulerStats counts the turns that the schedulers of all hosts granted.
 type SchedulerStats struct {
 	Turns           int
 	Urgent          int
-	BudgetExhausted int // times that nobody had a turn though some were due
+	BudgetExhausted int // times that no tenant got a turn although some were due
 }
 
-// Kept tells whether all tenants kept all rules and none received an entry of another.
+// Kept reports whether all rules were kept for all tenants, no tenant received an entry of another, and no problem
+// occurred.
 func (r *HostedResult) Kept() bool {
 	for _, tenant := range r.Tenants {
 		if tenant.ForeignEntries > 0 || !allKept(tenant.Verdicts) {
@@ -61,7 +62,7 @@
 	return len(r.Problems) == 0
 }
 
-// finish collects the result.
+// finish collects the result of a run.
 func (r *hostedRun) finish() {
 	for _, instance := range r.hosts {
 		if instance.running {
@@ -97,7 +98,8 @@
 	return result
 }
 
-// foreignEntries counts servers of other tenants that the tenant's relays named, sent to or have in their tables.
+// foreignEntries returns the number of servers of other tenants that the tenant's relays named, sent to or have in
+// their tables.
 func (t *hostedTenant) foreignEntries() int {
 	own := map[netip.AddrPort]bool{}
 	for _, server := range t.servers {
@@ -116,7 +118,7 @@
 	return foreign
 }
 
-// hostedSummary is what a hosted result prints of all tenants.
+// hostedSummary aggregates the results of all tenants for printing.
 type hostedSummary struct {
 	worstService   float64
 	bestService    float64
@@ -139,7 +141,7 @@
 	return summary
 }
 
-// Print writes a result as a table.
+// Print writes the result as text.
 func (r *HostedResult) Print(w io.Writer) error {
 	var text strings.Builder
 	broken := r.printTenants(&text)
@@ -165,7 +167,8 @@
 	return err
 }
 
-// printTenants writes what went wrong at each tenant. It returns by rule how many tenants broke it.
+// printTenants writes the violated rules and protocol errors of each tenant. It returns by rule the number of tenants
+// that violated it.
 func (r *HostedResult) printTenants(text *strings.Builder) map[int]int {
 	broken := map[int]int{}
 	for _, tenant := range r.Tenants {
@@ -185,7 +188,7 @@
 	return broken
 }
 
-// printedRejections are the reasons in the order in which they are printed.
+// printedRejections lists the reasons for rejected connections in the order in which they are printed.
 var printedRejections = []tenancy.RejectReason{
 	tenancy.TooManyUnidentified, tenancy.IdentifyTimedOut, tenancy.MalformedIdentity, tenancy.UnknownTenant,
 	tenancy.TenantStarting, tenancy.TenantConnectionsFull, tenancy.AcceptRateExceeded, tenancy.NetworkNotAllowed,
--- a/internal/scenario/hosted_tenants.go
+++ b/internal/scenario/hosted_tenants.go
@@ -13,21 +13,21 @@
 )
 
 const (
-	tenantPort       = 18080
-	firstTenantOctet = 16 // second number of the first tenant's addresses
-	networkBits      = 22 // of a tenant's relays
-	tenantMeanWork   = 0.1
-	tenantReports    = 0.5 // seconds
-	defaultEntries   = 3   // at most, of a relay's default table
+	tenantPort           = 18080
+	firstTenantOctet     = 16 // second octet of the addresses of the first tenant
+	relayNetworkBits     = 22 // prefix length of the network of a tenant's relays
+	tenantMeanWork       = 0.1
+	tenantReportInterval = 0.5 // seconds
+	maxDefaultTableSize  = 3   // entries
 )
 
-// tenantShares are the shares of the tenants' classes.
+// tenantShares are the shares of the request classes in the requests of a tenant.
 var tenantShares = []float64{0.79, 0.21}
 
-// tenantZones are the names of the tenants' zones. Each has half of the servers and half of the relays.
+// tenantZones are the names of the zones of each tenant. Each zone has half of its servers and half of its relays.
 var tenantZones = []string{"north", "south"}
 
-// hostedTenant is a tenant of the scenario with its servers and relays.
+// hostedTenant is a tenant of the scenario with its emulated servers and relays.
 type hostedTenant struct {
 	number    int
 	name      tenancy.Name
@@ -35,7 +35,7 @@
 	servers   []*emulator.Server
 	relays    []*emulator.Relay
 	classes   []emulator.Class
-	drainedAt float64 // 0: it has no server drained
+	drainedAt float64 // time at which the drain of a server was confirmed; 0: none was
 }
 
 func tenantName(tenant int) tenancy.Name { return tenancy.Name(fmt.Sprintf("t%03d", tenant)) }
@@ -50,10 +50,10 @@
 	return netip.AddrFrom4([4]byte{127, byte(firstTenantOctet + tenant/64), third, byte(1 + i%hostsPerNetwork)})
 }
 
-// halfOf returns 0 for the first half of count things, and 1 for the second.
+// halfOf returns 0 if index i is in the first half of count items, and 1 if it is in the second.
 func halfOf(i, count int) int { return i * 2 / count }
 
-// TenantSettings returns the settings of a tenant, with servers and relays of its own in two zones.
+// TenantSettings returns the settings file of a tenant. Each tenant has its own servers and relays in two zones.
 func (s *HostedScenario) TenantSettings(tenant int) []byte {
 	name := tenantName(tenant)
 	var text strings.Builder
@@ -69,7 +69,7 @@
   <rules drain-within="3" bare-within="2.1" cold-share="0.1" cold-for="18" fall-multiple="2" fall-within="1.5"/>
   <reports period="0.5" user="%s" key="%s"/>
   <servers uid="fleet" register="listed" hold="2.5" agents="any">
-`, tenant+1, name, netip.PrefixFrom(tenantRelay(tenant, 0), networkBits).Masked(), s.Relays, min(s.Servers, defaultEntries),
+`, tenant+1, name, netip.PrefixFrom(tenantRelay(tenant, 0), relayNetworkBits).Masked(), s.Relays, min(s.Servers, maxDefaultTableSize),
 		max(60, s.Relays*s.Servers*2/4), name, measurementsKey(tenant))
 	for i := range s.Servers {
 		half := halfOf(i, s.Servers)
@@ -84,13 +84,13 @@
 	return []byte(text.String())
 }
 
-// createTenant creates a tenant on the hosts; startTenant starts its servers and relays.
+// createTenant creates a tenant on the hosts. Its servers and relays are started by startTenant.
 func (r *hostedRun) createTenant(number int) {
 	text := r.scenario.TenantSettings(number)
 	tenant := &hostedTenant{number: number, name: tenantName(number)}
 	config, err := settings.ParseTenant(tenant.name, text, r.settings)
 	if err != nil {
-		r.fail(err)
+		r.recordError(err)
 		return
 	}
 	site := &config.Config.Site
@@ -113,12 +113,13 @@
 		DisconnectHold:   site.Limits.ServerHold + maxDetectionSeconds,
 		ObservationSlack: slack,
 	}
-	r.rules.Channel.EntriesPerSecond *= float64(len(r.hosts)) // each has a channel of its own
+	r.rules.Channel.EntriesPerSecond *= float64(len(r.hosts)) // each host has its own channel
 	tenant.checker = emulator.NewInvariantChecker(r.rules, tenant.classes)
 	r.tenants = append(r.tenants, tenant)
 	r.changeTenant(tenancy.Command{Kind: tenancy.Create, Name: tenant.name, Settings: text})
 }
 
+// startTenant starts the emulated servers and relays of a tenant.
 func (r *hostedRun) startTenant(tenant *hostedTenant) {
 	random := rand.New(rand.NewPCG(r.scenario.Seed, uint64(tenant.number)))
 	domains := []*emulator.FailureDomain{emulator.NewFailureDomain(), emulator.NewFailureDomain()}
@@ -158,7 +159,7 @@
 	}
 }
 
-// tenantRelayConfig returns the configuration of a relay. Every other one uses the long-poll API.
+// tenantRelayConfig returns the configuration of a relay of a tenant. Every second relay uses the long-poll API.
 func (r *hostedRun) tenantRelayConfig(tenant *hostedTenant, i int, random *rand.Rand) emulator.RelayConfig {
 	usesLongPoll := i%2 == 1
 	port := uint16(hostSASPPort)
@@ -177,13 +178,13 @@
 		Flags:             sasp.Push | sasp.Trust | sasp.NoChange,
 		Classes:           tenant.classes,
 		Rate:              r.scenario.Rate / float64(r.scenario.Relays),
-		ReportInterval:    tenantReports,
+		ReportInterval:    tenantReportInterval,
 		EjectAfter:        8,
 		EjectDuration:     relayEjectPeriod,
 		KeyCount:          200,
 		Seed:              random.Uint64() >> 16,
 	}
-	for k := range min(r.scenario.Servers, defaultEntries) {
+	for k := range min(r.scenario.Servers, maxDefaultTableSize) {
 		config.DefaultTable = append(config.DefaultTable, tenantServer(tenant.number, k))
 	}
 	return config
--- a/internal/scenario/hosted_test.go
+++ b/internal/scenario/hosted_test.go
@@ -23,7 +23,7 @@
 	return result
 }
 
-// checkOtherTenants reports each broken rule of a tenant that does not flood.
+// checkOtherTenants reports each rule that was broken for a tenant other than the flooding one.
 func checkOtherTenants(t *testing.T, scenario HostedScenario, result *HostedResult) {
 	t.Helper()
 	for i, tenant := range result.Tenants {
@@ -35,7 +35,7 @@
 	}
 }
 
-// checkSeparation reports each entry of a tenant to servers of others, and each problem of the hosts.
+// checkSeparation reports the entries of a tenant that name servers of other tenants, and the problems of the hosts.
 func checkSeparation(t *testing.T, scenario HostedScenario, result *HostedResult) {
 	t.Helper()
 	for _, tenant := range result.Tenants {
@@ -44,22 +44,23 @@
 		}
 	}
 	if len(result.Problems) > 0 {
-		t.Errorf("seed %d: %v", scenario.Seed, result.Problems)
+		t.Errorf("seed %d: problems of the hosts: %v", scenario.Seed, result.Problems)
 	}
 }
 
-// Twenty tenants on one host, each with its own servers and relays on both fronts.
+// Twenty tenants run on one host. Each has its own servers and relays, which use SASP and the long-poll API.
 func TestHostedScenarioKeepsAllRules(t *testing.T) {
 	scenario := DefaultHostedScenario()
 	scenario.Drains = true
 	result := runHosted(t, scenario)
 	if !result.Kept() || result.UpdatedAfter == 0 {
-		t.Error("not kept")
+		t.Error("a rule was broken, a problem occurred, or not all relays received their tables")
 	}
 }
 
-// One tenant's relays and measurements flood the host, and name other tenants' relays and users, while all others drain a
-// server. Each other tenant keeps all rules, has the service that it has alone, and never waits for its turn for long.
+// Connections and measurements of one tenant flood the host and name relays and users of another tenant, while a
+// server of each tenant is drained. For all other tenants all rules must be kept, the service must be as without the
+// flood, and waits for a turn must be short.
 func TestFloodDoesNotAffectOtherTenants(t *testing.T) {
 	scenario := DefaultHostedScenario()
 	scenario.Drains = true
@@ -69,7 +70,7 @@
 	checkSeparation(t, scenario, result)
 	for i, tenant := range result.Tenants {
 		if i != scenario.Flood && tenant.LongestWait > 0.1 {
-			t.Errorf("%s waited %.3f s for its turn", tenant.Name, tenant.LongestWait)
+			t.Errorf("%s waited %.3f s for a turn", tenant.Name, tenant.LongestWait)
 		}
 	}
 	for _, number := range []int{0, 4, 11} {
@@ -80,15 +81,16 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		beside := result.Tenants[number]
+		flooded := result.Tenants[number]
 		aloneService := aloneResult.Tenants[0].Service
-		if aloneService-beside.Service > 0.02 {
-			t.Errorf("%s has a service of %.3f beside the flood, %.3f alone", beside.Name, beside.Service, aloneService)
+		if aloneService-flooded.Service > 0.02 {
+			t.Errorf("%s: service %.3f during the flood, %.3f alone", flooded.Name, flooded.Service, aloneService)
 		}
 	}
 }
 
-// Without the guards a flood delays drains, of the tenant that it comes from and of the one that it names.
+// A flood must not delay the drains of the tenant that it comes from, nor of the tenant that it names. Without the
+// guard on the join rate and the check of networks it delays those of the named tenant.
 func TestHostedGuardsPreventLateDrains(t *testing.T) {
 	joinRate := []controlplane.Guard{controlplane.GuardJoinRate}
 	for _, test := range []struct {
@@ -100,7 +102,7 @@
 	}{
 		{"flooding tenant", 3, false, nil, false},
 		{"named tenant", 4, false, nil, false},
-		// Drains overtake joins that wait in the control plane: this alone protects the flooding tenant's own.
+		// Drains overtake joins that wait in the control plane. This alone protects the drains of the flooding tenant.
 		{"flooding tenant without join rate", 3, false, joinRate, false},
 		{"named tenant without join rate, from any network", 4, true, joinRate, true},
 		{"named tenant without join rate", 4, false, joinRate, false},
@@ -117,13 +119,13 @@
 				t.Fatal(err)
 			}
 			if broken := !result.Tenants[test.tenant].Verdicts[2].Kept; broken != test.broken {
-				t.Errorf("broken %t", broken)
+				t.Errorf("drain rule broken: %t", broken)
 			}
 		})
 	}
 }
 
-// The host's process is killed in the middle of drains: those that were confirmed continue.
+// The host's process is killed during drains and restarted. Drains that were confirmed must continue.
 func TestDrainsSurviveHostRestart(t *testing.T) {
 	scenario := DefaultHostedScenario()
 	scenario.Drains = true
@@ -131,12 +133,12 @@
 	scenario.RestartDelay = 1
 	result := runHosted(t, scenario)
 	if !result.Kept() || result.Host.Starts != 2*scenario.Tenants {
-		t.Error("not kept", result.Host)
+		t.Error("a rule was broken, a problem occurred, or tenants did not start twice:", result.Host)
 	}
 }
 
-// A tenant is removed while its relays are connected, and created again under its name: the new one is another tenant,
-// its relays receive full tables, and nobody else is affected.
+// A tenant is removed while its relays are connected, and a tenant of the same name is created later. The new tenant
+// must be independent of the removed one, its relays must receive full tables, and no other tenant may be affected.
 func TestRemovedTenantCanBeCreatedAgain(t *testing.T) {
 	scenario := DefaultHostedScenario()
 	scenario.Drains = true
@@ -144,12 +146,12 @@
 	scenario.Seconds = 40
 	result := runHosted(t, scenario)
 	if !result.Kept() || result.Host.Stops != 1 || result.Rejected[tenancy.UnknownTenant] == 0 {
-		t.Error("not kept", result.Host, result.Rejected)
+		t.Error("a rule was broken, a problem occurred, or the tenant was not removed:", result.Host, result.Rejected)
 	}
 }
 
-// Three hosts share twenty tenants; they are killed one after the other while every tenant has a server drained, and one
-// tenant is removed and created again.
+// Three hosts share twenty tenants. Hosts are killed one after the other while a server of each tenant is drained,
+// and one tenant is removed and created again.
 func TestHostTakeoversKeepAllRules(t *testing.T) {
 	scenario := DefaultHostedScenario()
 	scenario.Hosts = 3
@@ -160,13 +162,13 @@
 	scenario.Remove = 5
 	result := runHosted(t, scenario)
 	if !result.Kept() {
-		t.Error("not kept", result.Host, result.Problems)
+		t.Error("a rule was broken or a problem occurred:", result.Host, result.Problems)
 	}
 }
 
 func TestHostedScenarioOverSockets(t *testing.T) {
 	if testing.Short() {
-		t.Skip("real time")
+		t.Skip("runs in real time")
 	}
 	scenario := DefaultHostedScenario()
 	scenario.Drains = true
@@ -176,9 +178,9 @@
 	checkOtherTenants(t, scenario, runHosted(t, scenario))
 }
 
-var hostedSeeds = flag.Int("hosted", 3, "drawn scenarios of hosts that are killed, to be run")
+var hostedSeeds = flag.Int("hosted", 3, "number of random scenarios with host kills")
 
-// Drawn scenarios of three hosts that are killed, with a tenant that floods and one that is removed.
+// Random scenarios in which three hosts are killed, one tenant floods and one is removed.
 func TestDrawnHostedScenariosKeepAllRules(t *testing.T) {
 	for seed := range *hostedSeeds {
 		scenario := DefaultHostedScenario()
--- a/internal/scenario/processes.go
+++ b/internal/scenario/processes.go
@@ -13,18 +13,18 @@
 	"snowquay/internal/settings"
 )
 
-// processGroupKey is the key of a group of processes.
+// processGroupKey authenticates the group protocol between coordinators that run as processes.
 const processGroupKey = "a key for rehearsals only"
 
-// Processes describes coordinators that run as processes of their own.
+// Processes describes how to run coordinators as separate processes.
 type Processes struct {
-	Executable string    // the program, which has a command serve
-	Env        []string  // added to this process's environment
-	Folder     string    // of their settings and stores
-	Log        io.Writer // takes their standard error
+	Executable string    // path of a program that has the command serve
+	Env        []string  // environment variables, in addition to those of this process
+	Folder     string    // directory for the settings and stores of the processes
+	Log        io.Writer // receives the standard error of the processes
 }
 
-// processHost is a coordinator's process.
+// processHost is the process of a coordinator.
 type processHost struct {
 	cmd *exec.Cmd
 	run *run
@@ -35,15 +35,15 @@
 	_ = h.cmd.Wait()         // reports that the process was killed
 }
 
-// Freeze stops the process for a while.
+// Freeze suspends the process for the given number of seconds.
 func (h *processHost) Freeze(seconds float64) {
-	_ = h.cmd.Process.Signal(syscall.SIGSTOP)                                  // fails if the process has ended
+	_ = h.cmd.Process.Signal(syscall.SIGSTOP)                                  // fails if the process has ended already
 	h.run.after(seconds, func() { _ = h.cmd.Process.Signal(syscall.SIGCONT) }) // likewise
 }
 
 func (h *processHost) DisturbDatagrams(bool, float64) {}
 
-// startProcess starts a coordinator as a process of its own.
+// startProcess starts a coordinator as a separate process.
 func (r *run) startProcess(i int) (host, error) {
 	processes := r.options.Processes
 	file := func(extension string) string {
@@ -59,7 +59,7 @@
 	cmd := exec.Command(processes.Executable, "serve", "--log-level", "info", file("xml"))
 	cmd.Env = append(os.Environ(), processes.Env...)
 	cmd.Stderr = processes.Log
-	// The process ends with this one, however this one ends.
+	// The kernel kills the process when this process ends for any reason.
 	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	if err := cmd.Start(); err != nil {
 		return nil, err
--- a/internal/scenario/proxies.go
+++ b/internal/scenario/proxies.go
@@ -17,22 +17,22 @@
 
 const (
 	proxyPort     = 8088
-	clientNetwork = 40 // third number of the first addresses that clients dial from
+	clientNetwork = 40 // third octet of the first addresses that clients dial from
 )
 
-// memoryStore keeps a proxy's table while it is down.
+// memoryStore is a proxy.Store that holds a proxy's table in memory while the proxy is down.
 type memoryStore struct{ table []byte }
 
-// Save of proxy.Store.
+// Save implements proxy.Store.
 func (s *memoryStore) Save(table []byte) error {
 	s.table = slices.Clone(table)
 	return nil
 }
 
-// Load of proxy.Store.
+// Load implements proxy.Store.
 func (s *memoryStore) Load() ([]byte, error) { return s.table, nil }
 
-// realProxy is a real proxy with its clients, in place of an emulated relay.
+// realProxy is a real proxy with its HTTP clients. It replaces an emulated relay.
 type realProxy struct {
 	proxy    *proxy.Proxy
 	host     host
@@ -96,7 +96,7 @@
 	return config
 }
 
-// addProxy adds a real proxy and its clients.
+// addProxy adds and starts a real proxy and its clients.
 func (r *run) addProxy(i int, rate float64, defaultTable []netip.AddrPort) {
 	added := &realProxy{}
 	r.proxies = append(r.proxies, added)
@@ -113,8 +113,8 @@
 	r.addHost(networkAddr(clientNetwork, i), zone, added.clients, false)
 }
 
-// injectProxyFault begins a fault of real proxies, and sees to its end. It returns false if the fault does not concern
-// them.
+// injectProxyFault begins a fault of real proxies and schedules its end. It returns false if the scenario has no real
+// proxies or the fault does not concern them.
 func (r *run) injectProxyFault(fault settings.Fault) bool {
 	if len(r.proxies) == 0 {
 		return false
@@ -122,7 +122,7 @@
 	switch fault.Kind {
 	case "balancer_stall":
 		r.proxies[fault.Proxy].host.Freeze(fault.Duration)
-	case "balancer_deaf": // a real proxy applies what it receives
+	case "balancer_deaf": // not possible: a real proxy applies all updates that it receives
 	case "balancer_restart":
 		r.killProxy(fault)
 	case "reconnect":
@@ -134,7 +134,7 @@
 		}
 	case "demand":
 		for _, loaded := range r.proxies {
-			r.during(fault, &loaded.clients.LoadFactor, 1)
+			r.setDuringFault(fault, &loaded.clients.LoadFactor, 1)
 		}
 	default:
 		return false
@@ -149,6 +149,6 @@
 	r.after(fault.Duration, func() {
 		killed.restarts++
 		killed.proxy = proxy.New(r.network.Now(), r.proxyConfig(fault.Proxy))
-		r.fail(startOn(killed.host, killed.proxy))
+		r.recordError(startProgram(killed.host, killed.proxy))
 	})
 }
--- a/internal/scenario/random_faults.go
+++ b/internal/scenario/random_faults.go
@@ -7,23 +7,23 @@
 )
 
 const (
-	firstFaultSeconds   = 4.0 // the coordinator has learnt the first weights
-	faultFreeEndSeconds = 8.0 // at the end of a scenario, for faults to end
+	firstFaultSeconds   = 4.0 // when the coordinator has computed its first weights
+	faultFreeEndSeconds = 8.0 // time at the end of a scenario in which no fault begins, for earlier faults to end
 	minFaults           = 2
 	maxFaults           = 6
-	sharedCoordinators  = 3
-	noTarget            = -1 // in place of a server, relay, failure domain or zone that a fault does not concern
+	coordinatorCount    = 3  // coordinators that share the fleet
+	noTarget            = -1 // value of the target fields that a fault does not use
 )
 
-// The second words of the seeds of random numbers.
+// Second words of the seeds of the random number generators.
 const (
-	killStream     = 0x1c11
-	redrawStream   = 0xd4a3
-	takeoverStream = 0x7a4e
+	coordinatorFaultStream = 0x1c11
+	randomizeStream        = 0xd4a3
+	takeoverStream         = 0x7a4e
 )
 
-// coordinatorFault returns a restart of a coordinator.
-func coordinatorFault(server int, at, duration float64) settings.Fault {
+// coordinatorRestart returns a fault that restarts a coordinator.
+func coordinatorRestart(server int, at, duration float64) settings.Fault {
 	return settings.Fault{
 		Kind:          "coordinator_restart",
 		Server:        server,
@@ -36,13 +36,14 @@
 	}
 }
 
-// AddCoordinatorFaults adds restarts, pauses and isolations of coordinators at random moments, by the scenario's seed.
+// AddCoordinatorFaults adds restarts, pauses and isolations of coordinators at random times, drawn with the
+// scenario's seed.
 func AddCoordinatorFaults(scenario *settings.Scenario, count int) {
-	random := rand.New(rand.NewPCG(scenario.Seed, killStream))
+	random := rand.New(rand.NewPCG(scenario.Seed, coordinatorFaultStream))
 	for range count {
-		server := random.IntN(sharedCoordinators)
+		server := random.IntN(coordinatorCount)
 		at := firstFaultSeconds + random.Float64()*(scenario.Seconds-faultFreeEndSeconds-firstFaultSeconds)
-		fault := coordinatorFault(server, at, 0.2+8*random.Float64())
+		fault := coordinatorRestart(server, at, 0.2+8*random.Float64())
 		switch random.IntN(8) {
 		case 0, 1:
 			fault.Kind = "coordinator_pause"
@@ -58,26 +59,28 @@
 	}
 }
 
-// redrawnKinds are the kinds of faults that RedrawFaults draws from. Their order decides what a seed draws.
-var redrawnKinds = []string{
+// randomKinds are the kinds of faults that RandomizeFaults draws from. Their order determines which kinds a seed
+// yields.
+var randomKinds = []string{
 	"slow", "fast_errors", "hang", "crash", "mass_restart", "zone_cut", "drain", "coordinator_restart", "balancer_stall",
 	"balancer_restart", "reconnect", "report_late", "reports_stop", "demand", "clock_gap",
 }
 
-// RandomizeFaults replaces a scenario's faults, by its seed: two to six of any kind, at any time, which may overlap.
+// RandomizeFaults replaces a scenario's faults by two to six that are drawn with the scenario's seed: of any of
+// randomKinds, at any time, possibly overlapping.
 func RandomizeFaults(scenario *settings.Scenario) {
-	random := rand.New(rand.NewPCG(scenario.Seed, redrawStream))
+	random := rand.New(rand.NewPCG(scenario.Seed, randomizeStream))
 	scenario.Faults = nil
 	for range minFaults + random.IntN(maxFaults-1) {
-		scenario.Faults = append(scenario.Faults, redrawFault(scenario, random))
+		scenario.Faults = append(scenario.Faults, randomFault(scenario, random))
 	}
 }
 
-func redrawFault(scenario *settings.Scenario, random *rand.Rand) settings.Fault {
+func randomFault(scenario *settings.Scenario, random *rand.Rand) settings.Fault {
 	site := &scenario.Coordinator.Site
 	between := func(low, high float64) float64 { return low + (high-low)*random.Float64() }
 	fault := settings.Fault{
-		Kind:          redrawnKinds[random.IntN(len(redrawnKinds))],
+		Kind:          randomKinds[random.IntN(len(randomKinds))],
 		Server:        random.IntN(len(site.Servers)),
 		Proxy:         random.IntN(len(site.Proxies)),
 		Zone:          site.Servers[random.IntN(len(site.Servers))].Zone,
@@ -97,7 +100,7 @@
 		fault.Duration = between(0.3, 5)
 	case "zone_cut":
 		fault.Duration = between(4, 12)
-		fault.Zone = site.Servers[len(site.Servers)/2].Zone // not the coordinator's
+		fault.Zone = site.Servers[len(site.Servers)/2].Zone // not the coordinator's zone
 	case "drain":
 		fault.Duration = between(5, 20)
 	case "balancer_stall", "clock_gap":
@@ -113,48 +116,49 @@
 }
 
 const (
-	firstKillSeconds          = 5.0  // the coordinators have found each other
-	afterLastKillSeconds      = 10.0 // until the end of the scenario
-	otherFaultIntervalSeconds = 9.0  // on average
-	pauseOneIn                = 4    // kills, one is followed by a pause
-	takeoverFactor            = 3    // of faults that have one
-	extraDrainSeconds         = 4.0
+	firstKillSeconds          = 5.0  // when the coordinators have formed a group
+	afterLastKillSeconds      = 10.0 // time from the last kill to the end of the scenario
+	otherFaultIntervalSeconds = 9.0  // average interval between other faults
+	killsPerPause             = 4    // average number of kills per pause of a coordinator
+	otherFaultFactor          = 3    // factor of the other faults that have one
+	extraDrainSeconds         = 4.0  // added to the duration of a drain
 )
 
-// otherKinds are the kinds of faults that AddTakeovers draws from. Their order decides what a seed draws.
-var otherKinds = []string{"drain", "drain", "crash", "mass_restart", "reconnect", "balancer_restart", "slow"}
+// otherFaultKinds are the kinds of other faults that AddTakeovers draws from. Their order determines which kinds a
+// seed yields.
+var otherFaultKinds = []string{"drain", "drain", "crash", "mass_restart", "reconnect", "balancer_restart", "slow"}
 
-// AddTakeovers replaces a scenario's faults by kills of three coordinators, at the given interval in seconds on average,
-// each for up to a little longer than that. After one kill in four, on average, a coordinator is paused too. Other faults
-// occur beside that, unless calm is set.
-func AddTakeovers(scenario *settings.Scenario, kills int, interval float64, seed uint64, calm bool) {
+// AddTakeovers replaces a scenario's faults by kills of three coordinators, with the given average interval in
+// seconds. A killed coordinator stays down for up to slightly longer than the interval. On average, one kill in four
+// is followed by a pause of a coordinator. Other faults are added unless coordinatorFaultsOnly is set.
+func AddTakeovers(scenario *settings.Scenario, kills int, interval float64, seed uint64, coordinatorFaultsOnly bool) {
 	random := rand.New(rand.NewPCG(seed, takeoverStream))
 	scenario.Seed = seed
 	scenario.Faults = nil
 	scenario.Seconds = firstKillSeconds + float64(kills)*interval + afterLastKillSeconds
 	at := firstKillSeconds
 	for range kills {
-		server := random.IntN(sharedCoordinators)
-		fault := coordinatorFault(server, at, 0.2+1.2*interval*random.Float64())
+		server := random.IntN(coordinatorCount)
+		fault := coordinatorRestart(server, at, 0.2+1.2*interval*random.Float64())
 		scenario.Faults = append(scenario.Faults, fault)
-		if random.IntN(pauseOneIn) == 0 {
-			scenario.Faults = append(scenario.Faults, drawPause(fault, interval, random))
+		if random.IntN(killsPerPause) == 0 {
+			scenario.Faults = append(scenario.Faults, randomPause(fault, interval, random))
 		}
 		at += interval * (0.5 + random.Float64())
 	}
 	scenario.Seconds = max(scenario.Seconds, at+afterLastKillSeconds)
-	if !calm {
+	if !coordinatorFaultsOnly {
 		addOtherFaults(scenario, random)
 	}
 }
 
-// drawPause returns a pause of a coordinator after a kill.
-func drawPause(kill settings.Fault, interval float64, random *rand.Rand) settings.Fault {
+// randomPause returns a fault that pauses a random coordinator after a kill.
+func randomPause(kill settings.Fault, interval float64, random *rand.Rand) settings.Fault {
 	pause := kill
 	pause.Kind = "coordinator_pause"
 	pause.At = kill.At + interval*random.Float64()
 	pause.Duration = 0.5 + 7*random.Float64()
-	pause.Server = random.IntN(sharedCoordinators)
+	pause.Server = random.IntN(coordinatorCount)
 	return pause
 }
 
@@ -163,14 +167,14 @@
 	for at := firstKillSeconds; at < scenario.Seconds-afterLastKillSeconds; at += otherFaultIntervalSeconds * (0.5 + random.Float64()) {
 		server := random.IntN(len(site.Servers))
 		fault := settings.Fault{
-			Kind:          otherKinds[random.IntN(len(otherKinds))],
+			Kind:          otherFaultKinds[random.IntN(len(otherFaultKinds))],
 			Server:        server,
 			Proxy:         random.IntN(len(site.Proxies)),
 			FailureDomain: int(site.Servers[server].FailureDomain),
 			Zone:          site.Servers[server].Zone,
 			At:            at,
 			Duration:      0.5 + 5*random.Float64(),
-			Factor:        takeoverFactor,
+			Factor:        otherFaultFactor,
 		}
 		if fault.Kind == "drain" {
 			fault.Duration += extraDrainSeconds
--- a/internal/scenario/relays.go
+++ b/internal/scenario/relays.go
@@ -10,15 +10,16 @@
 )
 
 const (
-	relayNetwork     = 2   // third number of the first addresses that relays dial from
-	hostsPerNetwork  = 250 // addresses that are used of each /24 network
-	relayEjectPeriod = 4.0 // seconds
+	relayNetwork     = 2   // third octet of the first addresses that relays dial from
+	hostsPerNetwork  = 250 // number of addresses used in each /24 network
+	relayEjectPeriod = 4.0 // seconds for which a relay ejects a failing server
 )
 
 // relayAddr returns the address that a relay dials from.
 func relayAddr(i int) netip.AddrPort { return networkAddr(relayNetwork, i) }
 
-// networkAddr returns the i-th address from a loopback network on, without a port.
+// networkAddr returns the i-th address, without a port, of the range that starts with the loopback network
+// 127.0.<network>.
 func networkAddr(network, i int) netip.AddrPort {
 	octets := [4]byte{127, 0, byte(network + i/hostsPerNetwork), byte(1 + i%hostsPerNetwork)}
 	return netip.AddrPortFrom(netip.AddrFrom4(octets), 0)
@@ -49,7 +50,8 @@
 	r.relayRestarts = make([]uint64, len(r.relays))
 }
 
-// drawDefaultTable draws servers; one that is drawn twice is an entry only once.
+// drawDefaultTable returns a default table of randomly drawn servers. A server that is drawn twice has one entry
+// only, so the table may be smaller than configured.
 func (r *run) drawDefaultTable() []netip.AddrPort {
 	site := &r.scenario.Coordinator.Site
 	var table []netip.AddrPort
@@ -96,10 +98,11 @@
 	}
 }
 
-// relaySeed returns the seed of a relay, or of a real proxy's clients.
+// relaySeed returns the seed of a relay or of a real proxy's clients.
 func (r *run) relaySeed(i int) uint64 { return uint64(i+1) + r.options.Seed<<16 }
 
-// allServers returns the servers for relays that need no coordinator.
+// allServers returns all servers for the round-robin policy, which ignores the coordinator. It returns nil for other
+// policies.
 func (r *run) allServers() []netip.AddrPort {
 	if r.options.Policy != emulator.RoundRobin {
 		return nil
@@ -111,12 +114,13 @@
 	return servers
 }
 
-// restartRelay starts a relay that was killed anew. It knows no server until its coordinator sends it a table.
+// restartRelay restarts a relay that was killed. The relay has no default table, so it knows no server until its
+// coordinator sends a table.
 func (r *run) restartRelay(i int) {
 	r.relayRestarts[i]++
 	config := r.relays[i].RelayConfig
 	config.DefaultTable = nil
 	config.Seed += r.relayRestarts[i] << 20
 	r.relays[i] = emulator.NewRelay(config, r.checker)
-	r.fail(startOn(r.relayHosts[i], r.relays[i]))
+	r.recordError(startProgram(r.relayHosts[i], r.relays[i]))
 }
--- a/internal/scenario/result.go
+++ b/internal/scenario/result.go
@@ -19,13 +19,13 @@
 	millisecondsPerSecond = 1000
 )
 
-// Result of a run. Figures of service are of emulated servers.
+// Result is the result of a run. Service, latency and request counts are those of emulated servers.
 type Result struct {
 	Verdicts         []emulator.Verdict
-	Service          float64                   // benefit answered on time over the benefit requested
-	WorstInterval    float64                   // service of the worst ten seconds
-	LatestAfterDrain float64                   // seconds from a drain until the last request after it
-	Latencies        []*hdrhistogram.Histogram // microseconds until answers, by class
+	Service          float64                   // ratio of the benefit answered on time to the benefit requested
+	WorstInterval    float64                   // service in the worst ten seconds
+	LatestAfterDrain float64                   // longest time in seconds from a drain to the last request to the server
+	Latencies        []*hdrhistogram.Histogram // response latencies in microseconds, by class
 	P50              float64                   // seconds
 	P99              float64                   // seconds
 	Requested        []float64                 // by class
@@ -34,28 +34,28 @@
 	Attempts         int
 	Messages         int
 	Entries          int
-	PeakQueue        float64 // entries
+	PeakQueue        float64 // maximum number of queued entries
 	ProtocolErrors   []string
 	ControlPlane     controlplane.Stats
 	SASP             saspsession.Stats
 	LongPoll         longpoll.Stats
-	Bytes            int // of long-poll responses
-	FullTableBytes   int // of the same with full tables
-	Events           int // of the virtual network
+	Bytes            int // size of all long-poll responses
+	FullTableBytes   int // size of the long-poll responses with full tables
+	Events           int // events that the virtual network processed
 	Seconds          float64
-	JoinedAfter      []float64 // seconds from each stop of a coordinator until all relays were led again
+	JoinedAfter      []float64 // seconds from each stop of a coordinator until all relays were joined again
 	UpdatedAfter     []float64 // seconds from each stop of a coordinator until all relays had received their tables
-	AckDelays        []float64 // seconds from decision to acknowledgement, of each message that was acknowledged
+	AckDelays        []float64 // seconds from decision to acknowledgement of each acknowledged message
 }
 
-// Kept tells whether all rules were kept.
+// Kept reports whether all rules were kept.
 func (r *Result) Kept() bool { return allKept(r.Verdicts) }
 
 func allKept(verdicts []emulator.Verdict) bool {
 	return !slices.ContainsFunc(verdicts, func(v emulator.Verdict) bool { return !v.Kept })
 }
 
-// finish collects the result of a run that began at start.
+// finish collects the result of a run that started at the given time.
 func (r *run) finish(start float64) {
 	result := &r.result
 	result.Verdicts = r.checker.Verdicts()
@@ -82,7 +82,7 @@
 	}
 }
 
-// Print writes a result as a table, with the names of the classes.
+// Print writes the result as text. The classes are the names of the request classes.
 func (r *Result) Print(w io.Writer, classes []string) error {
 	var text strings.Builder
 	r.printVerdicts(&text)
@@ -134,7 +134,7 @@
 		stats.Deltas, stats.FullTables, stats.EmptyAnswers, stats.Rejected, stats.LostAnswers, r.Bytes, r.FullTableBytes)
 }
 
-// quantile of values in any order; 0 if there are none.
+// quantile returns a quantile of unsorted values, or 0 if there are none.
 func quantile(values []float64, share float64) float64 {
 	if len(values) == 0 {
 		return 0
--- a/internal/scenario/scenario.go
+++ b/internal/scenario/scenario.go
@@ -1,6 +1,6 @@
-// Package scenario runs fault-injection scenarios: coordinators, servers and relays, and what goes wrong, in virtual time
-// or over loopback sockets, with the same programs. The verdict of the invariant checker comes from what relays and
-// servers observed.
+// Package scenario runs fault-injection scenarios of coordinators, servers and relays. The same programs run either
+// in virtual time or over loopback sockets. The invariant checker derives its verdicts from what relays and servers
+// observed.
 package scenario
 
 import (
@@ -18,48 +18,48 @@
 	"snowquay/internal/settings"
 )
 
-// DefaultScenario is the scenario that runs if none is named.
+// DefaultScenario is the settings file of the scenario that runs if no other is given.
 //
 //go:embed bad-day.xml
 var DefaultScenario []byte
 
 const (
-	virtualStartSeconds  = 1000.0 // of the clock in virtual time; well above 0, as wall clocks are
-	checkIntervalSeconds = 0.05   // between two calls of the invariant checker
-	settleSeconds        = 2.0    // after the scenario's end, for what is still in flight
-	maxDetectionSeconds  = 2.0    // until a cut connection is detected
-	socketSlackSeconds   = 0.35   // that timers, goroutines and a busy machine may take
-	virtualSlackSeconds  = 0.05
+	virtualStartSeconds  = 1000.0 // initial reading of the virtual clock; well above 0, like a wall clock
+	checkIntervalSeconds = 0.05   // interval between calls of the invariant checker
+	settleSeconds        = 2.0    // added after the scenario's end for messages that are still in flight
+	maxDetectionSeconds  = 2.0    // maximum time until a broken connection is detected
+	socketSlackSeconds   = 0.35   // tolerance of the checker for delays by timers, goroutines and a busy machine
+	virtualSlackSeconds  = 0.05   // tolerance of the checker in virtual time
 )
 
-// runStream is the second word of the seed of a run's random numbers.
+// runStream is the second word of the seed of a run's random number generator.
 const runStream = 0xda4
 
-// Options of a run.
+// Options configures the run of a scenario.
 type Options struct {
-	Sockets          bool // over loopback sockets, in real time; otherwise in virtual time
+	Sockets          bool // run over loopback sockets in real time; otherwise in virtual time
 	Log              *slog.Logger
-	OnMessageTrace   func(controlplane.MessageTrace) // optional
-	Seed             uint64                          // 0: the scenario's
-	Coordinators     int                             // that share the fleet; 0 or 1: one alone
-	RealProxies      bool                            // real proxies with HTTP clients, in place of emulated relays
-	Processes        *Processes                      // coordinators are processes of their own, over sockets; nil: they are not
-	OnJoinedCheck    func(now float64, led bool)     // optional: whether all relays are led
-	Policy           emulator.Policy                 // of emulated relays
-	DropMeasurements bool                            // the configured weights remain
-	Front            string                          // by which relays join: "sasp", "http", or "both" in turn; empty: sasp
-
-	// WrapCoordinator returns the program that stands in a coordinator's place in virtual time, and runs it; nil: the
-	// coordinator itself.
+	OnMessageTrace   func(controlplane.MessageTrace) // optional: receives the trace of each message
+	Seed             uint64                          // seed of the run; 0: the scenario's seed
+	Coordinators     int                             // number of coordinators that share the fleet; 0 or 1: a single one
+	RealProxies      bool                            // run real proxies with HTTP clients instead of emulated relays
+	Processes        *Processes                      // run coordinators as processes, over sockets; nil: in this process
+	OnJoinedCheck    func(now float64, joined bool)  // optional: receives at each check whether all relays are joined
+	Policy           emulator.Policy                 // how emulated relays select servers
+	DropMeasurements bool                            // discard all measurements, so that weights stay as configured
+	Front            string                          // API of the relays: "sasp", "http" or "both" alternately; empty: sasp
+
+	// WrapCoordinator returns the program that runs in virtual time in place of a coordinator, and that runs the
+	// coordinator in turn; nil: the coordinator runs unwrapped.
 	WrapCoordinator func(program env.Program) env.Program
 }
 
-// usesLongPoll tells whether a relay speaks the long-poll API instead of SASP.
+// usesLongPoll reports whether a relay uses the long-poll API instead of SASP.
 func (o Options) usesLongPoll(relay int) bool {
 	return o.Front == "http" || o.Front == "both" && relay%2 == 1
 }
 
-// run is a scenario under way.
+// run is the state of a running scenario.
 type run struct {
 	environment
 	scenario *settings.Scenario
@@ -72,45 +72,46 @@
 	servers        []*emulator.Server
 	serverHosts    []host
 	failureDomains map[int]*emulator.FailureDomain
-	overloaded     map[int]bool // servers, which stay down
+	overloaded     map[int]bool // servers that failed by overload, which stay down
 	relays         []*emulator.Relay
 	relayHosts     []host
-	proxies        []*realProxy // in place of the relays
+	proxies        []*realProxy // run in place of the relays
 	relayRestarts  []uint64
 	keyPopularity  []float64
 	takeovers      []takeover
 	result         Result
 }
 
-// Run runs a scenario. It returns an error if it could not be run; a broken rule is part of the result.
+// Run runs a scenario. It returns an error if the scenario could not be run; a violated rule is not an error but is
+// recorded in the result.
 func Run(scenario *settings.Scenario, options Options) (*Result, error) {
-	started := newRun(scenario, options)
-	start := started.network.Now()
-	started.exclusively(func() {
-		started.startPrograms()
-		started.check()
+	r := newRun(scenario, options)
+	start := r.network.Now()
+	r.exclusively(func() {
+		r.startPrograms()
+		r.checkPeriodically()
 		for _, fault := range scenario.Faults {
-			started.network.At(start+fault.At, func() { started.injectFault(fault) })
+			r.network.At(start+fault.At, func() { r.injectFault(fault) })
 		}
 	})
-	started.network.Run(start + scenario.Seconds + settleSeconds)
-	started.exclusively(func() {
-		for i := range started.coordinators {
-			started.stopCoordinator(i)
+	r.network.Run(start + scenario.Seconds + settleSeconds)
+	r.exclusively(func() {
+		for i := range r.coordinators {
+			r.stopCoordinator(i)
 		}
 	})
-	if started.sockets != nil {
-		started.sockets.Stop()
+	if r.sockets != nil {
+		r.sockets.Stop()
 	}
-	started.finish(start)
-	return &started.result, started.err
+	r.finish(start)
+	return &r.result, r.err
 }
 
 func newRun(scenario *settings.Scenario, options Options) *run {
 	if options.Seed == 0 {
 		options.Seed = scenario.Seed
 	}
-	created := &run{
+	r := &run{
 		scenario:       scenario,
 		options:        options,
 		failureDomains: map[int]*emulator.FailureDomain{},
@@ -121,26 +122,26 @@
 	}
 	site := &scenario.Coordinator.Site
 	channel := site.Channel
-	channel.EntriesPerSecond *= float64(max(options.Coordinators, 1)) // each has a channel of its own
+	channel.EntriesPerSecond *= float64(max(options.Coordinators, 1)) // each coordinator has its own channel
 	slack := virtualSlackSeconds
 	if options.Sockets {
 		slack = socketSlackSeconds
 	}
-	created.checker = emulator.NewInvariantChecker(emulator.Rules{
+	r.checker = emulator.NewInvariantChecker(emulator.Rules{
 		Guarantees:       site.Guarantees,
 		Channel:          channel,
 		DisconnectHold:   site.Limits.ServerHold + maxDetectionSeconds,
 		ObservationSlack: slack,
-	}, created.classes)
+	}, r.classes)
 	if options.Sockets {
-		created.useSockets()
+		r.useSockets()
 	} else {
-		created.useVirtualTime()
+		r.useVirtualTime()
 	}
-	return created
+	return r
 }
 
-// emulatedClasses returns the classes of a scenario's requests.
+// emulatedClasses returns the request classes of a scenario.
 func emulatedClasses(scenario *settings.Scenario) []emulator.Class {
 	site := &scenario.Coordinator.Site
 	var classes []emulator.Class
@@ -191,12 +192,12 @@
 	r.addRelays()
 }
 
-// check calls the invariant checker again and again.
-func (r *run) check() {
+// checkPeriodically calls the invariant checker and schedules its own next call.
+func (r *run) checkPeriodically() {
 	now := r.network.Now()
 	r.checker.CheckDeadlines(now)
 	r.checkTakeovers(now)
-	r.network.At(now+checkIntervalSeconds, r.check)
+	r.network.At(now+checkIntervalSeconds, r.checkPeriodically)
 }
 
 // zoneOf returns the zone of a server.
--- a/internal/scenario/scenario_test.go
+++ b/internal/scenario/scenario_test.go
@@ -31,7 +31,7 @@
 	return parseScenario(t, string(DefaultScenario), disabled...)
 }
 
-// runScenario returns the result of a run, and how it is printed.
+// runScenario returns the result of a run and its printed form.
 func runScenario(t *testing.T, scenario *settings.Scenario, options Options) (*Result, string) {
 	t.Helper()
 	result, err := Run(scenario, options)
@@ -45,20 +45,21 @@
 	return result, text.String()
 }
 
-var fronts = []string{"sasp", "http", "both"}
+// frontends are the values of Options.Front.
+var frontends = []string{"sasp", "http", "both"}
 
 func TestDefaultScenarioKeepsAllRules(t *testing.T) {
-	for _, front := range fronts {
-		result, text := runScenario(t, parseDefaultScenario(t), Options{Front: front})
+	for _, frontend := range frontends {
+		result, text := runScenario(t, parseDefaultScenario(t), Options{Front: frontend})
 		if !result.Kept() || len(result.ProtocolErrors) > 0 {
-			t.Errorf("%s: a rule was broken or something was not understood:\n%s", front, text)
+			t.Errorf("%s: a rule was broken or a protocol error occurred:\n%s", frontend, text)
 		}
 		noncompliant := 0
-		if front == "sasp" {
+		if frontend == "sasp" {
 			noncompliant = 1
 		}
 		if result.ControlPlane.Noncompliant != noncompliant || result.Service < 0.6 || result.Messages < 200 {
-			t.Errorf("%s: the scenario was not what it is meant to be:\n%s", front, text)
+			t.Errorf("%s: unexpected number of noncompliant relays, service or number of messages:\n%s", frontend, text)
 		}
 	}
 }
@@ -67,16 +68,17 @@
 	_, first := runScenario(t, parseDefaultScenario(t), Options{})
 	_, second := runScenario(t, parseDefaultScenario(t), Options{})
 	if first != second {
-		t.Errorf("the same seed had another result:\n%s\n%s", first, second)
+		t.Errorf("two runs with the same seed differ:\n%s\n%s", first, second)
 	}
 }
 
-// Each guard, when it is disabled, breaks the rule that it is for, in a scenario that keeps the rule with the guard.
+// Each guard is disabled in a scenario that keeps the rule with the guard. The rule that the guard enforces must then
+// be broken.
 func TestEachGuardPreventsItsViolation(t *testing.T) {
 	for _, test := range []struct {
 		guard controlplane.Guard
 		rule  int
-		seed  uint64 // 0: the scenario's own
+		seed  uint64 // 0: the scenario's seed
 	}{
 		{controlplane.GuardRejoin, 1, 18},
 		{controlplane.GuardRetries, 2, 0},
@@ -90,19 +92,19 @@
 			options := Options{Seed: test.seed}
 			without, text := runScenario(t, parseDefaultScenario(t, test.guard), options)
 			if without.Verdicts[test.rule-1].Kept {
-				t.Errorf("rule %d was kept without it:\n%s", test.rule, text)
+				t.Errorf("rule %d was kept without the guard:\n%s", test.rule, text)
 			}
 			with, text := runScenario(t, parseDefaultScenario(t), options)
 			if !with.Verdicts[test.rule-1].Kept {
-				t.Errorf("rule %d was broken with it:\n%s", test.rule, text)
+				t.Errorf("rule %d was broken with the guard:\n%s", test.rule, text)
 			}
 		})
 	}
 }
 
-var drawnScenarios = flag.Uint64("drawn", 60, "scenarios that are drawn")
+var drawnScenarios = flag.Uint64("drawn", 60, "number of random scenarios")
 
-// Scenarios drawn by seed have other traffic, other speeds, and faults of every kind at other times and places.
+// Random scenarios, which differ by seed in traffic, server speeds, and the kinds, times and targets of faults.
 func TestDrawnScenariosKeepAllRules(t *testing.T) {
 	for seed := range *drawnScenarios {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -110,9 +112,9 @@
 			scenario := parseDefaultScenario(t)
 			scenario.Seed = seed + 100
 			RandomizeFaults(scenario)
-			result, text := runScenario(t, scenario, Options{Front: fronts[seed%3]})
+			result, text := runScenario(t, scenario, Options{Front: frontends[seed%3]})
 			if !result.Kept() || len(result.ProtocolErrors) > 0 && result.SASP.Rejected == 0 {
-				t.Errorf("%+v\n%s", scenario.Faults, text)
+				t.Errorf("a rule was broken or a protocol error occurred with faults %+v\n%s", scenario.Faults, text)
 			}
 		})
 	}
@@ -121,7 +123,7 @@
 func TestShortScenarioOverSockets(t *testing.T) {
 	before, _, found := strings.Cut(string(DefaultScenario), "  <trouble")
 	if !found {
-		t.Fatal("the default scenario has no fault")
+		t.Fatal("the default scenario has no faults")
 	}
 	text := before + `
   <trouble kind="balancer_restart" at="3" for="0.5" relay="1"/>
@@ -134,14 +136,14 @@
 	text = strings.ReplaceAll(text, ":18080", ":18081")
 	result, printed := runScenario(t, parseScenario(t, text), Options{Sockets: true, Front: "both"})
 	if !result.Kept() || result.Messages == 0 || len(result.AckDelays) == 0 {
-		t.Errorf("over sockets:\n%s", printed)
+		t.Errorf("a rule was broken, or no message was sent or acknowledged:\n%s", printed)
 	}
 	if slices.Max(result.AckDelays) > 5 {
-		t.Errorf("a message took %v s", slices.Max(result.AckDelays))
+		t.Errorf("a message was acknowledged only after %v s", slices.Max(result.AckDelays))
 	}
 }
 
-// rapidKinds are the kinds of faults that rapid draws from.
+// rapidKinds are the kinds of faults that drawFault draws from.
 var rapidKinds = []string{
 	"slow", "fast_errors", "hang", "crash", "drain", "coordinator_restart", "balancer_stall", "balancer_restart", "reconnect",
 	"report_late", "reports_stop", "clock_gap",
@@ -162,24 +164,25 @@
 	return fault
 }
 
-// Scenarios drawn by rapid, which shrinks one that breaks a rule to the faults that it takes.
+// Random scenarios drawn by rapid, which shrinks a scenario that breaks a rule to the faults that are necessary for
+// this.
 func TestShrinkableScenariosKeepAllRules(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		scenario := parseDefaultScenario(t)
 		scenario.Seconds = 36
 		scenario.Seed = rapid.Uint64Range(1, 1<<20).Draw(rt, "seed")
 		scenario.Faults = rapid.SliceOfN(rapid.Custom(drawFault), 0, 4).Draw(rt, "troubles")
-		front := rapid.SampledFrom(fronts).Draw(rt, "front")
-		result, text := runScenario(t, scenario, Options{Front: front})
+		frontend := rapid.SampledFrom(frontends).Draw(rt, "front")
+		result, text := runScenario(t, scenario, Options{Front: frontend})
 		if !result.Kept() {
-			rt.Errorf("%s %+v\n%s", front, scenario.Faults, text)
+			rt.Errorf("%s: rules broken with faults %+v\n%s", frontend, scenario.Faults, text)
 		}
 	})
 }
 
-// A relay whose process is restarted twice within a millisecond has entries again in time, as rule 1 asks.
+// A relay whose process is restarted twice within a millisecond must receive entries in time, as rule 1 requires.
 func TestRelayRestartedTwiceIsServed(t *testing.T) {
-	for _, front := range fronts {
+	for _, frontend := range frontends {
 		scenario := parseDefaultScenario(t)
 		scenario.Seconds = 15
 		scenario.Seed = 1
@@ -187,14 +190,14 @@
 			{Kind: "balancer_restart", At: 4.000105828046799, Proxy: 8, Duration: 0.3, Factor: 3},
 			{Kind: "balancer_restart", At: 4, Proxy: 8, Duration: 0.31104539499256134, Factor: 3},
 		}
-		result, text := runScenario(t, scenario, Options{Front: front})
+		result, text := runScenario(t, scenario, Options{Front: frontend})
 		if !result.Kept() {
-			t.Errorf("%s:\n%s", front, text)
+			t.Errorf("%s: rules broken:\n%s", frontend, text)
 		}
 	}
 }
 
-// A server restarts in the moment in which its coordinator does: it is warmed up all the same, as rule 4 asks.
+// A server restarts at about the same time as its coordinator. It must be warmed up nevertheless, as rule 4 requires.
 func TestServerThatRestartsWithTheCoordinatorWarmsUp(t *testing.T) {
 	scenario := parseDefaultScenario(t)
 	scenario.Seconds = 20
@@ -211,7 +214,7 @@
 	}
 }
 
-// A server warms up beside others that hang one after the other: it is not overloaded, as rule 4 asks.
+// A server warms up while other servers hang one after the other. It must not be overloaded, as rule 4 requires.
 func TestWarmingServerBesideHangingOnes(t *testing.T) {
 	scenario := parseDefaultScenario(t)
 	scenario.Seconds = 20
@@ -228,13 +231,14 @@
 	}
 }
 
-// The 229th drawn scenario: a server warms up while demand rises and another is slow. It is not overloaded, as rule 4 asks.
+// Random scenario number 229: a server warms up while demand rises and another server is slow. The warming server
+// must not be overloaded, as rule 4 requires.
 func TestWarmingServerInRisingDemand(t *testing.T) {
 	const number = 229
 	scenario := parseDefaultScenario(t)
 	scenario.Seed = number + 100
 	RandomizeFaults(scenario)
-	result, text := runScenario(t, scenario, Options{Front: fronts[number%3]})
+	result, text := runScenario(t, scenario, Options{Front: frontends[number%3]})
 	if !result.Kept() {
 		t.Errorf("%+v\n%s", scenario.Faults, text)
 	}
--- a/internal/scenario/servers.go
+++ b/internal/scenario/servers.go
@@ -65,11 +65,11 @@
 	r.checker.ServerDown(r.network.Now(), r.servers[i].Addr)
 }
 
-// restartServer starts a server anew, unless it was overloaded.
+// restartServer restarts a server, which has to warm up again, unless it failed by overload.
 func (r *run) restartServer(i int) {
 	if r.overloaded[i] {
 		return
 	}
 	r.servers[i] = r.newServer(i, false)
-	r.fail(startOn(r.serverHosts[i], r.servers[i]))
+	r.recordError(startProgram(r.serverHosts[i], r.servers[i]))
 }
--- a/internal/scenario/takeover.go
+++ b/internal/scenario/takeover.go
@@ -2,22 +2,23 @@
 
 import "slices"
 
-// resetDetectionSeconds is the time in which relays detect that their connection was reset.
+// resetDetectionSeconds is the time that relays need to detect that their connection was reset. Until then a relay
+// still counts as joined to the stopped coordinator.
 const resetDetectionSeconds = 0.12
 
-// takeover measures the time from a coordinator's stop until every relay is led again, and until every relay has received
-// its table from the coordinator that leads it.
+// takeover measures the time from a coordinator's stop until every relay is joined again, and until every relay has
+// received its table from its new coordinator.
 type takeover struct {
 	stoppedAt float64
-	led       bool
+	joined    bool
 	updated   bool
 }
 
-// checkTakeovers records which takeovers have completed.
+// checkTakeovers records the duration of takeovers that have completed since the last check.
 func (r *run) checkTakeovers(now float64) {
-	led, updated := r.checker.AllRelaysLed()
+	joined, updated := r.checker.AllRelaysLed()
 	if r.options.OnJoinedCheck != nil {
-		r.options.OnJoinedCheck(now, led)
+		r.options.OnJoinedCheck(now, joined)
 	}
 	for i := range r.takeovers {
 		current := &r.takeovers[i]
@@ -25,8 +26,8 @@
 		if elapsed < resetDetectionSeconds {
 			continue
 		}
-		if led && !current.led {
-			current.led = true
+		if joined && !current.joined {
+			current.joined = true
 			r.result.JoinedAfter = append(r.result.JoinedAfter, elapsed)
 		}
 		if updated && !current.updated {
@@ -34,5 +35,5 @@
 			r.result.UpdatedAfter = append(r.result.UpdatedAfter, elapsed)
 		}
 	}
-	r.takeovers = slices.DeleteFunc(r.takeovers, func(t takeover) bool { return t.led && t.updated })
+	r.takeovers = slices.DeleteFunc(r.takeovers, func(t takeover) bool { return t.joined && t.updated })
 }
--- a/internal/scenario/takeover_test.go
+++ b/internal/scenario/takeover_test.go
@@ -8,9 +8,9 @@
 	"snowquay/internal/settings"
 )
 
-var takeoverScenarios = flag.Uint64("takeovers", 30, "scenarios in which three coordinators share the fleet and are killed")
+var takeoverScenarios = flag.Uint64("takeovers", 30, "number of random scenarios with kills of three coordinators that share the fleet")
 
-// drawTakeoverScenario draws a scenario with kills and pauses of coordinators beside other faults.
+// drawTakeoverScenario draws a scenario with kills, pauses and isolations of coordinators and up to two other faults.
 func drawTakeoverScenario(t *testing.T, seed uint64) *settings.Scenario {
 	t.Helper()
 	scenario := parseDefaultScenario(t)
@@ -26,16 +26,16 @@
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
 			scenario := drawTakeoverScenario(t, seed+5000)
-			result, text := runScenario(t, scenario, Options{Coordinators: 3, Front: fronts[seed%3]})
+			result, text := runScenario(t, scenario, Options{Coordinators: 3, Front: frontends[seed%3]})
 			if !result.Kept() || result.Service < 0.3 {
-				t.Errorf("%+v\n%s", scenario.Faults, text)
+				t.Errorf("rules broken or service too low with faults %+v\n%s", scenario.Faults, text)
 			}
 		})
 	}
 }
 
-// A coordinator that reaches the others but no relay goes on holding its lease; one that reaches relays but no other
-// coordinator loses it. In both cases others lead its relays long before it is connected again.
+// A coordinator that reaches the others but no relay retains its lease. One that reaches relays but no other
+// coordinator loses its lease. In both cases its relays must join other coordinators long before the isolation ends.
 func TestIsolatedCoordinatorIsReplaced(t *testing.T) {
 	const isolatedUntil = 38
 	for _, kind := range []string{"coordinator_hidden", "coordinator_alone"} {
@@ -43,28 +43,28 @@
 			scenario := parseDefaultScenario(t)
 			scenario.Seconds = 50
 			scenario.Faults = []settings.Fault{{Kind: kind, Server: server, At: 8, Duration: 30, Proxy: -1, FailureDomain: -1, Zone: -1}}
-			unledSeconds := 0.0
-			lastUnled := 0.0
-			checkLed := func(now float64, led bool) {
+			unjoinedSeconds := 0.0
+			lastUnjoined := 0.0
+			checkJoined := func(now float64, joined bool) {
 				elapsed := now - virtualStartSeconds
-				if !led && elapsed < isolatedUntil { // afterwards it takes its share back
-					unledSeconds += checkIntervalSeconds
-					lastUnled = elapsed
+				if !joined && elapsed < isolatedUntil { // after its isolation it takes over its share of the relays again
+					unjoinedSeconds += checkIntervalSeconds
+					lastUnjoined = elapsed
 				}
 			}
-			result, text := runScenario(t, scenario, Options{Coordinators: 3, Front: fronts[server], OnJoinedCheck: checkLed})
-			if !result.Kept() || lastUnled > 28 || unledSeconds < 1 {
-				t.Errorf("%s of %d: some relay led by nobody for %.1f s, last at %.1f s:\n%s", kind, server, unledSeconds, lastUnled, text)
+			result, text := runScenario(t, scenario, Options{Coordinators: 3, Front: frontends[server], OnJoinedCheck: checkJoined})
+			if !result.Kept() || lastUnjoined > 28 || unjoinedSeconds < 1 {
+				t.Errorf("%s of %d: rules broken, or some relay not joined for %.1f s, last at %.1f s:\n%s", kind, server, unjoinedSeconds, lastUnjoined, text)
 			}
 		}
 	}
 }
 
 func TestDefaultScenarioWithThreeCoordinators(t *testing.T) {
-	for _, front := range fronts {
-		result, text := runScenario(t, parseDefaultScenario(t), Options{Coordinators: 3, Front: front})
+	for _, frontend := range frontends {
+		result, text := runScenario(t, parseDefaultScenario(t), Options{Coordinators: 3, Front: frontend})
 		if !result.Kept() || result.Service < 0.6 {
-			t.Errorf("%s:\n%s", front, text)
+			t.Errorf("%s: rules broken or service too low:\n%s", frontend, text)
 		}
 	}
 }
