--- a/internal/experiment/cell.go
+++ b/internal/experiment/cell.go
@@ -158,7 +158,7 @@
 		drawFaults(built, c.Case.RandomFaults, c.Case.Kinds)
 	}
 	if c.Case.Kills > 0 {
-		scenario.AddKills(built, c.Case.Kills)
+		scenario.AddCoordinatorFaults(built, c.Case.Kills)
 	}
 }
 
