--- a/internal/cli/experiment.go
+++ b/internal/cli/experiment.go
@@ -172,7 +172,7 @@
 		return fmt.Errorf("the day %s is not bad in that way", c.Cell)
 	}
 	day = experiment.Shrink(day, isBad, c.Most, env.out)
-	text, err := day.Write()
+	text, err := day.Encode()
 	if err != nil {
 		return err
 	}
--- a/internal/experiment/cell.go
+++ b/internal/experiment/cell.go
@@ -70,7 +70,7 @@
 
 // Scenario returns the scenario of a cell, ready to run.
 func (c Cell) Scenario() (*settings.Scenario, error) {
-	built, err := settings.ParseScenario("bad-day.xml", scenario.DefaultScenario, c.Arm.Without...)
+	built, err := settings.ParseScenario("bad-day.xml", scenario.DefaultScenario, c.Arm.DisabledGuards...)
 	if err != nil {
 		return nil, err
 	}
@@ -100,7 +100,7 @@
 	built.Slowest = minSpeed
 	built.Fastest = maxSpeed
 	built.Model = settings.ServerModel{
-		Connections:      40 + 3*c.Fleet.Proxies,
+		MaxConnections:   40 + 3*c.Fleet.Proxies,
 		ConnectionCost:   0.004,
 		KeyCacheDuration: 5,
 		KeyCacheSaving:   0.15,
--- a/internal/experiment/experiment_test.go
+++ b/internal/experiment/experiment_test.go
@@ -210,11 +210,11 @@
 	if !bad(shrunk) || len(shrunk.Faults) != 2 || servers > 8 || relays > 6 || shrunk.Seconds > 30 {
 		t.Errorf("%d faults, %d servers, %d relays, %v s", len(shrunk.Faults), servers, relays, shrunk.Seconds)
 	}
-	text, err := shrunk.Write()
+	text, err := shrunk.Encode()
 	if err != nil {
 		t.Fatal(err)
 	}
-	written, err := settings.ParseScenario("small.xml", text, cell.Arm.Without...)
+	written, err := settings.ParseScenario("small.xml", text, cell.Arm.DisabledGuards...)
 	if err != nil {
 		t.Fatalf("%v\n%s", err, text)
 	}
--- a/internal/settings/experiment.go
+++ b/internal/settings/experiment.go
@@ -49,7 +49,7 @@
 	Coordinators   int
 	ReportInterval float64 // seconds between two load reports; 0: the default
 	Admission      string
-	Without        []controlplane.Guard // guards that are disabled
+	DisabledGuards []controlplane.Guard // guards that are disabled
 	Program        string               // executable of another build that runs it; empty: this one
 }
 
@@ -155,7 +155,7 @@
 		if !slices.Contains(controlplane.Guards, guard) {
 			d.fail(element, "without: no guard is named %q", name)
 		}
-		arm.Without = append(arm.Without, guard)
+		arm.DisabledGuards = append(arm.DisabledGuards, guard)
 	}
 	if arm.Admission != admissionIgnored && arm.Frontend != "http" {
 		d.fail(element, "levels: only the front http has a word for them")
--- a/internal/settings/scenario_write.go
+++ b/internal/settings/scenario_write.go
@@ -63,9 +63,9 @@
 	return group
 }
 
-// Write returns the scenario as a file: the settings that it was read from, with its present fleet,
+// Encode returns the scenario as a file: the settings that it was read from, with its present fleet,
 // faults and parameters.
-func (s *Scenario) Write() ([]byte, error) {
+func (s *Scenario) Encode() ([]byte, error) {
 	root := &node{name: "day", attrs: map[string]string{
 		"seconds": formatNumber(s.Seconds),
 		"seed":    fmt.Sprint(s.Seed),
@@ -148,7 +148,7 @@
 		"queue":           fmt.Sprint(s.Queue),
 		"slowest":         formatNumber(s.Slowest),
 		"fastest":         formatNumber(s.Fastest),
-		"connections":     fmt.Sprint(s.Model.Connections),
+		"connections":     fmt.Sprint(s.Model.MaxConnections),
 		"connection-work": formatNumber(s.Model.ConnectionCost),
 		"key-for":         formatNumber(s.Model.KeyCacheDuration),
 		"key-less":        formatNumber(s.Model.KeyCacheSaving),
