--- a/internal/experiment/cell.go
+++ b/internal/experiment/cell.go
@@ -100,7 +100,7 @@
 	built.Slowest = minSpeed
 	built.Fastest = maxSpeed
 	built.Model = settings.ServerModel{
-		MaxConnections:   40 + 3*c.Fleet.Proxies,
+		ConnectionLimit:  40 + 3*c.Fleet.Proxies,
 		ConnectionCost:   0.004,
 		KeyCacheDuration: 5,
 		KeyCacheSaving:   0.15,
--- a/internal/scenario/servers.go
+++ b/internal/scenario/servers.go
@@ -36,7 +36,7 @@
 		FleetUID:         config.Policy.FleetUID,
 		Classes:          r.classes,
 		Seed:             r.random.Uint64(),
-		MaxConnections:   model.MaxConnections,
+		MaxConnections:   model.ConnectionLimit,
 		ConnectionWork:   model.ConnectionCost,
 		KeyCacheDuration: model.KeyCacheDuration,
 		KeyCacheSaving:   model.KeyCacheSaving,
--- a/internal/settings/scenario.go
+++ b/internal/settings/scenario.go
@@ -36,7 +36,7 @@
 
 // ServerModel is the behaviour of emulated servers besides their speed. A zero value disables a feature.
 type ServerModel struct {
-	MaxConnections                   int
+	ConnectionLimit                  int
 	ConnectionCost                   float64 // seconds on a core that a new connection costs
 	KeyCacheDuration, KeyCacheSaving float64 // seconds for which a key is cached, and the fraction of the work that this saves
 	MaxCachedKeys                    int     // maximum number of cached keys
@@ -108,7 +108,7 @@
 		d.fail(n, "the slowest is faster than the fastest")
 	}
 	scenario.Model = ServerModel{
-		MaxConnections:   n.int("connections"),
+		ConnectionLimit:  n.int("connections"),
 		ConnectionCost:   n.number("connection-work"),
 		KeyCacheDuration: n.number("key-for"),
 		KeyCacheSaving:   n.number("key-less"),
--- a/internal/settings/scenario_write.go
+++ b/internal/settings/scenario_write.go
@@ -148,7 +148,7 @@
 		"queue":           fmt.Sprint(s.Queue),
 		"slowest":         formatNumber(s.Slowest),
 		"fastest":         formatNumber(s.Fastest),
-		"connections":     fmt.Sprint(s.Model.MaxConnections),
+		"connections":     fmt.Sprint(s.Model.ConnectionLimit),
 		"connection-work": formatNumber(s.Model.ConnectionCost),
 		"key-for":         formatNumber(s.Model.KeyCacheDuration),
 		"key-less":        formatNumber(s.Model.KeyCacheSaving),
