--- a/internal/wire/graphite/line.go
+++ b/internal/wire/graphite/line.go
@@ -1,7 +1,7 @@
-// Package graphite writes and reads metrics in Graphite's plaintext protocol. Each line is "path value
-// timestamp" and ends with a line feed; the timestamp is in whole seconds since 1970. A path consists of
-// elements that are separated by dots; tags follow as ";name=value" (Graphite 1.1). The package does no
-// I/O.
+// Package graphite encodes and parses metrics in Graphite's plaintext protocol. Each line has the form "path
+// value timestamp" and ends with a line feed. The timestamp is in whole seconds since 1970. A path consists
+// of elements separated by dots, and may be followed by tags of the form ";name=value" (Graphite 1.1). The
+// package does no I/O.
 package graphite
 
 import (
@@ -13,21 +13,21 @@
 )
 
 const (
-	// MaxLineBytes is the maximum length of a line that is read.
+	// MaxLineBytes is the maximum length of a line that Parse accepts.
 	MaxLineBytes = 4096
 	// fieldsPerLine is the number of fields of a line: path, value and timestamp.
 	fieldsPerLine = 3
-	// maxExactInteger is the exclusive upper bound of the whole numbers that are written in full.
+	// maxExactInteger is the exclusive upper bound on the magnitude of integers that are written with all digits.
 	maxExactInteger = 1e15
-	// significantDigits is the precision of all other numbers.
+	// significantDigits is the number of significant digits of all other numbers.
 	significantDigits = 10
 )
 
-// ErrInvalidLine is returned for a line that is not valid. The next line can still be read.
-var ErrInvalidLine = errors.New("not a line of a figure")
+// ErrInvalidLine is returned for an invalid line. Later lines of the stream can still be parsed.
+var ErrInvalidLine = errors.New("invalid Graphite line")
 
-// PathElement returns a text as one element of a path: each byte that could end the element or the line
-// becomes "_". An empty text becomes "_" too.
+// PathElement converts a text to one element of a path. Each byte other than an ASCII letter, a digit, "-" and
+// "_" is replaced by "_", since it could end the element or the line. An empty text is also replaced by "_".
 func PathElement(text string) string {
 	if text == "" {
 		return "_"
@@ -43,7 +43,7 @@
 	return string(element)
 }
 
-// Append appends a line to b and returns the extended buffer. The time is in seconds since 1970.
+// Append appends a line to b and returns the extended buffer. The time at is in seconds since 1970.
 func Append(b []byte, path string, value, at float64) []byte {
 	b = append(b, path...)
 	b = append(b, ' ')
@@ -57,21 +57,21 @@
 	return append(b, '\n')
 }
 
-// Line is the value of a metric at a time.
+// Line is a parsed line: the value of a metric at a point in time.
 type Line struct {
 	Path  string
 	Value float64
 	At    int64 // seconds since 1970
 }
 
-// Parse reads a line without its line feed. Errors wrap ErrInvalidLine.
+// Parse parses a line without its line feed. Its errors wrap ErrInvalidLine.
 func Parse(text []byte) (Line, error) {
 	if len(text) > MaxLineBytes {
-		return Line{}, fmt.Errorf("%w: %d bytes", ErrInvalidLine, len(text))
+		return Line{}, fmt.Errorf("%w: length of %d bytes", ErrInvalidLine, len(text))
 	}
 	fields := bytes.Fields(text)
 	if len(fields) != fieldsPerLine {
-		return Line{}, fmt.Errorf("%w: %d words", ErrInvalidLine, len(fields))
+		return Line{}, fmt.Errorf("%w: %d fields", ErrInvalidLine, len(fields))
 	}
 	value, err := strconv.ParseFloat(string(fields[1]), 64)
 	if err != nil || math.IsNaN(value) || math.IsInf(value, 0) {
@@ -79,7 +79,7 @@
 	}
 	at, err := strconv.ParseInt(string(fields[2]), 10, 64)
 	if err != nil {
-		return Line{}, fmt.Errorf("%w: time %q", ErrInvalidLine, fields[2])
+		return Line{}, fmt.Errorf("%w: timestamp %q", ErrInvalidLine, fields[2])
 	}
 	return Line{Path: string(fields[0]), Value: value, At: at}, nil
 }
--- a/internal/wire/graphite/line_test.go
+++ b/internal/wire/graphite/line_test.go
@@ -20,15 +20,15 @@
 	} {
 		got := string(Append(nil, "a.b", c.value, c.at))
 		if got != c.want {
-			t.Errorf("%q, want %q", got, c.want)
+			t.Errorf("Append returns %q, want %q", got, c.want)
 		}
 		line, err := Parse([]byte(strings.TrimSuffix(got, "\n")))
 		if err != nil {
-			t.Errorf("%q: %v", got, err)
+			t.Errorf("Parse of %q fails: %v", got, err)
 		}
 		isClose := math.Abs(line.Value-c.value) <= 1e-9*math.Abs(c.value)
 		if line.Path != "a.b" || !isClose || line.At != int64(math.Floor(c.at)) {
-			t.Errorf("%q: %+v", got, line)
+			t.Errorf("Parse of %q returns %+v", got, line)
 		}
 	}
 }
@@ -43,7 +43,7 @@
 		"ok-1_x":      "ok-1_x",
 	} {
 		if got := PathElement(text); got != want {
-			t.Errorf("%q becomes %q, want %q", text, got, want)
+			t.Errorf("PathElement of %q is %q, want %q", text, got, want)
 		}
 	}
 }
@@ -52,7 +52,7 @@
 	tooLong := "a 1 " + strings.Repeat("9", 5000)
 	for _, line := range []string{"", "a", "a 1", "a 1 2 3", "a x 1", "a NaN 1", "a Inf 1", "a 1 1.5", tooLong} {
 		if _, err := Parse([]byte(line)); !errors.Is(err, ErrInvalidLine) {
-			t.Errorf("%q is accepted", line)
+			t.Errorf("invalid line %q is accepted", line)
 		}
 	}
 }
@@ -61,7 +61,7 @@
 	f.Add("a.b 3 1000")
 	f.Fuzz(func(t *testing.T, line string) {
 		if l, err := Parse([]byte(line)); err == nil && (l.Path == "" || math.IsNaN(l.Value)) {
-			t.Errorf("%q is parsed as %+v", line, l)
+			t.Errorf("Parse of %q returns %+v, which has an empty path or an invalid value", line, l)
 		}
 	})
 }
