--- a/internal/core/spool/empty_sample_test.go
+++ b/internal/core/spool/empty_sample_test.go
@@ -2,7 +2,8 @@
 
 import "testing"
 
-// A sample without values that is the first on a connection does not keep those after it from being forgotten once they are delivered.
+// If the first sample on a connection has no values, the samples after it are still discarded once they are
+// delivered. Such a sample has no bytes whose delivery is reported, so it could block the removal of all later ones.
 func TestEmptySampleIsForgotten(t *testing.T) {
 	const now = 1000.0
 	s := NewSender(now, DefaultConfig, func() float64 { return 0.5 })
@@ -25,6 +26,6 @@
 	s.Delivered(now+21, uint64(sent))
 	s.Tick(now + 21 + DefaultConfig.Overlap + 1)
 	if waiting := s.Unacknowledged(); waiting != 0 {
-		t.Errorf("%d samples are kept for another connection though they were delivered", waiting)
+		t.Errorf("%d samples would still be resent although they were delivered longer ago than the overlap", waiting)
 	}
 }
--- a/internal/core/spool/merge.go
+++ b/internal/core/spool/merge.go
@@ -1,13 +1,13 @@
 package spool
 
-// shrink merges samples until the values fit into the capacity.
+// shrink merges samples until the number of values is within the capacity or only one sample is left.
 func (s *Spool) shrink() {
 	for s.values > s.config.MaxValues && len(s.samples) >= 2 {
 		s.merge()
 	}
 }
 
-// merge merges two samples. There must be two at least.
+// merge merges two adjacent samples. There must be at least two samples.
 func (s *Spool) merge() {
 	index := s.mergeIndex()
 	older := s.samples[index]
@@ -19,13 +19,13 @@
 	s.Stats.Merged++
 }
 
-// mergeIndex returns the index of the older of the two samples that are merged next: the oldest ones of
-// the smallest size of which there are too many, or else of the most frequent size. If all sizes differ,
-// they are the two newest samples, which leaves the older ones as they are.
+// mergeIndex returns the index of the older of the two samples to merge next. These are the two oldest samples
+// of the smallest size that has more than MaxPerSize samples, or else of the most frequent size. If all sizes
+// differ, they are the two newest samples, so that the older ones do not change.
 func (s *Spool) mergeIndex() int {
 	index := len(s.samples) - 2
 	mostFrequent := 1
-	for end := len(s.samples); end > 0; { // samples of one size are adjacent, the smallest at the end
+	for end := len(s.samples); end > 0; { // samples of the same size are adjacent, and the smallest are at the end
 		begin := s.firstOfSize(end - 1)
 		count := end - begin
 		if count > s.config.MaxPerSize {
@@ -40,7 +40,7 @@
 	return index
 }
 
-// firstOfSize returns the index of the first adjacent sample of the same size.
+// firstOfSize returns the index of the first of the adjacent samples with the same size as the given one.
 func (s *Spool) firstOfSize(index int) int {
 	size := s.samples[index].Size
 	for index > 0 && s.samples[index-1].Size == size {
@@ -49,7 +49,7 @@
 	return index
 }
 
-// mergeSamples merges two samples, whose values are sorted by ID.
+// mergeSamples merges two samples, whose values must be sorted by ID.
 func mergeSamples(older, newer *Sample) *Sample {
 	merged := &Sample{
 		At:     newer.At,
@@ -74,7 +74,7 @@
 	return merged
 }
 
-// mergeValues merges two values of a series. A counter keeps its newer value.
+// mergeValues merges two values of a series. A counter takes the newer value, and a gauge the weighted mean.
 func mergeValues(older, newer Value, olderShare float64) Value {
 	merged := newer
 	merged.Min = min(older.Min, newer.Min)
--- a/internal/core/spool/sender.go
+++ b/internal/core/spool/sender.go
@@ -5,56 +5,56 @@
 
 // States of the connection to the receiver.
 const (
-	Disconnected State = iota // there is no connection; the next attempt waits for its backoff
+	Disconnected State = iota // there is no connection; the next attempt follows after a backoff
 	Dialing                   // the connection is being established
 	Connected                 // the connection is established
 )
 
-// Action is what a Sender asks its caller to do.
+// Action is an action that a Sender requests from its caller.
 type Action int
 
 // Actions of a Sender.
 const (
 	NoAction Action = iota
-	// Dial asks for a connection. The caller reports the result by ConnectionEstablished or ConnectionLost.
+	// Dial requests a connection. The caller reports the result by ConnectionEstablished or ConnectionLost.
 	Dial
-	// CloseConnection asks to close the connection, which has stalled. ConnectionLost need not be called.
+	// CloseConnection requests that the stalled connection be closed. The caller need not call ConnectionLost.
 	CloseConnection
 )
 
-// inFlightSample is a sample that was sent and may not have been read by the receiver.
+// inFlightSample is a sample that was sent but may not have been read by the receiver.
 type inFlightSample struct {
 	*Sample
-	end         uint64  // offset of its end in the bytes of the connection
-	deliveredAt float64 // when the receiver's host had it, in seconds; 0: not yet
+	end         uint64  // offset of its end in the byte stream of the connection
+	deliveredAt float64 // time in seconds when it was delivered to the receiver's host; 0 if not yet delivered
 }
 
-// Sender sends the samples of a spool to a receiver in the order of time, each at least once: after a
-// connection is lost, it sends the samples again that were not delivered, and those that were delivered
-// within the overlap. A receiver that keeps one value for a time, as Graphite does, sees each sample once.
-// Samples are lost only if the receiver's host had them for longer than the overlap without the receiver
-// reading them.
+// Sender sends the samples of a spool to a receiver in chronological order, each at least once. After a
+// connection was lost, it resends the samples that were not delivered and those that were delivered within the
+// overlap. A receiver that stores one value per timestamp, such as Graphite, stores each sample once. Samples
+// are lost only if they were delivered to the receiver's host and the receiver did not read them for longer than
+// the overlap.
 type Sender struct {
 	*Spool
-	Disconnects int // connections that were lost with samples in flight
-	Sent        int // samples sent, including those sent again
+	Disconnects int // number of connections lost with samples in flight
+	Sent        int // number of samples sent, including resent ones
 
 	state      State
-	attempts   int     // failed attempts to connect since the last connection
-	nextDialAt float64 // time of the next attempt in seconds
+	attempts   int     // number of lost connections and failed attempts since a connection was last established
+	nextDialAt float64 // earliest time of the next attempt to connect in seconds
 	random     func() float64
 
 	inFlight   []inFlightSample // oldest first
-	sentBytes  uint64           // on this connection
-	delivered  uint64           // bytes of this connection that the receiver's host has
-	progressAt float64          // when bytes were last delivered, or sent while none were in flight
+	sentBytes  uint64           // bytes sent on this connection
+	delivered  uint64           // bytes of this connection that were delivered to the receiver's host
+	progressAt float64          // time when bytes were last delivered, or sent while none were in flight
 
-	tokens     float64 // values that the rate limit allows
-	refilledAt float64 // when tokens were last added
+	tokens     float64 // number of values that the rate limit allows to be sent
+	refilledAt float64 // time when tokens were last added
 }
 
-// NewSender returns a sender with an empty spool. The function random returns uniform numbers from 0 to 1,
-// which spread the attempts to connect.
+// NewSender returns a Sender with an empty spool. The function random returns uniformly distributed numbers from
+// 0 to 1, which randomize the backoff between attempts to connect.
 func NewSender(now float64, config Config, random func() float64) *Sender {
 	return &Sender{
 		Spool:      New(config),
@@ -68,12 +68,12 @@
 // State returns the state of the connection.
 func (s *Sender) State() State { return s.state }
 
-// Unacknowledged returns the number of samples that would be sent again if the connection were lost.
+// Unacknowledged returns the number of samples that would be resent if the connection were lost.
 func (s *Sender) Unacknowledged() int { return len(s.inFlight) }
 
-// Tick returns what is to be done now.
+// Tick advances the sender to the time now and returns the action that the caller must take.
 func (s *Sender) Tick(now float64) Action {
-	s.forgetRead(now)
+	s.discardRead(now)
 	switch s.state {
 	case Disconnected:
 		hasWork := len(s.samples) > 0 || len(s.inFlight) > 0
@@ -90,8 +90,9 @@
 	return NoAction
 }
 
-// forgetRead removes the samples that the receiver's host has had for longer than the overlap.
-func (s *Sender) forgetRead(now float64) {
+// discardRead removes the samples that were delivered to the receiver's host longer ago than the overlap. The
+// receiver is assumed to have read them.
+func (s *Sender) discardRead(now float64) {
 	for len(s.inFlight) > 0 {
 		oldest := s.inFlight[0]
 		if oldest.deliveredAt <= 0 || now-oldest.deliveredAt <= s.config.Overlap {
@@ -101,7 +102,7 @@
 	}
 }
 
-// ConnectionEstablished reports that a connection is established.
+// ConnectionEstablished notifies the sender that a connection is established.
 func (s *Sender) ConnectionEstablished(now float64) {
 	s.state = Connected
 	s.attempts = 0
@@ -110,8 +111,8 @@
 	s.progressAt = now
 }
 
-// ConnectionLost reports that the connection was lost or could not be established. The samples in flight
-// are sent again.
+// ConnectionLost notifies the sender that the connection was lost or could not be established. The samples in
+// flight will be resent.
 func (s *Sender) ConnectionLost(now float64) {
 	s.state = Disconnected
 	backoff := s.config.MinBackoff
@@ -132,8 +133,8 @@
 	s.requeue(samples)
 }
 
-// Next returns the sample that is to be sent now, or false if there is none, or if the window or the rate
-// limit allows none. The caller sends it and calls RecordWrite at once.
+// Next returns the sample to send now. It returns false if there is none, or if the limit of bytes in flight or the
+// rate limit does not allow it. The caller must send the sample and call RecordWrite immediately.
 func (s *Sender) Next(now float64) (*Sample, bool) {
 	s.tokens = min(s.config.MaxRate, s.tokens+max(0, now-s.refilledAt)*s.config.MaxRate)
 	s.refilledAt = max(s.refilledAt, now)
@@ -146,7 +147,7 @@
 	return s.samples[0], true
 }
 
-// RecordWrite records that the sample that Next returned was sent, with its size in bytes.
+// RecordWrite records that the sample returned by Next was sent, with its encoded size in bytes.
 func (s *Sender) RecordWrite(now float64, size int) {
 	if s.sentBytes == s.delivered {
 		s.progressAt = now
@@ -156,13 +157,14 @@
 	s.tokens -= float64(len(sample.Values))
 	s.Sent++
 	sent := inFlightSample{Sample: sample, end: s.sentBytes}
-	if s.sentBytes == 0 { // it has no values, and no bytes whose delivery would be reported
+	if s.sentBytes == 0 { // it has no values, and thus no bytes whose delivery would be reported
 		sent.deliveredAt = now
 	}
 	s.inFlight = append(s.inFlight, sent)
 }
 
-// Delivered reports the total number of bytes of the connection that the receiver's host has.
+// Delivered notifies the sender of the total number of bytes of the connection that were delivered to the
+// receiver's host.
 func (s *Sender) Delivered(now float64, total uint64) {
 	if s.state != Connected || total <= s.delivered {
 		return
--- a/internal/core/spool/spool.go
+++ b/internal/core/spool/spool.go
@@ -1,11 +1,11 @@
-// Package spool buffers samples of metrics for a receiver that may be unreachable for a long time. Samples
-// are kept at full resolution while there is capacity; otherwise the older ones are merged, so that the
-// buffer covers the whole outage and not only its last minutes. The package also decides when samples are
-// sent and when they count as delivered. It does no I/O.
+// Package spool buffers samples of metrics for a receiver that may be unreachable for a long time. Samples are
+// stored at full resolution as long as the capacity suffices. Beyond that, older ones are merged, so that the
+// buffer covers the whole outage and not only its last minutes. The package also decides when samples are sent
+// and when they count as delivered. It does no I/O.
 //
 // Samples are merged like the buckets of an exponential histogram: the number of samples of each size is
-// limited, and if there are more, the two oldest of a size become one of twice the size. A merged counter
-// keeps its last value; a merged gauge keeps its mean, minimum and maximum.
+// limited, and if there are more, the two oldest of a size are merged into one of twice the size. A merged
+// counter has its last value; a merged gauge has its mean, minimum and maximum.
 package spool
 
 import (
@@ -20,8 +20,8 @@
 
 // Kinds of series.
 const (
-	Gauge   Kind = iota // goes up and down
-	Counter             // only grows
+	Gauge   Kind = iota // can increase and decrease
+	Counter             // can only increase
 )
 
 // Value is the value of a series in a sample. Before any merge, the mean, minimum and maximum are equal.
@@ -31,27 +31,27 @@
 	Mean, Min, Max float64
 }
 
-// Sample holds the values of all series at one time, or of several times that were merged.
+// Sample holds the values of all series at one time, or merged from several times.
 type Sample struct {
 	At     float64 // latest time, in seconds since 1970
 	From   float64 // earliest time, in seconds since 1970
 	Size   int     // number of samples that it was merged from
-	Values []Value // by ID
+	Values []Value // sorted by ID
 }
 
 // Config is the configuration of a spool and its sender.
 type Config struct {
 	MaxValues        int     // maximum number of values in all samples
-	MaxPerSize       int     // number of samples of one size above which the two oldest are merged; at least 2
-	Overlap          float64 // seconds since delivery for which samples are sent again after a lost connection, since the receiver may not have read them
-	MaxInFlightBytes int     // maximum number of bytes that are not delivered
-	MaxRate          float64 // values sent per second, which protects a receiver that has recovered
-	MinBackoff       float64 // seconds before the second attempt to connect; doubled for each further one
-	MaxBackoff       float64 // maximum seconds between two attempts to connect
-	StallTimeout     float64 // seconds without progress after which a connection is closed
+	MaxPerSize       int     // number of samples of one size above which its two oldest are merged first; at least 2
+	Overlap          float64 // seconds after delivery in which samples are resent if the connection is lost, since they may be unread
+	MaxInFlightBytes int     // number of sent but undelivered bytes from which on no further sample is sent
+	MaxRate          float64 // maximum number of values sent per second, which protects a receiver that has just recovered
+	MinBackoff       float64 // backoff in seconds after the first failure to connect; doubled after each further one
+	MaxBackoff       float64 // maximum backoff in seconds
+	StallTimeout     float64 // seconds without delivery of sent bytes after which a connection is closed
 }
 
-// DefaultConfig keeps an hour of 300 series at intervals of ten seconds without merging, in 4 MB.
+// DefaultConfig has the capacity for an hour of 300 series at intervals of ten seconds without merging, in 4 MB.
 var DefaultConfig = Config{
 	MaxValues:        1 << 17,
 	MaxPerSize:       64,
@@ -66,20 +66,20 @@
 // minPerSize is the lower bound of Config.MaxPerSize: two samples are needed for a merge.
 const minPerSize = 2
 
-// Spool is a buffer of samples. Use New.
+// Spool is a buffer of samples. It must be created by New.
 type Spool struct {
 	Stats Stats
 
 	config  Config
-	samples []*Sample // oldest first; sizes never grow from one to the next
-	values  int       // in all samples
+	samples []*Sample // oldest first; sizes never increase from one to the next
+	values  int       // number of values in all samples
 }
 
-// Stats counts events, for metrics.
+// Stats counts events since the start, for metrics.
 type Stats struct {
-	Samples int // added
-	Merged  int // merges of two samples
-	Dropped int // values of samples that exceeded the capacity alone
+	Samples int // number of samples added
+	Merged  int // number of merges of two samples
+	Dropped int // number of values dropped because a single sample exceeded the capacity
 }
 
 // New returns an empty spool.
@@ -88,7 +88,7 @@
 	return &Spool{config: config}
 }
 
-// Add adds a sample. The values must be sorted by ID; those that are not finite are left out.
+// Add adds a sample. The values must be sorted by ID. Values that are not finite are ignored.
 func (s *Spool) Add(at float64, values []Value) {
 	finite := make([]Value, 0, len(values))
 	for _, value := range values {
@@ -107,13 +107,14 @@
 	s.shrink()
 }
 
-// Len returns the number of samples and of values that wait to be sent.
+// Len returns the numbers of samples and values that are waiting to be sent.
 func (s *Spool) Len() (samples, values int) { return len(s.samples), s.values }
 
-// Samples returns the samples that wait to be sent, oldest first. They must not be changed.
+// Samples returns the samples that are waiting to be sent, oldest first. They must not be modified.
 func (s *Spool) Samples() []*Sample { return s.samples }
 
-// LongestSpan returns the longest time in seconds that one sample covers, which is the coarsest resolution.
+// LongestSpan returns the longest time in seconds that one sample covers, which is the coarsest resolution in
+// the buffer.
 func (s *Spool) LongestSpan() float64 {
 	longest := 0.0
 	for _, sample := range s.samples {
@@ -130,7 +131,7 @@
 	return oldest
 }
 
-// requeue inserts samples that were not delivered before all others.
+// requeue inserts undelivered samples before all others.
 func (s *Spool) requeue(undelivered []*Sample) {
 	all := make([]*Sample, 0, len(undelivered)+len(s.samples))
 	all = append(all, undelivered...)
--- a/internal/core/spool/spool_test.go
+++ b/internal/core/spool/spool_test.go
@@ -8,7 +8,7 @@
 	"pgregory.net/rapid"
 )
 
-// values returns one value of each of n series, gauges and counters in turn.
+// values returns the value v for each of n series, which are alternately gauges and counters.
 func values(n int, v float64) []Value {
 	var all []Value
 	for i := range n {
@@ -17,8 +17,8 @@
 	return all
 }
 
-// The capacity is never exceeded, samples are in the order of time and cover all of it, counters keep their last value, and gauges keep
-// their extremes and their mean over all samples.
+// The capacity is never exceeded, samples are in chronological order and cover the whole time, counters have their
+// last value, and gauges have their extremes and their mean over all samples.
 func TestSpoolCoversTheWholeTime(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		config := DefaultConfig
@@ -39,7 +39,8 @@
 			highest = max(highest, v)
 			samples, kept := s.Len()
 			if kept > config.MaxValues || samples == 0 {
-				r.Fatalf("%d samples with %d values are kept, at most %d values may be", samples, kept, config.MaxValues)
+				r.Fatalf("the spool has %d samples with %d values, want at least 1 sample and at most %d values",
+					samples, kept, config.MaxValues)
 			}
 			covered := 0
 			at := 0.0
@@ -49,7 +50,8 @@
 			for k, sample := range s.Samples() {
 				overlaps := sample.At <= at || k > 0 && sample.From <= at
 				if overlaps || sample.From > sample.At || k > 0 && sample.Size > s.Samples()[k-1].Size {
-					r.Fatalf("sample %d of size %d from %v to %v, the previous one ends at %v", k, sample.Size, sample.From, sample.At, at)
+					r.Fatalf("sample %d of size %d covers %v to %v, but the previous one ends at %v or is smaller",
+						k, sample.Size, sample.From, sample.At, at)
 				}
 				at = sample.At
 				covered += sample.Size
@@ -59,15 +61,16 @@
 				gaugeMax = max(gaugeMax, gauge.Max)
 			}
 			if covered != count || s.Samples()[0].From != 1000 || at != float64(1000+10*i) {
-				r.Fatalf("%d of %d samples, from %v to %v", covered, count, s.Samples()[0].From, at)
+				r.Fatalf("%d of %d samples are covered, from %v to %v", covered, count, s.Samples()[0].From, at)
 			}
 			tolerance := 1e-6*math.Max(1, math.Abs(sum)) + 1e-6
 			if math.Abs(gaugeSum-sum) > tolerance || gaugeMin != lowest || gaugeMax != highest {
-				r.Fatalf("the gauge has sum %v, minimum %v, maximum %v; want %v, %v, %v", gaugeSum, gaugeMin, gaugeMax, sum, lowest, highest)
+				r.Fatalf("gauge has sum %v, minimum %v, maximum %v, want %v, %v, %v",
+					gaugeSum, gaugeMin, gaugeMax, sum, lowest, highest)
 			}
 			if n > 1 {
 				if counter := s.Samples()[len(s.Samples())-1].Values[1]; counter.Mean != v {
-					r.Fatalf("the counter ends at %v, want %v", counter.Mean, v)
+					r.Fatalf("last value of the counter is %v, want %v", counter.Mean, v)
 				}
 			}
 		}
@@ -81,15 +84,16 @@
 	s.Add(3, []Value{{ID: 3, Mean: 9, Min: 9, Max: 9}})
 	merged := s.Samples()[0].Values
 	if len(merged) != 3 || merged[0].ID != 1 || merged[1].ID != 2 || merged[2].Mean != 6 && merged[2].Mean != 7 {
-		t.Errorf("%+v", merged)
+		t.Errorf("unexpected merged values %+v", merged)
 	}
 	s.Add(4, values(9, 1))
 	if _, n := s.Len(); n > 4 || s.Stats.Dropped != 5 {
-		t.Errorf("%d values, %d dropped", n, s.Stats.Dropped)
+		t.Errorf("spool has %d values and %d were dropped, want at most 4 and 5 dropped", n, s.Stats.Dropped)
 	}
 }
 
-// All samples arrive at a receiver that fails, stalls and loses what it has not read, and the window is respected.
+// All samples arrive at a receiver that fails, stalls and loses data that it has not read, and the limit of bytes in
+// flight is respected.
 func TestSenderDeliversEverySample(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		const sampleBytes = 100
@@ -99,17 +103,17 @@
 		config.MaxRate = 200
 		config.StallTimeout = 3
 		s := NewSender(1000, config, func() float64 { return 0.5 })
-		arrived := map[float64]bool{} // by the time of the sample
+		arrived := map[float64]bool{} // by time of the sample
 		now := 1000.0
 		nextSampleAt := 1000.0
 		connected := false
-		sent := uint64(0)      // bytes on this connection
-		delivered := uint64(0) // of them
+		sent := uint64(0)      // bytes sent on this connection
+		delivered := uint64(0) // bytes of them that were delivered
 		type inFlight struct {
 			at          float64
 			deliveredAt float64
 		}
-		var unread []inFlight // sent on this connection and not read by the receiver
+		var unread []inFlight // samples sent on this connection that the receiver has not read
 		added := 0
 		for step := range 3000 {
 			now += 0.05
@@ -118,7 +122,7 @@
 				nextSampleAt = now + 1
 				added++
 			}
-			recovered := step > 2200 // there are no more faults
+			recovered := step > 2200 // no further faults are injected
 			switch s.Tick(now) {
 			case Dial:
 				if recovered || rapid.IntRange(0, 3).Draw(r, "reached") > 0 {
@@ -140,7 +144,7 @@
 					break
 				}
 				if !connected || sent-delivered >= uint64(config.MaxInFlightBytes) {
-					r.Fatal("a sample is sent without a connection or beyond the window")
+					r.Fatal("a sample is sent without a connection or beyond the limit of bytes in flight")
 				}
 				sent += sampleBytes
 				unread = append(unread, inFlight{at: sample.At})
@@ -148,7 +152,7 @@
 			}
 			if connected && !recovered && rapid.IntRange(0, 99).Draw(r, "breaks") == 0 {
 				connected = false
-				unread = nil // the receiver loses what it has not read
+				unread = nil // the receiver loses the data that it has not read
 				s.ConnectionLost(now)
 			}
 			if connected && (recovered || rapid.IntRange(0, 9).Draw(r, "takes") < 7) {
@@ -160,7 +164,7 @@
 					}
 				}
 			}
-			// The receiver reads half a second after delivery, which is well within the overlap.
+			// The receiver reads each sample half a second after its delivery, which is well within the overlap.
 			for len(unread) > 0 && unread[0].deliveredAt > 0 && (recovered || now-unread[0].deliveredAt > 0.5) {
 				arrived[unread[0].at] = true
 				unread = unread[1:]
@@ -172,7 +176,7 @@
 	})
 }
 
-// ring is a buffer that drops the oldest samples, to compare with.
+// ring is a buffer that drops the oldest samples. The tests compare the spool with it.
 type ring struct {
 	samples   []*Sample
 	values    int
@@ -188,7 +192,8 @@
 	}
 }
 
-// With the capacity of ten minutes, a ring covers the last ten minutes of an hour, and the spool covers the whole hour.
+// With a capacity for ten minutes, a ring covers only the last ten minutes of an hour, but the spool covers the
+// whole hour.
 func TestSpoolCoversAnHourInTenMinutesCapacity(t *testing.T) {
 	config := DefaultConfig
 	config.MaxValues = 60 * 100 // 60 samples of 100 series: ten minutes at intervals of ten seconds
@@ -201,16 +206,18 @@
 	}
 	spans := s.Samples()[len(s.Samples())-1].At - s.Samples()[0].From
 	plainSpan := plain.samples[len(plain.samples)-1].At - plain.samples[0].At
-	t.Logf("the spool spans %.0f s in %d samples, the coarsest of %.0f s; the ring %.0f s", spans, len(s.Samples()), s.LongestSpan(), plainSpan)
+	t.Logf("the spool covers %.0f s in %d samples, of which the coarsest covers %.0f s; the ring covers %.0f s",
+		spans, len(s.Samples()), s.LongestSpan(), plainSpan)
 	if spans != 3590 || plainSpan > 600 || s.LongestSpan() > 300 {
-		t.Errorf("the spool spans %.0f s, the coarsest %.0f s; the ring %.0f s", spans, s.LongestSpan(), plainSpan)
+		t.Errorf("the spool covers %.0f s, its coarsest sample %.0f s, the ring %.0f s; want 3590, at most 300 and at most 600",
+			spans, s.LongestSpan(), plainSpan)
 	}
 	whole := New(DefaultConfig)
 	for i := range 360 {
 		whole.Add(float64(10*i), values(300, float64(i)))
 	}
 	if whole.Stats.Merged > 0 {
-		t.Errorf("an hour of 300 series is not kept whole: %d merged", whole.Stats.Merged)
+		t.Errorf("an hour of 300 series exceeds the default capacity: %d merges, want none", whole.Stats.Merged)
 	}
 }
 
