--- a/internal/settings/administration.go
+++ b/internal/settings/administration.go
@@ -15,20 +15,20 @@
 	"host":   authz.RoleHost,
 }
 
-// readCallers reads the callers of the administration API.
+// readCallers reads the callers of the administration API and their keys.
 func (d *decoder) readCallers(root *node) []authz.Credential {
 	var callers []authz.Credential
-	for _, n := range root.all("caller") {
+	for _, n := range root.childrenNamed("caller") {
 		caller := authz.Credential{
 			Principal: authz.Principal{Name: n.attrs["name"], Role: roles[n.attrs["role"]]},
 			Secret:    n.attrs["key"],
 		}
 		if len(caller.Secret) < minKeyBytes {
-			d.fail(n, "key: %d bytes, %d at least", len(caller.Secret), minKeyBytes)
+			d.addError(n, "key: %d bytes, must be at least %d", len(caller.Secret), minKeyBytes)
 		}
 		for _, other := range callers {
 			if strings.EqualFold(other.Name, caller.Name) || other.Secret == caller.Secret {
-				d.fail(n, "there are two callers named %q, or with one key", caller.Name)
+				d.addError(n, "caller %q: another caller has the same name or key", caller.Name)
 			}
 		}
 		callers = append(callers, caller)
@@ -36,9 +36,9 @@
 	return callers
 }
 
-var graphitePrefix = regexp.MustCompile(`^[A-Za-z0-9_-]+(\.[A-Za-z0-9_-]+)*$`)
+var graphitePrefixPattern = regexp.MustCompile(`^[A-Za-z0-9_-]+(\.[A-Za-z0-9_-]+)*$`)
 
-// readGraphite reads where metrics are sent; nil: nowhere.
+// readGraphite reads the configuration for sending metrics. It returns nil if no metrics are sent.
 func (d *decoder) readGraphite(element *node) *graphite.Config {
 	if element == nil {
 		return nil
@@ -50,8 +50,9 @@
 		MaxSeries: graphite.DefaultMaxSeries,
 		Spool:     spool.DefaultConfig,
 	}
-	if !graphitePrefix.MatchString(config.Prefix) {
-		d.fail(element, "prefix %q: parts of letters, digits, _ and -, with dots between them", config.Prefix)
+	if !graphitePrefixPattern.MatchString(config.Prefix) {
+		d.addError(element, "prefix %q: must consist of letters, digits, _ and -, in parts separated by single dots",
+			config.Prefix)
 	}
 	element.overrideInt("series", &config.MaxSeries)
 	element.overrideInt("values", &config.Spool.MaxValues)
--- a/internal/settings/document.go
+++ b/internal/settings/document.go
@@ -14,11 +14,11 @@
 )
 
 const (
-	// maxFileBytes is enough for 5,000 proxies and 1,000 servers.
+	// maxFileBytes is the maximum size of a file, which is enough for 5,000 proxies and 1,000 servers.
 	maxFileBytes = 16 << 20
-	// maxDepth is the maximum number of nested elements.
+	// maxDepth is the maximum nesting depth of elements.
 	maxDepth = 16
-	// unknownElement stands for the element in errors outside all elements.
+	// unknownElement is the element name in errors that occur outside all elements.
 	unknownElement = "?"
 )
 
@@ -30,7 +30,7 @@
 	Problem string
 }
 
-// Error returns the file, line, element and problem.
+// Error returns the message "file:line: <element>: problem".
 func (e *Error) Error() string {
 	return fmt.Sprintf("%s:%d: <%s>: %s", cmp.Or(e.File, "settings"), e.Line, e.Element, e.Problem)
 }
@@ -44,13 +44,13 @@
 	text     string
 }
 
-// errorf returns an error at the element.
+// errorf returns an error with the line and name of the element.
 func (n *node) errorf(format string, args ...any) *Error {
 	return &Error{Line: n.line, Element: n.name, Problem: fmt.Sprintf(format, args...)}
 }
 
-// all returns the children with a name.
-func (n *node) all(name string) []*node {
+// childrenNamed returns the children with the given name.
+func (n *node) childrenNamed(name string) []*node {
 	var found []*node
 	for _, child := range n.children {
 		if child.name == name {
@@ -60,49 +60,50 @@
 	return found
 }
 
-// one returns the first child with a name, or nil.
-func (n *node) one(name string) *node {
-	found := n.all(name)
+// firstChild returns the first child with the given name, or nil.
+func (n *node) firstChild(name string) *node {
+	found := n.childrenNamed(name)
 	if len(found) == 0 {
 		return nil
 	}
 	return found[0]
 }
 
-// number returns an attribute that the schema has validated as a number, and 0 if it is missing.
+// number returns the value of an attribute that was validated as a number, or 0 if it is missing.
 func (n *node) number(name string) float64 {
 	value, _ := strconv.ParseFloat(cmp.Or(n.attrs[name], "0"), 64)
 	return value
 }
 
-// int returns an attribute that the schema has validated as an integer, and 0 if it is missing.
+// int returns the value of an attribute that was validated as an integer, or 0 if it is missing.
 func (n *node) int(name string) int { return int(n.number(name)) }
 
 func (n *node) bool(name string) bool { return n.attrs[name] == "true" || n.attrs[name] == "1" }
 
-// overrideInt sets a value from an attribute that is positive; otherwise the value keeps its default.
+// overrideInt sets *value to an attribute if that is positive; otherwise *value keeps its default.
 func (n *node) overrideInt(name string, value *int) {
 	if configured := n.int(name); configured > 0 {
 		*value = configured
 	}
 }
 
-// overrideNumber sets a value from an attribute that is positive; otherwise the value keeps its default.
+// overrideNumber sets *value to an attribute if that is positive; otherwise *value keeps its default.
 func (n *node) overrideNumber(name string, value *float64) {
 	if configured := n.number(name); configured > 0 {
 		*value = configured
 	}
 }
 
-// parse reads a file into nodes and returns the root. Its errors are of type *Error.
+// parse parses the text of a file and returns its root element. Its errors are of type *Error.
 func parse(text []byte) (*node, error) {
 	if len(text) > maxFileBytes {
-		return nil, &Error{Line: 1, Element: unknownElement, Problem: fmt.Sprintf("the file has over %d bytes", maxFileBytes)}
+		return nil, &Error{Line: 1, Element: unknownElement,
+			Problem: fmt.Sprintf("the file is larger than %d bytes", maxFileBytes)}
 	}
 	tokens := xml.NewDecoder(bytes.NewReader(text))
 	var builder treeBuilder
 	for {
-		line, _ := tokens.InputPos() // where the token starts
+		line, _ := tokens.InputPos() // line where the token starts
 		token, err := tokens.Token()
 		if errors.Is(err, io.EOF) {
 			break
@@ -115,7 +116,7 @@
 		}
 	}
 	if builder.root == nil {
-		return nil, &Error{Line: 1, Element: unknownElement, Problem: "there is no element"}
+		return nil, &Error{Line: 1, Element: unknownElement, Problem: "there is no root element"}
 	}
 	return builder.root, nil
 }
@@ -123,7 +124,7 @@
 // treeBuilder builds the tree of nodes from XML tokens.
 type treeBuilder struct {
 	root *node
-	open []*node // elements that are not closed yet, outermost first
+	open []*node // elements that are not yet closed, outermost first
 }
 
 func (p *treeBuilder) currentElement() string {
@@ -144,7 +145,7 @@
 			p.open[len(p.open)-1].text += strings.TrimSpace(string(t))
 		}
 	case xml.Directive:
-		return &Error{Line: line, Element: unknownElement, Problem: "document types are not read"}
+		return &Error{Line: line, Element: unknownElement, Problem: "document type declarations are not supported"}
 	}
 	return nil
 }
@@ -153,12 +154,12 @@
 	started := &node{name: element.Name.Local, line: line, attrs: map[string]string{}}
 	for _, attr := range element.Attr {
 		if _, duplicate := started.attrs[attr.Name.Local]; duplicate {
-			return started.errorf("attribute %s is there twice", attr.Name.Local)
+			return started.errorf("duplicate attribute %s", attr.Name.Local)
 		}
 		started.attrs[attr.Name.Local] = attr.Value
 	}
 	if len(p.open) >= maxDepth {
-		return started.errorf("elements in more than %d others", maxDepth)
+		return started.errorf("elements are nested more than %d deep", maxDepth)
 	}
 	if len(p.open) > 0 {
 		parent := p.open[len(p.open)-1]
@@ -170,7 +171,7 @@
 	return nil
 }
 
-// encode returns the element as a file.
+// encode returns the XML file with the element as its root.
 func (n *node) encode() ([]byte, error) {
 	var b bytes.Buffer
 	b.WriteString(xml.Header)
--- a/internal/settings/experiment.go
+++ b/internal/settings/experiment.go
@@ -9,51 +9,51 @@
 	"snowquay/internal/core/controlplane"
 )
 
-// Experiment is a set of runs: each case with each fleet, each arm and each seed.
+// Experiment is a set of runs, one for each combination of a case, a fleet, an arm and a seed.
 type Experiment struct {
 	Name      string
-	Seeds     int    // number of seeds
-	FirstSeed uint64 // first seed
+	Seeds     int // number of seeds, which are consecutive
+	FirstSeed uint64
 	Fleets    []ExperimentFleet
 	Cases     []ExperimentCase
 	Arms      []Arm
-	Text      []byte // the file
+	Text      []byte // text of the file
 }
 
-// ExperimentFleet is the size and the load of an experiment's fleet.
+// ExperimentFleet is the size of a fleet in an experiment and the load on it.
 type ExperimentFleet struct {
 	Name             string
 	Servers, Proxies int
-	Load             float64 // fraction of the servers' capacity that is requested
-	Rate             float64 // requests per second instead of Load; 0: by Load
-	Spread           float64 // of traffic between proxies: a busy one has exp(2*Spread) times the least
-	Retries          int     // retries of a client
+	Load             float64 // requested fraction of the servers' capacity
+	Rate             float64 // requests per second, which replace Load; if 0, Load applies
+	Spread           float64 // the busiest proxy has up to exp(2*Spread) times the traffic of the least busy
+	Retries          int     // maximum number of retries of a client
 }
 
-// ExperimentCase is a scenario: faults that are listed, faults that are drawn by the seed, and crashes of
-// coordinators.
+// ExperimentCase is a scenario of an experiment. Its faults are those listed, those drawn at random by the
+// seed, and crashes of coordinators.
 type ExperimentCase struct {
 	Name         string
 	Seconds      float64
-	RandomFaults int      // number of faults that are drawn
-	Kinds        []string // kinds of faults that are drawn; none: any
-	Kills        int      // crashes of coordinators
+	RandomFaults int      // number of faults drawn at random
+	Kinds        []string // kinds of the faults drawn at random; if empty, any kind
+	Kills        int      // number of coordinator crashes
 	Faults       []Fault
 }
 
-// Arm is one of the variants that an experiment compares.
+// Arm is one of the variants of the system that an experiment compares.
 type Arm struct {
 	Name           string
-	Policy         string // snowquay, listed, robin or two
+	Policy         string // "snowquay", "listed", "robin" or "two"
 	Frontend       string
 	Coordinators   int
-	ReportInterval float64 // seconds between two load reports; 0: the default
+	ReportInterval float64 // seconds between two load reports; if 0, the default
 	Admission      string
-	DisabledGuards []controlplane.Guard // guards that are disabled
-	Program        string               // executable of another build that runs it; empty: this one
+	DisabledGuards []controlplane.Guard
+	Program        string // executable of another build that runs the arm; if empty, this executable runs it
 }
 
-// LoadExperiment reads an experiment file.
+// LoadExperiment reads the file of an experiment.
 func LoadExperiment(path string) (*Experiment, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -62,7 +62,7 @@
 	return ParseExperiment(path, text)
 }
 
-// ParseExperiment reads the text of an experiment file. The name is for error messages.
+// ParseExperiment parses the text of an experiment's file. The name is used in error messages.
 func ParseExperiment(name string, text []byte) (*Experiment, error) {
 	return readDocument(name, text, "experiment", func(root *node) (*Experiment, error) {
 		x, err := readExperiment(root)
@@ -79,7 +79,7 @@
 		FirstSeed: uint64(root.int("first-seed")),
 	}
 	names := map[string]bool{}
-	for _, n := range root.all("fleet") {
+	for _, n := range root.childrenNamed("fleet") {
 		experiment.Fleets = append(experiment.Fleets, ExperimentFleet{
 			Name:    dec.uniqueName(n, names),
 			Servers: n.int("servers"),
@@ -90,24 +90,24 @@
 			Retries: n.int("again"),
 		})
 	}
-	for _, n := range root.all("case") {
+	for _, n := range root.childrenNamed("case") {
 		experiment.Cases = append(experiment.Cases, dec.readExperimentCase(n, names))
 	}
-	for _, n := range root.all("arm") {
+	for _, n := range root.childrenNamed("arm") {
 		experiment.Arms = append(experiment.Arms, dec.readArm(n, names))
 	}
 	return experiment, dec.err()
 }
 
-// uniqueName reads a name that becomes part of a file name and must be unique among the elements of its
-// kind.
+// uniqueName reads the name of an element, which becomes part of a file name and must be unique among the
+// elements of its kind.
 func (d *decoder) uniqueName(element *node, names map[string]bool) string {
 	name := element.attrs["name"]
 	if names[element.name+name] {
-		d.fail(element, "there are two named %q", name)
+		d.addError(element, "there are two named %q", name)
 	}
 	if strings.ContainsAny(name, "/\\. ") {
-		d.fail(element, "name %q: it becomes part of a file's", name)
+		d.addError(element, "name %q becomes part of a file's name and must not contain /, \\, a dot or a space", name)
 	}
 	names[element.name+name] = true
 	return name
@@ -121,7 +121,7 @@
 		Kinds:        strings.Fields(caseElement.attrs["kinds"]),
 		Kills:        caseElement.int("kills"),
 	}
-	for _, element := range caseElement.all("trouble") {
+	for _, element := range caseElement.childrenNamed("trouble") {
 		fault := Fault{
 			Kind:          element.attrs["kind"],
 			At:            element.number("at"),
@@ -133,7 +133,7 @@
 			Zone:          balancer.Zone(1),
 		}
 		if fault.At > experimentCase.Seconds {
-			d.fail(element, problemFaultAfterEnd)
+			d.addError(element, problemFaultAfterEnd)
 		}
 		experimentCase.Faults = append(experimentCase.Faults, fault)
 	}
@@ -153,12 +153,12 @@
 	for _, name := range strings.Fields(element.attrs["without"]) {
 		guard := controlplane.Guard(name)
 		if !slices.Contains(controlplane.Guards, guard) {
-			d.fail(element, "without: no guard is named %q", name)
+			d.addError(element, "without: no guard is named %q", name)
 		}
 		arm.DisabledGuards = append(arm.DisabledGuards, guard)
 	}
 	if arm.Admission != admissionIgnored && arm.Frontend != "http" {
-		d.fail(element, "levels: only the front http has a word for them")
+		d.addError(element, "levels: only the front http can express them")
 	}
 	return arm
 }
--- a/internal/settings/fault.go
+++ b/internal/settings/fault.go
@@ -7,24 +7,25 @@
 	"snowquay/internal/core/registry"
 )
 
-// Fault is a fault that a scenario injects. A field that its kind does not use is -1 or empty.
+// Fault is a fault that is injected in a scenario. Target fields that are missing in the file of a scenario are
+// noTarget.
 type Fault struct {
 	Kind                         string
-	At                           float64 // seconds since the start
-	Duration                     float64 // duration in seconds
+	At                           float64 // seconds since the start of the scenario
+	Duration                     float64 // seconds
 	Factor                       float64
-	Server, Proxy, FailureDomain int // the server and the proxy by their position in the settings
+	Server, Proxy, FailureDomain int // servers and proxies are identified by their index in the settings
 	Zone                         balancer.Zone
 }
 
 const (
-	// noTarget is the value of a fault's unused target fields.
+	// noTarget is the value of the target fields that a fault does not use.
 	noTarget = -1
-	// problemFaultAfterEnd is the problem of a fault that starts after its scenario has ended.
-	problemFaultAfterEnd = "it comes after the day's end"
+	// problemFaultAfterEnd is the error text for a fault that starts after the end of its scenario.
+	problemFaultAfterEnd = "the fault starts after the day's end"
 )
 
-// faultTargets is the attribute that names the target of each kind of fault that has one.
+// faultTargets maps each kind of fault that has a target to the attribute that specifies the target.
 var faultTargets = map[string]string{
 	"slow":             "server",
 	"fast_errors":      "server",
@@ -57,7 +58,7 @@
 	}
 	target := faultTargets[fault.Kind]
 	if target != "" && element.attrs[target] == "" {
-		d.fail(element, "%s needs a %s", fault.Kind, target)
+		d.addError(element, "%s needs a %s", fault.Kind, target)
 	}
 	servers := scenario.Coordinator.Site.Servers
 	fault.Server = d.readIndex(element, "server", len(servers))
@@ -68,26 +69,26 @@
 			return int(server.FailureDomain) == fault.FailureDomain
 		}
 		if !slices.ContainsFunc(servers, inDomain) {
-			d.fail(element, "no server is of pod %d", fault.FailureDomain)
+			d.addError(element, "no server belongs to pod %d", fault.FailureDomain)
 		}
 	}
 	if element.attrs["zone"] != "" {
 		fault.Zone = d.zone(element, "zone")
 	}
 	if fault.At > scenario.Seconds {
-		d.fail(element, problemFaultAfterEnd)
+		d.addError(element, problemFaultAfterEnd)
 	}
 	return fault
 }
 
-// readIndex reads a position in a list of count items, or noTarget if the attribute is missing.
+// readIndex reads an index into a list of count items. It returns noTarget if the attribute is missing.
 func (d *decoder) readIndex(element *node, name string, count int) int {
 	if element.attrs[name] == "" {
 		return noTarget
 	}
 	index := element.int(name)
 	if index >= count {
-		d.fail(element, "%s %d: there are %d, from 0", name, index, count)
+		d.addError(element, "%s %d: there are %d, numbered from 0", name, index, count)
 	}
 	return index
 }
--- a/internal/settings/golden_test.go
+++ b/internal/settings/golden_test.go
@@ -7,6 +7,6 @@
 )
 
 func TestServerEditEncoding(t *testing.T) {
-	pod, kind, standing := 3, 2, true
-	golden.JSON(t, "edit.json", ServerEdit{Server: "127.0.1.2:8080", Remove: true, Zone: "a", FailureDomain: &pod, Kind: &kind, Weight: 1.5, Capacity: 90, Static: &standing})
+	domain, kind, static := 3, 2, true
+	golden.JSON(t, "edit.json", ServerEdit{Server: "127.0.1.2:8080", Remove: true, Zone: "a", FailureDomain: &domain, Kind: &kind, Weight: 1.5, Capacity: 90, Static: &static})
 }
--- a/internal/settings/group.go
+++ b/internal/settings/group.go
@@ -9,15 +9,15 @@
 )
 
 const (
-	// minKeyBytes is the minimum length of the key of a group or a caller.
+	// minKeyBytes is the minimum length in bytes of the key of a group or a caller.
 	minKeyBytes = 16
-	// minLeaseElections is the minimum duration of a lease in election timeouts: an election may take two.
+	// minLeaseElections is the minimum duration of a lease in election timeouts. An election may take two of them.
 	minLeaseElections = 4
-	// maxClockDrift is the exclusive upper bound on the relative drift between two clocks.
+	// maxClockDrift is the exclusive upper bound of the relative drift between two clocks.
 	maxClockDrift = 0.5
 )
 
-// readGroup reads the group of coordinators that share a fleet, if there is one.
+// readGroup reads the group of coordinators that share a fleet. The element is nil if there is no group.
 func (d *decoder) readGroup(element *node, config *Coordinator) {
 	if element == nil {
 		return
@@ -32,10 +32,11 @@
 		Lease:     membership.DefaultLeaseConfig,
 	}
 	if _, ok := group.Members[group.Self]; !ok {
-		d.fail(element, "number %d is none of the peers; the coordinator itself is one of them", group.Self)
+		d.addError(element, "number %d is not among the peers, which must include the coordinator itself", group.Self)
 	}
 	if len(group.Key) < minKeyBytes {
-		d.fail(element, "key: %d bytes, %d at least: whoever has it may speak for a coordinator", len(group.Key), minKeyBytes)
+		d.addError(element, "key: %d bytes, must be at least %d: anyone who knows it can impersonate a coordinator",
+			len(group.Key), minKeyBytes)
 	}
 	d.readLease(element, group)
 	config.Group = group
@@ -52,14 +53,14 @@
 func (d *decoder) readPeers(n *node) map[membership.MemberID]netip.AddrPort {
 	peers := map[membership.MemberID]netip.AddrPort{}
 	addresses := map[netip.AddrPort]bool{}
-	for _, element := range n.all("peer") {
+	for _, element := range n.childrenNamed("peer") {
 		number := membership.MemberID(element.int("number"))
 		address := d.endpoint(element, "address")
 		if _, duplicate := peers[number]; duplicate {
-			d.fail(element, "there are two peers with number %d", number)
+			d.addError(element, "there are two peers with number %d", number)
 		}
 		if addresses[address] {
-			d.fail(element, "there are two peers at %s", address)
+			d.addError(element, "there are two peers at %s", address)
 		}
 		peers[number] = address
 		addresses[address] = true
@@ -78,9 +79,9 @@
 		lease.MaxClockDrift = element.number("drift")
 	}
 	if shortest := minLeaseElections * group.Consensus.ElectionTimeout; lease.Duration < shortest {
-		d.fail(element, "lease: %g s, %g at least: an election may take half of that", lease.Duration, shortest)
+		d.addError(element, "lease: %g s, must be at least %g s: an election may take half of that", lease.Duration, shortest)
 	}
 	if lease.MaxClockDrift >= maxClockDrift {
-		d.fail(element, "drift: clocks that run apart by a half are no clocks")
+		d.addError(element, "drift: the relative drift between two clocks must be below 0.5")
 	}
 }
--- a/internal/settings/host.go
+++ b/internal/settings/host.go
@@ -12,15 +12,15 @@
 	"snowquay/internal/core/tenancy"
 )
 
-// Host is the content of the settings file of a host of many tenants.
+// Host is the content of the settings file of a host of tenants.
 type Host struct {
 	coordinator.HostConfig
-	Measurements netip.AddrPort
-	Metrics      netip.AddrPort // not valid: no metrics are served
+	Measurements netip.AddrPort // address on which load reports are received
+	Metrics      netip.AddrPort // if not valid, no metrics are served
 	Admin        netip.AddrPort
 	Store        string // file of the store
 	Callers      []authz.Credential
-	GroupStore   string // file of the group's durable state, if the host is in a group
+	GroupStore   string // file of the group's durable state; used only if the host is in a group
 }
 
 const bytesPerMegabyte = 1 << 20
@@ -34,7 +34,7 @@
 	return ParseHost(path, text)
 }
 
-// ParseHost reads the text of a host's settings file. The name is for error messages.
+// ParseHost parses the text of a host's settings file. The name is used in error messages.
 func ParseHost(name string, text []byte) (*Host, error) {
 	return readDocument(name, text, "host", readHost)
 }
@@ -42,7 +42,7 @@
 func readHost(root *node) (*Host, error) {
 	dec := newDecoder()
 	host := &Host{}
-	listen := root.one("listen")
+	listen := root.firstChild("listen")
 	host.SASP = dec.endpoint(listen, "sasp")
 	host.HTTP = dec.endpoint(listen, "http")
 	host.Measurements = dec.endpoint(listen, "measurements")
@@ -50,18 +50,18 @@
 	host.Admin = dec.endpoint(listen, "admin")
 	host.Store = listen.attrs["store"]
 	if !host.SASP.IsValid() && !host.HTTP.IsValid() {
-		dec.fail(listen, "neither sasp nor http: no proxy could join")
+		dec.addError(listen, "neither sasp nor http: no proxy could join")
 	}
 	host.Capacity = tenancy.DefaultCapacity
 	host.Router = tenancy.DefaultRouterLimits
 	host.Scheduler = fairqueue.DefaultConfig
-	readCapacity(root.one("room"), host)
-	readRouterLimits(root.one("entry"), host)
+	readCapacity(root.firstChild("room"), host)
+	readRouterLimits(root.firstChild("entry"), host)
 	c := &Coordinator{}
-	dec.readGroup(root.one("group"), c)
+	dec.readGroup(root.firstChild("group"), c)
 	host.Group = c.Group
 	host.GroupStore = c.GroupStore
-	host.Graphite = dec.readGraphite(root.one("graphite"))
+	host.Graphite = dec.readGraphite(root.firstChild("graphite"))
 	host.Callers = dec.readCallers(root)
 	return host, dec.err()
 }
@@ -93,16 +93,17 @@
 	n.overrideNumber("silent-for", &h.Router.IdentifyTimeout)
 }
 
-// String describes the settings in several lines.
+// String returns a summary of the settings in several lines.
 func (h *Host) String() string {
 	var text strings.Builder
 	writePorts(&text, h.Ports(), h.HTTP)
 	fmt.Fprintf(&text, "administration on %s, measurements on %s, store %q\n", h.Admin, h.Measurements, h.Store)
 	if g := h.Group; g != nil {
-		fmt.Fprintf(&text, "number %d of a group of %d hosts; a lease of %g s, taken over %.1f s after a death\n",
+		fmt.Fprintf(&text, "member number %d of a group of %d hosts; lease of %g s, taken over %.1f s after a failure\n",
 			g.Self, len(g.Members), g.Lease.Duration, g.Lease.ExpiryTimeout())
 	}
-	fmt.Fprintf(&text, "room for %d tenants: %.0f MB, %.0f lines a second, %.0f connections, %.2f of a core promised %g times\n",
+	fmt.Fprintf(&text,
+		"capacity for %d tenants: %.0f MB, %.0f table entries per second, %.0f connections, %.2f CPU cores overcommitted %g times\n",
 		h.Capacity.MaxTenants, h.Capacity.Memory/bytesPerMegabyte, h.Capacity.EntriesPerSecond,
 		h.Capacity.Connections, h.Capacity.CPU, h.Capacity.CPUOvercommit)
 	return text.String()
--- a/internal/settings/proxy.go
+++ b/internal/settings/proxy.go
@@ -19,9 +19,9 @@
 // Proxy is the content of a proxy's settings file.
 type Proxy struct {
 	proxy.Config
-	Listen       netip.AddrPort
-	Metrics      netip.AddrPort // not valid: no metrics are served
-	SnapshotPath string         // file of the table snapshot; empty: there is none
+	Listen       netip.AddrPort // address on which clients are served
+	Metrics      netip.AddrPort // if not valid, no metrics are served
+	SnapshotPath string         // file of the table snapshot; if empty, no snapshot is stored
 }
 
 // LoadProxy reads a proxy's settings file.
@@ -33,7 +33,7 @@
 	return ParseProxy(path, text)
 }
 
-// ParseProxy reads the text of a proxy's settings file. The name is for error messages.
+// ParseProxy parses the text of a proxy's settings file. The name is used in error messages.
 func ParseProxy(name string, text []byte) (*Proxy, error) {
 	return readDocument(name, text, "proxy", readProxy)
 }
@@ -42,11 +42,11 @@
 	dec := newDecoder()
 	dec.readZones(root)
 	site := &controlplane.Site{}
-	for _, n := range root.all("class") {
+	for _, n := range root.childrenNamed("class") {
 		dec.readClass(n, site)
 	}
 	config := &Proxy{}
-	listen := root.one("listen")
+	listen := root.firstChild("listen")
 	config.UID = root.attrs["uid"]
 	config.Listen = dec.endpoint(listen, "clients")
 	config.Metrics = dec.endpoint(listen, "metrics")
@@ -63,17 +63,17 @@
 	forwarding.NewTable = tableConstructor(root.attrs["pick"], config.Seed)
 	dec.readRoutes(root, config)
 	dec.readProxyServers(root, config)
-	dec.readProxyCoordinators(root.one("coordinators"), config)
+	dec.readProxyCoordinators(root.firstChild("coordinators"), config)
 	if len(config.DefaultServers) == 0 && len(config.Coordinators) == 0 {
-		dec.fail(root, "neither coordinators nor a server with standing: there is nowhere to send to")
+		dec.addError(root, "neither coordinators nor a server with standing: requests could not be forwarded to any server")
 	}
-	readRetries(root.one("repeats"), config)
-	readOutliers(root.one("avoid"), config)
-	readProxyLimits(root.one("limits"), config)
+	readRetries(root.firstChild("repeats"), config)
+	readOutliers(root.firstChild("avoid"), config)
+	readProxyLimits(root.firstChild("limits"), config)
 	return config, dec.err()
 }
 
-// tableConstructor returns the constructor of the pickers of the classes.
+// tableConstructor returns a function that creates the picker of a class, for the given picking algorithm.
 func tableConstructor(algorithm string, seed uint64) func(class int) picker.Table {
 	return func(class int) picker.Table {
 		if algorithm == "random" {
@@ -84,17 +84,17 @@
 }
 
 func (d *decoder) readRoutes(root *node, config *Proxy) {
-	for _, n := range root.all("route") {
+	for _, n := range root.childrenNamed("route") {
 		class := slices.Index(config.Forwarding.ClassNames, n.attrs["class"])
 		if class < 0 {
-			d.fail(n, "no class is named %q", n.attrs["class"])
+			d.addError(n, "no class is named %q", n.attrs["class"])
 		}
 		prefix := n.attrs["path"]
 		if !strings.HasPrefix(prefix, "/") {
-			d.fail(n, "path %q does not start with /", prefix)
+			d.addError(n, "path %q does not start with /", prefix)
 		}
 		if slices.ContainsFunc(config.Routes, func(other proxy.Route) bool { return other.Prefix == prefix }) {
-			d.fail(n, "there are two routes for %q", prefix)
+			d.addError(n, "there are two routes for %q", prefix)
 		}
 		config.Routes = append(config.Routes, proxy.Route{Prefix: prefix, Class: balancer.Class(class)})
 	}
@@ -102,10 +102,10 @@
 
 func (d *decoder) readProxyServers(root *node, config *Proxy) {
 	locations := map[balancer.Server]retry.Location{}
-	for _, n := range root.all("server") {
+	for _, n := range root.childrenNamed("server") {
 		server := balancer.Server(d.endpoint(n, "address").String())
 		if _, duplicate := locations[server]; duplicate {
-			d.fail(n, "%s is listed already", server)
+			d.addError(n, "%s is already listed", server)
 		}
 		locations[server] = retry.Location{
 			Server:        server,
@@ -123,7 +123,7 @@
 	if n == nil {
 		return
 	}
-	for _, element := range n.all("coordinator") {
+	for _, element := range n.childrenNamed("coordinator") {
 		config.Coordinators = append(config.Coordinators, d.endpoint(element, "address"))
 	}
 	config.SASP = n.attrs["speak"] == "sasp"
@@ -133,7 +133,7 @@
 	config.Key = n.attrs["key"]
 	d.checkCredentials(n, config.User, config.Key)
 	if n.int("reports") > math.MaxUint16 {
-		d.fail(n, "reports: no port")
+		d.addError(n, "reports: not a valid port")
 	}
 }
 
--- a/internal/settings/scenario_write.go
+++ b/internal/settings/scenario_write.go
@@ -12,16 +12,16 @@
 	"snowquay/internal/core/membership"
 )
 
-// GroupMember is a coordinator of a group that runs as a process of its own in a scenario.
+// GroupMember is a coordinator of a group that runs in its own process in a scenario.
 type GroupMember struct {
 	Number                   membership.MemberID
-	SASP, HTTP, Measurements netip.AddrPort // HTTP not valid: there is no long-poll API
-	Metrics                  netip.AddrPort // not valid: no metrics are served
+	SASP, HTTP, Measurements netip.AddrPort // if HTTP is not valid, the long-poll API is not served
+	Metrics                  netip.AddrPort // if not valid, no metrics are served
 	Store, GroupStore, Key   string
 	Peers                    map[membership.MemberID]netip.AddrPort
 }
 
-// Settings returns the settings file of a coordinator of a group in the scenario.
+// Settings returns the settings file of a group member in the scenario.
 func (s *Scenario) Settings(m GroupMember) ([]byte, error) {
 	root := *s.coordinator
 	root.children = nil
@@ -63,7 +63,7 @@
 	return group
 }
 
-// Encode returns the scenario as a file: the settings that it was read from, with its present fleet,
+// Encode returns the scenario as a file: the settings from which it was read, updated with its current fleet,
 // faults and parameters.
 func (s *Scenario) Encode() ([]byte, error) {
 	root := &node{name: "day", attrs: map[string]string{
@@ -85,7 +85,7 @@
 
 func formatNumber(value float64) string { return strconv.FormatFloat(value, 'f', -1, 64) }
 
-// coordinatorElement returns the element that the coordinator was read from, with its present values.
+// coordinatorElement returns the element from which the coordinator was read, updated with its current values.
 func (s *Scenario) coordinatorElement() *node {
 	coordinator := *s.coordinator
 	coordinator.children = nil
--- a/internal/settings/schema.go
+++ b/internal/settings/schema.go
@@ -12,18 +12,18 @@
 	"strings"
 )
 
-// Schema is the schema of all settings files, in XML Schema 1.0.
+// Schema is the XML Schema 1.0 document for all settings files.
 //
 //go:embed schema/snowquay.xsd
 var Schema []byte
 
-// maxNumberLength is the maximum length of a number in a file, in bytes.
+// maxNumberLength is the maximum length of a number in a settings file, in bytes.
 const maxNumberLength = 40
 
-// schema is the subset of XML Schema that the embedded schema uses: named complex types with a sequence
-// of elements and with attributes, and named simple types with a restriction.
+// schema is a parsed schema. It supports the subset of XML Schema that the embedded schema uses: named complex
+// types with a sequence of elements and with attributes, and named simple types with a restriction.
 type schema struct {
-	roots   map[string]string // type by root element
+	roots   map[string]string // name of the type by root element
 	complex map[string]*node
 	simple  map[string]*node
 }
@@ -31,7 +31,7 @@
 func readSchema(text []byte) (*schema, error) {
 	root, err := parse(text)
 	if err != nil {
-		return nil, fmt.Errorf("the schema: %w", err)
+		return nil, fmt.Errorf("schema: %w", err)
 	}
 	s := &schema{roots: map[string]string{}, complex: map[string]*node{}, simple: map[string]*node{}}
 	for _, n := range root.children {
@@ -44,37 +44,37 @@
 		case "simpleType":
 			s.simple[name] = n
 		default:
-			return nil, fmt.Errorf("the schema: line %d: %s is not supported", n.line, n.name)
+			return nil, fmt.Errorf("schema: line %d: element <%s> is not supported", n.line, n.name)
 		}
 	}
 	return s, nil
 }
 
-// validate checks a file against the schema and sets the defaults of missing attributes. It returns all
-// errors of the file.
+// validate checks a file, given by its root element, against the schema and sets missing attributes to their
+// defaults. It returns all errors of the file, joined.
 func (s *schema) validate(n *node, root string) error {
 	if n.name != root {
-		return n.errorf("the file's element must be <%s>", root)
+		return n.errorf("the root element must be <%s>", root)
 	}
 	v := &validator{schema: s}
 	v.checkElement(n, s.roots[root])
 	return errors.Join(v.errs...)
 }
 
-// validator collects the errors of one file.
+// validator validates one file and collects its errors.
 type validator struct {
 	schema *schema
 	errs   []error
 }
 
-func (v *validator) fail(n *node, format string, args ...any) {
+func (v *validator) addError(n *node, format string, args ...any) {
 	v.errs = append(v.errs, n.errorf(format, args...))
 }
 
 func (v *validator) checkElement(element *node, typeName string) {
 	complexType := v.schema.complex[typeName]
 	if element.text != "" {
-		v.fail(element, "text %.40q does not belong here", element.text)
+		v.addError(element, "unexpected text %.40q", element.text)
 	}
 	v.checkAttributes(element, complexType)
 	v.checkChildren(element, complexType)
@@ -82,7 +82,7 @@
 
 func (v *validator) checkAttributes(element, complexType *node) {
 	known := map[string]bool{"xmlns": true, "schemaLocation": true, "noNamespaceSchemaLocation": true, "xsi": true}
-	for _, declaration := range complexType.all("attribute") {
+	for _, declaration := range complexType.childrenNamed("attribute") {
 		name := declaration.attrs["name"]
 		known[name] = true
 		value, ok := element.attrs[name]
@@ -91,17 +91,17 @@
 			continue
 		}
 		if err := v.schema.checkValue(value, declaration.attrs["type"]); err != nil {
-			v.fail(element, "%s=%.60q: %v", name, value, err)
+			v.addError(element, "%s=%.60q: %v", name, value, err)
 		}
 	}
 	for _, name := range slices.Sorted(maps.Keys(element.attrs)) {
 		if !known[name] {
-			v.fail(element, "unknown attribute %s", name)
+			v.addError(element, "unknown attribute %s", name)
 		}
 	}
 }
 
-// setDefault sets a missing attribute to its default.
+// setDefault sets a missing attribute to its default. It records an error if the attribute is required.
 func (v *validator) setDefault(element, declaration *node) {
 	name := declaration.attrs["name"]
 	if value, ok := declaration.attrs["default"]; ok {
@@ -109,14 +109,14 @@
 		return
 	}
 	if declaration.attrs["use"] == "required" {
-		v.fail(element, "attribute %s is missing", name)
+		v.addError(element, "attribute %s is missing", name)
 	}
 }
 
 func (v *validator) checkChildren(parent, complexType *node) {
 	var declarations []*node
-	if sequence := complexType.one("sequence"); sequence != nil {
-		declarations = sequence.all("element")
+	if sequence := complexType.firstChild("sequence"); sequence != nil {
+		declarations = sequence.childrenNamed("element")
 	}
 	rest := parent.children
 	for _, declaration := range declarations {
@@ -126,7 +126,7 @@
 		for len(rest) > 0 && rest[0].name == name {
 			count++
 			if count == limits.maximum+1 {
-				v.fail(rest[0], "there are more than %d of it", limits.maximum)
+				v.addError(rest[0], "more than %d elements of this name", limits.maximum)
 			}
 			v.checkElement(rest[0], declaration.attrs["type"])
 			rest = rest[1:]
@@ -135,17 +135,17 @@
 			continue
 		}
 		if len(rest) > 0 {
-			v.fail(rest[0], "does not belong here; <%s> does", name)
+			v.addError(rest[0], "unexpected element, want <%s>", name)
 			return
 		}
-		v.fail(parent, "element <%s> is missing", name)
+		v.addError(parent, "element <%s> is missing", name)
 	}
 	if len(rest) > 0 {
-		v.fail(rest[0], "does not belong here")
+		v.addError(rest[0], "unexpected element")
 	}
 }
 
-// occurrences is how often an element may stand in a sequence.
+// occurrences is the number of times that an element may occur in a sequence.
 type occurrences struct {
 	minimum int
 	maximum int
@@ -170,13 +170,13 @@
 	decimalPattern = regexp.MustCompile(`^[+-]?([0-9]+(\.[0-9]*)?|\.[0-9]+)$`)
 	integerPattern = regexp.MustCompile(`^[+-]?[0-9]+$`)
 
-	errNotBoolean  = errors.New("neither true nor false")
-	errNotNumber   = errors.New("no number")
-	errNotInteger  = errors.New("no whole number")
-	errWrongFormat = errors.New("not in the right form")
+	errNotBoolean      = errors.New("neither true nor false")
+	errNotNumber       = errors.New("not a number")
+	errNotInteger      = errors.New("not an integer")
+	errPatternMismatch = errors.New("does not match the required pattern")
 )
 
-// checkValue checks an attribute's value against a built-in type or a simple type of the schema.
+// checkValue checks the value of an attribute against a built-in type or a simple type of the schema.
 func (s *schema) checkValue(value, typeName string) error {
 	switch typeName {
 	case "xs:string":
@@ -197,7 +197,7 @@
 		}
 		return nil
 	}
-	restriction := s.simple[typeName].one("restriction")
+	restriction := s.simple[typeName].firstChild("restriction")
 	if err := s.checkValue(value, restriction.attrs["base"]); err != nil {
 		return err
 	}
@@ -229,18 +229,19 @@
 	case "minLength", "maxLength":
 		length, _ := strconv.Atoi(limit)
 		if facet == "minLength" && len(value) < length || facet == "maxLength" && len(value) > length {
-			return fmt.Errorf("%d bytes long", len(value))
+			return fmt.Errorf("length of %d bytes is out of range", len(value))
 		}
 	case "pattern":
 		matched, err := regexp.MatchString("^(?:"+limit+")$", value)
 		if err != nil || !matched {
-			return errWrongFormat
+			return errPatternMismatch
 		}
 	}
 	return nil
 }
 
-// checkRange compares exactly, since floating point would move the bounds.
+// checkRange checks a number against a bound. It uses rational numbers, since rounding to floating point would
+// shift the bound.
 func checkRange(value, facet, limit string) error {
 	number, valueOK := new(big.Rat).SetString(value)
 	bound, limitOK := new(big.Rat).SetString(limit)
@@ -250,13 +251,13 @@
 	order := number.Cmp(bound)
 	switch {
 	case facet == "minInclusive" && order < 0:
-		return fmt.Errorf("under %s", limit)
+		return fmt.Errorf("must be at least %s", limit)
 	case facet == "maxInclusive" && order > 0:
-		return fmt.Errorf("over %s", limit)
+		return fmt.Errorf("must be at most %s", limit)
 	case facet == "minExclusive" && order <= 0:
-		return fmt.Errorf("not over %s", limit)
+		return fmt.Errorf("must be greater than %s", limit)
 	case facet == "maxExclusive" && order >= 0:
-		return fmt.Errorf("not under %s", limit)
+		return fmt.Errorf("must be less than %s", limit)
 	}
 	return nil
 }
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,7 +1,7 @@
 // Package settings reads the XML settings files of coordinators, hosts, tenants, proxies, scenarios and
-// experiments. A file is accepted as a whole or rejected as a whole: it is validated against the schema
-// first, then the rules that the schema cannot express are checked. Every error names its line and
-// element, and all errors of a file are reported together.
+// experiments. A file is accepted or rejected as a whole: it is first validated against the schema, then
+// checked for the rules that the schema cannot express. Each error includes the line and the element. The
+// errors of each of these two steps are reported together.
 package settings
 
 import (
@@ -12,13 +12,13 @@
 	"snowquay/balancer"
 )
 
-// loadSchema reads the embedded schema once.
+// loadSchema parses the embedded schema once.
 var loadSchema = sync.OnceValues(func() (*schema, error) { return readSchema(Schema) })
 
-// readDocument validates the text of a file whose root element must be the given one, and converts it.
-// The name is for error messages.
+// readDocument validates the text of a file, whose root element must have the given name, and converts it.
+// The name of the file is used in error messages.
 func readDocument[T any](name string, text []byte, element string, convert func(*node) (T, error)) (T, error) {
-	root, err := load(text, element)
+	root, err := parseAndValidate(text, element)
 	if err != nil {
 		var none T
 		return none, withFileName(err, name)
@@ -27,8 +27,8 @@
 	return value, withFileName(err, name)
 }
 
-// load parses a text and validates it against the schema.
-func load(text []byte, element string) (*node, error) {
+// parseAndValidate parses the text of a file and validates it against the schema.
+func parseAndValidate(text []byte, element string) (*node, error) {
 	s, err := loadSchema()
 	if err != nil {
 		return nil, err
@@ -40,7 +40,7 @@
 	return root, s.validate(root, element)
 }
 
-// withFileName sets the file name of each settings error in err.
+// withFileName sets the file name of each *Error in err and returns err.
 func withFileName(err error, name string) error {
 	if err == nil {
 		return nil
@@ -58,7 +58,7 @@
 	return err
 }
 
-// decoder converts validated elements and collects violations of the rules that the schema cannot express.
+// decoder converts validated elements and collects the violations of rules that the schema cannot express.
 type decoder struct {
 	errs  []error
 	zones map[string]balancer.Zone // by name
@@ -68,17 +68,18 @@
 	return &decoder{zones: map[string]balancer.Zone{}}
 }
 
-// fail records an error at an element.
-func (d *decoder) fail(n *node, format string, args ...any) {
+// addError records an error with the line and name of an element.
+func (d *decoder) addError(n *node, format string, args ...any) {
 	d.errs = append(d.errs, n.errorf(format, args...))
 }
 
-// err returns all recorded errors, or nil.
+// err returns all recorded errors, joined, or nil if there are none.
 func (d *decoder) err() error {
 	return errors.Join(d.errs...)
 }
 
-// endpoint reads an address with a port. A missing attribute gives an invalid address.
+// endpoint reads an attribute with an IP address and a port. It returns an invalid address if the attribute is
+// missing.
 func (d *decoder) endpoint(n *node, name string) netip.AddrPort {
 	value := n.attrs[name]
 	if value == "" {
@@ -86,27 +87,27 @@
 	}
 	address, err := netip.ParseAddrPort(value)
 	if err != nil {
-		d.fail(n, "%s: %v", name, err)
+		d.addError(n, "%s: %v", name, err)
 	}
 	return netip.AddrPortFrom(address.Addr().Unmap(), address.Port())
 }
 
-// zone looks up the zone that an attribute names.
+// zone returns the zone whose name is the value of an attribute.
 func (d *decoder) zone(n *node, name string) balancer.Zone {
 	zone, ok := d.zones[n.attrs[name]]
 	if !ok {
-		d.fail(n, "%s: no zone is named %q", name, n.attrs[name])
+		d.addError(n, "%s: no zone is named %q", name, n.attrs[name])
 	}
 	return zone
 }
 
-// readZones reads the zone elements and returns the names of the zones by their number.
+// readZones reads the zone elements and returns the names of the zones, indexed by zone.
 func (d *decoder) readZones(root *node) []string {
 	var names []string
-	for i, n := range root.all("zone") {
+	for i, n := range root.childrenNamed("zone") {
 		name := n.attrs["name"]
 		if _, duplicate := d.zones[name]; duplicate {
-			d.fail(n, "there are two zones named %q", name)
+			d.addError(n, "there are two zones named %q", name)
 		}
 		d.zones[name] = balancer.Zone(i)
 		names = append(names, name)
@@ -114,7 +115,7 @@
 	return names
 }
 
-// nameOf returns the name that stands for a value in the settings.
+// nameOf returns the name of a value in the settings, or "?" if it has none.
 func nameOf[V comparable](names map[string]V, value V) string {
 	for name, candidate := range names {
 		if candidate == value {
--- a/internal/settings/site.go
+++ b/internal/settings/site.go
@@ -29,7 +29,7 @@
 	}
 )
 
-// reservedMessages is the part of a proxy's message limit that is reserved for bursts, joins and late
+// reservedMessages is the part of the limit on messages to a proxy that is reserved for bursts, joins and late
 // messages.
 const reservedMessages = 5
 
@@ -47,18 +47,18 @@
 	}
 	name := element.attrs["name"]
 	if slices.Contains(site.ClassNames, name) {
-		d.fail(element, "there are two classes named %q", name)
+		d.addError(element, "there are two classes named %q", name)
 	}
 	if class.LatencyObjective > class.ClientTimeout {
-		d.fail(element, "the goal time is longer than the client timeout")
+		d.addError(element, "goal-time is longer than client-timeout")
 	}
 	if class.Idempotency == balancer.Keyed && class.DedupWindow == 0 {
-		d.fail(element, "a guarded class needs a window")
+		d.addError(element, "a class with the effect guarded needs a window")
 	}
 	for _, zoneName := range strings.Fields(element.attrs["zones"]) {
 		zone, ok := d.zones[zoneName]
 		if !ok {
-			d.fail(element, "zones: no zone is named %q", zoneName)
+			d.addError(element, "zones: no zone is named %q", zoneName)
 		}
 		class.AllowedZones = append(class.AllowedZones, zone)
 	}
@@ -69,7 +69,8 @@
 	site.RetryPolicies = append(site.RetryPolicies, policy)
 }
 
-// readDataPlane must follow the classes, whose retry policies limit the default one.
+// readDataPlane reads the properties of the proxies. The classes must be read before, since the default retry
+// policy is the most restrictive one of the classes.
 func readDataPlane(fleet *node, site *controlplane.Site) {
 	defaultRetry := balancer.RetryTwice
 	for _, policy := range site.RetryPolicies {
@@ -91,7 +92,7 @@
 }
 
 func (d *decoder) readChannelAndGuarantees(root *node, site *controlplane.Site) {
-	channel := root.one("channel")
+	channel := root.firstChild("channel")
 	site.Channel = balancer.Channel{
 		EntriesPerSecond: channel.number("lines-per-second"),
 		MessageOverhead:  channel.number("message-lines"),
@@ -101,7 +102,7 @@
 		MaxMessages:      channel.int("most-messages"),
 		MessageWindow:    channel.number("message-window"),
 	}
-	rules := root.one("rules")
+	rules := root.firstChild("rules")
 	site.Guarantees = balancer.Guarantees{
 		DrainDeadline:       rules.number("drain-within"),
 		EmptyTableDeadline:  rules.number("bare-within"),
@@ -111,13 +112,13 @@
 		OverloadWindow:      rules.number("fall-within"),
 	}
 	if site.Channel.MaxDelay < site.Channel.MeanDelay {
-		d.fail(channel, "the longest way is shorter than the mean way")
+		d.addError(channel, "longest-way is shorter than mean-way")
 	}
 	if site.Channel.MaxDelay >= site.Guarantees.DrainDeadline {
-		d.fail(rules, "a drain can't be kept: an order may take %v s to arrive", site.Channel.MaxDelay)
+		d.addError(rules, "drain-within cannot be met: a command may take %v s to arrive", site.Channel.MaxDelay)
 	}
 	if limit := site.Channel.MaxMessages; limit > 0 && limit <= reservedMessages {
-		d.fail(channel, "most-messages: 6 at least, five are kept for bursts, joins and what is late")
+		d.addError(channel, "most-messages: must be at least 6, since 5 are reserved for bursts, joins and late messages")
 	}
 }
 
@@ -131,7 +132,7 @@
 	site := &config.Site
 	servers.overrideNumber("hold", &site.Limits.ServerHold)
 	lines := map[balancer.Server]int{}
-	for _, element := range servers.all("server") {
+	for _, element := range servers.childrenNamed("server") {
 		server := balancer.Server(d.endpoint(element, "address").String())
 		if capacity := element.number("capacity"); capacity > 0 {
 			if site.ServerCapacities == nil {
@@ -140,7 +141,7 @@
 			site.ServerCapacities[server] = controlplane.ServerCapacity{Pool: element.attrs["pool"], Capacity: capacity}
 		}
 		if line := lines[server]; line > 0 {
-			d.fail(element, "%s is listed already, in line %d", server, line)
+			d.addError(element, "%s is already listed in line %d", server, line)
 		}
 		lines[server] = element.line
 		site.Servers = append(site.Servers, registry.ServerConfig{
@@ -160,10 +161,10 @@
 		site.UnlistedZone = d.zone(proxies, "stranger-zone")
 	}
 	lines := map[string]int{}
-	for _, element := range proxies.all("relay") {
+	for _, element := range proxies.childrenNamed("relay") {
 		uid := element.attrs["uid"]
 		if line := lines[uid]; line > 0 {
-			d.fail(element, "relay %q is listed already, in line %d", uid, line)
+			d.addError(element, "relay %q is already listed in line %d", uid, line)
 		}
 		lines[uid] = element.line
 		site.Proxies = append(site.Proxies, controlplane.ProxyConfig{
@@ -173,7 +174,7 @@
 		})
 	}
 	if !site.AllowUnlisted && len(site.Proxies) == 0 {
-		d.fail(proxies, "no relay may join: none is listed, and strangers may not")
+		d.addError(proxies, "no relay could join: none is listed, and strangers are not allowed")
 	}
 }
 
@@ -192,9 +193,9 @@
 	element.overrideNumber("silent-for", &config.Limits.IdentifyTimeout)
 	element.overrideNumber("stall-for", &limits.StallTimeout)
 	if len(config.Site.Servers) > limits.MaxServers {
-		d.fail(element, "servers: %d are listed", len(config.Site.Servers))
+		d.addError(element, "servers: the limit is lower than the %d that are listed", len(config.Site.Servers))
 	}
 	if len(config.Site.Proxies) > limits.MaxProxies {
-		d.fail(element, "relays: %d are listed", len(config.Site.Proxies))
+		d.addError(element, "relays: the limit is lower than the %d that are listed", len(config.Site.Proxies))
 	}
 }
--- a/internal/settings/tenant.go
+++ b/internal/settings/tenant.go
@@ -12,17 +12,17 @@
 )
 
 const (
-	// maxUIDBytes is the maximum length of a proxy's UID on the wire.
+	// maxUIDBytes is the maximum length in bytes of a proxy's UID on the wire.
 	maxUIDBytes = 255
-	// minTraces is the minimum number of table versions that are traced.
+	// minTraces is the minimum of Limits.MaxTraces, the number of message traces that are stored.
 	minTraces = 64
-	// tracesPerProxy is the number of table versions that are traced for each proxy.
+	// tracesPerProxy is the number of message traces that are stored for each proxy.
 	tracesPerProxy = 2
 )
 
-// ParseTenant reads a tenant's settings for a host. Proxies are named there without the tenant's name; in
-// its coordinator and on the wire, the tenant's name is the prefix of their UIDs, so that a UID identifies
-// its tenant.
+// ParseTenant parses the settings of a tenant of a host. The settings contain the UIDs of proxies without the
+// tenant's name. In the tenant's coordinator and on the wire, the tenant's name is the prefix of each UID, so
+// that a UID identifies its tenant.
 func ParseTenant(name tenancy.Name, text []byte, h *Host) (coordinator.TenantConfig, error) {
 	return readDocument(string(name), text, "tenant", func(root *node) (coordinator.TenantConfig, error) {
 		return readTenant(name, root, h)
@@ -35,14 +35,14 @@
 	config.Callers = dec.readCallers(root)
 	for i, caller := range config.Callers {
 		if caller.Role == authz.RoleHost {
-			dec.fail(root.all("caller")[i], "role: the host's callers are in the host's settings")
+			dec.addError(root.childrenNamed("caller")[i], "role: callers with the role host must be in the host's settings")
 		}
 	}
 	dec.prefixUIDs(root, name, config)
-	dec.checkCredentials(root.one("reports"), config.User, config.Key)
+	dec.checkCredentials(root.firstChild("reports"), config.User, config.Key)
 	dec.restrictProtocols(root, config, host)
 	dec.checkClassesServed(root, config)
-	size := tenantSize(root.one("limits"), config)
+	size := tenantSize(root.firstChild("limits"), config)
 	config.Measurements = host.Measurements
 	networks := dec.readNetworks(root)
 	tenant := coordinator.TenantConfig{
@@ -56,7 +56,7 @@
 	return tenant, dec.err()
 }
 
-// prefixUIDs puts the tenant's name before the UIDs of its proxies and its fleet.
+// prefixUIDs adds the tenant's name as a prefix to the UIDs of its proxies and its fleet.
 func (d *decoder) prefixUIDs(root *node, name tenancy.Name, config *Coordinator) {
 	config.Site.UIDPrefix = name.UID("")
 	for i := range config.Site.Proxies {
@@ -64,32 +64,33 @@
 		uid := proxy.UID
 		proxy.UID = name.UID(uid)
 		if len(proxy.UID) > maxUIDBytes {
-			d.fail(root.one("relays"), "relay %q: with the tenant's name it has over %d bytes", uid, maxUIDBytes)
+			d.addError(root.firstChild("relays"), "relay %q: the UID with the tenant's name is longer than %d bytes",
+				uid, maxUIDBytes)
 		}
 	}
 	config.Policy.FleetUID = name.UID(config.Policy.FleetUID)
 }
 
-// restrictProtocols leaves SASP to the servers if proxies need admission, which SASP cannot express.
+// restrictProtocols restricts SASP to servers if proxies need admission settings, which SASP cannot express.
 func (d *decoder) restrictProtocols(root *node, config *Coordinator, host *Host) {
 	if config.Site.DataPlane.Admission == balancer.AdmissionIgnored || !host.SASP.IsValid() {
 		return
 	}
 	config.Policy.MembersOnly = true
 	if !host.HTTP.IsValid() {
-		d.fail(root.one("fleet"), "levels: SASP has no word for them, and this host speaks nothing else")
+		d.addError(root.firstChild("fleet"),
+			"levels: SASP cannot express them, and this host serves no other protocol to proxies")
 	}
 }
 
-// checkClassesServed checks that each class has a server, unless servers may register that are not
-// listed.
+// checkClassesServed checks that each class has a listed server, unless unlisted servers may register.
 func (d *decoder) checkClassesServed(root *node, config *Coordinator) {
 	if config.Policy.AllowUnlisted || config.Policy.BalancersRegister {
 		return
 	}
 	for i, class := range config.Site.Classes {
 		if !isServed(class, &config.Site) {
-			d.fail(root.all("class")[i], "no server is listed in a zone that may take it")
+			d.addError(root.childrenNamed("class")[i], "no server is listed in a zone where the class is allowed")
 		}
 	}
 }
@@ -104,8 +105,8 @@
 	return false
 }
 
-// tenantSize sets the limits that the settings leave out to those of the tenant's default size, and
-// returns the size by which its requirements are calculated.
+// tenantSize sets the limits that are missing in the settings to those of the tenant's default size. It returns
+// the size from which the tenant's requirements are calculated.
 func tenantSize(limits *node, config *Coordinator) tenancy.Size {
 	site := &config.Site
 	size := tenancy.DefaultSize(tenancy.Size{
@@ -136,13 +137,13 @@
 	return size
 }
 
-// readNetworks reads the networks from which the tenant's connections may come.
+// readNetworks reads the networks from which the tenant's clients may connect.
 func (d *decoder) readNetworks(root *node) []netip.Prefix {
 	var networks []netip.Prefix
-	for _, n := range root.all("from") {
+	for _, n := range root.childrenNamed("from") {
 		network, err := netip.ParsePrefix(n.attrs["network"])
 		if err != nil || network.Masked() != network {
-			d.fail(n, "network %q is none, or has bits behind its length", n.attrs["network"])
+			d.addError(n, "network %q is invalid or has bits set beyond its prefix length", n.attrs["network"])
 		}
 		networks = append(networks, network)
 	}
--- a/internal/settings/tenant_edit.go
+++ b/internal/settings/tenant_edit.go
@@ -8,40 +8,40 @@
 	"slices"
 )
 
-// maskedKey replaces a key in settings that are shown.
+// maskedKey replaces each key in settings that are shown to callers.
 const maskedKey = "(unchanged)"
 
-// MaskKeys returns a tenant's settings with each key replaced, so that they can be shown to every caller
-// who may read them. MergeKeys restores the keys.
+// MaskKeys returns a tenant's settings with each key replaced by a placeholder, so that they can be shown to
+// every caller who may read them. MergeKeys restores the keys.
 func MaskKeys(text []byte) ([]byte, error) {
 	return rewriteTenant(text, func(root *node) error {
-		for _, n := range root.secrets() {
+		for _, n := range root.elementsWithKey() {
 			n.attrs["key"] = maskedKey
 		}
 		return nil
 	})
 }
 
-// MergeKeys returns a tenant's new settings with the keys of its previous ones wherever they are masked.
-// It returns an *Error for a masked key that the previous settings do not have.
+// MergeKeys returns a tenant's new settings with each masked key replaced by the key of the same element in the
+// previous settings. It returns an *Error if the previous settings do not have that key.
 func MergeKeys(text, previous []byte) ([]byte, error) {
 	if !bytes.Contains(text, []byte(maskedKey)) {
 		return text, nil
 	}
 	keys := map[string]string{}
 	if root, err := parse(previous); err == nil {
-		for _, n := range root.secrets() {
-			keys[n.secretID()] = n.attrs["key"]
+		for _, n := range root.elementsWithKey() {
+			keys[n.keyID()] = n.attrs["key"]
 		}
 	}
 	return rewriteTenant(text, func(root *node) error {
-		for _, n := range root.secrets() {
+		for _, n := range root.elementsWithKey() {
 			if n.attrs["key"] != maskedKey {
 				continue
 			}
-			key, ok := keys[n.secretID()]
+			key, ok := keys[n.keyID()]
 			if !ok {
-				return n.errorf("key: there is none to be left unchanged")
+				return n.errorf("key: the previous settings have no key for this element")
 			}
 			n.attrs["key"] = key
 		}
@@ -49,8 +49,8 @@
 	})
 }
 
-// secrets returns the children that have keys.
-func (n *node) secrets() []*node {
+// elementsWithKey returns the children that have a key: callers and signed load reports.
+func (n *node) elementsWithKey() []*node {
 	var found []*node
 	for _, child := range n.children {
 		if child.name == "caller" || child.name == "reports" && child.attrs["key"] != "" {
@@ -60,12 +60,12 @@
 	return found
 }
 
-// secretID identifies an element with a key in its file.
-func (n *node) secretID() string { return n.name + "/" + n.attrs["name"] }
+// keyID returns an identifier of an element with a key that is unique in its file.
+func (n *node) keyID() string { return n.name + "/" + n.attrs["name"] }
 
-// rewriteTenant changes a tenant's settings.
+// rewriteTenant validates a tenant's settings, applies a change to them and returns the result.
 func rewriteTenant(text []byte, change func(*node) error) ([]byte, error) {
-	root, err := load(text, "tenant")
+	root, err := parseAndValidate(text, "tenant")
 	if err != nil {
 		return nil, err
 	}
@@ -75,8 +75,8 @@
 	return root.encode()
 }
 
-// ServerEdit is a change of one server in a tenant's settings. Fields without a value leave the settings
-// as they are.
+// ServerEdit is a change of one server in a tenant's settings. Fields without a value leave the corresponding
+// settings unchanged.
 type ServerEdit struct {
 	Server        string  `json:"server"`
 	Remove        bool    `json:"remove,omitempty"`
@@ -89,21 +89,21 @@
 }
 
 // ErrInvalidEdit is returned for an edit that cannot be applied to the settings.
-var ErrInvalidEdit = errors.New("the edit makes no sense")
+var ErrInvalidEdit = errors.New("invalid server edit")
 
-// Apply returns a tenant's settings with one server added, changed or removed. The result is not
-// validated; ParseTenant does that. It returns an error that wraps ErrInvalidEdit for a server that is not
-// listed and cannot be added.
+// Apply returns a tenant's settings with one server added, changed or removed. The result is not validated, which
+// is done by ParseTenant. The error wraps ErrInvalidEdit if the address is invalid or the server is not listed and
+// cannot be added.
 func (e ServerEdit) Apply(text []byte) ([]byte, error) {
 	address, err := netip.ParseAddrPort(e.Server)
 	if err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrInvalidEdit, err)
 	}
-	return rewriteTenant(text, func(root *node) error { return e.applyTo(root.one("servers"), address) })
+	return rewriteTenant(text, func(root *node) error { return e.applyTo(root.firstChild("servers"), address) })
 }
 
 func (e ServerEdit) applyTo(servers *node, address netip.AddrPort) error {
-	index := lastServer(servers, address)
+	index := lastServerIndex(servers, address)
 	if e.Remove {
 		if index < 0 {
 			return fmt.Errorf("%w: %s is not listed", ErrInvalidEdit, address)
@@ -124,8 +124,8 @@
 	return nil
 }
 
-// lastServer returns the index of the last element with an address, or -1.
-func lastServer(servers *node, address netip.AddrPort) int {
+// lastServerIndex returns the index of the last server element with the address, or -1.
+func lastServerIndex(servers *node, address netip.AddrPort) int {
 	for i, n := range slices.Backward(servers.children) {
 		listed, err := netip.ParseAddrPort(n.attrs["address"])
 		if err == nil && listed == address {
