--- a/internal/settings/coordinator.go
+++ b/internal/settings/coordinator.go
@@ -146,13 +146,13 @@
 func (c *Coordinator) writeSite(text *strings.Builder) {
 	site := &c.Site
 	for i, class := range site.Classes {
-		fmt.Fprintf(text, "class %s: priority weight %g, latency objective %g s, client timeout %g s, retry policy %s\n",
+		fmt.Fprintf(text, "class %s: benefit %g, goal time %g s, client timeout %g s, repeats %s\n",
 			site.ClassNames[i], class.PriorityWeight, class.LatencyObjective, class.ClientTimeout,
 			nameOf(retryPolicies, site.RetryPolicies[i]))
 	}
-	fmt.Fprintf(text, "%d servers listed, %d relays listed (unlisted ones accepted: %t), %d zones\n",
+	fmt.Fprintf(text, "%d servers listed, %d relays listed (strangers: %t), %d zones\n",
 		len(site.Servers), len(site.Proxies), site.AllowUnlisted, len(site.Zones))
-	fmt.Fprintf(text, "channel: %g table entries per second, %g may be queued, %d messages to one relay within %g s\n",
+	fmt.Fprintf(text, "channel: %g lines per second, %g may be queued, %d messages to one relay within %g s\n",
 		site.Channel.EntriesPerSecond, site.Channel.MaxQueued, site.Channel.MaxMessages, site.Channel.MessageWindow)
 	fmt.Fprintf(text, "drains within %g s: a relay that has not acknowledged one after %.2f s is disconnected\n",
 		site.Guarantees.DrainDeadline, site.Guarantees.DrainDeadline*site.Limits.DrainFraction)
--- a/internal/settings/host.go
+++ b/internal/settings/host.go
@@ -103,7 +103,7 @@
 			g.Self, len(g.Members), g.Lease.Duration, g.Lease.ExpiryTimeout())
 	}
 	fmt.Fprintf(&text,
-		"capacity for %d tenants: %.0f MB, %.0f table entries per second, %.0f connections, %.2f CPU cores overcommitted %g times\n",
+		"room for %d tenants: %.0f MB, %.0f lines per second, %.0f connections, %.2f of a core promised %g times\n",
 		h.Capacity.MaxTenants, h.Capacity.Memory/bytesPerMegabyte, h.Capacity.EntriesPerSecond,
 		h.Capacity.Connections, h.Capacity.CPU, h.Capacity.CPUOvercommit)
 	return text.String()
