--- a/internal/cli/experiment.go
+++ b/internal/cli/experiment.go
@@ -176,7 +176,7 @@
 		return fmt.Errorf("the scenario of cell %s does not meet the condition for shrinking", c.Cell)
 	}
 	scenario = experiment.Shrink(scenario, condition, c.Most, env.out)
-	text, err := scenario.Write()
+	text, err := scenario.Encode()
 	if err != nil {
 		return err
 	}
