--- a/internal/core/admission/controller.go
+++ b/internal/core/admission/controller.go
@@ -10,7 +10,7 @@
 )
 
 // Clients receive the texts of these errors as the titles of problem documents. Since the type of these documents is about:blank, a client
-// can tell problems apart only by the title, so the texts must not change.
+// can tell problems with the same status apart only by the title, so the texts must not change.
 var (
 	// ErrRateLimited means that the coordinator has limited the requests of the class.
 	ErrRateLimited = errors.New("fewer queries of this class are let in")
--- a/internal/core/forwarding/proxy.go
+++ b/internal/core/forwarding/proxy.go
@@ -52,7 +52,7 @@
 }
 
 // Clients receive the texts of these errors as the titles of problem documents. Since the type of these documents is about:blank, a client
-// can tell problems apart only by the title, so the texts must not change.
+// can tell problems with the same status apart only by the title, so the texts must not change.
 var (
 	// ErrNoServer means that no server is eligible for a request.
 	ErrNoServer = errors.New("no server may take it")
