--- a/internal/coordinator/connections.go
+++ b/internal/coordinator/connections.go
@@ -74,16 +74,16 @@
 	}
 }
 
-// Send implements saspsession.Out.
+// Send implements saspsession.Handler.
 func (c *Coordinator) Send(conn saspsession.Conn, data []byte) { c.io.Send(env.Conn(conn), data) }
 
-// Close implements saspsession.Out.
+// Close implements saspsession.Handler.
 func (c *Coordinator) Close(conn saspsession.Conn) { c.io.Close(env.Conn(conn)) }
 
-// SendPoll implements longpollhttp.Out.
+// SendPoll implements longpollhttp.Handler.
 func (c *Coordinator) SendPoll(conn longpollhttp.Conn, data []byte) { c.io.Send(env.Conn(conn), data) }
 
-// ClosePoll implements longpollhttp.Out.
+// ClosePoll implements longpollhttp.Handler.
 func (c *Coordinator) ClosePoll(conn longpollhttp.Conn) {
 	delete(c.pollConnections, env.Conn(conn))
 	c.io.Close(env.Conn(conn))
--- a/internal/coordinator/coordinator.go
+++ b/internal/coordinator/coordinator.go
@@ -189,7 +189,7 @@
 // group has committed the release; the caller repeats the call until it has.
 func (c *Coordinator) Leave(now float64) (released bool) { return c.links.leave(now) }
 
-// Log implements saspsession.Out and longpollhttp.Out. It logs an event with attributes.
+// Log implements saspsession.Handler and longpollhttp.Handler. It logs an event with attributes.
 func (c *Coordinator) Log(event string, attributes ...any) {
 	if c.config.Log != nil {
 		c.config.Log.Log(context.Background(), slog.LevelInfo, event, attributes...)
--- a/internal/coordinator/member_messages.go
+++ b/internal/coordinator/member_messages.go
@@ -50,7 +50,7 @@
 	}
 }
 
-// TenantChanged implements consensus.Tenants.
+// TenantChanged implements consensus.TenantObserver.
 func (m *Member) TenantChanged(now float64, name tenancy.Name, ticket membership.Ticket, outcome tenancy.Outcome) {
 	if m.OnTenant != nil {
 		m.OnTenant(now, name, ticket, outcome)
--- a/internal/coordinator/sharing.go
+++ b/internal/coordinator/sharing.go
@@ -56,7 +56,7 @@
 	return s.local.Save(records)
 }
 
-// OrderDrain implements saspsession.Out. A drain has no effect until the group has committed it.
+// OrderDrain implements saspsession.Handler. A drain has no effect until the group has committed it.
 func (c *Coordinator) OrderDrain(now float64, server balancer.Server, draining bool) (ticket uint64, ok bool) {
 	if c.peers == nil {
 		return 0, true
