--- a/balancer/health.go
+++ b/balancer/health.go
@@ -69,16 +69,16 @@
 func boundIntakes(candidates []candidate, attemptRate float64) {
 	total := 0.0
 	warmTotal := 0.0
-	takers := make([]waterfill.Consumer, len(candidates))
+	consumers := make([]waterfill.Consumer, len(candidates))
 	for i := range candidates {
 		c := &candidates[i]
-		takers[i] = waterfill.Consumer{Demand: c.intake, Limit: c.safeIntake}
+		consumers[i] = waterfill.Consumer{Demand: c.intake, Limit: c.safeIntake}
 		total += c.safeIntake
 		if c.warm {
 			warmTotal += c.safeIntake
 		}
 	}
-	factor := waterfill.Factor(takers, attemptRate)
+	factor := waterfill.Factor(consumers, attemptRate)
 	for i := range candidates {
 		c := &candidates[i]
 		c.intake = min(factor*c.intake, c.safeIntake)
--- a/internal/coordinator/host_connections.go
+++ b/internal/coordinator/host_connections.go
@@ -49,7 +49,7 @@
 		return
 	}
 	h.call(now, tenant, func() { tenant.Coordinator.Receive(now, conn, data) })
-	h.chargeArrival(now, tenant, len(data))
+	h.chargeInput(now, tenant, len(data))
 }
 
 // Closed implements env.Program.
@@ -64,7 +64,7 @@
 		return
 	}
 	h.call(now, tenant, func() { tenant.Coordinator.Closed(now, conn) })
-	h.chargeArrival(now, tenant, 0)
+	h.chargeInput(now, tenant, 0)
 }
 
 // Delivered implements env.Program.
@@ -92,7 +92,7 @@
 		return
 	}
 	h.call(now, tenant, func() { tenant.Coordinator.Datagram(now, data) })
-	h.chargeArrival(now, tenant, len(data))
+	h.chargeInput(now, tenant, len(data))
 }
 
 // running returns the tenant with a name; nil if it is not running.
--- a/internal/coordinator/host_scheduling.go
+++ b/internal/coordinator/host_scheduling.go
@@ -64,8 +64,8 @@
 	tenant.charged = stats
 }
 
-// chargeArrival charges a tenant for bytes received for it. If the tenant was idle, its turns return to the shorter interval.
-func (h *Host) chargeArrival(now float64, tenant *TenantRuntime, bytes int) {
+// chargeInput charges a tenant for bytes received for it. If the tenant was idle, its turns return to the shorter interval.
+func (h *Host) chargeInput(now float64, tenant *TenantRuntime, bytes int) {
 	usage := tenancy.Usage{InputEvents: 1, Bytes: bytes}
 	h.Scheduler.Charge(tenant.Name, usage.CPUSeconds())
 	if tenant.idle {
--- a/internal/core/saspsession/deregistration.go
+++ b/internal/core/saspsession/deregistration.go
@@ -64,7 +64,7 @@
 	for _, row := range rows {
 		server := s.serverAt(row.Address)
 		member := registered.members[server]
-		s.withdrawVoucher(now, lb, member, server)
+		s.withdrawListing(now, lb, member, server)
 		member.byBalancer = false
 		if !member.byMember {
 			registered.removeMember(server)
--- a/internal/core/saspsession/groups.go
+++ b/internal/core/saspsession/groups.go
@@ -65,17 +65,17 @@
 	g.memberOrder = remove(g.memberOrder, server)
 }
 
-// withdrawGroup withdraws a balancer's vouchers for the members of a group that is being removed, and removes the group
+// withdrawGroup withdraws a balancer's listings of the members of a group that is being removed, and removes the group
 // from the states of servers that registered themselves in it.
 func (s *Server) withdrawGroup(now float64, lb *loadBalancer, group *group) {
 	s.detachGroup(group)
 	for _, server := range group.memberOrder {
-		s.withdrawVoucher(now, lb, group.members[server], server)
+		s.withdrawListing(now, lb, group.members[server], server)
 	}
 }
 
-// withdrawVoucher reports to the registry that a balancer no longer lists a server in one of its groups.
-func (s *Server) withdrawVoucher(now float64, lb *loadBalancer, member *registration, server balancer.Server) {
+// withdrawListing reports to the registry that a balancer no longer lists a server in one of its groups.
+func (s *Server) withdrawListing(now float64, lb *loadBalancer, member *registration, server balancer.Server) {
 	if member.byBalancer && s.policy.BalancersRegister {
 		_ = s.fleet.Registry.AdjustListings(now, server, s.zoneOf(lb), -1) // fails only for a new server in a full registry
 	}
--- a/internal/core/saspsession/sequences_test.go
+++ b/internal/core/saspsession/sequences_test.go
@@ -24,7 +24,7 @@
 
 // sequenceModel is the expected state of the server. It is derived only from the replies that the peers received.
 type sequenceModel struct {
-	vouched    map[string]map[string]map[int]bool // servers that each balancer registered, by balancer and group
+	listed     map[string]map[string]map[int]bool // servers that each balancer lists, by balancer and group
 	joined     map[string]bool                    // balancers that have joined the fleet
 	holder     map[string]Conn                    // connection of each balancer
 	registered map[int]map[Conn]bool              // connections on which each server registered itself
@@ -33,7 +33,7 @@
 
 // removeBalancer removes a balancer whose connection has ended.
 func (m *sequenceModel) removeBalancer(uid string) {
-	delete(m.vouched, uid)
+	delete(m.listed, uid)
 	delete(m.joined, uid)
 	delete(m.holder, uid)
 }
@@ -56,9 +56,9 @@
 	}
 }
 
-// vouchers returns the number of balancers' groups that list a server.
-func (m *sequenceModel) vouchers(server int) (count int) {
-	for _, groups := range m.vouched {
+// listings returns the number of balancers' groups that list a server.
+func (m *sequenceModel) listings(server int) (count int) {
+	for _, groups := range m.listed {
 		for _, servers := range groups {
 			if servers[server] {
 				count++
@@ -91,26 +91,26 @@
 	case sasp.Registration:
 		m.joined[uid] = true
 		for _, group := range sent.Groups {
-			if m.vouched[uid] == nil {
-				m.vouched[uid] = map[string]map[int]bool{}
+			if m.listed[uid] == nil {
+				m.listed[uid] = map[string]map[int]bool{}
 			}
-			if m.vouched[uid][string(group.Name)] == nil {
-				m.vouched[uid][string(group.Name)] = map[int]bool{}
+			if m.listed[uid][string(group.Name)] == nil {
+				m.listed[uid][string(group.Name)] = map[int]bool{}
 			}
 			for _, server := range servers[group.From:group.To] {
-				m.vouched[uid][string(group.Name)][server] = true
+				m.listed[uid][string(group.Name)][server] = true
 			}
 		}
 	case sasp.Deregistration:
 		if len(sent.Groups) == 0 {
-			delete(m.vouched, uid)
+			delete(m.listed, uid)
 		}
 		for _, group := range sent.Groups {
 			if group.From == group.To {
-				delete(m.vouched[uid], string(group.Name))
+				delete(m.listed[uid], string(group.Name))
 			}
 			for _, server := range servers[group.From:group.To] {
-				delete(m.vouched[uid][string(group.Name)], server)
+				delete(m.listed[uid][string(group.Name)], server)
 			}
 		}
 	}
@@ -144,7 +144,7 @@
 		limits:      limits,
 		openInModel: map[Conn]bool{},
 		model: sequenceModel{
-			vouched:    map[string]map[string]map[int]bool{},
+			listed:     map[string]map[string]map[int]bool{},
 			joined:     map[string]bool{},
 			holder:     map[string]Conn{},
 			registered: map[int]map[Conn]bool{},
@@ -334,10 +334,10 @@
 	} else if lost && s.now-lostAt < sequenceHold+0.5 {
 		return
 	}
-	want := held || s.policy.BalancersRegister && s.model.vouchers(number) > 0
+	want := held || s.policy.BalancersRegister && s.model.listings(number) > 0
 	if got := phase != balancer.Removed; got != want {
-		s.rt.Fatalf("server %d is in service: %t, want %t; registered on connections %v, %d vouchers", number, got, want, s.model.registered[number],
-			s.model.vouchers(number))
+		s.rt.Fatalf("server %d is in service: %t, want %t; registered on connections %v, %d listings", number, got, want, s.model.registered[number],
+			s.model.listings(number))
 	}
 }
 
@@ -348,10 +348,10 @@
 	}
 	for number := range sequenceServers {
 		member := group.members[balancer.Server(address(number).String())]
-		vouched := s.model.vouched[uid][group.name][number]
-		if (member != nil && member.byBalancer) != vouched {
+		listed := s.model.listed[uid][group.name][number]
+		if (member != nil && member.byBalancer) != listed {
 			s.rt.Fatalf("%s: server %d of group %s is registered by the balancer: %t, want %t", uid, number, group.name, member != nil && member.byBalancer,
-				vouched)
+				listed)
 		}
 		lostAt, lost := s.model.lostAt[number]
 		held := lost && s.now-lostAt < sequenceHold+0.5
