--- a/internal/coordinator/coordinator.go
+++ b/internal/coordinator/coordinator.go
@@ -1,4 +1,4 @@
-// Package coordinator assembles a coordinator from its components: a fleet, a SASP server, a long-poll front end and a collector
+// Package coordinator assembles a coordinator from its components: a fleet, a SASP server, a long-poll frontend and a collector
 // of measurements. A Coordinator may share its fleet with other coordinators as a Member of a group, and a Host runs one
 // Coordinator for each of many tenants. The same programs run in virtual time and over real sockets.
 package coordinator
--- a/internal/coordinator/host.go
+++ b/internal/coordinator/host.go
@@ -183,7 +183,7 @@
 	}
 }
 
-// Tenant returns the tenant with a name, running or not, and reports whether there is one.
+// Tenant returns the tenant with the given name, running or not, and reports whether there is one.
 func (h *Host) Tenant(name tenancy.Name) (*TenantRuntime, bool) {
 	tenant := h.tenants[name]
 	return tenant, tenant != nil
--- a/internal/coordinator/host_connections.go
+++ b/internal/coordinator/host_connections.go
@@ -95,7 +95,7 @@
 	h.chargeInput(now, tenant, len(data))
 }
 
-// running returns the tenant with a name; nil if it is not running.
+// running returns the tenant with the given name; nil if it is not running.
 func (h *Host) running(name tenancy.Name) *TenantRuntime {
 	tenant := h.tenants[name]
 	if tenant == nil || tenant.Coordinator == nil {
--- a/internal/coordinator/host_group.go
+++ b/internal/coordinator/host_group.go
@@ -49,7 +49,7 @@
 	member.OnTenant = h.shared.tenantCommitted
 }
 
-// running returns the tenant with an incarnation; nil if it is not running on this host.
+// running returns the tenant with the given incarnation; nil if it is not running on this host.
 func (s *sharedTenants) running(incarnation tenancy.Incarnation) *TenantRuntime {
 	tenant := s.byIncarnation[incarnation]
 	if tenant == nil || tenant.Coordinator == nil {
@@ -114,12 +114,12 @@
 	s.proposals[ticket] = &proposal{done: done}
 }
 
-// orderCompleted reports to the initiator of a drain or a change at this host whether it was committed.
-func (s *sharedTenants) orderCompleted(now float64, ticket membership.Ticket, committed bool) {
+// orderCompleted reports to the initiator of a drain or a change at this host whether it was accepted.
+func (s *sharedTenants) orderCompleted(now float64, ticket membership.Ticket, accepted bool) {
 	pending := s.proposals[ticket]
 	if pending != nil {
 		delete(s.proposals, ticket)
-		pending.complete(committed)
+		pending.complete(accepted)
 		return
 	}
 	incarnation, known := s.drainOrders[ticket]
@@ -129,12 +129,12 @@
 	}
 	tenant := s.running(incarnation)
 	if tenant != nil {
-		s.host.call(now, tenant, func() { tenant.Coordinator.orderCompleted(now, ticket, committed) })
+		s.host.call(now, tenant, func() { tenant.Coordinator.orderCompleted(now, ticket, accepted) })
 	}
 }
 
-func (p *proposal) complete(committed bool) {
-	if !committed {
+func (p *proposal) complete(accepted bool) {
+	if !accepted {
 		p.done(tenancy.Outcome{}, ErrNotCommitted)
 		return
 	}
--- a/internal/coordinator/member.go
+++ b/internal/coordinator/member.go
@@ -42,7 +42,7 @@
 	Capacity tenancy.Capacity
 }
 
-// PeerName returns the name of the member with a number.
+// PeerName returns the name of the member with the given number.
 func PeerName(id membership.MemberID) membership.Peer { return membership.Peer(fmt.Sprint("c", id)) }
 
 // Member is a coordinator's membership of a group: it connects to the other members, participates in consensus, and determines
@@ -69,8 +69,8 @@
 	OnDrain func(now float64, command membership.Command)
 	// OnRecords is called when server records are committed.
 	OnRecords func(now float64, records []registry.Record)
-	// OnOrderCompleted is called when an order that this member submitted is committed or refused.
-	OnOrderCompleted func(now float64, ticket membership.Ticket, committed bool)
+	// OnOrderCompleted is called when an order that this member submitted is accepted or rejected.
+	OnOrderCompleted func(now float64, ticket membership.Ticket, accepted bool)
 	// OnTenant is called when a change of a tenant is committed.
 	OnTenant func(now float64, name tenancy.Name, ticket membership.Ticket, outcome tenancy.Outcome)
 }
--- a/internal/coordinator/member_messages.go
+++ b/internal/coordinator/member_messages.go
@@ -38,14 +38,14 @@
 }
 
 // OrdersCompleted implements consensus.Messenger.
-func (m *Member) OrdersCompleted(now float64, committed, refused []membership.Ticket) {
+func (m *Member) OrdersCompleted(now float64, accepted, rejected []membership.Ticket) {
 	if m.OnOrderCompleted == nil {
 		return
 	}
-	for _, ticket := range committed {
+	for _, ticket := range accepted {
 		m.OnOrderCompleted(now, ticket, true)
 	}
-	for _, ticket := range refused {
+	for _, ticket := range rejected {
 		m.OnOrderCompleted(now, ticket, false)
 	}
 }
--- a/internal/coordinator/sharing.go
+++ b/internal/coordinator/sharing.go
@@ -25,7 +25,7 @@
 	Epoch() uint64
 	// ProxyRedirected records that a proxy with another owner was redirected.
 	ProxyRedirected(now float64, uid string)
-	// Drain proposes a drain or the end of a drain. The ticket identifies the order when it is committed or refused. ok is false if
+	// Drain proposes a drain or the end of a drain. The ticket identifies the order when it is accepted or rejected. ok is false if
 	// it can't be proposed.
 	Drain(now float64, server balancer.Server, draining bool) (ticket uint64, ok bool)
 	// Drains returns the draining servers with the clock times in seconds at which their committed drains were ordered. The caller
@@ -67,8 +67,8 @@
 	return c.peers.Drain(now, server, draining)
 }
 
-// RequestDrain orders a drain or the end of a drain for an administrator. done is called once, when the order is committed and
-// durable, or refused.
+// RequestDrain orders a drain or the end of a drain for an administrator. done is called once: with true when the order is
+// accepted by the group and durable, or with false when it is rejected.
 func (c *Coordinator) RequestDrain(now float64, server balancer.Server, draining bool, done func(ok bool)) {
 	ticket, ok := c.OrderDrain(now, server, draining)
 	if !ok {
@@ -102,16 +102,16 @@
 	}
 }
 
-// orderCompleted reports to the administrator or the SASP connection that ordered a drain whether the order was committed.
-func (c *Coordinator) orderCompleted(now float64, order membership.Ticket, committed bool) {
+// orderCompleted reports to the administrator or the SASP connection that ordered a drain whether the order was accepted.
+func (c *Coordinator) orderCompleted(now float64, order membership.Ticket, accepted bool) {
 	ticket := uint64(order)
 	done := c.pendingDrains[ticket]
 	if done == nil {
-		c.SASP.OrderCompleted(now, ticket, committed)
+		c.SASP.OrderCompleted(now, ticket, accepted)
 		return
 	}
 	delete(c.pendingDrains, ticket)
-	done(committed)
+	done(accepted)
 }
 
 // abandonDrains reports all pending drains of administrators as not confirmed: they may be in effect, and may be ordered again.
--- a/internal/core/saspsession/drains.go
+++ b/internal/core/saspsession/drains.go
@@ -7,14 +7,14 @@
 
 // drainRequest is a message with drain orders. It is answered when the outcome of all of them is known.
 type drainRequest struct {
-	conn    Conn   // connection of the sender
-	id      uint32 // message ID, which the reply repeats
-	pending int    // orders whose outcome is not known yet
-	refused bool   // at least one order was refused
+	conn     Conn   // connection of the sender
+	id       uint32 // message ID, which the reply repeats
+	pending  int    // orders whose outcome is not known yet
+	rejected bool   // at least one order was rejected
 }
 
 func (r *drainRequest) code() sasp.Code {
-	if r.refused {
+	if r.rejected {
 		return sasp.NotAccepted
 	}
 	return sasp.OK
@@ -34,7 +34,7 @@
 }
 
 // drainMembers starts or ends drains for the whole fleet. If several coordinators share the fleet, the reply is sent
-// after they have agreed on every order in the message. If one of the orders is refused, the message is rejected,
+// after they have agreed on every order in the message. If one of the orders is rejected, the message is rejected,
 // although the others may have been applied; the sender may send the message again.
 func (s *Server) drainMembers(now float64, conn *connection, message *sasp.Message) (code sasp.Code, pending bool) {
 	if !s.allPresentOrDraining(message) {
@@ -47,7 +47,7 @@
 		ticket, accepted := s.handler.OrderDrain(now, server, quiesced)
 		switch {
 		case !accepted:
-			request.refused = true
+			request.rejected = true
 		case ticket == 0:
 			s.fleet.Registry.SetDrain(now, server, quiesced)
 		default:
@@ -84,12 +84,12 @@
 	}
 	delete(s.pendingDrains, ticket)
 	request.pending--
-	request.refused = request.refused || !accepted
+	request.rejected = request.rejected || !accepted
 	conn := s.conns[request.conn]
 	if request.pending > 0 || conn == nil {
 		return
 	}
-	if request.refused {
+	if request.rejected {
 		s.Stats.Rejected++
 		s.handler.Log("message rejected", "kind", sasp.SetMember, "reason", "coordinators did not agree in time",
 			"from", conn.from)
--- a/internal/core/saspsession/server.go
+++ b/internal/core/saspsession/server.go
@@ -22,7 +22,7 @@
 	Close(conn Conn)
 	// OrderDrain orders the start or the end of a drain, as a member or its agent requested. If the ticket is 0, the
 	// order is in force at once and the Server applies it. Otherwise the Server does not apply it, and replies to the
-	// sender when OrderCompleted reports the outcome of the ticket. ok is false if the order is refused.
+	// sender when OrderCompleted reports the outcome of the ticket. ok is false if the order is rejected.
 	OrderDrain(now float64, server balancer.Server, on bool) (ticket uint64, ok bool)
 	// Log logs an event with pairs of keys and values.
 	Log(event string, pairs ...any)
