--- a/internal/core/membership/ownership.go
+++ b/internal/core/membership/ownership.go
@@ -22,8 +22,8 @@
 // ownerCache caches the owners computed in one epoch. Owners change only with the epoch.
 type ownerCache struct {
 	epoch   Epoch
-	weights map[Peer]float64 // of the peers alive in that epoch
-	owners  map[string]Peer  // by proxy
+	weights map[Peer]float64 // weights of the peers that were alive in that epoch
+	owners  map[string]Peer  // computed owners by proxy
 }
 
 // Owner returns the peer that owns a proxy: the one that has claimed it, or else the one with the highest score by weighted rendezvous
@@ -43,7 +43,7 @@
 	return owner, ok
 }
 
-// Contested reports whether an alive peer other than owner may still regard itself as the owner of a proxy, because it may not
+// Contested reports whether a live peer other than owner may still regard itself as the owner of a proxy, because it may not
 // have applied any epoch later than one in which it was. This prevents two coordinators from owning one proxy while the former owner does
 // not know of the change yet. The cost is that no coordinator manages such a proxy until its former owner has renewed its lease or the
 // lease has expired.
@@ -104,7 +104,7 @@
 	return -weight / math.Log(uniform)
 }
 
-// applyClaim makes an alive peer the owner of proxies that have contacted it. A claim is ignored for a proxy if its proposer did not know of
+// applyClaim makes a live peer the owner of proxies that have contacted it. A claim is ignored for a proxy if its proposer did not know of
 // a newer claim of the same proxy yet.
 func (s *State) applyClaim(command Command) (ownersChanged bool, err error) {
 	if !s.Members[command.Peer].Alive || command.SeenEpoch > s.Epoch {
--- a/internal/core/membership/pending_orders.go
+++ b/internal/core/membership/pending_orders.go
@@ -25,7 +25,7 @@
 }
 
 // PendingOrders holds the orders that were submitted to this coordinator and are not completed yet: drains, ends of drains, and tenant
-// changes. An order is accepted once it is committed and every alive coordinator has renewed its lease after applying it: from then on no
+// changes. An order is accepted once it is committed and every live coordinator has renewed its lease after applying it: from then on no
 // coordinator issues commands that ignore it, and it survives the failure of any minority. Without this, a confirmed drain could be lost
 // in a takeover, or be unknown to a coordinator that is cut off but still holds its lease. The cost is that the response takes some round
 // trips and, after a failure, the remaining time of a lease.
@@ -118,7 +118,7 @@
 	return accepted, rejected
 }
 
-// ordersAppliedByAll returns the number of orders that every alive coordinator is known to have applied. self has applied all of them.
+// ordersAppliedByAll returns the number of orders that every live coordinator is known to have applied. self has applied all of them.
 func (s *State) ordersAppliedByAll(self Peer) uint64 {
 	applied := s.OrderCount
 	for peer, member := range s.Members {
--- a/internal/core/membership/state.go
+++ b/internal/core/membership/state.go
@@ -33,7 +33,7 @@
 type Member struct {
 	Weight        float64 `json:"weight"`
 	Renewal       uint64  `json:"renewal"`
-	Incarnation   uint64  `json:"life"` // of the process that made the renewal
+	Incarnation   uint64  `json:"life"` // process that made the renewal
 	Alive         bool    `json:"alive"`
 	SeenEpoch     Epoch   `json:"seen"`  // the peer has applied this epoch and possibly later ones
 	AppliedOrders uint64  `json:"knows"` // number of orders that the peer is known to have applied
@@ -45,11 +45,11 @@
 	Members        map[Peer]Member                     `json:"members"`
 	Records        map[balancer.Server]registry.Record `json:"records"`
 	Drains         map[balancer.Server]float64         `json:"drains"` // ordered drains, with the time of each order in seconds
-	PastViews      []View                              `json:"past"`   // earlier epochs that an alive peer may not have left yet, oldest first
+	PastViews      []View                              `json:"past"`   // earlier epochs that a live peer may not have left yet, oldest first
 	OrderCount     uint64                              `json:"orders"` // number of drains, ends of drains and tenant changes applied so far
 	Registrations  map[MemberID]Registration           `json:"seats"`
 	Claims         map[string]Ownership                `json:"claims,omitempty"` // by proxy; the map is replaced instead of modified, since past views share it
-	RecentOrderIDs []uint64                            `json:"done"`             // oldest first
+	RecentOrderIDs []uint64                            `json:"done"`             // IDs of recently applied orders, oldest first
 
 	Directory tenancy.Directory `json:"directory,omitzero"` // the host's tenants
 
@@ -58,10 +58,10 @@
 	owners             ownerCache
 }
 
-// View is what determined the owners of proxies in an earlier epoch.
+// View holds the data that determined the owner of each proxy in an earlier epoch.
 type View struct {
 	Epoch   Epoch                `json:"epoch"`
-	Weights map[Peer]float64     `json:"weights"` // of the alive peers
+	Weights map[Peer]float64     `json:"weights"` // weights of the peers that were alive
 	Claims  map[string]Ownership `json:"claims,omitempty"`
 }
 
@@ -179,7 +179,7 @@
 	return false
 }
 
-// prunePastViews removes the views of epochs that all alive peers have left.
+// prunePastViews removes the views of epochs that all live peers have left.
 func (s *State) prunePastViews() {
 	oldest := s.Epoch
 	for _, member := range s.Members {
