--- a/internal/core/admission/controller.go
+++ b/internal/core/admission/controller.go
@@ -26,7 +26,7 @@
 
 // Limits are limits on the number of requests in flight. Requests that exceed them are rejected.
 type Limits struct {
-	MaxInFlight  int // in total
+	MaxInFlight  int // for all servers together
 	MaxPerServer int // per server
 }
 
--- a/internal/core/controlplane/rounds.go
+++ b/internal/core/controlplane/rounds.go
@@ -52,7 +52,7 @@
 	endpoints, whole := f.Registry.TakeChanges()
 	scope := balancer.DeltaList
 	switch {
-	case !f.initialListSent: // from the settings and the records of an earlier process
+	case !f.initialListSent: // the list comes from the settings and the records of an earlier process
 		scope = balancer.CachedList
 	case whole:
 		scope = balancer.FullList
--- a/internal/core/fairqueue/entry.go
+++ b/internal/core/fairqueue/entry.go
@@ -7,7 +7,7 @@
 
 // entry is the scheduling state of a key.
 type entry[K comparable] struct {
-	indexedheap.Position // in Queue.due
+	indexedheap.Position // position in Queue.due
 	key                  K
 	weight               float64
 	startTag             float64 // virtual time at which its next turn starts, in work divided by weight
--- a/internal/core/fairshare/siblings.go
+++ b/internal/core/fairshare/siblings.go
@@ -6,7 +6,7 @@
 
 // flow is the scheduling state of a tenant among those of its group, or of a group among all groups.
 type flow struct {
-	indexedheap.Position // in siblings.throttled
+	indexedheap.Position // position in siblings.throttled
 	weight               float64
 	virtualTime          float64 // borrowed units divided by weight, comparable among siblings
 	yieldUntil           float64 // clock time in seconds until which siblings that are ahead yield to it
--- a/internal/core/forwarding/attempts.go
+++ b/internal/core/forwarding/attempts.go
@@ -83,7 +83,7 @@
 	return true
 }
 
-// attempt returns the in-flight attempt with an ID, or nil if there is none.
+// attempt returns the in-flight attempt with the given ID, or nil if there is none.
 func (r *request) attempt(id AttemptID) *attempt {
 	for _, a := range r.attempts {
 		if a.id == id {
--- a/internal/core/forwarding/proxy.go
+++ b/internal/core/forwarding/proxy.go
@@ -77,7 +77,7 @@
 	AdmissionMode balancer.AdmissionMode
 	Limits        admission.Limits
 	Outliers      outlier.Config
-	Budget        retry.Budget // of each class
+	Budget        retry.Budget // retry budget of each class
 	HedgeAfter    float64      // seconds after which an idempotent request is hedged; 0 disables hedging
 	Locations     map[balancer.Server]retry.Location
 	NewTable      func(class int) picker.Table
--- a/internal/core/loadreport/aggregator.go
+++ b/internal/core/loadreport/aggregator.go
@@ -26,8 +26,8 @@
 // RejectedCounts counts ignored reports by reason.
 type RejectedCounts struct {
 	Stale     int // duplicated, or older than an accepted report
-	Malformed int // with totals or a time that are invalid or implausible
-	Overflow  int // of new series beyond the limit
+	Malformed int // invalid or implausible totals or time
+	Overflow  int // report of a new series beyond the limit
 	Baseline  int // first of a series, or first after a gap or a restart; the next report is compared with it
 }
 
--- a/internal/core/pacing/waiter.go
+++ b/internal/core/pacing/waiter.go
@@ -8,7 +8,7 @@
 // waiter is the scheduling state of one proxy. It is in the ready list of its priority, in the heap of delayed waiters,
 // or in neither.
 type waiter struct {
-	indexedheap.Position // in the heap of delayed waiters
+	indexedheap.Position // position in the heap of delayed waiters
 
 	proxy     balancer.Proxy
 	priority  Priority
--- a/internal/core/platformstate/proxy_registry.go
+++ b/internal/core/platformstate/proxy_registry.go
@@ -9,11 +9,11 @@
 
 // Times in seconds. The relay sends a heartbeat on each connection every second.
 const (
-	snapshotTimeout    = 0.5  // after which a snapshot of the joined proxies ends, if no heartbeat has ended it earlier
-	maxUnnoticedGap    = 0.25 // without events, too short for a proxy to leave and join again: it must detect the loss and dial
+	snapshotTimeout    = 0.5  // time after which a snapshot of the joined proxies ends if no heartbeat has ended it earlier
+	maxUnnoticedGap    = 0.25 // time without events in which no proxy can leave and join again, since it must first detect the loss and dial
 	heartbeatTimeout   = 1.25 // maximum time between two heartbeats
 	maxSourceSkew      = 0.5  // maximum time between the reports of one join on two connections
-	sourceStaleTimeout = 1.5  // without events, after which a source is considered stale
+	sourceStaleTimeout = 1.5  // time without events after which a source is considered stale
 )
 
 // proxyJoin records that a source reported a proxy as joined.
--- a/internal/core/registry/registry.go
+++ b/internal/core/registry/registry.go
@@ -31,7 +31,7 @@
 	Kind          balancer.Kind          `json:"Kind"`
 	FailureDomain balancer.FailureDomain `json:"Pod"`
 	Weight        float64                `json:"Weight"`
-	Static        bool                   `json:"Standing"` // in service without a registration
+	Static        bool                   `json:"Standing"` // the server is in service without a registration
 }
 
 // Record is the persistent state of a server, which must survive a restart of the coordinator.
@@ -53,7 +53,7 @@
 	connectionLostAt  float64 // when the registering connection broke or the server was restored; 0: the connection is open
 	uptime            float64 // seconds; latest reported value, or 0 if there is none
 	announced         bool    // the decision module has its entry
-	changed           bool    // in Registry.changed
+	changed           bool    // the server is in Registry.changed
 	removedFromConfig bool    // removed from the settings, or restored as removed, and not registered since
 }
 
--- a/internal/core/saspsession/addresses.go
+++ b/internal/core/saspsession/addresses.go
@@ -10,7 +10,7 @@
 
 const protocolTCP = 6 // protocol number assigned by IANA
 
-// ServerID returns the name of the server with an address: its IP address and port, preceded by the protocol number if
+// ServerID returns the name of the server with the given address: its IP address and port, preceded by the protocol number if
 // the protocol is not TCP.
 func ServerID(address sasp.Address) balancer.Server {
 	if address.Protocol == protocolTCP {
@@ -19,7 +19,7 @@
 	return balancer.Server(fmt.Sprintf("%d/%s", address.Protocol, address.AddrPort()))
 }
 
-// serverAt returns the name of the server with an address. The names of servers in the registry are cached.
+// serverAt returns the name of the server with the given address. The names of servers in the registry are cached.
 func (s *Server) serverAt(address sasp.Address) balancer.Server {
 	if server, ok := s.addressNames[address]; ok {
 		return server
--- a/internal/core/tablecache/tables.go
+++ b/internal/core/tablecache/tables.go
@@ -69,7 +69,7 @@
 // Table returns the table of a class.
 func (t *Tables) Table(class balancer.Class) picker.Table { return t.tables[class] }
 
-// Class returns the class with a name. ok is false if there is none.
+// Class returns the class with the given name. ok is false if there is none.
 func (t *Tables) Class(name string) (class balancer.Class, ok bool) {
 	for index, className := range t.classNames {
 		if className == name {
--- a/internal/core/tablecheck/scenario.go
+++ b/internal/core/tablecheck/scenario.go
@@ -114,7 +114,7 @@
 // maxPoolLoads returns for each pool the sum of the maximum loads that each proxy can send to it with any of its tables.
 func (s *scenario) maxPoolLoads() map[string]float64 {
 	loads := map[string]float64{}
-	maxShares := map[string]float64{} // of one proxy, by pool
+	maxShares := map[string]float64{} // maximum shares of one proxy, by pool
 	for _, proxy := range s.snapshot.Proxies {
 		clear(maxShares)
 		for _, table := range proxy.Tables {
--- a/internal/core/tenancy/command.go
+++ b/internal/core/tenancy/command.go
@@ -75,7 +75,7 @@
 	Settings     []byte       `json:"settings,omitempty"`
 	Weight       float64      `json:"weight,omitempty"`
 	Requirements Requirements `json:"needs,omitzero"`
-	Time         float64      `json:"at"`              // in seconds
+	Time         float64      `json:"at"`              // time in seconds
 	ID           uint64       `json:"id"`              // hash of the caller and the idempotency key; 0: none
 	Fingerprint  uint64       `json:"print,omitempty"` // hash of the call's content
 }
@@ -104,7 +104,7 @@
 type Outcome struct {
 	ID          uint64      `json:"id"`
 	Fingerprint uint64      `json:"print"`
-	Code        int         `json:"code"` // of the error in errorsByCode; 0: no error
+	Code        int         `json:"code"` // code of the error in errorsByCode; 0: no error
 	Detail      string      `json:"detail,omitempty"`
 	Version     Version     `json:"version"`     // the tenant's version after the command
 	Incarnation Incarnation `json:"incarnation"` // the tenant's incarnation
--- a/internal/core/tenancy/directory.go
+++ b/internal/core/tenancy/directory.go
@@ -187,7 +187,7 @@
 	}
 }
 
-// FindOutcome returns the stored outcome of the command with an ID.
+// FindOutcome returns the stored outcome of the command with the given ID.
 func (d *Directory) FindOutcome(id uint64) (Outcome, bool) {
 	d.buildIndex()
 	number, ok := d.outcomeNumbers[id]
@@ -197,7 +197,7 @@
 	return d.Outcomes[number-d.droppedCount], true
 }
 
-// Get returns a copy of the tenant with a name.
+// Get returns a copy of the tenant with the given name.
 func (d *Directory) Get(name Name) (Tenant, bool) {
 	tenant := d.Tenants[name]
 	if tenant == nil {
--- a/internal/env/simnet/simnet.go
+++ b/internal/env/simnet/simnet.go
@@ -39,7 +39,7 @@
 	Events int
 
 	now        float64 // clock time in seconds
-	sequence   uint64  // of the most recently scheduled event
+	sequence   uint64  // sequence number of the most recently scheduled event
 	events     eventQueue
 	random     *rand.Rand
 	hosts      map[netip.Addr]*Host
--- a/internal/frontend/longpollhttp/connections.go
+++ b/internal/frontend/longpollhttp/connections.go
@@ -23,7 +23,7 @@
 	sentBytes      uint64
 	deliveredBytes uint64
 	undeliveredAt  float64 // time since which there have been undelivered bytes
-	closing        bool    // to be closed once the peer's host has received all that was sent
+	closing        bool    // the connection is closed once the peer's host has received all that was sent
 }
 
 // isExpired reports whether a connection without a parked poll has been idle for too long, or its peer has not received
--- a/internal/frontend/platform/discovery_watch.go
+++ b/internal/frontend/platform/discovery_watch.go
@@ -10,9 +10,9 @@
 
 // Times in seconds.
 const (
-	discoverySilenceTimeout = 4.6 // without a line, after which a connection is considered silent; heartbeats arrive every 2
-	minRefetchBackoff       = 0.1 // before an unreadable list is requested again
-	maxRefetchBackoff       = 8.0 // discovery may deliver the same unreadable list again
+	discoverySilenceTimeout = 4.6 // time without a line after which a connection is considered silent; heartbeats arrive every 2 s
+	minRefetchBackoff       = 0.1 // minimum time before an unreadable list is requested again
+	maxRefetchBackoff       = 8.0 // maximum of that time; discovery may deliver the same unreadable list again
 )
 
 // maxRefetchDoublings bounds the exponent of the backoff. The backoff reaches its maximum with fewer doublings.
--- a/internal/frontend/platform/relay.go
+++ b/internal/frontend/platform/relay.go
@@ -8,8 +8,8 @@
 
 // Times in seconds.
 const (
-	relaySilenceTimeout = 1.6  // without a message, after which a connection is considered silent; heartbeats arrive every second
-	standbyRedialTime   = 0.15 // without a standby, after which calls are sent on the primary; a dial takes a hundredth of a second
+	relaySilenceTimeout = 1.6  // time without a message after which a connection is considered silent; heartbeats arrive every second
+	standbyRedialTime   = 0.15 // time without a standby after which calls are sent on the primary; a dial takes a hundredth of a second
 )
 
 // relay holds two connections to the relay. Both deliver proxy events, so that one can replace the other without a gap.
--- a/internal/frontend/platform/relay_calls.go
+++ b/internal/frontend/platform/relay_calls.go
@@ -7,9 +7,9 @@
 
 // Times in seconds.
 const (
-	usualResponseTime = 0.05 // within which the relay responds, if it responds at all
-	responseTimeout   = 0.25 // after which a call is abandoned; the margin allows for a busy processor
-	rejectionPause    = 0.1  // between a rejected call and the next one
+	usualResponseTime = 0.05 // time within which the relay responds, if it responds at all
+	responseTimeout   = 0.25 // time after which a call is abandoned; the margin allows for a busy processor
+	rejectionPause    = 0.1  // time between a rejected call and the next one
 )
 
 // sendCall abandons a call that got no response within responseTimeout, and sends the next one.
--- a/internal/wire/resp/reader.go
+++ b/internal/wire/resp/reader.go
@@ -12,8 +12,8 @@
 
 // Limits are the upper limits of a message. Next returns ErrTooLong for a message that exceeds them.
 type Limits struct {
-	Bytes    int // in one message, including its framing
-	Elements int // in one array
+	Bytes    int // maximum bytes of one message, including its framing
+	Elements int // maximum elements of one array
 }
 
 // Errors of Reader.Next. After either of them, the connection cannot be read any further.
@@ -27,7 +27,7 @@
 	bulkMark  = '$'
 	lineEnd   = "\r\n"
 
-	maxLengthDigits = 10 // in an array or string length; lengths within the limits have fewer digits
+	maxLengthDigits = 10 // maximum digits of an array or string length; lengths within the limits have fewer digits
 	maxLengthLine   = 1 + maxLengthDigits + len(lineEnd)
 )
 
--- a/internal/wire/sasp/message.go
+++ b/internal/wire/sasp/message.go
@@ -134,7 +134,7 @@
 	Address
 	Label  []byte
 	Opaque uint8  // opaque state, which is stored and sent back unchanged
-	Flags  uint8  // of Contact, Quiesce, ByBalancer and Confident; in SetMember only Quiesce
+	Flags  uint8  // combination of Contact, Quiesce, ByBalancer and Confident; in SetMember only Quiesce
 	Weight uint16 // 0 means that the member is to receive no new requests
 }
 
