--- a/internal/service/coordinator.go
+++ b/internal/service/coordinator.go
@@ -40,7 +40,7 @@
 	if err != nil {
 		return err
 	}
-	err = proc.listen(program, append(config.ListenAddresses(), group.ports...), config.Measurements, clock)
+	err = proc.listen(program, append(config.ListenAddresses(), group.addresses...), config.Measurements, clock)
 	if err != nil {
 		return err
 	}
--- a/internal/service/host.go
+++ b/internal/service/host.go
@@ -46,7 +46,7 @@
 	if err != nil {
 		return err
 	}
-	err = proc.listen(program, append(config.ListenAddresses(), group.ports...), config.Measurements, clock)
+	err = proc.listen(program, append(config.ListenAddresses(), group.addresses...), config.Measurements, clock)
 	if err != nil {
 		return err
 	}
--- a/internal/service/process.go
+++ b/internal/service/process.go
@@ -46,7 +46,7 @@
 type groupMember struct {
 	storage     consensus.Storage
 	incarnation uint64
-	ports       []netip.AddrPort // addresses to which the other members connect
+	addresses   []netip.AddrPort // addresses to which the other members connect
 }
 
 // openGroup opens the consensus log of a member at a path. It returns the zero groupMember if there is no group. From
@@ -64,7 +64,7 @@
 	return groupMember{
 		storage:     storage,
 		incarnation: consensus.RandomID(),
-		ports:       []netip.AddrPort{config.Members[config.Self]},
+		addresses:   []netip.AddrPort{config.Members[config.Self]},
 	}, nil
 }
 
@@ -72,8 +72,8 @@
 func (p *process) fail(err error) { p.failed <- err }
 
 // listen starts the event loop of the program.
-func (p *process) listen(program env.Program, ports []netip.AddrPort, measurements netip.AddrPort, clock func() float64) error {
-	server, err := eventloop.Listen(program, ports, measurements, clock)
+func (p *process) listen(program env.Program, addresses []netip.AddrPort, measurements netip.AddrPort, clock func() float64) error {
+	server, err := eventloop.Listen(program, addresses, measurements, clock)
 	if err != nil {
 		return err
 	}
