--- a/internal/core/forwarding/idempotency.go
+++ b/internal/core/forwarding/idempotency.go
@@ -59,7 +59,7 @@
 }
 
 // recordExecution records under the idempotency key of a request at which server it may have been executed. A retry by the client is
-// then sent to a server that recognises it.
+// then sent to a server that recognizes it.
 func (p *Proxy) recordExecution(req *request, a *attempt) {
 	if req.received.IdempotencyKey == "" || req.state.Class.Idempotency == balancer.Idempotent {
 		return
--- a/internal/core/forwarding/invariants_test.go
+++ b/internal/core/forwarding/invariants_test.go
@@ -159,9 +159,9 @@
 	}
 	class := m.classes[action.Request]
 	for _, earlier := range m.executed[action.Request] {
-		recognised := m.proxy.location(earlier.server).FailureDomain == m.proxy.location(action.Server).FailureDomain &&
+		recognized := m.proxy.location(earlier.server).FailureDomain == m.proxy.location(action.Server).FailureDomain &&
 			m.now <= earlier.sentAt+keyedDedupWindow
-		if class == nonIdempotent || class == keyed && !recognised {
+		if class == nonIdempotent || class == keyed && !recognized {
 			m.t.Fatalf("request %d of class %d, which may have been executed at %s, was sent to %s", action.Request, class, earlier.server, action.Server)
 		}
 	}
--- a/internal/core/forwarding/proxy.go
+++ b/internal/core/forwarding/proxy.go
@@ -26,7 +26,7 @@
 // Request describes a request on arrival.
 type Request struct {
 	Class          balancer.Class
-	IdempotencyKey string // lets servers recognise a retry; empty if the request has none
+	IdempotencyKey string // lets servers recognize a retry; empty if the request has none
 	Fingerprint    uint64 // hash of the request, by which reuse of the key for another request is detected
 }
 
--- a/internal/core/forwarding/requests.go
+++ b/internal/core/forwarding/requests.go
@@ -45,7 +45,7 @@
 			HasKey:   received.IdempotencyKey != "",
 		},
 	}
-	if key != nil && key.maybeExecuted { // a retry by the client: send it only to servers that recognise it
+	if key != nil && key.maybeExecuted { // a retry by the client: send it only to servers that recognize it
 		req.state.MaybeExecuted = true
 		req.state.FirstExecution = key.location
 		req.state.FirstSentAt = key.sentAt
--- a/internal/core/forwarding/retry_test.go
+++ b/internal/core/forwarding/retry_test.go
@@ -41,7 +41,7 @@
 	}
 }
 
-// Retries by the proxy and by the client are sent only to servers that recognise the request by its key.
+// Retries by the proxy and by the client are sent only to servers that recognize the request by its key.
 func TestKeyedRequestStaysInItsDedupScope(t *testing.T) {
 	p := newTestProxy(t, 8, func(config *Config) { config.Budget.Burst = 100 })
 	for i := range 20 {
@@ -95,7 +95,7 @@
 	applyTables(t, p, 7000.05, testTables(true, 2, remaining...))
 	second := expectRetry(t, p, 7000.1, first.Attempt, retry.MaybeExecuted)
 	if second.Server != first.Server {
-		t.Errorf("request is retried at %s, which does not recognise it", second.Server)
+		t.Errorf("request is retried at %s, which does not recognize it", second.Server)
 	}
 }
 
--- a/internal/core/loadreport/aggregator.go
+++ b/internal/core/loadreport/aggregator.go
@@ -1,6 +1,6 @@
 // Package loadreport aggregates the load reports of proxies for the decision module.
 //
-// Reports carry running totals, so that a lost report only delays the counts, and a duplicated or reordered one is recognised
+// Reports carry running totals, so that a lost report only delays the counts, and a duplicated or reordered one is recognized
 // as stale. The package does no I/O and reads no clock: times are arguments, in seconds.
 package loadreport
 
--- a/internal/core/retry/policy.go
+++ b/internal/core/retry/policy.go
@@ -30,7 +30,7 @@
 	Class          balancer.RequestClass
 	Policy         balancer.RetryPolicy // set by the coordinator or the settings
 	Deadline       float64              // time at which the client gives up
-	HasKey         bool                 // whether it carries an idempotency key by which servers recognise a retry
+	HasKey         bool                 // whether it carries an idempotency key by which servers recognize a retry
 	Attempts       int                  // number of attempts so far
 	MaybeExecuted  bool                 // whether an attempt may have been executed
 	FirstExecution Location             // server of the first attempt that may have been executed
@@ -93,7 +93,7 @@
 	return false
 }
 
-// AllowedAt reports whether a retry may be sent to a server. Once an attempt may have been executed, only servers that recognise the
+// AllowedAt reports whether a retry may be sent to a server. Once an attempt may have been executed, only servers that recognize the
 // request are allowed.
 func (r *Request) AllowedAt(location Location) bool {
 	if r.Class.Idempotency == balancer.Idempotent || !r.MaybeExecuted {
