--- a/internal/core/controlplane/preview.go
+++ b/internal/core/controlplane/preview.go
@@ -67,9 +67,9 @@
 		if server.Phase == balancer.Ready && slices.Contains(drain, name) {
 			server.Phase = phase
 		}
-		if pool := f.site.ServerCapacities[name]; pool.Capacity > 0 {
-			server.Pool = pool.Pool
-			server.Capacity = pool.Capacity
+		if capacity := f.site.ServerCapacities[name]; capacity.Capacity > 0 {
+			server.Pool = capacity.Pool
+			server.Capacity = capacity.Capacity
 		}
 		servers[name] = server
 	}
--- a/internal/core/membership/misrouted_test.go
+++ b/internal/core/membership/misrouted_test.go
@@ -37,13 +37,13 @@
 			}
 			conflicting := due[0]
 			conflicting.Peer = "c2"
-			if moved, err := s.Apply(due[0]); !moved || err != nil {
-				t.Fatal(moved, err)
+			if ownersChanged, err := s.Apply(due[0]); !ownersChanged || err != nil {
+				t.Fatal(ownersChanged, err)
 			}
 			if owner, _ := s.Owner(uid); owner != "c1" || !s.Contested(uid, "c1") {
 				t.Errorf("the owner is %s, want c1, contested while the former owner does not know of the claim", owner)
 			}
-			if moved, _ := s.Apply(conflicting); moved {
+			if ownersChanged, _ := s.Apply(conflicting); ownersChanged {
 				t.Error("a claim by a proposer that did not know of the first claim takes effect")
 			}
 			break
--- a/internal/core/membership/ownership_test.go
+++ b/internal/core/membership/ownership_test.go
@@ -26,7 +26,7 @@
 		}
 	}
 	epoch := s.Epoch
-	if moved, _ := s.Apply(Command{Kind: ExpireLease, Peer: "c2", Renewal: 1}); !moved || s.Epoch != epoch+1 {
+	if ownersChanged, _ := s.Apply(Command{Kind: ExpireLease, Peer: "c2", Renewal: 1}); !ownersChanged || s.Epoch != epoch+1 {
 		t.Error("the loss of a peer starts no new epoch")
 	}
 	gained := map[Peer]int{}
--- a/internal/core/membership/state_test.go
+++ b/internal/core/membership/state_test.go
@@ -36,8 +36,8 @@
 		{Kind: ExpireLease, Peer: "unknown", Renewal: 1},
 		{Kind: ReleaseLease, Peer: "unknown"},
 	} {
-		if moved, err := s.Apply(c); moved || err != nil || s.Epoch != epoch {
-			t.Errorf("%+v: owners changed: %t, %v", c, moved, err)
+		if ownersChanged, err := s.Apply(c); ownersChanged || err != nil || s.Epoch != epoch {
+			t.Errorf("%+v: owners changed: %t, %v", c, ownersChanged, err)
 		}
 	}
 	for _, c := range []Command{
