--- a/internal/frontend/platform/clients.go
+++ b/internal/frontend/platform/clients.go
@@ -11,7 +11,7 @@
 	reservedDescriptors = 96      // descriptors reserved for relay, discovery, health checks and the runtime
 	minClients          = 32      // lower bound of maxClients, whatever the limit of descriptors is
 	maxBufferedBytes    = 4 << 10 // maximum size of an incomplete message of an unidentified client
-	maxReadinessChecks  = 64      // maximum number for an unidentified client
+	maxReadinessChecks  = 64      // maximum number of readiness checks by an unidentified client
 )
 
 // messageLimits bound a collector's message. The byte limit is the platform's; the element limit is well above the
--- a/internal/frontend/platform/connection.go
+++ b/internal/frontend/platform/connection.go
@@ -13,10 +13,10 @@
 
 // Times in seconds.
 const (
-	dialTimeout       = 0.3 // then another dial is made, since a lost first packet is retransmitted only after 1
-	activationTimeout = 2.0 // for a new connection to be activated, including the dial
-	minBackoff        = 0.1 // before a failed connection is dialled again
-	maxBackoff        = 0.4 // low, so that a peer that has returned is detected soon
+	dialTimeout       = 0.3 // time after which another dial is made, since a lost first packet is retransmitted only after 1
+	activationTimeout = 2.0 // maximum time until a new connection is activated, including the dial
+	minBackoff        = 0.1 // minimum time before a failed connection is dialled again
+	maxBackoff        = 0.4 // maximum of that time; low, so that a peer that has returned is detected soon
 )
 
 // maxLineBytes bounds a line from the relay or discovery. The full list of 2,000 servers takes a fifth of it.
--- a/internal/service/metrics_proxy.go
+++ b/internal/service/metrics_proxy.go
@@ -13,7 +13,7 @@
 	program *proxy.Proxy
 }
 
-// Describe implements prometheus.Collector. It describes nothing, like those of the coordinator and the host.
+// Describe implements prometheus.Collector. It describes nothing, like the collectors of the coordinator and the host.
 func (c *proxyCollector) Describe(chan<- *prometheus.Desc) {}
 
 // Collect implements prometheus.Collector.
