--- a/internal/consensus/repeated_order_test.go
+++ b/internal/consensus/repeated_order_test.go
@@ -7,7 +7,7 @@
 )
 
 // A drain whose command is committed a second time after the drain has ended is not reported again, because it is not active.
-func TestRepeatedDrainIsNotToldAgain(t *testing.T) {
+func TestRepeatedDrainIsNotReportedAgain(t *testing.T) {
 	c := newCluster(t, 1, 1)
 	c.heal()
 	c.run(2)
--- a/internal/consensus/restored_test.go
+++ b/internal/consensus/restored_test.go
@@ -8,7 +8,7 @@
 )
 
 // A host that restores a snapshot of its group must keep its own tenant capacity, which is configured locally and not replicated.
-func TestSnapshotLeavesTheHostsCapacity(t *testing.T) {
+func TestRestoreKeepsHostCapacity(t *testing.T) {
 	c := newCluster(t, 1, 1)
 	node := c.nodes[1]
 	group, err := NewGroup(node.clock(), GroupConfig{
--- a/internal/coordinator/host_panics_test.go
+++ b/internal/coordinator/host_panics_test.go
@@ -53,7 +53,7 @@
 }
 
 // A tenant that panics is restarted from its durable state, including its drains. Other tenants are served meanwhile.
-func TestPanicOfTenantLeavesNeighbours(t *testing.T) {
+func TestPanicOfTenantDoesNotAffectOthers(t *testing.T) {
 	p := newPanickingHost(t)
 	proxy := p.connectProxy(0)
 	neighbour := p.connectProxy(1)
--- a/internal/core/picker/weighted_random_rebuild_test.go
+++ b/internal/core/picker/weighted_random_rebuild_test.go
@@ -3,7 +3,7 @@
 import "testing"
 
 // A removal that triggers the rebuild of the tree leaves no weight to the removed server, and does not reduce that of the others.
-func TestRemovalAtRebuildLeavesShares(t *testing.T) {
+func TestRemovalAtRebuildKeepsShares(t *testing.T) {
 	const picks = 2000
 	for before := changesBeforeRebuild - 3; before <= changesBeforeRebuild; before++ {
 		table := NewWeightedRandom(1)
--- a/internal/core/platformstate/command_buffer_test.go
+++ b/internal/core/platformstate/command_buffer_test.go
@@ -147,7 +147,7 @@
 
 // If one call contains commands of two rounds and the newer acknowledgement request were kept, its acknowledgement could
 // arrive before all commands of the older round had left the channel.
-func TestOldestAckRequestOfSeveralRoundsStands(t *testing.T) {
+func TestOldestAckRequestOfSeveralRoundsIsKept(t *testing.T) {
 	c := NewCommandBuffer(jsonrpc.ClassNames{"a"})
 	ackIDs := func(b []byte) (list []float64) {
 		for _, command := range decodeCall(t, b).Params.Changes {
@@ -252,7 +252,7 @@
 
 // A proxy leaves while the call that assigns its table is in flight, and the call is sent again: the assignment must
 // not be applied to the proxy's next connection.
-func TestAssignmentToDepartedProxyDoesNotGoAgain(t *testing.T) {
+func TestAssignmentToDepartedProxyIsNotResent(t *testing.T) {
 	c := NewCommandBuffer(jsonrpc.ClassNames{"a"})
 	c.AssignTable(7, 1, 0)
 	c.SetWeight(1, "x", 1)
--- a/internal/frontend/platform/relay_test.go
+++ b/internal/frontend/platform/relay_test.go
@@ -136,7 +136,7 @@
 
 // SIGHUP arrives while the old addresses are being dialled or connections to them get no response: the program does not
 // wait for these connections.
-func TestCandidatesAreGivenUpForNewAddresses(t *testing.T) {
+func TestCandidatesAreAbandonedForNewAddresses(t *testing.T) {
 	sim := simulate(t, 1)
 	sim.relay.join(1, "a")
 	sim.net.Run(1002)
