--- a/internal/coordinator/coordinator.go
+++ b/internal/coordinator/coordinator.go
@@ -1,4 +1,4 @@
-// Package coordinator assembles a coordinator from its components: a fleet, a SASP server, a long-poll front end and a collector
+// Package coordinator assembles a coordinator from its components: a fleet, a SASP server, a long-poll frontend and a collector
 // of measurements. A Coordinator may share its fleet with other coordinators as a Member of a group, and a Host runs one
 // Coordinator for each of many tenants. The same programs run in virtual time and over real sockets.
 package coordinator
@@ -189,7 +189,7 @@
 // group has committed the release; the caller repeats the call until it has.
 func (c *Coordinator) Leave(now float64) (released bool) { return c.links.leave(now) }
 
-// Log implements saspsession.Out and longpollhttp.Out. It logs an event with attributes.
+// Log implements saspsession.Handler and longpollhttp.Handler. It logs an event with attributes.
 func (c *Coordinator) Log(event string, attributes ...any) {
 	if c.config.Log != nil {
 		c.config.Log.Log(context.Background(), slog.LevelInfo, event, attributes...)
--- a/internal/coordinator/member_messages.go
+++ b/internal/coordinator/member_messages.go
@@ -38,19 +38,19 @@
 }
 
 // OrdersCompleted implements consensus.Messenger.
-func (m *Member) OrdersCompleted(now float64, committed, refused []membership.Ticket) {
+func (m *Member) OrdersCompleted(now float64, accepted, rejected []membership.Ticket) {
 	if m.OnOrderCompleted == nil {
 		return
 	}
-	for _, ticket := range committed {
+	for _, ticket := range accepted {
 		m.OnOrderCompleted(now, ticket, true)
 	}
-	for _, ticket := range refused {
+	for _, ticket := range rejected {
 		m.OnOrderCompleted(now, ticket, false)
 	}
 }
 
-// TenantChanged implements consensus.Tenants.
+// TenantChanged implements consensus.TenantObserver.
 func (m *Member) TenantChanged(now float64, name tenancy.Name, ticket membership.Ticket, outcome tenancy.Outcome) {
 	if m.OnTenant != nil {
 		m.OnTenant(now, name, ticket, outcome)
--- a/internal/core/loadreport/aggregator.go
+++ b/internal/core/loadreport/aggregator.go
@@ -1,6 +1,6 @@
 // Package loadreport aggregates the load reports of proxies for the decision module.
 //
-// Reports carry running totals, so that a lost report only delays the counts, and a duplicated or reordered one is recognised
+// Reports carry running totals, so that a lost report only delays the counts, and a duplicated or reordered one is recognized
 // as stale. The package does no I/O and reads no clock: times are arguments, in seconds.
 package loadreport
 
@@ -26,8 +26,8 @@
 // RejectedCounts counts ignored reports by reason.
 type RejectedCounts struct {
 	Stale     int // duplicated, or older than an accepted report
-	Malformed int // with totals or a time that are invalid or implausible
-	Overflow  int // of new series beyond the limit
+	Malformed int // invalid or implausible totals or time
+	Overflow  int // report of a new series beyond the limit
 	Baseline  int // first of a series, or first after a gap or a restart; the next report is compared with it
 }
 
