--- a/internal/emulator/checker.go
+++ b/internal/emulator/checker.go
@@ -10,79 +10,80 @@
 	"snowquay/balancer"
 )
 
-// Rules are the limits that an InvariantChecker judges by.
+// Rules holds the limits that an InvariantChecker checks.
 type Rules struct {
 	Guarantees       balancer.Guarantees
 	Channel          balancer.Channel
-	DisconnectHold   float64 // seconds after a server's last connection closed until a coordinator withdraws the server
-	ObservationSlack float64 // seconds by which emulated programs may observe something late
+	DisconnectHold   float64 // seconds from the close of a server's last connection until a coordinator withdraws it
+	ObservationSlack float64 // maximum delay in seconds with which emulated programs observe an event
 }
 
-// Numbers of the rules.
+// The rule numbers.
 const (
-	ruleTable   = 1
-	ruleEffect  = 2
-	ruleDrain   = 3
-	ruleWarmup  = 4
-	ruleChannel = 5
+	ruleEmptyTable      = 1
+	ruleDuplicateEffect = 2
+	ruleDrainDeadline   = 3
+	ruleWarmupOverload  = 4
+	ruleChannelLimits   = 5
 )
 
-// Verdict on one rule.
+// Verdict is the result of checking one rule. Figure and Reasons are stored in the records of experiments, which pins
+// their wording: a line is a table entry, and a query is a request.
 type Verdict struct {
 	Rule    int
 	Title   string
 	Kept    bool
-	Figure  string   // what came closest to the limit
-	Reasons []string // the first violations
+	Figure  string   // observed value that came closest to the limit
+	Reasons []string // descriptions of the first violations
 }
 
 const (
-	maxViolationExamples = 5   // of one rule that are kept
-	maxProtocolErrors    = 100 // that are kept
+	maxViolationExamples = 5   // stored violations of one rule
+	maxProtocolErrors    = 100 // stored protocol errors
 )
 
-// InvariantChecker observes what relays and servers see on their sockets, and judges the five rules by it. Its methods
-// may be called from several goroutines; its fields may be read when the programs that report to it have stopped.
+// InvariantChecker checks the five rules against the events that relays and servers observe on their sockets. Its methods
+// are safe for concurrent use. Its exported fields may be read once the programs that report to it have stopped.
 type InvariantChecker struct {
 	mu         sync.Mutex
 	rules      Rules
 	classes    []Class
 	servers    map[netip.AddrPort]*observedServer
 	relays     map[string]*observedRelay
-	executedAt map[uint64][]netip.AddrPort // servers that executed a request with an effect, by request
-
-	longestEmptyTable    float64 // seconds
-	latestAfterDrain     float64 // seconds
-	peakEntryRate        float64 // entries a second
-	peakMessages         int     // to one relay within a window
-	duplicateEffects     int
-	overloads            int
-	unavoidableOverloads int
-	sentMessages         []sentMessage             // over all relays
-	violations           [ruleChannel + 1][]string // by rule
-
-	Requested      []float64                 // by class
-	Answered       []float64                 // by class
-	OnTime         []float64                 // by class
-	latencies      []*hdrhistogram.Histogram // microseconds until an answer, by class
+	executedBy map[uint64][]netip.AddrPort // servers that executed a request that is not idempotent, by request ID
+
+	longestEmptyTable    float64                         // seconds
+	latestAfterDrain     float64                         // longest time in seconds from a withdrawal to a later request
+	peakEntryRate        float64                         // entries per second
+	peakMessages         int                             // maximum number of messages to one relay within the message window
+	duplicateEffects     int                             // repeated executions of requests that are not idempotent
+	overloads            int                             // overloads during warm-up by relays that could know of the server
+	unavoidableOverloads int                             // other overloads during warm-up
+	sentMessages         []sentMessage                   // recent messages to all relays
+	violations           [ruleChannelLimits + 1][]string // descriptions of the first violations, by rule
+
+	Requested      []float64                 // number of requests, by class
+	Answered       []float64                 // number of answered requests, by class
+	OnTime         []float64                 // number of requests answered within the latency objective, by class
+	latencies      []*hdrhistogram.Histogram // latencies of answered requests in microseconds, by class
 	intervals      []interval
 	firstRequestAt float64
-	ProtocolErrors []string
-	Attempts       int
-	Messages       int
-	Entries        int
-	Bytes          int // of long-poll responses
-	FullTableBytes int // of the same responses, had they held full tables
+	ProtocolErrors []string // first protocol errors that emulated programs reported
+	Attempts       int      // attempts that relays sent
+	Messages       int      // messages that relays received
+	Entries        int      // table entries in these messages
+	Bytes          int      // total size of the long-poll responses
+	FullTableBytes int      // total size of the same responses if they had held full tables
 }
 
-// NewInvariantChecker returns a checker for requests of classes.
+// NewInvariantChecker returns a checker for requests of the given classes.
 func NewInvariantChecker(rules Rules, classes []Class) *InvariantChecker {
 	ic := &InvariantChecker{
 		rules:      rules,
 		classes:    classes,
 		servers:    map[netip.AddrPort]*observedServer{},
 		relays:     map[string]*observedRelay{},
-		executedAt: map[uint64][]netip.AddrPort{},
+		executedBy: map[uint64][]netip.AddrPort{},
 		Requested:  make([]float64, len(classes)),
 		Answered:   make([]float64, len(classes)),
 		OnTime:     make([]float64, len(classes)),
@@ -107,30 +108,30 @@
 	}
 }
 
-// CheckDeadlines judges what depends on time alone. It has to be called often.
+// CheckDeadlines checks conditions that depend only on the passage of time. The caller has to call it at short intervals.
 func (ic *InvariantChecker) CheckDeadlines(now float64) {
 	ic.mu.Lock()
 	defer ic.mu.Unlock()
 	for _, server := range ic.servers {
-		if server.silentSince > 0 && server.withdrawnAt == 0 && now-server.silentSince >= ic.rules.DisconnectHold {
+		if server.disconnectedSince > 0 && server.withdrawnAt == 0 && now-server.disconnectedSince >= ic.rules.DisconnectHold {
 			server.withdrawnAt = now
 		}
 	}
 	ic.checkEmptyTables(now)
 }
 
-// CoordinatorDown reports that the scenario stopped the only coordinator: until servers register again, the next one
-// knows what was stored.
+// CoordinatorDown records that the scenario stopped the only coordinator: until servers register again, the next one
+// knows only the stored state.
 func (ic *InvariantChecker) CoordinatorDown() {
 	ic.mu.Lock()
 	defer ic.mu.Unlock()
 	for _, server := range ic.servers {
 		server.registered = false
-		server.silentSince = 0
+		server.disconnectedSince = 0
 	}
 }
 
-// Verdicts returns the verdicts on all five rules, in their order.
+// Verdicts returns the verdicts on all five rules, ordered by rule number.
 func (ic *InvariantChecker) Verdicts() []Verdict {
 	ic.mu.Lock()
 	defer ic.mu.Unlock()
@@ -138,23 +139,23 @@
 	channel := ic.rules.Channel
 	verdicts := []Verdict{
 		{
-			Rule: ruleTable, Title: "no relay without a line",
+			Rule: ruleEmptyTable, Title: "no relay without a table entry",
 			Figure: fmt.Sprintf("longest %.2f s of %.2f s", ic.longestEmptyTable, guarantees.EmptyTableDeadline),
 		},
 		{
-			Rule: ruleEffect, Title: "no effect twice",
-			Figure: fmt.Sprintf("%d doubled of %d", ic.duplicateEffects, len(ic.executedAt)),
+			Rule: ruleDuplicateEffect, Title: "no duplicate effects",
+			Figure: fmt.Sprintf("%d doubled of %d", ic.duplicateEffects, len(ic.executedBy)),
 		},
 		{
-			Rule: ruleDrain, Title: "drains kept",
+			Rule: ruleDrainDeadline, Title: "drain deadlines met",
 			Figure: fmt.Sprintf("last query %.2f s after the drain, %.2f s allowed", ic.latestAfterDrain, guarantees.DrainDeadline),
 		},
 		{
-			Rule: ruleWarmup, Title: "no cold server pushed over",
+			Rule: ruleWarmupOverload, Title: "no avoidable overload during warm-up",
 			Figure: fmt.Sprintf("%d fell, %d more before relays could know", ic.overloads, ic.unavoidableOverloads),
 		},
 		{
-			Rule: ruleChannel, Title: "queue and messages within limits",
+			Rule: ruleChannelLimits, Title: "queue and messages within limits",
 			Figure: fmt.Sprintf("busiest %.0f of %.0f lines a second, %d of %d messages",
 				ic.peakEntryRate, channel.EntriesPerSecond, ic.peakMessages, channel.MaxMessages),
 		},
--- a/internal/emulator/checker_relays.go
+++ b/internal/emulator/checker_relays.go
@@ -5,16 +5,16 @@
 	"slices"
 )
 
-// observedRelay is what the checker knows of a relay. Times are seconds of the scenario's clock.
+// observedRelay is the state of a relay as observed by the checker. Times are clock times of the scenario in seconds.
 type observedRelay struct {
 	host         netip.Addr
-	joinedAt     float64   // 0: it is not joined
-	hasEntry     []bool    // by class
-	emptySince   []float64 // by class; 0: it has an entry
-	messageTimes []float64 // within the channel's message window
+	joinedAt     float64   // 0 while the relay is not joined
+	hasEntry     []bool    // whether the table has a usable entry, by class
+	emptySince   []float64 // start of a checked period without a usable entry, by class; 0 for none
+	messageTimes []float64 // arrival times within the channel's message window
 }
 
-// relayState returns the state of a relay, which is added if it is new.
+// relayState returns the state of a relay. It adds an unknown relay.
 func (ic *InvariantChecker) relayState(uid string) *observedRelay {
 	relay := ic.relays[uid]
 	if relay == nil {
@@ -45,10 +45,11 @@
 	ic.relayState(uid).joinedAt = 0
 }
 
-// RelayDown reports that the scenario stopped a relay.
+// RelayDown records that the scenario stopped a relay.
 func (ic *InvariantChecker) RelayDown(uid string) { ic.relayLeft(uid) }
 
-// AllRelaysLed tells whether every relay is joined, and whether every one was also sent a message since it joined.
+// AllRelaysLed reports whether every relay is joined to a coordinator, and whether every relay has also received a message
+// since it joined.
 func (ic *InvariantChecker) AllRelaysLed() (led, updated bool) {
 	ic.mu.Lock()
 	defer ic.mu.Unlock()
@@ -61,19 +62,19 @@
 	return led, updated
 }
 
-// tableChanged reports whether a relay's table for a class has a usable entry.
+// tableChanged records whether a relay's table for a class has a usable entry.
 func (ic *InvariantChecker) tableChanged(now float64, uid string, class int, hasEntry bool) {
 	ic.mu.Lock()
 	defer ic.mu.Unlock()
 	relay := ic.relayState(uid)
 	if relay.hasEntry[class] == hasEntry {
-		return // CheckDeadlines judges what depends on time
+		return // CheckDeadlines handles the passage of time
 	}
 	relay.hasEntry[class] = hasEntry
 	ic.checkEmptyTables(now)
 }
 
-// checkEmptyTables judges the first rule: no joined relay has an empty table while a warm server is available.
+// checkEmptyTables checks the first rule: no joined relay has an empty table while a warm server is available.
 func (ic *InvariantChecker) checkEmptyTables(now float64) {
 	warm := ic.hasWarmServer(now)
 	for uid, relay := range ic.relays {
@@ -88,7 +89,7 @@
 			empty := now - relay.emptySince[class]
 			ic.longestEmptyTable = max(ic.longestEmptyTable, empty)
 			if empty > ic.rules.Guarantees.EmptyTableDeadline+ic.rules.ObservationSlack {
-				ic.recordViolation(ruleTable, now, "%s has had no line for %s for %.2f s", uid, ic.classes[class].Name, empty)
+				ic.recordViolation(ruleEmptyTable, now, "%s has had no line for %s for %.2f s", uid, ic.classes[class].Name, empty)
 			}
 		}
 	}
@@ -103,7 +104,7 @@
 	return false
 }
 
-// attemptSent judges the third rule: nothing is sent to a withdrawn server after the drain deadline.
+// attemptSent checks the third rule: no attempt is sent to a withdrawn server after the drain deadline.
 func (ic *InvariantChecker) attemptSent(now float64, uid string, address netip.AddrPort) {
 	ic.mu.Lock()
 	defer ic.mu.Unlock()
@@ -116,18 +117,18 @@
 	after := now - max(server.withdrawnAt, relay.joinedAt)
 	ic.latestAfterDrain = max(ic.latestAfterDrain, after)
 	if after > ic.rules.Guarantees.DrainDeadline+ic.rules.ObservationSlack {
-		ic.recordViolation(ruleDrain, now, "%s sent to %s, %.2f s after it was told to drain", uid, address, after)
+		ic.recordViolation(ruleDrainDeadline, now, "%s sent to %s, %.2f s after it was told to drain", uid, address, after)
 	}
 }
 
-// LatestAfterDrain returns how long after a drain the last request was sent to its server, in seconds.
+// LatestAfterDrain returns the longest time between the withdrawal of a server and a later request to it, in seconds.
 func (ic *InvariantChecker) LatestAfterDrain() float64 {
 	ic.mu.Lock()
 	defer ic.mu.Unlock()
 	return ic.latestAfterDrain
 }
 
-// responseReceived counts the bytes of a long-poll response, and of the same response with full tables.
+// responseReceived adds the size of a long-poll response, and the size that it would have with full tables.
 func (ic *InvariantChecker) responseReceived(size, fullTableSize int) {
 	ic.mu.Lock()
 	defer ic.mu.Unlock()
@@ -135,15 +136,15 @@
 	ic.FullTableBytes += fullTableSize
 }
 
-// sentMessage is a message of a coordinator: when it arrived, and its cost in table entries.
+// sentMessage holds the arrival time of a coordinator's message and its cost in table entries.
 type sentMessage struct{ at, entries float64 }
 
 const (
-	paceWindowSeconds = 2.0 // over which the entry rate is judged
-	paceTolerance     = 1.1 // what is sent evenly may arrive a little less evenly
+	paceWindowSeconds = 2.0 // period over which the entry rate is checked
+	paceTolerance     = 1.1 // messages sent at an even rate may arrive slightly less evenly
 )
 
-// messageReceived judges the fifth rule: a message to a relay keeps the channel's limits.
+// messageReceived checks the fifth rule: messages to relays stay within the limits of the channel.
 func (ic *InvariantChecker) messageReceived(now float64, uid string, entries int) {
 	ic.mu.Lock()
 	defer ic.mu.Unlock()
@@ -161,7 +162,7 @@
 	count := len(relay.messageTimes)
 	ic.peakMessages = max(ic.peakMessages, count)
 	if channel.MaxMessages > 0 && count > channel.MaxMessages {
-		ic.recordViolation(ruleChannel, now, "%d messages to %s within %.0f s", count, uid, channel.MessageWindow)
+		ic.recordViolation(ruleChannelLimits, now, "%d messages to %s within %.0f s", count, uid, channel.MessageWindow)
 	}
 }
 
@@ -177,15 +178,15 @@
 	}
 	ic.peakEntryRate = max(ic.peakEntryRate, (sum-largest)/paceWindowSeconds)
 	if sum > channel.EntriesPerSecond*(paceWindowSeconds+ic.rules.ObservationSlack)*paceTolerance+largest {
-		ic.recordViolation(ruleChannel, now, "%.0f lines within %.0f s", sum, paceWindowSeconds)
+		ic.recordViolation(ruleChannelLimits, now, "%.0f lines within %.0f s", sum, paceWindowSeconds)
 	}
 }
 
-// CheckQueue judges the peak of queued entries, as a coordinator itself counts them.
+// CheckQueue checks the peak number of queued entries, as counted by a coordinator itself.
 func (ic *InvariantChecker) CheckQueue(now, peak float64) {
 	ic.mu.Lock()
 	defer ic.mu.Unlock()
 	if peak > ic.rules.Channel.MaxQueued {
-		ic.recordViolation(ruleChannel, now, "%.0f lines waited, at most %.0f may", peak, ic.rules.Channel.MaxQueued)
+		ic.recordViolation(ruleChannelLimits, now, "%.0f lines waited, at most %.0f may", peak, ic.rules.Channel.MaxQueued)
 	}
 }
--- a/internal/emulator/checker_servers.go
+++ b/internal/emulator/checker_servers.go
@@ -6,18 +6,18 @@
 	"snowquay/balancer"
 )
 
-// observedServer is what the checker knows of a server. Times are seconds of the scenario's clock.
+// observedServer is the state of a server as observed by the checker. Times are clock times of the scenario in seconds.
 type observedServer struct {
-	startedAt    float64
-	up           bool
-	registeredAt float64
-	registered   bool    // on a connection that is open
-	silentSince  float64 // 0: it is registered, or never was
-	draining     bool
-	withdrawnAt  float64 // when the coordinator knew that it drains or is gone; 0: it serves
+	startedAt         float64
+	up                bool // whether it is running
+	registeredAt      float64
+	registered        bool    // over at least one open connection
+	disconnectedSince float64 // 0 if it is registered, or has not been since the last CoordinatorDown
+	draining          bool
+	withdrawnAt       float64 // when the coordinator knew that it drains or has left; 0 for a server in service
 }
 
-// serverState returns the state of a server, which is added if it is new.
+// serverState returns the state of a server. It adds an unknown server.
 func (ic *InvariantChecker) serverState(address netip.AddrPort) *observedServer {
 	server := ic.servers[address]
 	if server == nil {
@@ -43,7 +43,7 @@
 		server.registeredAt = now
 	}
 	server.registered = true
-	server.silentSince = 0
+	server.disconnectedSince = 0
 	if !server.draining {
 		server.withdrawnAt = 0
 	}
@@ -52,26 +52,26 @@
 func (ic *InvariantChecker) serverDisconnected(now float64, address netip.AddrPort) {
 	ic.mu.Lock()
 	defer ic.mu.Unlock()
-	ic.serverState(address).markSilent(now)
+	ic.serverState(address).markDisconnected(now)
 }
 
-func (s *observedServer) markSilent(now float64) {
+func (s *observedServer) markDisconnected(now float64) {
 	if s.registered {
 		s.registered = false
-		s.silentSince = now
+		s.disconnectedSince = now
 	}
 }
 
-// ServerDown reports that the scenario stopped a server.
+// ServerDown records that the scenario stopped a server.
 func (ic *InvariantChecker) ServerDown(now float64, address netip.AddrPort) {
 	ic.mu.Lock()
 	defer ic.mu.Unlock()
 	server := ic.serverState(address)
 	server.up = false
-	server.markSilent(now)
+	server.markDisconnected(now)
 }
 
-// DrainChanged reports that a server's drain was ordered, or ended.
+// DrainChanged records the start or the end of a server's drain.
 func (ic *InvariantChecker) DrainChanged(now float64, address netip.AddrPort, draining bool) {
 	ic.mu.Lock()
 	defer ic.mu.Unlock()
@@ -86,7 +86,7 @@
 	}
 }
 
-// ForgetDrains reports that all drains have ended, since the coordinator that knew of them lost them rightly.
+// ForgetDrains records that all drains have ended because the coordinator that stored them was allowed to lose them.
 func (ic *InvariantChecker) ForgetDrains() {
 	ic.mu.Lock()
 	defer ic.mu.Unlock()
@@ -96,7 +96,7 @@
 	}
 }
 
-// Servers returns every server that was named or sent to, in no order.
+// Servers returns all servers that an emulated program reported or sent requests to, in no particular order.
 func (ic *InvariantChecker) Servers() []netip.AddrPort {
 	ic.mu.Lock()
 	defer ic.mu.Unlock()
@@ -107,25 +107,25 @@
 	return servers
 }
 
-// requestExecuted judges the second rule: a request with an effect is executed once.
+// requestExecuted checks the second rule: a request that is not idempotent is executed at most once.
 func (ic *InvariantChecker) requestExecuted(now float64, address netip.AddrPort, id uint64, class Class) {
 	if class.Request.Idempotency == balancer.Idempotent {
 		return
 	}
 	ic.mu.Lock()
 	defer ic.mu.Unlock()
-	ic.executedAt[id] = append(ic.executedAt[id], address)
-	if len(ic.executedAt[id]) > 1 {
+	ic.executedBy[id] = append(ic.executedBy[id], address)
+	if len(ic.executedBy[id]) > 1 {
 		ic.duplicateEffects++
-		ic.recordViolation(ruleEffect, now, "a %s query took effect at %v", class.Name, ic.executedAt[id])
+		ic.recordViolation(ruleDuplicateEffect, now, "a %s query took effect at %v", class.Name, ic.executedBy[id])
 	}
 }
 
-// updateSlackSeconds allows for the time from a server's registration to the control round that takes it, and to a relay.
+// updateSlackSeconds is the time allowed for a registration to be handled by a control round and to reach a relay.
 const updateSlackSeconds = 0.1
 
-// senderKnowsServer tells whether a request that arrives at a server now comes from a relay that was sent a message after
-// the server had registered, or whose coordinator has known of the server for the drain deadline.
+// senderKnowsServer reports whether a request that arrives at a server now comes from a relay that received a message
+// after the server registered, or whose coordinator has known the server for longer than the drain deadline.
 func (ic *InvariantChecker) senderKnowsServer(now float64, from netip.Addr, address netip.AddrPort) bool {
 	ic.mu.Lock()
 	defer ic.mu.Unlock()
@@ -143,18 +143,19 @@
 	return false
 }
 
-// minKnowingShare is the share of the work that overloads a server from which on the overload was avoidable.
-const minKnowingShare = 2.0 / 3
+// minAvoidableShare is the share of the work at a server, sent by relays that could know of it, at which an overload counts
+// as avoidable.
+const minAvoidableShare = 2.0 / 3
 
-// serverOverloaded judges the fourth rule: no server is overloaded while it warms up by relays that could know of it.
-// The share is that of the work which such relays sent.
-func (ic *InvariantChecker) serverOverloaded(now float64, address netip.AddrPort, knowingShare float64) {
+// serverOverloaded checks the fourth rule: relays that could know of a server do not overload it while it warms up.
+// avoidableShare is the share of the work that such relays sent.
+func (ic *InvariantChecker) serverOverloaded(now float64, address netip.AddrPort, avoidableShare float64) {
 	ic.mu.Lock()
 	defer ic.mu.Unlock()
-	if knowingShare < minKnowingShare {
+	if avoidableShare < minAvoidableShare {
 		ic.unavoidableOverloads++
 		return
 	}
 	ic.overloads++
-	ic.recordViolation(ruleWarmup, now, "%s was pushed over, %.1f s after its start", address, now-ic.serverState(address).startedAt)
+	ic.recordViolation(ruleWarmupOverload, now, "%s was pushed over, %.1f s after its start", address, now-ic.serverState(address).startedAt)
 }
--- a/internal/emulator/checker_service.go
+++ b/internal/emulator/checker_service.go
@@ -8,14 +8,15 @@
 
 const (
 	intervalSeconds        = 10.0
-	maxLatencyMicroseconds = 60_000_000 // slower answers count as this
-	latencyDigits          = 2
+	maxLatencyMicroseconds = 60_000_000 // longer latencies are recorded as this value
+	latencyDigits          = 2          // significant decimal digits of recorded latencies
 	microsecondsPerSecond  = 1e6
 	percent                = 100
-	minIntervalLoad        = 0.1 // of the mean, below which WorstInterval leaves an interval out
+	minIntervalLoad        = 0.1 // minimum load of an interval in WorstInterval, as a fraction of the mean load
 )
 
-// interval of a scenario: the benefit that was requested in it, and that was answered on time.
+// interval holds the total priority weight of the requests in an interval of a scenario, and of those that were answered
+// on time.
 type interval struct{ requested, onTime float64 }
 
 func newLatencyHistogram() *hdrhistogram.Histogram {
@@ -41,7 +42,7 @@
 	_ = ic.latencies[class].RecordValue(min(int64(latency*microsecondsPerSecond), maxLatencyMicroseconds))
 }
 
-// intervalAt returns the interval that a time is in.
+// intervalAt returns the interval that contains a time.
 func (ic *InvariantChecker) intervalAt(at float64) *interval {
 	if ic.firstRequestAt == 0 {
 		ic.firstRequestAt = at
@@ -53,11 +54,11 @@
 	return &ic.intervals[index]
 }
 
-// Latencies returns the latencies of a class's answers, in microseconds.
+// Latencies returns the latencies of a class's answered requests, in microseconds.
 func (ic *InvariantChecker) Latencies(class int) *hdrhistogram.Histogram { return ic.latencies[class] }
 
-// WorstInterval returns the service of the worst ten seconds. It leaves out intervals with less than a tenth of the mean
-// load, and the last one, whose requests are still under way.
+// WorstInterval returns the lowest service of any interval of ten seconds. It excludes intervals with less than a tenth of
+// the mean load, and the last one, because its requests may still be in flight.
 func (ic *InvariantChecker) WorstInterval() float64 {
 	ic.mu.Lock()
 	defer ic.mu.Unlock()
@@ -74,7 +75,7 @@
 	return worst
 }
 
-// Service returns the benefit answered on time over the benefit requested.
+// Service returns the fraction of requests that were answered on time, weighted by the priority weights of their classes.
 func (ic *InvariantChecker) Service() float64 {
 	ic.mu.Lock()
 	defer ic.mu.Unlock()
@@ -87,8 +88,8 @@
 	return onTime / max(requested, 1)
 }
 
-// LatencyQuantile returns the latency, in seconds, that the given share of all answers does not exceed, or NaN if there
-// were none.
+// LatencyQuantile returns the given quantile, between 0 and 1, of all latencies in seconds, or NaN if no request was
+// answered.
 func (ic *InvariantChecker) LatencyQuantile(quantile float64) float64 {
 	ic.mu.Lock()
 	defer ic.mu.Unlock()
--- a/internal/emulator/clients.go
+++ b/internal/emulator/clients.go
@@ -12,36 +12,36 @@
 	"snowquay/internal/wire/http1"
 )
 
-// ClientConfig describes the clients of a real proxy.
+// ClientConfig configures the emulated clients of a real proxy.
 type ClientConfig struct {
 	Proxy   netip.AddrPort
 	Classes []Class
-	Rate    float64 // requests a second
+	Rate    float64 // requests per second
 	Seed    uint64
 }
 
-// Numbers of the timers.
+// The timer keys.
 const (
 	clientArrivalTimer      = 1
-	firstClientTimeoutTimer = 1 << 30 // one for each request from here on
+	firstClientTimeoutTimer = 1 << 30 // base of the keys of the requests' client timeouts
 )
 
-const minRate = 1e-3 // requests a second, so that the next arrival is never infinitely far away
+const minRate = 1e-3 // requests per second; keeps the time until the next arrival finite
 
-// ClientGenerator emulates the clients of a real proxy: they send requests over HTTP, wait as long as the client timeout
-// of the request's class, and leave.
+// ClientGenerator emulates the clients of a real proxy. They send requests over HTTP and close the connection if no
+// response arrives within the client timeout of the request's class.
 type ClientGenerator struct {
 	ignoredEvents
 	ClientConfig
-	LoadFactor float64 // times Rate
+	LoadFactor float64 // factor applied to Rate
 
 	checker   *InvariantChecker
 	io        env.IO
 	random    randomSource
 	nextID    uint64
-	idle      []env.Conn
+	idle      []env.Conn // in the order in which the connections became idle
 	pending   map[env.Conn]*clientRequest
-	timeouts  map[int]env.Conn
+	timeouts  map[int]env.Conn // by timer key
 	lastTimer int
 }
 
@@ -54,7 +54,7 @@
 	timer     int
 }
 
-// NewClientGenerator returns clients that report what they observe to checker.
+// NewClientGenerator returns a generator that reports requests and responses to checker.
 func NewClientGenerator(config ClientConfig, checker *InvariantChecker) *ClientGenerator {
 	return &ClientGenerator{
 		ClientConfig: config,
@@ -68,7 +68,7 @@
 	}
 }
 
-// Start of env.Program.
+// Start implements env.Program.
 func (g *ClientGenerator) Start(now float64, io env.IO) {
 	g.io = io
 	g.scheduleArrival(now)
@@ -78,18 +78,18 @@
 	g.io.SetTimer(now-math.Log(1-g.random.uniform())/max(g.Rate*g.LoadFactor, minRate), clientArrivalTimer)
 }
 
-// TimerFired of env.Program.
-func (g *ClientGenerator) TimerFired(now float64, what int) {
-	if what == clientArrivalTimer {
+// TimerFired implements env.Program.
+func (g *ClientGenerator) TimerFired(now float64, key int) {
+	if key == clientArrivalTimer {
 		g.scheduleArrival(now)
 		g.sendRequest(now)
 		return
 	}
-	conn, ok := g.timeouts[what]
+	conn, ok := g.timeouts[key]
 	if !ok {
 		return
 	}
-	delete(g.timeouts, what)
+	delete(g.timeouts, key)
 	delete(g.pending, conn)
 	g.io.Close(conn)
 }
@@ -114,7 +114,8 @@
 	g.io.SetTimer(now+g.Classes[class].Request.ClientTimeout, request.timer)
 }
 
-// send uses the connection that became idle last, or dials another one.
+// send sends a request over the connection that became idle last, or dials a new one if none is idle. It returns the
+// connection.
 func (g *ClientGenerator) send(request *clientRequest) env.Conn {
 	last := len(g.idle) - 1
 	if last < 0 {
@@ -126,25 +127,25 @@
 	return conn
 }
 
-// Connected of env.Program.
+// Connected implements env.Program.
 func (g *ClientGenerator) Connected(_ float64, conn env.Conn, ok bool) {
 	request := g.pending[conn]
 	if request == nil {
 		return
 	}
 	if !ok {
-		g.forget(conn, request)
+		g.dropRequest(conn, request)
 		return
 	}
 	g.io.Send(conn, request.encoded)
 }
 
-func (g *ClientGenerator) forget(conn env.Conn, request *clientRequest) {
+func (g *ClientGenerator) dropRequest(conn env.Conn, request *clientRequest) {
 	delete(g.pending, conn)
 	delete(g.timeouts, request.timer)
 }
 
-// Receive of env.Program.
+// Receive implements env.Program.
 func (g *ClientGenerator) Receive(now float64, conn env.Conn, b []byte) {
 	request := g.pending[conn]
 	if request == nil {
@@ -154,8 +155,8 @@
 	var response http1.Message
 	size, err := http1.ParseResponse(request.received, http.MethodPost, http1.DefaultLimits, &response)
 	if err != nil {
-		g.checker.recordProtocolError(now, "a client can't follow: %v", err)
-		g.forget(conn, request)
+		g.checker.recordProtocolError(now, "client cannot parse the response: %v", err)
+		g.dropRequest(conn, request)
 		g.io.Close(conn)
 		return
 	}
@@ -163,7 +164,7 @@
 		return
 	}
 	g.checkResponse(now, request, &response)
-	g.forget(conn, request)
+	g.dropRequest(conn, request)
 	if response.Close {
 		g.io.Close(conn)
 		return
@@ -171,22 +172,22 @@
 	g.idle = append(g.idle, conn)
 }
 
-// checkResponse compares the echoed id with the request's.
+// checkResponse checks that a successful response echoes the request's ID, and records the answer.
 func (g *ClientGenerator) checkResponse(now float64, request *clientRequest, response *http1.Message) {
 	if response.Status != http.StatusOK {
 		return
 	}
 	if string(response.Body) != strconv.FormatUint(request.id, 10) {
-		g.checker.recordProtocolError(now, "query %d was given the answer of %s", request.id, response.Body)
+		g.checker.recordProtocolError(now, "request %d received the response of request %s", request.id, response.Body)
 		return
 	}
 	g.checker.requestAnswered(now, request.class, now-request.arrivedAt)
 }
 
-// Closed of env.Program.
+// Closed implements env.Program.
 func (g *ClientGenerator) Closed(_ float64, conn env.Conn) {
 	if request := g.pending[conn]; request != nil {
-		g.forget(conn, request)
+		g.dropRequest(conn, request)
 		return
 	}
 	if i := slices.Index(g.idle, conn); i >= 0 {
--- a/internal/emulator/flood.go
+++ b/internal/emulator/flood.go
@@ -12,22 +12,22 @@
 	"snowquay/internal/wire/sasp"
 )
 
-// FloodGenerator is a faulty or malicious host of a tenant: it opens connections again and again, registers and requests
-// weights as fast as it can, sends measurements that are malformed, duplicated or of other tenants, and names other
-// tenants' relays, groups and users.
+// FloodGenerator emulates a faulty or malicious machine of a tenant. It repeatedly opens connections, registers and requests
+// weights at a high rate, sends measurements that are malformed, duplicated or in the name of other tenants, and uses the
+// UIDs, groups and users of other tenants' relays.
 type FloodGenerator struct {
 	ignoredEvents
-	SASP         netip.AddrPort // SASP
-	HTTP         netip.AddrPort // long-poll API
-	Measurements netip.AddrPort // measurements
-	UID          string         // its own relay
-	OtherUID     string         // another tenant's relay
-	User         string
-	Key          string
-	OtherUser    string
+	SASP         netip.AddrPort // address of the SASP listener
+	HTTP         netip.AddrPort // address of the long-poll API
+	Measurements netip.AddrPort // address of the collector
+	UID          string         // UID of a relay of its own tenant
+	OtherUID     string         // UID of a relay of another tenant
+	User         string         // user that measurements are sent as
+	Key          string         // key that signs the measurements
+	OtherUser    string         // user of another tenant
 	Class        string
-	Rate         float64 // actions a second
-	Server       netip.AddrPort
+	Rate         float64        // actions per second
+	Server       netip.AddrPort // server that registrations and measurements name
 	Seed         uint64
 
 	io        env.IO
@@ -38,13 +38,13 @@
 }
 
 const (
-	maxFloodConnections  = 40 // open at once
+	maxFloodConnections  = 40 // maximum number of open connections
 	floodIntervalSeconds = 0.01
 	floodGarbageBytes    = 200
-	floodReports         = 20 // contradicting reports in a datagram
+	floodReports         = 20 // contradictory reports in one batch
 )
 
-// Start of env.Program.
+// Start implements env.Program.
 func (f *FloodGenerator) Start(now float64, io env.IO) {
 	f.io = io
 	f.random = newRandomSource(f.Seed)
@@ -53,27 +53,27 @@
 	io.SetTimer(now, 0)
 }
 
-// TimerFired of env.Program.
+// TimerFired implements env.Program.
 func (f *FloodGenerator) TimerFired(now float64, _ int) {
 	for range int(f.Rate * floodIntervalSeconds) {
-		f.act(now)
+		f.performRandomAction(now)
 	}
 	f.io.SetTimer(now+floodIntervalSeconds, 0)
 }
 
-// act does one thing that is drawn at random.
-func (f *FloodGenerator) act(now float64) {
-	position := f.random.uniform()
+// performRandomAction performs one randomly chosen action.
+func (f *FloodGenerator) performRandomAction(now float64) {
+	draw := f.random.uniform()
 	switch {
-	case position < 0.15 && len(f.conns) < maxFloodConnections:
+	case draw < 0.15 && len(f.conns) < maxFloodConnections:
 		f.conns = append(f.conns, f.io.Dial(f.SASP))
-	case position < 0.2 && len(f.conns) < maxFloodConnections:
+	case draw < 0.2 && len(f.conns) < maxFloodConnections:
 		conn := f.io.Dial(f.HTTP)
 		f.httpConns[conn] = true
 		f.conns = append(f.conns, conn)
-	case position < 0.25:
+	case draw < 0.25:
 		f.sendGarbage()
-	case position < 0.5:
+	case draw < 0.5:
 		f.sendReports(now)
 	case len(f.conns) > 0:
 		f.sendMessage(f.conns[f.random.IntN(len(f.conns))])
@@ -88,7 +88,7 @@
 	f.io.Datagram(f.Measurements, b)
 }
 
-// sendReports sends measurements that contradict each other, half of them in another tenant's name.
+// sendReports sends a batch of contradictory measurements. Half of the batches are in the name of another tenant.
 func (f *FloodGenerator) sendReports(now float64) {
 	user := f.User
 	host := f.UID
@@ -103,7 +103,7 @@
 	packets.Flush()
 }
 
-// sendMessage sends a poll, a greeting or a registration, some of them for another tenant's relay.
+// sendMessage sends a long poll, an identity or a registration. 30 % of the messages name another tenant's relay.
 func (f *FloodGenerator) sendMessage(conn env.Conn) {
 	uid := f.UID
 	if f.random.uniform() < 0.3 {
@@ -130,7 +130,7 @@
 	}))
 }
 
-// Connected of env.Program.
+// Connected implements env.Program.
 func (f *FloodGenerator) Connected(now float64, conn env.Conn, ok bool) {
 	if !ok {
 		f.Closed(now, conn)
@@ -139,7 +139,7 @@
 	f.sendMessage(conn)
 }
 
-// Closed of env.Program.
+// Closed implements env.Program.
 func (f *FloodGenerator) Closed(_ float64, conn env.Conn) {
 	if i := slices.Index(f.conns, conn); i >= 0 {
 		f.conns = slices.Delete(f.conns, i, i+1)
--- a/internal/emulator/graphite_sink.go
+++ b/internal/emulator/graphite_sink.go
@@ -7,24 +7,24 @@
 	"snowquay/internal/wire/graphite"
 )
 
-// GraphiteSink takes samples in Graphite's plaintext protocol and keeps one value for each path and time, as Graphite
-// does. What it has read survives a restart of its program; what its host has received and it has not read does not.
+// GraphiteSink receives samples in Graphite's plaintext protocol and stores one value per path and time, as Graphite does.
+// Stored samples survive a restart of the program. Data that its host has received but the program has not read does not.
 type GraphiteSink struct {
 	ignoredEvents
 	Values     map[string]map[int64]float64 // by path, then by Unix time in seconds
-	Lines      int                          // received, duplicates included
-	Duplicates int                          // lines whose path and time were known already
-	Malformed  int                          // lines
-	unparsed   map[env.Conn][]byte
+	Lines      int                          // number of well-formed lines, including duplicates
+	Duplicates int                          // number of lines with the path and time of an earlier line
+	Malformed  int                          // number of malformed lines
+	unparsed   map[env.Conn][]byte          // start of a line whose end has not arrived
 }
 
 // NewGraphiteSink returns an empty sink.
 func NewGraphiteSink() *GraphiteSink { return &GraphiteSink{Values: map[string]map[int64]float64{}} }
 
-// Start of env.Program.
+// Start implements env.Program.
 func (s *GraphiteSink) Start(float64, env.IO) { s.unparsed = map[env.Conn][]byte{} }
 
-// Receive of env.Program.
+// Receive implements env.Program.
 func (s *GraphiteSink) Receive(_ float64, conn env.Conn, b []byte) {
 	b = append(s.unparsed[conn], b...)
 	for {
@@ -56,5 +56,5 @@
 	values[sample.At] = sample.Value
 }
 
-// Closed of env.Program. A line that was cut off is dropped.
+// Closed implements env.Program. It discards an incomplete line.
 func (s *GraphiteSink) Closed(_ float64, conn env.Conn) { delete(s.unparsed, conn) }
--- a/internal/emulator/protocol.go
+++ b/internal/emulator/protocol.go
@@ -1,6 +1,6 @@
-// Package emulator models what a coordinator works with: servers, relays with their clients, agents that order drains,
-// and an invariant checker that judges the guarantees by what these see on their sockets. They are models for tests and
-// scenarios, not measurements of real machines.
+// Package emulator models the environment of a coordinator: servers, relays with their clients, and agents that order
+// drains. An invariant checker checks the guarantees against the events that these programs observe on their sockets. They
+// are models for tests and scenarios, not measurements of real machines.
 package emulator
 
 import (
@@ -11,17 +11,17 @@
 	"snowquay/internal/wire/sasp"
 )
 
-// Class is what the emulated programs need to know of a request class.
+// Class describes a request class to the emulated programs.
 type Class struct {
 	Name        string
 	Request     balancer.RequestClass
-	Share       float64 // of all requests, 0 to 1
-	MeanWork    float64 // seconds on a core of speed 1
+	Share       float64 // fraction of all requests, 0 to 1
+	MeanWork    float64 // mean processing time in seconds on a core of speed 1
 	RetryPolicy balancer.RetryPolicy
 }
 
-// A request between an emulated relay and an emulated server has an id, a class, a key and its work; a response has the
-// id and the outcome.
+// Encoding of the requests between emulated relays and servers. A request holds an ID, a class, a key and its work; a
+// response holds the ID and the outcome.
 const (
 	requestBytes   = 24
 	responseBytes  = 9
@@ -29,16 +29,16 @@
 	keyOffset      = 12
 	workOffset     = 16
 	outcomeOffset  = 8
-	cancelledClass = 1<<32 - 1 // in the place of the class: the request with this id is cancelled
+	cancelledClass = 1<<32 - 1 // value of the class field that cancels the request with this ID
 )
 
-// outcome of a request, as a response carries it.
+// outcome is the result of a request, encoded as a byte in the response.
 type outcome byte
 
 const (
 	answered outcome = iota
-	failed           // it was executed, without a good answer
-	rejected         // it was certainly never executed
+	failed           // executed, but without success
+	rejected         // certainly not executed
 )
 
 func appendRequest(b []byte, id uint64, class int, key uint32, work float64) []byte {
@@ -52,14 +52,15 @@
 	return append(binary.BigEndian.AppendUint64(b, id), byte(result))
 }
 
-// saspSession is the peer of a coordinator's SASP session: it frames what arrives, and numbers what is sent.
+// saspSession is the emulated program's side of a SASP session with a coordinator. It decodes received messages and numbers
+// sent ones.
 type saspSession struct {
 	buf      []byte
 	lastID   uint32
 	incoming sasp.Message
 }
 
-// read hands each whole message to handle. It returns false if the stream is malformed.
+// read adds received data and calls handle for each complete message. It returns false if the stream is malformed.
 func (s *saspSession) read(b []byte, handle func(*sasp.Message)) bool {
 	s.buf = append(s.buf, b...)
 	for {
@@ -78,7 +79,7 @@
 	}
 }
 
-// write numbers and encodes a message.
+// write assigns the next message ID and encodes the message.
 func (s *saspSession) write(message *sasp.Message) []byte {
 	s.lastID++
 	message.ID = s.lastID
--- a/internal/emulator/proxy_observer.go
+++ b/internal/emulator/proxy_observer.go
@@ -6,30 +6,30 @@
 	"snowquay/balancer"
 )
 
-// ProxyObserver implements proxy.Observer: it reports what a real proxy does to the invariant checker.
+// ProxyObserver implements proxy.Observer. It reports the events of a real proxy to the invariant checker.
 type ProxyObserver struct {
 	Checker *InvariantChecker
 	UID     string
-	Classes []int // the checker's class, by the proxy's class
+	Classes []int // class index of the checker, by class index of the proxy
 }
 
-// Started reports the address that the proxy dials from.
+// Started reports the source address of the proxy's connections.
 func (o *ProxyObserver) Started(host netip.Addr) { o.Checker.relayStarted(o.UID, host) }
 
-// AttemptSent of proxy.Observer.
+// AttemptSent implements proxy.Observer.
 func (o *ProxyObserver) AttemptSent(now float64, server balancer.Server) {
 	if address, err := netip.ParseAddrPort(string(server)); err == nil {
 		o.Checker.attemptSent(now, o.UID, address)
 	}
 }
 
-// Joined of proxy.Observer.
+// Joined implements proxy.Observer.
 func (o *ProxyObserver) Joined(now float64) { o.Checker.relayJoined(now, o.UID) }
 
-// Left of proxy.Observer.
+// Left implements proxy.Observer.
 func (o *ProxyObserver) Left(float64) { o.Checker.relayLeft(o.UID) }
 
-// TableChanged of proxy.Observer. A negative number of entries means that no message caused the change.
+// TableChanged implements proxy.Observer. A negative number of entries means that no message caused the change.
 func (o *ProxyObserver) TableChanged(now float64, entries int, hasEntry []bool) {
 	if entries >= 0 {
 		o.Checker.messageReceived(now, o.UID, entries)
--- a/internal/emulator/random.go
+++ b/internal/emulator/random.go
@@ -2,7 +2,7 @@
 
 import "math/rand/v2"
 
-// randomStream is the second word of every generator's seed.
+// randomStream is the second half of the seed of every random source.
 const randomStream = 0xc0ffee
 
 // randomSource is a seeded source of random numbers.
@@ -12,10 +12,10 @@
 	return randomSource{rand.New(rand.NewPCG(seed, randomStream))}
 }
 
-// uniform draws evenly from 0 to 1, without 1.
+// uniform returns a uniformly distributed number in [0, 1).
 func (s randomSource) uniform() float64 { return s.Float64() }
 
-// drawClass draws a class by the shares of all requests.
+// drawClass returns the index of a randomly chosen class, weighted by Class.Share.
 func drawClass(random randomSource, classes []Class) int {
 	position := random.uniform()
 	class := 0
--- a/internal/emulator/relay.go
+++ b/internal/emulator/relay.go
@@ -12,45 +12,45 @@
 	"snowquay/internal/feed/collectd"
 )
 
-// RelayConfig describes an emulated relay and its clients.
+// RelayConfig configures an emulated relay and its clients.
 type RelayConfig struct {
 	UID               string
-	Host              netip.Addr // it dials from
+	Host              netip.Addr // source address of its connections
 	Coordinator       netip.AddrPort
-	OtherCoordinators []netip.AddrPort // tried in turn
-	UsesLongPoll      bool             // it speaks the long-poll API instead of SASP
-	Collector         netip.AddrPort   // for measurements
-	User              string           // of its measurements
-	Key               string           // of its measurements
-	DefaultTable      []netip.AddrPort // servers that it starts with
-	Flags             uint8            // of SASP: Push, Trust, NoChange
+	OtherCoordinators []netip.AddrPort // dialed in rotation with Coordinator
+	UsesLongPoll      bool             // whether it uses the long-poll API instead of SASP
+	Collector         netip.AddrPort   // destination of measurements
+	User              string           // user that measurements are sent as
+	Key               string           // key that signs the measurements
+	DefaultTable      []netip.AddrPort // initial entries of each class's table
+	Flags             uint8            // SASP flags: Push, Trust, NoChange
 	Classes           []Class
-	Rate              float64 // requests a second
+	Rate              float64 // requests per second
 	ReportInterval    float64 // seconds
-	EjectAfter        int     // consecutive failures, after which it avoids a server; 0: never
+	EjectAfter        int     // consecutive failures after which it ejects a server; 0 for never
 	EjectDuration     float64 // seconds
-	KeyCount          int
+	KeyCount          int     // number of distinct request keys
 	Seed              uint64
 
-	KeyPopularity    []float64 // as Popularity returns it; nil: requests spread evenly over keys
-	ClientRetries    int       // times that a client retries a request that failed
-	ClientRetryDelay float64   // seconds, on average
-	PatienceFraction float64   // of the client timeout, after which a client leaves; 0: all of it
+	KeyPopularity    []float64 // cumulative distribution of the keys, from Popularity; nil for a uniform distribution
+	ClientRetries    int       // maximum number of times that a client repeats a failed request
+	ClientRetryDelay float64   // mean delay in seconds
+	PatienceFraction float64   // fraction of the client timeout after which a client gives up; 0 for all of it
 	Policy           Policy
-	AllServers       []netip.AddrPort // for policies that need no coordinator
+	AllServers       []netip.AddrPort // table entries under policies that need no coordinator
 }
 
-// Policy names how a relay picks a server.
+// Policy selects the algorithm by which a relay picks a server.
 type Policy string
 
-// The policies of a relay.
+// The policies.
 const (
-	ByTable           Policy = ""      // by the weights that its coordinator assigns
-	RoundRobin        Policy = "robin" // all servers in turn, whatever the coordinator assigns
-	PowerOfTwoChoices Policy = "two"   // the less loaded, by its own requests, of two servers drawn from its table
+	ByTable           Policy = ""      // weighted round robin with the weights that the coordinator assigns
+	RoundRobin        Policy = "robin" // round robin over all servers, regardless of the coordinator
+	PowerOfTwoChoices Policy = "two"   // of two random servers in the table, the one with fewer attempts of this relay in flight
 )
 
-// Numbers of the timers.
+// The timer keys.
 const (
 	relayArrivalTimer     = 1
 	relayReportTimer      = 2
@@ -58,50 +58,50 @@
 	relayWeightsTimer     = 4
 	relayLongPollTimer    = 5
 	relayHeartbeatTimer   = 6
-	firstPollGapTimer     = 10_000_000 // one for each poll from here on
-	firstClientRetryTimer = 1 << 29    // one for each client retry from here on
-	firstAttemptTimer     = 1 << 30    // one for each attempt from here on
+	firstPollGapTimer     = 10_000_000 // base of the keys of the gaps after polls, to which the poll's count is added
+	firstClientRetryTimer = 1 << 29    // base of the keys of client retries, to which the retry's number is added
+	firstAttemptTimer     = 1 << 30    // base of the attempt numbers, which are the keys of the attempts' timeouts
 )
 
 const (
-	heartbeatSeconds = 1.0 // between two heartbeats, where there are several coordinators
-	redialSeconds    = 1.0
+	heartbeatSeconds = 1.0 // interval of heartbeats, which are sent if there are several coordinators
+	redialSeconds    = 1.0 // base delay of a redial, and default delay of a poll after a rejection
 )
 
-// Relay is an emulated proxy with its clients. The exported fields may be changed while it runs, by the goroutine that
-// runs its program.
+// Relay is an emulated proxy with its clients. The goroutine that runs its program may change the exported fields at any
+// time.
 type Relay struct {
 	ignoredEvents
 	RelayConfig
-	LoadFactor           float64 // times Rate
-	FalseFailureFraction float64 // share of its attempts that it reports as failed, whatever became of them
+	LoadFactor           float64 // factor applied to Rate
+	FalseFailureFraction float64 // minimum fraction of its attempts that it reports as failed, regardless of their outcomes
 
 	checker          *InvariantChecker
 	io               env.IO
 	coordinatorConn  env.Conn
 	joined           bool
 	session          saspSession
-	tables           []*table // by class
+	tables           []*table // by class index
 	targets          map[netip.AddrPort]*target
-	byConn           map[env.Conn]netip.AddrPort
+	serverByConn     map[env.Conn]netip.AddrPort
 	unparsed         map[env.Conn][]byte
-	attempts         map[int]*attempt
-	attemptByRequest map[uint64]*attempt // the latest of each request
-	lastAttempt      int
-	lastRequest      uint64
-	demand           []loadreport.Totals // by class
+	attempts         map[int]*attempt    // open attempts, by number
+	attemptByRequest map[uint64]*attempt // open attempt of each request, by request ID
+	lastAttempt      int                 // number
+	lastRequest      uint64              // ID
+	demand           []loadreport.Totals // by class index
 	random           randomSource
-	clientRetries    map[int]*request
-	lastClientRetry  int
+	clientRetries    map[int]*request // scheduled client retries, by number
+	lastClientRetry  int              // number
 	ignoresUpdates   bool
-	heartbeatPending bool
+	heartbeatPending bool // a heartbeat has not been answered
 	longPoll         longPollState
-	admission        []float64              // admitted share, by class
-	retryPolicies    []balancer.RetryPolicy // by class
+	admission        []float64              // admitted fraction of requests, by class index
+	retryPolicies    []balancer.RetryPolicy // by class index
 }
 
-// Popularity returns how requests spread over keys by Zipf's law: the share of the first key, the first two keys, and so
-// on. It returns nil for an exponent of 0, where all keys are alike.
+// Popularity returns the cumulative distribution of requests over keys by Zipf's law: the fraction of requests for the first
+// key, for the first two keys, and so on. It returns nil for an exponent of 0, which stands for a uniform distribution.
 func Popularity(keys int, exponent float64) []float64 {
 	if exponent == 0 {
 		return nil
@@ -118,14 +118,14 @@
 	return shares
 }
 
-// NewRelay returns a relay that reports what it does to checker.
+// NewRelay returns a relay that reports its events to checker.
 func NewRelay(config RelayConfig, checker *InvariantChecker) *Relay {
 	r := &Relay{
 		RelayConfig:      config,
 		LoadFactor:       1,
 		checker:          checker,
 		targets:          map[netip.AddrPort]*target{},
-		byConn:           map[env.Conn]netip.AddrPort{},
+		serverByConn:     map[env.Conn]netip.AddrPort{},
 		unparsed:         map[env.Conn][]byte{},
 		attempts:         map[int]*attempt{},
 		attemptByRequest: map[uint64]*attempt{},
@@ -147,7 +147,7 @@
 	return r
 }
 
-// Start of env.Program.
+// Start implements env.Program.
 func (r *Relay) Start(now float64, io env.IO) {
 	r.io = io
 	r.checker.relayStarted(r.UID, r.Host)
@@ -159,20 +159,20 @@
 	io.SetTimer(now+r.ReportInterval*r.random.uniform(), relayReportTimer)
 }
 
-// Connected of env.Program.
+// Connected implements env.Program.
 func (r *Relay) Connected(now float64, conn env.Conn, ok bool) {
 	if conn == r.coordinatorConn {
 		r.coordinatorConnected(now, ok)
 		return
 	}
-	target := r.targets[r.byConn[conn]]
+	target := r.targets[r.serverByConn[conn]]
 	if target == nil || target.conn != conn {
 		return
 	}
 	queued := target.queued
 	target.queued = nil
 	if !ok {
-		delete(r.byConn, conn)
+		delete(r.serverByConn, conn)
 		target.conn = 0
 		for _, unsent := range queued {
 			r.attemptEnded(now, unsent, rejected)
@@ -185,7 +185,7 @@
 	}
 }
 
-// Receive of env.Program.
+// Receive implements env.Program.
 func (r *Relay) Receive(now float64, conn env.Conn, b []byte) {
 	if conn == r.coordinatorConn {
 		r.receiveFromCoordinator(now, b)
@@ -204,28 +204,28 @@
 	r.unparsed[conn] = append([]byte(nil), b...)
 }
 
-// Closed of env.Program.
+// Closed implements env.Program.
 func (r *Relay) Closed(now float64, conn env.Conn) {
 	if conn == r.coordinatorConn {
 		r.markLeft()
 		r.io.SetTimer(now+r.redialDelay(), relayDialTimer)
 		return
 	}
-	server := r.byConn[conn]
-	delete(r.byConn, conn)
+	server := r.serverByConn[conn]
+	delete(r.serverByConn, conn)
 	delete(r.unparsed, conn)
 	if target := r.targets[server]; target != nil && target.conn == conn {
 		target.conn = 0
 		target.open = false
 	}
 	for _, number := range r.openAttempts(server) {
-		r.attemptEnded(now, r.attempts[number], failed) // it may have been executed
+		r.attemptEnded(now, r.attempts[number], failed) // the server may have executed it
 	}
 }
 
-// TimerFired of env.Program.
-func (r *Relay) TimerFired(now float64, what int) {
-	switch what {
+// TimerFired implements env.Program.
+func (r *Relay) TimerFired(now float64, key int) {
+	switch key {
 	case relayArrivalTimer:
 		r.scheduleArrival(now)
 		r.newRequest(now)
@@ -244,31 +244,31 @@
 	case relayWeightsTimer:
 		r.requestWeights()
 	default:
-		r.numberedTimerFired(now, what)
+		r.numberedTimerFired(now, key)
 	}
 }
 
-// numberedTimerFired handles the timers of which there is one for each poll, client retry or attempt.
-func (r *Relay) numberedTimerFired(now float64, what int) {
+// numberedTimerFired handles the timers of individual polls, client retries and attempts.
+func (r *Relay) numberedTimerFired(now float64, key int) {
 	switch {
-	case what >= firstAttemptTimer:
-		r.attemptTimedOut(now, what)
-	case what >= firstClientRetryTimer:
-		number := what - firstClientRetryTimer
+	case key >= firstAttemptTimer:
+		r.attemptTimedOut(now, key)
+	case key >= firstClientRetryTimer:
+		number := key - firstClientRetryTimer
 		retried := r.clientRetries[number]
 		if retried == nil {
 			return
 		}
 		delete(r.clientRetries, number)
 		r.admit(now, retried)
-	case what > firstPollGapTimer:
-		if r.joined && !r.longPoll.pending && what-firstPollGapTimer == r.longPoll.count {
+	case key > firstPollGapTimer:
+		if r.joined && !r.longPoll.pending && key-firstPollGapTimer == r.longPoll.count {
 			r.markLeft()
 		}
 	}
 }
 
-// sendReport sends the totals of all attempts by server, and of all requests by class.
+// sendReport sends the totals of all attempts per server, and of all requests per class.
 func (r *Relay) sendReport(now float64) {
 	packets := collectd.NewPacketWriter(now, r.UID, r.User, r.Key, func(b []byte) { r.io.Datagram(r.Collector, b) })
 	var servers []netip.AddrPort
--- a/internal/emulator/relay_coordinator.go
+++ b/internal/emulator/relay_coordinator.go
@@ -7,7 +7,7 @@
 	"snowquay/internal/wire/sasp"
 )
 
-// coordinatorConnected takes the outcome of dialing the coordinator.
+// coordinatorConnected handles the result of a dial to the coordinator.
 func (r *Relay) coordinatorConnected(now float64, ok bool) {
 	if !ok {
 		r.io.SetTimer(now+r.redialDelay(), relayDialTimer)
@@ -20,12 +20,12 @@
 	r.longPoll.buf = nil
 	r.ignoresUpdates = false
 	r.sendPoll(now)
-	if len(r.OtherCoordinators) == 0 { // one of several may be paused: it has joined when that one answers
+	if len(r.OtherCoordinators) == 0 { // one of several may be paused, so the relay joins when that one responds
 		r.markJoined(now)
 	}
 }
 
-// register sends the relay's identity, and its table as its members.
+// register sends the relay's identity, and a registration with its table entries as members.
 func (r *Relay) register() {
 	r.session = saspSession{}
 	r.ignoresUpdates = false
@@ -61,7 +61,7 @@
 		return
 	}
 	if !r.session.read(b, func(message *sasp.Message) { r.handleMessage(now, message) }) {
-		r.checker.recordProtocolError(now, "relay %s can't follow the stream", r.UID)
+		r.checker.recordProtocolError(now, "relay %s received a malformed SASP message", r.UID)
 	}
 }
 
@@ -78,10 +78,10 @@
 
 func (r *Relay) handleRegistrationReply(now float64, message *sasp.Message) {
 	if message.Code == sasp.NotAccepted && len(r.OtherCoordinators) > 0 {
-		return // another coordinator leads this relay
+		return // another coordinator owns this relay
 	}
 	if message.Code != sasp.OK {
-		r.checker.recordProtocolError(now, "relay %s: %s", r.UID, message.Code)
+		r.checker.recordProtocolError(now, "relay %s: registration refused: %s", r.UID, message.Code)
 		return
 	}
 	r.joined = true
@@ -97,10 +97,10 @@
 	for _, group := range message.Groups {
 		class := slices.IndexFunc(r.Classes, func(c Class) bool { return c.Name == string(group.Name) })
 		if class < 0 || string(group.UID) != r.UID {
-			r.checker.recordProtocolError(now, "relay %s was sent group %q of %q", r.UID, group.Name, group.UID)
+			r.checker.recordProtocolError(now, "relay %s received weights of unknown group %q of UID %q", r.UID, group.Name, group.UID)
 			continue
 		}
-		for _, row := range message.Rows[group.From:group.To] { // one after the other, as a plain relay would
+		for _, row := range message.Rows[group.From:group.To] { // the entries change one by one, as in a simple relay
 			r.applyRow(r.tables[class], row)
 			r.reportTables(now)
 		}
@@ -116,7 +116,8 @@
 	}
 }
 
-// checkHeartbeat drops the connection to a coordinator that does not answer. One that is paused keeps its connections.
+// checkHeartbeat closes the connection to a coordinator that does not respond, because the connections of a paused
+// coordinator stay open.
 func (r *Relay) checkHeartbeat(now float64) {
 	if !r.joined {
 		return
@@ -132,7 +133,7 @@
 	}
 }
 
-// dialNext dials the next coordinator in turn.
+// dialNext dials the next coordinator in rotation.
 func (r *Relay) dialNext() {
 	if len(r.OtherCoordinators) > 0 {
 		next := r.OtherCoordinators[0]
@@ -143,7 +144,8 @@
 	r.coordinatorConn = r.io.Dial(r.Coordinator)
 }
 
-// redialDelay returns the seconds until the relay dials again, which are fewer the more coordinators it has to try.
+// redialDelay returns the delay before the next dial in seconds. It is inversely proportional to the number of
+// coordinators.
 func (r *Relay) redialDelay() float64 {
 	return redialSeconds * (0.3 + r.random.uniform()) / float64(1+len(r.OtherCoordinators))
 }
@@ -155,7 +157,8 @@
 	r.Closed(now, conn)
 }
 
-// IgnoreUpdates makes the relay keep its tables, without applying what it receives, until it dials again.
+// IgnoreUpdates sets whether the relay ignores all data from its coordinator and so keeps its tables. A new connection ends
+// it.
 func (r *Relay) IgnoreUpdates(on bool) { r.ignoresUpdates = on }
 
 func (r *Relay) markJoined(now float64) {
--- a/internal/emulator/relay_longpoll.go
+++ b/internal/emulator/relay_longpoll.go
@@ -17,23 +17,23 @@
 
 const (
 	longPollWaitSeconds  = 20.0
-	shortPollWaitSeconds = 1.0 // where there are several coordinators, so that a paused one is noticed
-	pollGapSeconds       = 2.5 // without a poll, after which a coordinator considers the relay gone
+	shortPollWaitSeconds = 1.0 // wait with several coordinators, so that a paused one is detected
+	pollGapSeconds       = 2.5 // time without a poll after which a coordinator considers the relay to have left
 	headerEnd            = "\r\n\r\n"
 )
 
-// retryPolicyNames are the names of the long-poll API, by balancer.RetryPolicy.
+// retryPolicyNames holds the names of retry policies in the long-poll API, indexed by balancer.RetryPolicy.
 var retryPolicyNames = []string{"none", "proof", "failure", "twice"}
 
-// longPollState is the state of a relay that speaks the long-poll API.
+// longPollState is the state of a relay that uses the long-poll API.
 type longPollState struct {
-	buf            []byte
-	epoch          string
-	version        uint64
-	pending        bool // a poll is not answered yet
-	count          int  // of polls
+	buf            []byte // received data that is not handled yet
+	epoch          string // epoch of the tables, empty for none
+	version        uint64 // version of the tables
+	pending        bool   // a poll has not been answered
+	count          int    // number of polls sent
 	sentAt         float64
-	ownershipEpoch uint64 // newest that it has followed
+	ownershipEpoch uint64 // highest ownership epoch of the updates that it applied
 }
 
 func (r *Relay) sendPoll(now float64) {
@@ -56,7 +56,7 @@
 		url.PathEscape(r.UID), parameters.Encode(), delta.CBOR))
 }
 
-// receivePollResponses takes bytes of the coordinator's responses.
+// receivePollResponses handles received data of the coordinator's responses.
 func (r *Relay) receivePollResponses(now float64, b []byte) {
 	r.longPoll.buf = append(r.longPoll.buf, b...)
 	for {
@@ -67,7 +67,7 @@
 		bodyStart := end + len(headerEnd)
 		response, err := http.ReadResponse(bufio.NewReader(bytes.NewReader(r.longPoll.buf[:bodyStart])), nil)
 		if err != nil {
-			r.checker.recordProtocolError(now, "relay %s can't follow: %v", r.UID, err)
+			r.checker.recordProtocolError(now, "relay %s cannot parse the poll response: %v", r.UID, err)
 			return
 		}
 		bodyEnd := bodyStart + max(int(response.ContentLength), 0)
@@ -76,7 +76,7 @@
 		}
 		r.handlePollResponse(now, response, r.longPoll.buf[bodyStart:bodyEnd])
 		r.longPoll.buf = append(r.longPoll.buf[:0], r.longPoll.buf[bodyEnd:]...)
-		_, _ = io.Copy(io.Discard, response.Body) // the body is handled already
+		_, _ = io.Copy(io.Discard, response.Body) // handlePollResponse has already handled the body
 	}
 }
 
@@ -97,20 +97,20 @@
 	r.markJoined(now)
 }
 
-// handleTables applies an update. It returns false if the relay has to stop polling.
+// handleTables applies an update. It returns false if the relay must not poll again on this connection.
 func (r *Relay) handleTables(now float64, response *http.Response, body []byte) bool {
 	var tables delta.Tables
 	if err := delta.Decode(body, response.Header.Get("Content-Type"), &tables); err != nil {
-		r.checker.recordProtocolError(now, "relay %s: %v", r.UID, err)
+		r.checker.recordProtocolError(now, "relay %s cannot decode the tables: %v", r.UID, err)
 		return false
 	}
-	if tables.Stale(r.longPoll.ownershipEpoch) { // the coordinator was paused, and another one has led since
+	if tables.Stale(r.longPoll.ownershipEpoch) { // the coordinator was paused, and another one has owned the relay since
 		r.DropConnection(now)
 		return false
 	}
 	r.longPoll.ownershipEpoch = tables.OwnershipEpoch
 	if !tables.AppliesTo(r.longPoll.epoch, r.longPoll.version) {
-		r.checker.recordProtocolError(now, "relay %s was sent a delta to version %d, it holds %d", r.UID, tables.Base, r.longPoll.version)
+		r.checker.recordProtocolError(now, "relay %s received a delta against version %d while at version %d", r.UID, tables.Base, r.longPoll.version)
 		r.longPoll.epoch = ""
 		return true
 	}
@@ -126,7 +126,8 @@
 	return true
 }
 
-// handlePollRejection tries another coordinator where this one does not lead the relay, or polls again later.
+// handlePollRejection drops the connection, so that another coordinator is dialed, if this one does not own the relay.
+// Otherwise it schedules another poll.
 func (r *Relay) handlePollRejection(now float64, response *http.Response) {
 	r.markLeft()
 	conflict := response.StatusCode == http.StatusConflict && len(r.OtherCoordinators) > 0
@@ -141,7 +142,7 @@
 	r.io.SetTimer(now+delay, relayLongPollTimer)
 }
 
-// fullTableSize returns how many bytes the same response would have with full tables.
+// fullTableSize returns the size in bytes that a response would have with full tables.
 func (r *Relay) fullTableSize(tables delta.Tables) int {
 	tables.Classes = nil
 	for i, class := range r.Classes {
@@ -160,18 +161,18 @@
 	return len(b)
 }
 
-// applyClassUpdate applies the update of a class as a whole.
+// applyClassUpdate applies the complete update of a class, and then reports the tables once.
 func (r *Relay) applyClassUpdate(now float64, update delta.Class) {
 	class := slices.IndexFunc(r.Classes, func(c Class) bool { return c.Name == update.Class })
 	if class < 0 {
-		r.checker.recordProtocolError(now, "relay %s was told of class %q", r.UID, update.Class)
+		r.checker.recordProtocolError(now, "relay %s received an update of unknown class %q", r.UID, update.Class)
 		return
 	}
 	named := map[netip.AddrPort]bool{}
 	for _, entry := range update.Entries {
 		server, err := netip.ParseAddrPort(entry.Server)
 		if err != nil {
-			r.checker.recordProtocolError(now, "relay %s was told of server %q", r.UID, entry.Server)
+			r.checker.recordProtocolError(now, "relay %s received an entry with invalid server address %q", r.UID, entry.Server)
 			continue
 		}
 		named[server] = true
--- a/internal/emulator/relay_requests.go
+++ b/internal/emulator/relay_requests.go
@@ -8,20 +8,20 @@
 	"snowquay/balancer"
 )
 
-// request of a client.
+// request is a request of a client.
 type request struct {
 	id            uint64
 	class         int
 	key           uint32
 	work          float64 // seconds on a core of speed 1
-	arrivedAt     float64 // of the client's first try
-	clientRetries int     // by the client, as other requests
-	attempts      int
+	arrivedAt     float64 // arrival time of the client's first request for this work
+	clientRetries int     // number of earlier requests of the client for this work
+	attempts      int     // number of attempts
 	triedServers  []netip.AddrPort
-	completed     bool
+	completed     bool // answered or failed
 }
 
-// attempt to have a request answered by a server.
+// attempt is an attempt to execute a request on a server.
 type attempt struct {
 	*request
 	number int
@@ -38,7 +38,7 @@
 	class := drawClass(r.random, r.Classes)
 	r.lastRequest++
 	key := r.drawKey()
-	arrived := &request{
+	req := &request{
 		id:        r.lastRequest,
 		class:     class,
 		key:       key,
@@ -46,7 +46,7 @@
 		work:      r.Classes[class].MeanWork * (0.5 + r.random.uniform()),
 	}
 	r.checker.requestStarted(now, class)
-	r.admit(now, arrived)
+	r.admit(now, req)
 }
 
 func (r *Relay) drawKey() uint32 {
@@ -58,49 +58,49 @@
 	return uint32(key)
 }
 
-// admit starts a request or refuses it at once, by the admitted share of its class.
-func (r *Relay) admit(now float64, admitted *request) {
-	r.demand[admitted.class].Attempts++
-	if r.random.uniform() >= r.admission[admitted.class] {
-		r.scheduleClientRetry(now, admitted)
+// admit starts a request, or rejects it at random by the admitted fraction of its class.
+func (r *Relay) admit(now float64, req *request) {
+	r.demand[req.class].Attempts++
+	if r.random.uniform() >= r.admission[req.class] {
+		r.scheduleClientRetry(now, req)
 		return
 	}
-	r.startAttempt(now, admitted)
+	r.startAttempt(now, req)
 }
 
-// patience returns how long a client waits for an answer in all, in seconds.
-func (r *Relay) patience(q *request) float64 {
-	timeout := r.Classes[q.class].Request.ClientTimeout
+// patience returns the total time in seconds that a client waits for an answer, including its retries.
+func (r *Relay) patience(req *request) float64 {
+	timeout := r.Classes[req.class].Request.ClientTimeout
 	if r.PatienceFraction > 0 {
 		timeout *= r.PatienceFraction
 	}
 	return timeout
 }
 
-// scheduleClientRetry lets the client of a failed request send another one with the same work. It is a request of its
-// own: the guarantee of one effect does not cover what clients repeat.
-func (r *Relay) scheduleClientRetry(now float64, ended *request) {
-	ended.completed = true
-	if ended.clientRetries >= r.ClientRetries || now+r.ClientRetryDelay-ended.arrivedAt > r.patience(ended) {
+// scheduleClientRetry lets the client of a failed request send another one with the same work. The new request has its own
+// ID, because the guarantee of at most one execution does not cover retries by clients.
+func (r *Relay) scheduleClientRetry(now float64, req *request) {
+	req.completed = true
+	if req.clientRetries >= r.ClientRetries || now+r.ClientRetryDelay-req.arrivedAt > r.patience(req) {
 		return
 	}
 	r.lastRequest++
 	r.lastClientRetry++
 	r.clientRetries[r.lastClientRetry] = &request{
 		id:            r.lastRequest,
-		class:         ended.class,
-		key:           ended.key,
-		arrivedAt:     ended.arrivedAt,
-		work:          ended.work,
-		clientRetries: ended.clientRetries + 1,
+		class:         req.class,
+		key:           req.key,
+		arrivedAt:     req.arrivedAt,
+		work:          req.work,
+		clientRetries: req.clientRetries + 1,
 	}
 	r.io.SetTimer(now+r.ClientRetryDelay*(0.5+r.random.uniform()), firstClientRetryTimer+r.lastClientRetry)
 }
 
-func (r *Relay) startAttempt(now float64, admitted *request) {
-	server, ok := r.pickServer(now, admitted)
+func (r *Relay) startAttempt(now float64, req *request) {
+	server, ok := r.pickServer(now, req)
 	if !ok {
-		r.requestFailed(now, admitted)
+		r.requestFailed(now, req)
 		return
 	}
 	chosen := r.targets[server]
@@ -108,20 +108,20 @@
 		chosen = &target{}
 		r.targets[server] = chosen
 	}
-	admitted.attempts++
-	admitted.triedServers = append(admitted.triedServers, server)
+	req.attempts++
+	req.triedServers = append(req.triedServers, server)
 	r.lastAttempt++
-	started := &attempt{request: admitted, number: r.lastAttempt, server: server, sentAt: now}
+	started := &attempt{request: req, number: r.lastAttempt, server: server, sentAt: now}
 	r.attempts[started.number] = started
-	r.attemptByRequest[admitted.id] = started
+	r.attemptByRequest[req.id] = started
 	chosen.totals.Attempts++
 	chosen.inFlight++
 	r.checker.attemptSent(now, r.UID, server)
-	r.io.SetTimer(now+r.Classes[admitted.class].Request.LatencyObjective, started.number)
+	r.io.SetTimer(now+r.Classes[req.class].Request.LatencyObjective, started.number)
 	if chosen.conn == 0 {
 		chosen.conn = r.io.Dial(server)
 		chosen.open = false
-		r.byConn[chosen.conn] = server
+		r.serverByConn[chosen.conn] = server
 	}
 	if chosen.open {
 		r.transmit(chosen, started)
@@ -130,14 +130,14 @@
 	chosen.queued = append(chosen.queued, started)
 }
 
-// transmit sends an attempt, unless it has ended.
+// transmit sends the request of an attempt, unless the attempt has ended.
 func (r *Relay) transmit(to *target, sent *attempt) {
 	if r.attempts[sent.number] == sent {
 		r.io.Send(to.conn, appendRequest(nil, sent.id, sent.class, sent.key, sent.work))
 	}
 }
 
-// attemptTimedOut cancels an attempt that has taken too long.
+// attemptTimedOut cancels an attempt that has exceeded its timeout.
 func (r *Relay) attemptTimedOut(now float64, number int) {
 	late := r.attempts[number]
 	if late == nil {
@@ -149,7 +149,7 @@
 	r.attemptEnded(now, late, failed)
 }
 
-// openAttempts returns the numbers of a server's attempts in the order in which they started.
+// openAttempts returns the numbers of a server's open attempts, in the order in which they started.
 func (r *Relay) openAttempts(server netip.AddrPort) []int {
 	var numbers []int
 	for number, open := range r.attempts {
@@ -161,7 +161,7 @@
 	return numbers
 }
 
-// attemptEnded takes the outcome of an attempt, and retries where the class's policy allows it.
+// attemptEnded handles the outcome of an attempt, and retries the request if the retry policy of its class allows it.
 func (r *Relay) attemptEnded(now float64, ended *attempt, result outcome) {
 	if r.attempts[ended.number] != ended {
 		return
@@ -202,19 +202,19 @@
 	}
 }
 
-func (r *Relay) requestAnswered(now float64, finished *request) {
-	if finished.completed {
+func (r *Relay) requestAnswered(now float64, req *request) {
+	if req.completed {
 		return
 	}
-	finished.completed = true
-	latency := now - finished.arrivedAt
-	if latency > r.patience(finished) { // its client has left
+	req.completed = true
+	latency := now - req.arrivedAt
+	if latency > r.patience(req) { // the client has given up
 		return
 	}
-	r.checker.requestAnswered(now, finished.class, latency)
+	r.checker.requestAnswered(now, req.class, latency)
 }
 
-func (r *Relay) requestFailed(now float64, lost *request) {
-	r.demand[lost.class].Failed++
-	r.scheduleClientRetry(now, lost)
+func (r *Relay) requestFailed(now float64, req *request) {
+	r.demand[req.class].Failed++
+	r.scheduleClientRetry(now, req)
 }
--- a/internal/emulator/relay_table.go
+++ b/internal/emulator/relay_table.go
@@ -10,14 +10,14 @@
 	"snowquay/internal/wire/sasp"
 )
 
-// entry of a table.
+// entry is a table entry.
 type entry struct {
 	server netip.AddrPort
 	weight float64
-	credit float64 // of smooth weighted round robin
+	credit float64 // current weight in smooth weighted round robin
 }
 
-// table of a class.
+// table is the weight table of a class.
 type table struct {
 	entries []*entry
 }
@@ -30,14 +30,14 @@
 	return created
 }
 
-// target is a server that the relay has sent to.
+// target is the relay's state of a server that it has started attempts to.
 type target struct {
-	conn         env.Conn
-	open         bool
-	queued       []*attempt // until the connection is open
-	failures     int        // consecutive
-	inFlight     int        // attempts
-	ejectedUntil float64    // seconds of the clock
+	conn         env.Conn   // 0 if there is no connection
+	open         bool       // whether the connection is established
+	queued       []*attempt // attempts to send when the connection is established
+	failures     int        // number of consecutive failures
+	inFlight     int        // number of open attempts
+	ejectedUntil float64    // clock time in seconds
 	totals       loadreport.Totals
 }
 
@@ -85,12 +85,12 @@
 			highestCredit = max(highestCredit, other.credit)
 		}
 	}
-	if before == 0 && !math.IsInf(highestCredit, 0) { // a new entry starts anywhere in the rotation
+	if before == 0 && !math.IsInf(highestCredit, 0) { // a new entry starts at a random position in the rotation
 		changed.credit = highestCredit - r.random.uniform()*sum
 	}
 }
 
-// reportTables reports to the checker which tables have a usable entry.
+// reportTables reports to the checker whether each table has a usable entry.
 func (r *Relay) reportTables(now float64) {
 	for class, table := range r.tables {
 		hasEntry := slices.ContainsFunc(table.entries, func(e *entry) bool { return e.weight > 0 })
@@ -98,25 +98,25 @@
 	}
 }
 
-// pickServer picks a server that the request has not tried. It avoids ejected servers, unless all are ejected.
-func (r *Relay) pickServer(now float64, picking *request) (netip.AddrPort, bool) {
+// pickServer picks a server that the request has not been sent to. It avoids ejected servers unless all are ejected.
+func (r *Relay) pickServer(now float64, req *request) (netip.AddrPort, bool) {
 	if r.Policy == PowerOfTwoChoices {
-		if server, ok := r.pickOfTwo(now, picking); ok {
+		if server, ok := r.pickOfTwo(now, req); ok {
 			return server, true
 		}
 	}
-	if server, ok := r.pickByWeight(now, picking, true); ok {
+	if server, ok := r.pickByWeight(now, req, true); ok {
 		return server, true
 	}
-	return r.pickByWeight(now, picking, false)
+	return r.pickByWeight(now, req, false)
 }
 
-// pickByWeight picks by smooth weighted round robin.
-func (r *Relay) pickByWeight(now float64, picking *request, avoidEjected bool) (netip.AddrPort, bool) {
+// pickByWeight picks a server by smooth weighted round robin.
+func (r *Relay) pickByWeight(now float64, req *request, avoidEjected bool) (netip.AddrPort, bool) {
 	var best *entry
 	sum := 0.0
-	for _, candidate := range r.tables[picking.class].entries {
-		if candidate.weight <= 0 || slices.Contains(picking.triedServers, candidate.server) {
+	for _, candidate := range r.tables[req.class].entries {
+		if candidate.weight <= 0 || slices.Contains(req.triedServers, candidate.server) {
 			continue
 		}
 		if avoidEjected && r.targets[candidate.server].ejected(now) {
@@ -135,11 +135,11 @@
 	return best.server, true
 }
 
-// pickOfTwo draws two servers that are not ejected, and picks the one with fewer attempts of its own in flight.
-func (r *Relay) pickOfTwo(now float64, picking *request) (netip.AddrPort, bool) {
+// pickOfTwo draws two random servers that are not ejected, and picks the one with fewer attempts of this relay in flight.
+func (r *Relay) pickOfTwo(now float64, req *request) (netip.AddrPort, bool) {
 	var candidates []netip.AddrPort
-	for _, entry := range r.tables[picking.class].entries {
-		if entry.weight > 0 && !slices.Contains(picking.triedServers, entry.server) && !r.targets[entry.server].ejected(now) {
+	for _, entry := range r.tables[req.class].entries {
+		if entry.weight > 0 && !slices.Contains(req.triedServers, entry.server) && !r.targets[entry.server].ejected(now) {
 			candidates = append(candidates, entry.server)
 		}
 	}
--- a/internal/emulator/server.go
+++ b/internal/emulator/server.go
@@ -10,74 +10,74 @@
 	"snowquay/internal/wire/sasp"
 )
 
-// FailureDomain is shared by servers that detect each other's duplicate requests. One goroutine at a time may use it.
+// FailureDomain is shared by servers that detect each other's duplicate requests. It is not safe for concurrent use.
 type FailureDomain struct {
-	seen map[uint64]float64 // when a request was accepted last, by id
+	accepted map[uint64]float64 // time at which a request was last accepted, by request ID
 }
 
-// NewFailureDomain returns a failure domain that has seen no request.
-func NewFailureDomain() *FailureDomain { return &FailureDomain{seen: map[uint64]float64{}} }
+// NewFailureDomain returns a failure domain in which no request has been accepted.
+func NewFailureDomain() *FailureDomain { return &FailureDomain{accepted: map[uint64]float64{}} }
 
-// ServerConfig describes an emulated server.
+// ServerConfig configures an emulated server.
 type ServerConfig struct {
 	Addr           netip.AddrPort
 	FailureDomain  *FailureDomain
 	Cores          int
-	Speed          float64 // of a core
-	QueueCapacity  int     // requests
-	WarmupFraction float64 // of its capacity, when it starts
-	WarmupDuration float64 // seconds
-	OverloadFactor float64 // of its present capacity: more work than that for OverloadWindow ends a server that warms up
+	Speed          float64 // speed of a core
+	QueueCapacity  int     // maximum number of queued requests
+	WarmupFraction float64 // fraction of its full capacity that it has when it starts
+	WarmupDuration float64 // seconds until it has its full capacity
+	OverloadFactor float64 // multiple of its current capacity that stops it during warm-up, as a mean over OverloadWindow
 	OverloadWindow float64 // seconds
 	StartsWarm     bool
-	Coordinators   []netip.AddrPort // it registers with all of them
-	CollectorPort  uint16           // for measurements, at each coordinator
-	User           string           // of its measurements
-	Key            string           // of its measurements
+	Coordinators   []netip.AddrPort // coordinators that it registers with
+	CollectorPort  uint16           // port of each coordinator that measurements are sent to
+	User           string           // user that measurements are sent as
+	Key            string           // key that signs the measurements
 	FleetUID       string
 	Classes        []Class
 	Seed           uint64
 
-	MaxConnections   int     // 0: unlimited
-	ConnectionWork   float64 // seconds on a core of speed 1 that a new connection costs
-	KeyCacheDuration float64 // seconds
-	KeyCacheSaving   float64 // share of the work that a cached key saves, 0 to 1
-	KeyCacheSize     int     // keys; 0: it caches none
-	CancelsWork      bool    // work ends when its request is cancelled; otherwise it continues
+	MaxConnections   int     // 0 for no limit
+	ConnectionWork   float64 // cost of a new connection, in seconds on a core of speed 1
+	KeyCacheDuration float64 // seconds for which a cached key saves work
+	KeyCacheSaving   float64 // fraction of the work that a cached key saves, 0 to 1
+	KeyCacheSize     int     // maximum number of cached keys; 0 for no cache
+	CancelsWork      bool    // whether the cancellation of a running request ends its work
 }
 
 const (
-	serverRedialSeconds = 1.0 // on average
-	serverReportSeconds = 1.0
-	warmUptimeSeconds   = 1000.0 // uptime of a server that starts warm
+	serverRedialSeconds = 1.0    // approximate mean delay before a coordinator is dialed again
+	serverReportSeconds = 1.0    // interval of uptime reports
+	warmUptimeSeconds   = 1000.0 // initial uptime of a server that starts warm
 )
 
-// Numbers of the timers.
+// The timer keys.
 const (
 	serverReportTimer    = 1
-	firstServerDialTimer = 2    // one for each coordinator from here on
-	firstJobTimer        = 1000 // one for each job from here on
+	firstServerDialTimer = 2    // base of the keys of dials, to which the coordinator's index is added
+	firstJobTimer        = 1000 // base of the job numbers, which are the keys of the jobs
 )
 
-// serverRegistration is a registration of a server with a coordinator, over a connection.
+// serverRegistration is the registration of a server with a coordinator over a connection.
 type serverRegistration struct {
-	coordinator int // index
+	coordinator int // index in ServerConfig.Coordinators
 	session     saspSession
 	accepted    bool
 }
 
-// Server is an emulated server. The exported fields may be changed while it runs, by the goroutine that runs its program.
+// Server is an emulated server. The goroutine that runs its program may change the exported fields at any time.
 type Server struct {
 	ignoredEvents
 	ServerConfig
-	SlowdownFactor             float64 // times that its work takes; 1: as configured
-	ErrorProbability           float64 // that a request fails at once
-	Hanging                    bool    // it accepts requests and answers none
-	ResponseLossProbability    float64
-	HeavyTailProbability       float64 // that a request takes heavyTailFactor times its work
-	AgingPerRequest            float64 // share by which each request slows it down
-	ConnectionCapacityFraction float64 // of MaxConnections; 0: all
-	OnOverload                 func()  // ends its host
+	SlowdownFactor             float64 // factor applied to the processing time of its work; 1 for the configured speed
+	ErrorProbability           float64 // probability that a request fails immediately
+	Hanging                    bool    // whether it accepts requests without executing or answering any
+	ResponseLossProbability    float64 // probability that the response of an executed request is not sent
+	HeavyTailProbability       float64 // probability that a request takes heavyTailFactor times its work
+	AgingPerRequest            float64 // slowdown that each request adds, as a fraction of the processing time
+	ConnectionCapacityFraction float64 // available fraction of MaxConnections; 0 for all
+	OnOverload                 func()  // called on an overload during warm-up; has to stop the host
 
 	checker         *InvariantChecker
 	io              env.IO
@@ -89,17 +89,17 @@
 	httpConns       map[env.Conn]bool
 	peers           map[env.Conn]netip.Addr
 	registrations   map[env.Conn]*serverRegistration
-	registered      int // coordinators
-	openConnections int // that others dialed
+	registeredCount int // number of coordinators that accepted its registration
+	openConnections int // number of open connections that peers dialed
 	keyUsedAt       map[uint32]float64
-	keyOrder        []uint32 // in the order in which they were cached
-	aging           float64
+	keyOrder        []uint32 // cached keys in the order in which they were added
+	agingSlowdown   float64
 	warmupArrivals  []warmupArrival
 	overloaded      bool
 	random          randomSource
 }
 
-// NewServer returns a server that reports what it does to checker.
+// NewServer returns a server that reports its events to checker.
 func NewServer(config ServerConfig, checker *InvariantChecker) *Server {
 	return &Server{
 		ServerConfig:   config,
@@ -115,7 +115,7 @@
 	}
 }
 
-// Start of env.Program.
+// Start implements env.Program.
 func (s *Server) Start(now float64, io env.IO) {
 	s.io = io
 	s.startedAt = now
@@ -134,7 +134,7 @@
 	s.registrations[conn] = &serverRegistration{coordinator: coordinator}
 }
 
-// Opened of env.Program.
+// Opened implements env.Program.
 func (s *Server) Opened(now float64, conn env.Conn, from netip.Addr, _ uint16) {
 	capacity := 1.0
 	if s.ConnectionCapacityFraction > 0 {
@@ -151,7 +151,7 @@
 	}
 }
 
-// Connected of env.Program: a coordinator accepted or refused the connection.
+// Connected implements env.Program. It registers with the coordinator that accepted the connection, or schedules a redial.
 func (s *Server) Connected(now float64, conn env.Conn, ok bool) {
 	registration := s.registrations[conn]
 	if registration == nil {
@@ -172,13 +172,13 @@
 	s.io.Send(conn, registration.session.write(message))
 }
 
-// Receive of env.Program.
+// Receive implements env.Program.
 func (s *Server) Receive(now float64, conn env.Conn, b []byte) {
 	if registration := s.registrations[conn]; registration != nil {
 		registration.session.read(b, func(message *sasp.Message) { s.handleMessage(now, registration, message) })
 		return
 	}
-	// An emulated relay's request starts with the high byte of an id, which is lower than the first letter of POST.
+	// A request of an emulated relay starts with the high byte of its ID, which is less than the first letter of POST.
 	startsHTTP := len(s.unparsed[conn]) == 0 && b[0] == 'P'
 	if s.httpConns[conn] || startsHTTP {
 		s.httpConns[conn] = true
@@ -188,10 +188,10 @@
 	s.receiveRequests(now, conn, b)
 }
 
-// handleMessage takes a coordinator's message.
+// handleMessage handles a message of a coordinator.
 func (s *Server) handleMessage(now float64, registration *serverRegistration, message *sasp.Message) {
 	if message.Code != sasp.OK {
-		s.checker.recordProtocolError(now, "server %s: %s", s.Addr, message.Code)
+		s.checker.recordProtocolError(now, "server %s: coordinator replied %s", s.Addr, message.Code)
 		return
 	}
 	if message.Kind != sasp.RegistrationReply {
@@ -199,12 +199,12 @@
 	}
 	if !registration.accepted {
 		registration.accepted = true
-		s.registered++
+		s.registeredCount++
 	}
 	s.checker.serverRegistered(now, s.Addr)
 }
 
-// receiveRequests takes requests of an emulated relay.
+// receiveRequests handles received data of an emulated relay.
 func (s *Server) receiveRequests(now float64, conn env.Conn, received []byte) {
 	received = append(s.unparsed[conn], received...)
 	for len(received) >= requestBytes {
@@ -229,7 +229,7 @@
 	s.unparsed[conn] = append([]byte(nil), received...)
 }
 
-// Closed of env.Program.
+// Closed implements env.Program.
 func (s *Server) Closed(now float64, conn env.Conn) {
 	if _, dialedByPeer := s.peers[conn]; dialedByPeer {
 		s.openConnections--
@@ -243,26 +243,26 @@
 	}
 	delete(s.registrations, conn)
 	if registration.accepted {
-		s.registered--
+		s.registeredCount--
 	}
-	if s.registered == 0 {
+	if s.registeredCount == 0 {
 		s.checker.serverDisconnected(now, s.Addr)
 	}
 	delay := serverRedialSeconds * (0.3 + 0.7*s.random.uniform())
 	s.io.SetTimer(now+delay, firstServerDialTimer+registration.coordinator)
 }
 
-// TimerFired of env.Program.
-func (s *Server) TimerFired(now float64, what int) {
+// TimerFired implements env.Program.
+func (s *Server) TimerFired(now float64, key int) {
 	switch {
 	case s.overloaded:
-	case what == serverReportTimer:
+	case key == serverReportTimer:
 		s.reportUptime(now)
 		s.io.SetTimer(now+serverReportSeconds, serverReportTimer)
-	case what >= firstServerDialTimer && what < firstJobTimer:
-		s.dial(what - firstServerDialTimer)
+	case key >= firstServerDialTimer && key < firstJobTimer:
+		s.dial(key - firstServerDialTimer)
 	default:
-		s.finishJob(now, what)
+		s.finishJob(now, key)
 	}
 }
 
--- a/internal/emulator/server_http.go
+++ b/internal/emulator/server_http.go
@@ -10,21 +10,21 @@
 	"snowquay/internal/wire/http1"
 )
 
-// Responses to real proxies.
+// The responses to real proxies.
 const (
 	notFoundResponse    = "HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n"
 	failedResponse      = "HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n"
 	notExecutedResponse = "HTTP/1.1 503 Service Unavailable\r\nSnowquay-Ran: no\r\nContent-Length: 0\r\n\r\n"
 )
 
-// receiveHTTP takes a request that a real proxy has forwarded.
+// receiveHTTP handles received data of a real proxy.
 func (s *Server) receiveHTTP(now float64, conn env.Conn, b []byte) {
 	b = append(s.unparsed[conn], b...)
 	s.unparsed[conn] = b
 	var message http1.Message
 	size, err := http1.ParseRequest(b, http1.DefaultLimits, &message)
 	if err != nil {
-		s.checker.recordProtocolError(now, "server %s can't follow: %v", s.Addr, err)
+		s.checker.recordProtocolError(now, "server %s cannot parse the request: %v", s.Addr, err)
 		s.io.Close(conn)
 		return
 	}
@@ -39,13 +39,13 @@
 		return
 	}
 	request := job{conn: conn, from: s.peers[conn], class: class, http: true}
-	// Malformed numbers count as 0.
+	// Malformed numbers are parsed as 0.
 	request.work, _ = strconv.ParseFloat(work, 64)
 	request.id, _ = strconv.ParseUint(message.Get("Idempotency-Key"), 10, 64)
 	s.handleRequest(now, request)
 }
 
-// reply answers a request by the protocol that it came by.
+// reply responds to a request in the protocol in which it was received.
 func (s *Server) reply(request job, result outcome) {
 	if !request.http {
 		s.io.Send(request.conn, appendResponse(nil, request.id, result))
--- a/internal/emulator/server_jobs.go
+++ b/internal/emulator/server_jobs.go
@@ -9,20 +9,20 @@
 )
 
 const (
-	failFastSeconds      = 0.005
-	heavyTailFactor      = 10.0 // times its work that a request of the heavy tail takes
-	overloadSlackSeconds = 0.25 // of work on a core of speed 1, against random bursts
+	failFastSeconds      = 0.005 // delay before the response to a request that fails immediately
+	heavyTailFactor      = 10.0  // factor applied to the work of a heavy-tail request
+	overloadSlackSeconds = 0.25  // work on a core of speed 1 that is tolerated over the limit, because of random bursts
 )
 
-// job is work of a server: a request, or the setup of a connection.
+// job is a unit of work of a server: a request or the setup of a connection.
 type job struct {
 	conn            env.Conn
 	id              uint64
-	class           int // -1 minus the class of a request that fails at once
-	work            float64
+	class           int     // class index; -1 minus the index for a request that fails immediately
+	work            float64 // seconds on a core of speed 1
 	from            netip.Addr
 	key             uint32
-	http            bool // the request came over HTTP
+	http            bool // the request was received over HTTP
 	connectionSetup bool
 }
 
@@ -30,10 +30,10 @@
 type warmupArrival struct {
 	at                float64
 	work              float64
-	senderKnowsServer bool // the relay could know that the server is warming up
+	senderKnowsServer bool // the relay could know of the server and its warm-up
 }
 
-// capacityFraction returns the share of its full capacity that the server has reached.
+// capacityFraction returns the fraction of its full capacity that the server currently has.
 func (s *Server) capacityFraction(now float64) float64 {
 	uptime := now - s.startedAt
 	if uptime >= s.WarmupDuration {
@@ -54,7 +54,7 @@
 		s.failAfter(now, failFastSeconds, request)
 		return
 	}
-	if s.isDuplicate(now, request) { // it is dropped, and answered as the first was
+	if s.isDuplicate(now, request) { // it is answered like the first, without being executed
 		s.reply(request, answered)
 		return
 	}
@@ -63,24 +63,24 @@
 	}
 }
 
-// isDuplicate tells whether the failure domain has accepted the request before, and remembers a request that it is about
-// to accept.
+// isDuplicate reports whether the failure domain has accepted the request within its deduplication window. If not, and if
+// the server has room for the request, it records the request as accepted.
 func (s *Server) isDuplicate(now float64, request job) bool {
 	class := s.Classes[request.class].Request
 	if class.Idempotency == balancer.Idempotent {
 		return false
 	}
-	seenAt, seen := s.FailureDomain.seen[request.id]
-	if seen && now-seenAt < class.DedupWindow {
+	acceptedAt, accepted := s.FailureDomain.accepted[request.id]
+	if accepted && now-acceptedAt < class.DedupWindow {
 		return true
 	}
 	if len(s.waiting) < s.QueueCapacity || len(s.running) < s.Cores {
-		s.FailureDomain.seen[request.id] = now
+		s.FailureDomain.accepted[request.id] = now
 	}
 	return false
 }
 
-// admit starts a job or puts it in the queue. It returns false if the queue is full.
+// admit starts or queues a job. It returns false if the queue is full.
 func (s *Server) admit(now float64, admitted job) bool {
 	if len(s.running) < s.Cores {
 		s.startJob(now, admitted)
@@ -93,7 +93,7 @@
 	return false
 }
 
-// cancel drops a queued request, and ends a running one if the server cancels work.
+// cancel removes a queued request, and ends a running one if CancelsWork is set.
 func (s *Server) cancel(now float64, conn env.Conn, id uint64) {
 	matches := func(j job) bool { return j.conn == conn && j.id == id && !j.connectionSetup }
 	if i := slices.IndexFunc(s.waiting, matches); i >= 0 {
@@ -112,8 +112,8 @@
 	}
 }
 
-// rememberKey tells whether a key is cached, and caches it.
-func (s *Server) rememberKey(now float64, key uint32) bool {
+// cacheKey reports whether a key is cached, and caches it.
+func (s *Server) cacheKey(now float64, key uint32) bool {
 	if s.KeyCacheSize == 0 {
 		return false
 	}
@@ -142,12 +142,12 @@
 func (s *Server) startJob(now float64, started job) {
 	s.lastJob++
 	s.running[s.lastJob] = started
-	work := started.work * s.SlowdownFactor * (1 + s.aging)
-	s.aging += s.AgingPerRequest
+	work := started.work * s.SlowdownFactor * (1 + s.agingSlowdown)
+	s.agingSlowdown += s.AgingPerRequest
 	if s.AgingPerRequest == 0 {
-		s.aging = 0
+		s.agingSlowdown = 0
 	}
-	if !started.connectionSetup && s.rememberKey(now, started.key) {
+	if !started.connectionSetup && s.cacheKey(now, started.key) {
 		work *= 1 - s.KeyCacheSaving
 	}
 	if s.HeavyTailProbability > 0 && s.random.uniform() < s.HeavyTailProbability {
@@ -156,7 +156,7 @@
 	s.io.SetTimer(now+work/(s.Speed*s.capacityFraction(now)), s.lastJob)
 }
 
-// checkOverload adds up what arrives while the server warms up: too much of it within the window ends the server.
+// checkOverload adds up the work that arrives while the server warms up. Too much work within the window stops the server.
 func (s *Server) checkOverload(now float64, request job) {
 	if now-s.startedAt >= s.WarmupDuration {
 		s.warmupArrivals = nil
@@ -168,19 +168,19 @@
 		senderKnowsServer: s.checker.senderKnowsServer(now, request.from, s.Addr),
 	})
 	sum := 0.0
-	knowing := 0.0
+	avoidable := 0.0
 	for _, arrival := range slices.Backward(s.warmupArrivals) {
 		if now-arrival.at > s.OverloadWindow {
 			break
 		}
 		sum += arrival.work
 		if arrival.senderKnowsServer {
-			knowing += arrival.work
+			avoidable += arrival.work
 		}
 	}
 	if sum > s.OverloadFactor*s.capacityFraction(now)*float64(s.Cores)*s.Speed*s.OverloadWindow+overloadSlackSeconds {
 		s.overloaded = true
-		s.checker.serverOverloaded(now, s.Addr, knowing/sum)
+		s.checker.serverOverloaded(now, s.Addr, avoidable/sum)
 		s.OnOverload()
 	}
 }
@@ -209,7 +209,7 @@
 	}
 }
 
-// startNext starts the job that has waited longest, if a core is free.
+// startNext starts the job at the head of the queue if a core is free.
 func (s *Server) startNext(now float64) {
 	if len(s.waiting) == 0 || len(s.running) >= s.Cores {
 		return
--- a/internal/emulator/server_test.go
+++ b/internal/emulator/server_test.go
@@ -13,7 +13,7 @@
 )
 
 const (
-	testStart      = 1000.0 // seconds of the clock
+	testStart      = 1000.0 // clock time in seconds at which the tests start
 	unlimitedQueue = 1 << 30
 )
 
@@ -23,19 +23,19 @@
 	testRequestSpec = balancer.RequestClass{LatencyObjective: 1, ClientTimeout: 5}
 )
 
-// probe sends a server requests that arrive as a Poisson process, and adds up how long they took.
+// probe sends requests to a server as a Poisson process, and adds up the latencies of the responses.
 type probe struct {
 	ignoredEvents
 	to          netip.AddrPort
-	rate        float64
-	work        func(randomSource) float64
+	rate        float64                    // requests per second
+	work        func(randomSource) float64 // draws the work of a request
 	random      randomSource
 	io          env.IO
 	conn        env.Conn
-	sent        map[uint64]float64
+	sent        map[uint64]float64 // send times of unanswered requests, by request ID
 	lastRequest uint64
-	countFrom   float64 // seconds of the clock, until when nothing counts
-	sum         float64
+	countFrom   float64 // clock time in seconds; requests sent until then are not counted
+	latencySum  float64
 	count       int
 	received    []byte
 }
@@ -64,7 +64,7 @@
 	for len(p.received) >= responseBytes {
 		id := binary.BigEndian.Uint64(p.received)
 		if sentAt := p.sent[id]; sentAt > p.countFrom {
-			p.sum += now - sentAt
+			p.latencySum += now - sentAt
 			p.count++
 		}
 		delete(p.sent, id)
@@ -72,7 +72,7 @@
 	}
 }
 
-// testServerConfig returns a warm server with one core of speed 1.
+// testServerConfig returns the configuration of a warm server with one core of speed 1.
 func testServerConfig(classes []Class) ServerConfig {
 	return ServerConfig{
 		Addr: testServerAddr, FailureDomain: NewFailureDomain(), Cores: 1, Speed: 1, QueueCapacity: unlimitedQueue,
@@ -80,7 +80,7 @@
 	}
 }
 
-// startServer starts a server in a network of its own.
+// startServer starts a server in a new simulated network.
 func startServer(config ServerConfig) (*simnet.Net, *Server) {
 	net := simnet.New(7, testStart)
 	server := NewServer(config, NewInvariantChecker(Rules{}, config.Classes))
@@ -88,7 +88,8 @@
 	return net, server
 }
 
-// erlangC returns the probability that a request has to wait, for a number of cores and an offered load.
+// erlangC returns the probability that a request has to wait, by Erlang's C formula, for a number of cores and an offered
+// load in erlangs.
 func erlangC(cores int, load float64) float64 {
 	sum := 0.0
 	term := 1.0
@@ -100,26 +101,25 @@
 	return last / (sum + last)
 }
 
-// The latencies of a server alone are those of queueing theory: M/M/1, M/M/c (Erlang's C) and M/G/1 (Pollaczek and
-// Khinchine).
+// The mean latency of a single server matches queueing theory: M/M/1, M/M/c (Erlang C) and M/G/1 (Pollaczek-Khinchine).
 func TestServerMatchesQueueingFormulas(t *testing.T) {
 	const mean = 0.1
 	exponential := func(random randomSource) float64 { return -math.Log(1-random.uniform()) * mean }
 	constant := func(randomSource) float64 { return mean }
-	// Evenly from a half to one and a half: the square's mean is 13/12 of the mean's square.
-	even := func(random randomSource) float64 { return mean * (0.5 + random.uniform()) }
+	// Uniform between half and one and a half times the mean: the second moment is 13/12 of the squared mean.
+	uniformWork := func(random randomSource) float64 { return mean * (0.5 + random.uniform()) }
 	for _, test := range []struct {
 		name  string
 		cores int
-		load  float64 // of all cores
+		load  float64 // utilization of the cores
 		work  func(randomSource) float64
-		want  func(load float64) float64 // mean seconds in the system
+		want  func(load float64) float64 // mean time in the system in seconds
 	}{
 		{"M/M/1", 1, 0.5, exponential, func(l float64) float64 { return mean / (1 - l) }},
 		{"M/M/1", 1, 0.8, exponential, func(l float64) float64 { return mean / (1 - l) }},
 		{"M/M/4", 4, 0.8, exponential, func(l float64) float64 { return mean + erlangC(4, 4*l)*mean/(4*(1-l)) }},
 		{"M/D/1", 1, 0.7, constant, func(l float64) float64 { return mean + l*mean/(2*(1-l)) }},
-		{"M/G/1", 1, 0.7, even, func(l float64) float64 { return mean + l*mean*(13.0/12)/(2*(1-l)) }},
+		{"M/G/1", 1, 0.7, uniformWork, func(l float64) float64 { return mean + l*mean*(13.0/12)/(2*(1-l)) }},
 	} {
 		t.Run(fmt.Sprintf("%s at %.1f", test.name, test.load), func(t *testing.T) {
 			config := testServerConfig([]Class{{Name: "q", Request: testRequestSpec, MeanWork: mean}})
@@ -128,11 +128,11 @@
 			p := &probe{to: testServerAddr, rate: test.load * float64(test.cores) / mean, work: test.work, random: newRandomSource(11), countFrom: 1100}
 			net.Add(testProbeAddr, 0, false).Start(p)
 			net.Run(testStart + 60000*mean/float64(test.cores))
-			got := p.sum / float64(p.count)
+			got := p.latencySum / float64(p.count)
 			want := test.want(test.load)
-			t.Logf("%.4f s over %d requests, the formula says %.4f", got, p.count, want)
+			t.Logf("mean latency %.4f s over %d requests, formula gives %.4f s", got, p.count, want)
 			if p.count < 20000 || math.Abs(got-want) > 0.04*want {
-				t.Errorf("%.4f s over %d requests, the formula says %.4f", got, p.count, want)
+				t.Errorf("mean latency %.4f s over %d requests, formula gives %.4f s", got, p.count, want)
 			}
 		})
 	}
@@ -149,7 +149,7 @@
 		p := &probe{to: testServerAddr, rate: load / work, work: func(randomSource) float64 { return work }, random: newRandomSource(11), countFrom: 1001}
 		net.Add(testProbeAddr, 0, false).Start(p)
 		net.Run(1400)
-		return p.sum / float64(p.count)
+		return p.latencySum / float64(p.count)
 	}
 	plain := meanLatency(func(*ServerConfig) {})
 	cached := meanLatency(func(c *ServerConfig) {
@@ -158,14 +158,14 @@
 		c.KeyCacheSize = 10
 	})
 	if cached > 0.62*plain {
-		t.Errorf("a request with a cached key takes %.3f s, %.3f without", cached, plain)
+		t.Errorf("mean latency with a key cache %.3f s, without %.3f s; want at most 0.62 of it", cached, plain)
 	}
 	connected := meanLatency(func(c *ServerConfig) {
 		c.MaxConnections = 1
 		c.ConnectionWork = 0.05
 	})
 	if math.Abs(connected-plain) > 0.01*plain {
-		t.Errorf("one connection that stays costs %.3f s a request, %.3f without", connected, plain)
+		t.Errorf("mean latency with connection cost %.3f s, without %.3f s; want a difference of at most 0.01 of it", connected, plain)
 	}
 }
 
@@ -188,7 +188,7 @@
 		}
 	}
 	if served != 3 || server.openConnections != 3 {
-		t.Errorf("%d of 5 are answered, %d are open", served, server.openConnections)
+		t.Errorf("%d of 5 clients served, %d connections open; want 3 of each", served, server.openConnections)
 	}
 }
 
@@ -208,7 +208,7 @@
 			net.Run(1002)
 			stillRunning := len(server.running) == 1
 			if len(server.waiting) != 0 || stillRunning == cancels {
-				t.Errorf("%d run, %d wait", len(server.running), len(server.waiting))
+				t.Errorf("%d jobs running, %d queued after the cancellation", len(server.running), len(server.waiting))
 			}
 		})
 	}
