--- a/balancer/harness_test.go
+++ b/balancer/harness_test.go
@@ -13,7 +13,7 @@
 // Random runs always start from the same seed, so that the result never varies. Command-line flags take
 // precedence.
 func TestMain(m *testing.M) {
-	testseed.With(m, map[string]string{
+	testseed.MainWithFlags(m, map[string]string{
 		"rapid.seed":       "20",
 		"rapid.nofailfile": "true",
 		"rapid.checks":     "150",
--- a/internal/cli/experiment.go
+++ b/internal/cli/experiment.go
@@ -104,7 +104,7 @@
 
 // Run compares two arms of an experiment.
 func (c *experimentCompareCommand) Run(env *environment) error {
-	folder, config, err := experiment.Read(c.Folder)
+	folder, config, err := experiment.OpenExisting(c.Folder)
 	if err != nil {
 		return err
 	}
@@ -126,7 +126,7 @@
 
 // Run writes the report of an experiment and prints the names of its files.
 func (c *experimentReportCommand) Run(env *environment) error {
-	folder, config, err := experiment.Read(c.Folder)
+	folder, config, err := experiment.OpenExisting(c.Folder)
 	if err != nil {
 		return err
 	}
@@ -152,7 +152,7 @@
 
 // Run shrinks a scenario as long as it stays bad, and writes it to a file.
 func (c *experimentShrinkCommand) Run(env *environment) error {
-	_, config, err := experiment.Read(c.Folder)
+	_, config, err := experiment.OpenExisting(c.Folder)
 	if err != nil {
 		return err
 	}
@@ -164,7 +164,7 @@
 	if err != nil {
 		return err
 	}
-	isBad := experiment.Breaks(c.Rule, cell.Options())
+	isBad := experiment.BreaksRule(c.Rule, cell.Options())
 	if c.Under > 0 {
 		isBad = experiment.ServiceBelow(c.Under, cell.Options())
 	}
--- a/internal/experiment/experiment_test.go
+++ b/internal/experiment/experiment_test.go
@@ -200,7 +200,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	bad := Breaks(3, cell.Options())
+	bad := BreaksRule(3, cell.Options())
 	if !bad(original) {
 		t.Fatal("the scenario is not bad")
 	}
--- a/internal/experiment/folder.go
+++ b/internal/experiment/folder.go
@@ -42,8 +42,8 @@
 	return &Folder{path: path}, nil
 }
 
-// Read opens a folder with the experiment that it has.
-func Read(path string) (*Folder, *settings.Experiment, error) {
+// OpenExisting opens a folder with the experiment that it has.
+func OpenExisting(path string) (*Folder, *settings.Experiment, error) {
 	experiment, err := settings.LoadExperiment(filepath.Join(path, experimentFile))
 	return &Folder{path: path}, experiment, err
 }
@@ -52,8 +52,8 @@
 	return filepath.Join(f.path, recordsFolder, cell.Name()+".json")
 }
 
-// Has tells whether the folder has a cell's record.
-func (f *Folder) Has(cell Cell) bool {
+// HasRecord tells whether the folder has a cell's record.
+func (f *Folder) HasRecord(cell Cell) bool {
 	_, err := os.Stat(f.recordPath(cell))
 	return err == nil
 }
--- a/internal/experiment/run.go
+++ b/internal/experiment/run.go
@@ -22,7 +22,7 @@
 	cells := Cells(experiment)
 	var missing []Cell
 	for _, cell := range cells {
-		if !folder.Has(cell) {
+		if !folder.HasRecord(cell) {
 			missing = append(missing, cell)
 		}
 	}
--- a/internal/experiment/shrink.go
+++ b/internal/experiment/shrink.go
@@ -200,8 +200,8 @@
 	return true
 }
 
-// Breaks returns a condition for scenarios that break a rule; 0 is any rule.
-func Breaks(rule int, options scenario.Options) Condition {
+// BreaksRule returns a condition for scenarios that break a rule; 0 is any rule.
+func BreaksRule(rule int, options scenario.Options) Condition {
 	return func(candidate *settings.Scenario) bool {
 		options := options
 		options.Seed = candidate.Seed
--- a/internal/experiment/stored_test.go
+++ b/internal/experiment/stored_test.go
@@ -28,7 +28,7 @@
 
 // A folder that an earlier version wrote can be read, and its cells have the same names.
 func TestStoredFolder(t *testing.T) {
-	folder, experiment, err := Read("testdata/golden/folder")
+	folder, experiment, err := OpenExisting("testdata/golden/folder")
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/golden/golden.go
+++ b/internal/golden/golden.go
@@ -44,7 +44,7 @@
 // value has to be set, so that none is left out of the comparison.
 func JSON[T any](t *testing.T, name string, value T) {
 	t.Helper()
-	Filled(t, name, value)
+	CheckAllFieldsSet(t, name, value)
 	b, err := json.Marshal(value)
 	if err != nil {
 		t.Fatal(err)
@@ -59,8 +59,8 @@
 	}
 }
 
-// Filled fails the test where an exported field in value, at any depth, has the zero value of its type.
-func Filled(t *testing.T, name string, value any) {
+// CheckAllFieldsSet fails the test where an exported field in value, at any depth, has the zero value of its type.
+func CheckAllFieldsSet(t *testing.T, name string, value any) {
 	t.Helper()
 	filled(t, name, reflect.ValueOf(value))
 }
--- a/internal/testseed/testseed.go
+++ b/internal/testseed/testseed.go
@@ -17,10 +17,10 @@
 
 // Main is the TestMain of a package: it sets the flags of package rapid and runs the tests. Flags that are given on the
 // command line take precedence. It does not return.
-func Main(m *testing.M) { With(m, defaults) }
+func Main(m *testing.M) { MainWithFlags(m, defaults) }
 
-// With is Main with other values of the flags. Flags that the package does not have are ignored.
-func With(m *testing.M, values map[string]string) {
+// MainWithFlags is Main with other values of the flags. Flags that the package does not have are ignored.
+func MainWithFlags(m *testing.M, values map[string]string) {
 	flag.Parse()
 	given := map[string]bool{}
 	flag.Visit(func(f *flag.Flag) { given[f.Name] = true })
--- a/internal/wire/peer/golden_test.go
+++ b/internal/wire/peer/golden_test.go
@@ -10,7 +10,7 @@
 func TestFrameOnTheWire(t *testing.T) {
 	key := []byte("a key of the group")
 	frame := Frame{From: 1, To: 2, DataDirID: 0x0102030405060708, Commit: 99, Kind: Command, Message: []byte(`{"kind":6}`)}
-	golden.Filled(t, "frame", frame)
+	golden.CheckAllFieldsSet(t, "frame", frame)
 	golden.Bytes(t, "frame.bin", Append(nil, key, frame))
 	text := golden.Read(t, "frame.bin")
 	got, n, err := Next(text, key)
