--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -1,4 +1,5 @@
-// Command simhost hosts instances of the decision module for the simulator, on standard input and output.
+// Command simhost runs instances of the decision module for the simulator: it reads events from standard input and writes
+// actions to standard output.
 package main
 
 import (
--- a/internal/core/archtest/layers_test.go
+++ b/internal/core/archtest/layers_test.go
@@ -10,8 +10,8 @@
 	"testing"
 )
 
-// layers lists package paths below the module's root, lowest layer first. A package belongs to the layer with its longest
-// prefix, and imports only packages of lower layers or of its own.
+// layers lists path prefixes of packages relative to the module's root, lowest layer first. A package belongs to the layer
+// with its longest matching prefix, and may import packages only of its own layer and lower ones.
 var layers = [][]string{
 	{"internal/core/inflight", "internal/core/histogram", "internal/core/random", "internal/core/slidingwindow", "internal/core/waterfill"},
 	{"balancer"},
@@ -29,7 +29,7 @@
 	{"cmd"},
 }
 
-// layerOf returns the layer of a package; ok is false if it belongs to none.
+// layerOf returns the layer of a package. ok is false if the package belongs to no layer.
 func layerOf(pkg string) (layer int, ok bool) {
 	longest := 0
 	for i, prefixes := range layers {
@@ -43,9 +43,9 @@
 	return layer, longest > 0
 }
 
-func TestImportsPointDownwards(t *testing.T) {
+func TestNoImportsOfHigherLayers(t *testing.T) {
 	const module = "snowquay/"
-	seen := 0
+	checked := 0
 	for _, folder := range []string{"balancer", "cmd", "internal"} {
 		err := filepath.WalkDir(filepath.Join(projectRoot, folder), func(path string, entry fs.DirEntry, err error) error {
 			if err != nil || entry.IsDir() || !strings.HasSuffix(path, ".go") || strings.HasSuffix(path, "_test.go") {
@@ -71,10 +71,10 @@
 				if !strings.HasPrefix(imported, module) {
 					continue
 				}
-				seen++
+				checked++
 				layer, ok := layerOf(strings.TrimPrefix(imported, module))
 				if !ok || layer > importer {
-					t.Errorf("%s imports %s, which is above it", pkg, imported)
+					t.Errorf("%s imports %s, which is in a higher layer or in none", pkg, imported)
 				}
 			}
 			return nil
@@ -83,12 +83,12 @@
 			t.Fatal(err)
 		}
 	}
-	if seen < 100 {
-		t.Errorf("only %d imports were looked at", seen)
+	if checked < 100 {
+		t.Errorf("only %d imports were checked, want at least 100", checked)
 	}
 }
 
-// testSupport are the packages that only tests import.
+// testSupport lists the packages that only tests import. They need no layer.
 var testSupport = map[string]bool{"internal/golden": true, "internal/testseed": true}
 
 func TestLayerOf(t *testing.T) {
@@ -96,9 +96,9 @@
 	balancer, _ := layerOf("balancer")
 	registry, _ := layerOf("internal/core/registry")
 	if waterfill >= balancer || balancer >= registry {
-		t.Errorf("layers %d, %d, %d", waterfill, balancer, registry)
+		t.Errorf("layers %d, %d, %d of waterfill, balancer and registry, want ascending order", waterfill, balancer, registry)
 	}
 	if _, ok := layerOf("balancers"); ok {
-		t.Error("a package outside all layers has one")
+		t.Error("balancers has a layer, though it only shares a prefix with balancer")
 	}
 }
--- a/internal/core/archtest/pages_test.go
+++ b/internal/core/archtest/pages_test.go
@@ -11,27 +11,27 @@
 )
 
 var (
-	// reference is a path of the repository in backquotes, with the name of a function behind a colon if the page names one.
+	// reference matches a path of the repository in backquotes, optionally followed by a colon and a function's name.
 	reference = regexp.MustCompile("`((?:balancer|cmd|deploy|docs|internal)/[A-Za-z0-9_./-]*)(?::([A-Za-z]+))?`")
-	// historical are pages that record what was there at their time.
+	// historical matches folders of pages that describe the repository as it was when they were written.
 	historical = regexp.MustCompile(`^docs/(incidents|experiments)/`)
 )
 
-// Pages lead readers to files and functions; a rename must not leave them behind.
-func TestPagesNameWhatExists(t *testing.T) {
+// Files and functions that the documentation refers to exist: a rename must not leave references to old names.
+func TestReferencesInPagesExist(t *testing.T) {
 	pages, err := filepath.Glob(filepath.Join(projectRoot, "docs", "*.md"))
 	if err != nil {
 		t.Fatal(err)
 	}
 	pages = append(pages, filepath.Join(projectRoot, "README.md"), filepath.Join(projectRoot, "CONTRIBUTING.md"))
-	seen := 0
+	checked := 0
 	for _, page := range pages {
 		text, err := os.ReadFile(page)
 		if err != nil {
 			t.Fatal(err)
 		}
 		for _, match := range reference.FindAllStringSubmatch(string(text), -1) {
-			seen++
+			checked++
 			path := strings.TrimSuffix(match[1], "/...")
 			if historical.MatchString(path) && strings.HasSuffix(path, "/") {
 				continue
@@ -41,12 +41,13 @@
 			}
 		}
 	}
-	if seen < 100 {
-		t.Errorf("only %d references were looked at", seen)
+	if checked < 100 {
+		t.Errorf("only %d references were checked, want at least 100", checked)
 	}
 }
 
-// checkReference says what is wrong with a reference to a path and, unless it is empty, to a function in that file.
+// checkReference describes what is wrong with a reference to a path or, if function is not empty, to a function in that
+// file. It returns an empty string for a valid reference.
 func checkReference(path, function string) string {
 	text, err := os.ReadFile(filepath.Join(projectRoot, path))
 	switch {
@@ -72,7 +73,7 @@
 		{"balancer/none.go", ""}:              "balancer/none.go does not exist",
 	} {
 		if got := checkReference(reference[0], reference[1]); got != want {
-			t.Errorf("%v: %q, want %q", reference, got, want)
+			t.Errorf("checkReference(%v) = %q, want %q", reference, got, want)
 		}
 	}
 }
--- a/internal/core/archtest/purity_test.go
+++ b/internal/core/archtest/purity_test.go
@@ -12,10 +12,10 @@
 	"testing"
 )
 
-// pureRoots are the folders whose packages decide.
+// pureRoots lists the folders whose packages must be pure: they make decisions, and must be deterministic.
 var pureRoots = []string{"../../../balancer", "..", "../../wire"}
 
-// allowedImports are what packages that decide may import besides each other.
+// allowedImports lists the packages that pure packages may import besides each other.
 var allowedImports = []string{
 	"bytes",
 	"cmp",
@@ -38,17 +38,17 @@
 	"github.com/fxamacker/cbor/v2",
 }
 
-// isPure reports whether a package of the project is held to the same rules.
+// isPure reports whether a package belongs to the project's pure packages.
 func isPure(path string) bool {
 	return path == "snowquay/balancer" || strings.HasPrefix(path, "snowquay/internal/core/") ||
 		strings.HasPrefix(path, "snowquay/internal/wire/")
 }
 
-// impurities lists what a file imports or does that packages that decide must not.
+// impurities describes the imports and operations of a file that are not allowed in pure packages.
 func impurities(file *ast.File) []string {
 	var found []string
 	for _, imported := range file.Imports {
-		path, _ := strconv.Unquote(imported.Path.Value) // the parser has accepted it
+		path, _ := strconv.Unquote(imported.Path.Value) // the parser has validated the literal
 		if !isPure(path) && !slices.Contains(allowedImports, path) {
 			found = append(found, "imports "+path)
 		}
@@ -65,7 +65,7 @@
 	return found
 }
 
-func TestDecidingPackagesArePure(t *testing.T) {
+func TestDecisionPackagesArePure(t *testing.T) {
 	files := 0
 	for _, root := range pureRoots {
 		err := filepath.WalkDir(root, func(path string, entry fs.DirEntry, err error) error {
@@ -87,7 +87,7 @@
 		}
 	}
 	if files < 10 {
-		t.Errorf("only %d files were examined", files)
+		t.Errorf("only %d files were checked, want at least 10", files)
 	}
 }
 
@@ -101,6 +101,6 @@
 		t.Fatal(err)
 	}
 	if found := impurities(file); len(found) != 5 {
-		t.Errorf("%q", found)
+		t.Errorf("impurities %q, want 5", found)
 	}
 }
--- a/internal/golden/golden.go
+++ b/internal/golden/golden.go
@@ -1,5 +1,5 @@
-// Package golden compares what tests encode with files that an earlier version of the program wrote. Such a file stands for data
-// that is stored, or spoken on a wire, somewhere: it is never written anew to make a test pass.
+// Package golden compares encoded values with golden files that an earlier version of the program wrote. A golden file represents
+// data that is in use, stored or on a wire: it is never rewritten to make a test pass.
 package golden
 
 import (
@@ -17,9 +17,9 @@
 	bolt "go.etcd.io/bbolt"
 )
 
-var create = flag.Bool("golden.create", false, "write golden files that are missing; those that exist are never changed")
+var createFlag = flag.Bool("golden.create", false, "write missing golden files; existing ones are never changed")
 
-// Read returns the content of the golden file testdata/golden/NAME.
+// Read returns the content of the golden file testdata/golden/name.
 func Read(t *testing.T, name string) []byte {
 	t.Helper()
 	b, err := os.ReadFile(path(name))
@@ -29,7 +29,7 @@
 	return b
 }
 
-// Bytes fails the test unless the golden file NAME holds exactly these bytes.
+// Bytes fails the test unless got equals the content of the golden file with the name.
 func Bytes(t *testing.T, name string, got []byte) {
 	t.Helper()
 	if err := createMissing(name, got); err != nil {
@@ -40,8 +40,8 @@
 	}
 }
 
-// JSON fails the test unless value is encoded as the golden file NAME, and that file is decoded as value. Every exported field of
-// value has to be set, so that none is left out of the comparison.
+// JSON fails the test unless the JSON form of value equals the golden file with the name, and the file decodes to value. Every
+// exported field of value must be set, so that the comparison covers all fields.
 func JSON[T any](t *testing.T, name string, value T) {
 	t.Helper()
 	CheckAllFieldsSet(t, name, value)
@@ -59,13 +59,14 @@
 	}
 }
 
-// CheckAllFieldsSet fails the test where an exported field in value, at any depth, has the zero value of its type.
+// CheckAllFieldsSet fails the test if an exported field in value, at any depth, has the zero value of its type. Fields with
+// the tag json:"-" are exempt.
 func CheckAllFieldsSet(t *testing.T, name string, value any) {
 	t.Helper()
-	filled(t, name, reflect.ValueOf(value))
+	checkFields(t, name, reflect.ValueOf(value))
 }
 
-func filled(t *testing.T, where string, v reflect.Value) {
+func checkFields(t *testing.T, where string, v reflect.Value) {
 	t.Helper()
 	switch v.Kind() {
 	case reflect.Pointer, reflect.Interface:
@@ -73,7 +74,7 @@
 			t.Errorf("%s is not set", where)
 			return
 		}
-		filled(t, where, v.Elem())
+		checkFields(t, where, v.Elem())
 	case reflect.Struct:
 		for i := range v.NumField() {
 			f := v.Type().Field(i)
@@ -83,20 +84,21 @@
 			if v.Field(i).IsZero() {
 				t.Errorf("%s.%s is not set", where, f.Name)
 			}
-			filled(t, where+"."+f.Name, v.Field(i))
+			checkFields(t, where+"."+f.Name, v.Field(i))
 		}
 	case reflect.Slice, reflect.Array:
 		for i := range v.Len() {
-			filled(t, where+"[]", v.Index(i))
+			checkFields(t, where+"[]", v.Index(i))
 		}
 	case reflect.Map:
 		for _, k := range v.MapKeys() {
-			filled(t, where+"[]", v.MapIndex(k))
+			checkFields(t, where+"[]", v.MapIndex(k))
 		}
 	}
 }
 
-// DumpStore returns the content of a bbolt file as text, a line for each key with its bucket; format is that of the values.
+// DumpStore returns the content of a bbolt file as text, with one line for each key: its bucket, the key and the value in the
+// given fmt format.
 func DumpStore(t *testing.T, path, format string) []byte {
 	t.Helper()
 	db, err := bolt.Open(path, 0o600, &bolt.Options{ReadOnly: true})
@@ -120,6 +122,7 @@
 	return text.Bytes()
 }
 
+// dumpBucket writes the lines of a bucket and of the buckets in it.
 func dumpBucket(w io.Writer, name string, bucket *bolt.Bucket, format string) error {
 	return bucket.ForEach(func(key, value []byte) error {
 		if value == nil {
@@ -130,8 +133,9 @@
 	})
 }
 
+// createMissing writes a golden file that does not exist, if the flag golden.create is set.
 func createMissing(name string, b []byte) error {
-	if _, err := os.Stat(path(name)); !errors.Is(err, os.ErrNotExist) || !*create {
+	if _, err := os.Stat(path(name)); !errors.Is(err, os.ErrNotExist) || !*createFlag {
 		return err
 	}
 	if err := os.MkdirAll(filepath.Dir(path(name)), 0o755); err != nil {
--- a/internal/simwire/commands.go
+++ b/internal/simwire/commands.go
@@ -7,31 +7,32 @@
 	"snowquay/balancer"
 )
 
-// replyWriter writes the commands of one batch as the actions of its reply. It is the balancer.CommandSink of the
-// instance at hand.
+// replyWriter encodes the commands that result from one batch as the actions of its reply. It is the
+// balancer.CommandSink of the instance whose round runs.
 type replyWriter struct {
-	text     []byte
-	instance int  // coordinator whose commands are written
-	hasAny   bool // some action has been written
+	text      []byte
+	instance  int  // number of the coordinator whose commands are being written
+	hasAction bool // the reply has at least one action
 }
 
-// start begins the reply to a batch.
+// start discards the previous reply and begins the reply to a batch.
 func (w *replyWriter) start() {
 	w.text = append(w.text[:0], `{"actions":[`...)
-	w.hasAny = false
+	w.hasAction = false
 }
 
-// finish ends the reply and returns its line, which is valid until the next start.
+// finish completes the reply and returns it as a line, which is valid until the next start.
 func (w *replyWriter) finish() []byte {
 	w.text = append(w.text, "]}\n"...)
 	return w.text
 }
 
+// begin starts an action with its type and the coordinator's number.
 func (w *replyWriter) begin(action string) {
-	if w.hasAny {
+	if w.hasAction {
 		w.text = append(w.text, ',')
 	}
-	w.hasAny = true
+	w.hasAction = true
 	w.text = append(w.text, `{"type":"`...)
 	w.text = append(w.text, action...)
 	w.text = append(w.text, '"')
@@ -63,7 +64,7 @@
 
 func (w *replyWriter) writeString(key, value string) {
 	w.writeKey(key)
-	quoted, _ := json.Marshal(value) // a string always has a JSON form
+	quoted, _ := json.Marshal(value) // a string can always be encoded
 	w.text = append(w.text, quoted...)
 }
 
--- a/internal/simwire/events.go
+++ b/internal/simwire/events.go
@@ -10,13 +10,13 @@
 	"snowquay/internal/deployment"
 )
 
-// batch is one line from the simulator.
+// batch is one input line: the events that occur at one time.
 type batch struct {
 	Clock  *float64 `json:"clock"`
 	Events []event  `json:"in"`
 }
 
-// event is any event of the wire; each type uses some of its fields.
+// event is an event of any type; each type uses some of the fields.
 type event struct {
 	Type        string          `json:"type"`
 	Coordinator *int            `json:"coordinator-id"`
@@ -40,7 +40,7 @@
 	Health      string          `json:"code"`
 }
 
-// endpoint is a server of an endpoint list.
+// endpoint is a server in an endpoint list.
 type endpoint struct {
 	Started       float64 `json:"boot-time"`
 	Zone          int     `json:"campus"`
@@ -51,7 +51,7 @@
 	Phase         string  `json:"phase"`
 }
 
-// The wire's names of enumerated values.
+// Wire names of enumerated values.
 var (
 	listScopes = map[string]balancer.ListScope{
 		"Persisted": balancer.CachedList,
@@ -76,13 +76,13 @@
 	}
 )
 
-// errNoDeployment is a Provision event without settings.
-var errNoDeployment = errors.New("provision without boot-info")
+// errNoBootInfo means that a Provision event has no settings.
+var errNoBootInfo = errors.New("Provision has no boot-info")
 
-// newBalancer makes the balancer that a Provision event describes.
+// newBalancer returns a balancer with the settings and seed of a Provision event.
 func (e *event) newBalancer() (*balancer.Balancer, error) {
 	if len(e.Deployment) == 0 {
-		return nil, errNoDeployment
+		return nil, errNoBootInfo
 	}
 	settings, err := deployment.Read(e.Deployment)
 	if err != nil {
@@ -91,9 +91,10 @@
 	return settings.NewBalancer(e.Seed), nil
 }
 
-// addTo adds the event to those of its coordinator's next round. An error means that the event can be skipped.
-func (e *event) addTo(events *balancer.Events) error {
-	if err := e.checkFigures(); err != nil {
+// appendTo adds the event to the events of its coordinator's next round. On an error, the event is not added and the
+// caller can skip it.
+func (e *event) appendTo(events *balancer.Events) error {
+	if err := e.validateNumbers(); err != nil {
 		return err
 	}
 	switch e.Type {
@@ -121,19 +122,19 @@
 	case "Fired":
 		events.FiredTimers = append(events.FiredTimers, balancer.Timer(e.Timer))
 	case "SliceLoad", "Leased", "StoredLine", "Message":
-		// Slices and messages of other coordinators: nothing is decided by them.
+		// Capacity slices and messages of other coordinators do not affect decisions.
 	default:
 		return fmt.Errorf("unknown event type %q", e.Type)
 	}
 	return nil
 }
 
-// checkFigures refuses events with negative or infinite figures.
-func (e *event) checkFigures() error {
-	figures := []float64{e.Rate, e.Latency, e.Interval, e.Failed, e.Attempts}
-	for _, figure := range append(figures, e.Load...) {
-		if figure < 0 || math.IsInf(figure, 0) {
-			return fmt.Errorf("%s holds the impossible figure %v", e.Type, figure)
+// validateNumbers returns an error if a number of the event is negative or infinite.
+func (e *event) validateNumbers() error {
+	numbers := []float64{e.Rate, e.Latency, e.Interval, e.Failed, e.Attempts}
+	for _, number := range append(numbers, e.Load...) {
+		if number < 0 || math.IsInf(number, 0) {
+			return fmt.Errorf("%s has the negative or infinite number %v", e.Type, number)
 		}
 	}
 	return nil
@@ -142,13 +143,13 @@
 func (e *event) endpointList() (balancer.EndpointList, error) {
 	scope, ok := listScopes[e.ListScope]
 	if !ok {
-		return balancer.EndpointList{}, fmt.Errorf("announce has the unknown scope %q", e.ListScope)
+		return balancer.EndpointList{}, fmt.Errorf("Announce has unknown scope %q", e.ListScope)
 	}
 	list := balancer.EndpointList{Scope: scope}
 	for _, listed := range e.Endpoints {
 		phase, ok := phases[listed.Phase]
 		if !ok {
-			return balancer.EndpointList{}, fmt.Errorf("%q has the unknown phase %q", listed.Server, listed.Phase)
+			return balancer.EndpointList{}, fmt.Errorf("server %q has unknown phase %q", listed.Server, listed.Phase)
 		}
 		list.Endpoints = append(list.Endpoints, balancer.Endpoint{
 			Server:        balancer.Server(listed.Server),
@@ -201,7 +202,7 @@
 func (e *event) healthCheckResult() (balancer.HealthCheckResult, error) {
 	status, ok := healthStatuses[e.Health]
 	if !ok {
-		return balancer.HealthCheckResult{}, fmt.Errorf("PingResult has the unknown code %q", e.Health)
+		return balancer.HealthCheckResult{}, fmt.Errorf("PingResult has unknown code %q", e.Health)
 	}
 	return balancer.HealthCheckResult{
 		Server:  balancer.Server(e.Server),
--- a/internal/simwire/host.go
+++ b/internal/simwire/host.go
@@ -1,4 +1,5 @@
-// Package simwire hosts balancers for the simulator and translates between its JSON lines and the decision module.
+// Package simwire runs balancers for the simulator. It translates the simulator's JSON lines into events of the decision
+// module, and the module's commands into reply lines.
 package simwire
 
 import (
@@ -11,38 +12,40 @@
 	"snowquay/balancer"
 )
 
-// readBufferSize is the size in bytes of the buffer for the lines read.
+// readBufferSize is the size of the input buffer in bytes.
 const readBufferSize = 1 << 20
 
-// errNoClock means that a batch does not say at which time it happens.
-var errNoClock = errors.New("it has no clock")
+// errNoClock means that a batch has no time.
+var errNoClock = errors.New("clock is missing")
 
-// host runs the instances of one stream. Instances share nothing but the line that their commands travel on.
+// host runs the coordinator instances of one stream. The instances share no state; only their commands are written to the
+// same reply line.
 type host struct {
-	instances  map[int]*instance
-	reply      replyWriter
-	complaints io.Writer
+	instances map[int]*instance
+	reply     replyWriter
+	errorLog  io.Writer
 }
 
-// instance is one coordinator and the events of its next round.
+// instance is a coordinator with the events of its next round.
 type instance struct {
-	number   int
-	balancer *balancer.Balancer // nil: it does not run
-	events   balancer.Events
-	isDue    bool // it has a round in the batch at hand
+	number     int
+	balancer   *balancer.Balancer // nil while the instance is stopped
+	events     balancer.Events
+	needsRound bool // it received an event in the current batch
 }
 
-// reset replaces the instance's balancer; nil stops it.
+// reset replaces the balancer and discards the pending events. A nil balancer stops the instance.
 func (i *instance) reset(next *balancer.Balancer) {
 	i.balancer = next
 	i.events = balancer.Events{}
 }
 
-// Host answers each batch of events from in with a line of actions on out until the input ends. Events that it skips
-// are reported on complaints. An error means that the stream could not be followed, and names the line.
-func Host(in io.Reader, out, complaints io.Writer) error {
+// Host reads batches of events from in, one a line, and writes a line of actions to out for each, until the input ends.
+// Invalid events are skipped and reported to errorLog. Host returns an error with the line's number if a line is not a
+// valid batch or the reply cannot be written.
+func Host(in io.Reader, out, errorLog io.Writer) error {
 	reader := bufio.NewReaderSize(in, readBufferSize)
-	h := &host{instances: map[int]*instance{}, complaints: complaints}
+	h := &host{instances: map[int]*instance{}, errorLog: errorLog}
 	for line := 1; ; line++ {
 		text, err := reader.ReadBytes('\n')
 		ended := errors.Is(err, io.EOF)
@@ -56,12 +59,12 @@
 		if err != nil {
 			return err
 		}
-		reply, err := h.answer(next, line)
+		reply, err := h.handleBatch(next, line)
 		if err != nil {
 			return err
 		}
 		if _, err := out.Write(reply); err != nil {
-			return fmt.Errorf("line %d: the answer could not be written: %w", line, err)
+			return fmt.Errorf("line %d: writing the reply: %w", line, err)
 		}
 	}
 }
@@ -71,34 +74,34 @@
 	err := json.Unmarshal(text, &next)
 	var wrongType *json.UnmarshalTypeError
 	if errors.As(err, &wrongType) && wrongType.Field != "" {
-		return batch{}, fmt.Errorf("line %d: an event cannot be read: %w", line, err)
+		return batch{}, fmt.Errorf("line %d: invalid event: %w", line, err)
 	}
 	if err != nil {
-		return batch{}, fmt.Errorf("line %d is no batch: %w", line, err)
+		return batch{}, fmt.Errorf("line %d: invalid batch: %w", line, err)
 	}
 	if next.Clock == nil {
-		return batch{}, fmt.Errorf("line %d is no batch: %w", line, errNoClock)
+		return batch{}, fmt.Errorf("line %d: invalid batch: %w", line, errNoClock)
 	}
 	return next, nil
 }
 
-// answer passes the events of a batch to their instances in order, runs a round of each instance that received any,
-// and returns the reply.
-func (h *host) answer(received batch, line int) ([]byte, error) {
+// handleBatch dispatches the events of a batch in order, runs a round of each instance that received any, and returns the
+// reply.
+func (h *host) handleBatch(received batch, line int) ([]byte, error) {
 	var due []*instance
 	for i := range received.Events {
-		target, err := h.take(&received.Events[i], line)
+		target, err := h.dispatch(&received.Events[i], line)
 		if err != nil {
 			return nil, err
 		}
-		if target != nil && !target.isDue {
-			target.isDue = true
+		if target != nil && !target.needsRound {
+			target.needsRound = true
 			due = append(due, target)
 		}
 	}
 	h.reply.start()
 	for _, target := range due {
-		target.isDue = false
+		target.needsRound = false
 		if target.balancer == nil {
 			continue
 		}
@@ -109,10 +112,10 @@
 	return h.reply.finish(), nil
 }
 
-// take passes an event to its instance, and returns the instance if the event requires a round of it.
-func (h *host) take(incoming *event, line int) (*instance, error) {
+// dispatch applies an event to its instance. It returns the instance if the event requires a round of it, and nil otherwise.
+func (h *host) dispatch(incoming *event, line int) (*instance, error) {
 	if incoming.Coordinator == nil {
-		return nil, fmt.Errorf("line %d: %q names no instance", line, incoming.Type)
+		return nil, fmt.Errorf("line %d: event %q has no coordinator-id", line, incoming.Type)
 	}
 	number := *incoming.Coordinator
 	target := h.instances[number]
@@ -121,21 +124,21 @@
 	case incoming.Type == "Provision":
 		return h.provision(incoming, number, line)
 	case incoming.Type == "Destroy" && !running:
-		return nil, fmt.Errorf("line %d: Destroy for instance %d, which does not run", line, number)
+		return nil, fmt.Errorf("line %d: Destroy for instance %d, which is not running", line, number)
 	case incoming.Type == "Destroy":
 		target.reset(nil)
 		return nil, nil
 	case !running:
-		return nil, fmt.Errorf("line %d: %q for instance %d, which does not run", line, incoming.Type, number)
+		return nil, fmt.Errorf("line %d: event %q for instance %d, which is not running", line, incoming.Type, number)
 	}
-	if err := incoming.addTo(&target.events); err != nil {
-		_, _ = fmt.Fprintf(h.complaints, "line %d: skipped an event: %v\n", line, err) // the stream goes on without it
+	if err := incoming.appendTo(&target.events); err != nil {
+		_, _ = fmt.Fprintf(h.errorLog, "line %d: skipped an event: %v\n", line, err) // a failed write does not end the stream
 		return nil, nil
 	}
 	return target, nil
 }
 
-// provision starts an instance, or starts it again.
+// provision starts an instance, or restarts it with new settings if it is running.
 func (h *host) provision(e *event, number, line int) (*instance, error) {
 	started, err := e.newBalancer()
 	if err != nil {
--- a/internal/simwire/host_test.go
+++ b/internal/simwire/host_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// provisionLine starts instance 3 with two servers.
+// provisionLine is a batch that starts instance 3 with two servers.
 const provisionLine = `{"clock":100,"in":[{"type":"Provision","coordinator-id":3,"seed":5,"boot-info":{"balancers":1,` +
 	`"discovery":"pushed","family-info":{"data-plane-size":2,"egress-per-s":1000,"pending-max":900,"per-message":3,` +
 	`"period":1,"level-kind":"fraction","default-retry":1},"grades":[{"aim":1,"deadline":3,"effect":"free","points":2,` +
@@ -14,64 +14,64 @@
 	`"scope":"Persisted","entries":[{"backend":"10.0.0.1:80","size":3,"phase":"in_service"},` +
 	`{"backend":"10.0.0.2:80","size":1,"phase":"in_service"}]}]}` + "\n"
 
-// run plays lines and returns the lines of the reply.
-func run(t *testing.T, lines string) (replies []string, complaints string, err error) {
+// run passes lines to Host. It returns the reply lines and the text of the error log.
+func run(t *testing.T, lines string) (replies []string, errorLog string, err error) {
 	t.Helper()
-	var out, skipped strings.Builder
-	err = Host(strings.NewReader(lines), &out, &skipped)
+	var out, log strings.Builder
+	err = Host(strings.NewReader(lines), &out, &log)
 	for _, reply := range strings.Split(strings.TrimSpace(out.String()), "\n") {
 		if reply != "" && !json.Valid([]byte(reply)) {
-			t.Errorf("no JSON: %s", reply)
+			t.Errorf("reply is not valid JSON: %s", reply)
 		}
 		replies = append(replies, reply)
 	}
-	return replies, skipped.String(), err
+	return replies, log.String(), err
 }
 
-func TestBatchIsAnsweredByOneLine(t *testing.T) {
-	replies, complaints, err := run(t, `{"clock":99,"in":[]}`+"\n"+provisionLine+
+func TestOneReplyLinePerBatch(t *testing.T) {
+	replies, errorLog, err := run(t, `{"clock":99,"in":[]}`+"\n"+provisionLine+
 		`{"clock":101,"in":[{"type":"Enrolled","coordinator-id":3,"px":41,"campus":0,"size":6.5,"flag":true}]}`+"\n")
-	if err != nil || complaints != "" || len(replies) != 3 || replies[0] != `{"actions":[]}` {
-		t.Fatalf("%q, %q, %v", replies, complaints, err)
+	if err != nil || errorLog != "" || len(replies) != 3 || replies[0] != `{"actions":[]}` {
+		t.Fatalf("replies %q, error log %q, error %v", replies, errorLog, err)
 	}
 	if !strings.Contains(replies[2], `{"type":"HandTable","coordinator-id":3,"px":41,"sheet":1,"for-classes":1}`) {
-		t.Errorf("a joined proxy got %s", replies[2])
+		t.Errorf("reply to the joined proxy %s, want a HandTable action for proxy 41", replies[2])
 	}
 }
 
-func TestUnreadableStreamEndsWithAnError(t *testing.T) {
+func TestInvalidLineReturnsError(t *testing.T) {
 	for name, test := range map[string]struct{ lines, want string }{
-		"no JSON":           {"nonsense\n", "line 1 is no batch"},
-		"no clock":          {`{"in":[]}` + "\n", "has no clock"},
-		"broken off":        {provisionLine + `{"clock":101,"in`, "line 2 is no batch"},
-		"unknown instance":  {`{"clock":1,"in":[{"type":"Fired","coordinator-id":9,"nonce":1}]}` + "\n", "which does not run"},
-		"no instance":       {`{"clock":1,"in":[{"type":"Fired"}]}` + "\n", "names no instance"},
-		"no settings":       {`{"clock":1,"in":[{"type":"Provision","coordinator-id":1}]}` + "\n", "without boot-info"},
-		"destroyed unknown": {`{"clock":1,"in":[{"type":"Destroy","coordinator-id":1}]}` + "\n", "which does not run"},
+		"no JSON":           {"nonsense\n", "line 1: invalid batch"},
+		"no clock":          {`{"in":[]}` + "\n", "clock is missing"},
+		"truncated line":    {provisionLine + `{"clock":101,"in`, "line 2: invalid batch"},
+		"unknown instance":  {`{"clock":1,"in":[{"type":"Fired","coordinator-id":9,"nonce":1}]}` + "\n", "which is not running"},
+		"no instance":       {`{"clock":1,"in":[{"type":"Fired"}]}` + "\n", "has no coordinator-id"},
+		"no settings":       {`{"clock":1,"in":[{"type":"Provision","coordinator-id":1}]}` + "\n", "has no boot-info"},
+		"destroyed unknown": {`{"clock":1,"in":[{"type":"Destroy","coordinator-id":1}]}` + "\n", "which is not running"},
 		"wrong type": {provisionLine + `{"clock":101,"in":[{"type":"Detached","coordinator-id":3,"px":"x"}]}`,
-			"cannot be read"},
+			"invalid event"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			_, _, err := run(t, test.lines)
 			if err == nil || !strings.Contains(err.Error(), test.want) {
-				t.Errorf("%.60q: %v, want %q", test.lines, err, test.want)
+				t.Errorf("%.60q: error %v, want %q", test.lines, err, test.want)
 			}
 		})
 	}
 }
 
-func TestUnknownEventsAreReportedAndSkipped(t *testing.T) {
-	replies, complaints, err := run(t, provisionLine+`{"clock":101,"in":[{"type":"Riddle","coordinator-id":3},{"type":"Announce",`+
+func TestInvalidEventsAreReportedAndSkipped(t *testing.T) {
+	replies, errorLog, err := run(t, provisionLine+`{"clock":101,"in":[{"type":"Riddle","coordinator-id":3},{"type":"Announce",`+
 		`"coordinator-id":3,"scope":"Odd"},{"type":"OfferedLoad","coordinator-id":3,"tries-n":-4}]}`+"\n")
-	if err != nil || len(replies) != 2 || strings.Count(complaints, "line 2: skipped") != 3 {
-		t.Errorf("%d replies, %q, %v", len(replies), complaints, err)
+	if err != nil || len(replies) != 2 || strings.Count(errorLog, "line 2: skipped") != 3 {
+		t.Errorf("%d replies, error log %q, error %v", len(replies), errorLog, err)
 	}
 }
 
-func TestDestroyedInstanceIsSilentUntilItStartsAgain(t *testing.T) {
-	stop := `{"clock":102,"in":[{"type":"Fired","coordinator-id":3,"nonce":0},{"type":"Destroy","coordinator-id":3}]}` + "\n"
-	replies, _, err := run(t, provisionLine+stop+provisionLine)
+func TestDestroyedInstanceSendsNothingUntilRestart(t *testing.T) {
+	destroyLine := `{"clock":102,"in":[{"type":"Fired","coordinator-id":3,"nonce":0},{"type":"Destroy","coordinator-id":3}]}` + "\n"
+	replies, _, err := run(t, provisionLine+destroyLine+provisionLine)
 	if err != nil || replies[1] != `{"actions":[]}` || replies[2] != replies[0] {
-		t.Errorf("%q, %v", replies, err)
+		t.Errorf("replies %q, error %v", replies, err)
 	}
 }
--- a/internal/testseed/testseed.go
+++ b/internal/testseed/testseed.go
@@ -1,4 +1,4 @@
-// Package testseed runs the tests of a package with the same random numbers every time.
+// Package testseed runs the tests of a package with fixed random seeds, so that every run uses the same random numbers.
 package testseed
 
 import (
@@ -7,19 +7,19 @@
 	"testing"
 )
 
-// defaults are the flags of package rapid that every package has.
-var defaults = map[string]string{
+// defaultFlags are the values of package rapid's flags that most packages use.
+var defaultFlags = map[string]string{
 	"rapid.seed":       "7",
 	"rapid.nofailfile": "true",
 	"rapid.checks":     "100",
 	"rapid.shrinktime": "5s",
 }
 
-// Main is the TestMain of a package: it sets the flags of package rapid and runs the tests. Flags that are given on the
-// command line take precedence. It does not return.
-func Main(m *testing.M) { MainWithFlags(m, defaults) }
+// Main implements TestMain: it sets the flags of package rapid, runs the tests and exits. Flags given on the command line
+// take precedence.
+func Main(m *testing.M) { MainWithFlags(m, defaultFlags) }
 
-// MainWithFlags is Main with other values of the flags. Flags that the package does not have are ignored.
+// MainWithFlags is Main with the given flag values. Flags that the test binary does not define are ignored.
 func MainWithFlags(m *testing.M, values map[string]string) {
 	flag.Parse()
 	given := map[string]bool{}
