--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -1,5 +1,5 @@
-// Command simhost runs instances of the decision module for the simulator: it reads events from standard input and writes
-// actions to standard output.
+// Command simhost runs instances of the decision module for the simulator: it reads events from standard input and
+// writes actions to standard output.
 package main
 
 import (
--- a/internal/core/archtest/layers_test.go
+++ b/internal/core/archtest/layers_test.go
@@ -10,8 +10,8 @@
 	"testing"
 )
 
-// layers lists path prefixes of packages relative to the module's root, lowest layer first. A package belongs to the layer
-// with its longest matching prefix, and may import packages only of its own layer and lower ones.
+// layers lists path prefixes of packages relative to the module's root, lowest layer first. A package belongs to the
+// layer with its longest matching prefix, and may import packages only of its own layer and lower ones.
 var layers = [][]string{
 	{"internal/core/inflight", "internal/core/histogram", "internal/core/random", "internal/core/slidingwindow", "internal/core/waterfill"},
 	{"balancer"},
--- a/internal/experiment/cell.go
+++ b/internal/experiment/cell.go
@@ -1,6 +1,6 @@
-// Package experiment runs experiments in virtual time: fleets, cases and arms over many seeds, whose records are kept in a
-// folder, compared by paired seeds, searched for the worst, and shrunk to the smallest scenario that is still bad. All
-// figures are of emulated servers.
+// Package experiment runs experiments in virtual time. An experiment runs every combination of fleet, case, arm and
+// seed, and stores a record of each run in a folder. The package compares arms by paired seeds, finds the worst runs,
+// and shrinks a bad scenario to a smaller one that is still bad. All results are of emulated servers.
 package experiment
 
 import (
@@ -13,10 +13,10 @@
 	"snowquay/internal/settings"
 )
 
-// ErrNoCell means that an experiment has no cell of the given name.
-var ErrNoCell = errors.New("the experiment has no such cell")
+// ErrNoCell means that an experiment has no cell with the given name.
+var ErrNoCell = errors.New("no such cell in the experiment")
 
-// Cell is one run of an experiment.
+// Cell identifies one run of an experiment: an arm in a case, with a fleet and a seed.
 type Cell struct {
 	Fleet settings.ExperimentFleet
 	Case  settings.ExperimentCase
@@ -24,12 +24,12 @@
 	Seed  uint64
 }
 
-// Name returns the name of a cell, which is part of its file's name.
+// Name returns the name of the cell, which is also the base name of its record's file.
 func (c Cell) Name() string {
 	return fmt.Sprintf("%s.%s.%s.%d", c.Fleet.Name, c.Case.Name, c.Arm.Name, c.Seed)
 }
 
-// Cells returns the cells of an experiment. The arms of one seed follow each other.
+// Cells returns the cells of an experiment. The cells of all arms with the same seed are adjacent.
 func Cells(experiment *settings.Experiment) []Cell {
 	var cells []Cell
 	for _, fleet := range experiment.Fleets {
@@ -55,20 +55,20 @@
 }
 
 const (
-	meanWork                = 0.23 // seconds of a request on a core of speed 1
-	meanSpeed               = 0.9  // of a core
+	meanWork                = 0.23 // seconds that a request takes on a core of speed 1
+	meanSpeed               = 0.9  // of a core: the middle of the range from minSpeed to maxSpeed
 	minSpeed                = 0.7
 	maxSpeed                = 1.1
 	coresPerServer          = 4
-	queueCapacity           = 30 // of each server
+	queueCapacity           = 30 // requests that a server can queue
 	serversPerFailureDomain = 4
 	keysPerServer           = 60
-	minEntryRate            = 160 // entries a second
-	fullUpdateSeconds       = 4.0 // in which the channel can send all relays all entries
-	queuedSeconds           = 4   // of entries, that the channel may queue
+	minEntryRate            = 160 // table entries per second that the channel carries at least
+	fullUpdateDuration      = 4.0 // seconds in which the channel can send all entries to all relays
+	maxQueueDuration        = 4   // seconds that the channel needs to send the longest allowed queue
 )
 
-// Scenario returns the scenario of a cell, ready to run.
+// Scenario builds the scenario that the cell runs.
 func (c Cell) Scenario() (*settings.Scenario, error) {
 	built, err := settings.ParseScenario("bad-day.xml", scenario.DefaultScenario, c.Arm.Without...)
 	if err != nil {
@@ -84,7 +84,8 @@
 	return built, nil
 }
 
-// configureFleet sets the servers and the channel. Servers of a failure domain are in one zone, and restart together.
+// configureFleet configures the servers and the channel. All servers of a failure domain are in the same zone and
+// restart together.
 func (c Cell) configureFleet(built *settings.Scenario) {
 	site := &built.Coordinator.Site
 	for i := range site.Servers {
@@ -93,8 +94,8 @@
 		site.Servers[i].Zone = balancer.Zone(domain % len(site.Zones))
 	}
 	entries := len(site.Classes) * c.Fleet.Servers * c.Fleet.Proxies
-	site.Channel.EntriesPerSecond = max(minEntryRate, float64(entries)/fullUpdateSeconds)
-	site.Channel.MaxQueued = queuedSeconds * site.Channel.EntriesPerSecond
+	site.Channel.EntriesPerSecond = max(minEntryRate, float64(entries)/fullUpdateDuration)
+	site.Channel.MaxQueued = maxQueueDuration * site.Channel.EntriesPerSecond
 	built.Cores = coresPerServer
 	built.Queue = queueCapacity
 	built.Slowest = minSpeed
@@ -155,14 +156,14 @@
 		built.Faults = append(built.Faults, fault)
 	}
 	if c.Case.RandomFaults > 0 {
-		drawFaults(built, c.Case.RandomFaults, c.Case.Kinds)
+		addRandomFaults(built, c.Case.RandomFaults, c.Case.Kinds)
 	}
 	if c.Case.Kills > 0 {
 		scenario.AddKills(built, c.Case.Kills)
 	}
 }
 
-// Options returns the options of a cell's run.
+// Options returns the options for running the cell's scenario.
 func (c Cell) Options() scenario.Options {
 	options := scenario.Options{
 		Seed:             c.Seed,
--- a/internal/experiment/charts.go
+++ b/internal/experiment/charts.go
@@ -18,13 +18,14 @@
 	chartHeight = 9 * vg.Centimeter
 )
 
-// armLatencies counts the answers of an arm by the upper bounds of their latencies, in microseconds.
+// armLatencies is a histogram of an arm's response times: numbers of responses by upper bound in microseconds.
 type armLatencies struct {
 	arm    string
 	counts map[int64]int64
 }
 
-// latencyTails draws which share of answers took longer than a time, by arm, over all fleets and seeds of a case.
+// latencyTails plots the share of responses that took longer than a given time, with a line for each arm, over all
+// fleets and seeds of a case.
 func latencyTails(groups []Group, caseName string) (*plot.Plot, error) {
 	chart := plot.New()
 	chart.Title.Text = caseName + ": answers that took longer"
@@ -46,7 +47,7 @@
 		chart.Add(line)
 		chart.Legend.Add(arm.arm, line)
 	}
-	if len(arms) == 0 || chart.X.Min <= 0 || math.IsInf(chart.X.Min, 0) { // logarithmic scales can't draw this
+	if len(arms) == 0 || chart.X.Min <= 0 || math.IsInf(chart.X.Min, 0) { // a logarithmic scale cannot show an empty range or values of 0
 		useLinearScales(chart)
 	}
 	return chart, nil
@@ -66,7 +67,7 @@
 	chart.Y.Tick.Marker = plot.DefaultTicks{}
 }
 
-// latenciesByArm adds up the latencies of a case, with the arms in the order of the groups.
+// latenciesByArm merges the latency histograms of a case by arm, in the order in which the arms first occur in groups.
 func latenciesByArm(groups []Group, caseName string) []armLatencies {
 	var arms []armLatencies
 	for _, group := range groups {
@@ -89,7 +90,8 @@
 	return arms
 }
 
-// tailPoints returns the share of answers above each latency, in seconds.
+// tailPoints returns the share of responses that took longer than each latency, in seconds. Points without responses
+// above them are left out, since a logarithmic scale cannot show them.
 func tailPoints(counts map[int64]int64) plotter.XYs {
 	var latencies []int64
 	total := int64(0)
@@ -109,17 +111,17 @@
 	return points
 }
 
-// measuredPoints are points with error bars.
-type measuredPoints struct {
+// pointsWithErrors holds points with error bars.
+type pointsWithErrors struct {
 	plotter.XYs
 	plotter.YErrors
 }
 
-// metricBySize draws a metric by the number of servers, by arm, with intervals.
+// metricBySize plots a metric against the number of servers, with a line and confidence intervals for each arm.
 func metricBySize(experiment *settings.Experiment, groups []Group, caseName, metricName string) (*plot.Plot, error) {
 	metric, ok := findMetric(metricName)
 	if !ok {
-		return nil, fmt.Errorf("no figure is named %q", metricName)
+		return nil, fmt.Errorf("unknown metric %q", metricName)
 	}
 	chart := plot.New()
 	chart.Title.Text = caseName + ": " + metricName
@@ -149,8 +151,10 @@
 	return chart, nil
 }
 
-func sizePoints(experiment *settings.Experiment, groups []Group, caseName, arm string, metric Metric) measuredPoints {
-	var points measuredPoints
+// sizePoints returns a metric's mean and confidence interval for each fleet. Intervals of a single record have no
+// width.
+func sizePoints(experiment *settings.Experiment, groups []Group, caseName, arm string, metric Metric) pointsWithErrors {
+	var points pointsWithErrors
 	for _, fleet := range experiment.Fleets {
 		for _, group := range groups {
 			if group.Arm != arm || group.Case != caseName || group.Fleet != fleet.Name {
--- a/internal/experiment/compare.go
+++ b/internal/experiment/compare.go
@@ -11,13 +11,13 @@
 	"snowquay/internal/console"
 )
 
-// Metric of a record that is compared.
+// Metric is a number derived from a record, by which groups are compared.
 type Metric struct {
 	Name  string
 	Value func(*Record) float64
 }
 
-// Metrics are the metrics of tables, in their order.
+// Metrics lists the metrics in the order in which tables show them.
 var Metrics = []Metric{
 	{"service", func(r *Record) float64 { return r.Service }},
 	{"worst10s", func(r *Record) float64 { return r.WorstTenSeconds }},
@@ -33,7 +33,7 @@
 	{"broken", func(r *Record) float64 { return float64(len(r.Broken())) }},
 }
 
-// worstLatency returns the largest latency of all classes.
+// worstLatency returns the highest latency of all classes.
 func worstLatency(record *Record, latency func(ClassRecord) float64) float64 {
 	worst := 0.0
 	for _, class := range record.Classes {
@@ -50,17 +50,17 @@
 	return Metrics[i], true
 }
 
-// Interval is a mean with its 95% confidence interval by Student's distribution.
+// Interval is a mean with its 95% confidence interval by Student's t-distribution.
 type Interval struct {
 	Mean      float64 `json:"Mean"`
-	HalfWidth float64 `json:"Half"` // half of the interval's width; NaN for fewer than two observations
+	HalfWidth float64 `json:"Half"` // half the width of the interval; NaN for fewer than two observations
 	N         int     `json:"N"`    // number of observations
 }
 
-// upperQuantile is the quantile that a two-sided 95% interval takes.
-const upperQuantile = 0.975
+// confidenceQuantile is the quantile of the t-distribution for a two-sided 95% interval.
+const confidenceQuantile = 0.975
 
-// Estimate returns the mean of observations with its interval. The mean of none is NaN.
+// Estimate returns the mean of observations with its confidence interval. The mean of no observations is NaN.
 func Estimate(observations []float64) Interval {
 	count := len(observations)
 	if count == 0 {
@@ -70,14 +70,14 @@
 	if count == 1 {
 		return Interval{Mean: mean, HalfWidth: math.NaN(), N: 1}
 	}
-	student := distuv.StudentsT{Mu: 0, Sigma: 1, Nu: float64(count - 1)}.Quantile(upperQuantile)
+	student := distuv.StudentsT{Mu: 0, Sigma: 1, Nu: float64(count - 1)}.Quantile(confidenceQuantile)
 	return Interval{Mean: mean, HalfWidth: student * deviation / math.Sqrt(float64(count)), N: count}
 }
 
-// Significant tells whether the interval excludes zero.
+// Significant reports whether the interval excludes zero.
 func (i Interval) Significant() bool { return i.N > 1 && math.Abs(i.Mean) > i.HalfWidth }
 
-// Difference of two arms in a metric, over the seeds that both have.
+// Difference is the mean difference of a metric between two arms, over the seeds for which both have records.
 type Difference struct {
 	Fleet  string
 	Case   string
@@ -85,8 +85,8 @@
 	Interval
 }
 
-// Compare returns the differences of the arm other from the arm base. Each seed is a pair, since both arms ran the same
-// scenario.
+// Compare returns the differences of the arm other from the arm base. Records are paired by seed, since both arms ran
+// the same scenario.
 func Compare(groups []Group, base, other string) []Difference {
 	var differences []Difference
 	for _, group := range groups {
@@ -110,8 +110,8 @@
 	for _, metric := range Metrics {
 		var paired []float64
 		for _, record := range base.Records {
-			if match := bySeed[record.Seed]; match != nil {
-				paired = append(paired, metric.Value(match)-metric.Value(record))
+			if counterpart := bySeed[record.Seed]; counterpart != nil {
+				paired = append(paired, metric.Value(counterpart)-metric.Value(record))
 			}
 		}
 		if len(paired) > 0 {
@@ -122,7 +122,7 @@
 	return differences
 }
 
-// PrintDifferences writes differences as a table, in which significant ones have a star.
+// PrintDifferences writes differences as a table, with a star beside significant ones.
 func PrintDifferences(w io.Writer, differences []Difference, base, other string) {
 	console.Printf(w, "%s less %s, by paired seeds, 95%% intervals; * leaves zero out (simulated servers)\n", other, base)
 	for _, each := range differences {
--- a/internal/experiment/experiment_test.go
+++ b/internal/experiment/experiment_test.go
@@ -20,7 +20,7 @@
 
 func TestMain(m *testing.M) { testseed.Main(m) }
 
-const small = `<experiment name="small" seeds="3">
+const smallExperiment = `<experiment name="small" seeds="3">
   <fleet name="f" servers="8" relays="6" load="0.5"/>
   <fleet name="g" servers="12" relays="6" load="0.5"/>
   <case name="calm" seconds="20"/>
@@ -30,7 +30,7 @@
   <arm name="listed" policy="listed"/>
 </experiment>`
 
-func parse(t *testing.T, text string) *settings.Experiment {
+func parseExperiment(t *testing.T, text string) *settings.Experiment {
 	t.Helper()
 	parsed, err := settings.ParseExperiment("x.xml", []byte(text))
 	if err != nil {
@@ -39,7 +39,7 @@
 	return parsed
 }
 
-func open(t *testing.T, path string, experiment *settings.Experiment) *Folder {
+func openFolder(t *testing.T, path string, experiment *settings.Experiment) *Folder {
 	t.Helper()
 	folder, err := Open(path, experiment)
 	if err != nil {
@@ -48,7 +48,7 @@
 	return folder
 }
 
-func play(t *testing.T, experiment *settings.Experiment, cell Cell) *Record {
+func mustRunCell(t *testing.T, experiment *settings.Experiment, cell Cell) *Record {
 	t.Helper()
 	record, err := RunCell(experiment, cell)
 	if err != nil {
@@ -57,41 +57,41 @@
 	return record
 }
 
-// A cell with a record is not run again, and its record is not overwritten; the same cell has the same bytes; another
-// experiment is refused.
-func TestFolderKeepsRecords(t *testing.T) {
-	experiment := parse(t, small)
+// Run skips cells that have a record, records are never overwritten, a repeated run of a cell gives identical bytes,
+// and a folder with another experiment is rejected.
+func TestFolderStoresRecords(t *testing.T) {
+	experiment := parseExperiment(t, smallExperiment)
 	path := t.TempDir()
-	folder := open(t, path, experiment)
+	folder := openFolder(t, path, experiment)
 	cells := Cells(experiment)
 	if len(cells) != 36 {
 		t.Fatal(len(cells))
 	}
-	if err := folder.Save(cells[0], play(t, experiment, cells[0])); err != nil {
+	if err := folder.Save(cells[0], mustRunCell(t, experiment, cells[0])); err != nil {
 		t.Fatal(err)
 	}
 	if err := folder.Save(cells[0], &Record{}); err == nil {
-		t.Error("a record was overwritten")
+		t.Error("Save overwrote a record")
 	}
 	var progress bytes.Buffer
 	if err := Run(folder, experiment, 0, &progress); err != nil {
 		t.Fatal(err)
 	}
-	if !strings.Contains(progress.String(), "1 of 36 are there, 35 to be played") || !strings.Contains(progress.String(), "35/35") {
-		t.Errorf("%s", progress.String())
+	if !strings.Contains(progress.String(), "1 of 36 cells have records, 35 to run") || !strings.Contains(progress.String(), "35/35") {
+		t.Errorf("progress output: %s", progress.String())
 	}
 	stored, err := os.ReadFile(filepath.Join(path, "runs", cells[5].Name()+".json"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	again, err := json.MarshalIndent(play(t, experiment, cells[5]), "", " ")
+	again, err := json.MarshalIndent(mustRunCell(t, experiment, cells[5]), "", " ")
 	if err != nil {
 		t.Fatal(err)
 	}
 	if string(stored) != string(again)+"\n" {
-		t.Error("the same cell has other bytes")
+		t.Error("a second run of the same cell gave another record")
 	}
-	other := parse(t, strings.Replace(small, `seeds="3"`, `seeds="4"`, 1))
+	other := parseExperiment(t, strings.Replace(smallExperiment, `seeds="3"`, `seeds="4"`, 1))
 	if _, err := Open(path, other); !errors.Is(err, ErrOtherExperiment) {
 		t.Error(err)
 	}
@@ -101,10 +101,10 @@
 	}
 	checkTables(t, Groups(experiment, records))
 	checkReport(t, folder, experiment, path)
-	// With servers of different speed, learnt weights are no worse than round robin.
+	// With servers of different speeds, learned weights must not give lower service than round robin.
 	for _, difference := range Compare(Groups(experiment, records), "robin", "snowquay") {
 		if difference.Metric == "service" && difference.Case == "calm" && difference.Mean < -0.01 {
-			t.Errorf("%+v", difference)
+			t.Errorf("service below round robin: %+v", difference)
 		}
 	}
 }
@@ -114,7 +114,7 @@
 	for _, form := range []string{"text", "csv", "json"} {
 		var table bytes.Buffer
 		if err := Table(&table, groups, form); err != nil || !strings.Contains(table.String(), "robin") {
-			t.Errorf("%s: %v\n%s", form, err, table.String())
+			t.Errorf("table in form %s: %v\n%s", form, err, table.String())
 		}
 	}
 }
@@ -128,23 +128,25 @@
 	page, err := os.ReadFile(filepath.Join(path, "report", "index.html"))
 	charts := strings.Count(string(page), "<svg")
 	if err != nil || charts < 4 || strings.Contains(string(page), "src=") {
-		t.Errorf("%v: %d charts", err, charts)
+		t.Errorf("error %v, %d charts in the page, want at least 4, without external images", err, charts)
 	}
 }
 
 func TestIntervals(t *testing.T) {
-	// By hand: mean 3, standard deviation 1.5811, Student's 0.975 quantile at 4 degrees 2.7764.
+	// Calculated by hand: mean 3, standard deviation 1.5811, 0.975 quantile of the t-distribution with 4 degrees of
+	// freedom 2.7764.
 	five := Estimate([]float64{1, 2, 3, 4, 5})
 	if five.Mean != 3 || math.Abs(five.HalfWidth-2.7764*1.58114/math.Sqrt(5)) > 1e-3 || !five.Significant() {
-		t.Errorf("%+v", five)
+		t.Errorf("interval of five observations: %+v", five)
 	}
 	if one := Estimate([]float64{2}); one.Significant() || !math.IsNaN(one.HalfWidth) {
-		t.Errorf("%+v", one)
+		t.Errorf("interval of one observation: %+v", one)
 	}
 }
 
-// Faults that are planted in the core are found by drawn scenarios, each within a stated number of them.
-func TestPlantedFaultsAreFound(t *testing.T) {
+// Random scenarios reveal the defect that disabling a guard of the core causes: each breaks the expected rule within
+// a given number of scenarios.
+func TestRandomScenariosRevealDisabledGuards(t *testing.T) {
 	for _, test := range []struct {
 		guard  string
 		rule   int
@@ -152,63 +154,67 @@
 		kinds  string
 	}{
 		{"memory", 3, 12, "drain coordinator_restart"},
-		{"rejoin", 1, 12, anyKind},
-		{"cold", 4, 20, anyKind},
+		{"rejoin", 1, 12, commonKinds},
+		{"cold", 4, 20, commonKinds},
 	} {
 		t.Run(test.guard, func(t *testing.T) {
 			t.Parallel()
-			number := firstBroken(t, test.guard, test.kinds, test.rule, test.within)
+			number := firstViolation(t, test.guard, test.kinds, test.rule, test.within)
 			if number == 0 {
-				t.Errorf("rule %d was kept in %d scenarios without the guard", test.rule, test.within)
+				t.Errorf("rule %d was kept in all %d scenarios with the guard disabled", test.rule, test.within)
 				return
 			}
-			t.Logf("found in scenario %d", number)
+			t.Logf("rule broken in scenario %d", number)
 		})
 	}
 }
 
-const anyKind = "drain crash mass_restart demand coordinator_restart coordinator_restart balancer_restart grow zone_cut"
+// commonKinds lists the kinds of faults in random scenarios, separated by spaces. A kind that occurs twice is twice
+// as likely.
+const commonKinds = "drain crash mass_restart demand coordinator_restart coordinator_restart balancer_restart grow zone_cut"
 
-// firstBroken runs drawn scenarios without a guard. It returns the number of the first that breaks a rule, or 0.
-func firstBroken(t *testing.T, guard, kinds string, rule, within int) int {
+// firstViolation runs random scenarios with a guard disabled. It returns the number of the first, from 1, that breaks
+// the rule, or 0 if none of the first within scenarios does.
+func firstViolation(t *testing.T, guard, kinds string, rule, within int) int {
 	t.Helper()
-	planted := parse(t, `<experiment name="planted" seeds="40"><fleet name="f" servers="24" relays="30" load="0.65"/>
+	disabled := parseExperiment(t, `<experiment name="planted" seeds="40"><fleet name="f" servers="24" relays="30" load="0.65"/>
 		<case name="k" seconds="60" drawn="5" kills="2" kinds="`+kinds+`"/>
 		<arm name="a" front="sasp" without="`+guard+`"/></experiment>`)
-	for i, cell := range Cells(planted)[:within] {
-		if slices.Contains(play(t, planted, cell).Broken(), rule) {
+	for i, cell := range Cells(disabled)[:within] {
+		if slices.Contains(mustRunCell(t, disabled, cell).Broken(), rule) {
 			return i + 1
 		}
 	}
 	return 0
 }
 
-// The guard "lines" has a second defence: when the channel carries less than configured, acknowledgements are late, and
-// all weights wait.
-func TestLateChannelKeepsRule5WithoutLinesGuard(t *testing.T) {
-	if number := firstBroken(t, "lines", anyKind, 5, 25); number > 0 {
-		t.Errorf("rule 5 broke in scenario %d", number)
+// Rule 5 holds even with the guard "lines" disabled, because of a second mechanism: when the channel carries less than
+// configured, acknowledgements are late, and all weight updates are held back.
+func TestRule5HoldsWithoutLinesGuard(t *testing.T) {
+	if number := firstViolation(t, "lines", commonKinds, 5, 25); number > 0 {
+		t.Errorf("rule 5 was broken in scenario %d", number)
 	}
 }
 
-// A bad scenario is made smaller, stays bad, and can be written and run by itself.
-func TestShrunkScenarioStaysBad(t *testing.T) {
-	experiment := parse(t, `<experiment name="s" seeds="1"><fleet name="f" servers="16" relays="12"/><case name="c" seconds="50" drawn="5">
+// Shrink reduces a scenario that breaks a rule to a smaller one that still breaks it, also after the scenario was
+// written and read again.
+func TestShrunkScenarioStillBreaksRule(t *testing.T) {
+	experiment := parseExperiment(t, `<experiment name="s" seeds="1"><fleet name="f" servers="16" relays="12"/><case name="c" seconds="50" drawn="5">
 		<trouble kind="coordinator_restart" at="20" for="1"/><trouble kind="drain" at="15" for="0" server="3"/></case><arm name="a" front="sasp" without="memory"/></experiment>`)
 	cell := Cells(experiment)[0]
 	original, err := cell.Scenario()
 	if err != nil {
 		t.Fatal(err)
 	}
-	bad := BreaksRule(3, cell.Options())
-	if !bad(original) {
-		t.Fatal("the scenario is not bad")
+	breaksRule := BreaksRule(3, cell.Options())
+	if !breaksRule(original) {
+		t.Fatal("the original scenario does not break rule 3")
 	}
-	shrunk := Shrink(original, bad, 60, io.Discard)
+	shrunk := Shrink(original, breaksRule, 60, io.Discard)
 	servers := len(shrunk.Coordinator.Site.Servers)
 	relays := len(shrunk.Coordinator.Site.Proxies)
-	if !bad(shrunk) || len(shrunk.Faults) != 2 || servers > 8 || relays > 6 || shrunk.Seconds > 30 {
-		t.Errorf("%d faults, %d servers, %d relays, %v s", len(shrunk.Faults), servers, relays, shrunk.Seconds)
+	if !breaksRule(shrunk) || len(shrunk.Faults) != 2 || servers > 8 || relays > 6 || shrunk.Seconds > 30 {
+		t.Errorf("shrunk to %d faults, %d servers, %d relays, %v s", len(shrunk.Faults), servers, relays, shrunk.Seconds)
 	}
 	text, err := shrunk.Write()
 	if err != nil {
@@ -218,15 +224,15 @@
 	if err != nil {
 		t.Fatalf("%v\n%s", err, text)
 	}
-	if !bad(written) {
-		t.Error("what was written is not bad")
+	if !breaksRule(written) {
+		t.Error("the scenario does not break rule 3 after it was written and read")
 	}
-	sound, err := settings.ParseScenario("small.xml", text)
+	guarded, err := settings.ParseScenario("small.xml", text)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if bad(sound) {
-		t.Error("it is bad with the guard, too: the test tests nothing")
+	if breaksRule(guarded) {
+		t.Error("the scenario breaks rule 3 with the guard enabled, too, so the guard is not what is tested")
 	}
 }
 
@@ -240,29 +246,30 @@
 		{`drawn="2"/>`, `drawn="2"><trouble kind="slow" at="99" server="1"/></case>`, "after the day's end"},
 	} {
 		t.Run(test.want, func(t *testing.T) {
-			_, err := settings.ParseExperiment("x.xml", []byte(strings.Replace(small, test.old, test.replacement, 1)))
+			_, err := settings.ParseExperiment("x.xml", []byte(strings.Replace(smallExperiment, test.old, test.replacement, 1)))
 			if err == nil || !strings.Contains(err.Error(), test.want) || !strings.Contains(err.Error(), "x.xml:") {
-				t.Errorf("%s: %v", test.replacement, err)
+				t.Errorf("with %s: error %v", test.replacement, err)
 			}
 		})
 	}
 }
 
-// The same calm scenario over sockets in real time and in virtual time: service and latency agree within stated bounds. The
-// entries are compared in TestSocketsAgreeInLockstep: how many are sent follows from the order in which messages arrive.
+// Runs the same calm scenario in virtual time and over sockets in real time, and compares service and median latency
+// within bounds. The numbers of entries are compared in TestSocketsAgreeInLockstep, since they depend on the order in
+// which messages arrive.
 func TestSocketsAgree(t *testing.T) {
 	if testing.Short() {
-		t.Skip("real time")
+		t.Skip("runs in real time")
 	}
-	cell := Cells(parse(t, calmScenario))[0]
-	virtual := runCell(t, cell, false)
-	sockets := runCell(t, cell, true)
+	cell := Cells(parseExperiment(t, calmScenario))[0]
+	virtual := runScenario(t, cell, false)
+	sockets := runScenario(t, cell, true)
 	if math.Abs(virtual.Service-sockets.Service) > 0.03 || math.Abs(virtual.P50-sockets.P50) > 0.15*virtual.P50+0.01 {
-		t.Errorf("service %.3f and %.3f, median %.3f and %.3f s", virtual.Service, sockets.Service, virtual.P50, sockets.P50)
+		t.Errorf("virtual time and sockets: service %.3f and %.3f, median %.3f and %.3f s", virtual.Service, sockets.Service, virtual.P50, sockets.P50)
 	}
 }
 
-func runCell(t *testing.T, cell Cell, sockets bool) *scenario.Result {
+func runScenario(t *testing.T, cell Cell, sockets bool) *scenario.Result {
 	t.Helper()
 	built, err := cell.Scenario()
 	if err != nil {
@@ -270,7 +277,7 @@
 	}
 	options := cell.Options()
 	options.Sockets = sockets
-	if sockets { // ports of its own: other tests run at the same time
+	if sockets { // separate ports, since other tests run at the same time
 		coordinator := built.Coordinator
 		coordinator.SASP = netip.AddrPortFrom(coordinator.SASP.Addr(), 13960)
 		coordinator.HTTP = netip.AddrPortFrom(coordinator.HTTP.Addr(), 18960)
@@ -281,7 +288,7 @@
 		t.Fatal(err)
 	}
 	if !result.Kept() {
-		t.Errorf("sockets %t: %+v", sockets, result.Verdicts)
+		t.Errorf("rules broken, sockets %t: %+v", sockets, result.Verdicts)
 	}
 	return result
 }
--- a/internal/experiment/folder.go
+++ b/internal/experiment/folder.go
@@ -10,8 +10,8 @@
 	"snowquay/internal/settings"
 )
 
-// ErrOtherExperiment means that a folder has the records of another experiment.
-var ErrOtherExperiment = errors.New("the folder has the runs of another experiment")
+// ErrOtherExperiment means that a folder contains another experiment.
+var ErrOtherExperiment = errors.New("the folder contains another experiment")
 
 const (
 	experimentFile = "experiment.xml"
@@ -21,10 +21,10 @@
 	fileMode       = 0o644
 )
 
-// Folder keeps an experiment and its records.
+// Folder stores an experiment and its records.
 type Folder struct{ path string }
 
-// Open opens or creates a folder for an experiment. It returns ErrOtherExperiment if the folder has another one.
+// Open opens or creates a folder for an experiment. It returns ErrOtherExperiment if the folder contains another one.
 func Open(path string, experiment *settings.Experiment) (*Folder, error) {
 	if err := os.MkdirAll(filepath.Join(path, recordsFolder), folderMode); err != nil {
 		return nil, err
@@ -37,12 +37,12 @@
 	case err != nil:
 		return nil, err
 	case string(stored) != string(experiment.Text):
-		return nil, fmt.Errorf("%w: %s differs; choose another folder", ErrOtherExperiment, file)
+		return nil, fmt.Errorf("%w: %s differs; use another folder", ErrOtherExperiment, file)
 	}
 	return &Folder{path: path}, nil
 }
 
-// OpenExisting opens a folder with the experiment that it has.
+// OpenExisting opens a folder and reads the experiment that it contains.
 func OpenExisting(path string) (*Folder, *settings.Experiment, error) {
 	experiment, err := settings.LoadExperiment(filepath.Join(path, experimentFile))
 	return &Folder{path: path}, experiment, err
@@ -52,13 +52,14 @@
 	return filepath.Join(f.path, recordsFolder, cell.Name()+".json")
 }
 
-// HasRecord tells whether the folder has a cell's record.
+// HasRecord reports whether the folder contains the record of a cell.
 func (f *Folder) HasRecord(cell Cell) bool {
 	_, err := os.Stat(f.recordPath(cell))
 	return err == nil
 }
 
-// Save stores a record. It returns an error if the folder has one of that cell: no record is ever overwritten.
+// Save stores the record of a cell. It returns an error if the folder already contains one: records are never
+// overwritten.
 func (f *Folder) Save(cell Cell, record *Record) error {
 	text, err := json.MarshalIndent(record, "", " ")
 	if err != nil {
@@ -68,11 +69,11 @@
 	if err := os.WriteFile(temporary, append(text, '\n'), fileMode); err != nil {
 		return err
 	}
-	defer func() { _ = os.Remove(temporary) }() // the record has its own name, or could not be stored
+	defer func() { _ = os.Remove(temporary) }() // after a successful link, the record remains under its final name
 	return os.Link(temporary, f.recordPath(cell))
 }
 
-// Records returns the records of an experiment that the folder has, by the cell's name.
+// Records returns the stored records of an experiment, by the names of their cells.
 func (f *Folder) Records(experiment *settings.Experiment) (map[string]*Record, error) {
 	records := map[string]*Record{}
 	for _, cell := range Cells(experiment) {
--- a/internal/experiment/groups.go
+++ b/internal/experiment/groups.go
@@ -7,7 +7,7 @@
 	"snowquay/internal/settings"
 )
 
-// Group is the records of one fleet, case and arm, by seed.
+// Group holds the records of one fleet, case and arm, ordered by seed.
 type Group struct {
 	Fleet   string
 	Case    string
@@ -15,7 +15,7 @@
 	Records []*Record
 }
 
-// values returns a metric of all records.
+// values returns the value of a metric for each record.
 func (g Group) values(metric Metric) []float64 {
 	var values []float64
 	for _, record := range g.Records {
@@ -24,7 +24,7 @@
 	return values
 }
 
-// Groups returns the groups that have records, in the experiment's order.
+// Groups returns the groups that have at least one record, in the order of the experiment's fleets, cases and arms.
 func Groups(experiment *settings.Experiment, records map[string]*Record) []Group {
 	var groups []Group
 	for _, fleet := range experiment.Fleets {
@@ -46,7 +46,7 @@
 	return groups
 }
 
-// Worst returns the records with the worst first: those that broke most rules, then by service.
+// Worst returns the records sorted by the number of broken rules, highest first, and then by service, lowest first.
 func Worst(records map[string]*Record) []*Record {
 	var sorted []*Record
 	for _, record := range records {
@@ -63,17 +63,18 @@
 	return sorted
 }
 
-// Pair is two kinds of faults, and the results of the scenarios that had both.
+// Pair holds two kinds of faults and the results of the scenarios that contained both.
 type Pair struct {
 	A, B    string
 	Service Interval
-	Broken  int // scenarios in which a rule was broken
+	Broken  int // number of scenarios in which a rule was broken
 }
 
 // kindPair is two kinds of faults, in alphabetical order.
 type kindPair struct{ first, second string }
 
-// Pairs returns the pairs of kinds that occurred together, the worst first.
+// Pairs returns the pairs of fault kinds that occurred in the same scenario, sorted by the number of scenarios with
+// broken rules, highest first, and then by mean service, lowest first.
 func Pairs(records map[string]*Record) []Pair {
 	byPair := map[kindPair][]*Record{}
 	for _, record := range Worst(records) {
--- a/internal/experiment/lockstep_test.go
+++ b/internal/experiment/lockstep_test.go
@@ -15,30 +15,31 @@
 	"snowquay/internal/frontend/eventloop"
 )
 
-// settleTimeout is how long a step may take in real time. Nothing else depends on it.
+// settleTimeout is how long a step may take in real time before the test fails. Results do not depend on it.
 const settleTimeout = 30 * time.Second
 
-// effect is something that a program does to a connection: it sends data, or closes it if there is none.
-type effect struct {
+// output is data that a program sends on a connection, or the closing of the connection if data is nil.
+type output struct {
 	conn env.Conn
 	data []byte
 }
 
-// A directProgram calls a program as a simulated host does, but reports what it sends as delivered at once, and its effects
-// leave together after each call. It is what a socketProgram is compared with.
+// directProgram calls a program as a simulated host does, except that it reports sent data as delivered at once, and
+// passes the program's outputs on together after each call. It is the reference with which a socketProgram is
+// compared.
 type directProgram struct {
 	env.Program
-	io      env.IO // of the simulated host
-	effects []effect
+	io      env.IO // environment of the simulated host
+	outputs []output
 	sent    map[env.Conn]uint64
 	timer   timer
 }
 
 // timer is the latest timer that a program has set.
 type timer struct {
-	at    float64 // seconds; 0: it has fired
+	at    float64 // seconds; 0 after it has fired
 	key   int
-	count int // of timers that were set
+	count int // number of timers set so far; identifies the timer
 }
 
 func (p *directProgram) Start(now float64, io env.IO) {
@@ -72,13 +73,14 @@
 	}
 }
 
-// step lets the program do something, after the timers that are due. Timers that it sets for now fire at once.
+// step fires the timers that are due and calls do, which calls the program. Then it fires the timers that the program
+// has set for now or earlier, and passes the outputs on.
 func (p *directProgram) step(now float64, do func()) {
 	p.fireDue(now)
 	do()
 	p.reportDeliveries(now)
 	p.fireDue(now)
-	p.applyEffects()
+	p.applyOutputs()
 	p.io.SetTimer(p.timer.at, p.timer.count)
 }
 
@@ -102,8 +104,8 @@
 	}
 }
 
-func (p *directProgram) applyEffects() {
-	for _, done := range p.effects {
+func (p *directProgram) applyOutputs() {
+	for _, done := range p.outputs {
 		if done.data == nil {
 			p.io.Close(done.conn)
 			delete(p.sent, done.conn)
@@ -111,18 +113,18 @@
 		}
 		p.io.Send(done.conn, done.data)
 	}
-	p.effects = nil
+	p.outputs = nil
 }
 
-// directIO is the environment of a directProgram's program.
+// directIO is the environment of the program in a directProgram.
 type directIO struct{ *directProgram }
 
 func (io directIO) Send(conn env.Conn, data []byte) {
-	io.effects = append(io.effects, effect{conn: conn, data: slices.Clone(data)})
+	io.outputs = append(io.outputs, output{conn: conn, data: slices.Clone(data)})
 	io.sent[conn] += uint64(len(data))
 }
 
-func (io directIO) Close(conn env.Conn) { io.effects = append(io.effects, effect{conn: conn}) }
+func (io directIO) Close(conn env.Conn) { io.outputs = append(io.outputs, output{conn: conn}) }
 
 func (io directIO) SetTimer(at float64, key int) {
 	io.timer = timer{at: at, key: key, count: io.timer.count + 1}
@@ -131,15 +133,16 @@
 func (io directIO) Dial(to netip.AddrPort) env.Conn         { return io.io.Dial(to) }
 func (io directIO) Datagram(to netip.AddrPort, data []byte) { io.io.Datagram(to, data) }
 
-// A socketProgram runs a program on the event loop over loopback sockets, in place of a simulated host, and is the other end
-// of each of its connections. Virtual time goes on only when every byte that was sent has been read at the other end, the
-// event loop has reported it as delivered, and every timer that is due has fired; so no clock and no load makes anything late.
+// socketProgram runs a program on the event loop over loopback sockets in place of a simulated host, and acts as the
+// peer of each connection. Virtual time advances only after every byte that was sent has been read by the peer and
+// reported as delivered by the event loop, and every timer that is due has fired. So the real clock and the load of
+// the machine delay nothing in virtual time.
 type socketProgram struct {
 	t            testing.TB
 	tcp          []netip.AddrPort
 	measurements netip.AddrPort
 	program      env.Program
-	io           env.IO // of the simulated host
+	io           env.IO // environment of the simulated host
 	clock        atomic.Uint64
 	server       *eventloop.Server
 	datagrams    *net.UDPConn
@@ -147,32 +150,32 @@
 	mu            sync.Mutex
 	changed       *sync.Cond
 	loopIO        env.IO
-	openedConn    env.Conn // by the event loop's number
+	openedConn    env.Conn // latest connection, as the event loop numbers it
 	openedCount   int
 	datagramCount int
 	timer         timer
-	effects       []effect // with the event loop's numbers; the data only says how much
+	outputs       []output // connections as the event loop numbers them; only the length of the data is used
 	links         []*link
 	bySimulated   map[env.Conn]*link
 	byLoop        map[env.Conn]*link
-	inCall        bool // the program is in a call
+	inCall        bool // a timer callback of the program is running
 }
 
-// link joins a simulated connection and the socket that stands for it.
+// link connects a simulated connection with the socket that represents it. Byte counts are totals.
 type link struct {
-	socket    *net.TCPConn
-	simulated env.Conn
-	loop      env.Conn
-	written   uint64 // by the other end
-	received  uint64 // by the program
-	sent      uint64 // by the program
-	delivered uint64 // as the event loop has reported
-	read      uint64 // by the other end
-	unread    []byte // read from the socket, and not handed on yet
-	ended     bool   // the socket has ended
-	closed    bool   // the program has closed it
-	left      bool   // the other end has closed it
-	leftSeen  bool   // the program was told so
+	socket             *net.TCPConn
+	simulated          env.Conn
+	loop               env.Conn
+	written            uint64 // bytes written by the peer
+	received           uint64 // bytes received by the program
+	sent               uint64 // bytes sent by the program
+	delivered          uint64 // bytes reported as delivered by the event loop
+	read               uint64 // bytes read by the peer
+	unread             []byte // read from the socket, but not passed on to the simulated peer yet
+	socketEnded        bool   // reading from the socket has ended
+	programClosed      bool   // the program has closed the connection
+	disconnected       bool   // the peer has closed the connection
+	disconnectReported bool   // the program was notified of it
 }
 
 func newSocketProgram(t testing.TB, program env.Program, tcp []netip.AddrPort, measurements netip.AddrPort) *socketProgram {
@@ -206,7 +209,7 @@
 	p.step(now, func() {})
 }
 
-// stop ends the event loop and the other ends of all connections.
+// stop stops the event loop and closes the peers' sockets.
 func (p *socketProgram) stop() {
 	if err := p.server.Stop(); err != nil {
 		p.t.Error(err)
@@ -232,7 +235,7 @@
 		defer p.mu.Unlock()
 		added := &link{socket: socket.(*net.TCPConn), simulated: conn}
 		before := len(p.links)
-		p.wait("the connection opened", func() bool { return p.openedCount > before })
+		p.wait("open connection", func() bool { return p.openedCount > before })
 		added.loop = p.openedConn
 		p.links = append(p.links, added)
 		p.bySimulated[conn] = added
@@ -241,7 +244,7 @@
 	})
 }
 
-// readAll reads what the program sends on a link.
+// readAll reads the data that the program sends on a link, until the socket ends.
 func (p *socketProgram) readAll(from *link) {
 	buffer := make([]byte, 16<<10)
 	for {
@@ -249,7 +252,7 @@
 		p.mu.Lock()
 		from.unread = append(from.unread, buffer[:size]...)
 		from.read += uint64(size)
-		from.ended = from.ended || err != nil
+		from.socketEnded = from.socketEnded || err != nil
 		p.changed.Broadcast()
 		p.mu.Unlock()
 		if err != nil {
@@ -273,10 +276,10 @@
 func (p *socketProgram) Closed(now float64, conn env.Conn) {
 	p.step(now, func() {
 		p.mu.Lock()
-		left := p.bySimulated[conn]
-		left.left = true
+		disconnected := p.bySimulated[conn]
+		disconnected.disconnected = true
 		p.mu.Unlock()
-		_ = left.socket.Close()
+		_ = disconnected.socket.Close()
 	})
 }
 
@@ -288,7 +291,7 @@
 		if _, err := p.datagrams.Write(data); err != nil {
 			p.t.Fatal(err)
 		}
-		p.wait("the datagram arrived", func() bool { return p.datagramCount > before })
+		p.wait("arrival of the datagram", func() bool { return p.datagramCount > before })
 	})
 }
 
@@ -305,47 +308,49 @@
 	}
 }
 
-// step moves the program's clock on, lets it do something, and waits until nothing is under way.
+// step advances the program's clock, calls do, waits until no data is in transit, and passes the outputs on.
 func (p *socketProgram) step(now float64, do func()) {
 	p.clock.Store(math.Float64bits(now))
 	p.settle(now)
 	do()
 	p.settle(now)
 	p.mu.Lock()
-	effects := p.effects
-	p.effects = nil
+	outputs := p.outputs
+	p.outputs = nil
 	next := p.timer
 	p.mu.Unlock()
-	for _, done := range effects {
+	for _, done := range outputs {
 		p.apply(done)
 	}
 	p.io.SetTimer(next.at, next.count)
 }
 
+// settle waits until no data is in transit and no timer is due.
 func (p *socketProgram) settle(now float64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.wait("everything sent was read", func() bool {
+	p.wait("delivery of all data", func() bool {
 		if p.inCall || p.timer.at > 0 && p.timer.at <= now {
 			return false
 		}
-		return !slices.ContainsFunc(p.links, (*link).underWay)
+		return !slices.ContainsFunc(p.links, (*link).inTransit)
 	})
 }
 
-// underWay reports whether something on the link has not reached its other end.
-func (l *link) underWay() bool {
+// inTransit reports whether data or the end of the connection has not reached the other side yet.
+func (l *link) inTransit() bool {
 	switch {
-	case l.closed:
-		return !l.ended
-	case l.left:
-		return !l.leftSeen
+	case l.programClosed:
+		return !l.socketEnded
+	case l.disconnected:
+		return !l.disconnectReported
 	default:
 		return l.received != l.written || l.read != l.sent || l.delivered != l.sent
 	}
 }
 
-// wait waits until done returns true. The caller holds mu and releases it by defer.
+// wait waits until done returns true, and fails the test after settleTimeout. The caller holds mu and releases it by
+// defer, since a failure ends the goroutine.
 func (p *socketProgram) wait(what string, done func() bool) {
 	p.t.Helper()
 	expired := false
@@ -358,14 +363,14 @@
 	defer timer.Stop()
 	for !done() {
 		if expired {
-			p.t.Fatalf("not within %v: %s", settleTimeout, what)
+			p.t.Fatalf("timeout after %v: %s", settleTimeout, what)
 		}
 		p.changed.Wait()
 	}
 }
 
-// apply hands an effect on to the simulated peer: the bytes are those that came over the socket.
-func (p *socketProgram) apply(done effect) {
+// apply passes an output on to the simulated peer, with the bytes that arrived over the socket.
+func (p *socketProgram) apply(done output) {
 	p.mu.Lock()
 	from := p.byLoop[done.conn]
 	size := min(len(done.data), len(from.unread))
@@ -379,25 +384,25 @@
 	p.io.Send(from.simulated, data)
 }
 
-// observe changes what is known of the program.
-func (p *socketProgram) observe(change func()) {
+// update changes the recorded state of the program, and wakes the goroutine that waits for it.
+func (p *socketProgram) update(change func()) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	change()
 	p.changed.Broadcast()
 }
 
-// observedProgram is the program as the event loop calls it.
+// observedProgram passes the event loop's calls to the program and records them.
 type observedProgram struct{ *socketProgram }
 
 func (p observedProgram) Start(now float64, io env.IO) {
-	p.observe(func() { p.loopIO = io })
+	p.update(func() { p.loopIO = io })
 	p.program.Start(now, observedIO(p))
 }
 
 func (p observedProgram) Opened(now float64, conn env.Conn, from netip.Addr, port uint16) {
 	p.program.Opened(now, conn, from, port)
-	p.observe(func() {
+	p.update(func() {
 		p.openedConn = conn
 		p.openedCount++
 	})
@@ -409,28 +414,28 @@
 
 func (p observedProgram) Receive(now float64, conn env.Conn, data []byte) {
 	p.program.Receive(now, conn, data)
-	p.observe(func() { p.byLoop[conn].received += uint64(len(data)) })
+	p.update(func() { p.byLoop[conn].received += uint64(len(data)) })
 }
 
 func (p observedProgram) Closed(now float64, conn env.Conn) {
 	p.program.Closed(now, conn)
-	p.observe(func() { p.byLoop[conn].leftSeen = true })
+	p.update(func() { p.byLoop[conn].disconnectReported = true })
 }
 
 func (p observedProgram) Delivered(now float64, conn env.Conn, total uint64) {
 	p.program.Delivered(now, conn, total)
-	p.observe(func() { p.byLoop[conn].delivered = max(p.byLoop[conn].delivered, total) })
+	p.update(func() { p.byLoop[conn].delivered = max(p.byLoop[conn].delivered, total) })
 }
 
 func (p observedProgram) Datagram(now float64, data []byte) {
 	p.program.Datagram(now, data)
-	p.observe(func() { p.datagramCount++ })
+	p.update(func() { p.datagramCount++ })
 }
 
 func (p observedProgram) TimerFired(now float64, key int) {
-	p.observe(func() { p.inCall = true })
+	p.update(func() { p.inCall = true })
 	p.program.TimerFired(now, key)
-	p.observe(func() {
+	p.update(func() {
 		p.inCall = false
 		if p.timer.at > 0 && p.timer.at <= now {
 			p.timer.at = 0
@@ -438,34 +443,34 @@
 	})
 }
 
-// observedIO is the environment of a socketProgram's program.
+// observedIO passes the program's calls to the event loop's environment and records them.
 type observedIO struct{ *socketProgram }
 
 func (io observedIO) Dial(to netip.AddrPort) env.Conn         { return io.loopIO.Dial(to) }
 func (io observedIO) Datagram(to netip.AddrPort, data []byte) { io.loopIO.Datagram(to, data) }
 
 func (io observedIO) Send(conn env.Conn, data []byte) {
-	io.observe(func() {
+	io.update(func() {
 		io.byLoop[conn].sent += uint64(len(data))
-		io.effects = append(io.effects, effect{conn: conn, data: slices.Clone(data)})
+		io.outputs = append(io.outputs, output{conn: conn, data: slices.Clone(data)})
 	})
 	io.loopIO.Send(conn, data)
 }
 
 func (io observedIO) Close(conn env.Conn) {
-	io.observe(func() {
-		io.byLoop[conn].closed = true
-		io.effects = append(io.effects, effect{conn: conn})
+	io.update(func() {
+		io.byLoop[conn].programClosed = true
+		io.outputs = append(io.outputs, output{conn: conn})
 	})
 	io.loopIO.Close(conn)
 }
 
 func (io observedIO) SetTimer(at float64, key int) {
-	io.observe(func() { io.timer = timer{at: at, key: key, count: io.timer.count + 1} })
+	io.update(func() { io.timer = timer{at: at, key: key, count: io.timer.count + 1} })
 	io.loopIO.SetTimer(at, key)
 }
 
-// freePorts returns ports of 127.0.0.1 on which nothing listens.
+// freePorts returns ports of 127.0.0.1 that are not in use, in ascending order.
 func freePorts(t testing.TB, count int) []uint16 {
 	t.Helper()
 	var ports []uint16
--- a/internal/experiment/random_faults.go
+++ b/internal/experiment/random_faults.go
@@ -6,7 +6,8 @@
 	"snowquay/internal/settings"
 )
 
-// faultKinds are the kinds of faults that can be drawn. Their order decides what a seed draws.
+// faultKinds lists the kinds of random faults. A seed selects kinds by index, so another order changes the faults of
+// existing seeds.
 var faultKinds = []string{
 	"slow", "fast_errors", "hang", "crash", "mass_restart", "zone_cut", "drain", "coordinator_restart", "balancer_stall",
 	"balancer_restart", "reconnect", "report_late", "reports_stop", "demand", "clock_gap", "answer_lost", "heavy_tail",
@@ -14,26 +15,27 @@
 }
 
 const (
-	firstFaultSeconds   = 6.0   // the coordinator has learnt the first weights
-	faultFreeEndSeconds = 8.0   // at the end of a scenario
-	faultStream         = 0x1ab // second word of the seed of random faults
+	firstFaultSeconds    = 6.0   // by then, the coordinator has learned the first weights
+	faultFreeTailSeconds = 8.0   // time at the end of a scenario in which no random fault starts
+	faultSeedStream      = 0x1ab // second word of the generator's seed
 )
 
-// drawFaults adds faults to a scenario, by its seed, of the given kinds, or of any kind if none is given.
-func drawFaults(drawn *settings.Scenario, count int, kinds []string) {
-	random := rand.New(rand.NewPCG(drawn.Seed, faultStream))
+// addRandomFaults adds count random faults, determined by the scenario's seed, to a scenario. The faults are of the
+// given kinds, or of any kind if none is given.
+func addRandomFaults(target *settings.Scenario, count int, kinds []string) {
+	random := rand.New(rand.NewPCG(target.Seed, faultSeedStream))
 	if len(kinds) == 0 {
 		kinds = faultKinds
 	}
 	for i := range count {
 		kind := kinds[(i+random.IntN(len(kinds)))%len(kinds)]
-		drawn.Faults = append(drawn.Faults, drawFault(drawn, random, kind))
+		target.Faults = append(target.Faults, randomFault(target, random, kind))
 	}
 }
 
-// drawFault draws where and when a fault of a kind occurs, how long it lasts, and its factor.
-func drawFault(drawn *settings.Scenario, random *rand.Rand, kind string) settings.Fault {
-	site := &drawn.Coordinator.Site
+// randomFault returns a fault of a kind with random targets, start, duration and factor.
+func randomFault(target *settings.Scenario, random *rand.Rand, kind string) settings.Fault {
+	site := &target.Coordinator.Site
 	between := func(low, high float64) float64 { return low + (high-low)*random.Float64() }
 	fault := settings.Fault{
 		Kind:          kind,
@@ -43,7 +45,7 @@
 		Zone:          site.Servers[random.IntN(len(site.Servers))].Zone,
 		FailureDomain: int(site.Servers[random.IntN(len(site.Servers))].FailureDomain),
 	}
-	fault.At = firstFaultSeconds + random.Float64()*max(drawn.Seconds-faultFreeEndSeconds-firstFaultSeconds, 1)
+	fault.At = firstFaultSeconds + random.Float64()*max(target.Seconds-faultFreeTailSeconds-firstFaultSeconds, 1)
 	fault.Duration = between(5, 20)
 	switch kind {
 	case "slow", "shared_slow":
--- a/internal/experiment/record.go
+++ b/internal/experiment/record.go
@@ -17,36 +17,36 @@
 	revisionDigits        = 12
 )
 
-// ClassRecord is the result of a class's requests. Latencies are in seconds.
+// ClassRecord holds the results of a request class. Latencies are in seconds.
 type ClassRecord struct {
 	Class     string             `json:"Class"`
-	Requested float64            `json:"Asked"`    // requests
-	Answered  float64            `json:"Answered"` // requests
-	OnTime    float64            `json:"InTime"`   // requests answered within the latency objective
+	Requested float64            `json:"Asked"`    // number of requests
+	Answered  float64            `json:"Answered"` // number of requests that received a response
+	OnTime    float64            `json:"InTime"`   // number of requests answered within the latency objective
 	P50       float64            `json:"P50"`
 	P90       float64            `json:"P90"`
 	P99       float64            `json:"P99"`
 	P999      float64            `json:"P999"`
-	Times     []hdrhistogram.Bar `json:"Times"` // how many answers took how many microseconds
+	Times     []hdrhistogram.Bar `json:"Times"` // histogram of response times in microseconds
 }
 
-// RuleRecord is the verdict on a rule.
+// RuleRecord holds the verdict on a rule.
 type RuleRecord struct {
 	Rule    int      `json:"Rule"`
 	Kept    bool     `json:"Kept"`
-	Figure  string   `json:"Figure"`            // what came closest to the limit
+	Figure  string   `json:"Figure"`            // the value that came closest to the limit
 	Reasons []string `json:"Reasons,omitempty"` // the first violations
 }
 
-// Record is the result of a cell. The same cell has the same bytes with the same build.
+// Record holds the result of a cell. Two runs of a cell by the same build give identical bytes.
 type Record struct {
 	Experiment      string        `json:"Experiment"`
 	Fleet           string        `json:"Fleet"`
 	Case            string        `json:"Case"`
 	Arm             string        `json:"Arm"`
 	Seed            uint64        `json:"Seed"`
-	Version         string        `json:"Version"` // of the build
-	Fingerprint     string        `json:"Print"`   // of the experiment
+	Version         string        `json:"Version"` // source revision of the build
+	Fingerprint     string        `json:"Print"`   // hash of the experiment's text
 	Servers         int           `json:"Servers"`
 	Relays          int           `json:"Relays"`
 	Seconds         float64       `json:"Seconds"`
@@ -55,17 +55,17 @@
 	WorstClass      float64       `json:"WorstClass"`
 	Classes         []ClassRecord `json:"Classes"`
 	Rules           []RuleRecord  `json:"Rules"`
-	AckedP50        float64       `json:"Held50"`  // seconds from a decision until a relay acknowledged it
-	AckedP99        float64       `json:"Held99"`  // seconds from a decision until a relay acknowledged it
-	DrainTime       float64       `json:"Drained"` // seconds from a drain until the last request after it
-	TakeoverP50     float64       `json:"Led50"`   // seconds from a coordinator's stop until all relays were led again
-	TakeoverMax     float64       `json:"LedMost"` // seconds from a coordinator's stop until all relays were led again
+	AckedP50        float64       `json:"Held50"`  // median seconds from a decision until a relay acknowledged it
+	AckedP99        float64       `json:"Held99"`  // 99th percentile of the same
+	DrainTime       float64       `json:"Drained"` // seconds from a drain until the last request was sent to its server
+	TakeoverP50     float64       `json:"Led50"`   // median seconds from a coordinator's stop until all relays had joined again
+	TakeoverMax     float64       `json:"LedMost"` // maximum of the same
 	Messages        int           `json:"Messages"`
-	Entries         int           `json:"Lines"` // table entries
-	FullTables      int           `json:"Fulls"`
-	PeakQueue       float64       `json:"PeakQueue"` // table entries
-	Events          int           `json:"Events"`    // of the virtual network
-	Faults          []string      `json:"Troubles"`  // kinds
+	Entries         int           `json:"Lines"`     // table entries sent
+	FullTables      int           `json:"Fulls"`     // full tables sent
+	PeakQueue       float64       `json:"PeakQueue"` // highest number of queued table entries
+	Events          int           `json:"Events"`    // number of events in the virtual network
+	Faults          []string      `json:"Troubles"`  // kinds of the faults
 }
 
 // Broken returns the numbers of the rules that were broken.
@@ -79,7 +79,7 @@
 	return rules
 }
 
-// Version returns the revision that this build was made from, or "unknown".
+// Version returns the source revision of this build, or "unknown".
 func Version() string {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
@@ -93,7 +93,7 @@
 	return "unknown"
 }
 
-// RunCell runs a cell in this process.
+// RunCell runs a cell in this process and returns its record.
 func RunCell(experiment *settings.Experiment, cell Cell) (*Record, error) {
 	built, err := cell.Scenario()
 	if err != nil {
@@ -167,7 +167,7 @@
 	return record
 }
 
-// quantile of values in any order; 0 if there are none.
+// quantile returns the quantile of values in any order for a share from 0 to 1, or 0 if there are no values.
 func quantile(values []float64, share float64) float64 {
 	if len(values) == 0 {
 		return 0
@@ -176,6 +176,7 @@
 	return sorted[min(int(share*float64(len(sorted))), len(sorted)-1)]
 }
 
+// fingerprint returns a hash of the experiment's text.
 func fingerprint(experiment *settings.Experiment) string {
 	return fmt.Sprintf("%016x", xxhash.Sum64(experiment.Text))
 }
--- a/internal/experiment/report.go
+++ b/internal/experiment/report.go
@@ -16,20 +16,20 @@
 )
 
 // ErrNoRecords means that a folder has no records to report on.
-var ErrNoRecords = errors.New("nothing was played yet")
+var ErrNoRecords = errors.New("the folder has no records")
 
-// sizeMetrics are the metrics that are drawn by the number of servers.
+// sizeMetrics lists the metrics that are plotted against the number of servers.
 var sizeMetrics = []string{"service", "held99", "lines/s"}
 
-// reportWriter writes the files of a report, and collects its page.
+// reportWriter writes the files of a report and builds its HTML page.
 type reportWriter struct {
 	folder  string
 	written []string
 	page    strings.Builder
 }
 
-// Report writes tables (text, CSV, JSON), charts (SVG) and a page that has them all, and needs no network, into the
-// folder. It returns the paths of the files in alphabetical order, or ErrNoRecords.
+// Report writes tables (text, CSV, JSON), charts (SVG) and a self-contained HTML page with the text table and the
+// charts into the folder. It returns the paths of the files in alphabetical order, or ErrNoRecords.
 func Report(folder *Folder, experiment *settings.Experiment) ([]string, error) {
 	records, err := folder.Records(experiment)
 	if err != nil {
@@ -59,7 +59,7 @@
 	return writer.written, nil
 }
 
-// writeFile writes a file of the report.
+// writeFile creates a file of the report and writes its content.
 func (w *reportWriter) writeFile(name string, write func(io.Writer) error) error {
 	path := filepath.Join(w.folder, name)
 	file, err := os.Create(path)
@@ -77,7 +77,7 @@
 	})
 }
 
-// addTables writes the tables, and adds the text to the page.
+// addTables writes the table in all forms, and adds the text form to the page.
 func (w *reportWriter) addTables(groups []Group) error {
 	for _, table := range []struct{ form, file string }{
 		{textForm, "table.txt"},
@@ -96,7 +96,7 @@
 	return nil
 }
 
-// addCharts writes the charts of all cases.
+// addCharts writes the charts of all cases. Charts by the number of servers require at least two fleets.
 func (w *reportWriter) addCharts(experiment *settings.Experiment, groups []Group) error {
 	for _, each := range experiment.Cases {
 		tail, err := latencyTails(groups, each.Name)
@@ -122,7 +122,7 @@
 	return nil
 }
 
-// addChart writes a chart, and adds it to the page.
+// addChart writes a chart as an SVG file, and adds it to the page.
 func (w *reportWriter) addChart(name string, chart *plot.Plot) error {
 	canvas, err := chart.WriterTo(chartWidth, chartHeight, "svg")
 	if err != nil {
--- a/internal/experiment/run.go
+++ b/internal/experiment/run.go
@@ -15,9 +15,9 @@
 	"snowquay/internal/settings"
 )
 
-// Run runs the cells of which a folder has no record, up to jobs at once, and prints its progress. With jobs of 0 or less
-// it runs as many at once as there are processors. An arm of another program is run by that program. Run returns the
-// errors of all cells that failed.
+// Run runs the cells for which the folder has no record, up to jobs in parallel, and prints the progress. If jobs is
+// 0 or less, GOMAXPROCS cells run in parallel. The cells of an arm with its own program are run by that program. Run
+// returns the errors of all failed cells.
 func Run(folder *Folder, experiment *settings.Experiment, jobs int, progress io.Writer) error {
 	cells := Cells(experiment)
 	var missing []Cell
@@ -29,8 +29,8 @@
 	if jobs <= 0 {
 		jobs = runtime.GOMAXPROCS(0)
 	}
-	console.Printf(progress, "%d of %d are there, %d to be played, %d at once\n", len(cells)-len(missing), len(cells), len(missing), jobs)
-	report := &progressReport{out: progress, total: len(missing), start: time.Now()}
+	console.Printf(progress, "%d of %d cells have records, %d to run, %d in parallel\n", len(cells)-len(missing), len(cells), len(missing), jobs)
+	printer := &progressPrinter{out: progress, total: len(missing), start: time.Now()}
 	next := make(chan Cell)
 	var workers sync.WaitGroup
 	for range jobs {
@@ -38,8 +38,8 @@
 		go func() {
 			defer workers.Done()
 			for cell := range next {
-				record, err := folder.runCell(experiment, cell)
-				report.cellDone(cell, record, err)
+				record, err := folder.runAndSave(experiment, cell)
+				printer.cellDone(cell, record, err)
 			}
 		}()
 	}
@@ -48,21 +48,22 @@
 	}
 	close(next)
 	workers.Wait()
-	return errors.Join(report.errs...)
+	return errors.Join(printer.errs...)
 }
 
-// progressReport prints the progress of a run, whose workers call it.
-type progressReport struct {
-	mu             sync.Mutex
-	out            io.Writer
-	total          int
-	start          time.Time
-	done           int
-	virtualSeconds float64
-	errs           []error
+// progressPrinter prints the progress of Run. The workers call it concurrently.
+type progressPrinter struct {
+	mu               sync.Mutex
+	out              io.Writer
+	total            int
+	start            time.Time
+	done             int
+	simulatedSeconds float64
+	errs             []error
 }
 
-func (p *progressReport) cellDone(cell Cell, record *Record, err error) {
+// cellDone prints the result of a cell, or stores and prints its error.
+func (p *progressPrinter) cellDone(cell Cell, record *Record, err error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.done++
@@ -71,26 +72,26 @@
 		console.Printf(p.out, "%d/%d %s: %v\n", p.done, p.total, cell.Name(), err)
 		return
 	}
-	p.virtualSeconds += record.Seconds
+	p.simulatedSeconds += record.Seconds
 	violations := ""
 	if broken := record.Broken(); len(broken) > 0 {
 		violations = fmt.Sprintf(", BROKEN %v", broken)
 	}
 	console.Printf(p.out, "%d/%d %s: service %.3f%s; %.0f times real time\n", p.done, p.total, cell.Name(), record.Service, violations,
-		p.virtualSeconds/time.Since(p.start).Seconds())
+		p.simulatedSeconds/time.Since(p.start).Seconds())
 }
 
-// runCell runs a cell and stores its record.
-func (f *Folder) runCell(experiment *settings.Experiment, cell Cell) (*Record, error) {
-	record, err := f.play(experiment, cell)
+// runAndSave runs a cell and saves its record.
+func (f *Folder) runAndSave(experiment *settings.Experiment, cell Cell) (*Record, error) {
+	record, err := f.executeCell(experiment, cell)
 	if err != nil {
 		return nil, err
 	}
 	return record, f.Save(cell, record)
 }
 
-// play runs a cell in this process, or by the program of its arm.
-func (f *Folder) play(experiment *settings.Experiment, cell Cell) (*Record, error) {
+// executeCell runs a cell in this process, or by the program of its arm if the arm has one.
+func (f *Folder) executeCell(experiment *settings.Experiment, cell Cell) (*Record, error) {
 	if cell.Arm.Program == "" {
 		return RunCell(experiment, cell)
 	}
--- a/internal/experiment/shrink.go
+++ b/internal/experiment/shrink.go
@@ -10,42 +10,43 @@
 	"snowquay/internal/settings"
 )
 
-// Condition tells whether a scenario is as bad as the one that is to be shrunk.
+// Condition reports whether a scenario still shows the problem for which it is being shrunk.
 type Condition func(*settings.Scenario) bool
 
 const (
-	minServers        = 4
-	minRelays         = 2
-	minSeconds        = 15.0
-	minFaultSeconds   = 0.2
-	half              = 0.5
-	threeQuarters     = 0.75
-	shorterFraction   = 0.8 // of a scenario that its faults do not allow to end sooner
-	minSavedSeconds   = 1
-	minEarlierSeconds = 1
+	minServers          = 4
+	minRelays           = 2
+	minSeconds          = 15.0
+	minFaultSeconds     = 0.2 // duration of a fault
+	half                = 0.5
+	threeQuarters       = 0.75
+	shortenedFraction   = 0.8 // new length of a scenario whose faults last almost to its end
+	minShortenedSeconds = 1   // what ending soon after the last fault must save
+	minShiftSeconds     = 1   // a shift by this or less is not tried
 )
 
-// shrinker holds the smallest scenario so far that is still bad.
+// shrinker holds the smallest scenario found so far that still meets the condition.
 type shrinker struct {
-	smallest *settings.Scenario
-	bad      Condition
-	played   int
-	limit    int // runs at most
-	progress io.Writer
+	smallest   *settings.Scenario
+	reproduces Condition
+	runs       int
+	maxRuns    int
+	progress   io.Writer
 }
 
-// Shrink makes a bad scenario smaller while it stays bad: fewer faults, servers and relays, less time and traffic. It
-// stops when no step keeps it bad, or after limit runs. The result is another scenario.
-func Shrink(original *settings.Scenario, bad Condition, limit int, progress io.Writer) *settings.Scenario {
-	s := &shrinker{smallest: original, bad: bad, limit: limit, progress: progress}
-	for s.played < limit {
+// Shrink reduces a scenario as long as it meets the condition: fewer faults, servers and relays, shorter time and
+// less traffic. It stops when no further change meets the condition, or after maxRuns runs. The original is not
+// modified.
+func Shrink(original *settings.Scenario, reproduces Condition, maxRuns int, progress io.Writer) *settings.Scenario {
+	s := &shrinker{smallest: original, reproduces: reproduces, maxRuns: maxRuns, progress: progress}
+	for s.runs < maxRuns {
 		if !s.pass() {
 			break
 		}
 	}
 	remaining := len(s.smallest.Faults)
 	for i := range remaining {
-		s.try("a shorter trouble", func(candidate *settings.Scenario) bool {
+		s.try("shorter fault", func(candidate *settings.Scenario) bool {
 			candidate.Faults[i].Duration *= half
 			return candidate.Faults[i].Duration > minFaultSeconds
 		})
@@ -53,39 +54,41 @@
 	return s.smallest
 }
 
-// try runs a changed scenario, and keeps it if it is bad. The change returns false if it does not apply.
+// try applies a change to a copy of the smallest scenario and runs it. If the copy still meets the condition, it
+// becomes the smallest scenario and try returns true. The change returns false if it does not apply, and then nothing
+// is run.
 func (s *shrinker) try(what string, change func(*settings.Scenario) bool) bool {
-	if s.played >= s.limit {
+	if s.runs >= s.maxRuns {
 		return false
 	}
 	candidate := clone(s.smallest)
 	if !change(candidate) {
 		return false
 	}
-	s.played++
-	if !s.bad(candidate) {
+	s.runs++
+	if !s.reproduces(candidate) {
 		return false
 	}
 	s.smallest = candidate
 	site := &candidate.Coordinator.Site
-	console.Printf(s.progress, "%d played: %s; %d troubles, %d servers, %d relays, %.0f s\n", s.played, what, len(candidate.Faults),
+	console.Printf(s.progress, "%d runs: %s; %d faults, %d servers, %d relays, %.0f s\n", s.runs, what, len(candidate.Faults),
 		len(site.Servers), len(site.Proxies), candidate.Seconds)
 	return true
 }
 
-// pass tries each kind of change once. It returns whether any made the scenario smaller.
+// pass tries each kind of change once, and reports whether any made the scenario smaller.
 func (s *shrinker) pass() bool {
 	shrunk := s.removeFaults()
 	for _, step := range []struct {
 		what   string
 		change func(*settings.Scenario) bool
 	}{
-		{"half the servers", func(candidate *settings.Scenario) bool { return fewerServers(candidate, half) }},
-		{"half the relays", func(candidate *settings.Scenario) bool { return fewerRelays(candidate, half) }},
-		{"three quarters of the servers", func(candidate *settings.Scenario) bool { return fewerServers(candidate, threeQuarters) }},
-		{"three quarters of the relays", func(candidate *settings.Scenario) bool { return fewerRelays(candidate, threeQuarters) }},
-		{"a shorter day", shorter},
-		{"all earlier", earlier},
+		{"half the servers", func(candidate *settings.Scenario) bool { return removeServers(candidate, half) }},
+		{"half the relays", func(candidate *settings.Scenario) bool { return removeRelays(candidate, half) }},
+		{"three quarters of the servers", func(candidate *settings.Scenario) bool { return removeServers(candidate, threeQuarters) }},
+		{"three quarters of the relays", func(candidate *settings.Scenario) bool { return removeRelays(candidate, threeQuarters) }},
+		{"shorter scenario", shorten},
+		{"earlier faults", shiftEarlier},
 	} {
 		if s.try(step.what, step.change) {
 			shrunk = true
@@ -94,7 +97,8 @@
 	return shrunk
 }
 
-// removeFaults removes halves of the faults first, then smaller parts, then single ones.
+// removeFaults tries to remove half of the faults at a time, then ever smaller parts, and single faults last. It
+// reports whether any were removed.
 func (s *shrinker) removeFaults() bool {
 	removed := false
 	for size := (len(s.smallest.Faults) + 1) / 2; size >= 1; size /= 2 {
@@ -103,7 +107,7 @@
 				candidate.Faults = slices.Delete(candidate.Faults, from, min(from+size, len(candidate.Faults)))
 				return true
 			}
-			if s.try("without some troubles", without) {
+			if s.try("fewer faults", without) {
 				removed = true
 				continue
 			}
@@ -113,6 +117,7 @@
 	return removed
 }
 
+// clone copies a scenario including everything that changes modify.
 func clone(original *settings.Scenario) *settings.Scenario {
 	cloned := *original
 	coordinator := *original.Coordinator
@@ -123,55 +128,59 @@
 	return &cloned
 }
 
-// removeOrphans removes the faults of servers and relays that are gone.
-func removeOrphans(candidate *settings.Scenario) {
+// removeOrphanedFaults removes the faults of servers and relays that were removed.
+func removeOrphanedFaults(candidate *settings.Scenario) {
 	site := &candidate.Coordinator.Site
 	candidate.Faults = slices.DeleteFunc(candidate.Faults, func(fault settings.Fault) bool {
 		return fault.Server >= len(site.Servers) || fault.Proxy >= len(site.Proxies)
 	})
 }
 
-func fewerServers(candidate *settings.Scenario, fraction float64) bool {
+// removeServers keeps a fraction of the servers, and reduces the rate of requests in proportion.
+func removeServers(candidate *settings.Scenario, fraction float64) bool {
 	site := &candidate.Coordinator.Site
-	left := int(float64(len(site.Servers)) * fraction)
-	if left < minServers || left == len(site.Servers) {
+	kept := int(float64(len(site.Servers)) * fraction)
+	if kept < minServers || kept == len(site.Servers) {
 		return false
 	}
-	candidate.Rate *= float64(left) / float64(len(site.Servers))
-	site.Servers = site.Servers[:left]
+	candidate.Rate *= float64(kept) / float64(len(site.Servers))
+	site.Servers = site.Servers[:kept]
 	for i := range site.Servers {
 		if int(site.Servers[i].Zone) >= len(site.Zones) {
 			site.Servers[i].Zone = 0
 		}
 	}
-	removeOrphans(candidate)
+	removeOrphanedFaults(candidate)
 	return len(candidate.Faults) > 0
 }
 
-func fewerRelays(candidate *settings.Scenario, fraction float64) bool {
+// removeRelays keeps a fraction of the relays, which then share the whole rate of requests.
+func removeRelays(candidate *settings.Scenario, fraction float64) bool {
 	site := &candidate.Coordinator.Site
-	left := int(float64(len(site.Proxies)) * fraction)
-	if left < minRelays || left == len(site.Proxies) {
+	kept := int(float64(len(site.Proxies)) * fraction)
+	if kept < minRelays || kept == len(site.Proxies) {
 		return false
 	}
-	site.Proxies = site.Proxies[:left]
-	site.DataPlane.Proxies = left
+	site.Proxies = site.Proxies[:kept]
+	site.DataPlane.Proxies = kept
 	for i := range site.Proxies {
-		site.Proxies[i].ExpectedRate = candidate.Rate / float64(left)
+		site.Proxies[i].ExpectedRate = candidate.Rate / float64(kept)
 	}
-	removeOrphans(candidate)
+	removeOrphanedFaults(candidate)
 	return len(candidate.Faults) > 0
 }
 
-// shorter ends the scenario soon after its last fault.
-func shorter(candidate *settings.Scenario) bool {
+// shorten ends the scenario faultFreeTailSeconds after its last fault or, if that saves too little, reduces its
+// length to shortenedFraction of it. It returns false if the scenario would be too short or end before the start of a
+// fault.
+func shorten(candidate *settings.Scenario) bool {
 	lastEnd := 0.0
 	for _, fault := range candidate.Faults {
 		lastEnd = max(lastEnd, fault.At+fault.Duration)
 	}
-	seconds := max(lastEnd+faultFreeEndSeconds, minSeconds)
-	if seconds >= candidate.Seconds-minSavedSeconds {
-		seconds = candidate.Seconds * shorterFraction
+	seconds := max(lastEnd+faultFreeTailSeconds, minSeconds)
+	if seconds >= candidate.Seconds-minShortenedSeconds {
+		seconds = candidate.Seconds * shortenedFraction
 	}
 	if seconds < minSeconds {
 		return false
@@ -183,14 +192,15 @@
 	return true
 }
 
-// earlier moves all faults, and the end, to an earlier time.
-func earlier(candidate *settings.Scenario) bool {
+// shiftEarlier moves all faults and the end of the scenario to an earlier time, so that the first fault starts at
+// firstFaultSeconds.
+func shiftEarlier(candidate *settings.Scenario) bool {
 	first := candidate.Seconds
 	for _, fault := range candidate.Faults {
 		first = min(first, fault.At)
 	}
 	shift := first - firstFaultSeconds
-	if shift <= minEarlierSeconds {
+	if shift <= minShiftSeconds {
 		return false
 	}
 	for i := range candidate.Faults {
@@ -200,7 +210,7 @@
 	return true
 }
 
-// BreaksRule returns a condition for scenarios that break a rule; 0 is any rule.
+// BreaksRule returns a condition that is met by scenarios that break a rule. Rule 0 stands for any rule.
 func BreaksRule(rule int, options scenario.Options) Condition {
 	return func(candidate *settings.Scenario) bool {
 		options := options
@@ -215,7 +225,7 @@
 	}
 }
 
-// ServiceBelow returns a condition for scenarios with a lower service.
+// ServiceBelow returns a condition that is met by scenarios with a service below the given one.
 func ServiceBelow(service float64, options scenario.Options) Condition {
 	return func(candidate *settings.Scenario) bool {
 		options := options
--- a/internal/experiment/sockets_test.go
+++ b/internal/experiment/sockets_test.go
@@ -14,10 +14,11 @@
 const calmScenario = `<experiment name="s" seeds="1"><fleet name="f" servers="8" relays="6" load="0.5"/><case name="c" seconds="14">
 	<trouble kind="slow" at="6" for="4" server="2" factor="3"/></case><arm name="a"/></experiment>`
 
-// The same calm scenario over sockets and in virtual time: called directly and by the event loop over sockets, in lockstep,
-// the coordinator does the same to the last line. Service and entries are those of the simulated network within stated bounds.
+// Runs the same calm scenario with the coordinator called directly and by the event loop over sockets, in lockstep
+// with virtual time: the results must be identical. Compared with the simulated network, service, median latency and
+// the number of entries must agree within bounds.
 func TestSocketsAgreeInLockstep(t *testing.T) {
-	cell := Cells(parse(t, calmScenario))[0]
+	cell := Cells(parseExperiment(t, calmScenario))[0]
 	virtual := runWrapped(t, cell, nil)
 	direct := runWrapped(t, cell, func(program env.Program, _ *settings.Coordinator) env.Program {
 		return &directProgram{Program: program}
@@ -26,17 +27,18 @@
 		return newSocketProgram(t, program, config.Ports(), config.Measurements)
 	})
 	if !reflect.DeepEqual(direct, sockets) {
-		t.Errorf("called directly:\n%+v\nover sockets:\n%+v", direct, sockets)
+		t.Errorf("results differ; called directly:\n%+v\nover sockets:\n%+v", direct, sockets)
 	}
 	if math.Abs(virtual.Service-sockets.Service) > 0.03 || math.Abs(virtual.P50-sockets.P50) > 0.15*virtual.P50+0.01 {
-		t.Errorf("service %.3f and %.3f, median %.3f and %.3f s", virtual.Service, sockets.Service, virtual.P50, sockets.P50)
+		t.Errorf("virtual time and sockets: service %.3f and %.3f, median %.3f and %.3f s", virtual.Service, sockets.Service, virtual.P50, sockets.P50)
 	}
 	if ratio := float64(sockets.Entries) / float64(virtual.Entries); ratio < 0.6 || ratio > 1.6 {
-		t.Errorf("%d lines in virtual time, %d over sockets", virtual.Entries, sockets.Entries)
+		t.Errorf("%d entries in virtual time, %d over sockets", virtual.Entries, sockets.Entries)
 	}
 }
 
-// runWrapped runs a cell in virtual time, with its coordinator in what wrap returns.
+// runWrapped runs a cell in virtual time. If wrap is not nil, the program that it returns for the coordinator runs in
+// the coordinator's place.
 func runWrapped(t *testing.T, cell Cell, wrap func(env.Program, *settings.Coordinator) env.Program) *scenario.Result {
 	t.Helper()
 	built, err := cell.Scenario()
--- a/internal/experiment/stored_test.go
+++ b/internal/experiment/stored_test.go
@@ -26,7 +26,8 @@
 	golden.Bytes(t, "record-indented.json", indented)
 }
 
-// A folder that an earlier version wrote can be read, and its cells have the same names.
+// Records in a folder written by an earlier version can be read, are found under the names of their cells, and are
+// encoded as before.
 func TestStoredFolder(t *testing.T) {
 	folder, experiment, err := OpenExisting("testdata/golden/folder")
 	if err != nil {
@@ -38,7 +39,7 @@
 	}
 	cells := Cells(experiment)
 	if len(cells) == 0 || len(records) != len(cells) {
-		t.Fatalf("%d records of %d cells", len(records), len(cells))
+		t.Fatalf("%d records for %d cells", len(records), len(cells))
 	}
 	for _, cell := range cells {
 		record := records[cell.Name()]
@@ -48,7 +49,7 @@
 		}
 		golden.Bytes(t, "folder/runs/"+cell.Name()+".json", append(again, '\n'))
 		if record.Service == 0 || len(record.Rules) == 0 || reflect.DeepEqual(*record, Record{}) {
-			t.Errorf("%s: %+v", cell.Name(), record)
+			t.Errorf("%s: incomplete record %+v", cell.Name(), record)
 		}
 	}
 }
--- a/internal/experiment/table.go
+++ b/internal/experiment/table.go
@@ -10,31 +10,32 @@
 	"snowquay/internal/console"
 )
 
-// The forms of a table.
+// Forms of a table.
 const (
 	textForm = "text"
 	csvForm  = "csv"
 	jsonForm = "json"
 )
 
+// csvDigits is the number of significant digits in CSV tables.
 const csvDigits = 6
 
-// tableRow is a group's row.
+// tableRow is the row of a group.
 type tableRow struct {
-	Fleet   string              `json:"Fleet"`
-	Case    string              `json:"Case"`
-	Arm     string              `json:"Arm"`
-	Seeds   int                 `json:"Seeds"`
-	Figures map[string]Interval `json:"Figures"` // by the metric's name
+	Fleet     string              `json:"Fleet"`
+	Case      string              `json:"Case"`
+	Arm       string              `json:"Arm"`
+	Seeds     int                 `json:"Seeds"`
+	Intervals map[string]Interval `json:"Figures"` // by name of the metric
 }
 
-// Table writes groups in a form: "csv", "json", or text for any other.
+// Table writes a table with a row for each group. The form is "csv" or "json"; any other value stands for text.
 func Table(w io.Writer, groups []Group, form string) error {
 	var rows []tableRow
 	for _, group := range groups {
-		row := tableRow{Fleet: group.Fleet, Case: group.Case, Arm: group.Arm, Seeds: len(group.Records), Figures: map[string]Interval{}}
+		row := tableRow{Fleet: group.Fleet, Case: group.Case, Arm: group.Arm, Seeds: len(group.Records), Intervals: map[string]Interval{}}
 		for _, metric := range Metrics {
-			row.Figures[metric.Name] = Estimate(group.values(metric))
+			row.Intervals[metric.Name] = Estimate(group.values(metric))
 		}
 		rows = append(rows, row)
 	}
@@ -50,11 +51,11 @@
 }
 
 func writeJSON(w io.Writer, rows []tableRow) error {
-	for _, row := range rows { // JSON has no form for NaN
-		for name, interval := range row.Figures {
+	for _, row := range rows { // JSON cannot encode NaN
+		for name, interval := range row.Intervals {
 			if math.IsNaN(interval.HalfWidth) {
 				interval.HalfWidth = 0
-				row.Figures[name] = interval
+				row.Intervals[name] = interval
 			}
 		}
 	}
@@ -75,7 +76,7 @@
 	for _, row := range rows {
 		fields := []string{row.Fleet, row.Case, row.Arm, strconv.Itoa(row.Seeds)}
 		for _, metric := range Metrics {
-			interval := row.Figures[metric.Name]
+			interval := row.Intervals[metric.Name]
 			fields = append(fields, csvNumber(interval.Mean), csvNumber(interval.HalfWidth))
 		}
 		if err := writer.Write(fields); err != nil {
@@ -97,7 +98,7 @@
 	for _, row := range rows {
 		console.Printf(w, "%-12s %-16s %-12s %5d", row.Fleet, row.Case, row.Arm, row.Seeds)
 		for _, metric := range Metrics {
-			console.Printf(w, " %11.4g", row.Figures[metric.Name].Mean)
+			console.Printf(w, " %11.4g", row.Intervals[metric.Name].Mean)
 		}
 		console.Println(w)
 	}
--- a/internal/golden/golden.go
+++ b/internal/golden/golden.go
@@ -1,5 +1,5 @@
-// Package golden compares encoded values with golden files that an earlier version of the program wrote. A golden file represents
-// data that is in use, stored or on a wire: it is never rewritten to make a test pass.
+// Package golden compares encoded values with golden files that an earlier version of the program wrote. A golden
+// file represents data that is in use, stored or on a wire: it is never rewritten to make a test pass.
 package golden
 
 import (
@@ -40,8 +40,8 @@
 	}
 }
 
-// JSON fails the test unless the JSON form of value equals the golden file with the name, and the file decodes to value. Every
-// exported field of value must be set, so that the comparison covers all fields.
+// JSON fails the test unless the JSON form of value equals the golden file with the name, and the file decodes to
+// value. Every exported field of value must be set, so that the comparison covers all fields.
 func JSON[T any](t *testing.T, name string, value T) {
 	t.Helper()
 	CheckAllFieldsSet(t, name, value)
@@ -59,8 +59,8 @@
 	}
 }
 
-// CheckAllFieldsSet fails the test if an exported field in value, at any depth, has the zero value of its type. Fields with
-// the tag json:"-" are exempt.
+// CheckAllFieldsSet fails the test if an exported field in value, at any depth, has the zero value of its type.
+// Fields with the tag json:"-" are exempt.
 func CheckAllFieldsSet(t *testing.T, name string, value any) {
 	t.Helper()
 	checkFields(t, name, reflect.ValueOf(value))
@@ -97,8 +97,8 @@
 	}
 }
 
-// DumpStore returns the content of a bbolt file as text, with one line for each key: its bucket, the key and the value in the
-// given fmt format.
+// DumpStore returns the content of a bbolt file as text, with one line for each key: its bucket, the key and the
+// value in the given fmt format.
 func DumpStore(t *testing.T, path, format string) []byte {
 	t.Helper()
 	db, err := bolt.Open(path, 0o600, &bolt.Options{ReadOnly: true})
--- a/internal/simwire/events.go
+++ b/internal/simwire/events.go
@@ -77,7 +77,7 @@
 )
 
 // errNoBootInfo means that a Provision event has no settings.
-var errNoBootInfo = errors.New("Provision has no boot-info")
+var errNoBootInfo = errors.New("event Provision has no boot-info")
 
 // newBalancer returns a balancer with the settings and seed of a Provision event.
 func (e *event) newBalancer() (*balancer.Balancer, error) {
@@ -134,7 +134,7 @@
 	numbers := []float64{e.Rate, e.Latency, e.Interval, e.Failed, e.Attempts}
 	for _, number := range append(numbers, e.Load...) {
 		if number < 0 || math.IsInf(number, 0) {
-			return fmt.Errorf("%s has the negative or infinite number %v", e.Type, number)
+			return fmt.Errorf("event %s has the negative or infinite number %v", e.Type, number)
 		}
 	}
 	return nil
@@ -143,7 +143,7 @@
 func (e *event) endpointList() (balancer.EndpointList, error) {
 	scope, ok := listScopes[e.ListScope]
 	if !ok {
-		return balancer.EndpointList{}, fmt.Errorf("Announce has unknown scope %q", e.ListScope)
+		return balancer.EndpointList{}, fmt.Errorf("event Announce has unknown scope %q", e.ListScope)
 	}
 	list := balancer.EndpointList{Scope: scope}
 	for _, listed := range e.Endpoints {
@@ -202,7 +202,7 @@
 func (e *event) healthCheckResult() (balancer.HealthCheckResult, error) {
 	status, ok := healthStatuses[e.Health]
 	if !ok {
-		return balancer.HealthCheckResult{}, fmt.Errorf("PingResult has unknown code %q", e.Health)
+		return balancer.HealthCheckResult{}, fmt.Errorf("event PingResult has unknown code %q", e.Health)
 	}
 	return balancer.HealthCheckResult{
 		Server:  balancer.Server(e.Server),
--- a/internal/simwire/host.go
+++ b/internal/simwire/host.go
@@ -1,5 +1,5 @@
-// Package simwire runs balancers for the simulator. It translates the simulator's JSON lines into events of the decision
-// module, and the module's commands into reply lines.
+// Package simwire runs balancers for the simulator. It translates the simulator's JSON lines into events of the
+// decision module, and the module's commands into reply lines.
 package simwire
 
 import (
@@ -18,8 +18,8 @@
 // errNoClock means that a batch has no time.
 var errNoClock = errors.New("clock is missing")
 
-// host runs the coordinator instances of one stream. The instances share no state; only their commands are written to the
-// same reply line.
+// host runs the coordinator instances of one stream. The instances share no state; only their commands are written to
+// the same reply line.
 type host struct {
 	instances map[int]*instance
 	reply     replyWriter
@@ -85,8 +85,8 @@
 	return next, nil
 }
 
-// handleBatch dispatches the events of a batch in order, runs a round of each instance that received any, and returns the
-// reply.
+// handleBatch dispatches the events of a batch in order, runs a round of each instance that received any, and returns
+// the reply.
 func (h *host) handleBatch(received batch, line int) ([]byte, error) {
 	var due []*instance
 	for i := range received.Events {
@@ -112,7 +112,8 @@
 	return h.reply.finish(), nil
 }
 
-// dispatch applies an event to its instance. It returns the instance if the event requires a round of it, and nil otherwise.
+// dispatch applies an event to its instance. It returns the instance if the event requires a round of it, and nil
+// otherwise.
 func (h *host) dispatch(incoming *event, line int) (*instance, error) {
 	if incoming.Coordinator == nil {
 		return nil, fmt.Errorf("line %d: event %q has no coordinator-id", line, incoming.Type)
--- a/internal/testseed/testseed.go
+++ b/internal/testseed/testseed.go
@@ -15,8 +15,8 @@
 	"rapid.shrinktime": "5s",
 }
 
-// Main implements TestMain: it sets the flags of package rapid, runs the tests and exits. Flags given on the command line
-// take precedence.
+// Main implements TestMain: it sets the flags of package rapid, runs the tests and exits. Flags given on the command
+// line take precedence.
 func Main(m *testing.M) { MainWithFlags(m, defaultFlags) }
 
 // MainWithFlags is Main with the given flag values. Flags that the test binary does not define are ignored.
