--- a/internal/cli/experiment.go
+++ b/internal/cli/experiment.go
@@ -107,7 +107,7 @@
 
 // Run compares two arms of an experiment and prints the differences.
 func (c *experimentCompareCommand) Run(env *environment) error {
-	folder, config, err := experiment.Read(c.Folder)
+	folder, config, err := experiment.OpenExisting(c.Folder)
 	if err != nil {
 		return err
 	}
@@ -129,7 +129,7 @@
 
 // Run writes the report of an experiment and prints the names of the files written.
 func (c *experimentReportCommand) Run(env *environment) error {
-	folder, config, err := experiment.Read(c.Folder)
+	folder, config, err := experiment.OpenExisting(c.Folder)
 	if err != nil {
 		return err
 	}
@@ -156,7 +156,7 @@
 // Run shrinks the scenario of a cell while it still breaks the rule, or its service stays below the limit, and
 // writes the result to a file.
 func (c *experimentShrinkCommand) Run(env *environment) error {
-	_, config, err := experiment.Read(c.Folder)
+	_, config, err := experiment.OpenExisting(c.Folder)
 	if err != nil {
 		return err
 	}
@@ -168,7 +168,7 @@
 	if err != nil {
 		return err
 	}
-	condition := experiment.Breaks(c.Rule, cell.Options())
+	condition := experiment.BreaksRule(c.Rule, cell.Options())
 	if c.Under > 0 {
 		condition = experiment.ServiceBelow(c.Under, cell.Options())
 	}
