--- a/internal/core/forwarding/proxy.go
+++ b/internal/core/forwarding/proxy.go
@@ -26,7 +26,7 @@
 // Request describes a request on arrival.
 type Request struct {
 	Class          balancer.Class
-	IdempotencyKey string // lets servers recognise a retry; empty if the request has none
+	IdempotencyKey string // lets servers recognize a retry; empty if the request has none
 	Fingerprint    uint64 // hash of the request, by which reuse of the key for another request is detected
 }
 
@@ -52,7 +52,7 @@
 }
 
 // Clients receive the texts of these errors as the titles of problem documents. Since the type of these documents is about:blank, a client
-// can tell problems apart only by the title, so the texts must not change.
+// can tell problems with the same status apart only by the title, so the texts must not change.
 var (
 	// ErrNoServer means that no server is eligible for a request.
 	ErrNoServer = errors.New("no server may take it")
@@ -77,7 +77,7 @@
 	AdmissionMode balancer.AdmissionMode
 	Limits        admission.Limits
 	Outliers      outlier.Config
-	Budget        retry.Budget // of each class
+	Budget        retry.Budget // retry budget of each class
 	HedgeAfter    float64      // seconds after which an idempotent request is hedged; 0 disables hedging
 	Locations     map[balancer.Server]retry.Location
 	NewTable      func(class int) picker.Table
