--- a/balancer/interface.go
+++ b/balancer/interface.go
@@ -132,7 +132,7 @@
 // Reporting describes the traffic reports that the coordinator receives from its proxies.
 type Reporting struct {
 	Period           float64      // seconds between two reports of the same kind
-	EntriesPerSecond float64      // maximum rate of the reports
+	EntriesPerSecond float64      // rate of the reports
 	Metrics          []LoadMetric // metrics of a load report, in the order of its values
 	Piggybacked      bool         // load reports are part of the upstream reports
 }
--- a/balancer/state.go
+++ b/balancer/state.go
@@ -45,7 +45,7 @@
 	channel channel
 	random  random.PCG
 	pollAt  float64 // time of the next poll of discovery; infinite if none is due
-	timerAt float64 // time at which the next timer is set
+	timerAt float64 // time at which the pending timer fires and another one is set
 }
 
 // server is the state of one server.
