--- a/internal/core/controlplane/status.go
+++ b/internal/core/controlplane/status.go
@@ -30,7 +30,7 @@
 	TablesAssigned   int // tables assigned
 	JoinsThrottled   int // joins refused by the rate limit
 	TablesRejected   int // tables whose removed entries were restored, since they would have had no ready server
-	Evicted          int // proxies evicted, since they are owned by another coordinator or were reconfigured
+	Evicted          int // joined proxies evicted: owned by another coordinator now, or no longer listed with the same configuration
 }
 
 // ProxyStatus is the update status of a joined proxy.
