--- a/internal/core/membership/command.go
+++ b/internal/core/membership/command.go
@@ -20,7 +20,7 @@
 	ExpireLease                               // a peer did not renew its lease in time
 	ReleaseLease                              // a peer releases its lease
 	StoreRecords                              // server records: phases, start times and the times at which drains began
-	DrainServer                               // an operator ordered a drain of a server or the end of one
+	DrainServer                               // a drain of a server, or the end of a drain, was ordered
 	RegisterMember                            // a coordinator joins the group or changes its address
 	RemoveRegistration                        // a coordinator is permanently removed from the group
 	ClaimProxies                              // a peer takes over proxies that cannot reach their owner and contact that peer instead
--- a/internal/core/membership/ownership.go
+++ b/internal/core/membership/ownership.go
@@ -43,9 +43,9 @@
 	return owner, ok
 }
 
-// Contested reports whether a live peer other than owner may still regard itself as the owner of a proxy, because it may not
-// have applied any epoch later than one in which it was. This prevents two coordinators from owning one proxy while the former owner does
-// not know of the change yet. The cost is that no coordinator manages such a proxy until its former owner has renewed its lease or the
+// Contested reports whether a live peer other than owner may still regard itself as the owner of a proxy, because it may not have applied
+// any epoch later than one in which it was the owner. This prevents two coordinators from owning one proxy while the former owner does not
+// know of the change yet. The cost is that no coordinator manages such a proxy until its former owner has renewed its lease or the
 // lease has expired.
 func (s *State) Contested(uid string, owner Peer) bool {
 	for _, view := range s.PastViews {
