--- a/internal/core/registry/lookup.go
+++ b/internal/core/registry/lookup.go
@@ -63,7 +63,7 @@
 	return slices.Sorted(maps.Keys(r.servers))
 }
 
-// OrderedDrains returns the servers that an operator ordered to drain, sorted by address.
+// OrderedDrains returns the servers with an ordered drain, sorted by address.
 func (r *Registry) OrderedDrains() (all []balancer.Server) {
 	for address, server := range r.servers {
 		if server.DrainOrdered {
--- a/internal/core/registry/registry.go
+++ b/internal/core/registry/registry.go
@@ -40,7 +40,7 @@
 	Phase        balancer.Phase `json:"Phase"`
 	Started      float64        `json:"Started"` // clock time of the latest start; 0: long ago
 	NotifiedAt   float64        `json:"Told"`    // clock time at which its drain or removal became known; 0: in service, or never in service
-	DrainOrdered bool           `json:"Drained"` // an operator ordered a drain, which a new registration does not end
+	DrainOrdered bool           `json:"Drained"` // a drain was ordered, by an operator or by the server itself; a new registration does not end it
 }
 
 // serverState is a known server and the state from which its phase is derived.
