--- a/internal/core/tenancy/directory.go
+++ b/internal/core/tenancy/directory.go
@@ -47,7 +47,7 @@
 	droppedCount   int            // number of outcomes that are no longer stored
 }
 
-// Apply applies a command. A command with an ID that is applied again returns its first outcome.
+// Apply applies a command. If the outcome of a command with the same ID and fingerprint is stored, it returns that outcome instead.
 func (d *Directory) Apply(command Command) Outcome {
 	d.buildIndex()
 	outcome := Outcome{ID: command.ID, Fingerprint: command.Fingerprint}
