--- a/internal/consensus/committed.go
+++ b/internal/consensus/committed.go
@@ -13,7 +13,7 @@
 // Send implements Handler.
 func (g *Group) Send(to ID, message []byte) { g.messenger.Send(to, message) }
 
-// Committed implements Handler. It applies a command to the state and notifies the messenger and pending orders.
+// Committed implements Handler. It applies a command to the state and notifies the lease, the messenger and pending orders.
 func (g *Group) Committed(now float64, _ uint64, data []byte) {
 	g.Stats.Applied++
 	command, err := membership.Decode(data)
--- a/internal/consensus/group.go
+++ b/internal/consensus/group.go
@@ -43,7 +43,7 @@
 // TenantObserver is implemented by a Messenger that is notified of tenant changes.
 type TenantObserver interface {
 	// TenantChanged is called when a change of a tenant is committed. If ticket is not zero, the change was submitted to this coordinator,
-	// and outcome is its outcome. If name is empty, any tenant may have changed.
+	// and outcome is its outcome unless OrdersCompleted rejects the ticket. If name is empty, any tenant may have changed.
 	TenantChanged(now float64, name tenancy.Name, ticket membership.Ticket, outcome tenancy.Outcome)
 }
 
--- a/internal/consensus/node.go
+++ b/internal/consensus/node.go
@@ -93,7 +93,7 @@
 	heartbeatAt float64
 	confState   *raftpb.ConfState
 
-	applied         uint64 // index of the newest entry that was passed to the handler
+	applied         uint64 // index of the newest entry or snapshot that was applied
 	snapshotIndex   uint64
 	snapshotDue     bool   // create a snapshot regardless of the log's length
 	confChangeIndex uint64 // index of the configuration change that was proposed last; 0 after it is applied
@@ -194,7 +194,7 @@
 // Leader returns the ID of the node that this node considers the leader, or 0.
 func (n *Node) Leader() ID { return ID(n.raw.BasicStatus().Lead) }
 
-// AppliedIndex returns the index of the newest log entry that the node has applied.
+// AppliedIndex returns the index of the newest log entry or snapshot that the node has applied.
 func (n *Node) AppliedIndex() uint64 { return n.applied }
 
 // CommitIndex returns the index up to which the node durably knows that log entries are committed.
--- a/internal/consensus/propose.go
+++ b/internal/consensus/propose.go
@@ -28,7 +28,7 @@
 }
 
 // flush proposes unsent commands if a leader is known. A lease renewal that was queued for a long time is harmless: its lease is counted from
-// the time of the proposal. An error is final for the node.
+// the time at which the renewal was created, before it was queued. An error is final for the node.
 func (g *Group) flush(now float64) error {
 	for len(g.unsent) > 0 && g.Node.Leader() != 0 {
 		command := g.unsent[0]
