--- a/internal/coordinator/member.go
+++ b/internal/coordinator/member.go
@@ -208,8 +208,8 @@
 	}
 }
 
-// Leave releases the member's lease. It reports whether the group has committed the release; the caller repeats the call until it
-// has.
+// Leave releases the member's lease. It reports whether the lease has ended in the committed state of the group, or can't be
+// released because the member has failed. The caller repeats the call until it returns true.
 func (m *Member) Leave(now float64) (released bool) {
 	if !m.leaving {
 		m.leaving = true
--- a/internal/coordinator/sharing.go
+++ b/internal/coordinator/sharing.go
@@ -67,8 +67,9 @@
 	return c.peers.Drain(now, server, draining)
 }
 
-// RequestDrain orders a drain or the end of a drain for an administrator. done is called once: with true when the order is
-// accepted by the group and durable, or with false when it is rejected.
+// RequestDrain orders a drain or the end of a drain for an administrator. done is called once: with true when the order is in
+// effect and durable (in a group: when the group has accepted it), otherwise with false. After false the order may still be in
+// effect, or take effect later.
 func (c *Coordinator) RequestDrain(now float64, server balancer.Server, draining bool, done func(ok bool)) {
 	ticket, ok := c.OrderDrain(now, server, draining)
 	if !ok {
--- a/internal/coordinator/tenant.go
+++ b/internal/coordinator/tenant.go
@@ -74,8 +74,8 @@
 // SetTimer implements env.IO.
 func (t *tenantIO) SetTimer(at float64, _ int) { t.host.Scheduler.ScheduleAt(t.tenant, at) }
 
-// Drain orders a drain of a tenant's server or the end of the drain. done is called once: with true when the order is
-// accepted and durable, or with false when it is rejected.
+// Drain orders a drain of a tenant's server or the end of the drain. done is called once, with the
+// meaning that it has in Coordinator.RequestDrain.
 func (h *Host) Drain(now float64, name tenancy.Name, server balancer.Server, draining bool, done func(ok bool)) {
 	tenant := h.running(name)
 	if tenant == nil {
