--- a/internal/core/pacing/queue.go
+++ b/internal/core/pacing/queue.go
@@ -175,7 +175,8 @@
 	return w
 }
 
-// schedule adds a waiter to the ready list or the delayed heap, unless it is in either or has no queued entries.
+// schedule adds a waiter to the ready list or the delayed heap, unless it is in either, is suspended or has no queued
+// entries.
 func (q *Queue) schedule(now float64, w *waiter) {
 	if w.suspended || w.ready || w.InHeap() || w.entries <= 0 {
 		return
