--- a/internal/core/saspsession/weights.go
+++ b/internal/core/saspsession/weights.go
@@ -186,8 +186,8 @@
 }
 
 // appendFallback is for a relay that does not trust members and none of whose own members has an entry in the table. It
-// gives all of these members that are ready equal weights, so that the relay is not left without any entry because its
-// table consists of servers that it does not accept. The disadvantage is that the few members of the relay may be just
+// gives equal weights to all of these members that are ready and not quiesced, so that the relay is not left without any
+// entry because its table consists of servers that it does not accept. The disadvantage is that the few members of the relay may be just
 // those that are meant to get no requests.
 func (s *Server) appendFallback(message *sasp.Message) {
 	removed := s.removedRows[:0]
