--- a/internal/consensus/confchange_test.go
+++ b/internal/consensus/confchange_test.go
@@ -43,8 +43,8 @@
 	return 0
 }
 
-// One coordinator of three is lost permanently and replaced by one with a new ID. The group remains available during the replacement and
-// after the loss of a second coordinator.
+// One coordinator of three is lost permanently and replaced by one with a new ID. All proxies have an owner soon after the replacement, and
+// also after the loss of a second coordinator. The first one holds no lease when it returns.
 func TestLostCoordinatorIsReplaced(t *testing.T) {
 	c := newCluster(t, 3, 4)
 	c.heal()
@@ -56,15 +56,15 @@
 	c.run(8)
 	alive := replacement.group.State.AliveMembers()
 	if voters := c.voters(t); voters != 3 || c.unownedFor > 0 || len(alive) != 3 || !replacement.holdsLease() {
-		t.Fatalf("%d voters, alive %v, some proxies had no owner for %.1f s", voters, alive, c.unownedFor)
+		t.Fatalf("%d voters, alive %v, want 3 of each and a lease of the new one; some proxies have had no owner for %.1f s, want 0", voters, alive, c.unownedFor)
 	}
 	c.nodes[1].kill() // a majority of the three new members remains
 	if c.run(9); c.unownedFor > 0 || c.conflict != "" {
-		t.Errorf("some proxies had no owner for %.1f s, %s", c.unownedFor, c.conflict)
+		t.Errorf("9 s after the loss some proxies have had no owner for %.1f s, want 0; conflict: %s", c.unownedFor, c.conflict)
 	}
 	c.nodes[3].start() // the lost coordinator returns with its old storage
 	if c.run(9); c.nodes[3].holdsLease() || c.conflict != "" {
-		t.Error("a removed coordinator holds a lease again")
+		t.Error("a removed coordinator holds a lease again, or a proxy had two owners")
 	}
 	invalid := replacement.group.Stats.Invalid
 	c.remove(3, 4) // a second time
@@ -74,7 +74,7 @@
 	}
 }
 
-// A removed coordinator that is still running stops by itself, and the others take over its proxies.
+// A coordinator that is removed while it runs loses its lease, and the others take over its proxies.
 func TestRunningCoordinatorIsRemoved(t *testing.T) {
 	c := newCluster(t, 5, 6)
 	c.heal()
@@ -85,11 +85,12 @@
 		t.Error("the removed coordinator still holds its lease")
 	}
 	if voters := c.voters(t); voters != 4 || c.unownedFor > 0 || c.conflict != "" {
-		t.Errorf("%d voters, some proxies had no owner for %.1f s, %s", voters, c.unownedFor, c.conflict)
+		t.Errorf("%d voters, want 4; some proxies have had no owner for %.1f s, want 0; conflict: %s", voters, c.unownedFor, c.conflict)
 	}
 }
 
-// No proxy ever has two owners while members are added and removed, and others are killed, paused and partitioned.
+// No proxy ever has two owners while members are added and removed, and others are killed, paused and partitioned. All proxies have an owner
+// 20 s after the last fault.
 func TestMembersChangeDuringFaults(t *testing.T) {
 	for seed := range max(10, *seeds/3) {
 		c := newCluster(t, 3, 100+seed)
@@ -137,7 +138,7 @@
 	victim.storage = &old
 	victim.start()
 	if err := c.runUntilError(victim, 300); !errors.Is(err, ErrLogTruncated) {
-		t.Errorf("the node continues with a log that lacks entries it has acknowledged: %v", err)
+		t.Errorf("a node with a log that lacks entries it has acknowledged has the error %v, want ErrLogTruncated", err)
 	}
 }
 
--- a/internal/consensus/file_storage_test.go
+++ b/internal/consensus/file_storage_test.go
@@ -32,7 +32,7 @@
 	t.Run("survives a restart", func(t *testing.T) { testFileSurvivesRestart(t, path) })
 	t.Run("belongs to one node", func(t *testing.T) {
 		if _, err := OpenFileStorage(path, 2); !errors.Is(err, ErrWrongOwner) {
-			t.Errorf("opened the data directory of another node: %v", err)
+			t.Errorf("opening the data directory of another node: error %v, want ErrWrongOwner", err)
 		}
 	})
 	t.Run("rejects a truncated file", func(t *testing.T) { testTruncatedFiles(t, path) })
@@ -48,7 +48,7 @@
 	applied := group.Node.AppliedIndex()
 	renewal := group.State.Members["c1"].Renewal
 	if applied < 30 || renewal < 20 {
-		t.Fatalf("%d commands, %d renewals", applied, renewal)
+		t.Fatalf("%d entries applied, want at least 30; lease renewal %d, want at least 20", applied, renewal)
 	}
 	closeTestStorage(t, f)
 
@@ -56,11 +56,13 @@
 	group = newTestGroup(t, node, f, config)
 	tick(t, node, group, 3000, stepSeconds)
 	if group.Node.AppliedIndex() <= applied || group.State.Members["c1"].Renewal <= renewal || group.Stats.Restored != 1 {
-		t.Errorf("after a restart: %d commands, renewal %d, %+v", group.Node.AppliedIndex(), group.State.Members["c1"].Renewal, group.Stats)
+		t.Errorf("after a restart: %d entries applied, lease renewal %d, want more than before; want one restored snapshot in %+v", group.Node.AppliedIndex(), group.State.Members["c1"].Renewal, group.Stats)
 	}
 	closeTestStorage(t, f)
 }
 
+// testTruncatedFiles checks that a file of which less than half is left is rejected. Larger parts may be accepted, but must not cause a
+// panic.
 func testTruncatedFiles(t *testing.T, path string) {
 	content, err := os.ReadFile(path)
 	if err != nil {
@@ -95,6 +97,6 @@
 		t.Fatal(err)
 	}
 	if _, err := f.Load(); !errors.Is(err, ErrCorrupt) {
-		t.Errorf("loaded a record with a flipped bit: %v", err)
+		t.Errorf("loading a record with a flipped bit: error %v, want ErrCorrupt", err)
 	}
 }
--- a/internal/consensus/golden_test.go
+++ b/internal/consensus/golden_test.go
@@ -87,14 +87,14 @@
 	}
 	want := goldenPersistentState(t)
 	if !proto.Equal(got.HardState, want.HardState) || !proto.Equal(got.Snapshot, want.Snapshot) || len(got.Entries) != len(want.Entries) {
-		t.Errorf("%+v, want %+v", got, want)
+		t.Errorf("loaded %+v, want %+v", got, want)
 	}
 	for i, e := range got.Entries {
 		if !proto.Equal(e, want.Entries[i]) {
-			t.Errorf("entry %d: %+v", i, e)
+			t.Errorf("entry %d is %+v, which is not the stored one", i, e)
 		}
 	}
 	if f.DataDirID() != goldenDataDirID || !maps.Equal(f.PeerDataDirs(), map[ID]uint64{2: 0x22}) {
-		t.Errorf("data directory ID %x, IDs of peers %v", f.DataDirID(), f.PeerDataDirs())
+		t.Errorf("data directory ID %x, want 102030405060708; IDs of peers %v, want 0x22 of peer 2", f.DataDirID(), f.PeerDataDirs())
 	}
 }
--- a/internal/consensus/group_test.go
+++ b/internal/consensus/group_test.go
@@ -28,8 +28,8 @@
 	return c
 }
 
-// While coordinators are killed, paused, partitioned and restarted, no proxy ever has two owners and all coordinators have the same state.
-// After the faults, all proxies have an owner.
+// While coordinators are killed, paused, partitioned and restarted, no proxy ever has two owners. After the faults, all proxies have an
+// owner, and coordinators that have applied the same entries have the same state.
 func TestProxyNeverHasTwoOwners(t *testing.T) {
 	for seed := range *seeds {
 		c := runWithFaults(t, seed, false)
@@ -45,7 +45,7 @@
 			group := c.nodes[id].group
 			got, _ := group.State.Snapshot()
 			if group.Node.AppliedIndex() == first.Node.AppliedIndex() && string(got) != string(want) {
-				t.Errorf("seed %d: %d has a different state:\n%s\n%s", seed, id, got, want)
+				t.Errorf("seed %d: state of %d differs from that of 1:\n%s\n%s", seed, id, got, want)
 			}
 		}
 	}
@@ -80,7 +80,7 @@
 	c.longestUnowned = 0
 	c.run(8)
 	if c.longestUnowned > 5 || c.longestUnowned < 2 || c.unownedFor > 0 {
-		t.Errorf("some proxies had no owner for %.1f s", c.longestUnowned)
+		t.Errorf("some proxies had no owner for %.1f s, want 2 to 5 s, and an owner for all proxies after 8 s", c.longestUnowned)
 	}
 	for _, id := range c.members {
 		group := c.nodes[id].group
@@ -96,7 +96,7 @@
 	c.run(1)
 	other.kill()
 	if c.run(3); c.longestUnowned > 0.5 {
-		t.Errorf("the takeover from a coordinator that released its lease took %.2f s", c.longestUnowned)
+		t.Errorf("the takeover from a coordinator that released its lease took %.2f s, want 0.5 s at most", c.longestUnowned)
 	}
 	if c.run(5); c.unownedFor == 0 {
 		t.Error("one coordinator of three still owns proxies without a majority")
@@ -116,7 +116,7 @@
 	c.heal()
 	c.run(8)
 	if c.unownedFor > 0 || c.conflict != "" {
-		t.Errorf("after the restart: some proxies had no owner for %.1f s, %s", c.unownedFor, c.conflict)
+		t.Errorf("8 s after the restart some proxies have had no owner for %.1f s, want 0; conflict: %s", c.unownedFor, c.conflict)
 	}
 }
 
@@ -133,18 +133,18 @@
 		t.Error("the drain was accepted although a coordinator with a valid lease has not applied it")
 	}
 	if c.run(2); len(node.accepted) != 1 || node.accepted[0] != first {
-		t.Errorf("accepted %v", node.accepted)
+		t.Errorf("after the pause: accepted %v, want only the first drain", node.accepted)
 	}
 	c.nodes[2].kill()
 	c.run(0.1)
 	second, _ := node.group.Drain(node.clock(), "b", true)
 	if c.run(5); len(node.accepted) != 2 || node.accepted[1] != second {
-		t.Errorf("after a coordinator was killed: accepted %v", node.accepted)
+		t.Errorf("after a coordinator was killed: accepted %v, want also the second drain", node.accepted)
 	}
 	c.nodes[3].kill()
 	third, _ := node.group.Drain(node.clock(), "c", true)
 	if c.run(10); len(node.rejected) != 1 || node.rejected[0] != third || len(node.accepted) != 2 {
-		t.Errorf("without a majority: rejected %v, accepted %v", node.rejected, node.accepted)
+		t.Errorf("without a majority: rejected %v, want the third drain; accepted %v, want the first two", node.rejected, node.accepted)
 	}
 }
 
@@ -165,7 +165,7 @@
 	}
 	c.heal()
 	if c.run(6); c.longestUnowned > 5 || c.unownedFor > 0 || c.conflict != "" {
-		t.Errorf("flapping: some proxies had no owner for %.1f s, %s", c.longestUnowned, c.conflict)
+		t.Errorf("flapping: some proxies had no owner for %.1f s, want 5 s at most, and an owner for all in the end; conflict: %s", c.longestUnowned, c.conflict)
 	}
 	lagging := c.nodes[c.members[2]]
 	c.partitioned[link{first.id, lagging.id}] = true
@@ -181,7 +181,7 @@
 	c.run(9)
 	records := len(lagging.group.State.Records)
 	if c.longestUnowned > 6 || c.unownedFor > 0 || c.conflict != "" || records < 280 { // some proposals are lost in transit
-		t.Errorf("catching up: some proxies had no owner for %.1f s, %s, %d records", c.longestUnowned, c.conflict, records)
+		t.Errorf("catching up: some proxies had no owner for %.1f s, want 6 s at most, and an owner for all in the end; conflict: %s; %d records, want at least 280", c.longestUnowned, c.conflict, records)
 	}
 }
 
--- a/internal/consensus/history_test.go
+++ b/internal/consensus/history_test.go
@@ -280,7 +280,7 @@
 		}
 	}
 	if applied < 1000 || accepted < 50 {
-		t.Errorf("%d orders applied, %d drains accepted: too few for a meaningful check", applied, accepted)
+		t.Errorf("%d orders applied, %d drains accepted: too few for a meaningful check, want at least 1000 and 50", applied, accepted)
 	}
 }
 
--- a/internal/consensus/repeated_order_test.go
+++ b/internal/consensus/repeated_order_test.go
@@ -22,6 +22,6 @@
 		node.group.Committed(node.clock(), 0, data)
 	}
 	if len(node.group.State.Drains) != 0 || len(node.drains) != 0 {
-		t.Errorf("active drains %v, reported drains %v", node.group.State.Drains, node.drains)
+		t.Errorf("active drains %v, reported drains %v, want none", node.group.State.Drains, node.drains)
 	}
 }
--- a/internal/consensus/snapshot_orders_test.go
+++ b/internal/consensus/snapshot_orders_test.go
@@ -89,7 +89,7 @@
 				t.Fatalf("the change was not answered exactly once: accepted %v, rejected %v", lagging.accepted, lagging.rejected)
 			}
 			if confirmed != test.confirmed {
-				t.Errorf("unexpected confirmation: %t", confirmed)
+				t.Errorf("the change was confirmed: %t, want the opposite", confirmed)
 			}
 			decided, _ := leader.group.State.Directory.FindOutcome(test.command.ID)
 			if confirmed && lagging.outcomes[ticket] != decided {
--- a/internal/consensus/snapshot_random_test.go
+++ b/internal/consensus/snapshot_random_test.go
@@ -109,8 +109,8 @@
 	r.run(4 * r.orderRandom.Float64())
 }
 
-// check compares the states of all coordinators with each other, and the outcomes, drains and records that were reported to callers and
-// processes with these states. It returns the number of restored snapshots.
+// check compares the states of coordinators that have applied the same entries, and compares the outcomes, drains and records that were
+// reported to callers and processes with the states. It returns the number of restored snapshots.
 func (r *snapshotRun) check(t *testing.T, seed uint64) (snapshots int) {
 	t.Helper()
 	first := r.nodes[r.members[0]].group
@@ -119,7 +119,7 @@
 		node := r.nodes[id]
 		got, _ := node.group.State.Snapshot()
 		if node.group.Node.AppliedIndex() == first.Node.AppliedIndex() && string(got) != string(want) {
-			t.Errorf("seed %d: %d has a different state:\n%s\n%s", seed, id, got, want)
+			t.Errorf("seed %d: state of %d differs from that of the first coordinator:\n%s\n%s", seed, id, got, want)
 		}
 		snapshots += node.group.Stats.Restored
 		reported := slices.Sorted(maps.Keys(node.drains))
@@ -137,7 +137,7 @@
 	return snapshots
 }
 
-// checkRecords checks that every process was notified of every server start.
+// checkRecords checks that every process either started with the latest record of each server or was notified of it.
 func (r *snapshotRun) checkRecords(t *testing.T, seed uint64) {
 	t.Helper()
 	for _, id := range r.members {
@@ -160,7 +160,7 @@
 		}
 	}
 	if answers != 1 {
-		t.Errorf("seed %d: order %d at %d was answered %d times", seed, call.ticket, call.node.id, answers)
+		t.Errorf("seed %d: order %d at %d was answered %d times, want once", seed, call.ticket, call.node.id, answers)
 	}
 	if call.tenant == nil || !slices.Contains(call.node.accepted, call.ticket) {
 		return
@@ -182,8 +182,9 @@
 	versions[outcome.Version] = call.tenant.ID
 }
 
-// Coordinators restore snapshots while drains and tenant changes are submitted. All coordinators must have the same state, every caller must
-// receive exactly one outcome, the one that was decided, and every process must be notified of exactly the active drains.
+// Coordinators restore snapshots while drains and tenant changes are submitted. Coordinators that have applied the same entries must have the
+// same state. Every caller whose process still runs must receive exactly one outcome, the one that was decided, and every process must be
+// notified of exactly the active drains.
 func TestOrdersAcrossSnapshots(t *testing.T) {
 	snapshots := 0
 	for seed := range *snapshotSeeds {
--- a/internal/coordinator/host_group_test.go
+++ b/internal/coordinator/host_group_test.go
@@ -161,7 +161,7 @@
 }
 
 // All hosts get commands at the same time to create more tenants in total than they have capacity for, and one of the hosts is
-// killed meanwhile. No more tenants are created than there is capacity for, and all hosts have the same tenants.
+// killed meanwhile. As many tenants are created as there is capacity for, and the remaining hosts have the same tenants.
 func TestTenantCapacityAcrossHosts(t *testing.T) {
 	const capacity = 7
 	g := newHostGroup(t, capacity)
@@ -202,6 +202,6 @@
 		}
 	}
 	if len(directories) != 1 || created > capacity {
-		t.Errorf("%d creations were confirmed; the hosts have the tenants %v, want the same on all", created, directories)
+		t.Errorf("%d creations were confirmed, want 7 at most; the hosts have the tenants %v, want the same on all", created, directories)
 	}
 }
--- a/internal/coordinator/host_panics_test.go
+++ b/internal/coordinator/host_panics_test.go
@@ -74,7 +74,7 @@
 	p.host.Drain(p.net.Now(), tenantName(1), "127.16.4.1:18080", true, func(bool) {})
 	p.run(0.5)
 	if len(neighbour.rows) == rows || neighbour.closed != 0 {
-		t.Errorf("a drain of the neighbour was not sent while the tenant is down: %d new rows", len(neighbour.rows)-rows)
+		t.Errorf("while the tenant is down, its neighbour's drain was not sent or its proxy was disconnected: %d new rows", len(neighbour.rows)-rows)
 	}
 
 	p.run(1.5)
@@ -108,7 +108,7 @@
 	}
 	for i := 1; i < len(downtimes); i++ {
 		if downtimes[i] < 1.3*downtimes[i-1] {
-			t.Errorf("tenant was down for %.1f s after the panics, want increasing times", downtimes)
+			t.Errorf("tenant was down for %.1f s after the panics, want at least 1.3 times the previous time after each", downtimes)
 		}
 	}
 }
--- a/internal/coordinator/host_test.go
+++ b/internal/coordinator/host_test.go
@@ -71,7 +71,7 @@
 	proxy := f.connectProxy(0)
 	f.run(3)
 	if len(proxy.codes) != 2 || proxy.codes[1] != sasp.OK || len(proxy.rows) == 0 {
-		t.Errorf("the proxy has received no table: codes %v, %d rows", proxy.codes, len(proxy.rows))
+		t.Errorf("the proxy received the codes %v, want two of which the second is OK; %d rows, want some", proxy.codes, len(proxy.rows))
 	}
 
 	confirmed := false
@@ -89,7 +89,7 @@
 		}
 	}
 	if len(proxy.rows) == 0 || weight != 0 {
-		t.Errorf("the drain is lost: %d rows, weight %d, want 0", len(proxy.rows), weight)
+		t.Errorf("the drain is lost: %d rows, weight of the drained server is %d, want 0", len(proxy.rows), weight)
 	}
 }
 
--- a/internal/coordinator/member_test.go
+++ b/internal/coordinator/member_test.go
@@ -119,18 +119,18 @@
 	return g.members[id].Group.Lease.Valid(g.net.Now())
 }
 
-// Members are killed, frozen and partitioned in turn. Each proxy has at most one owner at any time, and has an owner again
-// soon after each fault.
+// Members are killed, frozen and partitioned in turn, and one is restarted with a wrong key. Each proxy has at most one owner
+// at any time, and has an owner again soon after the kill, the partition and the restart.
 func TestProxyOwnershipUnderFaults(t *testing.T) {
 	g := newStoredGroup(t)
 	g.run(5)
 	if g.owned != testProxies {
-		t.Fatalf("%d of %d proxies have an owner initially", g.owned, testProxies)
+		t.Fatalf("%d of %d proxies have an owner initially, want all", g.owned, testProxies)
 	}
 	g.kill(1)
 	g.run(7)
 	if g.owned != testProxies {
-		t.Errorf("%d proxies have an owner after a member was killed", g.owned)
+		t.Errorf("%d proxies have an owner after a member was killed, want all 20", g.owned)
 	}
 	g.start(1, testGroupKey)
 	g.run(3)
@@ -142,12 +142,12 @@
 	g.net.Cut(isolatedZone, zones, true)
 	g.run(8)
 	if g.members[3].Owns(g.net.Now(), testProxyUID(1)) || g.holdsLease(3) {
-		t.Error("a member without a quorum owns proxies")
+		t.Error("a member without a quorum owns a proxy or holds a lease")
 	}
 	g.net.Cut(isolatedZone, zones, false)
 	g.run(6)
 	if g.owned != testProxies || g.conflict != "" {
-		t.Errorf("%d proxies have an owner after the partition has ended; conflict: %s", g.owned, g.conflict)
+		t.Errorf("%d proxies have an owner after the partition has ended, want all 20; conflict: %s", g.owned, g.conflict)
 	}
 
 	g.kill(2)
@@ -155,6 +155,6 @@
 	epoch := g.members[1].Group.State.Epoch
 	g.run(8)
 	if g.holdsLease(2) || g.owned != testProxies || g.members[1].Group.State.Epoch == epoch {
-		t.Error("a member with another key participates in the group, or its proxies have no new owner")
+		t.Error("a member with another key holds a lease, some proxies have no owner, or the epoch has not changed")
 	}
 }
--- a/internal/coordinator/peer_sequences_test.go
+++ b/internal/coordinator/peer_sequences_test.go
@@ -58,7 +58,7 @@
 		}
 		for id, member := range g.members {
 			if member.Failed != nil || !g.holdsLease(id) {
-				rt.Errorf("member %d: error %v, holds its lease: %t", id, member.Failed, g.holdsLease(id))
+				rt.Errorf("member %d: error %v, holds its lease: %t; want no error, true", id, member.Failed, g.holdsLease(id))
 			}
 		}
 	})
--- a/internal/frontend/platform/clients_test.go
+++ b/internal/frontend/platform/clients_test.go
@@ -22,7 +22,7 @@
 	conn := sim.client.dial(slices.Concat(readinessCheck, hello("a")))
 	sim.net.Run(1001.5)
 	if sim.client.received[conn] != readyResponse || len(sim.relay.weights) != 3 || sim.relay.assignedAt[4] == 0 {
-		t.Fatalf("response %q, %d weights set, proxy assigned a table at %g", sim.client.received[conn], len(sim.relay.weights), sim.relay.assignedAt[4])
+		t.Fatalf("response %q, %d weights set, proxy assigned a table at %g; want hb_ok, 3, and a time other than 0", sim.client.received[conn], len(sim.relay.weights), sim.relay.assignedAt[4])
 	}
 	sim.client.io.Send(conn, resp.Append(nil, "upstream_stats", "az", "a", "host", "s-1", "n", "12", "bad", "3", "avg", "41.7", "window", "1000.0",
 		"report", "queue:7,util:0.61,other:2"))
@@ -106,11 +106,11 @@
 	for _, conn := range sim.client.conns {
 		closedAt := sim.client.closedAt[conn]
 		if closedAt == 0 || closedAt-sim.client.openedAt[conn] > 1.05 {
-			t.Errorf("client that sent %.30q was not closed within a second; closed at %g", sim.client.greetings[conn], closedAt)
+			t.Errorf("client that sent %.30q was not closed within 1.05 s; closed at %g, 0 if still open", sim.client.greetings[conn], closedAt)
 		}
 	}
 	if len(sim.program.clients) != 0 || len(sim.program.unidentified) != 0 || sim.relay.calls > 3 {
-		t.Errorf("unidentified clients are left (%d clients), or too many calls were made (%d)", len(sim.program.clients), sim.relay.calls)
+		t.Errorf("%d clients are left, want none, identified or not; the relay got %d calls, want 3 at most", len(sim.program.clients), sim.relay.calls)
 	}
 }
 
--- a/internal/frontend/platform/discovery_watch_test.go
+++ b/internal/frontend/platform/discovery_watch_test.go
@@ -24,7 +24,7 @@
 		sim.discovery.publish(false, server("s-2", "ready"))
 		sim.net.Run(1003)
 		if sim.relay.inTable("s-3") || !strings.Contains(sim.discovery.lastWatchRequest(), "index=0 ") {
-			t.Errorf("unreadable %s: after a second s-3 is in the table: %v, want false; watch requests %q", what, sim.relay.inTable("s-3"), sim.discovery.watchRequests)
+			t.Errorf("unreadable %s: after a second s-3 is in the table: %v, want false; watch requests %q, want index=0 in the last", what, sim.relay.inTable("s-3"), sim.discovery.watchRequests)
 		}
 	}
 }
@@ -50,7 +50,7 @@
 	sim.discovery.sendToWatchers(encodeList(2, false, server("s-2", "draining")) + "\n")
 	sim.net.Run(1062.1)
 	if sim.relay.inTable("s-2") || len(sim.discovery.watchers) == 0 {
-		t.Errorf("draining server s-2 is in the table: %v; %d watches are open", sim.relay.inTable("s-2"), len(sim.discovery.watchers))
+		t.Errorf("draining server s-2 is in the table: %v, want false; %d watches are open, want some", sim.relay.inTable("s-2"), len(sim.discovery.watchers))
 	}
 }
 
--- a/internal/frontend/platform/faults_test.go
+++ b/internal/frontend/platform/faults_test.go
@@ -90,7 +90,7 @@
 func (s *faultScenario) check(t *rapid.T) {
 	for id, state := range s.states {
 		if s.relay.inTable(id) != (state == discovery.Ready) {
-			t.Fatalf("server %s is %s, in the table: %v", id, state, s.relay.inTable(id))
+			t.Fatalf("server %s is %s, in the table: %v; want only ready servers in it", id, state, s.relay.inTable(id))
 		}
 	}
 	for proxy := range s.relay.zones {
@@ -99,6 +99,6 @@
 		}
 	}
 	if connections := len(s.relay.readers); connections > 3 {
-		t.Fatalf("%d connections to the relay are open, want at most 3", connections)
+		t.Fatalf("%d connections to the relay are open, want 3 at most", connections)
 	}
 }
--- a/internal/frontend/platform/relay_test.go
+++ b/internal/frontend/platform/relay_test.go
@@ -74,7 +74,7 @@
 	sim.discovery.publish(false, server("s-2", "draining"))
 	sim.net.Run(1005)
 	if !sim.program.channelStalled(1005) || sim.program.commands.Pending() > pending || !sim.program.relay.channelStalled {
-		t.Errorf("%d commands are pending, %d before; latest round was given ChannelStalled: %v, want true", sim.program.commands.Pending(), pending, sim.program.relay.channelStalled)
+		t.Errorf("%d commands are pending, want no more than the %d before; latest round was given ChannelStalled: %v, want true", sim.program.commands.Pending(), pending, sim.program.relay.channelStalled)
 	}
 }
 
@@ -222,6 +222,6 @@
 	newDiscovery.publish(false, server("s-3", "draining"))
 	sim.net.Run(1003.1)
 	if relay.inTable("s-3") || relay.calls == 0 {
-		t.Errorf("%d calls to the new relay; draining server s-3 is in the table: %v", relay.calls, relay.inTable("s-3"))
+		t.Errorf("%d calls to the new relay, want some; draining server s-3 is in the table: %v, want false", relay.calls, relay.inTable("s-3"))
 	}
 }
--- a/internal/frontend/platform/scale_test.go
+++ b/internal/frontend/platform/scale_test.go
@@ -77,10 +77,10 @@
 	}
 	checkTables(t, sim.relay, drained)
 	if sim.relay.largestCall > jsonrpc.MaxCallBytes || sim.program.commands.Dropped > 0 {
-		t.Errorf("largest call has %d bytes, %d commands were dropped", sim.relay.largestCall, sim.program.commands.Dropped)
+		t.Errorf("largest call has %d bytes, want jsonrpc.MaxCallBytes at most; %d commands were dropped, want none", sim.relay.largestCall, sim.program.commands.Dropped)
 	}
 	if malformed := sim.program.counts.malformed + sim.program.endpoints.Malformed; malformed > 0 {
-		t.Errorf("%d malformed messages", malformed)
+		t.Errorf("%d malformed messages, want none", malformed)
 	}
 }
 
--- a/internal/frontend/platform/sockets_test.go
+++ b/internal/frontend/platform/sockets_test.go
@@ -51,7 +51,7 @@
 	setup.eventually(t, "the removal is known to be applied", func(p *Program) bool { return !p.commands.InFlight() && p.commands.Pending() == 0 })
 	setup.inspect(func(_ float64, p *Program) {
 		if p.commands.Resends != 1 || !p.proxies.Contains(1) {
-			t.Errorf("%d calls were resent, want 1; proxy 1 is joined: %v", p.commands.Resends, p.proxies.Contains(1))
+			t.Errorf("%d calls were resent, want 1; proxy 1 is joined: %v, want true", p.commands.Resends, p.proxies.Contains(1))
 		}
 	})
 }
@@ -213,12 +213,12 @@
 	_ = conn.CloseWrite()
 	answer, err := io.ReadAll(conn)
 	if string(answer) != readyResponse {
-		t.Errorf("response %q, error %v", answer, err)
+		t.Errorf("response to a half-closed client is %q, error %v; want hb_ok", answer, err)
 	}
 }
 
-// The timeout of an unidentified client and the rest of its first message are handled in one iteration of the event loop:
-// the client may be rejected or accepted, but an accepted client stays connected.
+// The rest of a client's first message and the timeout for its identification are handled in one iteration of the event
+// loop, the message first: the client is accepted, and the timeout does not disconnect it.
 func TestIdentificationAtTheTimeout(t *testing.T) {
 	setup := startOnSockets(t)
 	conn := setup.dial(t)
@@ -232,7 +232,7 @@
 		p.Receive(late.acceptedAt+identifyTimeout, late.conn, message[9:]) // the message is handled before the timeout
 		p.TimerFired(late.acceptedAt+identifyTimeout+maintenanceInterval, 0)
 		if !late.identified || p.clients[late.conn] != late || len(p.unidentified) != 0 {
-			t.Errorf("identified: %v, still connected: %v", late.identified, p.clients[late.conn] == late)
+			t.Errorf("identified: %v, still connected: %v; want true for both, and no unidentified client", late.identified, p.clients[late.conn] == late)
 		}
 	})
 }
--- a/internal/frontend/platform/unanswered_test.go
+++ b/internal/frontend/platform/unanswered_test.go
@@ -24,7 +24,7 @@
 	sim.discovery.publish(false, server("s-3", "draining"))
 	sim.net.Run(1003 + 2.3)
 	if sim.relay.inTable("s-3") {
-		t.Errorf("s-3 is in the table, %d calls, %d sent again", sim.relay.calls, sim.program.commands.Resends)
+		t.Errorf("s-3 is in the table 2.3 s after its drain was published; %d calls, %d sent again", sim.relay.calls, sim.program.commands.Resends)
 	}
 }
 
@@ -44,6 +44,6 @@
 	sim.discovery.publish(false, server("s-3", "draining"))
 	sim.net.Run(1003 + 2.3)
 	if sim.relay.inTable("s-3") {
-		t.Errorf("s-3 is in the table, %d calls, %d sent again", sim.relay.calls, sim.program.commands.Resends)
+		t.Errorf("s-3 is in the table 2.3 s after its drain was published; %d calls, %d sent again", sim.relay.calls, sim.program.commands.Resends)
 	}
 }
--- a/internal/platform/process_test.go
+++ b/internal/platform/process_test.go
@@ -143,7 +143,7 @@
 	select {
 	case err := <-p.ended:
 		if took := time.Since(since); err != nil || took > allowed {
-			t.Errorf("the program exited after %v with error %v, log: %s", took, err, p.logged())
+			t.Errorf("the program exited after %v with error %v, want no error and an exit in time; log: %s", took, err, p.logged())
 		}
 	case <-time.After(5 * time.Second):
 		t.Fatal("the program did not exit within 5 s")
--- a/internal/platform/run_test.go
+++ b/internal/platform/run_test.go
@@ -53,15 +53,16 @@
 	}
 }
 
-// A program with too few descriptors to accept connections logs the reason and exits, so that it is restarted instead
-// of running without a listener.
+// A program with too few descriptors to accept connections logs the reason and exits with an error, so that it is
+// restarted instead of running without a listener. A program that is still running after 10 s must respond to readiness
+// checks.
 func TestProgramThatCannotAcceptEnds(t *testing.T) {
 	p := startProcess(t, 24, serveDiscovery(t), serveRelay(t))
 	p.flood(t, 100)
 	select {
 	case err := <-p.ended:
 		if err == nil || !strings.Contains(p.logged(), "no descriptor was left") {
-			t.Errorf("the program exited with error %v, log: %s", err, p.logged())
+			t.Errorf("the program exited with error %v, want one, and \"no descriptor was left\" in the log: %s", err, p.logged())
 		}
 	case <-time.After(10 * time.Second):
 		if !p.isReady() {
@@ -175,7 +176,7 @@
 		_, err = io.ReadFull(other, answer)
 	}
 	if err != nil || string(answer) != readyAnswer {
-		t.Errorf("response to another client is %q, error %v", answer, err)
+		t.Errorf("response to another client is %q, error %v; want hb_ok", answer, err)
 	}
 }
 
--- a/internal/platform/soak_test.go
+++ b/internal/platform/soak_test.go
@@ -217,7 +217,7 @@
 		took := time.Since(sentAt)
 		n.logf("exited after %.3f s: %v", took.Seconds(), p.err)
 		if p.err != nil || took > exitAfterTERM {
-			n.addViolation("the process exited %v after SIGTERM: %v\n%s", took, p.err, p.output.String())
+			n.addViolation("the process exited %v after SIGTERM, want 500 ms at most and no error: %v\n%s", took, p.err, p.output.String())
 		}
 	case <-time.After(killAfterTERM):
 		n.addViolation("the process is still running %v after SIGTERM", killAfterTERM)
@@ -311,7 +311,7 @@
 	after := n.resources()
 	n.logf("resources: %+v before the faults, %+v after", before, after)
 	if after.descriptors > before.descriptors+2 || after.threads > before.threads+4 || after.residentKB > soakMemoryMB<<10 {
-		n.addViolation("resource usage was %+v before the faults and is %+v after", before, after)
+		n.addViolation("resource usage was %+v before the faults and is %+v after; want 2 more descriptors and 4 more threads at most, and 64 MB", before, after)
 	}
 	n.signal(syscall.SIGTERM)
 	select {
