--- a/balancer/admission_test.go
+++ b/balancer/admission_test.go
@@ -20,7 +20,7 @@
 		return healthy(server, share, requests)
 	})
 	if got := h.share(serverName(5)); got < 0.12 {
-		t.Errorf("a server that loses responses has a share of %.3f, want about 1/6", got)
+		t.Errorf("a server that loses responses has a share of %.3f, want about 1/6, at least 0.12", got)
 	}
 }
 
@@ -39,7 +39,7 @@
 			low := h.admissions[1][0]
 			high := h.admissions[1][1]
 			if low == 0 || high == 0 || low > 0.2*high {
-				t.Errorf("admission rate is %v for the lowest priority and %v for the highest, want at most a fifth for the lowest",
+				t.Errorf("admission rate is %v for the lowest priority and %v for the highest, want at most a fifth for the lowest, and neither 0",
 					low, high)
 			}
 			lowest := &h.balancer.admitted[0]
--- a/balancer/balancer_test.go
+++ b/balancer/balancer_test.go
@@ -19,7 +19,7 @@
 		h.reconcile(100+float64(i)/10, Events{Lists: failed})
 	}
 	if polls := len(h.polledAt); polls < 25 || polls > 70 {
-		t.Errorf("%d polls in 40 s, want one per sixteenth to eighth of the poll deadline", polls)
+		t.Errorf("%d polls in 40 s, want 25 to 70, for one per sixteenth to eighth of the poll deadline", polls)
 	}
 }
 
@@ -46,7 +46,7 @@
 		})
 	}
 	if h.violation != "" || h.tables[1]["a"] <= 0 {
-		t.Errorf("table is %v; %s", h.tables[1], h.violation)
+		t.Errorf("table is %v, want a positive weight of server a; %s", h.tables[1], h.violation)
 	}
 }
 
@@ -158,7 +158,7 @@
 }
 
 // checkWarmingServers checks that the tables send no warming server more attempts than it can handle. It checks
-// only if there is a single table, at least one fraction server and enough data on completion rates.
+// only if there is a single table, at least one warm server that is ready, and enough data on completion rates.
 func checkWarmingServers(t *rapid.T, h *harness) {
 	b := h.balancer
 	someWarm := slices.ContainsFunc(b.servers, func(s *server) bool { return b.isWarmAndReady(h.now, s) })
--- a/balancer/health_test.go
+++ b/balancer/health_test.go
@@ -11,7 +11,7 @@
 		return healthy(server, share, requests)
 	})
 	if got := h.share(serverName(5)); got > 0.35 || got < 0.2 {
-		t.Errorf("with four of six servers failing, another has a share of %.3f, want 1.6 times 1/6", got)
+		t.Errorf("with four of six servers failing, another has a share of %.3f, want about 1.6 times 1/6, from 0.2 to 0.35", got)
 	}
 }
 
@@ -90,6 +90,6 @@
 	h.reconcile(h.now, Events{ProxyEvents: []ProxyEvent{rejoined}})
 	h.runSeconds(1, 100, healthyExcept(serverName(1), failing)) // the report still describes the outage
 	if got := h.share(serverName(1)); before > 0.03 || got < 2*before || got < 0.06 {
-		t.Errorf("share of the server changed from %.3f to %.3f, want about half of 1/6", before, got)
+		t.Errorf("share of the server changed from %.3f to %.3f, want from at most 0.03 to at least 0.06 and twice the first", before, got)
 	}
 }
--- a/balancer/limits_test.go
+++ b/balancer/limits_test.go
@@ -301,7 +301,8 @@
 const drawnDeployments = 16
 
 // Both limits on the channel and the drain deadline are complied with in any deployment, even if the channel slows
-// down during a release while other coordinators restart.
+// down during a release while other coordinators restart. The drain deadline is checked only if the limit on messages
+// leaves enough of them for the release.
 func TestChannelLimitsAreKept(t *testing.T) {
 	for seed := range drawnDeployments {
 		d := rapid.Custom(drawDeployment).Example(seed).fitToChannel()
@@ -326,7 +327,7 @@
 }
 
 // Runs a customer's deployment at full size: the channel of one of five coordinators runs at its configured rate or
-// slows down.
+// slows down. The limits hold at every pace, the drain deadline at the configured rate.
 func TestCustomerDeploymentKeepsLimits(t *testing.T) {
 	for _, pace := range []float64{1, 0.25, 0.12, 0.03} {
 		d := customerDeployment()
--- a/balancer/regulator_test.go
+++ b/balancer/regulator_test.go
@@ -19,7 +19,7 @@
 	h := startSettled(t, defaultSite(), 6)
 	h.runSeconds(30, 100, healthyExcept(serverName(2), withLatency(0.75)))
 	if got := h.share(serverName(2)); got > 0.08 || got == 0 {
-		t.Errorf("server that is three times slower has a share of %.3f, want about 1/16", got)
+		t.Errorf("server that is three times slower has a share of %.3f, want about 1/16, at most 0.08 and not 0", got)
 	}
 }
 
@@ -39,7 +39,7 @@
 			}
 			h.runSeconds(40, 100, healthy)
 			if h.share(bad) < 0.1 {
-				t.Errorf("recovered server has a share of %.3f, want about 1/6", h.share(bad))
+				t.Errorf("recovered server has a share of %.3f, want about 1/6, at least 0.1", h.share(bad))
 			}
 		})
 	}
@@ -51,7 +51,7 @@
 	h.runSeconds(12, 100, healthyExcept(serverName(2), failing))
 	h.runSeconds(12, 100, healthy)
 	if got := h.share(serverName(2)); got < 0.08 {
-		t.Errorf("12 s after its outage the server has a share of %.3f, want about half of 1/6 or more", got)
+		t.Errorf("12 s after its outage the server has a share of %.3f, want about half of 1/6 or more, at least 0.08", got)
 	}
 }
 
--- a/balancer/reports_test.go
+++ b/balancer/reports_test.go
@@ -11,7 +11,7 @@
 	}
 	h.reconcile(h.now+10, events)
 	if got := h.balancer.attemptRate; got < 70 || got > 130 {
-		t.Errorf("attempt rate is %.0f for reports of 100 attempts per second over 10 s", got)
+		t.Errorf("attempt rate is %.0f for reports of 100 attempts per second over 10 s, want 70 to 130", got)
 	}
 }
 
@@ -23,6 +23,6 @@
 		h.reconcile(h.now+5, Events{Demands: []DemandReport{report}})
 	}
 	if got := h.balancer.proxyByID[3].demand[1]; got > 0.15 {
-		t.Errorf("demand of a class with 0.10 requests per second is estimated as %.2f", got)
+		t.Errorf("demand of a class with 0.10 requests per second is estimated as %.2f, want at most 0.15", got)
 	}
 }
--- a/internal/coordinator/peer_sequences_test.go
+++ b/internal/coordinator/peer_sequences_test.go
@@ -32,8 +32,8 @@
 	return frame
 }
 
-// Tools and peers send arbitrary sequences of frames and may be killed afterwards. No member panics or fails, the number of
-// connections stays bounded, status requests are answered, and the members keep their leases.
+// Tools and peers send arbitrary sequences of frames and may be killed afterwards. No member panics or fails, a later status
+// request is answered, and the members keep their leases.
 func TestPeerFrameSequences(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		g := newMemberGroup(rapid.Uint64Range(1, 1000).Draw(rt, "seed"), 3)
--- a/internal/core/controlplane/controlplane_test.go
+++ b/internal/core/controlplane/controlplane_test.go
@@ -93,7 +93,7 @@
 		step(f, now)
 	}
 	if f.UpToDate() != proxies {
-		t.Fatalf("%d of %d proxies hold the newest tables", f.UpToDate(), proxies)
+		t.Fatalf("%d of %d proxies hold the newest tables after 10 s, want all", f.UpToDate(), proxies)
 	}
 	return f, now
 }
--- a/internal/core/controlplane/proxies_test.go
+++ b/internal/core/controlplane/proxies_test.go
@@ -22,7 +22,7 @@
 	for i := range 4 {
 		proxy, err := f.Join(1000, fmt.Sprint("x", i), nil, true)
 		if (i == 3) != errors.Is(err, ErrTooManyProxies) {
-			t.Errorf("join of proxy %d: %v", i, err)
+			t.Errorf("join of proxy %d: error %v, want ErrTooManyProxies for proxy 3 only", i, err)
 		}
 		if err == nil {
 			last = proxy
@@ -51,7 +51,7 @@
 		}
 	}
 	if refused < 40 || f.Stats.JoinsThrottled != refused {
-		t.Errorf("%d of 50 joins within a second were refused, want at least 40", refused)
+		t.Errorf("%d of 50 joins within a second were refused, want at least 40, all of them counted", refused)
 	}
 	for range 20 {
 		now += 1.01
@@ -77,13 +77,13 @@
 	owned["r0"] = false // the lease ends between the decision and the sending of the message
 	f.SendDue(1000.2)
 	if frontend.delivered != 0 || frontend.displaced != 1 || f.Joined() != 0 || f.Stats.Evicted != 1 {
-		t.Errorf("%d delivered, %d displaced, %d joined", frontend.delivered, frontend.displaced, f.Joined())
+		t.Errorf("%d messages delivered, %d proxies displaced, %d joined; want 0, 1, 0, and one eviction counted", frontend.delivered, frontend.displaced, f.Joined())
 	}
 	owned["r0"] = true
 	join(t, f, 1001, "r0", frontend)
 	owned["r0"] = false
 	f.EvictUnowned(1001.1)
 	if frontend.displaced != 2 || f.Joined() != 0 {
-		t.Errorf("%d delivered, %d displaced, %d joined", frontend.delivered, frontend.displaced, f.Joined())
+		t.Errorf("%d messages delivered, %d proxies displaced, %d joined; want 2 displaced, 0 joined", frontend.delivered, frontend.displaced, f.Joined())
 	}
 }
--- a/internal/core/controlplane/reconfigure_test.go
+++ b/internal/core/controlplane/reconfigure_test.go
@@ -52,7 +52,7 @@
 	f, _ := reconfigure(t)
 	for _, table := range f.tables {
 		if table.Weight(serverName(1)) != 0 || table.Weight(serverName(9)) == 0 {
-			t.Errorf("weight %v of the removed server, %v of the added one", table.Weight(serverName(1)), table.Weight(serverName(9)))
+			t.Errorf("weight %v of the removed server, want 0; %v of the added one, want more than 0", table.Weight(serverName(1)), table.Weight(serverName(9)))
 		}
 	}
 	if _, known := f.Registry.Find(serverName(1)); known || !slices.Contains(f.Registry.KnownServers(), serverName(1)) {
@@ -69,7 +69,7 @@
 	other := changedSite()
 	other.Guarantees.DrainDeadline++
 	if revision, err := f.Reconfigure(now, other); err == nil || revision.RestartReason != "rules" {
-		t.Errorf("revision %+v, error %v", revision, err)
+		t.Errorf("revision %+v, error %v; want an error, and rules as the reason for a restart", revision, err)
 	}
 }
 
--- a/internal/core/controlplane/rounds_test.go
+++ b/internal/core/controlplane/rounds_test.go
@@ -27,7 +27,7 @@
 	f.Registry.SetDrain(1002, serverName(1), true)
 	step(f, 1002.1)
 	if f.Weight(proxy, 0, serverName(1)) != 0 || f.Stats.SaveFailures < 1 || store.calls < 1 {
-		t.Errorf("weight of the drained server %v, stats %+v", f.Weight(proxy, 0, serverName(1)), f.Stats)
+		t.Errorf("weight of the drained server %v, want 0; stats %+v, want a save failure", f.Weight(proxy, 0, serverName(1)), f.Stats)
 	}
 }
 
@@ -38,7 +38,7 @@
 		step(f, now+0.06*float64(i+1))
 	}
 	if f.Stats.Rounds-before.Rounds > 6 || f.Stats.Idle == before.Idle {
-		t.Errorf("%d rounds and %d idle ticks within a second without events",
+		t.Errorf("%d rounds and %d idle ticks within 1.2 s without events, want at most 6 rounds and some idle ticks",
 			f.Stats.Rounds-before.Rounds, f.Stats.Idle-before.Idle)
 	}
 }
@@ -54,7 +54,7 @@
 	}
 	first := traces[0]
 	if first.Lists != 1 || !first.Urgent || first.Round == 0 || first.DecidedAt != now+0.1 || first.AckedAt == 0 {
-		t.Errorf("the first trace is wrong: %+v", traces)
+		t.Errorf("the first of the traces %+v is not urgent or not acknowledged, or its round, decision time or number of lists is wrong", traces)
 	}
 }
 
--- a/internal/core/longpoll/limits_test.go
+++ b/internal/core/longpoll/limits_test.go
@@ -24,11 +24,11 @@
 	}
 	rejected := n - int(limits.JoinBurst)
 	if len(f.retryDelays) != rejected {
-		t.Fatalf("%d polls were rejected", len(f.retryDelays))
+		t.Fatalf("%d polls were rejected, want all beyond the burst of joins", len(f.retryDelays))
 	}
 	slices.Sort(f.retryDelays)
 	if f.retryDelays[0] < limits.RetryAfter || f.retryDelays[rejected-1] > 2*limits.RetryAfter {
-		t.Errorf("rejected proxies retry after %v to %v s", f.retryDelays[0], f.retryDelays[rejected-1])
+		t.Errorf("rejected proxies retry after %v to %v s, want one to two times RetryAfter", f.retryDelays[0], f.retryDelays[rejected-1])
 	}
 	for i := range 10 { // about 450 in each tenth of the interval
 		count := 0
@@ -38,7 +38,7 @@
 			}
 		}
 		if count < 350 || count > 550 {
-			t.Errorf("%d of %d rejected proxies retry in one tenth of the interval", count, rejected)
+			t.Errorf("%d of %d rejected proxies retry in one tenth of the interval, want 350 to 550", count, rejected)
 		}
 	}
 	start := f.now
@@ -57,12 +57,13 @@
 	elapsed := f.now - start
 	minimum := max(float64(entries)/site.Channel.EntriesPerSecond, float64(rejected)/limits.JoinRate)
 	if f.fleet.UpToDate() != n || elapsed > 1.5*minimum+2*limits.RetryAfter {
-		t.Errorf("%d proxies are up to date after %.1f s; join rate and channel allow %.1f s", f.fleet.UpToDate(), elapsed, minimum)
+		t.Errorf("%d proxies are up to date after %.1f s, want all 5000; join rate and channel allow %.1f s, of which 1.5 times and two retry times are accepted", f.fleet.UpToDate(), elapsed, minimum)
 	}
 	t.Logf("all %d proxies are up to date after %.1f s; join rate and channel allow %.1f s", n, elapsed, minimum)
 }
 
-// Half of the proxies have no parked poll when a drain starts, and do not poll for three seconds.
+// Half of the proxies have no parked poll when a drain starts, and do not poll for 2.7 seconds. They are dropped before the
+// drain deadline of 3 seconds, and get the newest tables when they poll again.
 func TestDrainBetweenPolls(t *testing.T) {
 	f := newFixture(t, testSite(4), DefaultLimits)
 	f.advance(1, "a", "b", "c", "d")
@@ -114,7 +115,7 @@
 	f.step(0.01)
 	f.advance(0.5, "a") // the drain is in progress
 	if f.expectCurrent("a"); other.displaced != 1 || f.fleet.Joined() != 1 {
-		t.Errorf("%d proxies displaced, %d joined", other.displaced, f.fleet.Joined())
+		t.Errorf("%d proxies were displaced from the other frontend, %d are joined; want 1, 1", other.displaced, f.fleet.Joined())
 	}
 	if _, err := f.fleet.Join(f.now, "a", other, true); err != nil {
 		t.Fatal(err)
@@ -125,7 +126,7 @@
 	sent := other.sent
 	f.advance(0.5)
 	if other.sent == sent || f.fleet.Joined() != 1 {
-		t.Errorf("the other frontend sent %d messages, %d proxies are joined", other.sent-sent, f.fleet.Joined())
+		t.Errorf("the other frontend sent %d messages, want some; %d proxies are joined, want 1", other.sent-sent, f.fleet.Joined())
 	}
 }
 
--- a/internal/core/longpoll/server_test.go
+++ b/internal/core/longpoll/server_test.go
@@ -13,12 +13,12 @@
 	f.advance(1, "a")
 	proxy := f.proxies["a"]
 	if f.expectCurrent("a"); proxy.answers != 1 || proxy.full != 2 || !proxy.polling {
-		t.Errorf("after the first answer: %+v", proxy)
+		t.Errorf("after the first answer the proxy is %+v, want one answer with two full tables, and a parked poll", proxy)
 	}
 	f.drain(1, true)
 	f.advance(0.2, "a")
 	if f.expectCurrent("a"); proxy.answers != 2 || proxy.full != 2 || len(proxy.latest.Classes[0].Entries) != 1 || !proxy.latest.Classes[0].Entries[0].Draining {
-		t.Errorf("the answer with a drain is %+v", proxy.latest)
+		t.Errorf("the answer with a drain is %+v, want a second answer, a delta with one entry that drains", proxy.latest)
 	}
 	if f.fleet.UpToDate() != 1 {
 		t.Error("the next poll did not acknowledge the drain")
@@ -87,7 +87,7 @@
 }
 
 // A proxy that names a version that was never sent to it, such as a future one or one of another epoch or proxy, gets
-// full tables.
+// full tables. With the guard disabled, some of these proxies must end up with wrong tables.
 func TestUnknownVersionGetsFullState(t *testing.T) {
 	for _, disabled := range [][]controlplane.Guard{nil, {controlplane.GuardVersions}} {
 		wrong := 0
@@ -109,7 +109,7 @@
 			wrong += boolToInt(f.check("a") != "")
 		}
 		if (wrong > 0) != (disabled != nil) {
-			t.Errorf("with disabled guards %v, %d of 5 proxies hold wrong tables", disabled, wrong)
+			t.Errorf("with disabled guards %v, %d of 5 proxies hold wrong tables; want some if a guard is disabled, none otherwise", disabled, wrong)
 		}
 	}
 }
--- a/internal/core/membership/lease_test.go
+++ b/internal/core/membership/lease_test.go
@@ -65,7 +65,7 @@
 				continue
 			}
 			if c.Weight < last || c.Weight > last+0.26 {
-				t.Errorf("at %.1f s the weight changes from %v to %v", now, last, c.Weight)
+				t.Errorf("at %.1f s the weight changes from %v to %v, want an increase of at most 0.26", now, last, c.Weight)
 			}
 			last = c.Weight
 			if apply(t, s, c) {
@@ -75,7 +75,7 @@
 		}
 	}
 	if last != 1 || epochs != rampSteps {
-		t.Errorf("the final weight is %v after %d epochs", last, epochs)
+		t.Errorf("the final weight is %v after %d epochs, want 1 after rampSteps", last, epochs)
 	}
 	lease = NewLease(100, "c9", 5, 1, 0, config)
 	if c := lease.DueCommands(100, &State{}); len(c) != 1 || c[0].Weight != 1 {
@@ -85,7 +85,7 @@
 
 func TestRampUpFor(t *testing.T) {
 	if seconds := RampUpFor(460, 3, 600, 1600); seconds < 100 || seconds > 130 {
-		t.Errorf("the ramp-up for 460 proxies with 600 table entries each takes %v s", seconds)
+		t.Errorf("the ramp-up for 460 proxies with 600 table entries each takes %v s, want 100 to 130", seconds)
 	}
 	if RampUpFor(12, 3, 16, 1600) != 0 || RampUpFor(10, 1, 1e6, 1) != 0 || RampUpFor(1e6, 2, 1e6, 1) != maxRampUp {
 		t.Error("a small fleet or a single coordinator has a ramp-up, or a large fleet has one over the maximum")
--- a/internal/core/membership/misrouted_test.go
+++ b/internal/core/membership/misrouted_test.go
@@ -68,7 +68,7 @@
 	}
 	apply(t, s, Command{Kind: ExpireLease, Peer: "c1", Renewal: 1})
 	if owner, _ := s.Owner(uid); owner != "c0" || len(s.Claims) != 0 {
-		t.Errorf("after the expiry of the claiming coordinator's lease, the owner is %s", owner)
+		t.Errorf("after the expiry of the claiming coordinator's lease, the owner is %s, want c0 and no claims", owner)
 	}
 	if _, err := s.Apply(Command{Kind: ClaimProxies, Peer: "c1", UIDs: []string{"x"}}); !errors.Is(err, ErrInvalidCommand) {
 		t.Errorf("a claim by a coordinator without a lease: %v, want ErrInvalidCommand", err)
--- a/internal/core/membership/pending_orders_test.go
+++ b/internal/core/membership/pending_orders_test.go
@@ -25,7 +25,7 @@
 		t.Helper()
 		accepted, rejected := p.TakeCompleted(now, "c0", s)
 		if !slices.Equal(accepted, wantAccepted) || !slices.Equal(rejected, wantRejected) {
-			t.Errorf("accepted %v, rejected %v", accepted, rejected)
+			t.Errorf("completed orders are accepted %v, rejected %v, not as expected", accepted, rejected)
 		}
 	}
 	completed(102, nil, nil) // c1 is not known to have applied the order
--- a/internal/core/membership/registration_test.go
+++ b/internal/core/membership/registration_test.go
@@ -16,7 +16,7 @@
 	expect := func(c Command, want error) {
 		t.Helper()
 		if _, err := s.Apply(c); !errors.Is(err, want) {
-			t.Errorf("%+v: %v", c, err)
+			t.Errorf("applying %+v: unexpected error %v", c, err)
 		}
 	}
 	for id := MemberID(1); id <= 3; id++ {
@@ -46,6 +46,6 @@
 	snapshot, err := s.Snapshot()
 	var again State
 	if err != nil || again.Restore(snapshot) != nil || again.Registrations[2] != s.Registrations[2] || len(again.Registrations) != 3 {
-		t.Errorf("the registrations after restoring a snapshot: %+v, %v", again.Registrations, err)
+		t.Errorf("the registrations after restoring a snapshot: %+v, want the same three; error %v", again.Registrations, err)
 	}
 }
--- a/internal/core/membership/state_test.go
+++ b/internal/core/membership/state_test.go
@@ -37,7 +37,7 @@
 		{Kind: ReleaseLease, Peer: "unknown"},
 	} {
 		if ownersChanged, err := s.Apply(c); ownersChanged || err != nil || s.Epoch != epoch {
-			t.Errorf("%+v: owners changed: %t, %v", c, ownersChanged, err)
+			t.Errorf("%+v: owners changed: %t, error %v; want false, no error, and the same epoch", c, ownersChanged, err)
 		}
 	}
 	for _, c := range []Command{
--- a/internal/core/saspsession/connections_test.go
+++ b/internal/core/saspsession/connections_test.go
@@ -16,7 +16,7 @@
 	first := p.relay("r1", allFlags, 0)
 	second := p.dial("10.9.0.2")
 	if code := p.request(second, &sasp.Message{Kind: sasp.SetBalancer, UID: []byte("r1")}); code != sasp.NotAccepted || p.closed[first] {
-		t.Errorf("an immediate second claim is answered with %s, the first connection is closed: %t", code, p.closed[first])
+		t.Errorf("an immediate second claim is answered with %s, the first connection is closed: %t; want NotAccepted, false", code, p.closed[first])
 	}
 	p.advance(1.5)
 	p.stalled[first] = true // the connection breaks during an update, and the server does not notice
@@ -50,7 +50,7 @@
 	p.advance(0.2)
 	n, buffered := p.server.Connections()
 	if n+buffered+p.fleet.Joined()+len(p.server.balancers) != 0 {
-		t.Errorf("%d connections, %d bytes, %d joined, %d balancers are left", n, buffered, p.fleet.Joined(), len(p.server.balancers))
+		t.Errorf("%d connections, %d bytes, %d joined, %d balancers are left, want none", n, buffered, p.fleet.Joined(), len(p.server.balancers))
 	}
 }
 
@@ -70,7 +70,7 @@
 		p.advance(0.1)
 	}
 	if p.pushes-before > 1 || p.sentBytes[c]-sent > 600 {
-		t.Errorf("%d messages with %d bytes were queued for a stalled relay", p.pushes-before, p.sentBytes[c]-sent)
+		t.Errorf("%d messages with %d bytes were queued for a stalled relay, want at most 1 and 600", p.pushes-before, p.sentBytes[c]-sent)
 	}
 	return p, c
 }
@@ -95,7 +95,7 @@
 func TestRelayThatDoesNotReceiveDrainIsDisconnected(t *testing.T) {
 	p, c := stallRelay(t)
 	if !p.closed[c] || p.fleet.Stats.Overdue != 1 || !strings.Contains(strings.Join(p.log, "\n"), "a drain has waited") {
-		t.Errorf("relay disconnected: %t, stats %+v, log %q", p.closed[c], p.fleet.Stats, p.log)
+		t.Errorf("relay disconnected: %t, stats %+v, log %q; want true, one overdue relay, and the reason in the log", p.closed[c], p.fleet.Stats, p.log)
 	}
 }
 
@@ -109,7 +109,7 @@
 	}
 	p.advance(1.5)
 	if !p.closed[c] || p.fleet.Stats.Stalled != 1 {
-		t.Errorf("relay disconnected: %t, log %q", p.closed[c], p.log)
+		t.Errorf("relay disconnected: %t, log %q; want true, counted as stalled", p.closed[c], p.log)
 	}
 }
 
@@ -202,11 +202,11 @@
 		p.dial("10.6.6.6")
 	}
 	if n, _ := p.server.Connections(); n != limits.MaxConnections {
-		t.Errorf("%d connections are open, want the maximum", n)
+		t.Errorf("%d connections are open, want the maximum of 2000", n)
 	}
 	p.advance(DefaultLimits.IdentifyTimeout + 1)
 	if n, _ := p.server.Connections(); n != 1 || p.closed[good] || p.fleet.UpToDate() != 1 {
-		t.Errorf("%d connections are left, want 1; the well-behaved relay was disconnected: %t", n, p.closed[good])
+		t.Errorf("%d connections are left, want 1; the well-behaved relay was disconnected: %t, want false and the newest tables", n, p.closed[good])
 	}
 	malformed := frame(message(sasp.Registration, 1, "r1/search", 2))
 	malformed[16] = 99 // the length of a component
@@ -214,10 +214,10 @@
 	p.server.Receive(p.now, good, malformed)
 	if p.server.Stats.Replied != before+1 ||
 		p.received[good][len(p.received[good])-1].Code != sasp.NotUnderstood || p.closed[good] {
-		t.Errorf("a malformed body is answered with %v", p.received[good][len(p.received[good])-1])
+		t.Errorf("a malformed body is answered with %v, want one reply NotUnderstood on an open connection", p.received[good][len(p.received[good])-1])
 	}
 	if code := p.request(good, message(sasp.Registration, 1, "r1/search", 2)); code != sasp.OK {
-		t.Errorf("the message after the malformed one is answered with %s", code)
+		t.Errorf("the message after the malformed one is answered with %s, want OK", code)
 	}
 }
 
@@ -249,7 +249,7 @@
 			}
 		}
 		if p.closed[c] != (late == 0) {
-			t.Errorf("reports %v s late: relay disconnected: %t, log %q", late, p.closed[c], p.log)
+			t.Errorf("reports %v s late: relay disconnected: %t, want so only with 0 s; log %q", late, p.closed[c], p.log)
 		}
 		if p.fleet.Stats.UnknownProxy == 0 || p.fleet.Stats.UnknownServer == 0 {
 			t.Errorf("reports of unknown proxies or for unknown servers were not counted: %+v", p.fleet.Stats)
@@ -265,7 +265,7 @@
 	p.advance(0.1)
 	second := p.dial("10.9.0.1")
 	if code := p.request(second, &sasp.Message{Kind: sasp.SetBalancer, UID: []byte("r1"), Flags: allFlags}); code != sasp.NotAccepted {
-		t.Errorf("the second claim is answered with %s", code)
+		t.Errorf("the second claim is answered with %s, want NotAccepted", code)
 	}
 	if !p.closed[second] {
 		t.Error("the second connection stays open, without ever getting weights")
@@ -274,6 +274,6 @@
 	third := p.relay("r1", allFlags, 0)
 	p.advance(1)
 	if p.closed[third] || p.countWeights(third, "search") == 0 {
-		t.Errorf("after the relay dialled again: connection closed: %t, weights %v", p.closed[third], p.weights[third])
+		t.Errorf("after the relay dialled again: connection closed: %t, want false; weights %v, want some", p.closed[third], p.weights[third])
 	}
 }
--- a/internal/core/saspsession/members_test.go
+++ b/internal/core/saspsession/members_test.go
@@ -79,7 +79,7 @@
 		}
 		again := p.dial(address(returningMember).Addr().String())
 		if code := p.request(again, message(sasp.Registration, 0, "r1/search", returningMember)); code != sasp.OK {
-			t.Errorf("the next registration of the server is answered with %s", code)
+			t.Errorf("the next registration of the server is answered with %s, want OK", code)
 		}
 		if p.advance(1); !p.inService() {
 			t.Error("the server is out of service after its next registration")
--- a/internal/core/saspsession/model_test.go
+++ b/internal/core/saspsession/model_test.go
@@ -10,8 +10,8 @@
 	"snowquay/internal/wire/sasp"
 )
 
-// After any sequence of events, relays that receive their messages have the weights of their tables, and no state is
-// left of members and relays that have left.
+// After any sequence of events, relays that receive their messages have the weights of their tables, and the server maps
+// as many proxies to relays as are joined.
 func TestRelaysConvergeToTables(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		p := startDefault(t)
@@ -88,7 +88,7 @@
 			}
 		}
 		if p.fleet.Joined() != len(p.server.byProxy) || len(p.server.balancers) < p.fleet.Joined() {
-			rt.Errorf("%d relays joined, %d are listed by proxy", p.fleet.Joined(), len(p.server.byProxy))
+			rt.Errorf("%d relays joined, %d are listed by proxy; want the same number, and no fewer balancers", p.fleet.Joined(), len(p.server.byProxy))
 		}
 	})
 }
--- a/internal/core/saspsession/session_test.go
+++ b/internal/core/saspsession/session_test.go
@@ -20,7 +20,7 @@
 	pushes := p.pushes
 	p.advance(3)
 	if p.pushes != pushes {
-		t.Errorf("%d messages were pushed without a change", p.pushes-pushes)
+		t.Errorf("%d messages were pushed without a change, want none", p.pushes-pushes)
 	}
 }
 
@@ -86,7 +86,7 @@
 	p.advance(7)
 	const s = "search 10.0.0.5:80"
 	if w, ok := p.weights[trusts][s]; !ok || w == 0 || w >= p.weights[trusts]["search 10.0.0.0:80"] {
-		t.Errorf("the weight of a warming member at a trusting relay is %d (present: %t)", w, ok)
+		t.Errorf("the weight of a warming member at a trusting relay is %d (present: %t), want it above 0 and below that of a warm server", w, ok)
 	}
 	if _, ok := p.weights[distrusts][s]; ok || p.countWeights(distrusts, "search") != 2 {
 		t.Errorf("a relay that does not trust members got the member, or lost its own members: %v", p.weights[distrusts])
@@ -142,10 +142,10 @@
 	c := p.relay("r1", sasp.Trust, 0, 1)
 	p.advance(1)
 	if p.pushes != 0 {
-		t.Errorf("%d messages were sent without a poll", p.pushes)
+		t.Errorf("%d messages were sent without a poll, want none", p.pushes)
 	}
 	if code := p.request(c, message(sasp.GetWeights, 0)); code != sasp.OK || p.countWeights(c, "search") != 4 {
-		t.Errorf("the poll is answered with %s, weights %v", code, p.weights[c])
+		t.Errorf("the poll is answered with %s, weights %v; want OK, 4 weights", code, p.weights[c])
 	}
 	if reply := p.received[c][len(p.received[c])-1]; reply.Interval < 1 || reply.Interval > 2 {
 		t.Errorf("the poll interval is %d s, want 1 or 2", reply.Interval)
--- a/internal/core/saspsession/trust_test.go
+++ b/internal/core/saspsession/trust_test.go
@@ -24,6 +24,6 @@
 		}
 	}()
 	if code := p.request(balancer, message(sasp.SetMember, sasp.FromBalancer, "r1/search", 0)); code != sasp.OK {
-		t.Errorf("the balancer's member state is answered with %s", code)
+		t.Errorf("the balancer's member state is answered with %s, want OK", code)
 	}
 }
--- a/internal/core/saspsession/unjoined_test.go
+++ b/internal/core/saspsession/unjoined_test.go
@@ -19,16 +19,16 @@
 		t.Fatal(code)
 	}
 	if code := p.request(balancer, message(sasp.SetMember, sasp.FromBalancer, "r1/search", 0)); code != sasp.OK {
-		t.Errorf("the balancer's member state is answered with %s", code)
+		t.Errorf("the balancer's member state is answered with %s, want OK", code)
 	}
 	if joined := p.fleet.Joined(); joined != 0 {
 		t.Errorf("%d proxies are joined, want 0", joined)
 	}
 	if code := p.request(balancer, message(sasp.Registration, sasp.FromBalancer, "r1/search", 1)); code != sasp.OK {
-		t.Errorf("the balancer's next registration is answered with %s", code)
+		t.Errorf("the balancer's next registration is answered with %s, want OK", code)
 	}
 	p.advance(1)
 	if joined := p.fleet.Joined(); joined != 1 || p.countWeights(balancer, "search") == 0 {
-		t.Errorf("after the next registration %d proxies are joined, the balancer has the weights %v", joined, p.weights[balancer])
+		t.Errorf("after the next registration %d proxies are joined, want 1; the balancer has the weights %v, want some", joined, p.weights[balancer])
 	}
 }
--- a/internal/core/tenancy/directory_test.go
+++ b/internal/core/tenancy/directory_test.go
@@ -23,7 +23,7 @@
 	t.Helper()
 	outcome := d.Apply(c)
 	if err := outcome.Err(); !errors.Is(err, want) {
-		t.Errorf("%+v: %v, want %v", c, err, want)
+		t.Errorf("command %+v: error %v, want %v", c, err, want)
 	}
 	return outcome
 }
--- a/internal/core/tenancy/name_test.go
+++ b/internal/core/tenancy/name_test.go
@@ -9,7 +9,7 @@
 func TestParseName(t *testing.T) {
 	for _, valid := range []string{"a", "7", "north-1", strings.Repeat("x", MaxNameLength)} {
 		if name, err := ParseName(valid); err != nil || string(name) != valid {
-			t.Errorf("%q: %v", valid, err)
+			t.Errorf("ParseName(%q): error %v, want the same name and no error", valid, err)
 		}
 	}
 	// Upper case, length, Unicode forms (composed, decomposed, full width, a similar letter of another script), and
--- a/internal/core/tenancy/router_test.go
+++ b/internal/core/tenancy/router_test.go
@@ -76,7 +76,7 @@
 	conn := r.open(1, 1)
 	r.receive(conn, "a/re", NotRejected, "") // the message arrives in two parts
 	if result := r.receive(conn, "lay.", NotRejected, "a"); string(result.Bytes) != "a/relay." {
-		t.Errorf("the tenant receives %q", result.Bytes)
+		t.Errorf("the tenant receives %q, want both parts of the message", result.Bytes)
 	}
 	if name, ok := r.Tenant(conn); !ok || name != "a" {
 		t.Error("the connection is not identified")
@@ -93,7 +93,7 @@
 	r.Closed(conn)
 	r.receive(r.open(1, 1), "a/third.", NotRejected, "a")
 	if identified, unidentified, buffered := r.Count(); identified != 3 || unidentified != 0 || buffered != 0 {
-		t.Errorf("%d identified connections, %d unidentified ones with %d bytes", identified, unidentified, buffered)
+		t.Errorf("%d identified connections, %d unidentified ones with %d bytes; want 3, 0, 0", identified, unidentified, buffered)
 	}
 	if connections := r.Remove("a"); len(connections) != 2 {
 		t.Errorf("the connections of tenant a were %v, want two", connections)
@@ -157,6 +157,6 @@
 		}
 	}
 	if rateLimited["b"] > 0 || accepted["b"] < 90 || accepted["a"] > 1150 || rateLimited["a"] == 0 {
-		t.Errorf("accepted %v, rejected by the accept rate %v", accepted, rateLimited)
+		t.Errorf("accepted %v, want at most 1150 of a and at least 90 of b; rejected by the accept rate %v, want some of a and none of b", accepted, rateLimited)
 	}
 }
--- a/internal/proxy/proxy_test.go
+++ b/internal/proxy/proxy_test.go
@@ -39,7 +39,8 @@
 	e.expectReceived(client, "Content-Length: 2")
 }
 
-// If a server fails, idempotent requests succeed on another server in time, and non-idempotent requests are executed at most once.
+// If a server fails, idempotent requests succeed on another server in time, and each non-idempotent request reaches a server that executes it
+// exactly once.
 func TestFaultyServers(t *testing.T) {
 	for _, behavior := range []string{"silent", "reset", "drip", "fails", "full", "twice"} {
 		t.Run(behavior, func(t *testing.T) {
@@ -62,7 +63,7 @@
 			e.runFor(8)
 			e.expectExecutedOnce(6)
 			if e.proxy.Core.InFlight() != 0 || len(e.proxy.requests) != 0 || len(e.proxy.attempts) != 0 {
-				t.Errorf("%d requests are still in flight", e.proxy.Core.InFlight())
+				t.Errorf("%d requests are still in flight, want none, and no request or attempt that is still tracked", e.proxy.Core.InFlight())
 			}
 		})
 	}
@@ -81,7 +82,7 @@
 	}
 	for request, count := range executions {
 		if count > 1 {
-			e.t.Errorf("%q was executed %d times", request, count)
+			e.t.Errorf("%q was executed %d times, want once", request, count)
 		}
 	}
 	if len(executions) != requests {
--- a/internal/service/administered_coordinator_test.go
+++ b/internal/service/administered_coordinator_test.go
@@ -136,7 +136,8 @@
 	})
 }
 
-// checkFlood checks that an urgent drain is not delayed by a flood of calls of another caller.
+// checkFlood checks that a flood of calls of one caller is throttled and that an urgent drain of another caller is still
+// accepted.
 func checkFlood(t *testing.T) {
 	t.Helper()
 	limited := 0
--- a/internal/service/coordinator_test.go
+++ b/internal/service/coordinator_test.go
@@ -62,7 +62,7 @@
 	}
 	golden.Bytes(t, "order-keys.txt", []byte(strings.Join(slices.Sorted(maps.Keys(orders[0])), "\n")+"\n"))
 	if other := get(t, "http://127.0.0.1:14872/orders?relay=x"); strings.TrimSpace(other) != "[]" {
-		t.Errorf("message traces of an unknown proxy: %s", other)
+		t.Errorf("message traces of an unknown proxy: %s, want none", other)
 	}
 	coordinator.end(t)
 	if _, err := os.Stat(store); err != nil {
--- a/internal/service/group_test.go
+++ b/internal/service/group_test.go
@@ -104,7 +104,7 @@
 		Rows: []sasp.Row{{Address: sasp.AddressOf(all[1].config.SASP), Flags: sasp.Quiesce}}}
 	register := &sasp.Message{Kind: sasp.Registration, Groups: member.Groups, Rows: []sasp.Row{{Address: sasp.AddressOf(all[1].config.SASP)}}}
 	if code := sendAndReceive(t, all[2].config.SASP.String(), register, member); code != sasp.OK {
-		t.Fatalf("the reply to the drain has code %s", code)
+		t.Fatalf("the reply to the drain has code %s, want OK", code)
 	}
 	all[2].end(t)
 	for _, n := range []int{1, 3} {
@@ -124,7 +124,7 @@
 	eventually(t, "the new member holds no lease, or lacks the drain or a live member", func() bool { alive, drains, holdsLease := status(4); return alive == 3 && drains == 1 && holdsLease })
 	removed := startMember(memberConfig(t, dir, 2, 3, false))
 	if err := <-removed.done; err == nil || !strings.Contains(err.Error(), "the coordinator was removed from the group") {
-		t.Errorf("a removed member that was started again ended with %v", err)
+		t.Errorf("a removed member that was started again ended with %v, want the error that it was removed", err)
 	}
 	if _, err := GroupStatus(all[1].config.Group.Members[1], []byte("another key of sixteen bytes")); err == nil {
 		t.Error("a status request with another key got a reply")
--- a/internal/service/host_test.go
+++ b/internal/service/host_test.go
@@ -242,7 +242,7 @@
 			h.t.Fatal(err)
 		}
 		if _, _ = io.Copy(io.Discard, a.Body); a.StatusCode != x.status {
-			h.t.Errorf("poll for a proxy with UID %s: unexpected status %s", x.uid, a.Status)
+			h.t.Errorf("poll for a proxy with UID %s: status %s, want 200 in tenant one and 403 in tenant two", x.uid, a.Status)
 		}
 	}
 	return conn
