--- a/internal/consensus/snapshot_orders_test.go
+++ b/internal/consensus/snapshot_orders_test.go
@@ -93,7 +93,7 @@
 			}
 			decided, _ := leader.group.State.Directory.FindOutcome(test.command.ID)
 			if confirmed && lagging.outcomes[ticket] != decided {
-				t.Errorf("the reported outcome is %+v, the decided outcome is %+v", lagging.outcomes[ticket], decided)
+				t.Errorf("the reported outcome is %+v, want the decided outcome %+v", lagging.outcomes[ticket], decided)
 			}
 			if confirmed && errors.Is(lagging.outcomes[ticket].Err(), tenancy.ErrExists) {
 				t.Error("the reported outcome belongs to another change")
--- a/internal/consensus/snapshot_random_test.go
+++ b/internal/consensus/snapshot_random_test.go
@@ -124,7 +124,7 @@
 		snapshots += node.group.Stats.Restored
 		reported := slices.Sorted(maps.Keys(node.drains))
 		if active := slices.Sorted(maps.Keys(node.group.State.Drains)); !slices.Equal(reported, active) {
-			t.Errorf("seed %d: the drains reported to %d are %v, the active drains are %v", seed, id, reported, active)
+			t.Errorf("seed %d: the drains reported to %d are %v, want the active drains %v", seed, id, reported, active)
 		}
 	}
 	r.checkRecords(t, seed)
--- a/internal/coordinator/member_sockets_test.go
+++ b/internal/coordinator/member_sockets_test.go
@@ -88,7 +88,7 @@
 				return
 			}
 			if time.Now().After(deadline) {
-				t.Fatalf("%s: %d of %d proxies have an owner", when, owned, testProxies)
+				t.Fatalf("%s: %d of %d proxies have an owner, want all", when, owned, testProxies)
 			}
 			time.Sleep(20 * time.Millisecond)
 		}
--- a/internal/core/controlplane/reconfigure_test.go
+++ b/internal/core/controlplane/reconfigure_test.go
@@ -105,6 +105,6 @@
 		}
 	}
 	if record, _ := f.Registry.Find(serverName(0)); record.Zone != 0 {
-		t.Errorf("the zone of %s has changed to %d", serverName(0), record.Zone)
+		t.Errorf("the zone of %s has changed to %d, want 0", serverName(0), record.Zone)
 	}
 }
--- a/internal/core/membership/lease_test.go
+++ b/internal/core/membership/lease_test.go
@@ -26,7 +26,7 @@
 	}
 	timeout := DefaultLeaseConfig.Duration*(1+DefaultLeaseConfig.MaxClockDrift) + DefaultLeaseConfig.SafetyMargin
 	if expired(9001+DefaultLeaseConfig.Duration) || !expired(9001+timeout+0.01) {
-		t.Error("the other peer proposes the expiry of the lease at the wrong time")
+		t.Error("the other peer proposes the expiry of the lease too early or too late")
 	}
 	old := renewal
 	old.Renewal = 2 // the sequence number that comes next
--- a/internal/core/membership/misrouted_test.go
+++ b/internal/core/membership/misrouted_test.go
@@ -25,7 +25,7 @@
 	now := 100.0
 	for ; now < 105; now++ {
 		if misrouted.Observe(now, uid); len(misrouted.DueClaims(now, "c1", s)) > 0 {
-			t.Fatalf("the proxy is claimed after %v s of contacts", now-100)
+			t.Fatalf("the proxy is claimed after %v s of contacts, which is too early", now-100)
 		}
 	}
 	now += 4 // the proxy reaches its owner for a while, then contacts c1 again
@@ -33,7 +33,7 @@
 		misrouted.Observe(now, uid)
 		if due := misrouted.DueClaims(now, "c1", s); len(due) > 0 {
 			if now-from < claimAfter {
-				t.Errorf("the proxy is claimed again after %v s of contacts", now-from)
+				t.Errorf("the proxy is claimed again after %v s of contacts, want at least claimAfter", now-from)
 			}
 			conflicting := due[0]
 			conflicting.Peer = "c2"
--- a/internal/core/platformstate/command_buffer_test.go
+++ b/internal/core/platformstate/command_buffer_test.go
@@ -29,7 +29,7 @@
 func decodeCall(t interface{ Fatalf(string, ...any) }, b []byte) decodedCall {
 	var c decodedCall
 	if err := json.Unmarshal(b, &c); err != nil {
-		t.Fatalf("%v: %s", err, b)
+		t.Fatalf("decoding a call: %v: %s", err, b)
 	}
 	if len(b) > jsonrpc.MaxCallBytes {
 		t.Fatalf("call of %d bytes exceeds the limit", len(b))
@@ -217,7 +217,7 @@
 		redelivered := c.TakeRedelivered().Tables
 		for table, ids := range calls {
 			if len(ids) > 1 && (servers < 900 || !slices.Contains(redelivered, balancer.Table(table))) {
-				t.Errorf("%d servers: table %.0f is split over %d calls; redelivered tables: %v", servers, table, len(ids), redelivered)
+				t.Errorf("%d servers: table %.0f is split over %d calls; redelivered tables: %v; want one call, or a redelivered table if it has 900 servers or more", servers, table, len(ids), redelivered)
 			}
 		}
 	}
@@ -263,7 +263,7 @@
 		t.Errorf("redelivered %+v, want one table and no proxy", r)
 	}
 	if b, ok := c.NextCall(nil); !ok || strings.Contains(string(b), "bind") || !strings.Contains(string(b), `"x"`) {
-		t.Errorf("resent call should set the weight of x and assign no table: %s", b)
+		t.Errorf("resent call is %s, want one that sets the weight of x and assigns no table", b)
 	}
 }
 
--- a/internal/core/platformstate/endpoint_set_test.go
+++ b/internal/core/platformstate/endpoint_set_test.go
@@ -94,7 +94,7 @@
 	set.apply(t, changes(6, entry("a", "gone")), true, true, 6)
 	set.apply(t, changes(5, entry("a", "ready")), false, true, 6)
 	if set.Contains("a") || !set.Contains("b") || len(set.events.Lists) != 0 {
-		t.Errorf("old list was applied; it reported %d lists", len(set.events.Lists))
+		t.Errorf("old list was applied; it reported %d lists, want none", len(set.events.Lists))
 	}
 	set.apply(t, fullList(1, entry("a", "ready")), false, true, 6) // not the first list of its connection
 	if set.Contains("a") {
--- a/internal/core/platformstate/proxy_registry_test.go
+++ b/internal/core/platformstate/proxy_registry_test.go
@@ -90,7 +90,7 @@
 		r.ProxyJoined(8+gap, second, balancer.ProxyEvent{Proxy: 1}, events)
 		r.ProxyJoined(8+gap, second, balancer.ProxyEvent{Proxy: 2}, events)
 		if got := takeEvents(events); got != "" {
-			t.Errorf("gap of %g s: events %s before the snapshot has ended", gap, got)
+			t.Errorf("gap of %g s: events %s before the snapshot has ended, want none", gap, got)
 		}
 		r.ExpireSnapshot(8+gap+snapshotTimeout, second, events)
 		if got, want := takeEvents(events), map[float64]string{0.01: "-0", 5: "-0+1+2"}[gap]; got != want {
--- a/internal/core/tenancy/directory_test.go
+++ b/internal/core/tenancy/directory_test.go
@@ -105,10 +105,10 @@
 	earlier := m.outcomes[c.ID]
 	if m.fingerprints[c.ID] == c.Fingerprint {
 		if !reflect.DeepEqual(outcome, earlier) {
-			r.Fatalf("repeated command %d: %+v, its first outcome was %+v", c.ID, outcome, earlier)
+			r.Fatalf("repeated command %d: %+v, want its first outcome %+v", c.ID, outcome, earlier)
 		}
 	} else if !errors.Is(outcome.Err(), ErrKeyReused) {
-		r.Fatalf("command %d repeated with different content: %+v, its first outcome was %+v", c.ID, outcome, earlier)
+		r.Fatalf("command %d repeated with different content: %+v, want ErrKeyReused; its first outcome was %+v", c.ID, outcome, earlier)
 	}
 }
 
@@ -137,7 +137,7 @@
 		sum += tenant.Requirements.Memory
 	}
 	if len(d.Tenants) != len(m.commandIDs) || sum > m.capacity.Memory || d.Used().Memory != sum {
-		r.Fatalf("%d tenants with a total requirement of %v, %d tenants in the model; used: %v",
+		r.Fatalf("%d tenants with a total requirement of %v, %d tenants in the model; used: %v; want equal numbers, and the total in use and within the capacity",
 			len(d.Tenants), sum, len(m.commandIDs), d.Used().Memory)
 	}
 }
--- a/internal/core/tenancy/name_test.go
+++ b/internal/core/tenancy/name_test.go
@@ -34,10 +34,10 @@
 	} {
 		name, local, ok := SplitUID(uid)
 		if ok != (want != "") {
-			t.Errorf("%q: tenant %q, valid: %t", uid, name, ok)
+			t.Errorf("SplitUID(%q): tenant %q, valid: %t, want the opposite", uid, name, ok)
 		}
 		if name != want && ok || ok && name.UID(local) != uid {
-			t.Errorf("%q: tenant %q, proxy %q", uid, name, local)
+			t.Errorf("SplitUID(%q): tenant %q, proxy %q; this is the wrong tenant, or the parts do not form the UID", uid, name, local)
 		}
 	}
 }
--- a/internal/frontend/platform/scale_test.go
+++ b/internal/frontend/platform/scale_test.go
@@ -49,7 +49,7 @@
 	conn := sim.client.dial(slices.Concat(readinessCheck, hello("a")))
 	sim.net.Run(1010)
 	if got := sim.client.received[conn]; got != readyResponse {
-		t.Fatalf("response to the readiness check is %q", got)
+		t.Fatalf("response to the readiness check is %q, want hb_ok", got)
 	}
 	drained := map[string]bool{}
 	at := 1010.0
--- a/internal/platform/process_test.go
+++ b/internal/platform/process_test.go
@@ -41,7 +41,7 @@
 	t.Helper()
 	binary := filepath.Join(t.TempDir(), "snowquay")
 	if output, err := exec.Command("go", "build", "-o", binary, "snowquay/cmd/snowquay").CombinedOutput(); err != nil {
-		t.Fatalf("%v: %s", err, output)
+		t.Fatalf("building the program: %v: %s", err, output)
 	}
 	return binary
 }
--- a/internal/platform/run_test.go
+++ b/internal/platform/run_test.go
@@ -95,7 +95,7 @@
 		t.Errorf("a client that connected during the shutdown got neither a response nor the end of its connection: %v", err)
 	}
 	if err := readToEOF(partial); err != nil && !errors.Is(err, syscall.ECONNRESET) {
-		t.Errorf("client that had sent a partial message: %v", err)
+		t.Errorf("connection of a client that had sent a partial message: error %v, want it closed", err)
 	}
 }
 
--- a/internal/platform/soak_test.go
+++ b/internal/platform/soak_test.go
@@ -371,7 +371,7 @@
 	command := exec.Command("go", "build", "-ldflags=-linkmode=external", "-o", binary, "snowquay/cmd/snowquay")
 	command.Env = append(os.Environ(), "CGO_ENABLED=1")
 	if output, err := command.CombinedOutput(); err != nil {
-		t.Fatalf("%v: %s", err, output)
+		t.Fatalf("building the program: %v: %s", err, output)
 	}
 	file, err := os.ReadFile("../../deploy/balancer.toml")
 	if err != nil {
--- a/internal/proxy/proxy_test.go
+++ b/internal/proxy/proxy_test.go
@@ -15,7 +15,7 @@
 	e.runFor(1)
 	e.expectReceived(client, "s0", "s1", "404")
 	if succeeded := strings.Count(client.received, "HTTP/1.1 200"); succeeded != 3 {
-		t.Errorf("%d of 3 requests succeeded: %s", succeeded, client.received)
+		t.Errorf("%d of 3 requests succeeded, want all; the client received %s", succeeded, client.received)
 	}
 	if client.closed || e.proxy.Clients() != 1 {
 		t.Error("client connection was closed")
@@ -86,7 +86,7 @@
 		}
 	}
 	if len(executions) != requests {
-		e.t.Errorf("%d of %d requests reached a server that executes them", len(executions), requests)
+		e.t.Errorf("%d of %d requests reached a server that executes them, want all", len(executions), requests)
 	}
 }
 
@@ -108,7 +108,7 @@
 	e.expectReceived(client, "HTTP/1.1 502")
 }
 
-// When a client closes its connection, its attempts are cancelled by closing their connections to servers.
+// When a client closes its connection, its attempts are cancelled by closing their connections to servers, so that the servers notice.
 func TestClientClosesConnection(t *testing.T) {
 	e := newTestEnvironment(t, 1, nil)
 	e.servers[0].behavior = "silent"
