--- a/balancer/limits_test.go
+++ b/balancer/limits_test.go
@@ -241,8 +241,9 @@
 	}
 }
 
-// drawDeployment draws a deployment whose events do not exceed the capacity of its channel: no balancer could comply
-// with the limits if the entries for a release and for restarts cannot be transmitted in time.
+// drawDeployment draws a deployment in which the messages for one step of a release fit into the channel at once. Its
+// events may still come faster than the channel transmits; fitToChannel adjusts their times. No balancer could comply
+// with the drain deadline if the entries for a release and for restarts cannot be transmitted in time.
 func drawDeployment(t *rapid.T) deployment {
 	d := customerDeployment()
 	d.seed = rapid.Uint64().Draw(t, "seed")
--- a/internal/consensus/group_test.go
+++ b/internal/consensus/group_test.go
@@ -65,6 +65,8 @@
 	}
 }
 
+// The proxies of a killed leader have new owners within 5 s, but not before its lease has ended, and a stored drain is not lost. The proxies
+// of a coordinator that released its lease have new owners within 0.5 s. A single coordinator of three must not own all proxies.
 func TestTakeover(t *testing.T) {
 	c := newCluster(t, 3, 1)
 	c.heal()
--- a/internal/core/longpoll/limits_test.go
+++ b/internal/core/longpoll/limits_test.go
@@ -130,7 +130,8 @@
 	}
 }
 
-// Drains are sent even when the limit on unacknowledged answers is reached, up to the reserve.
+// Drains are sent even when the limit on unacknowledged answers is reached, up to the reserve. A new proxy can join
+// meanwhile, and a proxy that polls without pause is rejected.
 func TestDrainReserve(t *testing.T) {
 	limits := DefaultLimits
 	limits.MaxUnacknowledged = 3
