--- a/internal/consensus/snapshot_orders_test.go
+++ b/internal/consensus/snapshot_orders_test.go
@@ -89,11 +89,11 @@
 				t.Fatalf("the change was not answered exactly once: accepted %v, rejected %v", lagging.accepted, lagging.rejected)
 			}
 			if confirmed != test.confirmed {
-				t.Errorf("unexpected confirmation: %t", confirmed)
+				t.Errorf("the change was confirmed: %t, want the opposite", confirmed)
 			}
 			decided, _ := leader.group.State.Directory.FindOutcome(test.command.ID)
 			if confirmed && lagging.outcomes[ticket] != decided {
-				t.Errorf("the reported outcome is %+v, the decided outcome is %+v", lagging.outcomes[ticket], decided)
+				t.Errorf("the reported outcome is %+v, want the decided outcome %+v", lagging.outcomes[ticket], decided)
 			}
 			if confirmed && errors.Is(lagging.outcomes[ticket].Err(), tenancy.ErrExists) {
 				t.Error("the reported outcome belongs to another change")
