--- a/internal/core/forwarding/proxy.go
+++ b/internal/core/forwarding/proxy.go
@@ -37,8 +37,8 @@
 const (
 	Send   ActionKind = iota // send a request to a server
 	Cancel                   // close the connection of an attempt that is no longer needed, so that the server notices
-	Fail                     // respond to a client that its request failed
-	Reject                   // respond to a client that its request is rejected, and when to retry
+	Fail                     // respond to a client whose request failed
+	Reject                   // respond to a client whose request is not admitted, and say when to retry
 )
 
 // Action is an action that the caller must perform.
--- a/internal/core/forwarding/requests.go
+++ b/internal/core/forwarding/requests.go
@@ -117,8 +117,9 @@
 	return p.config.HedgeAfter > minHedgeDelay && !req.hedged && req.state.Class.Idempotency == balancer.Idempotent
 }
 
-// handleSlowAttempt handles a request whose latest attempt has exceeded the hedging delay or the latency objective. If the request is not
-// hedged, the attempt is cancelled and retried where a retry is allowed; otherwise it stays in flight.
+// handleSlowAttempt handles a request whose latest attempt has exceeded the hedging delay or the latency objective. If no hedge is
+// sent and the attempt is the only one, it is cancelled and handled as failed, provided that the request may then be retried. Otherwise
+// the attempts in flight are waited for.
 func (p *Proxy) handleSlowAttempt(now float64, req *request) {
 	if p.hedges(req) {
 		req.hedged = true
