--- a/internal/core/retry/policy.go
+++ b/internal/core/retry/policy.go
@@ -9,7 +9,7 @@
 
 // The possible outcomes of a failed attempt.
 const (
-	NotExecuted   Outcome = iota // the server is certain not to have started the request
+	NotExecuted   Outcome = iota // it is certain that the server never started to execute the request
 	MaybeExecuted                // the attempt failed after the server may have received the request
 )
 
