--- a/internal/core/tablecache/tables.go
+++ b/internal/core/tablecache/tables.go
@@ -12,7 +12,8 @@
 var (
 	// ErrEpochOutdated means that a response is from a coordinator whose ownership of the proxy has since passed to another one.
 	ErrEpochOutdated = errors.New("ownership epoch is outdated")
-	// ErrUnknownBase means that a response is a delta whose base is not the version of the tables.
+	// ErrUnknownBase means that a response is a delta to a version that the proxy does not hold: its base is of another epoch, or newer
+	// than the tables.
 	ErrUnknownBase = errors.New("delta to an unknown version")
 	// ErrUnknownClass means that a response names a class that is not configured.
 	ErrUnknownClass = errors.New("unknown class")
