--- a/internal/frontend/admin/drains.go
+++ b/internal/frontend/admin/drains.go
@@ -28,7 +28,7 @@
 type drainRow struct {
 	Server     balancer.Server `json:"server"`
 	Phase      string          `json:"phase"`
-	NotifiedAt float64         `json:"told,omitempty"` // clock time in seconds at which the drain was ordered; 0: no drain is ordered
+	NotifiedAt float64         `json:"told,omitempty"` // clock time in seconds at which the drain or removal became known; 0: no drain is ordered
 	Joined     int             `json:"proxies"`
 	Updated    int             `json:"proxies-without"` // number of joined proxies that are known to hold tables without the server
 	Pending    []string        `json:"waiting,omitempty"`
--- a/internal/frontend/admin/hosted.go
+++ b/internal/frontend/admin/hosted.go
@@ -17,7 +17,7 @@
 	TenantRow(name tenancy.Name) (row TenantRow, ok bool)
 	// Settings returns the settings of a tenant without their keys. The error is tenancy.ErrNotFound.
 	Settings(name tenancy.Name) ([]byte, error)
-	// RestoreKeys returns settings, with those keys filled in from the tenant's present settings that they leave out.
+	// RestoreKeys returns settings in which the keys that they leave out are filled in from the tenant's present settings.
 	RestoreKeys(name tenancy.Name, settings []byte) ([]byte, error)
 	// EditServer returns the settings of a tenant after a change of one server. The error is tenancy.ErrNotFound or describes why
 	// the change is invalid.
