--- a/internal/frontend/eventloop/server.go
+++ b/internal/frontend/eventloop/server.go
@@ -35,7 +35,7 @@
 	program         env.Program
 	clock           func() float64
 	ignoresDelivery bool // the program is a DeliveryIgnorer; its timer is timer instead of gnet's ticker
-	maxUnread       int  // limit for the bytes that this process buffers for a peer; 0: none
+	maxUnread       int  // limit for the bytes that this process buffers for a peer; 0: no limit
 
 	started     chan struct{} // closed when the program has started
 	ticking     chan struct{} // closed at gnet's first tick, from which on the engine accepts outgoing connections
