--- a/internal/wire/http1/message.go
+++ b/internal/wire/http1/message.go
@@ -1,8 +1,8 @@
 // Package http1 parses and encodes HTTP/1.1 messages (RFC 9112) for a proxy. It finds complete messages in data that
 // is received in fragments of any size.
 //
-// It is stricter than the RFC to prevent request smuggling (section 11.2), which exploits that two programs frame a
-// message differently. It rejects a message with both a length and an encoding, with two lengths, with spaces in a
+// It is strict, to prevent request smuggling (section 11.2), which exploits that two programs frame a message
+// differently. It rejects a message with both a length and an encoding, with two lengths, with spaces in a
 // field name, with a bare CR or with a folded line, where section 11.2 leaves room for interpretation. The package
 // does no I/O and reads no clock.
 package http1
