--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -1,6 +1,6 @@
 // Package proxy implements a small HTTP/1.1 proxy as an env.Program. It forwards client requests to servers according to weight tables,
 // which it receives from coordinators over the long-poll API or SASP, and sends load reports. Package core/forwarding makes the
-// forwarding decisions. See docs/proxy.md for the design.
+// forwarding decisions. docs/proxy.md gives the reasons for the design.
 package proxy
 
 import (
