--- a/internal/env/simnet/conn.go
+++ b/internal/env/simnet/conn.go
@@ -26,7 +26,7 @@
 	accepted     uint64   // bytes that the host has accepted
 	unread       [][]byte // accepted by the host while the program is stalled
 	unreadBytes  int
-	beyondWindow [][]byte // received but not accepted, since the receive window is full
+	beyondWindow [][]byte // sent, but not accepted by the host, since its receive window is full
 }
 
 func (h *Host) newEndpoint(peer *endpoint) *endpoint {
