--- a/internal/frontend/eventloop/server.go
+++ b/internal/frontend/eventloop/server.go
@@ -196,8 +196,8 @@
 	return err
 }
 
-// Do calls f between two callbacks of the program, and returns when f has returned, or after loopTimeout. If the loop has ended, f
-// is not called.
+// Do calls f between two callbacks of the program, and returns when f has returned, or after loopTimeout. Without connections, and
+// after Stop, f runs on the caller's goroutine. Otherwise it runs on the loop, and is not called if the loop has ended.
 func (s *Server) Do(f func(now float64)) {
 	s.mu.Lock()
 	if len(s.conns) == 0 || s.stopped {
