--- a/internal/platform/run.go
+++ b/internal/platform/run.go
@@ -22,7 +22,7 @@
 )
 
 const (
-	memoryLimitFraction = 0.6 // part of the process's memory limit that the garbage collector may use; the rest is for code and stacks
+	memoryLimitFraction = 0.6 // part of the process's memory limit that is the limit of the garbage collector; the rest is for code and stacks
 	gcPercent           = 60  // heap growth in percent that triggers a collection; the heap has only a few MB
 
 	shutdownTimeout = 400 * time.Millisecond // the platform may send SIGKILL 0.7 s after SIGTERM
