--- a/internal/emulator/checker_relays.go
+++ b/internal/emulator/checker_relays.go
@@ -50,16 +50,16 @@
 
 // AllRelaysLed reports whether every relay is joined to a coordinator, and whether every relay has also received a message
 // since it joined.
-func (ic *InvariantChecker) AllRelaysLed() (led, updated bool) {
+func (ic *InvariantChecker) AllRelaysLed() (joined, updated bool) {
 	ic.mu.Lock()
 	defer ic.mu.Unlock()
-	led = true
+	joined = true
 	updated = true
 	for _, relay := range ic.relays {
-		led = led && relay.joinedAt > 0
+		joined = joined && relay.joinedAt > 0
 		updated = updated && relay.joinedAt > 0 && len(relay.messageTimes) > 0
 	}
-	return led, updated
+	return joined, updated
 }
 
 // tableChanged records whether a relay's table for a class has a usable entry.
--- a/internal/emulator/checker_servers.go
+++ b/internal/emulator/checker_servers.go
@@ -11,10 +11,10 @@
 	startedAt         float64
 	up                bool // whether it is running
 	registeredAt      float64
-	registered        bool    // over at least one open connection
+	registered        bool    // whether it is registered over at least one open connection
 	disconnectedSince float64 // 0 if it is registered, or has not been since the last CoordinatorDown
 	draining          bool
-	withdrawnAt       float64 // when the coordinator knew that it drains or has left; 0 for a server in service
+	withdrawnAt       float64 // time at which the coordinator knew that it drains or has left; 0 for a server in service
 }
 
 // serverState returns the state of a server. It adds an unknown server.
--- a/internal/emulator/relay.go
+++ b/internal/emulator/relay.go
@@ -58,7 +58,7 @@
 	relayWeightsTimer     = 4
 	relayLongPollTimer    = 5
 	relayHeartbeatTimer   = 6
-	firstPollGapTimer     = 10_000_000 // base of the keys of the gaps after polls, to which the poll's count is added
+	firstPollGapTimer     = 10_000_000 // base of the keys of timeouts between polls, to which the number of polls sent is added
 	firstClientRetryTimer = 1 << 29    // base of the keys of client retries, to which the retry's number is added
 	firstAttemptTimer     = 1 << 30    // base of the attempt numbers, which are the keys of the attempts' timeouts
 )
@@ -87,12 +87,12 @@
 	unparsed         map[env.Conn][]byte
 	attempts         map[int]*attempt    // open attempts, by number
 	attemptByRequest map[uint64]*attempt // open attempt of each request, by request ID
-	lastAttempt      int                 // number
-	lastRequest      uint64              // ID
+	lastAttempt      int                 // number of the latest attempt
+	lastRequest      uint64              // ID of the latest request
 	demand           []loadreport.Totals // by class index
 	random           randomSource
 	clientRetries    map[int]*request // scheduled client retries, by number
-	lastClientRetry  int              // number
+	lastClientRetry  int              // number of the latest client retry
 	ignoresUpdates   bool
 	heartbeatPending bool // a heartbeat has not been answered
 	longPoll         longPollState
--- a/internal/experiment/cell.go
+++ b/internal/experiment/cell.go
@@ -56,16 +56,16 @@
 
 const (
 	meanWork                = 0.23 // seconds that a request takes on a core of speed 1
-	meanSpeed               = 0.9  // of a core: the middle of the range from minSpeed to maxSpeed
+	meanSpeed               = 0.9  // mean speed of a core, the middle of the range from minSpeed to maxSpeed
 	minSpeed                = 0.7
 	maxSpeed                = 1.1
 	coresPerServer          = 4
 	queueCapacity           = 30 // requests that a server can queue
 	serversPerFailureDomain = 4
 	keysPerServer           = 60
-	minEntryRate            = 160 // table entries per second that the channel carries at least
-	fullUpdateDuration      = 4.0 // seconds in which the channel can send all entries to all relays
-	maxQueueDuration        = 4   // seconds that the channel needs to send the longest allowed queue
+	minEntryRate            = 160 // minimum capacity of the channel in table entries per second
+	fullUpdateSeconds       = 4.0 // time in which the channel can send all entries to all relays
+	maxQueueSeconds         = 4   // time that the channel needs to send the longest allowed queue
 )
 
 // Scenario builds the scenario that the cell runs.
@@ -94,8 +94,8 @@
 		site.Servers[i].Zone = balancer.Zone(domain % len(site.Zones))
 	}
 	entries := len(site.Classes) * c.Fleet.Servers * c.Fleet.Proxies
-	site.Channel.EntriesPerSecond = max(minEntryRate, float64(entries)/fullUpdateDuration)
-	site.Channel.MaxQueued = maxQueueDuration * site.Channel.EntriesPerSecond
+	site.Channel.EntriesPerSecond = max(minEntryRate, float64(entries)/fullUpdateSeconds)
+	site.Channel.MaxQueued = maxQueueSeconds * site.Channel.EntriesPerSecond
 	built.Cores = coresPerServer
 	built.Queue = queueCapacity
 	built.Slowest = minSpeed
--- a/internal/experiment/experiment_test.go
+++ b/internal/experiment/experiment_test.go
@@ -240,10 +240,10 @@
 	for _, test := range []struct{ old, replacement, want string }{
 		{`name="g" servers="12"`, `name="f" servers="12"`, "two named"},
 		{`name="calm"`, `name="a.b"`, "part of a file's"},
-		{`policy="robin"`, `policy="best"`, "none of"},
+		{`policy="robin"`, `policy="best"`, "must be one of"},
 		{`<arm name="snowquay"/>`, `<arm name="snowquay" without="luck"/>`, "no guard is named"},
 		{`<arm name="snowquay"/>`, `<arm name="snowquay" levels="rate"/>`, "only the front http"},
-		{`drawn="2"/>`, `drawn="2"><trouble kind="slow" at="99" server="1"/></case>`, "after the day's end"},
+		{`drawn="2"/>`, `drawn="2"><trouble kind="slow" at="99" server="1"/></case>`, "after the scenario's end"},
 	} {
 		t.Run(test.want, func(t *testing.T) {
 			_, err := settings.ParseExperiment("x.xml", []byte(strings.Replace(smallExperiment, test.old, test.replacement, 1)))
--- a/internal/experiment/random_faults.go
+++ b/internal/experiment/random_faults.go
@@ -15,7 +15,7 @@
 }
 
 const (
-	firstFaultSeconds    = 6.0   // by then, the coordinator has learned the first weights
+	firstFaultSeconds    = 6.0   // time by which the coordinator has computed its first weights
 	faultFreeTailSeconds = 8.0   // time at the end of a scenario in which no random fault starts
 	faultSeedStream      = 0x1ab // second word of the generator's seed
 )
--- a/internal/experiment/record.go
+++ b/internal/experiment/record.go
@@ -50,7 +50,7 @@
 	Servers         int           `json:"Servers"`
 	Relays          int           `json:"Relays"`
 	Seconds         float64       `json:"Seconds"`
-	Service         float64       `json:"Service"` // benefit answered on time over the benefit requested
+	Service         float64       `json:"Service"` // fraction of the requests answered on time, weighted by priority weight
 	WorstTenSeconds float64       `json:"Worst"`   // service of the worst ten seconds
 	WorstClass      float64       `json:"WorstClass"`
 	Classes         []ClassRecord `json:"Classes"`
@@ -132,8 +132,8 @@
 		PeakQueue:       result.PeakQueue,
 		Events:          result.Events,
 	}
-	for i, query := range built.Classes {
-		class := newClassRecord(query.Class, i, result)
+	for i, mix := range built.Classes {
+		class := newClassRecord(mix.Class, i, result)
 		record.Classes = append(record.Classes, class)
 		record.WorstClass = min(record.WorstClass, class.OnTime/max(class.Requested, 1))
 	}
--- a/internal/experiment/shrink.go
+++ b/internal/experiment/shrink.go
@@ -17,12 +17,12 @@
 	minServers          = 4
 	minRelays           = 2
 	minSeconds          = 15.0
-	minFaultSeconds     = 0.2 // duration of a fault
+	minFaultSeconds     = 0.2 // minimum duration of a fault
 	half                = 0.5
 	threeQuarters       = 0.75
-	shortenedFraction   = 0.8 // new length of a scenario whose faults last almost to its end
-	minShortenedSeconds = 1   // what ending soon after the last fault must save
-	minShiftSeconds     = 1   // a shift by this or less is not tried
+	shortenedFraction   = 0.8 // fraction to which a scenario is shortened if its faults last almost to its end
+	minShortenedSeconds = 1   // minimum reduction by ending soon after the last fault; otherwise shortenedFraction applies
+	minShiftSeconds     = 1   // shifts by this or less are not tried
 )
 
 // shrinker holds the smallest scenario found so far that still meets the condition.
--- a/internal/scenario/coordinators.go
+++ b/internal/scenario/coordinators.go
@@ -17,9 +17,9 @@
 )
 
 const (
-	groupPort           = 13900 // port of the group protocol between coordinators that share the fleet
-	groupKey            = "a key for rehearsals"
-	incarnationsPerNode = 100 // step between incarnations of a member, so that those of different members differ
+	groupPort       = 13900 // port of the group protocol between coordinators that share the fleet
+	groupKey        = "a key for rehearsals"
+	incarnationStep = 100 // between two starts of a member; the member's index is added, so that the incarnations of all members differ
 )
 
 // coordinatorInstance is a coordinator of the scenario with the state that survives its restarts.
@@ -121,7 +121,7 @@
 	config.Site.DataPlane.Coordinators = count
 	config.Site.DataPlane.Self = balancer.Coordinator(i)
 	config.Storage = &instance.log
-	config.Incarnation = instance.starts*incarnationsPerNode + uint64(i)
+	config.Incarnation = instance.starts*incarnationStep + uint64(i)
 	sasp := r.scenario.Coordinator.SASP
 	config.Group = groupConfig(count, i, func(member int) netip.Addr { return r.coordinatorAddr(member, sasp).Addr() })
 	return config
--- a/internal/scenario/hosted.go
+++ b/internal/scenario/hosted.go
@@ -78,7 +78,7 @@
 	result    HostedResult
 }
 
-// RunHosted runs a hosted scenario. It returns an error if the scenario could not be run; a violated rule is not an
+// RunHosted runs a hosted scenario. It returns an error if the scenario could not be run; a broken rule is not an
 // error but is recorded in the result.
 func RunHosted(scenario HostedScenario) (*HostedResult, error) {
 	r, err := newHostedRun(scenario)
@@ -164,7 +164,7 @@
 			r.createTenant(tenant)
 		}
 	}
-	if len(r.hosts) > 1 { // until all hosts have learnt of all tenants
+	if len(r.hosts) > 1 { // wait until all hosts know all tenants
 		r.network.Run(start + 2*electionSeconds)
 	}
 }
--- a/internal/scenario/hosted_faults.go
+++ b/internal/scenario/hosted_faults.go
@@ -12,13 +12,13 @@
 )
 
 const (
-	floodStart     = 1.0 / 3   // fraction of the scenario
-	drainStart     = 0.45      // fraction of the scenario
+	floodStart     = 1.0 / 3   // fraction of the scenario after which the flood begins
+	drainStart     = 0.45      // fraction of the scenario after which the first drain begins
 	drainSpread    = 0.1       // fraction of the scenario over which the drains of the tenants begin
-	killStart      = 0.25      // fraction of the scenario
+	killStart      = 0.25      // fraction of the scenario after which hosts are killed
 	killSpread     = 0.6       // fraction of the scenario over which hosts are killed
-	removeStart    = 0.5       // fraction of the scenario
-	recreateSlack  = 0.5       // seconds to wait after the name of a removed tenant may be used again
+	removeStart    = 0.5       // fraction of the scenario after which a tenant is removed
+	recreateSlack  = 0.5       // seconds between the end of the quarantine of a removed tenant's name and its reuse
 	floodAddrIndex = 240       // index of the address that a flood comes from, among those of the tenant's relays
 	floodRelayUID  = "relay-0" // UID that a flood uses, of the flooding tenant and of the one it names
 )
--- a/internal/scenario/hosted_hosts.go
+++ b/internal/scenario/hosted_hosts.go
@@ -91,7 +91,7 @@
 	config.SASP = hostAddr(i, hostSASPPort)
 	config.HTTP = hostAddr(i, hostHTTPPort)
 	config.Storage = &instance.log
-	config.Incarnation = instance.starts*incarnationsPerNode + uint64(i)
+	config.Incarnation = instance.starts*incarnationStep + uint64(i)
 	config.Group = groupConfig(count, i, func(member int) netip.Addr { return hostAddr(member, 0).Addr() })
 	return config
 }
--- a/internal/scenario/hosted_result.go
+++ b/internal/scenario/hosted_result.go
@@ -13,8 +13,8 @@
 )
 
 const (
-	ruleCount              = 5 // rules that the invariant checker has
-	maxPrintedViolations   = 3 // tenants printed for each violated rule
+	ruleCount              = 5 // number of rules of the invariant checker
+	maxPrintedViolations   = 3 // tenants printed for each broken rule
 	maxPrintedTenantErrors = 2 // protocol errors printed for each tenant
 	maxPrintedProblems     = 10
 	noDrain                = -1 // drain time of a tenant without a drain
@@ -24,7 +24,7 @@
 type TenantResult struct {
 	Name           tenancy.Name
 	Verdicts       []emulator.Verdict
-	Service        float64 // ratio of the benefit answered on time to the benefit requested
+	Service        float64 // fraction of the requests answered on time, weighted by priority weight
 	ForeignEntries int     // servers of other tenants that its relays named, sent to or had in their tables
 	ProtocolErrors []string
 	LongestWait    float64 // longest time in seconds that the tenant was due and waited for its turn
@@ -167,8 +167,8 @@
 	return err
 }
 
-// printTenants writes the violated rules and protocol errors of each tenant. It returns by rule the number of tenants
-// that violated it.
+// printTenants writes the broken rules and protocol errors of each tenant. It returns by rule the number of tenants
+// that broke it.
 func (r *HostedResult) printTenants(text *strings.Builder) map[int]int {
 	broken := map[int]int{}
 	for _, tenant := range r.Tenants {
--- a/internal/scenario/processes.go
+++ b/internal/scenario/processes.go
@@ -38,7 +38,7 @@
 // Freeze suspends the process for the given number of seconds.
 func (h *processHost) Freeze(seconds float64) {
 	_ = h.cmd.Process.Signal(syscall.SIGSTOP)                                  // fails if the process has ended already
-	h.run.after(seconds, func() { _ = h.cmd.Process.Signal(syscall.SIGCONT) }) // likewise
+	h.run.after(seconds, func() { _ = h.cmd.Process.Signal(syscall.SIGCONT) }) // fails if the process has ended already
 }
 
 func (h *processHost) DisturbDatagrams(bool, float64) {}
--- a/internal/scenario/random_faults.go
+++ b/internal/scenario/random_faults.go
@@ -7,12 +7,12 @@
 )
 
 const (
-	firstFaultSeconds   = 4.0 // when the coordinator has computed its first weights
-	faultFreeEndSeconds = 8.0 // time at the end of a scenario in which no fault begins, for earlier faults to end
-	minFaults           = 2
-	maxFaults           = 6
-	coordinatorCount    = 3  // coordinators that share the fleet
-	noTarget            = -1 // value of the target fields that a fault does not use
+	firstFaultSeconds    = 4.0 // time by which the coordinator has computed its first weights
+	faultFreeTailSeconds = 8.0 // time at the end of a scenario in which no fault begins, for earlier faults to end
+	minFaults            = 2
+	maxFaults            = 6
+	coordinatorCount     = 3  // coordinators that share the fleet
+	noTarget             = -1 // value of the target fields that a fault does not use
 )
 
 // Second words of the seeds of the random number generators.
@@ -42,7 +42,7 @@
 	random := rand.New(rand.NewPCG(scenario.Seed, coordinatorFaultStream))
 	for range count {
 		server := random.IntN(coordinatorCount)
-		at := firstFaultSeconds + random.Float64()*(scenario.Seconds-faultFreeEndSeconds-firstFaultSeconds)
+		at := firstFaultSeconds + random.Float64()*(scenario.Seconds-faultFreeTailSeconds-firstFaultSeconds)
 		fault := coordinatorRestart(server, at, 0.2+8*random.Float64())
 		switch random.IntN(8) {
 		case 0, 1:
@@ -86,7 +86,7 @@
 		Zone:          site.Servers[random.IntN(len(site.Servers))].Zone,
 		FailureDomain: int(site.Servers[random.IntN(len(site.Servers))].FailureDomain),
 	}
-	fault.At = firstFaultSeconds + random.Float64()*(scenario.Seconds-faultFreeEndSeconds-firstFaultSeconds)
+	fault.At = firstFaultSeconds + random.Float64()*(scenario.Seconds-faultFreeTailSeconds-firstFaultSeconds)
 	switch fault.Kind {
 	case "slow":
 		fault.Duration = between(5, 20)
@@ -116,7 +116,7 @@
 }
 
 const (
-	firstKillSeconds          = 5.0  // when the coordinators have formed a group
+	firstKillSeconds          = 5.0  // time by which the coordinators have formed a group
 	afterLastKillSeconds      = 10.0 // time from the last kill to the end of the scenario
 	otherFaultIntervalSeconds = 9.0  // average interval between other faults
 	killsPerPause             = 4    // average number of kills per pause of a coordinator
--- a/internal/scenario/result.go
+++ b/internal/scenario/result.go
@@ -22,7 +22,7 @@
 // Result is the result of a run. Service, latency and request counts are those of emulated servers.
 type Result struct {
 	Verdicts         []emulator.Verdict
-	Service          float64                   // ratio of the benefit answered on time to the benefit requested
+	Service          float64                   // fraction of the requests answered on time, weighted by priority weight
 	WorstInterval    float64                   // service in the worst ten seconds
 	LatestAfterDrain float64                   // longest time in seconds from a drain to the last request to the server
 	Latencies        []*hdrhistogram.Histogram // response latencies in microseconds, by class
--- a/internal/scenario/scenario.go
+++ b/internal/scenario/scenario.go
@@ -47,7 +47,7 @@
 	OnJoinedCheck    func(now float64, joined bool)  // optional: receives at each check whether all relays are joined
 	Policy           emulator.Policy                 // how emulated relays select servers
 	DropMeasurements bool                            // discard all measurements, so that weights stay as configured
-	Front            string                          // API of the relays: "sasp", "http" or "both" alternately; empty: sasp
+	Front            string                          // protocol of the relays: "sasp", "http" or "both" alternately; empty: sasp
 
 	// WrapCoordinator returns the program that runs in virtual time in place of a coordinator, and that runs the
 	// coordinator in turn; nil: the coordinator runs unwrapped.
@@ -82,7 +82,7 @@
 	result         Result
 }
 
-// Run runs a scenario. It returns an error if the scenario could not be run; a violated rule is not an error but is
+// Run runs a scenario. It returns an error if the scenario could not be run; a broken rule is not an error but is
 // recorded in the result.
 func Run(scenario *settings.Scenario, options Options) (*Result, error) {
 	r := newRun(scenario, options)
@@ -145,16 +145,16 @@
 func emulatedClasses(scenario *settings.Scenario) []emulator.Class {
 	site := &scenario.Coordinator.Site
 	var classes []emulator.Class
-	for _, query := range scenario.Classes {
+	for _, mix := range scenario.Classes {
 		class := 0
-		for class < len(site.ClassNames) && site.ClassNames[class] != query.Class {
+		for class < len(site.ClassNames) && site.ClassNames[class] != mix.Class {
 			class++
 		}
 		classes = append(classes, emulator.Class{
-			Name:        query.Class,
+			Name:        mix.Class,
 			Request:     site.Classes[class],
-			Share:       query.Share,
-			MeanWork:    query.Work,
+			Share:       mix.Share,
+			MeanWork:    mix.Work,
 			RetryPolicy: site.RetryPolicies[class],
 		})
 	}
--- a/internal/settings/experiment.go
+++ b/internal/settings/experiment.go
@@ -31,13 +31,13 @@
 }
 
 // ExperimentCase is a scenario of an experiment. Its faults are those listed, those drawn at random by the
-// seed, and crashes of coordinators.
+// seed, and random faults of coordinators.
 type ExperimentCase struct {
 	Name         string
 	Seconds      float64
 	RandomFaults int      // number of faults drawn at random
 	Kinds        []string // kinds of the faults drawn at random; if empty, any kind
-	Kills        int      // number of coordinator crashes
+	Kills        int      // number of random restarts, pauses and isolations of coordinators
 	Faults       []Fault
 }
 
--- a/internal/settings/fault.go
+++ b/internal/settings/fault.go
@@ -21,8 +21,8 @@
 const (
 	// noTarget is the value of the target fields that a fault does not use.
 	noTarget = -1
-	// problemFaultAfterEnd is the error text for a fault that starts after the end of its scenario.
-	problemFaultAfterEnd = "the fault starts after the day's end"
+	// problemFaultAfterEnd is the error message for a fault that starts after the end of its scenario.
+	problemFaultAfterEnd = "the fault starts after the scenario's end"
 )
 
 // faultTargets maps each kind of fault that has a target to the attribute that specifies the target.
--- a/internal/settings/scenario.go
+++ b/internal/settings/scenario.go
@@ -47,7 +47,7 @@
 type ClientModel struct {
 	Popularity float64 // exponent of the Zipf distribution of keys
 	Retries    int     // maximum number of retries of a request
-	RetryWait  float64 // delay of a retry in seconds
+	RetryWait  float64 // mean delay of a retry in seconds
 	Patience   float64 // fraction of the client timeout after which a client gives up
 }
 
--- a/internal/settings/schema.go
+++ b/internal/settings/schema.go
@@ -217,7 +217,7 @@
 		}
 	}
 	if allowed != nil && !slices.Contains(allowed, value) {
-		return fmt.Errorf("none of %s", strings.Join(allowed, ", "))
+		return fmt.Errorf("must be one of %s", strings.Join(allowed, ", "))
 	}
 	return nil
 }
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -53,7 +53,7 @@
 		{`goal-time="1.5"`, `goal-time="0"`, "class", "must be greater than 0"},
 		{`goal-time="1.5"`, `goal-time="9"`, "class", "longer than client-timeout"},
 		{`goal-time="1.5"`, ``, "class", "attribute goal-time is missing"},
-		{`effect="free"`, `effect="maybe"`, "class", "none of free, guarded, single-shot"},
+		{`effect="free"`, `effect="maybe"`, "class", "must be one of free, guarded, single-shot"},
 		{`window="5"`, `window="0"`, "class", "needs a window"},
 		{`name="introduce"`, `name="search"`, "class", "two classes"},
 		{`<zone name="south"/>`, `<zone name="north"/>`, "zone", "two zones"},
@@ -129,7 +129,7 @@
 	}
 	for _, c := range []struct{ from, to, problem string }{
 		{`server="1"`, `server="9"`, "there are 4"},
-		{`at="2"`, `at="20"`, "after the day's end"},
+		{`at="2"`, `at="20"`, "after the scenario's end"},
 		{`kind="drain" at="2" server="1"`, `kind="drain" at="2"`, "drain needs a server"},
 		{`share="1"`, `share="0.5"`, "add up"},
 		{`class="search"`, `class="x"`, "no class"},
--- a/internal/settings/tenant.go
+++ b/internal/settings/tenant.go
@@ -137,7 +137,7 @@
 	return size
 }
 
-// readNetworks reads the networks from which the tenant's clients may connect.
+// readNetworks reads the networks from which the tenant's proxies and servers may connect.
 func (d *decoder) readNetworks(root *node) []netip.Prefix {
 	var networks []netip.Prefix
 	for _, n := range root.childrenNamed("from") {
