--- a/internal/emulator/protocol.go
+++ b/internal/emulator/protocol.go
@@ -1,6 +1,6 @@
 // Package emulator models the environment of a coordinator: servers, relays with their clients, and agents that order
-// drains. An invariant checker checks the guarantees against the events that these programs observe on their sockets. They
-// are models for tests and scenarios, not measurements of real machines.
+// drains. An invariant checker checks the guarantees against the events that these programs observe on their sockets. All
+// results are those of models for tests and scenarios, not measurements of real machines.
 package emulator
 
 import (
--- a/internal/experiment/experiment_test.go
+++ b/internal/experiment/experiment_test.go
@@ -174,7 +174,7 @@
 const commonKinds = "drain crash mass_restart demand coordinator_restart coordinator_restart balancer_restart grow zone_cut"
 
 // firstViolation runs random scenarios with a guard disabled. It returns the number of the first, from 1, that breaks
-// the rule, or 0 if none of the first within scenarios does.
+// the rule, or 0 if none of the given number of scenarios does.
 func firstViolation(t *testing.T, guard, kinds string, rule, within int) int {
 	t.Helper()
 	disabled := parseExperiment(t, `<experiment name="planted" seeds="40"><fleet name="f" servers="24" relays="30" load="0.65"/>
@@ -222,7 +222,7 @@
 	}
 	written, err := settings.ParseScenario("small.xml", text, cell.Arm.DisabledGuards...)
 	if err != nil {
-		t.Fatalf("%v\n%s", err, text)
+		t.Fatalf("the written scenario cannot be read: %v\n%s", err, text)
 	}
 	if !breaksRule(written) {
 		t.Error("the scenario does not break rule 3 after it was written and read")
@@ -248,7 +248,7 @@
 		t.Run(test.want, func(t *testing.T) {
 			_, err := settings.ParseExperiment("x.xml", []byte(strings.Replace(smallExperiment, test.old, test.replacement, 1)))
 			if err == nil || !strings.Contains(err.Error(), test.want) || !strings.Contains(err.Error(), "x.xml:") {
-				t.Errorf("with %s: error %v", test.replacement, err)
+				t.Errorf("with %s: got error %v", test.replacement, err)
 			}
 		})
 	}
--- a/internal/scenario/hosted_test.go
+++ b/internal/scenario/hosted_test.go
@@ -119,7 +119,7 @@
 				t.Fatal(err)
 			}
 			if broken := !result.Tenants[test.tenant].Verdicts[2].Kept; broken != test.broken {
-				t.Errorf("drain rule broken: %t", broken)
+				t.Errorf("drain rule broken: %t, want the opposite", broken)
 			}
 		})
 	}
--- a/internal/scenario/scenario_test.go
+++ b/internal/scenario/scenario_test.go
@@ -240,6 +240,6 @@
 	RandomizeFaults(scenario)
 	result, text := runScenario(t, scenario, Options{Front: frontends[number%3]})
 	if !result.Kept() {
-		t.Errorf("%+v\n%s", scenario.Faults, text)
+		t.Errorf("rules broken with faults %+v\n%s", scenario.Faults, text)
 	}
 }
--- a/internal/settings/host_test.go
+++ b/internal/settings/host_test.go
@@ -50,7 +50,7 @@
 		_, err := ParseTenant("first", []byte(strings.Replace(text, c.from, c.to, 1)), host)
 		if c.problem == "" {
 			if err != nil {
-				t.Errorf("%s: %v", c.to, err)
+				t.Errorf("%s: unexpected error %v", c.to, err)
 			}
 			continue
 		}
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -169,7 +169,7 @@
 		{`number="5"`, `number="0"`, "number"},
 	} {
 		if _, err := with(strings.Replace(good, x.from, x.to, 1)); err == nil || !strings.Contains(err.Error(), x.problem) {
-			t.Errorf("%s: error is %v", x.to, err)
+			t.Errorf("%s: got error %v", x.to, err)
 		}
 	}
 }
--- a/internal/simwire/host.go
+++ b/internal/simwire/host.go
@@ -40,7 +40,7 @@
 	i.events = balancer.Events{}
 }
 
-// Host reads batches of events from in, one a line, and writes a line of actions to out for each, until the input ends.
+// Host reads batches of events from in, one per line, and writes a line of actions to out for each, until the input ends.
 // Invalid events are skipped and reported to errorLog. Host returns an error with the line's number if a line is not a
 // valid batch or the reply cannot be written.
 func Host(in io.Reader, out, errorLog io.Writer) error {
