--- a/internal/emulator/relay_table.go
+++ b/internal/emulator/relay_table.go
@@ -10,7 +10,7 @@
 	"snowquay/internal/wire/sasp"
 )
 
-// entry is a table entry.
+// entry is an entry of a weight table: a server and its weight.
 type entry struct {
 	server netip.AddrPort
 	weight float64
@@ -37,13 +37,13 @@
 	queued       []*attempt // attempts to send when the connection is established
 	failures     int        // number of consecutive failures
 	inFlight     int        // number of open attempts
-	ejectedUntil float64    // clock time in seconds
+	ejectedUntil float64    // clock time in seconds until which the server is ejected
 	totals       loadreport.Totals
 }
 
 func (t *target) ejected(now float64) bool { return t != nil && now < t.ejectedUntil }
 
-// TableServers returns the servers of all tables' entries.
+// TableServers returns the servers of the entries in all tables. A server can occur several times.
 func (r *Relay) TableServers() []netip.AddrPort {
 	var servers []netip.AddrPort
 	for _, table := range r.tables {
--- a/internal/scenario/hosted_result.go
+++ b/internal/scenario/hosted_result.go
@@ -124,8 +124,8 @@
 	bestService    float64
 	serviceSum     float64
 	foreignEntries int
-	longestWait    float64 // seconds
-	drainTime      float64 // seconds
+	longestWait    float64 // longest time in seconds that any tenant waited for its turn
+	drainTime      float64 // longest drain time of any tenant in seconds
 }
 
 func (r *HostedResult) summarize() hostedSummary {
--- a/internal/scenario/hosted_tenants.go
+++ b/internal/scenario/hosted_tenants.go
@@ -18,7 +18,7 @@
 	relayNetworkBits     = 22 // prefix length of the network of a tenant's relays
 	tenantMeanWork       = 0.1
 	tenantReportInterval = 0.5 // seconds
-	maxDefaultTableSize  = 3   // entries
+	maxDefaultTableSize  = 3   // maximum number of entries in a default table
 )
 
 // tenantShares are the shares of the request classes in the requests of a tenant.
--- a/internal/scenario/result.go
+++ b/internal/scenario/result.go
@@ -26,11 +26,11 @@
 	WorstInterval    float64                   // service in the worst ten seconds
 	LatestAfterDrain float64                   // longest time in seconds from a drain to the last request to the server
 	Latencies        []*hdrhistogram.Histogram // response latencies in microseconds, by class
-	P50              float64                   // seconds
-	P99              float64                   // seconds
-	Requested        []float64                 // by class
-	Answered         []float64                 // by class
-	OnTime           []float64                 // by class
+	P50              float64                   // median latency in seconds
+	P99              float64                   // 99th percentile of the latency in seconds
+	Requested        []float64                 // number of requests, by class
+	Answered         []float64                 // number of answered requests, by class
+	OnTime           []float64                 // number of requests answered within the latency objective, by class
 	Attempts         int
 	Messages         int
 	Entries          int
