--- a/internal/experiment/experiment_test.go
+++ b/internal/experiment/experiment_test.go
@@ -174,7 +174,7 @@
 const commonKinds = "drain crash mass_restart demand coordinator_restart coordinator_restart balancer_restart grow zone_cut"
 
 // firstViolation runs random scenarios with a guard disabled. It returns the number of the first, from 1, that breaks
-// the rule, or 0 if none of the first within scenarios does.
+// the rule, or 0 if none of the given number of scenarios does.
 func firstViolation(t *testing.T, guard, kinds string, rule, within int) int {
 	t.Helper()
 	disabled := parseExperiment(t, `<experiment name="planted" seeds="40"><fleet name="f" servers="24" relays="30" load="0.65"/>
@@ -222,7 +222,7 @@
 	}
 	written, err := settings.ParseScenario("small.xml", text, cell.Arm.DisabledGuards...)
 	if err != nil {
-		t.Fatalf("%v\n%s", err, text)
+		t.Fatalf("the written scenario cannot be read: %v\n%s", err, text)
 	}
 	if !breaksRule(written) {
 		t.Error("the scenario does not break rule 3 after it was written and read")
@@ -240,15 +240,15 @@
 	for _, test := range []struct{ old, replacement, want string }{
 		{`name="g" servers="12"`, `name="f" servers="12"`, "two named"},
 		{`name="calm"`, `name="a.b"`, "part of a file's"},
-		{`policy="robin"`, `policy="best"`, "none of"},
+		{`policy="robin"`, `policy="best"`, "must be one of"},
 		{`<arm name="snowquay"/>`, `<arm name="snowquay" without="luck"/>`, "no guard is named"},
 		{`<arm name="snowquay"/>`, `<arm name="snowquay" levels="rate"/>`, "only the front http"},
-		{`drawn="2"/>`, `drawn="2"><trouble kind="slow" at="99" server="1"/></case>`, "after the day's end"},
+		{`drawn="2"/>`, `drawn="2"><trouble kind="slow" at="99" server="1"/></case>`, "after the scenario's end"},
 	} {
 		t.Run(test.want, func(t *testing.T) {
 			_, err := settings.ParseExperiment("x.xml", []byte(strings.Replace(smallExperiment, test.old, test.replacement, 1)))
 			if err == nil || !strings.Contains(err.Error(), test.want) || !strings.Contains(err.Error(), "x.xml:") {
-				t.Errorf("with %s: error %v", test.replacement, err)
+				t.Errorf("with %s: got error %v", test.replacement, err)
 			}
 		})
 	}
