--- a/balancer/limits_test.go
+++ b/balancer/limits_test.go
@@ -241,8 +241,9 @@
 	}
 }
 
-// drawDeployment draws a deployment whose events do not exceed the capacity of its channel: no balancer could comply
-// with the limits if the entries for a release and for restarts cannot be transmitted in time.
+// drawDeployment draws a deployment in which the messages for one step of a release fit into the channel at once. Its
+// events may still come faster than the channel transmits; fitToChannel adjusts their times. No balancer could comply
+// with the drain deadline if the entries for a release and for restarts cannot be transmitted in time.
 func drawDeployment(t *rapid.T) deployment {
 	d := customerDeployment()
 	d.seed = rapid.Uint64().Draw(t, "seed")
@@ -301,7 +302,8 @@
 const drawnDeployments = 16
 
 // Both limits on the channel and the drain deadline are complied with in any deployment, even if the channel slows
-// down during a release while other coordinators restart.
+// down during a release while other coordinators restart. The drain deadline is checked only if the limit on messages
+// leaves enough of them for the release.
 func TestChannelLimitsAreKept(t *testing.T) {
 	for seed := range drawnDeployments {
 		d := rapid.Custom(drawDeployment).Example(seed).fitToChannel()
@@ -326,7 +328,7 @@
 }
 
 // Runs a customer's deployment at full size: the channel of one of five coordinators runs at its configured rate or
-// slows down.
+// slows down. The limits hold at every pace, the drain deadline at the configured rate.
 func TestCustomerDeploymentKeepsLimits(t *testing.T) {
 	for _, pace := range []float64{1, 0.25, 0.12, 0.03} {
 		d := customerDeployment()
--- a/internal/frontend/eventloop/server.go
+++ b/internal/frontend/eventloop/server.go
@@ -35,7 +35,7 @@
 	program         env.Program
 	clock           func() float64
 	ignoresDelivery bool // the program is a DeliveryIgnorer; its timer is timer instead of gnet's ticker
-	maxUnread       int  // limit for the bytes that this process buffers for a peer; 0: none
+	maxUnread       int  // limit for the bytes that this process buffers for a peer; 0: no limit
 
 	started     chan struct{} // closed when the program has started
 	ticking     chan struct{} // closed at gnet's first tick, from which on the engine accepts outgoing connections
@@ -196,8 +196,8 @@
 	return err
 }
 
-// Do calls f between two callbacks of the program, and returns when f has returned, or after loopTimeout. If the loop has ended, f
-// is not called.
+// Do calls f between two callbacks of the program, and returns when f has returned, or after loopTimeout. Without connections, and
+// after Stop, f runs on the caller's goroutine. Otherwise it runs on the loop, and is not called if the loop has ended.
 func (s *Server) Do(f func(now float64)) {
 	s.mu.Lock()
 	if len(s.conns) == 0 || s.stopped {
--- a/internal/frontend/platform/scale_test.go
+++ b/internal/frontend/platform/scale_test.go
@@ -49,7 +49,7 @@
 	conn := sim.client.dial(slices.Concat(readinessCheck, hello("a")))
 	sim.net.Run(1010)
 	if got := sim.client.received[conn]; got != readyResponse {
-		t.Fatalf("response to the readiness check is %q", got)
+		t.Fatalf("response to the readiness check is %q, want hb_ok", got)
 	}
 	drained := map[string]bool{}
 	at := 1010.0
@@ -77,10 +77,10 @@
 	}
 	checkTables(t, sim.relay, drained)
 	if sim.relay.largestCall > jsonrpc.MaxCallBytes || sim.program.commands.Dropped > 0 {
-		t.Errorf("largest call has %d bytes, %d commands were dropped", sim.relay.largestCall, sim.program.commands.Dropped)
+		t.Errorf("largest call has %d bytes, want jsonrpc.MaxCallBytes at most; %d commands were dropped, want none", sim.relay.largestCall, sim.program.commands.Dropped)
 	}
 	if malformed := sim.program.counts.malformed + sim.program.endpoints.Malformed; malformed > 0 {
-		t.Errorf("%d malformed messages", malformed)
+		t.Errorf("%d malformed messages, want none", malformed)
 	}
 }
 
--- a/internal/proxy/proxy_test.go
+++ b/internal/proxy/proxy_test.go
@@ -15,7 +15,7 @@
 	e.runFor(1)
 	e.expectReceived(client, "s0", "s1", "404")
 	if succeeded := strings.Count(client.received, "HTTP/1.1 200"); succeeded != 3 {
-		t.Errorf("%d of 3 requests succeeded: %s", succeeded, client.received)
+		t.Errorf("%d of 3 requests succeeded, want all; the client received %s", succeeded, client.received)
 	}
 	if client.closed || e.proxy.Clients() != 1 {
 		t.Error("client connection was closed")
@@ -39,7 +39,8 @@
 	e.expectReceived(client, "Content-Length: 2")
 }
 
-// If a server fails, idempotent requests succeed on another server in time, and non-idempotent requests are executed at most once.
+// If a server fails, idempotent requests succeed on another server in time, and each non-idempotent request reaches a server that executes it
+// exactly once.
 func TestFaultyServers(t *testing.T) {
 	for _, behavior := range []string{"silent", "reset", "drip", "fails", "full", "twice"} {
 		t.Run(behavior, func(t *testing.T) {
@@ -62,7 +63,7 @@
 			e.runFor(8)
 			e.expectExecutedOnce(6)
 			if e.proxy.Core.InFlight() != 0 || len(e.proxy.requests) != 0 || len(e.proxy.attempts) != 0 {
-				t.Errorf("%d requests are still in flight", e.proxy.Core.InFlight())
+				t.Errorf("%d requests are still in flight, want none, and no request or attempt that is still tracked", e.proxy.Core.InFlight())
 			}
 		})
 	}
@@ -81,11 +82,11 @@
 	}
 	for request, count := range executions {
 		if count > 1 {
-			e.t.Errorf("%q was executed %d times", request, count)
+			e.t.Errorf("%q was executed %d times, want once", request, count)
 		}
 	}
 	if len(executions) != requests {
-		e.t.Errorf("%d of %d requests reached a server that executes them", len(executions), requests)
+		e.t.Errorf("%d of %d requests reached a server that executes them, want all", len(executions), requests)
 	}
 }
 
@@ -107,7 +108,7 @@
 	e.expectReceived(client, "HTTP/1.1 502")
 }
 
-// When a client closes its connection, its attempts are cancelled by closing their connections to servers.
+// When a client closes its connection, its attempts are cancelled by closing their connections to servers, so that the servers notice.
 func TestClientClosesConnection(t *testing.T) {
 	e := newTestEnvironment(t, 1, nil)
 	e.servers[0].behavior = "silent"
