--- a/internal/coordinator/host_directory.go
+++ b/internal/coordinator/host_directory.go
@@ -117,7 +117,8 @@
 	}
 	tenant := h.running(listed.Name)
 	if tenant == nil {
-		preview.Revision.RestartReason = "the tenant is not running"
+		// The text is a value of the administration API, so it must not change.
+		preview.Revision.RestartReason = "there is none that runs"
 		return preview, nil
 	}
 	fleet := tenant.Coordinator.Fleet
